--- a/daemon/src/main/java/wheelroute/LastingLogs.java
+++ b/daemon/src/main/java/wheelroute/LastingLogs.java
@@ -2,10 +2,14 @@
 
 import java.util.logging.LogManager;
 
-/** Keeps its handlers when the process is told to end: what is logged while it drains must not be lost. */
+/**
+ * Keeps its handlers when the process is told to end: what is logged while it drains must not be
+ * lost.
+ */
 public final class LastingLogs extends LogManager {
     /** The system property that names how entries are written; text where it is not set. */
     static final String FORMAT = "wheelroute.log-format";
+
     private static final String FORMATTER = "java.util.logging.ConsoleHandler.formatter";
 
     @Override
@@ -18,7 +22,8 @@
         if (!name.equals(FORMATTER)) {
             return super.getProperty(name);
         }
-        return "json".equals(System.getProperty(FORMAT)) ? JsonLines.class.getName()
+        return "json".equals(System.getProperty(FORMAT))
+                ? JsonLines.class.getName()
                 : LogLines.class.getName();
     }
 }
--- a/daemon/src/main/java/wheelroute/LogLines.java
+++ b/daemon/src/main/java/wheelroute/LogLines.java
@@ -6,7 +6,10 @@
 import java.util.logging.Formatter;
 import java.util.logging.LogRecord;
 
-/** One line an entry, in UTC. The runtime's own formatter reads a whole locale first, at every start. */
+/**
+ * One line an entry, in UTC. The runtime's own formatter reads a whole locale first, at every
+ * start.
+ */
 public final class LogLines extends Formatter {
     private static final long DAY_MILLIS = 86_400_000;
     private static final int HOUR_MILLIS = 3_600_000;
@@ -23,7 +26,10 @@
         part(line, ':', ofDay % HOUR_MILLIS / MINUTE_MILLIS, 2);
         part(line, ':', ofDay % MINUTE_MILLIS / SECOND_MILLIS, 2);
         part(line, '.', ofDay % SECOND_MILLIS, 3);
-        line.append("Z ").append(entry.getLevel().getName()).append(' ').append(entry.getLoggerName());
+        line.append("Z ")
+                .append(entry.getLevel().getName())
+                .append(' ')
+                .append(entry.getLoggerName());
         line.append(": ").append(formatMessage(entry)).append('\n');
         if (entry.getThrown() != null) {
             StringWriter trace = new StringWriter();
--- a/daemon/src/main/java/wheelroute/Main.java
+++ b/daemon/src/main/java/wheelroute/Main.java
@@ -16,8 +16,7 @@
     private static final int BAD_INPUT = 1;
     private static final int BAD_USAGE = 2;
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         String command = args.length > 0 ? args[0] : "";
@@ -31,11 +30,12 @@
     }
 
     private static void usage() {
-        System.err.println("usage: wheelroute adapter    the wire on standard input and output\n"
-                + "       wheelroute serve [--log-format text|json] [FILE]\n"
-                + "                             dispatch on sockets, by LB_* and FILE, TOML or JSON, or"
+        System.err.println(
+                "usage: wheelroute adapter    the wire on standard input and output\n"
+                        + "       wheelroute serve [--log-format text|json] [FILE]\n"
+                        + "                             dispatch on sockets, by LB_* and FILE, TOML or JSON, or"
                         + " the file"
-                + " that LB_CONFIG names");
+                        + " that LB_CONFIG names");
         System.exit(BAD_USAGE);
     }
 
@@ -43,7 +43,8 @@
     private static Map<String, String> environment(String[] args) {
         Map<String, String> environment = System.getenv();
         for (int i = 1; i < args.length; i++) {
-            if (args[i].equals("--log-format") && i + 1 < args.length
+            if (args[i].equals("--log-format")
+                    && i + 1 < args.length
                     && (args[i + 1].equals("text") || args[i + 1].equals("json"))) {
                 System.setProperty(LastingLogs.FORMAT, args[++i]);
             } else if (i == args.length - 1 && !args[i].startsWith("-")) {
@@ -67,11 +68,13 @@
     }
 
     private static void serve(Map<String, String> environment) {
-        // Before the first logger: the usual manager drops its handlers once the process is told to end.
+        // Before the first logger: the usual manager drops its handlers once the process is told to
+        // end.
         System.setProperty("java.util.logging.manager", LastingLogs.class.getName());
         try {
             Service service = new Service(ConfigReader.read(environment));
-            // Before it is ready: by default either signal would end the process, with what it had taken.
+            // Before it is ready: by default either signal would end the process, with what it had
+            // taken.
             Hangup.onSignal(() -> service.reload(() -> ConfigReader.reread(environment)));
             Thread end = new Thread(() -> end(service), "end");
             Runtime.getRuntime().addShutdownHook(end);
--- a/daemon/src/main/java/wheelroute/adapter/Adapter.java
+++ b/daemon/src/main/java/wheelroute/adapter/Adapter.java
@@ -18,7 +18,9 @@
 import wheelroute.decision.Submission;
 import wheelroute.list.Backoff;
 
-/** Reads batches of events, hands each to its instance's policy, and answers with what they decide. */
+/**
+ * Reads batches of events, hands each to its instance's policy, and answers with what they decide.
+ */
 public final class Adapter {
     private static final double MICROS = 1e6;
     private static final int HINT_IS_VALID = 1;
@@ -28,12 +30,17 @@
     private static final int OK = 200;
     private static final String FREE_SLOTS = "x0";
 
-    /** One instance: its policy, the handles of what it holds, and its names for what the wire repeats. */
+    /**
+     * One instance: its policy, the handles of what it holds, and its names for what the wire
+     * repeats.
+     */
     private static final class Instance {
         final long number;
         Policy policy;
+
         /** Null where the list comes unasked. */
         Backoff backoff;
+
         final Map<Long, Policy.Handle> handles = new HashMap<>();
         final Map<String, Ids.Offering> offerings = new HashMap<>();
         final Map<String, Ids.Tenant> tenants = new HashMap<>();
@@ -161,10 +168,17 @@
         long bits = line.wholeOr("bitmap", 0);
         double hint = line.hasMore() ? line.numberOr("weight_hint_us", -1) / MICROS : -1;
         boolean valid = (bits & HINT_IS_VALID) != 0 && hint >= 0;
-        Submission submission = new Submission(new Ids.Submission(id),
-                current.offerings.computeIfAbsent(kind, Ids.Offering::new),
-                current.tenants.computeIfAbsent(org, Ids.Tenant::new), outerLimit, valid ? hint : Double.NaN,
-                slots, memory, (bits & IS_REPEATED) != 0, key == null ? null : new Ids.Key(key));
+        Submission submission =
+                new Submission(
+                        new Ids.Submission(id),
+                        current.offerings.computeIfAbsent(kind, Ids.Offering::new),
+                        current.tenants.computeIfAbsent(org, Ids.Tenant::new),
+                        outerLimit,
+                        valid ? hint : Double.NaN,
+                        slots,
+                        memory,
+                        (bits & IS_REPEATED) != 0,
+                        key == null ? null : new Ids.Key(key));
         Policy.Handle handle = current.policy.take(submission);
         if (handle == null) {
             throw line.error("the settings have no class '" + kind + "'");
@@ -263,7 +277,7 @@
             return LoadReport.NOTHING;
         }
         double free = Double.NaN;
-        for (int from = 0; from < pairs.length();) {
+        for (int from = 0; from < pairs.length(); ) {
             int comma = pairs.indexOf(',', from);
             int end = comma < 0 ? pairs.length() : comma;
             int colon = pairs.indexOf(':', from);
@@ -271,7 +285,10 @@
                 throw line.error("a load report is name:value pairs");
             }
             double value = number(pairs.substring(colon + 1, end));
-            free = colon - from == FREE_SLOTS.length() && pairs.startsWith(FREE_SLOTS, from) ? value : free;
+            free =
+                    colon - from == FREE_SLOTS.length() && pairs.startsWith(FREE_SLOTS, from)
+                            ? value
+                            : free;
             from = end + 1;
         }
         return new LoadReport(free);
@@ -325,13 +342,20 @@
         long started = line.wholeOr("boot_time_us", 0);
         Ids.Worker worker = new Ids.Worker(line.whole("worker"));
         Ids.Cell cell = new Ids.Cell(line.wholeOr("cohort", 0));
-        Listing.Readiness readiness = switch (line.text("readiness")) {
-            case "active" -> Listing.Readiness.ACTIVE;
-            case "leaving" -> Listing.Readiness.LEAVING;
-            case "left" -> Listing.Readiness.GONE;
-            default -> throw line.error("unknown readiness");
-        };
-        return new Listing(worker, model, size, zone, started == 0 ? Double.NaN : started / MICROS, cell,
+        Listing.Readiness readiness =
+                switch (line.text("readiness")) {
+                    case "active" -> Listing.Readiness.ACTIVE;
+                    case "leaving" -> Listing.Readiness.LEAVING;
+                    case "left" -> Listing.Readiness.GONE;
+                    default -> throw line.error("unknown readiness");
+                };
+        return new Listing(
+                worker,
+                model,
+                size,
+                zone,
+                started == 0 ? Double.NaN : started / MICROS,
+                cell,
                 readiness);
     }
 }
--- a/daemon/src/main/java/wheelroute/adapter/LineReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/LineReader.java
@@ -5,7 +5,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Lines of the wire and the fields in them, read in place: a day has little CPU to spare for garbage. */
+/**
+ * Lines of the wire and the fields in them, read in place: a day has little CPU to spare for
+ * garbage.
+ */
 final class LineReader {
     private static final int FIRST_BUFFER = 1 << 16;
     private static final int LONGEST_SHOWN = 80;
@@ -48,7 +51,8 @@
             int got = in.read(buffer, filled, buffer.length - filled);
             if (got < 0) {
                 if (filled > lineStart) {
-                    throw new WireException("line " + (lineNumber + 1) + ": the input ends within a line");
+                    throw new WireException(
+                            "line " + (lineNumber + 1) + ": the input ends within a line");
                 }
                 return false;
             }
--- a/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
+++ b/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
@@ -13,6 +13,7 @@
     private static final int LONGEST_NUMBER = 20;
     private static final double MICROS = 1e6;
     private static final String WAKE_TOKEN = "w";
+
     /** Of a wake at which the list is asked for again, which the decisions need not hear of. */
     static final String LIST_TOKEN = "l";
 
--- a/daemon/src/main/java/wheelroute/config/Config.java
+++ b/daemon/src/main/java/wheelroute/config/Config.java
@@ -11,7 +11,8 @@
  * What one dispatcher is told. Times in seconds.
  *
  * @param admin where operators call; null for nowhere
- * @param meeting the directory in which processes of one dispatcher find each other; null where none is to
+ * @param meeting the directory in which processes of one dispatcher find each other; null where
+ *     none is to
  * @param sockets how many descriptors the process may hold
  * @param memory how many bytes the process may take; NaN when not told
  * @param known the remembered list of workers, as the JSON that discovery would send; null for none
@@ -21,9 +22,20 @@
  * @param listIsPushed what discovery's agent knows counts as told, whether or not it was asked for
  * @param peers how it knows the other dispatchers; null where it does not
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress discovery,
-        InetSocketAddress admin, Path meeting, int sockets, double memory, byte[] known, Settings settings,
-        double connectLimit, double idleLimit, double longestOuterLimit, boolean listIsPushed,
+public record Config(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        InetSocketAddress admin,
+        Path meeting,
+        int sockets,
+        double memory,
+        byte[] known,
+        Settings settings,
+        double connectLimit,
+        double idleLimit,
+        double longestOuterLimit,
+        boolean listIsPushed,
         Peering peers) {
     /** The keys by which another configuration differs in what is used only at the start. */
     public List<String> waitingForRestart(Config other) {
--- a/daemon/src/main/java/wheelroute/config/ConfigReader.java
+++ b/daemon/src/main/java/wheelroute/config/ConfigReader.java
@@ -21,15 +21,18 @@
 import wheelroute.peers.PeerId;
 
 /**
- * Reads the environment and the file that it names. At the start the environment's own values go before the
- * file's; later only the file can have changed, and its word on discovery is the newer one.
+ * Reads the environment and the file that it names. At the start the environment's own values go
+ * before the file's; later only the file can have changed, and its word on discovery is the newer
+ * one.
  */
 public final class ConfigReader {
     private static final JsonFactory JSON = new JsonFactory();
     private static final int HEX = 16;
     private static final int MOST_PORT = 65_535;
+
     /** Far below it nothing could be served: the runtime itself holds some thirty descriptors. */
     private static final int LEAST_SOCKETS = 64;
+
     private static final double MEGABYTE = 1 << 20;
     private static final double USUAL_SOCKETS = 1024;
     private static final double USUAL_CONNECT = 0.25;
@@ -55,7 +58,8 @@
         return read(environment, true);
     }
 
-    private static Config read(Map<String, String> environment, boolean again) throws ConfigException {
+    private static Config read(Map<String, String> environment, boolean again)
+            throws ConfigException {
         ConfigReader reader = new ConfigReader(environment, again);
         reader.readFile();
         return reader.config();
@@ -84,20 +88,24 @@
                 }
             }
             if (parser.nextToken() != null) {
-                throw new ConfigException("LB_CONFIG", "names a file that goes on after its object");
+                throw new ConfigException(
+                        "LB_CONFIG", "names a file that goes on after its object");
             }
         } catch (IOException | InvalidPathException e) {
-            throw new ConfigException("LB_CONFIG", "names a file that cannot be read: " + e.getMessage());
+            throw new ConfigException(
+                    "LB_CONFIG", "names a file that cannot be read: " + e.getMessage());
         }
     }
 
     private void readToml(String path) throws ConfigException {
         try {
-            TomlFile.Read read = TomlFile.read(Files.readString(Path.of(path), StandardCharsets.UTF_8));
+            TomlFile.Read read =
+                    TomlFile.read(Files.readString(Path.of(path), StandardCharsets.UTF_8));
             file.putAll(read.pairs());
             known = read.known();
         } catch (IOException | InvalidPathException e) {
-            throw new ConfigException("LB_CONFIG", "names a file that cannot be read: " + e.getMessage());
+            throw new ConfigException(
+                    "LB_CONFIG", "names a file that cannot be read: " + e.getMessage());
         }
     }
 
@@ -112,11 +120,12 @@
 
     private Config config() throws ConfigException {
         Map<String, String> pairs = new HashMap<>();
-        file.forEach((key, value) -> {
-            if (key.startsWith("settings.")) {
-                pairs.put(key.substring("settings.".length()), value);
-            }
-        });
+        file.forEach(
+                (key, value) -> {
+                    if (key.startsWith("settings.")) {
+                        pairs.put(key.substring("settings.".length()), value);
+                    }
+                });
         boolean listIsPushed = "push".equals(pairs.get("membership_mode"));
         // On sockets the list comes only to who asks, however the bench's wire would bring it.
         pairs.put("membership_mode", "ask");
@@ -130,7 +139,8 @@
         for (int i = 0; i < settings.offerings().size(); i++) {
             String name = settings.offerings().get(i).id().name();
             if (name.isEmpty() || !names.add(name)) {
-                throw new ConfigException("settings.request_classes." + i + ".name",
+                throw new ConfigException(
+                        "settings.request_classes." + i + ".name",
                         name.isEmpty() ? "is missing" : "is another offering's too: " + name);
             }
             String key = "request_classes." + i + ".hard_limit_us";
@@ -148,16 +158,26 @@
         String idle = "permissions.conn_idle_us";
         String discovery = again && file.containsKey("discovery") ? "" : "LB_DISCOVERY";
         InetSocketAddress admin = optional("LB_ADMIN", "admin");
-        return new Config(value("LB_NAME", "name"), address("LB_LISTEN", "listen"),
-                address(discovery, "discovery"), admin, admin == null ? null : meeting(), (int) sockets,
-                memory, known, settings,
+        return new Config(
+                value("LB_NAME", "name"),
+                address("LB_LISTEN", "listen"),
+                address(discovery, "discovery"),
+                admin,
+                admin == null ? null : meeting(),
+                (int) sockets,
+                memory,
+                known,
+                settings,
                 positive(connect, reader.seconds(connect, USUAL_CONNECT)),
-                positive(idle, reader.seconds(idle, USUAL_IDLE)), longest, listIsPushed,
+                positive(idle, reader.seconds(idle, USUAL_IDLE)),
+                longest,
+                listIsPushed,
                 peering(settings));
     }
 
     /**
-     * Off unless it is asked for by name: a platform that tells addresses of peers does not ask for it yet.
+     * Off unless it is asked for by name: a platform that tells addresses of peers does not ask for
+     * it yet.
      */
     private Peering peering(Settings settings) throws ConfigException {
         if (file.getOrDefault("peering.listen", "").isEmpty()) {
@@ -167,23 +187,29 @@
         for (String text : file.getOrDefault("peering.addresses", "").split(",")) {
             InetSocketAddress address = parse(text);
             if (address == null) {
-                throw new ConfigException("peering.addresses", "has one that is not host:port: " + text);
+                throw new ConfigException(
+                        "peering.addresses", "has one that is not host:port: " + text);
             }
             addresses.add(address);
         }
         if (addresses.size() != settings.dispatchers()) {
-            throw new ConfigException("peering.addresses", "are " + addresses.size() + " of "
-                    + settings.dispatchers() + " dispatchers");
+            throw new ConfigException(
+                    "peering.addresses",
+                    "are " + addresses.size() + " of " + settings.dispatchers() + " dispatchers");
         }
         if (settings.position() < 0 || settings.position() >= addresses.size()) {
             throw new ConfigException("peering", "needs this dispatcher's position among them");
         }
         if (!value("LB_NAME", "name").matches("[!-~]{1," + PeerId.MOST_BYTES + "}")) {
-            throw new ConfigException("name", "is longer than " + PeerId.MOST_BYTES
-                    + " plain characters, which peers need");
+            throw new ConfigException(
+                    "name",
+                    "is longer than " + PeerId.MOST_BYTES + " plain characters, which peers need");
         }
-        return new Peering(file.getOrDefault("peering.cluster", ""), address("", "peering.listen"),
-                List.copyOf(addresses), settings.position());
+        return new Peering(
+                file.getOrDefault("peering.cluster", ""),
+                address("", "peering.listen"),
+                List.copyOf(addresses),
+                settings.position());
     }
 
     private static double positive(String key, double value) throws ConfigException {
@@ -211,7 +237,10 @@
         return value;
     }
 
-    /** Where a process that takes this one's place has a door of its own, it shares this directory too. */
+    /**
+     * Where a process that takes this one's place has a door of its own, it shares this directory
+     * too.
+     */
     private Path meeting() throws ConfigException {
         String directory = environment.getOrDefault("TMPDIR", "");
         try {
@@ -223,7 +252,8 @@
 
     /** Null where neither names one. */
     private InetSocketAddress optional(String variable, String key) throws ConfigException {
-        return environment.getOrDefault(variable, file.getOrDefault(key, "")).isEmpty() ? null
+        return environment.getOrDefault(variable, file.getOrDefault(key, "")).isEmpty()
+                ? null
                 : address(variable, key);
     }
 
@@ -241,7 +271,10 @@
         return address.getHostString() + ":" + address.getPort();
     }
 
-    /** Null for what is no address of the form host:port; the host is taken as it is, there is no DNS. */
+    /**
+     * Null for what is no address of the form host:port; the host is taken as it is, there is no
+     * DNS.
+     */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 1) {
--- a/daemon/src/main/java/wheelroute/config/JsonPairs.java
+++ b/daemon/src/main/java/wheelroute/config/JsonPairs.java
@@ -6,15 +6,16 @@
 import java.util.Map;
 
 /**
- * Nested JSON as path=value pairs, just as the bench's wire writes the same settings: a list of plain values
- * is joined with commas, a list of objects has its length under .count and its items under .0, .1 and so on.
+ * Nested JSON as path=value pairs, just as the bench's wire writes the same settings: a list of
+ * plain values is joined with commas, a list of objects has its length under .count and its items
+ * under .0, .1 and so on.
  */
 final class JsonPairs {
-    private JsonPairs() {
-    }
+    private JsonPairs() {}
 
     /** Adds what the value holds on which the parser stands; its own path is the prefix. */
-    static void flatten(JsonParser parser, String path, Map<String, String> into) throws IOException {
+    static void flatten(JsonParser parser, String path, Map<String, String> into)
+            throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT -> {
                 while (parser.nextToken() != JsonToken.END_OBJECT) {
@@ -24,14 +25,15 @@
                 }
             }
             case START_ARRAY -> list(parser, path, into);
-            case VALUE_NULL -> {
-            }
-            // As it is: names come in paths and headers, and a stand-in for a blank would be another.
+            case VALUE_NULL -> {}
+            // As it is: names come in paths and headers, and a stand-in for a blank would be
+            // another.
             default -> into.put(path, parser.getText());
         }
     }
 
-    private static void list(JsonParser parser, String path, Map<String, String> into) throws IOException {
+    private static void list(JsonParser parser, String path, Map<String, String> into)
+            throws IOException {
         StringBuilder plain = new StringBuilder();
         int objects = 0;
         int values = 0;
--- a/daemon/src/main/java/wheelroute/config/Peering.java
+++ b/daemon/src/main/java/wheelroute/config/Peering.java
@@ -11,6 +11,5 @@
  * @param addresses where each is reached, in the order of their numbers, its own among them
  * @param number its own
  */
-public record Peering(String cluster, InetSocketAddress listen, List<InetSocketAddress> addresses,
-        int number) {
-}
+public record Peering(
+        String cluster, InetSocketAddress listen, List<InetSocketAddress> addresses, int number) {}
--- a/daemon/src/main/java/wheelroute/config/SettingsPairs.java
+++ b/daemon/src/main/java/wheelroute/config/SettingsPairs.java
@@ -7,8 +7,8 @@
 import wheelroute.decision.Group;
 
 /**
- * Settings in our own words and seconds, written as the path=value pairs that {@link SettingsReader} reads:
- * for those who do not come with the platform's JSON.
+ * Settings in our own words and seconds, written as the path=value pairs that {@link
+ * SettingsReader} reads: for those who do not come with the platform's JSON.
  */
 public final class SettingsPairs {
     private static final double MICROS = 1e6;
@@ -31,7 +31,9 @@
     }
 
     public SettingsPairs number(String path, double value) {
-        return text(path, value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value));
+        return text(
+                path,
+                value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value));
     }
 
     public SettingsPairs seconds(String path, double value) {
@@ -39,23 +41,42 @@
     }
 
     /** One row of the table of offerings. */
-    public SettingsPairs offering(String name, Effect effect, Group group, double quoted, double stretch,
-            double outer, double value, double lateValue, double window, boolean inTurn) {
+    public SettingsPairs offering(
+            String name,
+            Effect effect,
+            Group group,
+            double quoted,
+            double stretch,
+            double outer,
+            double value,
+            double lateValue,
+            double window,
+            boolean inTurn) {
         String row = "request_classes." + offerings++ + ".";
-        return text(row + "name", name).text(row + "effect", switch (effect) {
-            case IDEMPOTENT -> "free";
-            case DEDUPLICATED -> "guarded";
-            case UNREPEATABLE -> "once";
-        }).text(row + "group", group.name().toLowerCase(Locale.ROOT)).seconds(row + "on_time_us", quoted)
-                .number(row + "aim_stretch", stretch).seconds(row + "hard_limit_us", outer)
-                .number(row + "worth", value).number(row + "late_value", lateValue)
-                .seconds(row + "window_us", window).flag(row + "one_at_a_time", inTurn)
+        return text(row + "name", name)
+                .text(
+                        row + "effect",
+                        switch (effect) {
+                            case IDEMPOTENT -> "free";
+                            case DEDUPLICATED -> "guarded";
+                            case UNREPEATABLE -> "once";
+                        })
+                .text(row + "group", group.name().toLowerCase(Locale.ROOT))
+                .seconds(row + "on_time_us", quoted)
+                .number(row + "aim_stretch", stretch)
+                .seconds(row + "hard_limit_us", outer)
+                .number(row + "worth", value)
+                .number(row + "late_value", lateValue)
+                .seconds(row + "window_us", window)
+                .flag(row + "one_at_a_time", inTurn)
                 .number("request_classes.count", offerings);
     }
 
     /** Quota in asks a second; 0 for none. */
     public SettingsPairs tenant(String name, double quota) {
         String row = "tenants." + tenants++ + ".";
-        return text(row + "name", name).number(row + "quota_per_s", quota).number("tenants.count", tenants);
+        return text(row + "name", name)
+                .number(row + "quota_per_s", quota)
+                .number("tenants.count", tenants);
     }
 }
--- a/daemon/src/main/java/wheelroute/config/SettingsReader.java
+++ b/daemon/src/main/java/wheelroute/config/SettingsReader.java
@@ -9,7 +9,10 @@
 import wheelroute.decision.Ids;
 import wheelroute.decision.Settings;
 
-/** The settings' path=value pairs, in our words, for adapter and service alike. Other keys are skipped. */
+/**
+ * The settings' path=value pairs, in our words, for adapter and service alike. Other keys are
+ * skipped.
+ */
 public final class SettingsReader {
     private static final double MICROS = 1e6;
     private static final String CLASSES = "request_classes.";
@@ -31,18 +34,32 @@
             // It would never have its turn at a cold worker.
             throw new ConfigException("position", "is not under the number of dispatchers");
         }
-        return new Settings(seed, new Ids.Zone(text("az", "")), (int) dispatchers, (int) position,
-                seconds("round_us", 0), offerings(), quotas(), number("over_share_worth", 1),
+        return new Settings(
+                seed,
+                new Ids.Zone(text("az", "")),
+                (int) dispatchers,
+                (int) position,
+                seconds("round_us", 0),
+                offerings(),
+                quotas(),
+                number("over_share_worth", 1),
                 text("membership_mode", "push").equals("ask"),
-                flag("family_info.tells_start"), seconds("family_info.progress_us", 0),
+                flag("family_info.tells_start"),
+                seconds("family_info.progress_us", 0),
                 text("family_info.report_x0", "").replace(' ', '_').equals("free_slots"),
                 flag("permissions.cancel"),
-                flag("permissions.may_duplicate"), flag("permissions.retry_after"),
-                seconds("permissions.max_retry_after_us", 0), (int) number("permissions.most_tries", 1),
-                number("rules.cold_from", 1), seconds("rules.cold_us", 0),
-                number("rules.tip_multiple", 1), seconds("rules.fall_us", 0),
-                number("prices.cross_zone", 0), number("prices.origin", 0),
-                strictFlag("rules.gone_is_advice"), rest());
+                flag("permissions.may_duplicate"),
+                flag("permissions.retry_after"),
+                seconds("permissions.max_retry_after_us", 0),
+                (int) number("permissions.most_tries", 1),
+                number("rules.cold_from", 1),
+                seconds("rules.cold_us", 0),
+                number("rules.tip_multiple", 1),
+                seconds("rules.fall_us", 0),
+                number("prices.cross_zone", 0),
+                number("prices.origin", 0),
+                strictFlag("rules.gone_is_advice"),
+                rest());
     }
 
     private List<Settings.Offering> offerings() throws ConfigException {
@@ -53,11 +70,20 @@
         for (int i = 0; i < count; i++) {
             String row = CLASSES + i + ".";
             String model = i < models.length ? models[i] : "";
-            rows.add(new Settings.Offering(new Ids.Offering(text(row + "name", "")), effect(row), group(row),
-                    seconds(row + "on_time_us", 0), stretch(row, stretches, i),
-                    number(row + "worth", 1), number(row + "late_value", 0), seconds(row + "window_us", 0),
-                    model.isEmpty() || model.equals("-1") ? null : new Ids.Model(modelName(model)),
-                    strictFlag(row + "one_at_a_time")));
+            rows.add(
+                    new Settings.Offering(
+                            new Ids.Offering(text(row + "name", "")),
+                            effect(row),
+                            group(row),
+                            seconds(row + "on_time_us", 0),
+                            stretch(row, stretches, i),
+                            number(row + "worth", 1),
+                            number(row + "late_value", 0),
+                            seconds(row + "window_us", 0),
+                            model.isEmpty() || model.equals("-1")
+                                    ? null
+                                    : new Ids.Model(modelName(model)),
+                            strictFlag(row + "one_at_a_time")));
         }
         return rows;
     }
@@ -74,7 +100,9 @@
     }
 
     private double stretch(String row, String[] stretches, int i) throws ConfigException {
-        if (pairs.containsKey(row + "aim_stretch") || i >= stretches.length || stretches[i].isEmpty()) {
+        if (pairs.containsKey(row + "aim_stretch")
+                || i >= stretches.length
+                || stretches[i].isEmpty()) {
             return number(row + "aim_stretch", 0);
         }
         return parse("family_info.class_stretch", stretches[i]);
@@ -101,7 +129,8 @@
         Map<Ids.Tenant, Double> quotas = new LinkedHashMap<>();
         int count = (int) number("tenants.count", 0);
         for (int i = 0; i < count; i++) {
-            quotas.put(new Ids.Tenant(text("tenants." + i + ".name", "")),
+            quotas.put(
+                    new Ids.Tenant(text("tenants." + i + ".name", "")),
                     number("tenants." + i + ".quota_per_s", 0));
         }
         return quotas;
--- a/daemon/src/main/java/wheelroute/config/TomlFields.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFields.java
@@ -11,7 +11,9 @@
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
 
-/** One table of a file, read key by key; every fault is noted with its line, and reading goes on. */
+/**
+ * One table of a file, read key by key; every fault is noted with its line, and reading goes on.
+ */
 public final class TomlFields {
     private final TomlTable table;
     private final String path;
@@ -35,8 +37,12 @@
     private int line(String key) {
         TomlPosition position = key == null ? null : table.inputPositionOf(List.of(key));
         if (position == null) {
-            position = table.keySet().stream().map(k -> table.inputPositionOf(List.of(k)))
-                    .filter(p -> p != null).findFirst().orElse(null);
+            position =
+                    table.keySet().stream()
+                            .map(k -> table.inputPositionOf(List.of(k)))
+                            .filter(p -> p != null)
+                            .findFirst()
+                            .orElse(null);
         }
         return position == null ? 1 : position.line();
     }
@@ -54,7 +60,9 @@
         return table.get(List.of(key));
     }
 
-    /** With no value it is the usual one; NaN for a usual one makes the key one that must be there. */
+    /**
+     * With no value it is the usual one; NaN for a usual one makes the key one that must be there.
+     */
     public double number(String key, double usual, double least, double most) {
         Object value = value(key);
         if (value == null) {
@@ -86,7 +94,8 @@
     /** Plain decimals, as a person writes them. */
     private static String plain(double number) {
         return number == Math.rint(number) && Math.abs(number) < Integer.MAX_VALUE
-                ? Long.toString((long) number) : Double.toString(number);
+                ? Long.toString((long) number)
+                : Double.toString(number);
     }
 
     /** Null for a usual one makes the key one that must be there. */
@@ -143,7 +152,8 @@
         return texts(key, List.of(), text -> true, "not a text");
     }
 
-    private List<String> texts(String key, List<String> usual, Predicate<String> allowed, String otherwise) {
+    private List<String> texts(
+            String key, List<String> usual, Predicate<String> allowed, String otherwise) {
         Object value = value(key);
         if (value == null) {
             return usual;
@@ -170,8 +180,8 @@
             fault(key, "is not a table");
             value = null;
         }
-        return new TomlFields(value == null ? Toml.parse("") : (TomlTable) value, path + key + ".",
-                faults);
+        return new TomlFields(
+                value == null ? Toml.parse("") : (TomlTable) value, path + key + ".", faults);
     }
 
     public List<TomlFields> tables(String key) {
@@ -199,12 +209,16 @@
         return table.keySet();
     }
 
-    /** Every key that nothing asked for is a fault: a slip of the pen must not pass as a default. */
+    /**
+     * Every key that nothing asked for is a fault: a slip of the pen must not pass as a default.
+     */
     public void done() {
         for (String key : table.keySet()) {
             if (!known.contains(key)) {
-                fault(key, "is not known; known here: " + String.join(", ",
-                        known.stream().sorted().toList()));
+                fault(
+                        key,
+                        "is not known; known here: "
+                                + String.join(", ", known.stream().sorted().toList()));
             }
         }
     }
--- a/daemon/src/main/java/wheelroute/config/TomlFile.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFile.java
@@ -12,8 +12,9 @@
 import wheelroute.decision.Group;
 
 /**
- * An operator's own file: house words, seconds, comments. It becomes the same pairs as the platform's JSON,
- * so that everything after it is one way. Loaded only where such a file is given: `run` has none.
+ * An operator's own file: house words, seconds, comments. It becomes the same pairs as the
+ * platform's JSON, so that everything after it is one way. Loaded only where such a file is given:
+ * `run` has none.
  */
 final class TomlFile {
     private static final double REQUIRED = Double.NaN;
@@ -24,30 +25,41 @@
     private final List<TomlFields.Fault> faults = new ArrayList<>();
     private final StringBuilder workers = new StringBuilder();
 
-    private TomlFile() {
-    }
+    private TomlFile() {}
 
     /** What the file holds, flat, and its list of workers in discovery's form; null for none. */
-    record Read(Map<String, String> pairs, byte[] known) {
-    }
+    record Read(Map<String, String> pairs, byte[] known) {}
 
     static Read read(String text) throws ConfigException {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
             var error = toml.errors().get(0);
-            throw new ConfigException("line " + error.position().line(), "is no TOML: " + error.getMessage());
+            throw new ConfigException(
+                    "line " + error.position().line(), "is no TOML: " + error.getMessage());
         }
         TomlFile file = new TomlFile();
         file.root(new TomlFields(toml, "", file.faults));
         if (!file.faults.isEmpty()) {
             file.faults.sort(Comparator.comparingInt(TomlFields.Fault::line));
             TomlFields.Fault first = file.faults.get(0);
-            String more = file.faults.size() == 1 ? "" : "\n  " + String.join("\n  ",
-                    file.faults.stream().skip(1).map(TomlFields.Fault::toString).toList());
-            throw new ConfigException(first.key(), first.what() + " (line " + first.line() + ")" + more);
+            String more =
+                    file.faults.size() == 1
+                            ? ""
+                            : "\n  "
+                                    + String.join(
+                                            "\n  ",
+                                            file.faults.stream()
+                                                    .skip(1)
+                                                    .map(TomlFields.Fault::toString)
+                                                    .toList());
+            throw new ConfigException(
+                    first.key(), first.what() + " (line " + first.line() + ")" + more);
         }
-        byte[] known = file.workers.isEmpty() ? null : ("{\"version\":0,\"full\":true,\"servers\":["
-                + file.workers + "]}").getBytes(StandardCharsets.UTF_8);
+        byte[] known =
+                file.workers.isEmpty()
+                        ? null
+                        : ("{\"version\":0,\"full\":true,\"servers\":[" + file.workers + "]}")
+                                .getBytes(StandardCharsets.UTF_8);
         return new Read(file.pairs, known);
     }
 
@@ -61,17 +73,25 @@
         put("limits.memory_mb", limits.number("memory_mb", 192, 32, 1 << 20));
         put("limits.sockets", limits.number("sockets", 1024, 64, 1 << 20));
         limits.done();
-        SettingsPairs settings = new SettingsPairs().text("az", root.text("zone", ""))
-                .number("balancers", root.whole("dispatchers", 1, 1, 1_000_000))
-                .number("position", root.whole("position", -1, -1, 1_000_000));
+        SettingsPairs settings =
+                new SettingsPairs()
+                        .text("az", root.text("zone", ""))
+                        .number("balancers", root.whole("dispatchers", 1, 1, 1_000_000))
+                        .number("position", root.whole("position", -1, -1, 1_000_000));
         terms(root.table("terms"), settings);
         cold(root.table("cold"), settings);
         for (TomlFields f : root.tables("offerings")) {
-            settings.offering(f.text("name", null), f.oneOf("effect", Effect.UNREPEATABLE, Effect.class),
-                    f.oneOf("group", Group.CELL, Group.class), f.number("quoted", REQUIRED, 0, MOST_TIME),
-                    f.number("stretch", 0, 0, 1000), f.number("outer", 30, 0.001, MOST_TIME),
-                    f.number("value", 1, 0, MOST), f.number("late_value", 0, 0, 1),
-                    f.number("window", 0, 0, MOST_TIME), f.flag("in_turn", false));
+            settings.offering(
+                    f.text("name", null),
+                    f.oneOf("effect", Effect.UNREPEATABLE, Effect.class),
+                    f.oneOf("group", Group.CELL, Group.class),
+                    f.number("quoted", REQUIRED, 0, MOST_TIME),
+                    f.number("stretch", 0, 0, 1000),
+                    f.number("outer", 30, 0.001, MOST_TIME),
+                    f.number("value", 1, 0, MOST),
+                    f.number("late_value", 0, 0, 1),
+                    f.number("window", 0, 0, MOST_TIME),
+                    f.flag("in_turn", false));
             f.done();
         }
         for (TomlFields f : root.tables("tenants")) {
@@ -102,8 +122,12 @@
                 .flag("permissions.may_duplicate", f.flag("may_copy", false))
                 .number("permissions.most_tries", f.whole("most_launches", 3, 1, 1000))
                 .flag("permissions.retry_after", f.flag("retry_after", true))
-                .seconds("permissions.max_retry_after_us", f.number("longest_retry_after", 2, 0, 3600))
-                .seconds("permissions.connect_timeout_us", f.number("connect_limit", 0.25, 0.001, 60))
+                .seconds(
+                        "permissions.max_retry_after_us",
+                        f.number("longest_retry_after", 2, 0, 3600))
+                .seconds(
+                        "permissions.connect_timeout_us",
+                        f.number("connect_limit", 0.25, 0.001, 60))
                 .seconds("permissions.conn_idle_us", f.number("idle_limit", 30, 0.1, MOST_TIME))
                 .number("prices.cross_zone", f.number("cross_zone_price", 0, 0, 1000))
                 .number("over_share_worth", f.number("over_share_value", 1, 0, 1))
@@ -139,11 +163,19 @@
                 f.fault("name", "has a zone, model or address that is no plain text: " + text);
             }
         }
-        workers.append(workers.isEmpty() ? "" : ",").append("{\"id\":\"").append(name)
+        workers.append(workers.isEmpty() ? "" : ",")
+                .append("{\"id\":\"")
+                .append(name)
                 .append("\",\"addr\":\"")
-                .append(address).append("\",\"zone\":\"").append(zone).append("\",\"kind\":\"").append(model)
-                .append("\",\"cell\":").append(f.whole("cell", 0, 0, 1 << 30))
-                .append(",\"state\":\"ready\",\"weight\":").append(f.number("weight", 1, 0.000001, MOST))
+                .append(address)
+                .append("\",\"zone\":\"")
+                .append(zone)
+                .append("\",\"kind\":\"")
+                .append(model)
+                .append("\",\"cell\":")
+                .append(f.whole("cell", 0, 0, 1 << 30))
+                .append(",\"state\":\"ready\",\"weight\":")
+                .append(f.number("weight", 1, 0.000001, MOST))
                 .append('}');
         f.done();
     }
--- a/daemon/src/main/java/wheelroute/decision/Dispatcher.java
+++ b/daemon/src/main/java/wheelroute/decision/Dispatcher.java
@@ -2,7 +2,10 @@
 
 /** How the decisions act on the world, whatever wire is below. Delays and limits in seconds. */
 public interface Dispatcher {
-    /** Limit 0: until the client gives up. Launches of a submission are numbered from 0 in this order. */
+    /**
+     * Limit 0: until the client gives up. Launches of a submission are numbered from 0 in this
+     * order.
+     */
     void launch(Ids.Submission submission, Ids.Worker worker, double limit);
 
     /** Final: a retry is harmless. A retryAfter of 0 gives no advice. */
--- a/daemon/src/main/java/wheelroute/decision/Group.java
+++ b/daemon/src/main/java/wheelroute/decision/Group.java
@@ -2,7 +2,9 @@
 
 /** The workers that know each other's repeats of a deduplicated submission. */
 public enum Group {
-    ALL, ZONE, CELL;
+    ALL,
+    ZONE,
+    CELL;
 
     /** Whether one of the two workers knows the other's repeats. */
     boolean joins(Listing a, Listing b) {
--- a/daemon/src/main/java/wheelroute/decision/Hints.java
+++ b/daemon/src/main/java/wheelroute/decision/Hints.java
@@ -1,13 +1,18 @@
 package wheelroute.decision;
 
-/** What one offering's hints were worth lately, against the work that the same jobs turned out to be. */
+/**
+ * What one offering's hints were worth lately, against the work that the same jobs turned out to
+ * be.
+ */
 final class Hints {
     /** Well-hinted jobs that hints are taken to have behind them. */
     private static final double PRIOR = 4;
+
     private static final double STANDARD = 1;
 
     /** Logarithms of hints, and of the work that the same jobs turned out to be. */
     private final Samples told;
+
     private final Samples hints;
     private double slope = 1;
     private double middle;
@@ -22,7 +27,9 @@
         return hints.meanOfFirst(STANDARD);
     }
 
-    /** The hint, drawn to its offering's middle as far as hints lately misled; their mean if none. */
+    /**
+     * The hint, drawn to its offering's middle as far as hints lately misled; their mean if none.
+     */
     double workOf(double hint) {
         if (!(hint > 0)) {
             // Also against a hint of nothing, by which a crossing's price would have no end.
@@ -51,7 +58,9 @@
         }
     }
 
-    /** Guards against rough hints taken at their word: work's slope on hint tells how far to trust. */
+    /**
+     * Guards against rough hints taken at their word: work's slope on hint tells how far to trust.
+     */
     private void fit() {
         double n = told.size();
         middle = told.sumOfFirst() / n;
--- a/daemon/src/main/java/wheelroute/decision/Homes.java
+++ b/daemon/src/main/java/wheelroute/decision/Homes.java
@@ -11,33 +11,43 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Where what a key's jobs need is likely kept: at the homes that every dispatcher reckons alike from key and
- * worker, so that none of them needs another's word, and where this one sent the key lately. It measures;
- * what a fetch is worth is weighed by the policy.
+ * Where what a key's jobs need is likely kept: at the homes that every dispatcher reckons alike
+ * from key and worker, so that none of them needs another's word, and where this one sent the key
+ * lately. It measures; what a fetch is worth is weighed by the policy.
  *
  * @param <W> a worker, as its user knows it
  */
 final class Homes<W> {
     /** Keys remembered: enough for those that come often, and bounded where all differ. */
     private static final int MOST_KEYS = 1024;
-    /** So many workers are a key's homes: the first, and those to which the others turn when it is busy. */
+
+    /**
+     * So many workers are a key's homes: the first, and those to which the others turn when it is
+     * busy.
+     */
     static final int RANKED = 3;
-    /** In place of a home's rank: no fetch is expected, as there is no key, or it went there lately. */
+
+    /**
+     * In place of a home's rank: no fetch is expected, as there is no key, or it went there lately.
+     */
     static final int KEPT_HERE = -1;
+
     /** What a key needs is taken to be kept until so many later launches of ours went there. */
     private static final int KEPT_LAUNCHES = 8;
+
     /** Guards against a worker that is listed without a size, which could be home to nothing. */
     private static final double LEAST_SIZE = 0.01;
 
     private final Function<W, Listing> listings;
-    private final Map<Ids.Key, OfKey> keys = new LinkedHashMap<>(16, 0.75f, true) {
-        private static final long serialVersionUID = 1;
+    private final Map<Ids.Key, OfKey> keys =
+            new LinkedHashMap<>(16, 0.75f, true) {
+                private static final long serialVersionUID = 1;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<Ids.Key, OfKey> eldest) {
-            return size() > MOST_KEYS;
-        }
-    };
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<Ids.Key, OfKey> eldest) {
+                    return size() > MOST_KEYS;
+                }
+            };
     private List<W> fleet = List.of();
     private int fleets;
 
@@ -76,7 +86,10 @@
             return ranked.computeIfAbsent(model, this::rank);
         }
 
-        /** The larger a worker the more keys it is home to; one that comes or goes moves only its own. */
+        /**
+         * The larger a worker the more keys it is home to; one that comes or goes moves only its
+         * own.
+         */
         private List<W> rank(Ids.Model model) {
             List<W> first = new ArrayList<>(RANKED + 1);
             double[] far = new double[RANKED + 1];
@@ -104,9 +117,11 @@
             sent.put(worker, launched);
         }
 
-        /** Calls on those it went to lately, by how many launches each has had; forgets the others. */
+        /**
+         * Calls on those it went to lately, by how many launches each has had; forgets the others.
+         */
         void sent(ToIntFunction<W> launched, Consumer<W> lately) {
-            for (Iterator<Map.Entry<W, Integer>> i = sent.entrySet().iterator(); i.hasNext();) {
+            for (Iterator<Map.Entry<W, Integer>> i = sent.entrySet().iterator(); i.hasNext(); ) {
                 Map.Entry<W, Integer> entry = i.next();
                 if (launched.applyAsInt(entry.getKey()) - entry.getValue() < KEPT_LAUNCHES) {
                     lately.accept(entry.getKey());
--- a/daemon/src/main/java/wheelroute/decision/Ids.java
+++ b/daemon/src/main/java/wheelroute/decision/Ids.java
@@ -3,12 +3,11 @@
 /**
  * One type for each kind of id, so that none can stand in for another.
  *
- * <p>They say themselves what makes them equal: what a record inherits is linked at run time, on the first
- * look-up, and took a sixth of a start's CPU.
+ * <p>They say themselves what makes them equal: what a record inherits is linked at run time, on
+ * the first look-up, and took a sixth of a start's CPU.
  */
 public final class Ids {
-    private Ids() {
-    }
+    private Ids() {}
 
     public record Submission(long value) {
         @Override
--- a/daemon/src/main/java/wheelroute/decision/OfWorker.java
+++ b/daemon/src/main/java/wheelroute/decision/OfWorker.java
@@ -1,6 +1,9 @@
 package wheelroute.decision;
 
-/** What was measured of one worker: how long jobs ran, how long launches waited past ours, what failed. */
+/**
+ * What was measured of one worker: how long jobs ran, how long launches waited past ours, what
+ * failed.
+ */
 final class OfWorker {
     final Samples runs;
     final Samples waits;
--- a/daemon/src/main/java/wheelroute/decision/Outcome.java
+++ b/daemon/src/main/java/wheelroute/decision/Outcome.java
@@ -12,7 +12,10 @@
     NEVER_SENT(false),
     /** It may have run, but the break tells of an old connection and not of its worker. */
     STALE(true),
-    /** The worker finds fault with the submission: nothing is known of the worker, and none would take it. */
+    /**
+     * The worker finds fault with the submission: nothing is known of the worker, and none would
+     * take it.
+     */
     UNUSABLE(true),
     /** An outcome that this version has no name for: the careful reading is that it ran. */
     UNKNOWN(true);
--- a/daemon/src/main/java/wheelroute/decision/Samples.java
+++ b/daemon/src/main/java/wheelroute/decision/Samples.java
@@ -5,8 +5,10 @@
     private final double[] kept;
     private int next;
     private int size;
+
     /** Sums over all, worked out when they are asked for after a change. */
     private double firsts;
+
     private double seconds;
     private boolean summed = true;
     private double fadedFirst;
@@ -54,7 +56,10 @@
         return size;
     }
 
-    /** From when on it has all there were: from its oldest once it has begun to forget, else since always. */
+    /**
+     * From when on it has all there were: from its oldest once it has begun to forget, else since
+     * always.
+     */
     double oldest(double always) {
         return size < kept.length / 3 ? always : time(next);
     }
@@ -93,7 +98,10 @@
         return seconds;
     }
 
-    /** The second figure's mean, samples weighing less with age, and so many more that add up to excess. */
+    /**
+     * The second figure's mean, samples weighing less with age, and so many more that add up to
+     * excess.
+     */
     double fadedSecond(double now, double memory, double prior, double excess) {
         double sum = excess;
         double weights = prior;
@@ -105,7 +113,10 @@
         return sum / weights;
     }
 
-    /** Works out the sums in which samples weigh less with age: an exponential's start without its price. */
+    /**
+     * Works out the sums in which samples weigh less with age: an exponential's start without its
+     * price.
+     */
     void fade(double now, double memory) {
         fadedFirst = 0;
         fadedSecond = 0;
--- a/daemon/src/main/java/wheelroute/decision/Settings.java
+++ b/daemon/src/main/java/wheelroute/decision/Settings.java
@@ -7,7 +7,8 @@
  * What an instance is told at its start. Times in seconds; prices in parts of the whole service.
  *
  * @param position this dispatcher's place among all, from 0, or -1 where it is not told
- * @param fetchPrice for each fetch of what a key needs, as crossZonePrice for each launch to another zone
+ * @param fetchPrice for each fetch of what a key needs, as crossZonePrice for each launch to
+ *     another zone
  * @param goneIsAdvice only a worker listed as draining must not be sent to; one that is gone may be
  * @param keyRest how long a key rests after a launch that may still be running
  */
@@ -38,17 +39,41 @@
         boolean goneIsAdvice,
         double keyRest) {
 
-    /** How long a launch that has begun goes on without a word of it; for ever where none is told. */
+    /**
+     * How long a launch that has begun goes on without a word of it; for ever where none is told.
+     */
     public double begunAfter() {
         return tellsStart ? 0 : progressEvery > 0 ? progressEvery : Double.POSITIVE_INFINITY;
     }
 
     /** The seed is new with every file, and changes nothing that an operator set. */
     public Settings withSeed(long other) {
-        return new Settings(other, zone, dispatchers, position, round, offerings, quotas,
-                overShareValue, listMustBeAsked, tellsStart, progressEvery, reportsFreeSlots, mayCancel,
-                mayCopy, clientsHearRetryAfter, longestRetryAfter, mostLaunches, coldShare, coldFor,
-                tipMultiple, tipWindow, crossZonePrice, fetchPrice, goneIsAdvice, keyRest);
+        return new Settings(
+                other,
+                zone,
+                dispatchers,
+                position,
+                round,
+                offerings,
+                quotas,
+                overShareValue,
+                listMustBeAsked,
+                tellsStart,
+                progressEvery,
+                reportsFreeSlots,
+                mayCancel,
+                mayCopy,
+                clientsHearRetryAfter,
+                longestRetryAfter,
+                mostLaunches,
+                coldShare,
+                coldFor,
+                tipMultiple,
+                tipWindow,
+                crossZonePrice,
+                fetchPrice,
+                goneIsAdvice,
+                keyRest);
     }
 
     /**
@@ -61,15 +86,25 @@
      * @param model the one model that runs it, or null for any
      * @param inTurn one at a time for each key, in the order of their taking
      */
-    public record Offering(Ids.Offering id, Effect effect, Group group, double quoted, double stretch,
-            double value, double lateValue, double window, Ids.Model model, boolean inTurn) {
+    public record Offering(
+            Ids.Offering id,
+            Effect effect,
+            Group group,
+            double quoted,
+            double stretch,
+            double value,
+            double lateValue,
+            double window,
+            Ids.Model model,
+            boolean inTurn) {
         double quotedFor(double work) {
             return quoted + stretch * work;
         }
 
         /** Also once it may have run: a repeat anywhere does no harm. */
         boolean harmlessAgain() {
-            return effect == Effect.IDEMPOTENT || effect == Effect.DEDUPLICATED && group == Group.ALL;
+            return effect == Effect.IDEMPOTENT
+                    || effect == Effect.DEDUPLICATED && group == Group.ALL;
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/Submission.java
+++ b/daemon/src/main/java/wheelroute/decision/Submission.java
@@ -8,6 +8,13 @@
  * @param repeated the client says it has asked before
  * @param key what it is about; null without one
  */
-public record Submission(Ids.Submission id, Ids.Offering offering, Ids.Tenant tenant, double outerLimit,
-        double hint, double slots, double memory, boolean repeated, Ids.Key key) {
-}
+public record Submission(
+        Ids.Submission id,
+        Ids.Offering offering,
+        Ids.Tenant tenant,
+        double outerLimit,
+        double hint,
+        double slots,
+        double memory,
+        boolean repeated,
+        Ids.Key key) {}
--- a/daemon/src/main/java/wheelroute/limits/Places.java
+++ b/daemon/src/main/java/wheelroute/limits/Places.java
@@ -10,13 +10,14 @@
 import java.util.function.Predicate;
 
 /**
- * Clients' connections and the places for them: who makes room when one more comes than there are places. A
- * crowd that connects and never finishes a message must not take them from those who do; and of true clients
- * some are slow to write, some only look, some keep a connection for later.
+ * Clients' connections and the places for them: who makes room when one more comes than there are
+ * places. A crowd that connects and never finishes a message must not take them from those who do;
+ * and of true clients some are slow to write, some only look, some keep a connection for later.
  */
 public final class Places<C> {
     /**
-     * How far a connection is. Within each, the first is the one about which nothing happened for longest.
+     * How far a connection is. Within each, the first is the one about which nothing happened for
+     * longest.
      */
     public enum Stage {
         /** Has said nothing yet: its first message may be on the way, or it is a stranger. */
@@ -33,10 +34,17 @@
         LEAVING
     }
 
-    /** A message comes at once, or goes on at once, from most; who is silent for less is not yet silent. */
+    /**
+     * A message comes at once, or goes on at once, from most; who is silent for less is not yet
+     * silent.
+     */
     public static final double SILENT = 0.15;
-    /** Who is slow to write goes on within this; who stops in the middle for longer holds up no end. */
+
+    /**
+     * Who is slow to write goes on within this; who stops in the middle for longer holds up no end.
+     */
     private static final double PAUSE = 1;
+
     /** Over this part of the places that has not spoken yet is a crowd of strangers. */
     private static final double CROWD_PART = 0.5;
 
@@ -87,12 +95,13 @@
     }
 
     /**
-     * Whether somebody may be about to hand over a message: one has begun and went on lately, or was accepted
-     * a moment ago. A process that ends now would cut it off unheard.
+     * Whether somebody may be about to hand over a message: one has begun and went on lately, or
+     * was accepted a moment ago. A process that ends now would cut it off unheard.
      */
     public boolean expects(double time) {
         return stages.get(Stage.BEGUN).values().stream().anyMatch(since -> time - since < PAUSE)
-                || stages.get(Stage.UNKNOWN).values().stream().anyMatch(since -> time - since < SILENT);
+                || stages.get(Stage.UNKNOWN).values().stream()
+                        .anyMatch(since -> time - since < SILENT);
     }
 
     /** More are here than there are places, as when the places have just become fewer. */
@@ -101,11 +110,11 @@
     }
 
     /**
-     * Before one more comes: who makes room for it; nobody if there is a place, or if all that are here have
-     * more of a claim than whoever comes.
+     * Before one more comes: who makes room for it; nobody if there is a place, or if all that are
+     * here have more of a claim than whoever comes.
      *
-     * @param hasUnread whether something of it has come that is not read yet: then it is not silent, and
-     *     reading it may change its stage
+     * @param hasUnread whether something of it has come that is not read yet: then it is not
+     *     silent, and reading it may change its stage
      */
     public Optional<C> makesRoom(double time, Predicate<C> hasUnread) {
         if (taken() < most) {
@@ -117,10 +126,12 @@
                 return first;
             }
         }
-        // Those who have said nothing before those who are slow to say it: a slow one has shown that it will.
+        // Those who have said nothing before those who are slow to say it: a slow one has shown
+        // that it will.
         for (Stage stage : List.of(Stage.UNKNOWN, Stage.BEGUN)) {
             for (C connection : at(stage)) {
-                // One that was read for the sake of another may have moved on meanwhile, or be gone.
+                // One that was read for the sake of another may have moved on meanwhile, or be
+                // gone.
                 double since = stages.get(stage).getOrDefault(connection, time);
                 if (time - since >= SILENT && !hasUnread.test(connection)) {
                     return Optional.of(connection);
@@ -128,8 +139,9 @@
             }
         }
         // Not for a crowd: known clients keep connections to use them.
-        boolean crowded = stages.get(Stage.UNKNOWN).size() + stages.get(Stage.BEGUN).size()
-                > CROWD_PART * most;
+        boolean crowded =
+                stages.get(Stage.UNKNOWN).size() + stages.get(Stage.BEGUN).size()
+                        > CROWD_PART * most;
         return crowded ? Optional.empty() : at(Stage.KNOWN).stream().findFirst();
     }
 }
--- a/daemon/src/main/java/wheelroute/list/Backoff.java
+++ b/daemon/src/main/java/wheelroute/list/Backoff.java
@@ -3,33 +3,45 @@
 import java.util.SplittableRandom;
 
 /**
- * How long to wait after a call for the list has failed. A discovery that is down or has too many callers is
- * asked less and less often, and by each dispatcher at another time; but its news count as told 6 s after it
- * could be reached again, whatever failed before.
+ * How long to wait after a call for the list has failed. A discovery that is down or has too many
+ * callers is asked less and less often, and by each dispatcher at another time; but its news count
+ * as told 6 s after it could be reached again, whatever failed before.
+ *
+ * <p>So the pause is reckoned backwards from that moment, R, to the whole answer. A call that fails
+ * after R began before R, or it would have been answered. What is left to pass after R is then
  *
- * <p>So the pause is reckoned backwards from that moment, R, to the whole answer. A call that fails after R
- * began before R, or it would have been answered. What is left to pass after R is then
  * <ul>
- * <li>the rest of the call that fails, which took {@code took} in all: at most {@code took};
- * <li>the pause after it: at most {@code RETURN_TO_ANSWER - took - PATIENCE};
- * <li>the next call, from its connect to the last byte of its answer: {@link #PATIENCE}, or it is given up.
+ *   <li>the rest of the call that fails, which took {@code took} in all: at most {@code took};
+ *   <li>the pause after it: at most {@code RETURN_TO_ANSWER - took - PATIENCE};
+ *   <li>the next call, from its connect to the last byte of its answer: {@link #PATIENCE}, or it is
+ *       given up.
  * </ul>
- * Together {@link #RETURN_TO_ANSWER}, whichever way the call failed. Only a call that took so long that
- * nothing is left for a pause, which is one with an answer that went on for seconds and stopped, is waited
- * out by {@link #LEAST} all the same: the time that it took was heard time.
+ *
+ * Together {@link #RETURN_TO_ANSWER}, whichever way the call failed. Only a call that took so long
+ * that nothing is left for a pause, which is one with an answer that went on for seconds and
+ * stopped, is waited out by {@link #LEAST} all the same: the time that it took was heard time.
  */
 public final class Backoff {
     /** 1.2 s under what is allowed: for a core that is shared, and for what the network takes. */
     public static final double RETURN_TO_ANSWER = 4.8;
+
     /**
-     * A call that holds nothing is given up after this long, with the connection's coming up. Discovery works
-     * through calls in turn, so all who ask at its return wait for each other: the longer each may wait, the
-     * fewer give up their place in that queue, and the shorter the pauses have to be.
+     * A call that holds nothing is given up after this long, with the connection's coming up.
+     * Discovery works through calls in turn, so all who ask at its return wait for each other: the
+     * longer each may wait, the fewer give up their place in that queue, and the shorter the pauses
+     * have to be.
      */
     public static final double PATIENCE = 1.8;
-    /** The first pause, up to twice of it; it doubles with each failure while the reckoning lets it. */
+
+    /**
+     * The first pause, up to twice of it; it doubles with each failure while the reckoning lets it.
+     */
     private static final double FIRST = 0.5;
-    /** No failure is followed by a call sooner than this: what fails at once would be asked all the time. */
+
+    /**
+     * No failure is followed by a call sooner than this: what fails at once would be asked all the
+     * time.
+     */
     private static final double LEAST = 0.1;
 
     private final SplittableRandom random;
@@ -40,12 +52,15 @@
         random = new SplittableRandom(seed);
     }
 
-    /** How long to wait after a call that failed, or was given up, so long after its connect began. */
+    /**
+     * How long to wait after a call that failed, or was given up, so long after its connect began.
+     */
     public double failed(double took) {
         double most = Math.max(2 * LEAST, RETURN_TO_ANSWER - PATIENCE - took);
         double least = Math.min(next, most / 2);
         next = Math.min(2 * next, RETURN_TO_ANSWER);
-        // Spread over as much again: the longer the pause, the further apart are those that failed together.
+        // Spread over as much again: the longer the pause, the further apart are those that failed
+        // together.
         return least * (1 + random.nextDouble());
     }
 
--- a/daemon/src/main/java/wheelroute/net/AnswerParser.java
+++ b/daemon/src/main/java/wheelroute/net/AnswerParser.java
@@ -8,7 +8,10 @@
 import org.eclipse.jetty.http.HttpParser;
 import org.eclipse.jetty.http.HttpVersion;
 
-/** The answers on a connection of ours, in whatever pieces they come: status, fields, the body's pieces. */
+/**
+ * The answers on a connection of ours, in whatever pieces they come: status, fields, the body's
+ * pieces.
+ */
 public final class AnswerParser extends MessageReader implements HttpParser.ResponseHandler {
     /** What is told of an answer. Any of them may refuse it. */
     public interface Reader {
@@ -21,8 +24,12 @@
     }
 
     private static final int MOST_HEAD = 8 * 1024;
-    /** As the standard reads answers: workers and discovery are ours, and what they say is checked. */
+
+    /**
+     * As the standard reads answers: workers and discovery are ours, and what they say is checked.
+     */
     private static final HttpCompliance READING = HttpCompliance.RFC9110;
+
     private static final int FIRST_FINAL_STATUS = 200;
 
     private final HttpParser parser = lean(new HttpParser(this, MOST_HEAD, READING));
@@ -40,7 +47,8 @@
             try {
                 parser.parseNext(in);
             } catch (RuntimeException e) {
-                // Some nonsense is told so, the rest as a bad message: neither ends more than its connection.
+                // Some nonsense is told so, the rest as a bad message: neither ends more than its
+                // connection.
                 throw new IOException("no HTTP answer", e);
             }
             if (fault != null) {
--- a/daemon/src/main/java/wheelroute/net/Clock.java
+++ b/daemon/src/main/java/wheelroute/net/Clock.java
@@ -1,6 +1,8 @@
 package wheelroute.net;
 
-/** Unix time in seconds. The wall clock is read once: a step of it must not move what is under way. */
+/**
+ * Unix time in seconds. The wall clock is read once: a step of it must not move what is under way.
+ */
 public class Clock {
     private static final double MILLIS = 1e3;
     private static final double NANOS = 1e9;
--- a/daemon/src/main/java/wheelroute/net/Counters.java
+++ b/daemon/src/main/java/wheelroute/net/Counters.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import wheelroute.decision.Ids;
 
-/** What was done so far: each thing is counted here, once, and printed from here wherever it is asked for. */
+/**
+ * What was done so far: each thing is counted here, once, and printed from here wherever it is
+ * asked for.
+ */
 public final class Counters {
     /** One row a figure: its name, and a label where several figures share the name. */
     public enum Kind {
@@ -31,7 +34,9 @@
 
     /** The final answers, counted by offering. */
     public enum Answer {
-        FULFILLED, BOUNCED, SCRAPPED;
+        FULFILLED,
+        BOUNCED,
+        SCRAPPED;
 
         private String label() {
             return "kind=\"" + name().toLowerCase(Locale.ROOT) + "\"";
@@ -42,7 +47,11 @@
 
     private final long[] kinds = new long[Kind.values().length];
     private final long[] ends = new long[End.values().length];
-    /** A row from the start on for each offering: a figure that is missing is no 0 to who reads them. */
+
+    /**
+     * A row from the start on for each offering: a figure that is missing is no 0 to who reads
+     * them.
+     */
     private final Map<Ids.Offering, long[]> answers = new LinkedHashMap<>();
 
     public Counters(List<Ids.Offering> offerings) {
@@ -86,19 +95,29 @@
         }
         type(out, "answers_total", "counter");
         for (Answer answer : Answer.values()) {
-            line(out, "answers_total", answer.label(),
+            line(
+                    out,
+                    "answers_total",
+                    answer.label(),
                     answers.values().stream().mapToLong(row -> row[answer.ordinal()]).sum());
         }
         type(out, "offering_answers_total", "counter");
-        answers.forEach((offering, row) -> {
-            for (Answer answer : Answer.values()) {
-                line(out, "offering_answers_total", "offering=\"" + escaped(offering.name()) + "\","
-                        + answer.label(), row[answer.ordinal()]);
-            }
-        });
+        answers.forEach(
+                (offering, row) -> {
+                    for (Answer answer : Answer.values()) {
+                        line(
+                                out,
+                                "offering_answers_total",
+                                "offering=\"" + escaped(offering.name()) + "\"," + answer.label(),
+                                row[answer.ordinal()]);
+                    }
+                });
         type(out, "launch_ends_total", "counter");
         for (End end : End.values()) {
-            line(out, "launch_ends_total", "end=\"" + end.name().toLowerCase(Locale.ROOT) + "\"",
+            line(
+                    out,
+                    "launch_ends_total",
+                    "end=\"" + end.name().toLowerCase(Locale.ROOT) + "\"",
                     ends[end.ordinal()]);
         }
         gauge(out, "submissions_open", now.open());
--- a/daemon/src/main/java/wheelroute/net/Datagrams.java
+++ b/daemon/src/main/java/wheelroute/net/Datagrams.java
@@ -11,7 +11,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A socket for datagrams on a loop: each that comes is handed on whole, each that is sent may be lost. */
+/**
+ * A socket for datagrams on a loop: each that comes is handed on whole, each that is sent may be
+ * lost.
+ */
 public final class Datagrams implements Loop.Peer {
     /** Hears of each that comes; the bytes are gone after this. */
     public interface Hearer {
@@ -20,6 +23,7 @@
 
     /** Reads in a row: a sender at full speed must leave the others their turns. */
     private static final int MOST_READS = 32;
+
     private static final Logger LOG = LoggerFactory.getLogger(Datagrams.class);
 
     private final Loop loop;
@@ -29,7 +33,8 @@
     private Reader reader;
 
     /** Longer ones than the size are cut off by the system, and so no message. */
-    public Datagrams(Loop loop, InetSocketAddress address, int size, Hearer hearer) throws IOException {
+    public Datagrams(Loop loop, InetSocketAddress address, int size, Hearer hearer)
+            throws IOException {
         this(loop, address, false, size, hearer);
     }
 
--- a/daemon/src/main/java/wheelroute/net/End.java
+++ b/daemon/src/main/java/wheelroute/net/End.java
@@ -2,7 +2,10 @@
 
 import wheelroute.decision.Outcome;
 
-/** Every way in which the connection of a launch can end, and the one place where each becomes an outcome. */
+/**
+ * Every way in which the connection of a launch can end, and the one place where each becomes an
+ * outcome.
+ */
 public enum End {
     /** The worker's last line has the result. */
     DONE,
@@ -51,7 +54,8 @@
             case REFUSED, NEVER_UP, BROKE_UNSENT -> Outcome.UNCONNECTED;
             case CALLED_OFF -> Outcome.CANCELLED;
             case TIMED_OUT -> Outcome.TIMED_OUT;
-            // Want of room is ours: held against a worker it would put one after the other on probation.
+            // Want of room is ours: held against a worker it would put one after the other on
+            // probation.
             case ENDED_UNSENT, NO_ROOM -> Outcome.NEVER_SENT;
         };
     }
--- a/daemon/src/main/java/wheelroute/net/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/Exchange.java
@@ -13,7 +13,10 @@
 import wheelroute.net.workers.LaunchMessage;
 import wheelroute.net.workers.Launches;
 
-/** One submission: its handle, its launches and its single final answer. Client and worker side meet here. */
+/**
+ * One submission: its handle, its launches and its single final answer. Client and worker side meet
+ * here.
+ */
 final class Exchange implements Submitters.Taken {
     private final Exchanges exchanges;
     private final Submission submission;
@@ -22,17 +25,31 @@
     private final List<Launch> launches = new ArrayList<>(2);
     private final Loop.Timer limit;
     private Policy.Handle handle;
+
     /** It has just been taken: that its client is there was seen a moment ago. */
     private boolean beginning;
+
     private boolean answered;
 
-    Exchange(Exchanges exchanges, Loop loop, Submission submission, ClientMessage message,
-            Submitters.Answers client, boolean onceOnly) {
+    Exchange(
+            Exchanges exchanges,
+            Loop loop,
+            Submission submission,
+            ClientMessage message,
+            Submitters.Answers client,
+            boolean onceOnly) {
         this.exchanges = exchanges;
         this.submission = submission;
         this.client = client;
-        this.message = new LaunchMessage(message.method(), message.target(), message.id(), message.mark(),
-                message.routeKey(), message.body(), onceOnly);
+        this.message =
+                new LaunchMessage(
+                        message.method(),
+                        message.target(),
+                        message.id(),
+                        message.mark(),
+                        message.routeKey(),
+                        message.body(),
+                        onceOnly);
         limit = loop.later(submission.outerLimit() - loop.now(), this::outOfTime);
     }
 
@@ -76,13 +93,14 @@
         @Override
         public void ended(End end, byte[] result, double freeSlots) {
             exchanges.counters().count(end);
-            exchanges.turn(() -> {
-                if (end == End.DONE && !answered) {
-                    answer(Counters.Answer.FULFILLED, ClientAnswer.fulfilled(result));
-                }
-                handle.ended(number, end.outcome(), answered, new LoadReport(freeSlots));
-                closeIfOver();
-            });
+            exchanges.turn(
+                    () -> {
+                        if (end == End.DONE && !answered) {
+                            answer(Counters.Answer.FULFILLED, ClientAnswer.fulfilled(result));
+                        }
+                        handle.ended(number, end.outcome(), answered, new LoadReport(freeSlots));
+                        closeIfOver();
+                    });
         }
     }
 
@@ -93,13 +111,14 @@
             launch.ended(End.ENDED_UNSENT, Launches.NO_RESULT, Double.NaN);
         } else {
             exchanges.counters().count(Counters.Kind.LAUNCHED);
-            launch.flight = exchanges.workers().send(worker, message, submission.outerLimit(), launch);
+            launch.flight =
+                    exchanges.workers().send(worker, message, submission.outerLimit(), launch);
         }
     }
 
     /**
-     * Guards against work for nobody: while a submission waited for its turn, for another launch's end or for
-     * a connection, the client's end may lie unread behind what was read first.
+     * Guards against work for nobody: while a submission waited for its turn, for another launch's
+     * end or for a connection, the client's end may lie unread behind what was read first.
      */
     private boolean clientLeft() {
         boolean left = client.hasLeft();
@@ -125,7 +144,8 @@
     private void over() {
         answered = true;
         exchanges.noLongerPending();
-        // It may be another submission's event that answers this one: one that waits for its turn has none.
+        // It may be another submission's event that answers this one: one that waits for its turn
+        // has none.
         exchanges.turn(this::closeIfOver);
         for (Launch launch : launches) {
             if (launch.flight != null && !launch.flight.isWritten()) {
@@ -136,13 +156,14 @@
 
     @Override
     public void clientGone() {
-        exchanges.turn(() -> {
-            if (!answered) {
-                over();
-                exchanges.counters().count(Counters.Kind.CLIENT_GONE);
-                handle.gone();
-            }
-        });
+        exchanges.turn(
+                () -> {
+                    if (!answered) {
+                        over();
+                        exchanges.counters().count(Counters.Kind.CLIENT_GONE);
+                        handle.gone();
+                    }
+                });
     }
 
     /** Ends what is still out; the decisions then say what the client is told. */
@@ -150,19 +171,22 @@
         for (Launch launch : new ArrayList<>(launches)) {
             launch.giveUp(End.TIMED_OUT);
         }
-        exchanges.turn(() -> {
-            if (!answered) {
-                handle.outOfTime();
-            }
-        });
+        exchanges.turn(
+                () -> {
+                    if (!answered) {
+                        handle.outOfTime();
+                    }
+                });
         // A turn of its own: a fault in the decisions must not take the answer with it.
-        exchanges.turn(() -> {
-            if (!answered) {
-                // Only such a fault leaves it open here; nothing is promised about the effect.
-                answer(Counters.Answer.SCRAPPED, ClientAnswer.scrapped());
-            }
-            exchanges.remove(submission.id(), message.id());
-        });
+        exchanges.turn(
+                () -> {
+                    if (!answered) {
+                        // Only such a fault leaves it open here; nothing is promised about the
+                        // effect.
+                        answer(Counters.Answer.SCRAPPED, ClientAnswer.scrapped());
+                    }
+                    exchanges.remove(submission.id(), message.id());
+                });
     }
 
     private void closeIfOver() {
--- a/daemon/src/main/java/wheelroute/net/Exchanges.java
+++ b/daemon/src/main/java/wheelroute/net/Exchanges.java
@@ -31,42 +31,60 @@
 import wheelroute.net.list.WorkerList;
 import wheelroute.net.workers.Workers;
 
-/** Drives the decisions: every event is one turn, and what a turn brings about waits for the next. */
+/**
+ * Drives the decisions: every event is one turn, and what a turn brings about waits for the next.
+ */
 final class Exchanges implements Dispatcher, Submitters, ListWatch.Hearer, Handover.Knowledge {
     /**
-     * Kept back of what a client says it will wait, but no more than that part of it: on a busy core the
-     * message may have lain unread for tens of milliseconds, and the answer must still reach the client.
+     * Kept back of what a client says it will wait, but no more than that part of it: on a busy
+     * core the message may have lain unread for tens of milliseconds, and the answer must still
+     * reach the client.
      */
     private static final double ANSWER_MARGIN = 0.08;
+
     private static final double ANSWER_MARGIN_PART = 0.1;
+
     /**
-     * While draining, a submission is taken if so many times its hint still fit in: hints are off by a factor
-     * of two either way, and one that can be bounced in the end loses nothing by the try.
+     * While draining, a submission is taken if so many times its hint still fit in: hints are off
+     * by a factor of two either way, and one that can be bounced in the end loses nothing by the
+     * try.
      */
     private static final double DRAIN_STRETCH = 0.6;
+
     private static final double DRAIN_STRETCH_ONCE = 1.5;
     private static final double DRAIN_WAIT = 0.1;
-    /** From the drain's end until a restarted dispatcher serves again, with the platform's share of it. */
+
+    /**
+     * From the drain's end until a restarted dispatcher serves again, with the platform's share of
+     * it.
+     */
     private static final double RESTART = 2;
+
     private static final Logger LOG = LoggerFactory.getLogger(Exchanges.class);
 
     private final Loop loop;
     private final Counters counters;
     private final Workers workers;
     private final Settings settings;
+
     /** Guards against a client that would have its place held for ever. */
     private final double longestOuterLimit;
+
     private final Policy policy;
     private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
     private final Map<Ids.Submission, Exchange> open = new HashMap<>();
     private final Map<String, Member> members = new HashMap<>();
+
     /** The ids under which clients know the open ones. */
     private final Set<String> openIds = new HashSet<>();
+
     private final Map<String, Settings.Offering> offerings = new HashMap<>();
     private final Map<String, Ids.Tenant> tenants = new HashMap<>();
     private ListWatch watch;
+
     /** Taken, and neither answered nor left by their clients. */
     private int pending;
+
     private boolean deciding;
     private boolean draining;
     private double drainEnd;
@@ -74,15 +92,21 @@
     private long lastSubmission;
     private long lastWorker;
     private Clients clients;
+
     /** Null where no process can take another's place. */
     private Handover handover;
+
     private long version = ListWatch.NOTHING;
 
     /** A worker on the list: its entry there, and the name that the decisions have for it. */
-    private record Member(Ids.Worker worker, WorkerList.Entry entry) {
-    }
-
-    Exchanges(Loop loop, Counters counters, Workers workers, Settings settings, double longestOuterLimit) {
+    private record Member(Ids.Worker worker, WorkerList.Entry entry) {}
+
+    Exchanges(
+            Loop loop,
+            Counters counters,
+            Workers workers,
+            Settings settings,
+            double longestOuterLimit) {
         this.loop = loop;
         this.counters = counters;
         this.workers = workers;
@@ -96,7 +120,10 @@
         policy.at(loop.now());
     }
 
-    /** Runs an event as soon as no other is being decided on: at once, or after the one that caused it. */
+    /**
+     * Runs an event as soon as no other is being decided on: at once, or after the one that caused
+     * it.
+     */
     void turn(Runnable event) {
         turns.add(event);
         if (deciding) {
@@ -148,10 +175,13 @@
             throw new BadMessage(HttpStatus.NOT_FOUND_404, "no such offering");
         }
         if (offering.effect() == Effect.DEDUPLICATED && message.mark() == null) {
-            throw new BadMessage(HttpStatus.BAD_REQUEST_400, "this offering needs an Idempotency-Key");
+            throw new BadMessage(
+                    HttpStatus.BAD_REQUEST_400, "this offering needs an Idempotency-Key");
         }
-        if (openIds.contains(message.id()) || handover != null && handover.isOpenElsewhere(message.id())) {
-            // Workers know jobs by it: a second would be told the first one's end, or spoil its connection.
+        if (openIds.contains(message.id())
+                || handover != null && handover.isOpenElsewhere(message.id())) {
+            // Workers know jobs by it: a second would be told the first one's end, or spoil its
+            // connection.
             throw new BadMessage(HttpStatus.CONFLICT_409, "a submission with this id is open");
         }
         double margin = Math.min(ANSWER_MARGIN, ANSWER_MARGIN_PART * message.timeout());
@@ -159,15 +189,30 @@
         if (limit <= loop.now() || mustComeBack(message, offering)) {
             turnedAway(message);
             answers.answer(ClientAnswer.bounced(adviceFor(0)));
-            return () -> { };
+            return () -> {};
         }
-        // Tenants without a share need no name of their own: a client must not fill memory with names.
+        // Tenants without a share need no name of their own: a client must not fill memory with
+        // names.
         Ids.Tenant tenant = tenants.getOrDefault(message.tenant(), new Ids.Tenant(""));
-        Submission submission = new Submission(new Ids.Submission(++lastSubmission), offering.id(), tenant,
-                limit, message.hint(), message.slots(), message.memory(), message.repeated(),
-                message.routeKey() == null ? null : new Ids.Key(message.routeKey()));
-        Exchange exchange = new Exchange(this, loop, submission, message, answers,
-                offering.effect() != Effect.IDEMPOTENT);
+        Submission submission =
+                new Submission(
+                        new Ids.Submission(++lastSubmission),
+                        offering.id(),
+                        tenant,
+                        limit,
+                        message.hint(),
+                        message.slots(),
+                        message.memory(),
+                        message.repeated(),
+                        message.routeKey() == null ? null : new Ids.Key(message.routeKey()));
+        Exchange exchange =
+                new Exchange(
+                        this,
+                        loop,
+                        submission,
+                        message,
+                        answers,
+                        offering.effect() != Effect.IDEMPOTENT);
         open.put(submission.id(), exchange);
         openIds.add(message.id());
         if (handover != null) {
@@ -191,7 +236,12 @@
 
     Gauges gauges() {
         policy.at(loop.now());
-        return new Gauges(open.size(), pending, clients.open(), workers.open(), members.size(),
+        return new Gauges(
+                open.size(),
+                pending,
+                clients.open(),
+                workers.open(),
+                members.size(),
                 policy.avoided());
     }
 
@@ -240,17 +290,25 @@
                     draining.add(worker);
                 }
             }
-            entries.add(new Listing(worker, new Ids.Model(entry.kind()), entry.weight(),
-                    new Ids.Zone(entry.zone()), entry.startedAt(), new Ids.Cell(entry.cell()),
-                    entry.readiness()));
+            entries.add(
+                    new Listing(
+                            worker,
+                            new Ids.Model(entry.kind()),
+                            entry.weight(),
+                            new Ids.Zone(entry.zone()),
+                            entry.startedAt(),
+                            new Ids.Cell(entry.cell()),
+                            entry.readiness()));
         }
         turn(() -> policy.listed(entries, list.whole()));
         workers.settle(draining);
-        lost.forEach((name, worker) -> {
-            workers.gone(worker);
-            // Releases bring new names for ever; one that comes back is a new worker to the decisions.
-            members.remove(name);
-        });
+        lost.forEach(
+                (name, worker) -> {
+                    workers.gone(worker);
+                    // Releases bring new names for ever; one that comes back is a new worker to the
+                    // decisions.
+                    members.remove(name);
+                });
     }
 
     // ---- from another process of this dispatcher
@@ -266,8 +324,13 @@
 
     @Override
     public String list() {
-        return version == ListWatch.NOTHING ? null : new WorkerList(version, true,
-                members.values().stream().map(Member::entry).toList()).encode();
+        return version == ListWatch.NOTHING
+                ? null
+                : new WorkerList(
+                                version,
+                                true,
+                                members.values().stream().map(Member::entry).toList())
+                        .encode();
     }
 
     /** Discovery's own word may have come in the meantime, and is the newer one. */
@@ -289,8 +352,10 @@
 
     @Override
     public void learnedTold(byte[] learned) throws IOException {
-        Learned told = LearnedText.decode(learned, name -> members.containsKey(name)
-                ? members.get(name).worker : null);
+        Learned told =
+                LearnedText.decode(
+                        learned,
+                        name -> members.containsKey(name) ? members.get(name).worker : null);
         turn(() -> policy.learn(told));
     }
 
@@ -316,7 +381,8 @@
 
     @Override
     public void bounce(Ids.Submission submission, double retryAfter) {
-        open.get(submission).answer(Counters.Answer.BOUNCED, ClientAnswer.bounced(adviceFor(retryAfter)));
+        open.get(submission)
+                .answer(Counters.Answer.BOUNCED, ClientAnswer.bounced(adviceFor(retryAfter)));
     }
 
     @Override
@@ -348,8 +414,9 @@
     }
 
     /**
-     * Where there are other dispatchers clients are sent to them. One that is alone serves on until its end:
-     * who loses a connection to it finds nobody else, and cannot come back before it is up again.
+     * Where there are other dispatchers clients are sent to them. One that is alone serves on until
+     * its end: who loses a connection to it finds nobody else, and cannot come back before it is up
+     * again.
      */
     private boolean servesOn() {
         return draining && settings.dispatchers() <= 1 && !isSucceeded();
@@ -361,19 +428,24 @@
     }
 
     /**
-     * Whether it had better come back when this drain of a dispatcher alone is over, or ask the process that
-     * has taken this one's place: the hint is rough and there may be a queue, but it is unlikely to end here.
+     * Whether it had better come back when this drain of a dispatcher alone is over, or ask the
+     * process that has taken this one's place: the hint is rough and there may be a queue, but it
+     * is unlikely to end here.
      */
     private boolean mustComeBack(ClientMessage message, Settings.Offering offering) {
         if (!servesOn() && !(draining && isSucceeded()) || ended) {
             return false;
         }
-        double stretch = offering.effect() == Effect.IDEMPOTENT ? DRAIN_STRETCH : DRAIN_STRETCH_ONCE;
+        double stretch =
+                offering.effect() == Effect.IDEMPOTENT ? DRAIN_STRETCH : DRAIN_STRETCH_ONCE;
         double run = Double.isNaN(message.hint()) ? Double.POSITIVE_INFINITY : message.hint();
         return loop.now() + stretch * run + DRAIN_WAIT > drainEnd;
     }
 
-    /** Guards against retries used up while nobody listens: who is bounced may come back when we are up. */
+    /**
+     * Guards against retries used up while nobody listens: who is bounced may come back when we are
+     * up.
+     */
     private double adviceFor(double retryAfter) {
         if (!servesOn() || !settings.clientsHearRetryAfter()) {
             return retryAfter;
--- a/daemon/src/main/java/wheelroute/net/Gauges.java
+++ b/daemon/src/main/java/wheelroute/net/Gauges.java
@@ -10,5 +10,4 @@
  * @param listed workers on the list, those that drain too
  * @param avoided of those the ones that the decisions avoid now
  */
-public record Gauges(int open, int pending, int clients, int workers, int listed, int avoided) {
-}
+public record Gauges(int open, int pending, int clients, int workers, int listed, int avoided) {}
--- a/daemon/src/main/java/wheelroute/net/HttpText.java
+++ b/daemon/src/main/java/wheelroute/net/HttpText.java
@@ -21,10 +21,13 @@
         return this;
     }
 
-    /** Two buffers, to be written at once: bodies are large and must not be copied for each send. */
+    /**
+     * Two buffers, to be written at once: bodies are large and must not be copied for each send.
+     */
     public ByteBuffer[] body(byte[] body) {
-        return new ByteBuffer[] {field("Content-Length", Integer.toString(body.length)).noBody(),
-            ByteBuffer.wrap(body)};
+        return new ByteBuffer[] {
+            field("Content-Length", Integer.toString(body.length)).noBody(), ByteBuffer.wrap(body)
+        };
     }
 
     public ByteBuffer noBody() {
--- a/daemon/src/main/java/wheelroute/net/Link.java
+++ b/daemon/src/main/java/wheelroute/net/Link.java
@@ -7,13 +7,16 @@
 
 /** A connection of any kind of peer: it reads whatever comes, from its opening on. */
 public abstract class Link extends AbstractConnection {
-    /** Reads in a row on one connection: a sender at full speed must leave the others their turns. */
+    /**
+     * Reads in a row on one connection: a sender at full speed must leave the others their turns.
+     */
     private static final int MOST_READS = 4;
 
     protected final Loop loop;
 
     protected Link(EndPoint endPoint, Loop loop) {
-        // What is to run on a connection's behalf runs on the loop's thread, where its events come from.
+        // What is to run on a connection's behalf runs on the loop's thread, where its events come
+        // from.
         super(endPoint, Runnable::run);
         this.loop = loop;
     }
--- a/daemon/src/main/java/wheelroute/net/Loop.java
+++ b/daemon/src/main/java/wheelroute/net/Loop.java
@@ -34,36 +34,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread on which all is done: sockets, timers and what is posted from outside. Jetty's selector
- * would hand its work to a pool; here its executor and its scheduler both lead back to the selector's own
- * thread, so that nothing above needs a lock and the order of events is the order in which they came.
+ * The one thread on which all is done: sockets, timers and what is posted from outside. Jetty's
+ * selector would hand its work to a pool; here its executor and its scheduler both lead back to the
+ * selector's own thread, so that nothing above needs a lock and the order of events is the order in
+ * which they came.
  */
 public class Loop {
-    /** The largest read at once: most messages come in one, and a client may have one such read ahead. */
+    /**
+     * The largest read at once: most messages come in one, and a client may have one such read
+     * ahead.
+     */
     private static final int READ_BUFFER = 16 * 1024;
+
     /** For a look at what has come meanwhile: mostly nothing, or a connection's end. */
     private static final int LOOK_BUFFER = 2 * 1024;
+
     /** Connections waiting to be accepted: a burst of clients must not be refused by the kernel. */
     private static final int BACKLOG = 512;
+
     /**
-     * The selector waits no longer at a time. What a peer sends while the process stands still is found when
-     * it goes on, and a wait without an end would not tell how long that took. With {@link #LATE} it is less
-     * than what is kept back of a client's wait for the ways there and back.
+     * The selector waits no longer at a time. What a peer sends while the process stands still is
+     * found when it goes on, and a wait without an end would not tell how long that took. With
+     * {@link #LATE} it is less than what is kept back of a client's wait for the ways there and
+     * back.
      */
     private static final double LONGEST_WAIT = 0.05;
+
     /** Past what was asked for: a busy machine takes some milliseconds, and they do no harm. */
     private static final double LATE = 0.02;
-    /** Until what lay unread has been read: a connection is accepted, registered and read within four. */
+
+    /**
+     * Until what lay unread has been read: a connection is accepted, registered and read within
+     * four.
+     */
     private static final int PASSES_TO_READ = 6;
+
     /** The system tells of so many ready sockets at a time, and of the rest in the next pass. */
     private static final int MOST_READY = 512;
+
     /**
-     * Accepted on one socket in a pass: each has a descriptor before anybody can decide who makes room for
-     * it, and what is closed for it keeps its own until the next pass. The rest waits with the system.
+     * Accepted on one socket in a pass: each has a descriptor before anybody can decide who makes
+     * room for it, and what is closed for it keeps its own until the next pass. The rest waits with
+     * the system.
      */
     private static final int MOST_ACCEPTS = 4;
+
     /** Any wait that is not 0 takes the selector through a round. */
     private static final double ROUND = 0.001;
+
     private static final double MILLIS = 1e3;
     private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
 
@@ -98,20 +116,28 @@
     private final Clock clock;
     private final Manager manager;
     private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>(
-            Comparator.comparingDouble((Timer t) -> t.due).thenComparingLong(t -> t.number));
+    private final PriorityQueue<Timer> timers =
+            new PriorityQueue<>(
+                    Comparator.comparingDouble((Timer t) -> t.due)
+                            .thenComparingLong(t -> t.number));
     private final Map<SocketAddress, Peer> listeners = new HashMap<>();
     private final ByteBuffer readBuffer = BufferUtil.allocateDirect(READ_BUFFER);
     private final ByteBuffer lookBuffer = BufferUtil.allocate(LOOK_BUFFER);
+
     /** When the selector last returned; before it has, when the loop was made. */
     private double passAt;
+
     /** For each of the last passes that came late: since when sockets had not been looked at. */
     private final double[] unseenSince = new double[PASSES_TO_READ];
+
     /** The last to be accepted on, and on it in this pass. */
     private SelectableChannel acceptsOn;
+
     private int accepts;
+
     /** Connections waited to be accepted as a pass ended; and so many were since none did. */
     private boolean someWait;
+
     private int acceptedOfThem;
     private long lastTimer;
     private Thread thread;
@@ -154,8 +180,8 @@
     }
 
     /**
-     * The earliest time at which what is read now may have come: mostly this moment. After a standstill of
-     * the process, whatever for, all that lies unread may be as old as that.
+     * The earliest time at which what is read now may have come: mostly this moment. After a
+     * standstill of the process, whatever for, all that lies unread may be as old as that.
      */
     public double cameAt() {
         double now = now();
@@ -171,13 +197,18 @@
         return since;
     }
 
-    /** Empty, and shared by all connections: what a read leaves in it must be used before the next. */
+    /**
+     * Empty, and shared by all connections: what a read leaves in it must be used before the next.
+     */
     public ByteBuffer readBuffer() {
         BufferUtil.clear(readBuffer);
         return readBuffer;
     }
 
-    /** Empty, and apart from the others: a look at one connection may come while another's bytes are read. */
+    /**
+     * Empty, and apart from the others: a look at one connection may come while another's bytes are
+     * read.
+     */
     public ByteBuffer lookBuffer() {
         BufferUtil.clear(lookBuffer);
         return lookBuffer;
@@ -188,7 +219,8 @@
         SocketChannel channel = null;
         try {
             boolean local = address instanceof UnixDomainSocketAddress;
-            channel = local ? SocketChannel.open(StandardProtocolFamily.UNIX) : SocketChannel.open();
+            channel =
+                    local ? SocketChannel.open(StandardProtocolFamily.UNIX) : SocketChannel.open();
             channel.configureBlocking(false);
             if (!local) {
                 channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -215,8 +247,8 @@
     }
 
     /**
-     * Accepts connections for this peer until {@link #unlisten} is called. One loop may listen on many
-     * addresses, each for a peer of its own.
+     * Accepts connections for this peer until {@link #unlisten} is called. One loop may listen on
+     * many addresses, each for a peer of its own.
      */
     public ServerSocketChannel listen(InetSocketAddress address, Peer peer) throws IOException {
         return listen(address, peer, false);
@@ -236,7 +268,8 @@
     }
 
     /** The same on a Unix socket, whose file must not be there yet. */
-    public ServerSocketChannel listen(UnixDomainSocketAddress address, Peer peer) throws IOException {
+    public ServerSocketChannel listen(UnixDomainSocketAddress address, Peer peer)
+            throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
         try {
             accept(server.bind(address), peer);
@@ -254,8 +287,8 @@
     }
 
     /**
-     * A socket for datagrams at this address; its peer's connection reads them. Shared, another process may
-     * have one there too, and each hears a part of what comes.
+     * A socket for datagrams at this address; its peer's connection reads them. Shared, another
+     * process may have one there too, and each hears a part of what comes.
      */
     public DatagramChannel datagrams(InetSocketAddress address, Peer peer, boolean shared)
             throws IOException {
@@ -283,8 +316,9 @@
     }
 
     /**
-     * The same without a connection lost: one that waits to be accepted would be reset by the close. The
-     * selector holds on to a socket until its next round, in which more could come; so it lets go first.
+     * The same without a connection lost: one that waits to be accepted would be reset by the
+     * close. The selector holds on to a socket until its next round, in which more could come; so
+     * it lets go first.
      */
     public void unlistenEmptied(ServerSocketChannel server) {
         server.keyFor(selector).cancel();
@@ -313,22 +347,31 @@
     }
 
     /** For tests, which hold back what a connection would tell. */
-    protected EndPoint endPoint(SocketChannel channel, ManagedSelector s, SelectionKey key,
-            Scheduler timers) {
+    protected EndPoint endPoint(
+            SocketChannel channel, ManagedSelector s, SelectionKey key, Scheduler timers) {
         return new SocketChannelEndPoint(channel, s, key, timers);
     }
 
     private Peer peerAt(SocketAddress accepted) {
         Peer peer = listeners.get(accepted);
         // Listening on all addresses, it accepts on one of them.
-        return peer != null || !(accepted instanceof InetSocketAddress local) ? peer
+        return peer != null || !(accepted instanceof InetSocketAddress local)
+                ? peer
                 : listeners.entrySet().stream()
-                .filter(entry -> entry.getKey() instanceof InetSocketAddress address
-                        && address.getAddress().isAnyLocalAddress() && address.getPort() == local.getPort())
-                .map(Map.Entry::getValue).findFirst().orElse(null);
+                        .filter(
+                                entry ->
+                                        entry.getKey() instanceof InetSocketAddress address
+                                                && address.getAddress().isAnyLocalAddress()
+                                                && address.getPort() == local.getPort())
+                        .map(Map.Entry::getValue)
+                        .findFirst()
+                        .orElse(null);
     }
 
-    /** Guards against taking for new what came while nobody looked: the pass before was long, or stood. */
+    /**
+     * Guards against taking for new what came while nobody looked: the pass before was long, or
+     * stood.
+     */
     private void passed(double wait, int ready) {
         double at = now();
         boolean late = at - passAt - wait > LATE;
@@ -410,9 +453,12 @@
                 protected int nioSelect(Selector s, boolean now) throws IOException {
                     selector = s;
                     double left = runDue();
-                    // After a late pass each follows at once: what comes later is not as old as that.
-                    double wait = now || notLookedSince() < Double.POSITIVE_INFINITY ? 0
-                            : Math.min(left, LONGEST_WAIT);
+                    // After a late pass each follows at once: what comes later is not as old as
+                    // that.
+                    double wait =
+                            now || notLookedSince() < Double.POSITIVE_INFINITY
+                                    ? 0
+                                    : Math.min(left, LONGEST_WAIT);
                     int ready = wait <= 0 ? s.selectNow() : s.select((long) (wait * MILLIS) + 1);
                     passed(Math.max(0, wait), ready);
                     return ready;
@@ -447,7 +493,8 @@
         }
 
         @Override
-        protected EndPoint newEndPoint(SelectableChannel channel, ManagedSelector s, SelectionKey key) {
+        protected EndPoint newEndPoint(
+                SelectableChannel channel, ManagedSelector s, SelectionKey key) {
             return channel instanceof DatagramChannel datagrams
                     ? new DatagramChannelEndPoint(datagrams, s, key, getScheduler())
                     : endPoint((SocketChannel) channel, s, key, getScheduler());
--- a/daemon/src/main/java/wheelroute/net/MessageReader.java
+++ b/daemon/src/main/java/wheelroute/net/MessageReader.java
@@ -7,17 +7,21 @@
 import org.eclipse.jetty.http.HttpParser;
 import org.eclipse.jetty.http.HttpVersion;
 
-/** What questions and answers have in common: fields, an end, and whether their connection stays open. */
+/**
+ * What questions and answers have in common: fields, an end, and whether their connection stays
+ * open.
+ */
 public abstract class MessageReader implements HttpParser.HttpHandler {
     /** By their names in small letters; of several of one name the last. */
     protected final Map<String, String> fields = new HashMap<>();
+
     private boolean keepsOpen;
     private boolean complete;
 
     /**
-     * A parser for one connection. It does not remember fields to know them again: what for that it would
-     * make with the first message takes some 100 KB, and a thousand connections the heap of a small
-     * dispatcher.
+     * A parser for one connection. It does not remember fields to know them again: what for that it
+     * would make with the first message takes some 100 KB, and a thousand connections the heap of a
+     * small dispatcher.
      */
     protected static HttpParser lean(HttpParser parser) {
         parser.setHeaderCacheSize(0);
--- a/daemon/src/main/java/wheelroute/net/Service.java
+++ b/daemon/src/main/java/wheelroute/net/Service.java
@@ -22,21 +22,32 @@
 
 /** One dispatcher on sockets: its parts put together, started, and brought to an end. */
 public final class Service implements Operators {
-    /** Descriptors of the runtime: its archives, the selector, the listening socket, discovery; and slack. */
+    /**
+     * Descriptors of the runtime: its archives, the selector, the listening socket, discovery; and
+     * slack.
+     */
     private static final int OWN_SOCKETS = 40;
+
     /** Of the others, for clients and for workers; the rest are connections on their way out. */
     private static final double CLIENTS_PART = 0.5;
+
     private static final double WORKERS_PART = 0.42;
+
     /** New connections go on coming so long after the signal to end. */
     private static final double STILL_LISTENING = 0.45;
+
     /** The process is killed 0.7 s after this, or after the longest outer limit if that is less. */
     private static final double LONGEST_DRAIN = 3;
+
     /** Of that 0.7 s so much is used: the rest is for a busy core to get the last answers out. */
     private static final double SPARE = 0.5;
+
     /** How often it is looked whether the last answer has gone out. */
     private static final double LOOK = 0.02;
+
     /** For the last answers' bytes to leave: the process ends its connections when it goes. */
     private static final double LAST_BYTES = 0.08;
+
     private static final Logger LOG = LoggerFactory.getLogger(Service.class);
 
     private final Config config;
@@ -49,11 +60,15 @@
     private Exchanges exchanges;
     private Clients clients;
     private Door door;
+
     /** Null where no process can take another's place. */
     private Handover handover;
+
     /** Null where this dispatcher knows no others. */
     private Peers peers;
+
     private boolean listensToClients;
+
     /** Written down by the loop's thread, which alone may read them. */
     private volatile String lastFigures;
 
@@ -66,21 +81,24 @@
         this.config = config;
         this.loop = loop;
         discovery = config.discovery();
-        counters = new Counters(config.settings().offerings().stream().map(Settings.Offering::id).toList());
+        counters =
+                new Counters(
+                        config.settings().offerings().stream().map(Settings.Offering::id).toList());
         workers = new Workers(loop, counters, part(WORKERS_PART), config.idleLimit());
         // Ahead of all else that may be posted: a signal can come before the start is through.
         loop.post(this::assembleFirst);
     }
 
     private void assembleFirst() {
-        starting(() -> {
-            assemble();
-            if (handover == null) {
-                listen();
-            } else {
-                handover.begin();
-            }
-        });
+        starting(
+                () -> {
+                    assemble();
+                    if (handover == null) {
+                        listen();
+                    } else {
+                        handover.begin();
+                    }
+                });
     }
 
     /** A step of the start: the first that fails ends it. */
@@ -110,8 +128,9 @@
     }
 
     private void assemble() throws ConfigException {
-        exchanges = new Exchanges(loop, counters, workers, config.settings(),
-                config.longestOuterLimit());
+        exchanges =
+                new Exchanges(
+                        loop, counters, workers, config.settings(), config.longestOuterLimit());
         long version = ListWatch.NOTHING;
         if (config.known() != null) {
             WorkerList known = known();
@@ -140,8 +159,13 @@
 
     private void joinPeers() throws ConfigException {
         try {
-            peers = new Peers(loop, config.peers(), config.name(), config.settings().seed(),
-                    config.meeting() != null);
+            peers =
+                    new Peers(
+                            loop,
+                            config.peers(),
+                            config.name(),
+                            config.settings().seed(),
+                            config.meeting() != null);
         } catch (IOException e) {
             throw new ConfigException("peering.listen", "cannot be used: " + e.getMessage());
         }
@@ -156,13 +180,18 @@
             return;
         }
         try {
-            // A process that is to take this one's place begins beside it, where there is a door to ask it.
+            // A process that is to take this one's place begins beside it, where there is a door to
+            // ask it.
             clients.listen(config.listen(), config.admin() != null);
         } catch (IOException e) {
             throw new ConfigException("listen", "cannot be used: " + e.getMessage());
         }
         // With the port that it got: 0 leaves the choice to the system.
-        LOG.info("{} listens on {}:{}", config.name(), config.listen().getHostString(), clients.port());
+        LOG.info(
+                "{} listens on {}:{}",
+                config.name(),
+                config.listen().getHostString(),
+                clients.port());
         listensToClients = true;
         if (handover != null) {
             handover.serving();
@@ -225,31 +254,39 @@
         return peers == null ? null : peers.text();
     }
 
-    /** From any thread: applies what can be of a configuration read anew; a faulty one changes nothing. */
+    /**
+     * From any thread: applies what can be of a configuration read anew; a faulty one changes
+     * nothing.
+     */
     public void reload(Callable<Config> reader) {
-        loop.post(() -> {
-            try {
-                apply(reader.call());
-            } catch (Exception e) {
-                LOG.warn("the new configuration is not used: {}", e.getMessage());
-            }
-        });
+        loop.post(
+                () -> {
+                    try {
+                        apply(reader.call());
+                    } catch (Exception e) {
+                        LOG.warn("the new configuration is not used: {}", e.getMessage());
+                    }
+                });
     }
 
     private void apply(Config fresh) {
-        config.waitingForRestart(fresh).forEach(key -> LOG.warn("a change of '{}' waits for a restart", key));
+        config.waitingForRestart(fresh)
+                .forEach(key -> LOG.warn("a change of '{}' waits for a restart", key));
         if (fresh.discovery().equals(discovery)) {
             LOG.info("read again: discovery stays {}", discovery);
             return;
         }
         discovery = fresh.discovery();
         LOG.info("read again: discovery is {} now", discovery);
-        ListWatch next = new ListWatch(loop, discovery, counters, exchanges, ListWatch.NOTHING, manner());
+        ListWatch next =
+                new ListWatch(loop, discovery, counters, exchanges, ListWatch.NOTHING, manner());
         exchanges.watch(next);
         next.hurry();
     }
 
-    /** From any thread, and at any time from the making on: answers what was taken, then returns. */
+    /**
+     * From any thread, and at any time from the making on: answers what was taken, then returns.
+     */
     public void drain() throws Exception {
         loop.post(this::beginDrain);
         drained.await();
@@ -271,31 +308,37 @@
         double end = loop.now() + Math.min(LONGEST_DRAIN, config.longestOuterLimit()) + SPARE;
         exchanges.drain(end);
         // Where another one listens already, new connections are better off with it at once.
-        loop.later(exchanges.isSucceeded() ? 0 : STILL_LISTENING, () -> {
-            clients.stopListening();
-            look(end);
-        });
+        loop.later(
+                exchanges.isSucceeded() ? 0 : STILL_LISTENING,
+                () -> {
+                    clients.stopListening();
+                    look(end);
+                });
     }
 
     private void look(double end) {
         if (loop.now() >= end) {
             exchanges.giveUpAll();
-            loop.later(LAST_BYTES, () -> {
-                clients.lastLook();
-                end();
-            });
+            loop.later(
+                    LAST_BYTES,
+                    () -> {
+                        clients.lastLook();
+                        end();
+                    });
         } else if (isQuiet()) {
             // What is handed over while the last bytes leave is answered too.
-            loop.later(LAST_BYTES, () -> {
-                if (isQuiet()) {
-                    clients.lastLook();
-                }
-                if (isQuiet()) {
-                    end();
-                } else {
-                    look(end);
-                }
-            });
+            loop.later(
+                    LAST_BYTES,
+                    () -> {
+                        if (isQuiet()) {
+                            clients.lastLook();
+                        }
+                        if (isQuiet()) {
+                            end();
+                        } else {
+                            look(end);
+                        }
+                    });
         } else {
             loop.later(LOOK, () -> look(end));
         }
@@ -304,7 +347,8 @@
     /** Nothing is unanswered, and nobody is about to hand over more. */
     private boolean isQuiet() {
         boolean mustWaitForClients = !exchanges.closesConnections() || exchanges.isSucceeded();
-        return exchanges.unanswered() == 0 && !clients.expects()
+        return exchanges.unanswered() == 0
+                && !clients.expects()
                 && (!mustWaitForClients || clients.open() == 0);
     }
 
--- a/daemon/src/main/java/wheelroute/net/admin/Call.java
+++ b/daemon/src/main/java/wheelroute/net/admin/Call.java
@@ -13,7 +13,11 @@
 final class Call extends Link {
     /** Longer than any call that there is. */
     private static final int MOST_LINE = 64;
-    /** From the opening to the end of the line, and again for the caller to read the answer and leave. */
+
+    /**
+     * From the opening to the end of the line, and again for the caller to read the answer and
+     * leave.
+     */
     private static final double PATIENCE = 2;
 
     private final Door door;
@@ -72,8 +76,9 @@
         patience.cancel();
         patience = loop.later(PATIENCE, this::close);
         // Half closed, so that what a caller sends on cannot take the answer back with a reset.
-        Callback written = Callback.from(() -> getEndPoint().shutdownOutput(),
-                cause -> loop.post(this::close));
+        Callback written =
+                Callback.from(
+                        () -> getEndPoint().shutdownOutput(), cause -> loop.post(this::close));
         getEndPoint().write(written, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     }
 
--- a/daemon/src/main/java/wheelroute/net/admin/Door.java
+++ b/daemon/src/main/java/wheelroute/net/admin/Door.java
@@ -11,8 +11,11 @@
 
 /** The operators' address and the few callers on it: the oldest makes room for one too many. */
 public final class Door implements Loop.Peer {
-    /** Callers at one time: scripts and a person or two; what they hold is taken from nobody else. */
+    /**
+     * Callers at one time: scripts and a person or two; what they hold is taken from nobody else.
+     */
     public static final int MOST_CALLERS = 8;
+
     /** The callers', the listening socket's and one for a caller who waits to be let in. */
     public static final int DESCRIPTORS = MOST_CALLERS + 2;
 
--- a/daemon/src/main/java/wheelroute/net/admin/Figures.java
+++ b/daemon/src/main/java/wheelroute/net/admin/Figures.java
@@ -10,15 +10,16 @@
 
     private final StringBuilder out = new StringBuilder();
 
-    private Figures() {
-    }
+    private Figures() {}
 
     static String of(Counters counters, Gauges now) {
         Figures figures = new Figures();
         for (Ids.Offering offering : counters.offerings()) {
             for (Counters.Answer answer : Counters.Answer.values()) {
-                figures.line(name(answer) + "." + plain(offering.name()),
-                        counters.value(offering, answer), 'c');
+                figures.line(
+                        name(answer) + "." + plain(offering.name()),
+                        counters.value(offering, answer),
+                        'c');
             }
         }
         figures.line("upstream_requests", counters.value(Counters.Kind.WRITTEN), 'c');
@@ -42,6 +43,12 @@
     }
 
     private void line(String name, long value, char kind) {
-        out.append(PREFIX).append(name).append(':').append(value).append('|').append(kind).append('\n');
+        out.append(PREFIX)
+                .append(name)
+                .append(':')
+                .append(value)
+                .append('|')
+                .append(kind)
+                .append('\n');
     }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/Ahead.java
+++ b/daemon/src/main/java/wheelroute/net/clients/Ahead.java
@@ -4,28 +4,39 @@
 import java.util.ArrayDeque;
 
 /**
- * What a client sent before its turn. It is read on, under two bounds, so that the client's end is seen
- * behind it: a client that leaves while its submission waits leaves more than one unread message at times.
+ * What a client sent before its turn. It is read on, under two bounds, so that the client's end is
+ * seen behind it: a client that leaves while its submission waits leaves more than one unread
+ * message at times.
  */
 final class Ahead {
     /** What comes closer together than this has one time, the first. */
     private static final double TOGETHER = 0.05;
-    /** Times kept of one connection: what comes byte by byte must not take more room than its bytes. */
+
+    /**
+     * Times kept of one connection: what comes byte by byte must not take more room than its bytes.
+     */
     private static final int MOST_TIMES = 64;
-    /** Some messages of the largest kind: past it what comes waits with the system, and so does its end. */
+
+    /**
+     * Some messages of the largest kind: past it what comes waits with the system, and so does its
+     * end.
+     */
     static final int MOST = 256 * 1024;
+
     private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
 
     /** Of all connections together. */
     private final Room room;
+
     private ByteBuffer kept = NOTHING;
+
     /** Of all that came ahead, from the first byte on. */
     private long added;
+
     private final ArrayDeque<Came> times = new ArrayDeque<>();
 
     /** What came up to this byte came then. */
-    private record Came(long end, double at) {
-    }
+    private record Came(long end, double at) {}
 
     Ahead(Room room) {
         this.room = room;
@@ -64,7 +75,9 @@
         return kept;
     }
 
-    /** When the byte before those that are left came: a message's last one, as that has been read. */
+    /**
+     * When the byte before those that are left came: a message's last one, as that has been read.
+     */
     double cameAt() {
         long read = added - kept.remaining();
         while (times.getFirst().end < read) {
--- a/daemon/src/main/java/wheelroute/net/clients/ClientAnswer.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientAnswer.java
@@ -14,8 +14,8 @@
     }
 
     public static ClientAnswer bounced(double retryAfter) {
-        return new ClientAnswer(HttpStatus.SERVICE_UNAVAILABLE_503, retryAfter,
-                text("bounced: a retry is safe\n"));
+        return new ClientAnswer(
+                HttpStatus.SERVICE_UNAVAILABLE_503, retryAfter, text("bounced: a retry is safe\n"));
     }
 
     public static ClientAnswer scrapped() {
@@ -34,6 +34,7 @@
         String advice = Double.toString(Math.ceil(retryAfter * MILLIS) / MILLIS);
         return new HttpText("HTTP/1.1 " + status + " " + HttpStatus.getMessage(status))
                 .field("Retry-After", retryAfter > 0 ? advice : null)
-                .field("Connection", lastOnConnection ? "close" : null).body(body);
+                .field("Connection", lastOnConnection ? "close" : null)
+                .body(body);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -12,11 +12,21 @@
 
 /** One client's connection: one submission at a time, the next once it is answered. */
 final class ClientConnection extends Link implements Submitters.Answers {
-    /** How long a closing connection swallows what still comes: a reset would take the answer with it. */
+    /**
+     * How long a closing connection swallows what still comes: a reset would take the answer with
+     * it.
+     */
     private static final double LINGER = 1;
-    /** For a first message from the connection's opening on, and for every later one from its first byte. */
+
+    /**
+     * For a first message from the connection's opening on, and for every later one from its first
+     * byte.
+     */
     private static final double PATIENCE = 2.4;
-    /** What lies unread when that is over, after a pause of the whole process, is read within this. */
+
+    /**
+     * What lies unread when that is over, after a pause of the whole process, is read within this.
+     */
     private static final double LAST_LOOK = 0.2;
 
     private final Clients clients;
@@ -31,6 +41,7 @@
     private Loop.Timer patience;
     private boolean lingering;
     private boolean turnedAway;
+
     /** What came before its turn. */
     private final Ahead ahead;
 
@@ -48,14 +59,19 @@
         waitForMessage();
     }
 
-    /** Guards against heads and bodies without end, and against those who connect and say nothing. */
+    /**
+     * Guards against heads and bodies without end, and against those who connect and say nothing.
+     */
     private void waitForMessage() {
-        patience = loop.later(PATIENCE, () -> patience = loop.later(LAST_LOOK, this::outOfPatience));
+        patience =
+                loop.later(PATIENCE, () -> patience = loop.later(LAST_LOOK, this::outOfPatience));
     }
 
     private void outOfPatience() {
         if (begun) {
-            refuse(new BadMessage(HttpStatus.REQUEST_TIMEOUT_408, "the message has not come in time"));
+            refuse(
+                    new BadMessage(
+                            HttpStatus.REQUEST_TIMEOUT_408, "the message has not come in time"));
         } else {
             close();
         }
@@ -63,7 +79,8 @@
 
     @Override
     protected boolean wantsMore() {
-        // Who waits for no answer is read in any case: others' bytes ahead must not keep its message out.
+        // Who waits for no answer is read in any case: others' bytes ahead must not keep its
+        // message out.
         return !waiting || !ahead.isFull();
     }
 
@@ -115,7 +132,10 @@
         }
     }
 
-    /** What cannot be read: where the next message begins is not known either, so this is the last answer. */
+    /**
+     * What cannot be read: where the next message begins is not known either, so this is the last
+     * answer.
+     */
     private void refuse(BadMessage e) {
         patience.cancel();
         clients.notTaken();
@@ -128,11 +148,12 @@
     private void handle(ClientMessage message, double cameAt) {
         clients.is(this, Places.Stage.HELD);
         if (message.method().equals("GET")) {
-            answer(switch (message.path()) {
-                case "/healthz" -> clients.health();
-                case "/metrics" -> ClientAnswer.fulfilled(clients.metrics());
-                default -> ClientAnswer.of(HttpStatus.NOT_FOUND_404, "no such page");
-            });
+            answer(
+                    switch (message.path()) {
+                        case "/healthz" -> clients.health();
+                        case "/metrics" -> ClientAnswer.fulfilled(clients.metrics());
+                        default -> ClientAnswer.of(HttpStatus.NOT_FOUND_404, "no such page");
+                    });
             return;
         }
         if (turnedAway) {
@@ -152,7 +173,8 @@
                 throw new BadMessage(HttpStatus.NOT_FOUND_404, "submissions come by POST");
             }
             if (message.id() == null || message.id().isEmpty() || !(message.timeout() > 0)) {
-                throw new BadMessage(HttpStatus.BAD_REQUEST_400, "X-Request-ID or X-Timeout is missing");
+                throw new BadMessage(
+                        HttpStatus.BAD_REQUEST_400, "X-Request-ID or X-Timeout is missing");
             }
             if (sawEnd()) {
                 clients.notTaken();
@@ -162,7 +184,8 @@
             Submitters.Taken now = clients.take(message, cameAt, this);
             hasSubmitted = true;
             if (unanswered) {
-                // Else it was answered as it was taken, and there is nobody to tell that the client left.
+                // Else it was answered as it was taken, and there is nobody to tell that the client
+                // left.
                 taken = now;
             }
         } catch (BadMessage e) {
@@ -172,8 +195,8 @@
     }
 
     /**
-     * Guards against launches for nobody: what lay unread, as after a pause of the whole process, may be
-     * from a client that gave up in the meantime, and then its end lies unread behind it.
+     * Guards against launches for nobody: what lay unread, as after a pause of the whole process,
+     * may be from a client that gave up in the meantime, and then its end lies unread behind it.
      */
     private boolean sawEnd() {
         try {
@@ -205,8 +228,9 @@
             return;
         }
         boolean last = lastMessage || clients.closesConnections();
-        Callback written = Callback.from(() -> loop.post(() -> answered(last)),
-                cause -> loop.post(this::ended));
+        Callback written =
+                Callback.from(
+                        () -> loop.post(() -> answered(last)), cause -> loop.post(this::ended));
         getEndPoint().write(written, answer.encode(last));
     }
 
@@ -242,7 +266,10 @@
         }
     }
 
-    /** Between two messages, with none begun; one that has not spoken yet may have its first on the way. */
+    /**
+     * Between two messages, with none begun; one that has not spoken yet may have its first on the
+     * way.
+     */
     private boolean isIdle() {
         return hasSpoken && !waiting && !begun && !lingering;
     }
@@ -254,7 +281,10 @@
         }
     }
 
-    /** Before the process ends: takes what has come, and leaves nobody in doubt about what comes next. */
+    /**
+     * Before the process ends: takes what has come, and leaves nobody in doubt about what comes
+     * next.
+     */
     void lastLook() {
         if (waiting || lingering) {
             return;
@@ -285,7 +315,9 @@
         }
     }
 
-    /** For another one. A message that has begun is told to come back: it may be a true client's. */
+    /**
+     * For another one. A message that has begun is told to come back: it may be a true client's.
+     */
     void makeRoom() {
         if (!begun) {
             close();
@@ -297,7 +329,8 @@
         patience.cancel();
         begun = false;
         lingering = true;
-        Callback written = Callback.from(() -> loop.post(this::close), cause -> loop.post(this::close));
+        Callback written =
+                Callback.from(() -> loop.post(this::close), cause -> loop.post(this::close));
         getEndPoint().write(written, ClientAnswer.bounced(0).encode(true));
     }
 
@@ -311,7 +344,10 @@
         }
     }
 
-    /** A client may wait for its answer for as long as its outer limit; who does not read it, may not. */
+    /**
+     * A client may wait for its answer for as long as its outer limit; who does not read it, may
+     * not.
+     */
     @Override
     public boolean onIdleExpired(TimeoutException timeout) {
         if (isIdle()) {
--- a/daemon/src/main/java/wheelroute/net/clients/ClientDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientDecoder.java
@@ -18,29 +18,55 @@
 public final class ClientDecoder extends MessageReader implements HttpParser.RequestHandler {
     /** The protocol's limit on bodies. */
     static final int MOST_BODY = 64 * 1024;
+
     /** Far more than the protocol's headers need, and bounded: many clients share little memory. */
     static final int MOST_HEAD = 8 * 1024;
+
     private static final double MICROS = 1e6;
-    /** No deviation is let through: what two readers may read in two ways could hide a message in another. */
+
+    /**
+     * No deviation is let through: what two readers may read in two ways could hide a message in
+     * another.
+     */
     private static final HttpCompliance READING = HttpCompliance.STRICT;
-    /** Decimals as a person writes them: what only Java reads ("1e9", "0x1p3", "NaN") no worker need read. */
+
+    /**
+     * Decimals as a person writes them: what only Java reads ("1e9", "0x1p3", "NaN") no worker need
+     * read.
+     */
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
+
     /**
-     * What a request line may hold (RFC 3986), with whole escapes: anything else a worker may close on. In
-     * its first part also letters that are no ASCII, as of platforms that put an offering's name there as it
-     * is; they go on byte for byte. It gives nothing back ("*+"): else the matcher calls itself for each
-     * character, and a long target ends the thread.
+     * What a request line may hold (RFC 3986), with whole escapes: anything else a worker may close
+     * on. In its first part also letters that are no ASCII, as of platforms that put an offering's
+     * name there as it is; they go on byte for byte. It gives nothing back ("*+"): else the matcher
+     * calls itself for each character, and a long target ends the thread.
      */
-    private static final Pattern TARGET = Pattern.compile(
-            "/(?:[A-Za-z0-9:@!$&'()*+,;=._~\u00a0-\ufffc-]|%[0-9A-Fa-f]{2})*+"
-            + "(?:[/?](?:[A-Za-z0-9/?:@!$&'()*+,;=._~-]|%[0-9A-Fa-f]{2})*+)?");
+    private static final Pattern TARGET =
+            Pattern.compile(
+                    "/(?:[A-Za-z0-9:@!$&'()*+,;=._~\u00a0-\ufffc-]|%[0-9A-Fa-f]{2})*+"
+                            + "(?:[/?](?:[A-Za-z0-9/?:@!$&'()*+,;=._~-]|%[0-9A-Fa-f]{2})*+)?");
+
     /** Ids and keys go on as they are: visible characters only, and no more than a line of them. */
     private static final Pattern WORD = Pattern.compile("[!-~]{1,256}");
+
     /** Fields that are read or go on: of two values each reader might take another. */
-    private static final Set<String> SINGLE = Set.of("host", "content-length", "transfer-encoding",
-            "x-request-id", "x-timeout", "idempotency-key", "x-route-key", "x-cost", "x-attrs", "x-retried",
-            "x-tenant-id");
+    private static final Set<String> SINGLE =
+            Set.of(
+                    "host",
+                    "content-length",
+                    "transfer-encoding",
+                    "x-request-id",
+                    "x-timeout",
+                    "idempotency-key",
+                    "x-route-key",
+                    "x-cost",
+                    "x-attrs",
+                    "x-retried",
+                    "x-tenant-id");
+
     private static final byte[] NO_BODY = {};
+
     /** What stands for bytes that are no text. */
     private static final char NO_CHARACTER = '\ufffd';
 
@@ -51,8 +77,10 @@
     private int roomTaken;
     private String method;
     private String target;
+
     /** A field that came more than once and may not; null for none. */
     private String repeated;
+
     private BadMessage fault;
 
     public ClientDecoder(Room room) {
@@ -67,13 +95,16 @@
         body = NO_BODY;
     }
 
-    /** The next message, or null when more bytes are wanted; what follows it stays in the buffer. */
+    /**
+     * The next message, or null when more bytes are wanted; what follows it stays in the buffer.
+     */
     public ClientMessage decode(ByteBuffer in) throws BadMessage {
         while (!isComplete() && fault == null && in.hasRemaining()) {
             try {
                 parser.parseNext(in);
             } catch (RuntimeException e) {
-                // Some nonsense is told so, the rest as a bad message: neither ends more than its connection.
+                // Some nonsense is told so, the rest as a bad message: neither ends more than its
+                // connection.
                 throw bad("no HTTP message");
             }
         }
@@ -98,12 +129,19 @@
         String tenant = fields.get("x-tenant-id");
         Map<String, String> attrs = attrs();
         tenant = named(tenant == null ? attrs.getOrDefault("tenant", "") : tenant);
-        return new ClientMessage(method, target, fields.get("x-request-id"), fields.get("idempotency-key"),
-                fields.get("x-route-key"), tenant,
+        return new ClientMessage(
+                method,
+                target,
+                fields.get("x-request-id"),
+                fields.get("idempotency-key"),
+                fields.get("x-route-key"),
+                tenant,
                 number("x-timeout", fields.get("x-timeout"), Double.NaN),
                 number("x-cost", fields.get("x-cost"), Double.NaN) / MICROS,
-                number("slots", attrs.get("slots"), 1), number("memory", attrs.get("memory"), 0),
-                "1".equals(fields.get("x-retried")), keepsOpen(),
+                number("slots", attrs.get("slots"), 1),
+                number("memory", attrs.get("memory"), 0),
+                "1".equals(fields.get("x-retried")),
+                keepsOpen(),
                 filled == body.length ? body : Arrays.copyOf(body, filled));
     }
 
@@ -183,7 +221,9 @@
         return new BadMessage(HttpStatus.PAYLOAD_TOO_LARGE_413, "the body is over " + MOST_BODY);
     }
 
-    /** Makes the body so long, or finds fault: too long for the protocol, or for what all may hold. */
+    /**
+     * Makes the body so long, or finds fault: too long for the protocol, or for what all may hold.
+     */
     private boolean grow(long length) {
         if (length > MOST_BODY) {
             fault = tooLarge();
@@ -199,7 +239,8 @@
     @Override
     public boolean content(ByteBuffer piece) {
         int needed = filled + piece.remaining();
-        // Room is for what has come, not for what was promised: who stalls must not hold the others' room.
+        // Room is for what has come, not for what was promised: who stalls must not hold the
+        // others' room.
         long most = parser.getContentLength() > 0 ? parser.getContentLength() : MOST_BODY;
         if (needed > body.length && !grow(Math.max(needed, Math.min(2L * body.length, most)))) {
             return true;
@@ -217,11 +258,17 @@
 
     @Override
     public void badMessage(HttpException cause) {
-        boolean known = cause.getCode() == HttpStatus.REQUEST_HEADER_FIELDS_TOO_LARGE_431
-                || cause.getCode() == HttpStatus.PAYLOAD_TOO_LARGE_413;
+        boolean known =
+                cause.getCode() == HttpStatus.REQUEST_HEADER_FIELDS_TOO_LARGE_431
+                        || cause.getCode() == HttpStatus.PAYLOAD_TOO_LARGE_413;
         boolean longTarget = cause.getCode() == HttpStatus.URI_TOO_LONG_414;
-        fault = new BadMessage(known ? cause.getCode() : longTarget
-                ? HttpStatus.REQUEST_HEADER_FIELDS_TOO_LARGE_431 : HttpStatus.BAD_REQUEST_400,
-                String.valueOf(cause.getReason()));
+        fault =
+                new BadMessage(
+                        known
+                                ? cause.getCode()
+                                : longTarget
+                                        ? HttpStatus.REQUEST_HEADER_FIELDS_TOO_LARGE_431
+                                        : HttpStatus.BAD_REQUEST_400,
+                        String.valueOf(cause.getReason()));
     }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/Clients.java
+++ b/daemon/src/main/java/wheelroute/net/clients/Clients.java
@@ -12,17 +12,35 @@
 import wheelroute.net.Counters;
 import wheelroute.net.Loop;
 
-/** The client side: the listening socket and the connections accepted on it, of which there is a bound. */
+/**
+ * The client side: the listening socket and the connections accepted on it, of which there is a
+ * bound.
+ */
 public final class Clients implements Loop.Peer {
-    /** Beyond the bound this part of it more is told to go away, each in a moment; the rest is closed. */
+    /**
+     * Beyond the bound this part of it more is told to go away, each in a moment; the rest is
+     * closed.
+     */
     private static final double TURNED_AWAY_PART = 0.06;
-    /** A connection idle for so long between two messages is closed: its client may be long gone. */
+
+    /**
+     * A connection idle for so long between two messages is closed: its client may be long gone.
+     */
     private static final long IDLE_MILLIS = 120_000;
-    /** Of the heap so much may be clients' bodies: what they become on their way is as much again. */
+
+    /**
+     * Of the heap so much may be clients' bodies: what they become on their way is as much again.
+     */
     private static final double HELD_PART = 0.25;
-    /** And so much what they send before their turn: who sends much must not take the others' room. */
+
+    /**
+     * And so much what they send before their turn: who sends much must not take the others' room.
+     */
     private static final double AHEAD_PART = 0.06;
-    /** And no more than this, however large the heap: sixteen who send as much as is kept of one. */
+
+    /**
+     * And no more than this, however large the heap: sixteen who send as much as is kept of one.
+     */
     private static final long MOST_AHEAD = 16L * Ahead.MOST;
 
     private final Loop loop;
@@ -31,8 +49,8 @@
     private final int mostAlone;
     private final Places<ClientConnection> places;
     private final Room room = new Room((long) (HELD_PART * Runtime.getRuntime().maxMemory()));
-    private final Room roomAhead = new Room(Math.min(MOST_AHEAD,
-            (long) (AHEAD_PART * Runtime.getRuntime().maxMemory())));
+    private final Room roomAhead =
+            new Room(Math.min(MOST_AHEAD, (long) (AHEAD_PART * Runtime.getRuntime().maxMemory())));
     private ServerSocketChannel server;
     private boolean isListening;
 
@@ -44,22 +62,25 @@
         places = new Places<>(most);
     }
 
-    /** Shared: a second process may listen there too, and each is dealt a part of the connections. */
+    /**
+     * Shared: a second process may listen there too, and each is dealt a part of the connections.
+     */
     public void listen(InetSocketAddress address, boolean shared) throws IOException {
         server = loop.listen(address, this, shared);
         isListening = true;
     }
 
     /**
-     * So many processes share the bound. Who is over it by that makes room at once: else every one that comes
-     * next would be too many by far, and be closed unheard.
+     * So many processes share the bound. Who is over it by that makes room at once: else every one
+     * that comes next would be too many by far, and be closed unheard.
      */
     public void sharedBy(int processes) {
         places.most(mostAlone / processes);
         int before = places.taken() + 1;
         while (places.isOver() && places.taken() < before) {
             before = places.taken();
-            places.makesRoom(loop.now(), ClientConnection::hasUnread).ifPresent(ClientConnection::makeRoom);
+            places.makesRoom(loop.now(), ClientConnection::hasUnread)
+                    .ifPresent(ClientConnection::makeRoom);
         }
     }
 
@@ -87,7 +108,8 @@
     /** False when it is one too many, and none that is done, idle or silent can make room. */
     boolean opened(ClientConnection connection) {
         counters.count(Counters.Kind.CLIENTS_OPENED);
-        places.makesRoom(loop.now(), ClientConnection::hasUnread).ifPresent(ClientConnection::makeRoom);
+        places.makesRoom(loop.now(), ClientConnection::hasUnread)
+                .ifPresent(ClientConnection::makeRoom);
         places.is(connection, Places.Stage.UNKNOWN, loop.now());
         if (places.taken() > places.most() + 1 + TURNED_AWAY_PART * places.most()) {
             connection.close();
@@ -133,7 +155,8 @@
     }
 
     ClientAnswer health() {
-        return submitters.isDraining() ? ClientAnswer.of(HttpStatus.SERVICE_UNAVAILABLE_503, "draining")
+        return submitters.isDraining()
+                ? ClientAnswer.of(HttpStatus.SERVICE_UNAVAILABLE_503, "draining")
                 : ClientAnswer.of(HttpStatus.OK_200, "ok");
     }
 
@@ -142,8 +165,9 @@
     }
 
     /**
-     * The process is about to end. What has come is read, and may be taken; all that say nothing are closed,
-     * so that nobody hands over a submission to a process that will not read it any more.
+     * The process is about to end. What has come is read, and may be taken; all that say nothing
+     * are closed, so that nobody hands over a submission to a process that will not read it any
+     * more.
      */
     public void lastLook() {
         for (Places.Stage stage : Places.Stage.values()) {
@@ -151,7 +175,9 @@
         }
     }
 
-    /** No new connections, and none kept between two submissions but by a dispatcher that serves on. */
+    /**
+     * No new connections, and none kept between two submissions but by a dispatcher that serves on.
+     */
     public void stopListening() {
         if (isListening) {
             isListening = false;
--- a/daemon/src/main/java/wheelroute/net/clients/Room.java
+++ b/daemon/src/main/java/wheelroute/net/clients/Room.java
@@ -1,6 +1,9 @@
 package wheelroute.net.clients;
 
-/** A bound on the bytes of bodies held at one time: how many clients send them is not ours to choose. */
+/**
+ * A bound on the bytes of bodies held at one time: how many clients send them is not ours to
+ * choose.
+ */
 public final class Room {
     private final long most;
     private long held;
--- a/daemon/src/main/java/wheelroute/net/clients/Submitters.java
+++ b/daemon/src/main/java/wheelroute/net/clients/Submitters.java
@@ -19,7 +19,8 @@
     /**
      * What is not taken is told why: for want of such an offering, say.
      *
-     * @param cameAt the earliest time at which its last byte may have come, from which its timeout counts
+     * @param cameAt the earliest time at which its last byte may have come, from which its timeout
+     *     counts
      */
     Taken take(ClientMessage message, double cameAt, Answers answers) throws BadMessage;
 
--- a/daemon/src/main/java/wheelroute/net/handover/Handover.java
+++ b/daemon/src/main/java/wheelroute/net/handover/Handover.java
@@ -21,8 +21,9 @@
 import wheelroute.net.Loop;
 
 /**
- * This process among the others of the same dispatcher: the one whose place it takes, and the one that takes
- * its own. They meet on a Unix socket in a directory that they share; docs/design/handover.md has the words.
+ * This process among the others of the same dispatcher: the one whose place it takes, and the one
+ * that takes its own. They meet on a Unix socket in a directory that they share;
+ * docs/design/handover.md has the words.
  */
 public final class Handover implements Neighbour.Hearer {
     /** What this process knows, to be told to the next, and what it is told by the one before. */
@@ -50,13 +51,20 @@
 
     /** The listening socket, a neighbour on either side, and one that is being greeted. */
     public static final int DESCRIPTORS = 4;
-    /** What a predecessor has not told by then is done without: it may be stuck, or of another kind. */
+
+    /**
+     * What a predecessor has not told by then is done without: it may be stuck, or of another kind.
+     */
     private static final double PATIENCE = 0.5;
+
     /** Well before anybody could have begun to replace a process that has just begun itself. */
     private static final double SOON = 0.05;
+
     private static final String GREETING = "wheelroute-handover";
+
     /** No two files of one process may have one name. */
     private static final AtomicInteger ANNOUNCED = new AtomicInteger();
+
     private static final Logger LOG = LoggerFactory.getLogger(Handover.class);
 
     private final Loop loop;
@@ -69,10 +77,14 @@
     private ServerSocketChannel server;
     private boolean waiting;
     private boolean serving;
+
     /** By which the file that stands there is known as ours. */
     private Object fileKey;
 
-    /** Of one dispatcher, by its name and its clients' address, in a directory that its processes share. */
+    /**
+     * Of one dispatcher, by its name and its clients' address, in a directory that its processes
+     * share.
+     */
     public Handover(Loop loop, Path directory, String name, Knowledge knowledge, Hearer hearer) {
         this.loop = loop;
         this.knowledge = knowledge;
@@ -80,10 +92,15 @@
         this.name = name;
         CRC32 crc = new CRC32();
         crc.update(name.getBytes(StandardCharsets.UTF_8));
-        path = directory.resolve(String.format(Locale.ROOT, "wheelroute-%08x.sock", crc.getValue()));
+        path =
+                directory.resolve(
+                        String.format(Locale.ROOT, "wheelroute-%08x.sock", crc.getValue()));
     }
 
-    /** Asks a predecessor for what it knows, if there is one; {@link Hearer#told} follows in any case. */
+    /**
+     * Asks a predecessor for what it knows, if there is one; {@link Hearer#told} follows in any
+     * case.
+     */
     public void begin() {
         waiting = true;
         if (!Files.exists(path)) {
@@ -91,20 +108,23 @@
             told();
             return;
         }
-        loop.connect(UnixDomainSocketAddress.of(path), new Loop.Peer() {
-            @Override
-            public Connection opened(EndPoint endPoint) {
-                Neighbour neighbour = new Neighbour(endPoint, loop, Places.Side.BEFORE, Handover.this);
-                neighbours.put(Places.Side.BEFORE, neighbour);
-                return neighbour;
-            }
-
-            @Override
-            public void failed(Throwable cause) {
-                // Nobody there, or what a dead process left.
-                told();
-            }
-        });
+        loop.connect(
+                UnixDomainSocketAddress.of(path),
+                new Loop.Peer() {
+                    @Override
+                    public Connection opened(EndPoint endPoint) {
+                        Neighbour neighbour =
+                                new Neighbour(endPoint, loop, Places.Side.BEFORE, Handover.this);
+                        neighbours.put(Places.Side.BEFORE, neighbour);
+                        return neighbour;
+                    }
+
+                    @Override
+                    public void failed(Throwable cause) {
+                        // Nobody there, or what a dead process left.
+                        told();
+                    }
+                });
         loop.later(PATIENCE, this::told);
     }
 
@@ -132,27 +152,40 @@
         }
     }
 
-    /** Under a name of its own first: whoever looks finds the old socket or the new one, and always one. */
+    /**
+     * Under a name of its own first: whoever looks finds the old socket or the new one, and always
+     * one.
+     */
     private void announce() {
         // Asking the system for the process's number costs a start more than all the rest of this.
-        Path own = path.resolveSibling(path.getFileName() + "." + Long.toHexString(System.nanoTime()) + "-"
-                + ANNOUNCED.incrementAndGet());
+        Path own =
+                path.resolveSibling(
+                        path.getFileName()
+                                + "."
+                                + Long.toHexString(System.nanoTime())
+                                + "-"
+                                + ANNOUNCED.incrementAndGet());
         try {
             withdraw();
-            server = loop.listen(UnixDomainSocketAddress.of(own), new Loop.Peer() {
-                @Override
-                public Connection opened(EndPoint endPoint) {
-                    return new Neighbour(endPoint, loop, Places.Side.AFTER, Handover.this);
-                }
-
-                @Override
-                public void failed(Throwable cause) {
-                    // Whoever it was has gone: it will begin without us.
-                }
-            });
+            server =
+                    loop.listen(
+                            UnixDomainSocketAddress.of(own),
+                            new Loop.Peer() {
+                                @Override
+                                public Connection opened(EndPoint endPoint) {
+                                    return new Neighbour(
+                                            endPoint, loop, Places.Side.AFTER, Handover.this);
+                                }
+
+                                @Override
+                                public void failed(Throwable cause) {
+                                    // Whoever it was has gone: it will begin without us.
+                                }
+                            });
             Files.setPosixFilePermissions(own, PosixFilePermissions.fromString("rw-------"));
             fileKey = keyOf(own);
-            Files.move(own, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(
+                    own, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException | RuntimeException e) {
             LOG.warn("a process that is to replace this one will not find it: {}", e.toString());
             withdraw();
@@ -175,7 +208,9 @@
         server = null;
     }
 
-    /** The process is about to end: nobody needs its file any more, unless it is another's by now. */
+    /**
+     * The process is about to end: nobody needs its file any more, unless it is another's by now.
+     */
     public void end() {
         // From here on a neighbour that leaves is no reason to be found again.
         serving = false;
@@ -233,11 +268,13 @@
     @Override
     public void opened(Neighbour neighbour) {
         neighbour.say(GREETING, name);
-        loop.later(PATIENCE, () -> {
-            if (!neighbour.greeted) {
-                neighbour.close();
-            }
-        });
+        loop.later(
+                PATIENCE,
+                () -> {
+                    if (!neighbour.greeted) {
+                        neighbour.close();
+                    }
+                });
         if (neighbour.side == Places.Side.BEFORE) {
             knowledge.openIds().forEach(id -> neighbour.say("open", id));
         }
@@ -314,7 +351,8 @@
                 default -> told();
             }
         } catch (IOException e) {
-            // Of another version, say: the rest may do, and discovery and the workers tell it all again.
+            // Of another version, say: the rest may do, and discovery and the workers tell it all
+            // again.
             LOG.info("what the predecessor tells is not used: {}", e.getMessage());
         }
     }
--- a/daemon/src/main/java/wheelroute/net/handover/LearnedText.java
+++ b/daemon/src/main/java/wheelroute/net/handover/LearnedText.java
@@ -17,11 +17,11 @@
 /** What was learned, as one line of JSON, under the list's names of workers. */
 public final class LearnedText {
     private static final JsonFactory JSON = new JsonFactory();
+
     /** Three figures a sample, and no measurement keeps more samples than this. */
     private static final int MOST_FIGURES = 3 * 64;
 
-    private LearnedText() {
-    }
+    private LearnedText() {}
 
     /** Workers that have no name any more are left out. */
     public static String encode(Learned learned, Function<Ids.Worker, String> names) {
@@ -61,13 +61,15 @@
         return out.toString();
     }
 
-    private static void figures(JsonGenerator json, String name, double[] figures) throws IOException {
+    private static void figures(JsonGenerator json, String name, double[] figures)
+            throws IOException {
         json.writeFieldName(name);
         json.writeArray(figures, 0, figures.length);
     }
 
     /** Workers that are not on the list by now are left out; any fault makes all of it unusable. */
-    public static Learned decode(byte[] text, Function<String, Ids.Worker> names) throws IOException {
+    public static Learned decode(byte[] text, Function<String, Ids.Worker> names)
+            throws IOException {
         Learned learned = new Learned(new HashMap<>(), new HashMap<>(), new HashMap<>());
         try (JsonParser json = JSON.createParser(text)) {
             expect(json.nextToken() == JsonToken.START_OBJECT);
@@ -89,23 +91,35 @@
         return learned;
     }
 
-    private static void worker(JsonParser json, Ids.Worker worker, Learned learned) throws IOException {
+    private static void worker(JsonParser json, Ids.Worker worker, Learned learned)
+            throws IOException {
         Map<String, double[]> figures = new HashMap<>();
         fields(json, figures);
         if (worker != null) {
-            learned.workers().put(worker, new Learned.OfWorker(positive(figures.get("runs")),
-                    known(figures.get("waits")), known(figures.get("failures"))));
+            learned.workers()
+                    .put(
+                            worker,
+                            new Learned.OfWorker(
+                                    positive(figures.get("runs")),
+                                    known(figures.get("waits")),
+                                    known(figures.get("failures"))));
         }
     }
 
-    private static void model(JsonParser json, Ids.Model model, Learned learned) throws IOException {
+    private static void model(JsonParser json, Ids.Model model, Learned learned)
+            throws IOException {
         Map<String, double[]> figures = new HashMap<>();
         int slots = fields(json, figures);
-        learned.models().put(model, new Learned.OfModel(slots, positive(figures.get("runs")),
-                known(figures.get("waits"))));
+        learned.models()
+                .put(
+                        model,
+                        new Learned.OfModel(
+                                slots, positive(figures.get("runs")), known(figures.get("waits"))));
     }
 
-    /** The arrays of an object by their names; the one whole number, if there is one, is returned. */
+    /**
+     * The arrays of an object by their names; the one whole number, if there is one, is returned.
+     */
     private static int fields(JsonParser json, Map<String, double[]> figures) throws IOException {
         int slots = 0;
         expect(json.currentToken() == JsonToken.START_OBJECT);
--- a/daemon/src/main/java/wheelroute/net/handover/Neighbour.java
+++ b/daemon/src/main/java/wheelroute/net/handover/Neighbour.java
@@ -16,6 +16,7 @@
 final class Neighbour extends Link {
     /** As long as the longest list. */
     private static final int MOST_LINE = 1 << 20;
+
     /** Unsent beyond this, the other is stuck: this process must not fill its memory for it. */
     private static final int MOST_UNSENT = 2 * MOST_LINE;
 
@@ -29,8 +30,10 @@
     }
 
     final Places.Side side;
+
     /** The clients' ids that are open there. */
     final Set<String> openIds = new HashSet<>();
+
     boolean greeted;
     private final Hearer hearer;
     private final LineBuffer lines = new LineBuffer(MOST_LINE);
@@ -38,6 +41,7 @@
     private long unsentBytes;
     private boolean sending;
     private boolean left;
+
     /** Who has been told nothing takes it for none. */
     private int toldBehind;
 
@@ -80,11 +84,16 @@
         sending = true;
         ByteBuffer next = unsent.poll();
         int length = next.remaining();
-        Callback written = Callback.from(() -> loop.post(() -> {
-            sending = false;
-            unsentBytes -= length;
-            sendNext();
-        }), cause -> loop.post(this::close));
+        Callback written =
+                Callback.from(
+                        () ->
+                                loop.post(
+                                        () -> {
+                                            sending = false;
+                                            unsentBytes -= length;
+                                            sendNext();
+                                        }),
+                        cause -> loop.post(this::close));
         getEndPoint().write(written, next);
     }
 
@@ -93,7 +102,9 @@
         for (byte[] line = lines.next(in); line != null && !left; line = lines.next(in)) {
             String text = new String(line, StandardCharsets.UTF_8);
             int space = text.indexOf(' ');
-            hearer.said(this, space < 0 ? text : text.substring(0, space),
+            hearer.said(
+                    this,
+                    space < 0 ? text : text.substring(0, space),
                     space < 0 ? "" : text.substring(space + 1));
         }
     }
--- a/daemon/src/main/java/wheelroute/net/handover/Places.java
+++ b/daemon/src/main/java/wheelroute/net/handover/Places.java
@@ -1,13 +1,14 @@
 package wheelroute.net.handover;
 
 /**
- * How many processes of this dispatcher run, as far as this one knows, and whether another one has taken its
- * place. No I/O and no clock: it is told of neighbours that come, speak and go.
+ * How many processes of this dispatcher run, as far as this one knows, and whether another one has
+ * taken its place. No I/O and no clock: it is told of neighbours that come, speak and go.
  */
 final class Places {
     /** The process whose place this one takes, and the one that takes this one's. */
     enum Side {
-        BEFORE, AFTER;
+        BEFORE,
+        AFTER;
 
         Side other() {
             return this == BEFORE ? AFTER : BEFORE;
--- a/daemon/src/main/java/wheelroute/net/list/ListWatch.java
+++ b/daemon/src/main/java/wheelroute/net/list/ListWatch.java
@@ -28,32 +28,53 @@
     }
 
     /**
-     * What a silent watch does not tell counts as told 6 s after it fell silent. Of these a call holds 3 to
-     * 3.6, so that it is noticed after 4.5 at most, and enough is left to wait for a turn at discovery and to
-     * ask once more.
+     * What a silent watch does not tell counts as told 6 s after it fell silent. Of these a call
+     * holds 3 to 3.6, so that it is noticed after 4.5 at most, and enough is left to wait for a
+     * turn at discovery and to ask once more.
      */
     private static final int HOLD_MILLIS = 3000;
-    /** Dispatchers that start together would ask in step for ever, and wait for each other's answers. */
+
+    /**
+     * Dispatchers that start together would ask in step for ever, and wait for each other's
+     * answers.
+     */
     private static final int HOLD_SPREAD_MILLIS = 600;
+
     /** An answer this long after its hold is over is given up. */
     private static final double SILENCE = 0.9;
-    /** So long after a silence failures are not waited out, as the time for what it kept from us runs. */
+
+    /**
+     * So long after a silence failures are not waited out, as the time for what it kept from us
+     * runs.
+     */
     private static final double CATCH_UP = 2;
+
     /** An answer that has begun has so long for the rest of it, as long as it goes on. */
     private static final double WHOLE_ANSWER = 3;
+
     /** Half of what may pass between two calls of one watch. */
     private static final double EARLY_PAUSE = 0.1;
+
     /** A list that is read lies in memory as it comes, as its entries, and as what they replace. */
     private static final double LIST_PART = 1 / 12.0;
+
     /** Read in any case: some thousands of workers. */
     private static final int LEAST_MOST = 1 << 20;
+
     private static final double MILLIS = 1e3;
+
     /** The version of who knows nothing yet. */
     public static final long NOTHING = -1;
-    /** A new address must have told the whole list within 4 s: until then failures are not waited out. */
+
+    /**
+     * A new address must have told the whole list within 4 s: until then failures are not waited
+     * out.
+     */
     private static final double HURRY = 4;
+
     /** In a hurry a call that holds nothing has this long: two more may follow it in time. */
     private static final double HURRIED_SILENCE = 1.2;
+
     private static final double HURRIED_PAUSE = 0.2;
     private static final Logger LOG = LoggerFactory.getLogger(ListWatch.class);
 
@@ -68,25 +89,35 @@
     private double hurryUntil = Double.NEGATIVE_INFINITY;
     private boolean stopped;
     private final Manner manner;
+
     /** In bytes; the heap follows what the process may take. */
     private final long mostList =
             Math.max(LEAST_MOST, (long) (LIST_PART * Runtime.getRuntime().maxMemory()));
+
     private final Backoff backoff;
     private final SplittableRandom random;
-    /** The last call failed, and no call since has been answered: what is known there is wanted at once. */
+
+    /**
+     * The last call failed, and no call since has been answered: what is known there is wanted at
+     * once.
+     */
     private boolean recovering;
 
     /**
      * How it is to be asked.
      *
      * @param seed for the spread of its calls
-     * @param pushed it is an agent of this dispatcher's own, whose news count as told whether or not they
-     *     were asked for: then no failure is waited out
+     * @param pushed it is an agent of this dispatcher's own, whose news count as told whether or
+     *     not they were asked for: then no failure is waited out
      */
-    public record Manner(long seed, boolean pushed) {
-    }
-
-    public ListWatch(Loop loop, InetSocketAddress address, Counters counters, Hearer hearer, long version,
+    public record Manner(long seed, boolean pushed) {}
+
+    public ListWatch(
+            Loop loop,
+            InetSocketAddress address,
+            Counters counters,
+            Hearer hearer,
+            long version,
             Manner manner) {
         this.loop = loop;
         this.address = address;
@@ -146,11 +177,14 @@
         silence = loop.later(limit, () -> silent(current));
     }
 
-    /** The watch is broken, and has to be opened anew before what it did not tell counts as told. */
+    /**
+     * The watch is broken, and has to be opened anew before what it did not tell counts as told.
+     */
     private void silent(Call which) {
         if (isFailed(which, "silence")) {
             if (which.hold == 0) {
-                // It is not the one watch: discovery may have more to do than it can, and needs a pause.
+                // It is not the one watch: discovery may have more to do than it can, and needs a
+                // pause.
                 failed(which);
             } else {
                 hurryUntil = loop.now() + CATCH_UP;
@@ -170,7 +204,10 @@
         loop.later(isInHurry() || manner.pushed ? HURRIED_PAUSE : pause, this::watch);
     }
 
-    /** A watch that worked ended without a word: what it would have told next should not wait for a pause. */
+    /**
+     * A watch that worked ended without a word: what it would have told next should not wait for a
+     * pause.
+     */
     private void broken(Call which, String why) {
         if (isFailed(which, why)) {
             if (which.worked) {
@@ -208,7 +245,8 @@
             if (wantsWhole) {
                 throw new IOException("changes where the whole list was asked for");
             }
-            // Changes older than what we hold mean that discovery has begun anew: only a whole list can tell.
+            // Changes older than what we hold mean that discovery has begun anew: only a whole list
+            // can tell.
             wantsWhole = list.version() < version;
             if (wantsWhole) {
                 return true;
@@ -226,12 +264,16 @@
         private final AnswerParser parser = new AnswerParser(this);
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private EndPoint endPoint;
+
         /** Of the call now made: its connect's beginning, or the end of the answer before it. */
         private double askedAt = loop.now();
+
         private boolean asked;
         private double hold;
+
         /** It has answered before. */
         private boolean worked;
+
         /** By when the answer that has begun has to be whole; NaN before. */
         private double wholeBy = Double.NaN;
 
@@ -263,14 +305,21 @@
             wholeBy = Double.NaN;
             int holdMillis = wantsWhole ? 0 : hold();
             hold = holdMillis / MILLIS;
-            String target = "/v1/servers" + (wantsWhole ? "" : "?from=" + version + "&hold_ms=" + holdMillis);
+            String target =
+                    "/v1/servers"
+                            + (wantsWhole ? "" : "?from=" + version + "&hold_ms=" + holdMillis);
             waitFor(holdMillis == 0 ? askedAt + patience() - loop.now() : hold + SILENCE);
-            endPoint.write(Callback.from(() -> { }, cause -> loop.post(() -> failed(cause))),
+            endPoint.write(
+                    Callback.from(() -> {}, cause -> loop.post(() -> failed(cause))),
                     new HttpText("GET " + target + " HTTP/1.1")
-                    .field("Host", ConfigReader.text(address)).noBody());
+                            .field("Host", ConfigReader.text(address))
+                            .noBody());
         }
 
-        /** An answer that has begun goes on, and comes to its end: its news may count as told already. */
+        /**
+         * An answer that has begun goes on, and comes to its end: its news may count as told
+         * already.
+         */
         private void goesOn() {
             if (Double.isNaN(wholeBy)) {
                 wholeBy = loop.now() + WHOLE_ANSWER;
@@ -289,8 +338,10 @@
         @Override
         public void piece(ByteBuffer bytes) throws IOException {
             if (body.size() + bytes.remaining() > mostList) {
-                throw new IOException("the list is over " + mostList
-                        + " bytes, which are all that limits.memory_mb leaves for it");
+                throw new IOException(
+                        "the list is over "
+                                + mostList
+                                + " bytes, which are all that limits.memory_mb leaves for it");
             }
             byte[] piece = new byte[bytes.remaining()];
             bytes.get(piece);
@@ -305,7 +356,8 @@
             backoff.answered();
             boolean early = loop.now() - askedAt < HOLD_MILLIS / MILLIS / 2;
             if (!told && early) {
-                // Guards against a discovery that does not hold: calls without a pause would be all it does.
+                // Guards against a discovery that does not hold: calls without a pause would be all
+                // it does.
                 silence.cancel();
                 loop.later(EARLY_PAUSE, () -> next(keepsOpen));
             } else {
@@ -320,7 +372,8 @@
             if (keepsOpen) {
                 ask();
             } else {
-                // The next call needs a new connection, but is still the same watch. It is not this one's end
+                // The next call needs a new connection, but is still the same watch. It is not this
+                // one's end
                 // that the close tells of: that would count as a failure.
                 call = null;
                 close();
--- a/daemon/src/main/java/wheelroute/net/list/WorkerList.java
+++ b/daemon/src/main/java/wheelroute/net/list/WorkerList.java
@@ -18,9 +18,15 @@
     private static final double MILLIS = 1e3;
 
     /** One worker, still under discovery's name for it; startedAt is NaN for long ago. */
-    public record Entry(String id, InetSocketAddress address, String zone, String kind, long cell,
-            Listing.Readiness readiness, double weight, double startedAt) {
-    }
+    public record Entry(
+            String id,
+            InetSocketAddress address,
+            String zone,
+            String kind,
+            long cell,
+            Listing.Readiness readiness,
+            double weight,
+            double startedAt) {}
 
     public static WorkerList decode(byte[] json) throws IOException {
         long version = -1;
@@ -64,11 +70,15 @@
                 json.writeStringField("zone", entry.zone());
                 json.writeStringField("kind", entry.kind());
                 json.writeNumberField("cell", entry.cell());
-                json.writeStringField("state",
+                json.writeStringField(
+                        "state",
                         entry.readiness() == Listing.Readiness.ACTIVE ? "ready" : "draining");
                 json.writeNumberField("weight", entry.weight());
-                json.writeNumberField("started_ms", Double.isNaN(entry.startedAt()) ? 0
-                        : Math.round(entry.startedAt() * MILLIS));
+                json.writeNumberField(
+                        "started_ms",
+                        Double.isNaN(entry.startedAt())
+                                ? 0
+                                : Math.round(entry.startedAt() * MILLIS));
                 json.writeEndObject();
             }
             json.writeEndArray();
@@ -104,9 +114,19 @@
                 default -> parser.skipChildren();
             }
         }
-        expect(id != null && readiness != null && (address != null || readiness == Listing.Readiness.GONE),
+        expect(
+                id != null
+                        && readiness != null
+                        && (address != null || readiness == Listing.Readiness.GONE),
                 "a worker lacks its id, state or address");
-        return new Entry(id, address, zone, kind, cell, readiness, weight,
+        return new Entry(
+                id,
+                address,
+                zone,
+                kind,
+                cell,
+                readiness,
+                weight,
                 started > 0 ? started : Double.NaN);
     }
 
--- a/daemon/src/main/java/wheelroute/net/peers/Peers.java
+++ b/daemon/src/main/java/wheelroute/net/peers/Peers.java
@@ -25,8 +25,9 @@
 import wheelroute.peers.Votes;
 
 /**
- * The other dispatchers of this installation, by datagrams. They are known by their numbers; where each
- * number is reached is this dispatcher's own list, as one that others tell may not be where it is for us.
+ * The other dispatchers of this installation, by datagrams. They are known by their numbers; where
+ * each number is reached is this dispatcher's own list, as one that others tell may not be where it
+ * is for us.
  */
 public final class Peers implements Parts {
     private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
@@ -51,7 +52,8 @@
     /**
      * From this process's start on; nothing is sent before {@link #begin}.
      *
-     * @param shared another process may take this one's place, and then hears peers at the same address
+     * @param shared another process may take this one's place, and then hears peers at the same
+     *     address
      */
     public Peers(Loop loop, Peering peering, String dispatcher, long seed, boolean shared)
             throws IOException {
@@ -62,8 +64,10 @@
         life = System.currentTimeMillis();
         cluster = cluster(peering.cluster());
         Place own = new Place(0, peering.number());
-        List<Place> places = java.util.stream.IntStream.range(0, peering.addresses().size())
-                .mapToObj(n -> new Place(0, n)).toList();
+        List<Place> places =
+                java.util.stream.IntStream.range(0, peering.addresses().size())
+                        .mapToObj(n -> new Place(0, n))
+                        .toList();
         membership = new Membership(cluster, name, own, life, places, seed, true, new Outside());
         shares = new Shares(peering.number(), places.size(), life, this::isThere, this::sendLease);
         open();
@@ -81,7 +85,10 @@
     }
 
     public void begin() {
-        LOG.info("peers are heard at {}, as number {} of {}", socket.address(), peering.number(),
+        LOG.info(
+                "peers are heard at {}, as number {} of {}",
+                socket.address(),
+                peering.number(),
                 peering.addresses().size());
         membership.at(loop.now());
         membership.begin();
@@ -100,9 +107,10 @@
     }
 
     /**
-     * Another process speaks for this dispatcher, or does so no longer: both are one member. What that one
-     * holds it holds by words of its own, so what this one holds is given back; and of what was promised in
-     * the meantime this one knows nothing, so it is silent for as long as after a start.
+     * Another process speaks for this dispatcher, or does so no longer: both are one member. What
+     * that one holds it holds by words of its own, so what this one holds is given back; and of
+     * what was promised in the meantime this one knows nothing, so it is silent for as long as
+     * after a start.
      */
     public void succeeded(boolean now) {
         if (now) {
@@ -148,13 +156,18 @@
     // ---- who is there
 
     private boolean isThere(int number) {
-        return number == peering.number() || membership.others().stream().anyMatch(one ->
-                one.place().port() == number && one.state() == Sighting.State.ALIVE);
+        return number == peering.number()
+                || membership.others().stream()
+                        .anyMatch(
+                                one ->
+                                        one.place().port() == number
+                                                && one.state() == Sighting.State.ALIVE);
     }
 
     private InetSocketAddress address(Place place) {
         return place.host() == 0 && place.port() < peering.addresses().size()
-                ? peering.addresses().get(place.port()) : null;
+                ? peering.addresses().get(place.port())
+                : null;
     }
 
     private void send(Place to, Message message) {
@@ -165,7 +178,8 @@
     }
 
     private void sendLease(int dispatcher, Message.Kind kind, int number, Message.Lease lease) {
-        Message message = new Message(kind, cluster, membership.self(), number, 0, null, lease, List.of());
+        Message message =
+                new Message(kind, cluster, membership.self(), number, 0, null, lease, List.of());
         if (dispatcher == peering.number()) {
             // Its own word it gives itself, in a turn of its own as if it had come.
             loop.post(() -> lease(message));
@@ -203,8 +217,16 @@
         switch (message.kind()) {
             case LEASE_ASK -> {
                 if (votes.ask(now, lease.share(), by, lease.life(), message.number())) {
-                    Message word = new Message(Message.Kind.LEASE_GRANT, cluster, membership.self(),
-                            message.number(), 0, null, lease, List.of());
+                    Message word =
+                            new Message(
+                                    Message.Kind.LEASE_GRANT,
+                                    cluster,
+                                    membership.self(),
+                                    message.number(),
+                                    0,
+                                    null,
+                                    lease,
+                                    List.of());
                     if (by.equals(name)) {
                         loop.post(() -> lease(word));
                     } else {
@@ -233,17 +255,25 @@
                 wake.cancel();
             }
             wakeAt = at;
-            wake = loop.later(delay, () -> {
-                wakeAt = Double.POSITIVE_INFINITY;
-                membership.at(loop.now());
-                membership.woken();
-            });
+            wake =
+                    loop.later(
+                            delay,
+                            () -> {
+                                wakeAt = Double.POSITIVE_INFINITY;
+                                membership.at(loop.now());
+                                membership.woken();
+                            });
         }
 
         @Override
         public void changed(Sighting now, Sighting.State before, String why) {
-            LOG.info("{} (number {}) is {}{}, {}", now.id(), now.place().port(), word(now.state()),
-                    before == null ? "" : ", was " + word(before), why);
+            LOG.info(
+                    "{} (number {}) is {}{}, {}",
+                    now.id(),
+                    now.place().port(),
+                    word(now.state()),
+                    before == null ? "" : ", was " + word(before),
+                    why);
         }
     }
 
@@ -253,18 +283,31 @@
 
     // ---- what operators are told
 
-    /** A line for each dispatcher that is known, this one first, and one on shares and datagrams. */
+    /**
+     * A line for each dispatcher that is known, this one first, and one on shares and datagrams.
+     */
     public String text() {
         membership.at(loop.now());
         StringBuilder out = new StringBuilder();
         out.append(name).append(' ').append(peering.number()).append(" alive itself\n");
         for (Sighting one : membership.others()) {
-            out.append(one.id()).append(' ').append(one.place().port()).append(' ').append(word(one.state()))
+            out.append(one.id())
+                    .append(' ')
+                    .append(one.place().port())
+                    .append(' ')
+                    .append(word(one.state()))
                     .append(String.format(Locale.ROOT, " %.1f s%n", membership.since(one.id())));
         }
-        out.append(String.format(Locale.ROOT, "share %.4f of the whole, holding %s; doubt %d; datagrams not"
-                + " ours %d, malformed %d%n", whole(), shares.held(loop.now()), membership.doubt(), foreign,
-                malformed));
+        out.append(
+                String.format(
+                        Locale.ROOT,
+                        "share %.4f of the whole, holding %s; doubt %d; datagrams not"
+                                + " ours %d, malformed %d%n",
+                        whole(),
+                        shares.held(loop.now()),
+                        membership.doubt(),
+                        foreign,
+                        malformed));
         return out.toString();
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/Flight.java
+++ b/daemon/src/main/java/wheelroute/net/workers/Flight.java
@@ -70,7 +70,9 @@
         end(end, Launches.NO_RESULT, Double.NaN);
     }
 
-    /** Gives it up: its connection is closed before the end is told, so that no copy can overlap it. */
+    /**
+     * Gives it up: its connection is closed before the end is told, so that no copy can overlap it.
+     */
     public void giveUp(End end) {
         if (!ended) {
             // Ended already for the connection, whose close would else be taken for a break.
--- a/daemon/src/main/java/wheelroute/net/workers/LaunchDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/workers/LaunchDecoder.java
@@ -65,18 +65,24 @@
         }
         inLines = status == HttpStatus.OK_200;
         if (!inLines) {
-            boolean notBegun = (status == HttpStatus.SERVICE_UNAVAILABLE_503
-                    || status == HttpStatus.GATEWAY_TIMEOUT_504) && "1".equals(fields.get("x-not-processed"));
-            End end = notBegun ? End.TURNED_AWAY
-                    : status == HttpStatus.INTERNAL_SERVER_ERROR_500 ? End.FAILED
-                    : blamesTheMessage(status) ? End.UNUSABLE : End.ODD_STATUS;
+            boolean notBegun =
+                    (status == HttpStatus.SERVICE_UNAVAILABLE_503
+                                    || status == HttpStatus.GATEWAY_TIMEOUT_504)
+                            && "1".equals(fields.get("x-not-processed"));
+            End end =
+                    notBegun
+                            ? End.TURNED_AWAY
+                            : status == HttpStatus.INTERNAL_SERVER_ERROR_500
+                                    ? End.FAILED
+                                    : blamesTheMessage(status) ? End.UNUSABLE : End.ODD_STATUS;
             finish(end, Launches.NO_RESULT, WorkerNote.freeSlots(fields.get("x-server-load")));
         }
     }
 
     /** The two that speak of the moment, not of the message, are left out. */
     private static boolean blamesTheMessage(int status) {
-        return HttpStatus.isClientError(status) && status != HttpStatus.REQUEST_TIMEOUT_408
+        return HttpStatus.isClientError(status)
+                && status != HttpStatus.REQUEST_TIMEOUT_408
                 && status != HttpStatus.TOO_MANY_REQUESTS_429;
     }
 
--- a/daemon/src/main/java/wheelroute/net/workers/LaunchMessage.java
+++ b/daemon/src/main/java/wheelroute/net/workers/LaunchMessage.java
@@ -8,13 +8,24 @@
  * What goes to a worker: the client's message, and how long its answer is waited for, in seconds.
  *
  * @param mark by which a deduplicated submission is known; null for the others
- * @param onceOnly a second run might do harm, so that what is heard of it has to be of it for certain
+ * @param onceOnly a second run might do harm, so that what is heard of it has to be of it for
+ *     certain
  */
-public record LaunchMessage(String method, String target, String id, String mark, String routeKey,
-        byte[] body, boolean onceOnly) {
+public record LaunchMessage(
+        String method,
+        String target,
+        String id,
+        String mark,
+        String routeKey,
+        byte[] body,
+        boolean onceOnly) {
     public ByteBuffer[] encode(String host, double limit) {
-        return new HttpText(method + " " + target + " HTTP/1.1").field("Host", host).field("X-Request-ID", id)
-                .field("Idempotency-Key", mark).field("X-Route-Key", routeKey)
-                .field("X-Timeout", String.format(Locale.ROOT, "%.3f", limit)).body(body);
+        return new HttpText(method + " " + target + " HTTP/1.1")
+                .field("Host", host)
+                .field("X-Request-ID", id)
+                .field("Idempotency-Key", mark)
+                .field("X-Route-Key", routeKey)
+                .field("X-Timeout", String.format(Locale.ROOT, "%.3f", limit))
+                .body(body);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/Station.java
+++ b/daemon/src/main/java/wheelroute/net/workers/Station.java
@@ -21,10 +21,13 @@
     private final InetSocketAddress address;
     private final double startedAt;
     private final Set<WorkerConnection> open = new HashSet<>();
+
     /** The one used last is used next, so that those not needed grow old and expire. */
     private final ArrayDeque<WorkerConnection> idle = new ArrayDeque<>();
+
     /** Those that wait for a connection. */
     private final Set<Flight> boarding = new LinkedHashSet<>();
+
     private boolean left;
 
     Station(Loop loop, Workers workers, InetSocketAddress address, double startedAt) {
@@ -56,12 +59,14 @@
     }
 
     /**
-     * An idle connection that can be used, a rested one if there is one; null for none. What must not run
-     * twice goes on a rested or a new one: on another it might be told the end of the launch before it.
+     * An idle connection that can be used, a rested one if there is one; null for none. What must
+     * not run twice goes on a rested or a new one: on another it might be told the end of the
+     * launch before it.
      */
     private WorkerConnection kept(boolean onlyRested) {
         WorkerConnection unrested = null;
-        // From the one used last on. One that turns out to be unusable takes itself out as it is closed.
+        // From the one used last on. One that turns out to be unusable takes itself out as it is
+        // closed.
         Iterator<WorkerConnection> newestFirst = new ArrayDeque<>(idle).descendingIterator();
         while (newestFirst.hasNext()) {
             WorkerConnection next = newestFirst.next();
@@ -95,15 +100,16 @@
             endPoint.setIdleTimeout(workers.idleMillis());
             WorkerConnection connection = new WorkerConnection(endPoint, loop, Station.this);
             open.add(connection);
-            loop.post(() -> {
-                boarding.remove(flight);
-                if (flight.mayGo(loop.now())) {
-                    connection.send(flight);
-                } else {
-                    // Ended while it connected: nothing may go out for it any more.
-                    connection.close();
-                }
-            });
+            loop.post(
+                    () -> {
+                        boarding.remove(flight);
+                        if (flight.mayGo(loop.now())) {
+                            connection.send(flight);
+                        } else {
+                            // Ended while it connected: nothing may go out for it any more.
+                            connection.close();
+                        }
+                    });
             return connection;
         }
 
@@ -138,7 +144,9 @@
         }
     }
 
-    /** It has left the list, or is another process now: what is out may end, nothing is used again. */
+    /**
+     * It has left the list, or is another process now: what is out may end, nothing is used again.
+     */
     void leave() {
         left = true;
         new ArrayList<>(idle).forEach(WorkerConnection::close);
@@ -146,8 +154,8 @@
     }
 
     /**
-     * Nothing new may go out to it: what it was chosen for, and has no connection yet, is decided on anew.
-     * The grace after the list's word may be less than what a connection takes to come up.
+     * Nothing new may go out to it: what it was chosen for, and has no connection yet, is decided
+     * on anew. The grace after the list's word may be less than what a connection takes to come up.
      */
     void withdraw() {
         for (Flight flight : new ArrayList<>(boarding)) {
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
@@ -11,12 +11,17 @@
 
 /** One connection to a worker: one launch at a time, idle in between. */
 final class WorkerConnection extends Link implements LaunchDecoder.Hearer {
-    /** For the last chunk after a last line: past it the connection is no use, and there may be many such. */
+    /**
+     * For the last chunk after a last line: past it the connection is no use, and there may be many
+     * such.
+     */
     private static final double TAIL = 1;
+
     /**
-     * A worker at fault may answer a launch twice, the second time some milliseconds late, and an answer that
-     * is no 200 does not say whose it is. A connection that was silent for so long after its last answer is
-     * taken to have no more of it on the way: many times a way there and back, and little beside a job.
+     * A worker at fault may answer a launch twice, the second time some milliseconds late, and an
+     * answer that is no 200 does not say whose it is. A connection that was silent for so long
+     * after its last answer is taken to have no more of it on the way: many times a way there and
+     * back, and little beside a job.
      */
     private static final double REST = 0.1;
 
@@ -24,12 +29,16 @@
     private final LaunchDecoder decoder = new LaunchDecoder(this);
     private Flight flight;
     private Loop.Timer tail;
+
     /** It has served a launch before, and nothing has come for the next one yet. */
     private boolean kept;
+
     private boolean unheard;
     private double answeredAt = Double.NEGATIVE_INFINITY;
+
     /** What is heard may be of the launch before. */
     private boolean doubtful;
+
     /** An answer's last byte is still to come, or it will not be used again. */
     private boolean busy;
 
@@ -52,8 +61,10 @@
             return;
         }
         decoder.expect(next.message.id());
-        getEndPoint().write(Callback.from(next::written, cause -> broke(End.BROKE_UNSENT)),
-                next.message.encode(station.host(), limit));
+        getEndPoint()
+                .write(
+                        Callback.from(next::written, cause -> broke(End.BROKE_UNSENT)),
+                        next.message.encode(station.host(), limit));
     }
 
     /** Nothing of an earlier launch is on its way here any more. */
@@ -61,7 +72,10 @@
         return loop.now() - answeredAt >= REST;
     }
 
-    /** Looks for an end that has come but was not told yet: a launch written after it may count as run. */
+    /**
+     * Looks for an end that has come but was not told yet: a launch written after it may count as
+     * run.
+     */
     boolean isUsable() {
         try {
             return !busy && getEndPoint().isOpen() && getEndPoint().fill(loop.lookBuffer()) == 0;
@@ -74,7 +88,8 @@
     protected void received(ByteBuffer in) {
         unheard = false;
         if (flight == null) {
-            // It answers twice, or says something of its own, which would be taken for the next answer.
+            // It answers twice, or says something of its own, which would be taken for the next
+            // answer.
             close();
             return;
         }
@@ -120,7 +135,8 @@
     public void ended(End end, byte[] result, double freeSlots) {
         tail = loop.later(TAIL, this::close);
         if (doubtful && !decoder.namesItsLaunch()) {
-            // It may be told of the one before, and this one run: ended first, it is no copy beside the next.
+            // It may be told of the one before, and this one run: ended first, it is no copy beside
+            // the next.
             close();
         }
         flight.end(end, result, freeSlots);
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerNote.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerNote.java
@@ -17,7 +17,13 @@
  */
 record WorkerNote(String id, State state, double share, byte[] result, double freeSlots) {
     enum State {
-        STARTED, RUNNING, DONE, FAILED, RETURNED, LOST, UNKNOWN
+        STARTED,
+        RUNNING,
+        DONE,
+        FAILED,
+        RETURNED,
+        LOST,
+        UNKNOWN
     }
 
     private static final JsonFactory JSON = new JsonFactory();
