--- a/daemon/src/main/java/wheelroute/net/workers/Workers.java
+++ b/daemon/src/main/java/wheelroute/net/workers/Workers.java
@@ -10,10 +10,17 @@
 import wheelroute.net.End;
 import wheelroute.net.Loop;
 
-/** The worker side: an address for each worker on the list, and a bound on the connections to all of them. */
+/**
+ * The worker side: an address for each worker on the list, and a bound on the connections to all of
+ * them.
+ */
 public final class Workers {
-    /** A connection is dropped at this part of the worker's own limit: what crosses that may have run. */
+    /**
+     * A connection is dropped at this part of the worker's own limit: what crosses that may have
+     * run.
+     */
     private static final double PART_OF_IDLE = 0.5;
+
     private static final double MILLIS = 1e3;
 
     private final Loop loop;
@@ -22,8 +29,10 @@
     private int most;
     private final long idleMillis;
     private final Map<Ids.Worker, Station> stations = new HashMap<>();
+
     /** Those of workers that were listed as started anew, or elsewhere, since the last settling. */
     private final List<Station> replaced = new ArrayList<>();
+
     private int open;
 
     public Workers(Loop loop, Counters counters, int most, double idleLimit) {
@@ -34,12 +43,16 @@
         idleMillis = Math.max(1, (long) (PART_OF_IDLE * idleLimit * MILLIS));
     }
 
-    /** So many processes share the bound; idle connections over it make room as others are opened. */
+    /**
+     * So many processes share the bound; idle connections over it make room as others are opened.
+     */
     public void sharedBy(int processes) {
         most = mostAlone / processes;
     }
 
-    /** A worker as listed, NaN for one up long since; connections from before a restart are left. */
+    /**
+     * A worker as listed, NaN for one up long since; connections from before a restart are left.
+     */
     public void listed(Ids.Worker worker, InetSocketAddress address, double startedAt) {
         Station station = stations.get(worker);
         if (station == null || !station.isStill(address, startedAt)) {
@@ -51,8 +64,8 @@
     }
 
     /**
-     * The decisions know the list: what still waits for a connection to a worker that drains, or that is
-     * another process now, is decided on anew. Before, it would be sent there again.
+     * The decisions know the list: what still waits for a connection to a worker that drains, or
+     * that is another process now, is decided on anew. Before, it would be sent there again.
      */
     public void settle(Iterable<Ids.Worker> draining) {
         for (Ids.Worker worker : draining) {
@@ -73,7 +86,8 @@
     }
 
     /** Sends a launch; its end may be told before this returns. */
-    public Flight send(Ids.Worker worker, LaunchMessage message, double outerLimit, Launches launches) {
+    public Flight send(
+            Ids.Worker worker, LaunchMessage message, double outerLimit, Launches launches) {
         Flight flight = new Flight(message, outerLimit, launches, counters);
         Station station = stations.get(worker);
         if (station == null) {
--- a/daemon/src/main/java/wheelroute/peers/Codec.java
+++ b/daemon/src/main/java/wheelroute/peers/Codec.java
@@ -8,12 +8,13 @@
 import java.util.zip.CRC32;
 
 /**
- * Datagrams of at most 256 bytes: a mark and a version, the kind, the message's own fields, as much news as
- * fits, and a checksum. What is not exactly so is no datagram of ours.
+ * Datagrams of at most 256 bytes: a mark and a version, the kind, the message's own fields, as much
+ * news as fits, and a checksum. What is not exactly so is no datagram of ours.
  */
 public final class Codec {
     /** The platform's bound on a datagram between dispatchers. */
     public static final int MOST_BYTES = 256;
+
     private static final int MARK = 0x77720000;
     private static final int VERSION = 1;
     private static final int CHECKSUM = Integer.BYTES;
@@ -22,8 +23,7 @@
     private static final Message.Kind[] KINDS = Message.Kind.values();
     private static final Sighting.State[] STATES = Sighting.State.values();
 
-    private Codec() {
-    }
+    private Codec() {}
 
     /** As much of the news as fits, from its beginning; the message without news always does. */
     public static ByteBuffer encode(Message message) {
@@ -74,15 +74,24 @@
     }
 
     private static int size(Sighting sighting) {
-        return COUNT + sighting.id().name().getBytes(StandardCharsets.UTF_8).length + Integer.BYTES
-                + Short.BYTES + Long.BYTES + COUNT + Integer.BYTES;
+        return COUNT
+                + sighting.id().name().getBytes(StandardCharsets.UTF_8).length
+                + Integer.BYTES
+                + Short.BYTES
+                + Long.BYTES
+                + COUNT
+                + Integer.BYTES;
     }
 
     private static void put(ByteBuffer out, Sighting sighting) {
         byte[] name = sighting.id().name().getBytes(StandardCharsets.UTF_8);
-        out.put((byte) name.length).put(name).putInt(sighting.place().host())
-                .putShort((short) sighting.place().port()).putLong(sighting.life())
-                .put((byte) sighting.state().ordinal()).putInt(sighting.by());
+        out.put((byte) name.length)
+                .put(name)
+                .putInt(sighting.place().host())
+                .putShort((short) sighting.place().port())
+                .putLong(sighting.life())
+                .put((byte) sighting.state().ordinal())
+                .putInt(sighting.by());
     }
 
     private static int checksum(byte[] bytes, int length) {
@@ -164,7 +173,11 @@
         if (state < 0 || state >= STATES.length || life < 0) {
             throw new MalformedException("a state");
         }
-        return new Sighting(new PeerId(new String(name, StandardCharsets.US_ASCII)), place, life,
-                STATES[state], in.getInt());
+        return new Sighting(
+                new PeerId(new String(name, StandardCharsets.US_ASCII)),
+                place,
+                life,
+                STATES[state],
+                in.getInt());
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/Lease.java
+++ b/daemon/src/main/java/wheelroute/peers/Lease.java
@@ -4,18 +4,21 @@
 import java.util.Set;
 
 /**
- * One share as its holder has it: until so long after it asked for the words of which it has enough. It
- * counts from before it asked, those who gave their word from after: so whatever lies between, datagrams
- * that come late, twice or never, processes that stand still, clocks that run apart a little, it has stopped
- * before anybody can begin.
+ * One share as its holder has it: until so long after it asked for the words of which it has
+ * enough. It counts from before it asked, those who gave their word from after: so whatever lies
+ * between, datagrams that come late, twice or never, processes that stand still, clocks that run
+ * apart a little, it has stopped before anybody can begin.
  */
 public class Lease {
     /** So long a holder may use it, by its own clock. */
     public static final double USED = 3;
+
     /** Clocks' rates differ by this part at most: a hundred times what clocks of machines do. */
     public static final double RATES = 0.01;
+
     /**
-     * So long whoever gave a word keeps it, by a clock that may run fast beside a holder's that runs slow.
+     * So long whoever gave a word keeps it, by a clock that may run fast beside a holder's that
+     * runs slow.
      */
     public static final double PROMISED = USED * (1 + RATES) / (1 - RATES);
 
@@ -36,7 +39,9 @@
         this.used = used;
     }
 
-    /** A new round is about to be asked, under this number; words for an earlier one count no more. */
+    /**
+     * A new round is about to be asked, under this number; words for an earlier one count no more.
+     */
     public void asks(double now, int newNumber) {
         askedAt = now;
         number = newNumber;
@@ -75,7 +80,10 @@
         words.clear();
     }
 
-    /** To be asked at each use, with the time at that moment: a process that stood still finds out here. */
+    /**
+     * To be asked at each use, with the time at that moment: a process that stood still finds out
+     * here.
+     */
     public boolean isHeld(double now) {
         return now < until;
     }
--- a/daemon/src/main/java/wheelroute/peers/Membership.java
+++ b/daemon/src/main/java/wheelroute/peers/Membership.java
@@ -14,10 +14,11 @@
 import java.util.zip.CRC32;
 
 /**
- * Who is there. Each dispatcher probes one other at a time, asks some to probe for it where it hears nothing,
- * and suspects before it gives anyone up, so that the suspected can contradict; what is known is passed on
- * with the probes. This is SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's doubt in oneself (Dadgar,
- * Phillips, Currey, 2017); docs/design/peers.md says what is kept of them and what is changed.
+ * Who is there. Each dispatcher probes one other at a time, asks some to probe for it where it
+ * hears nothing, and suspects before it gives anyone up, so that the suspected can contradict; what
+ * is known is passed on with the probes. This is SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's
+ * doubt in oneself (Dadgar, Phillips, Currey, 2017); docs/design/peers.md says what is kept of them
+ * and what is changed.
  */
 public final class Membership {
     /** What it does, and who hears of it. */
@@ -27,35 +28,52 @@
         /** To be called after so long, at {@link #woken}; earlier and more often does no harm. */
         void wake(double delay);
 
-        /** Of another dispatcher something new is known; before is null for one that was unknown. */
+        /**
+         * Of another dispatcher something new is known; before is null for one that was unknown.
+         */
         void changed(Sighting now, Sighting.State before, String why);
     }
 
     /** One probe each; so every one of n dispatchers is probed once in each of these on average. */
     public static final double ROUND = 0.5;
+
     /** An answer is there well before this, or somebody else is asked to try. */
     private static final double ANSWER = 0.2;
+
     /** So many others are asked: one lossy way must not be what a verdict rests on. */
     private static final int ASKED = 3;
+
     /** Who doubts itself takes up to so many times as long for all this. */
     private static final int MOST_DOUBT = 8;
-    /** A suspected one has so many rounds, times the logarithm of how many there are, to contradict. */
+
+    /**
+     * A suspected one has so many rounds, times the logarithm of how many there are, to contradict.
+     */
     private static final double LEAST_SUSPICION = 4;
+
     /** And so many times that while nobody else has said so of its own accord. */
     private static final double MOST_SUSPICION = 3;
+
     /** With so many independent words the shortest time is enough. */
     private static final int WORDS = 3;
+
     /** News is passed on so often, times the logarithm of how many there are. */
     private static final double REPEATS = 4;
+
     /** A stop of the whole process for longer than this is its own fault, not the others'. */
     private static final double STOPPED = 2 * ROUND;
+
     /** The dead are kept so long: old words on them must not bring them back. */
     private static final double FORGET = 600;
+
     /** Lists that differ are compared once all news about them should be through. */
     private static final double COMPARE = 4 * ROUND;
+
     /** About what two datagrams hold. */
     private static final int MUCH = 16;
+
     private static final int MOST_KNOWN = 10_000;
+
     /** Pages asked for in a row without an end: a liar's list has none. */
     private static final int MOST_PAGES = 2 * MOST_KNOWN;
 
@@ -72,8 +90,12 @@
     private int lastNumber;
     private boolean running;
     private final Map<PeerId, Known> known = new TreeMap<>();
-    /** All that are there but ourselves; in the order of the round, which is made anew each time. */
+
+    /**
+     * All that are there but ourselves; in the order of the round, which is made anew each time.
+     */
     private final List<Known> round = new ArrayList<>();
+
     private int nextInRound;
     private final Set<Known> suspects = new LinkedHashSet<>();
     private int there;
@@ -81,8 +103,10 @@
     private final Map<PeerId, News> news = new LinkedHashMap<>();
     private Probe probe;
     private double nextProbe = Double.POSITIVE_INFINITY;
+
     /** Probes made for others, by our own number. */
     private final Map<Integer, Relayed> relayed = new HashMap<>();
+
     private Paging paging;
     private double compareAt;
     private boolean differed;
@@ -92,8 +116,10 @@
     private static final class Known {
         Sighting sighting;
         double since;
+
         /** While it is suspected. */
         double suspectedAt;
+
         final List<Integer> words = new ArrayList<>();
 
         Known(Sighting sighting) {
@@ -131,8 +157,8 @@
     }
 
     /** A probe for somebody else. */
-    private record Relayed(Place asker, int number, double refuseAt, double until, boolean refused) {
-    }
+    private record Relayed(
+            Place asker, int number, double refuseAt, double until, boolean refused) {}
 
     /** A list being read from somebody, page by page. */
     private static final class Paging {
@@ -152,8 +178,15 @@
      * @param seed from which chance is drawn
      * @param doubts whether it doubts itself before others; without it is there to be compared with
      */
-    public Membership(int cluster, PeerId id, Place place, long life, List<Place> seeds, long seed,
-            boolean doubts, Outside outside) {
+    public Membership(
+            int cluster,
+            PeerId id,
+            Place place,
+            long life,
+            List<Place> seeds,
+            long seed,
+            boolean doubts,
+            Outside outside) {
         this.doubts = doubts;
         this.cluster = cluster;
         this.seeds = List.copyOf(seeds);
@@ -238,10 +271,14 @@
         running = false;
         self = self.with(Sighting.State.LEFT, self.id());
         int told = (int) Math.ceil(REPEATS * logarithm());
-        shuffled(round).stream().limit(told).forEach(one -> send(Message.Kind.ACK, 0, one.sighting.place()));
+        shuffled(round).stream()
+                .limit(told)
+                .forEach(one -> send(Message.Kind.ACK, 0, one.sighting.place()));
     }
 
-    /** The process whose place another one has taken is silent from here on: both are one member. */
+    /**
+     * The process whose place another one has taken is silent from here on: both are one member.
+     */
     public void fallSilent() {
         running = false;
     }
@@ -251,13 +288,16 @@
             return;
         }
         boolean itself = message.from().id().equals(self.id());
-        if (itself && message.from().life() == self.life() && message.from().place().equals(self.place())) {
+        if (itself
+                && message.from().life() == self.life()
+                && message.from().place().equals(self.place())) {
             // Our own words, come back some strange way.
             return;
         }
         Sighting.State before = state(message.from().id());
         heard(message.from(), message.from().id());
-        // What comes by pages others read by pages too: passed on, it would keep the latest news waiting.
+        // What comes by pages others read by pages too: passed on, it would keep the latest news
+        // waiting.
         passesOn = message.kind() != Message.Kind.PAGE;
         message.news().forEach(sighting -> heard(sighting, message.from().id()));
         passesOn = true;
@@ -284,8 +324,9 @@
             }
             case ASK -> {
                 int number = ++lastNumber;
-                relayed.put(number, new Relayed(from, message.number(), now + ANSWER, now + 4 * ROUND,
-                        false));
+                relayed.put(
+                        number,
+                        new Relayed(from, message.number(), now + ANSWER, now + 4 * ROUND, false));
                 send(Message.Kind.PING, number, message.target().place());
             }
             case PAGE_ASK -> sendPage(from, message);
@@ -332,7 +373,9 @@
         return next;
     }
 
-    /** In turn, in an order that is made anew each round: no one waits for longer than two of them. */
+    /**
+     * In turn, in an order that is made anew each round: no one waits for longer than two of them.
+     */
     private void beginProbe() {
         if (there <= 1) {
             return;
@@ -397,8 +440,9 @@
             if (now >= one.until) {
                 relayed.remove(entry.getKey());
             } else if (now >= one.refuseAt && !one.refused) {
-                relayed.put(entry.getKey(), new Relayed(one.asker, one.number, one.refuseAt, one.until,
-                        true));
+                relayed.put(
+                        entry.getKey(),
+                        new Relayed(one.asker, one.number, one.refuseAt, one.until, true));
                 send(Message.Kind.NACK, one.number, one.asker);
             }
         }
@@ -408,8 +452,8 @@
     private void tryAgain() {
         List<Place> places = new ArrayList<>();
         for (Place place : seeds) {
-            if (!place.equals(self.place()) && round.stream().noneMatch(one ->
-                    one.sighting.place().equals(place))) {
+            if (!place.equals(self.place())
+                    && round.stream().noneMatch(one -> one.sighting.place().equals(place))) {
                 places.add(place);
             }
         }
@@ -456,8 +500,10 @@
         Sighting before = one.sighting;
         if (said.outweighs(before)) {
             change(one, said, before, by);
-        } else if (said.state() == Sighting.State.SUSPECT && said.life() == before.life()
-                && before.state() == Sighting.State.SUSPECT && !one.words.contains(said.by())
+        } else if (said.state() == Sighting.State.SUSPECT
+                && said.life() == before.life()
+                && before.state() == Sighting.State.SUSPECT
+                && !one.words.contains(said.by())
                 && one.words.size() < WORDS) {
             one.words.add(said.by());
             spread(said);
@@ -512,8 +558,12 @@
         digest ^= (was ? mark(before) : 0) ^ (is ? mark(said) : 0);
         spread(said);
         if (last != said.state()) {
-            outside.changed(said, last, by.equals(self.id()) ? "by our own probes" : by.equals(said.id())
-                    ? "by its own word" : "by the word of " + by);
+            outside.changed(
+                    said,
+                    last,
+                    by.equals(self.id())
+                            ? "by our own probes"
+                            : by.equals(said.id()) ? "by its own word" : "by the word of " + by);
         }
     }
 
@@ -557,7 +607,8 @@
     }
 
     /** With these sightings only, or with the latest news where they are null. */
-    private void send(Message.Kind kind, int number, Place to, Sighting target, List<Sighting> only) {
+    private void send(
+            Message.Kind kind, int number, Place to, Sighting target, List<Sighting> only) {
         Message bare = new Message(kind, cluster, self, number, digest, target, null, List.of());
         if (only != null) {
             outside.send(to, bare.with(only));
@@ -580,18 +631,23 @@
 
     private static int mark(Sighting one) {
         CRC32 crc = new CRC32();
-        crc.update((one.id().name() + " " + one.life() + " " + one.state().isThere())
-                .getBytes(StandardCharsets.UTF_8));
+        crc.update(
+                (one.id().name() + " " + one.life() + " " + one.state().isThere())
+                        .getBytes(StandardCharsets.UTF_8));
         return (int) crc.getValue();
     }
 
     private void compare(Message message) {
-        if (message.digest() == digest || paging != null || now < compareAt
+        if (message.digest() == digest
+                || paging != null
+                || now < compareAt
                 || !message.from().state().isThere()) {
             return;
         }
-        // Not at once: what makes the difference may be on its way. But a joiner knows that it knows nobody,
-        // and after a cut there is more to tell than datagrams hold: a list read whole is sooner through.
+        // Not at once: what makes the difference may be on its way. But a joiner knows that it
+        // knows nobody,
+        // and after a cut there is more to tell than datagrams hold: a list read whole is sooner
+        // through.
         boolean much = there <= 2 || news.size() > MUCH;
         compareAt = now + COMPARE * logarithm() * (much ? 0.25 : 1) * (0.5 + draw());
         if (!much && !differed) {
@@ -610,20 +666,39 @@
     }
 
     private void sendPage(Place to, Message message) {
-        List<Sighting> rest = known.values().stream().map(one -> one.sighting)
-                .filter(one -> message.target() == null || one.id().compareTo(message.target().id()) > 0)
-                .toList();
-        Message bare = new Message(Message.Kind.PAGE, cluster, self, message.number(), digest,
-                rest.isEmpty() ? null : longest(rest), null, List.of());
+        List<Sighting> rest =
+                known.values().stream()
+                        .map(one -> one.sighting)
+                        .filter(
+                                one ->
+                                        message.target() == null
+                                                || one.id().compareTo(message.target().id()) > 0)
+                        .toList();
+        Message bare =
+                new Message(
+                        Message.Kind.PAGE,
+                        cluster,
+                        self,
+                        message.number(),
+                        digest,
+                        rest.isEmpty() ? null : longest(rest),
+                        null,
+                        List.of());
         int fitting = Codec.fitting(bare, rest);
         boolean last = fitting == rest.size();
-        send(Message.Kind.PAGE, message.number(), to, last ? null : rest.get(fitting - 1),
+        send(
+                Message.Kind.PAGE,
+                message.number(),
+                to,
+                last ? null : rest.get(fitting - 1),
                 rest.subList(0, fitting));
     }
 
     /** Whichever is named as the last of a page has room there. */
     private static Sighting longest(List<Sighting> all) {
-        return all.stream().max(Comparator.comparingInt(one -> one.id().name().length())).orElseThrow();
+        return all.stream()
+                .max(Comparator.comparingInt(one -> one.id().name().length()))
+                .orElseThrow();
     }
 
     private void paged(Message message) {
--- a/daemon/src/main/java/wheelroute/peers/Message.java
+++ b/daemon/src/main/java/wheelroute/peers/Message.java
@@ -13,8 +13,15 @@
  * @param lease what is asked or granted; null where the kind has none
  * @param news what the sender has heard lately
  */
-public record Message(Kind kind, int cluster, Sighting from, int number, int digest, Sighting target,
-        Lease lease, List<Sighting> news) {
+public record Message(
+        Kind kind,
+        int cluster,
+        Sighting from,
+        int number,
+        int digest,
+        Sighting target,
+        Lease lease,
+        List<Sighting> news) {
     /** What it is for. */
     public enum Kind {
         /** Are you there? */
@@ -56,6 +63,5 @@
      * @param share its number
      * @param life of the process that is to hold it: another start is another holder
      */
-    public record Lease(int share, long life) {
-    }
+    public record Lease(int share, long life) {}
 }
--- a/daemon/src/main/java/wheelroute/peers/Place.java
+++ b/daemon/src/main/java/wheelroute/peers/Place.java
@@ -6,7 +6,14 @@
 
     @Override
     public String toString() {
-        return (host >>> 24 & BYTE) + "." + (host >>> 16 & BYTE) + "." + (host >>> 8 & BYTE) + "."
-                + (host & BYTE) + ":" + port;
+        return (host >>> 24 & BYTE)
+                + "."
+                + (host >>> 16 & BYTE)
+                + "."
+                + (host >>> 8 & BYTE)
+                + "."
+                + (host & BYTE)
+                + ":"
+                + port;
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/Shares.java
+++ b/daemon/src/main/java/wheelroute/peers/Shares.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 
 /**
- * What this dispatcher may use of what all share, in parts of the whole. Each has a floor of its own that is
- * never anybody else's; the rest of each one's part is held by lease: by itself, or, while it is not there,
- * by the next one that is. A lease rests on the words of most of five, always the same ones for a share, so
- * that no two can hold it, whoever believes whom to be there.
+ * What this dispatcher may use of what all share, in parts of the whole. Each has a floor of its
+ * own that is never anybody else's; the rest of each one's part is held by lease: by itself, or,
+ * while it is not there, by the next one that is. A lease rests on the words of most of five,
+ * always the same ones for a share, so that no two can hold it, whoever believes whom to be there.
  */
 public final class Shares {
     /** The datagrams it needs. */
@@ -24,10 +24,13 @@
 
     /** Of each one's part so much is its own for good: cut off from all, it may still use this. */
     public static final double FLOOR = 0.5;
+
     /** Those whose words a share rests on. */
     static final int COMMITTEE = 5;
+
     /** With fewer dispatchers than this one that is lost would take the others' shares with it. */
     private static final int FEWEST = 3;
+
     /** A lease is asked for anew so often: three rounds may be lost before it runs out. */
     private static final double ROUND = Lease.USED / 4;
 
@@ -103,8 +106,13 @@
         Lease lease = leases.computeIfAbsent(share, s -> new Lease(committee.size() / 2 + 1));
         int number = ++lastNumber;
         lease.asks(now, number);
-        committee.forEach(member -> outside.send(member, Message.Kind.LEASE_ASK, number,
-                new Message.Lease(share, life)));
+        committee.forEach(
+                member ->
+                        outside.send(
+                                member,
+                                Message.Kind.LEASE_ASK,
+                                number,
+                                new Message.Lease(share, life)));
     }
 
     private void giveBack(int share) {
@@ -112,8 +120,14 @@
         if (lease != null) {
             lease.stops();
             int number = ++lastNumber;
-            committee(share, dispatchers).forEach(member -> outside.send(member, Message.Kind.LEASE_BACK,
-                    number, new Message.Lease(share, life)));
+            committee(share, dispatchers)
+                    .forEach(
+                            member ->
+                                    outside.send(
+                                            member,
+                                            Message.Kind.LEASE_BACK,
+                                            number,
+                                            new Message.Lease(share, life)));
         }
     }
 
@@ -148,6 +162,9 @@
 
     /** The numbers of those held by lease at this moment. */
     public List<Integer> held(double now) {
-        return leases.keySet().stream().filter(share -> leases.get(share).isHeld(now)).sorted().toList();
+        return leases.keySet().stream()
+                .filter(share -> leases.get(share).isHeld(now))
+                .sorted()
+                .toList();
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/Votes.java
+++ b/daemon/src/main/java/wheelroute/peers/Votes.java
@@ -4,16 +4,16 @@
 import java.util.Map;
 
 /**
- * What this dispatcher has promised as one of those who are asked about a share: that nobody else gets its
- * word on it before the promise has surely run out for whoever has it.
+ * What this dispatcher has promised as one of those who are asked about a share: that nobody else
+ * gets its word on it before the promise has surely run out for whoever has it.
  */
 public class Votes {
     /** Number: of the round in which it was last asked for. */
-    record Promise(PeerId holder, long life, int number, double until) {
-    }
+    record Promise(PeerId holder, long life, int number, double until) {}
 
     private final double promised;
     private final Map<Integer, Promise> promises = new HashMap<>();
+
     /** What this process promised before it was started anew it does not know. */
     private double speaksFrom;
 
@@ -37,7 +37,8 @@
         if (last != null && now < last.until && !isSame(last, holder, life)) {
             return false;
         }
-        int newest = last != null && isSame(last, holder, life) ? Math.max(last.number, number) : number;
+        int newest =
+                last != null && isSame(last, holder, life) ? Math.max(last.number, number) : number;
         promises.put(share, new Promise(holder, life, newest, now + promised));
         return true;
     }
@@ -48,8 +49,9 @@
 
     /** It has stopped using the share, and says so itself; unless it has asked again since. */
     public void back(int share, PeerId holder, long life, int number) {
-        promises.computeIfPresent(share, (n, last) -> isSame(last, holder, life) && isLatest(last, number)
-                ? null : last);
+        promises.computeIfPresent(
+                share,
+                (n, last) -> isSame(last, holder, life) && isLatest(last, number) ? null : last);
     }
 
     boolean isLatest(Promise last, int number) {
@@ -59,8 +61,18 @@
     /** All that it knows, for who compares. */
     String key(double now) {
         StringBuilder key = new StringBuilder(now < speaksFrom ? speaksFrom - now + " " : "");
-        promises.forEach((share, p) -> key.append(now < p.until ? share + p.holder.name() + p.life + "/"
-                + p.number + "/" + (p.until - now) : ""));
+        promises.forEach(
+                (share, p) ->
+                        key.append(
+                                now < p.until
+                                        ? share
+                                                + p.holder.name()
+                                                + p.life
+                                                + "/"
+                                                + p.number
+                                                + "/"
+                                                + (p.until - now)
+                                        : ""));
         return key.toString();
     }
 
--- a/daemon/src/test/java/wheelroute/AdapterTest.java
+++ b/daemon/src/test/java/wheelroute/AdapterTest.java
@@ -17,13 +17,17 @@
 
 /** The wire, read and written. */
 public class AdapterTest {
-    private static final String CONF = "CONFIGURE 5 az=a balancers=1 later.key=what membership_mode=push"
-            + " permissions.most_tries=6 request_classes.count=1 request_classes.0.effect=free"
-            + " request_classes.0.hard_limit_us=5000000 request_classes.0.name=job"
-            + " request_classes.0.on_time_us=500000 request_classes.0.worth=2\n";
+    private static final String CONF =
+            "CONFIGURE 5 az=a balancers=1 later.key=what membership_mode=push"
+                    + " permissions.most_tries=6 request_classes.count=1 request_classes.0.effect=free"
+                    + " request_classes.0.hard_limit_us=5000000 request_classes.0.name=job"
+                    + " request_classes.0.on_time_us=500000 request_classes.0.worth=2\n";
     private static final String LIST = "SYNC C 1 1\nROW std 1 a - 77 0 active\n";
-    private static final String ORDERED = CONF.replace("\n", " request_classes.0.one_at_a_time=true"
-            + " rules.key_rest_us=200000\n") + LIST;
+    private static final String ORDERED =
+            CONF.replace(
+                            "\n",
+                            " request_classes.0.one_at_a_time=true" + " rules.key_rest_us=200000\n")
+                    + LIST;
     private static final String ORDER = "ORDER 9 - 1 job - - 5000000 1 20000\n";
 
     private static String run(String input) throws IOException, WireException {
@@ -45,21 +49,41 @@
             {batch(""), "DONE\n"},
             {batch(ORDER), "SOURCE 3\n" + wake + launched + "DONE\n"},
             {batch("AT 4\n" + CONF + ORDER), "SOURCE 4\nOVERLOAD_REPLY 9 0\nDONE\n"},
-            {batch(ORDER + "KILLED\n" + CONF + "SYNC C 0 0\n"),
-                "SOURCE 3\n" + wake + launched + "DONE\n"},
-            {batch(ORDER + "FINISHED 9 0 77 200 18500 1 - -\nFINISHED 9 0 77 200 1 1 - -\nGONE 9\nGONE 8\n"),
-                "SOURCE 3\n" + wake + launched + "DONE\n"},
-            {batch(ORDER + "FINISHED 9 0 77 999 18500 1 0 busy_reqs:1,novelty:3,x0:0.5\n"),
-                "SOURCE 3\n" + wake + launched + "DONE\n"},
-            {batch("ORDER 9 - 2 job f00d someone 5000000 0 -\nUPDATE_OF 9 0 77 1 0\nUPDATE_OF 9 0 7 2 0.5\n"),
-                "SOURCE 3\n" + wake + launched + "DONE\n"},
-            {batch(ORDERED + "ORDER 9 - 1 job f00d - 5000000 1 20000\nORDER 8 - 1 job f00d - 5000000 1 2\n"
-                + "ORDER 7 - 1 job cafe - 5000000 1 20000\n"),
-                "SOURCE 3\n" + wake + launched + "TRY 7 77 0\nDONE\n"},
-            {batch("PROBED 77 408 500 -\nPROBED 78 200 1 x0:1\nMAIL 1 68\nSYNC X - 0\nBELL any thing\n"),
-                "DONE\n"},
-            {batch("SYNC D 2 1\nROW std 1 a - 77 0 left\n" + ORDER),
-                "SOURCE 3\nOVERLOAD_REPLY 9 0\nDONE\n"},
+            {
+                batch(ORDER + "KILLED\n" + CONF + "SYNC C 0 0\n"),
+                "SOURCE 3\n" + wake + launched + "DONE\n"
+            },
+            {
+                batch(
+                        ORDER
+                                + "FINISHED 9 0 77 200 18500 1 - -\nFINISHED 9 0 77 200 1 1 - -\nGONE 9\nGONE 8\n"),
+                "SOURCE 3\n" + wake + launched + "DONE\n"
+            },
+            {
+                batch(ORDER + "FINISHED 9 0 77 999 18500 1 0 busy_reqs:1,novelty:3,x0:0.5\n"),
+                "SOURCE 3\n" + wake + launched + "DONE\n"
+            },
+            {
+                batch(
+                        "ORDER 9 - 2 job f00d someone 5000000 0 -\nUPDATE_OF 9 0 77 1 0\nUPDATE_OF 9 0 7 2 0.5\n"),
+                "SOURCE 3\n" + wake + launched + "DONE\n"
+            },
+            {
+                batch(
+                        ORDERED
+                                + "ORDER 9 - 1 job f00d - 5000000 1 20000\nORDER 8 - 1 job f00d - 5000000 1 2\n"
+                                + "ORDER 7 - 1 job cafe - 5000000 1 20000\n"),
+                "SOURCE 3\n" + wake + launched + "TRY 7 77 0\nDONE\n"
+            },
+            {
+                batch(
+                        "PROBED 77 408 500 -\nPROBED 78 200 1 x0:1\nMAIL 1 68\nSYNC X - 0\nBELL any thing\n"),
+                "DONE\n"
+            },
+            {
+                batch("SYNC D 2 1\nROW std 1 a - 77 0 left\n" + ORDER),
+                "SOURCE 3\nOVERLOAD_REPLY 9 0\nDONE\n"
+            },
         };
     }
 
@@ -78,14 +102,19 @@
         String again = "SOURCE 3\nSLEEP \\d+ l\nDONE\nDONE\nSOURCE 3\nWATCH 1\nDONE\n";
         String said = run(asked + (failed + other + due).repeat(4));
         assertTrue(said.matches("SOURCE 3\nWATCH 1\nDONE\n(" + again + "){4}"), said);
-        int[] pauses = Pattern.compile("SLEEP (\\d+) l").matcher(said).results()
-                .mapToInt(found -> Integer.parseInt(found.group(1))).toArray();
+        int[] pauses =
+                Pattern.compile("SLEEP (\\d+) l")
+                        .matcher(said)
+                        .results()
+                        .mapToInt(found -> Integer.parseInt(found.group(1)))
+                        .toArray();
         assertTrue(pauses[0] >= 500_000 && pauses[0] < 1_000_000, said);
         assertTrue(pauses[3] >= 1_500_000 && pauses[3] < 3_000_000, said);
         // An answer ends it: the next failure is a first one.
         String answered = "FRAME 9500000\nAT 3\nSYNC D 2 0\nYOUR_TURN\n";
-        assertTrue(run(asked + (failed + due).repeat(4) + answered + failed)
-                .matches("(?s).*SLEEP [5-9]\\d{5} l\nDONE\n"));
+        assertTrue(
+                run(asked + (failed + due).repeat(4) + answered + failed)
+                        .matches("(?s).*SLEEP [5-9]\\d{5} l\nDONE\n"));
     }
 
     @DataProvider
@@ -127,7 +156,8 @@
             list.append("ROW std 1 a - ").append(1000 + i).append(" 0 active\n");
         }
         String conf = CONF.replace("later.key=what", "later.key=" + "x".repeat(200_000));
-        assertTrue(run("FRAME 1000\nAT 3\n" + conf + list + ORDER + "YOUR_TURN\n").contains("TRY 9 "));
+        assertTrue(
+                run("FRAME 1000\nAT 3\n" + conf + list + ORDER + "YOUR_TURN\n").contains("TRY 9 "));
         assertThrows(WireException.class, () -> run("x".repeat(300_000) + "\n"));
     }
 }
--- a/daemon/src/test/java/wheelroute/ChoiceTest.java
+++ b/daemon/src/test/java/wheelroute/ChoiceTest.java
@@ -36,7 +36,8 @@
 
     /** Equal workers but for speed and backlog: the least of b(u+a) + kappa(2ua+a²). */
     @Test(dataProvider = "costs")
-    public void picksTheLeastAdmittanceCost(double speed1, double speed2, double ahead, long choice) {
+    public void picksTheLeastAdmittanceCost(
+            double speed1, double speed2, double ahead, long choice) {
         World w = world();
         for (int i = 0; i < 40; i++) {
             double hint = 0.2;
@@ -69,7 +70,10 @@
         assertEquals(chosen, Set.of(1L, 2L));
     }
 
-    /** A spell of submissions that fail anywhere: no worker is avoided for it, and they cost one launch. */
+    /**
+     * A spell of submissions that fail anywhere: no worker is avoided for it, and they cost one
+     * launch.
+     */
     @Test
     public void errorsThatFollowASubmissionAreNoWorkersFault() {
         World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(4);
@@ -121,11 +125,15 @@
 
     @DataProvider
     public Object[][] fetchTimes() {
-        // how long a fetch takes, the least and the most of 20 new keys that go to the fastest of three
+        // how long a fetch takes, the least and the most of 20 new keys that go to the fastest of
+        // three
         return new Object[][] {{0.0, 13, 20}, {0.3, 0, 11}};
     }
 
-    /** Busy spells send keys away from home; what that took is learned, and whether the fastest is best. */
+    /**
+     * Busy spells send keys away from home; what that took is learned, and whether the fastest is
+     * best.
+     */
     @Test(dataProvider = "fetchTimes")
     public void whatAFetchTakesIsLearned(double fetch, int least, int most) {
         World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(3);
@@ -203,16 +211,24 @@
 
     @DataProvider
     public Object[][] words() {
-        // How many times one launch tells of its progress, a second apart; whether it is given up by a time,
+        // How many times one launch tells of its progress, a second apart; whether it is given up
+        // by a time,
         // in tenths of a second, at which its worker as a whole is not silent yet.
-        return new Object[][] {{Effect.IDEMPOTENT, 0, 24, 1}, {Effect.IDEMPOTENT, 9, 80, 0},
-            {Effect.DEDUPLICATED, 0, 24, 1}, {Effect.UNREPEATABLE, 0, 24, 0}};
+        return new Object[][] {
+            {Effect.IDEMPOTENT, 0, 24, 1},
+            {Effect.IDEMPOTENT, 9, 80, 0},
+            {Effect.DEDUPLICATED, 0, 24, 1},
+            {Effect.UNREPEATABLE, 0, 24, 0}
+        };
     }
 
-    /** Guards against one connection that falls silent at a worker that goes on answering the others. */
+    /**
+     * Guards against one connection that falls silent at a worker that goes on answering the
+     * others.
+     */
     @Test(dataProvider = "words")
-    public void aSilentLaunchIsRescuedBesideOthersThatGoOn(Effect effect, int words, int tenths,
-            int cancels) {
+    public void aSilentLaunchIsRescuedBesideOthersThatGoOn(
+            Effect effect, int words, int tenths, int cancels) {
         World.Given given = new World.Given();
         given.effect = effect;
         given.mayCopy = false;
@@ -245,11 +261,15 @@
 
     @DataProvider
     public Object[][] ages() {
-        // Seconds since a worker's start, and whether it is always chosen beside one that has waits.
+        // Seconds since a worker's start, and whether it is always chosen beside one that has
+        // waits.
         return new Object[][] {{5.0, true}, {19.0, true}, {21.0, false}, {25.0, false}};
     }
 
-    /** Guards against taking a cold worker for as busy as its model, and against all taking to a warm one. */
+    /**
+     * Guards against taking a cold worker for as busy as its model, and against all taking to a
+     * warm one.
+     */
     @Test(dataProvider = "ages")
     public void onlyAColdWorkerHasNoQueueYet(double age, boolean always) {
         int chosen = 0;
@@ -257,7 +277,8 @@
             World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(1);
             for (int i = 0; i < learned; i++) {
                 Policy.Handle handle = w.take(0.1);
-                // It waited less lately than is usual: a warm one beside it must not look better still.
+                // It waited less lately than is usual: a warm one beside it must not look better
+                // still.
                 w.pass(i < learned - 8 ? 0.8 : 0.3);
                 handle.started(0);
                 w.pass(0.1);
@@ -269,7 +290,10 @@
         assertTrue(always ? chosen == 20 : chosen < 20, "chosen " + chosen + " times of 20");
     }
 
-    /** Guards against sending into a stopped queue where only progress tells that a launch has begun. */
+    /**
+     * Guards against sending into a stopped queue where only progress tells that a launch has
+     * begun.
+     */
     @Test
     public void aLaunchWithoutProgressTellsOfAQueue() {
         World.Given given = new World.Given();
@@ -318,7 +342,10 @@
         assertNotEquals(w.serve(0.1, 0.05), full);
     }
 
-    /** Guards against jams: under overload what cannot be in time is bounced while a retry is harmless. */
+    /**
+     * Guards against jams: under overload what cannot be in time is bounced while a retry is
+     * harmless.
+     */
     @Test
     public void overloadIsBouncedEarly() {
         World w = World.of(Effect.UNREPEATABLE, Group.CELL).list(2);
@@ -332,7 +359,8 @@
     @DataProvider
     public Object[][] overlaps() {
         return new Object[][] {
-            // how long a second start was known before the end of the first, launches until the first bounce
+            // how long a second start was known before the end of the first, launches until the
+            // first bounce
             {0.02, 2},
             {0.2, 4},
         };
@@ -391,7 +419,10 @@
         assertTrue(w.last().startsWith("launch"), w.did.toString());
     }
 
-    /** Guards against unreachable workers that come back into the choice because most are unreachable. */
+    /**
+     * Guards against unreachable workers that come back into the choice because most are
+     * unreachable.
+     */
     @Test
     public void failuresLockOutMoreThanHalf() {
         World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(4);
@@ -421,7 +452,8 @@
     public void aTenantFarPastItsShareBearsShorterWaits(String tenant, String next) {
         World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(1);
         for (int i = 0; i < 200; i++) {
-            Policy.Handle handle = w.take("job", i % 10 == 0 ? "t" : "greedy", 0.05, w.now + World.LIMIT);
+            Policy.Handle handle =
+                    w.take("job", i % 10 == 0 ? "t" : "greedy", 0.05, w.now + World.LIMIT);
             handle.started(0);
             w.pass(0.05).end(handle, 0, Outcome.ANSWERED);
         }
@@ -430,7 +462,10 @@
         assertTrue(w.last().startsWith(next), w.last());
     }
 
-    /** Guards against a release that makes its whole model look slow: cold runs tell of the worker alone. */
+    /**
+     * Guards against a release that makes its whole model look slow: cold runs tell of the worker
+     * alone.
+     */
     @Test
     public void aModelLearnsFromWarmRunsOnly() {
         World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(1);
@@ -443,15 +478,20 @@
         }
         w.pass(60).change(2, Double.NaN, Readiness.GONE).change(3, Double.NaN, Readiness.ACTIVE);
         w.fill(0.5);
-        assertTrue(w.count("launch") >= 3, "a new worker starts at the speed of warm ones: " + w.did);
+        assertTrue(
+                w.count("launch") >= 3, "a new worker starts at the speed of warm ones: " + w.did);
     }
 
-    /** Guards against a bounce from a fleet with an idle worker, because the fastest one has a queue. */
+    /**
+     * Guards against a bounce from a fleet with an idle worker, because the fastest one has a
+     * queue.
+     */
     @Test
     public void anIdleWorkerIsTakenBeforeABounce() {
         World w = world();
         for (long slow = 1; slow <= 2; slow++) {
-            w.change(slow, Double.NaN, Readiness.LEAVING).change(3 - slow, Double.NaN, Readiness.ACTIVE);
+            w.change(slow, Double.NaN, Readiness.LEAVING)
+                    .change(3 - slow, Double.NaN, Readiness.ACTIVE);
             for (int i = 0; i < 8; i++) {
                 w.serve(0.1, slow == 1 ? 0.8 : 0.025);
             }
@@ -460,7 +500,10 @@
         assertTrue(w.did.stream().anyMatch(s -> s.endsWith(" 2")), w.did.toString());
     }
 
-    /** Guards against coldness counted twice: one still cold is preferred to one that is slower for good. */
+    /**
+     * Guards against coldness counted twice: one still cold is preferred to one that is slower for
+     * good.
+     */
     @Test
     public void coldRunsCountTheirColdnessOnce() {
         World w = World.of(Effect.IDEMPOTENT, Group.CELL).change(2, Double.NaN, Readiness.ACTIVE);
@@ -477,7 +520,9 @@
         assertEquals(w.lastWorker(), 1, w.did.toString());
     }
 
-    /** Guards against seeing only the lucky: launches that still wait tell of their model's queues. */
+    /**
+     * Guards against seeing only the lucky: launches that still wait tell of their model's queues.
+     */
     @Test
     public void launchesStillWaitingCount() {
         World w = world();
@@ -503,21 +548,25 @@
     @DataProvider
     public Object[][] servesSome() {
         return new Object[][] {
-            // effect, group, seconds since its last answer, launches it gets while the other worker fills up
-            {Effect.IDEMPOTENT, Group.CELL, 0.0, 1L}, {Effect.DEDUPLICATED, Group.ALL, 0.0, 1L},
+            // effect, group, seconds since its last answer, launches it gets while the other worker
+            // fills up
+            {Effect.IDEMPOTENT, Group.CELL, 0.0, 1L},
+            {Effect.DEDUPLICATED, Group.ALL, 0.0, 1L},
             // An error there would bind these to their group, or end them.
-            {Effect.DEDUPLICATED, Group.ZONE, 0.0, 0L}, {Effect.DEDUPLICATED, Group.CELL, 0.0, 0L},
+            {Effect.DEDUPLICATED, Group.ZONE, 0.0, 0L},
+            {Effect.DEDUPLICATED, Group.CELL, 0.0, 0L},
             {Effect.UNREPEATABLE, Group.ALL, 0.0, 0L},
             {Effect.IDEMPOTENT, Group.ALL, 2.0, 0L},
         };
     }
 
     /**
-     * While half of a fleet errs now and then, the other half is full: a fifth of all was bounced beside
-     * workers that still answered half of what came.
+     * While half of a fleet errs now and then, the other half is full: a fifth of all was bounced
+     * beside workers that still answered half of what came.
      */
     @Test(dataProvider = "servesSome")
-    public void oneThatServesSomeComesBeforeABounce(Effect effect, Group group, double ago, long launches) {
+    public void oneThatServesSomeComesBeforeABounce(
+            Effect effect, Group group, double ago, long launches) {
         World w = World.of(effect, group).list(2).change(2, Double.NaN, Readiness.LEAVING);
         // On probation, with a pause that outlasts this case; every other launch is answered.
         for (int i = 0; i < 5; i++) {
@@ -530,11 +579,18 @@
             }
         }
         w.change(2, Double.NaN, Readiness.ACTIVE).pass(ago).fill(1);
-        assertEquals(w.did.stream().filter(did -> did.startsWith("launch") && did.endsWith(" 1")).count(),
-                launches, w.did.toString());
+        assertEquals(
+                w.did.stream()
+                        .filter(did -> did.startsWith("launch") && did.endsWith(" 1"))
+                        .count(),
+                launches,
+                w.did.toString());
     }
 
-    /** A process that takes another's place knows the workers as the other did, from its first choice on. */
+    /**
+     * A process that takes another's place knows the workers as the other did, from its first
+     * choice on.
+     */
     @Test
     public void goesOnWithWhatAnotherLearned() {
         World old = World.of(Effect.IDEMPOTENT, Group.ALL).list(2);
--- a/daemon/src/test/java/wheelroute/ConfigTest.java
+++ b/daemon/src/test/java/wheelroute/ConfigTest.java
@@ -27,18 +27,25 @@
 
 /** What a dispatcher is told at its start, read from the environment and its file. */
 public class ConfigTest {
-    private static final String CLASSES = "'request_classes':[{'name':'light','effect':'free',"
-            + "'on_time_us':200000,'hard_limit_us':5000000,'worth':2.0},"
-            + "{'name':'alert','effect':'guarded','group':'cell',"
-            + "'hard_limit_us':20000000,'window_us':30000000}]";
-    private static final String SETTINGS = "'settings':{'az':'west','family_info':{"
-            + "'class_stretch':[1.75,2.0],'class_kind':[-1,1],'progress_us':1000000},"
-            + "'models':['fast core','slow'],"
-            + "'permissions':{'cancel':true,'connect_timeout_us':250000,'conn_idle_us':60000000},"
-            + "'tenants':[{'name':'t','quota_per_s':28.0}],'later':{'key':[{'a':null}]}," + CLASSES + "}";
-    private static final String WHOLE = "{'name':'n3','listen':'127.0.0.4:8081','discovery':'127.0.0.1:8500',"
-            + "'seed':'8c1f30d27a5be964','limits':{'memory_mb':96,'sockets':512},'peers':['127.0.0.9:1'],"
-            + "'known':{'version':41,'full':true,'servers':[]}," + SETTINGS + "}";
+    private static final String CLASSES =
+            "'request_classes':[{'name':'light','effect':'free',"
+                    + "'on_time_us':200000,'hard_limit_us':5000000,'worth':2.0},"
+                    + "{'name':'alert','effect':'guarded','group':'cell',"
+                    + "'hard_limit_us':20000000,'window_us':30000000}]";
+    private static final String SETTINGS =
+            "'settings':{'az':'west','family_info':{"
+                    + "'class_stretch':[1.75,2.0],'class_kind':[-1,1],'progress_us':1000000},"
+                    + "'models':['fast core','slow'],"
+                    + "'permissions':{'cancel':true,'connect_timeout_us':250000,'conn_idle_us':60000000},"
+                    + "'tenants':[{'name':'t','quota_per_s':28.0}],'later':{'key':[{'a':null}]},"
+                    + CLASSES
+                    + "}";
+    private static final String WHOLE =
+            "{'name':'n3','listen':'127.0.0.4:8081','discovery':'127.0.0.1:8500',"
+                    + "'seed':'8c1f30d27a5be964','limits':{'memory_mb':96,'sockets':512},'peers':['127.0.0.9:1'],"
+                    + "'known':{'version':41,'full':true,'servers':[]},"
+                    + SETTINGS
+                    + "}";
 
     static Config read(String json, Map<String, String> more) throws IOException, ConfigException {
         return read(json, more, false);
@@ -76,26 +83,38 @@
         assertEquals(config.settings().offerings().get(1).group(), Group.CELL);
         assertEquals(config.settings().offerings().get(1).model(), new Ids.Model("slow"));
         assertEquals(config.settings().quotas(), Map.of(new Ids.Tenant("t"), 28.0));
-        assertEquals(new String(config.known(), StandardCharsets.UTF_8),
+        assertEquals(
+                new String(config.known(), StandardCharsets.UTF_8),
                 "{\"version\":41,\"full\":true,\"servers\":[]}");
     }
 
-    private static final String PEERING = "'peering':{'listen':'127.0.0.1:7','addresses':['127.0.0.1:7',"
-            + "'127.0.0.1:8'],'cluster':'x'},";
+    private static final String PEERING =
+            "'peering':{'listen':'127.0.0.1:7','addresses':['127.0.0.1:7',"
+                    + "'127.0.0.1:8'],'cluster':'x'},";
 
     /** Only who asks for them by name has peers: a platform's own list of them is not enough. */
     @Test
     public void peersAreOffUnlessAskedFor() throws IOException, ConfigException {
         String two = WHOLE.replace("'settings':{", "'settings':{'balancers':2,'position':1,");
-        assertEquals(read(two.replace("'settings'", "'peer_listen':'127.0.0.1:7','peers':['127.0.0.1:7',"
-                + "'127.0.0.1:8'],'settings'"), Map.of()).peers(), null);
+        assertEquals(
+                read(
+                                two.replace(
+                                        "'settings'",
+                                        "'peer_listen':'127.0.0.1:7','peers':['127.0.0.1:7',"
+                                                + "'127.0.0.1:8'],'settings'"),
+                                Map.of())
+                        .peers(),
+                null);
         Peering peers = read(two.replace("'settings'", PEERING + "'settings'"), Map.of()).peers();
         assertEquals(peers.number(), 1);
         assertEquals(peers.cluster(), "x");
         assertEquals(peers.addresses().get(1).getPort(), 8);
     }
 
-    /** What was replaced since the start is the file: its word goes before the environment's of that time. */
+    /**
+     * What was replaced since the start is the file: its word goes before the environment's of that
+     * time.
+     */
     @Test
     public void readsAgain() throws IOException, ConfigException {
         Map<String, String> start = Map.of("LB_DISCOVERY", "127.0.0.1:7", "LB_NAME", "n4");
@@ -105,34 +124,59 @@
         Config second = read(WHOLE.replace("8c1f", "9c1f"), start, true);
         assertEquals(second.discovery().getPort(), 8500);
         assertEquals(first.waitingForRestart(second), List.of());
-        Config third = read(WHOLE.replace("512", "256").replace("'worth':2.0", "'worth':3.0"), start, true);
+        Config third =
+                read(
+                        WHOLE.replace("512", "256").replace("'worth':2.0", "'worth':3.0"),
+                        start,
+                        true);
         assertEquals(first.waitingForRestart(third), List.of("limits.sockets", "settings"));
-        assertEquals(read(WHOLE.replace("'discovery'", "'other'"), start, true).discovery().getPort(), 7);
+        assertEquals(
+                read(WHOLE.replace("'discovery'", "'other'"), start, true).discovery().getPort(),
+                7);
     }
 
-    /** One mapping serves both: the same settings must mean the same on the bench's wire and in the file. */
+    /**
+     * One mapping serves both: the same settings must mean the same on the bench's wire and in the
+     * file.
+     */
     @Test
     public void readsAsTheWireDoes() throws IOException, ConfigException {
         Map<String, String> wire = new HashMap<>();
-        for (String pair : ("az=west family_info.class_stretch=1.75,2.0 family_info.class_kind=-1,1"
-                + " family_info.progress_us=1000000 models=fast_core,slow permissions.cancel=true"
-                + " tenants.count=1 tenants.0.name=t tenants.0.quota_per_s=28.0 request_classes.count=2"
-                + " request_classes.0.name=light request_classes.0.effect=free request_classes.0.worth=2.0"
-                + " request_classes.0.on_time_us=200000 request_classes.1.name=alert"
-                + " request_classes.1.effect=guarded request_classes.1.group=cell"
-                + " request_classes.1.window_us=30000000 membership_mode=ask").split(" ")) {
+        for (String pair :
+                ("az=west family_info.class_stretch=1.75,2.0 family_info.class_kind=-1,1"
+                                + " family_info.progress_us=1000000 models=fast_core,slow permissions.cancel=true"
+                                + " tenants.count=1 tenants.0.name=t tenants.0.quota_per_s=28.0 request_classes.count=2"
+                                + " request_classes.0.name=light request_classes.0.effect=free request_classes.0.worth=2.0"
+                                + " request_classes.0.on_time_us=200000 request_classes.1.name=alert"
+                                + " request_classes.1.effect=guarded request_classes.1.group=cell"
+                                + " request_classes.1.window_us=30000000 membership_mode=ask")
+                        .split(" ")) {
             wire.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
         }
-        assertEquals(read(WHOLE, Map.of()).settings(), SettingsReader.read(0x8c1f30d27a5be964L, wire));
+        assertEquals(
+                read(WHOLE, Map.of()).settings(), SettingsReader.read(0x8c1f30d27a5be964L, wire));
     }
 
     /** Names that look like a path's part, a list or a key: each stays what it is. */
     @Test
     public void namesStayWhatTheyAre() throws IOException, ConfigException {
-        for (String name : List.of("a b", "a_b", "a,b", "a.b", "limits", "memory_mb", "count", "healthz",
-                "\u00e9t\u00e9")) {
-            Settings settings = read(WHOLE.replace("'name':'light'", "'name':'" + name + "'")
-                    .replace("'name':'t'", "'name':'" + name + "'"), Map.of()).settings();
+        for (String name :
+                List.of(
+                        "a b",
+                        "a_b",
+                        "a,b",
+                        "a.b",
+                        "limits",
+                        "memory_mb",
+                        "count",
+                        "healthz",
+                        "\u00e9t\u00e9")) {
+            Settings settings =
+                    read(
+                                    WHOLE.replace("'name':'light'", "'name':'" + name + "'")
+                                            .replace("'name':'t'", "'name':'" + name + "'"),
+                                    Map.of())
+                            .settings();
             assertEquals(settings.offerings().get(0).id().name(), name);
             assertEquals(settings.quotas().keySet().iterator().next().name(), name);
             assertEquals(settings.offerings().size(), 2);
@@ -153,8 +197,16 @@
             {"'settings':{", "'settings':{'balancers':2,'position':2,", "position"},
             {"'settings':{", "'settings':{'rules':{'key_rest_us':-1},", "rules.key_rest_us"},
             {"'settings':{", "'settings':{'rules':{'key_rest_us':'long'},", "rules.key_rest_us"},
-            {"'settings':{", "'settings':{'rules':{'gone_is_advice':'often'},", "rules.gone_is_advice"},
-            {"'effect':'free',", "'effect':'free','one_at_a_time':2,", "request_classes.0.one_at_a_time"},
+            {
+                "'settings':{",
+                "'settings':{'rules':{'gone_is_advice':'often'},",
+                "rules.gone_is_advice"
+            },
+            {
+                "'effect':'free',",
+                "'effect':'free','one_at_a_time':2,",
+                "request_classes.0.one_at_a_time"
+            },
             {"'sockets':512", "'sockets':'few'", "limits.sockets"},
             {"'memory_mb':96", "'memory_mb':0", "limits.memory_mb"},
             {WHOLE, WHOLE + "}", "LB_CONFIG"},
@@ -166,11 +218,22 @@
             {"'name':'alert'", "'name':''", "request_classes.1.name"},
             {"'settings'", "'sittings'", "request_classes"},
             {"'settings':{", PEERING + "'settings':{'balancers':2,", "peering"},
-            {"'settings':{", PEERING + "'settings':{'balancers':3,'position':1,", "peering.addresses"},
-            {"'settings':{", PEERING.replace(":8'", "'") + "'settings':{'balancers':2,'position':1,",
-                    "peering.addresses"},
-            {"'settings':{", PEERING.replace("127.0.0.1:7','a", "here','a")
-                    + "'settings':{'balancers':2,'position':1,", "peering.listen"},
+            {
+                "'settings':{",
+                PEERING + "'settings':{'balancers':3,'position':1,",
+                "peering.addresses"
+            },
+            {
+                "'settings':{",
+                PEERING.replace(":8'", "'") + "'settings':{'balancers':2,'position':1,",
+                "peering.addresses"
+            },
+            {
+                "'settings':{",
+                PEERING.replace("127.0.0.1:7','a", "here','a")
+                        + "'settings':{'balancers':2,'position':1,",
+                "peering.listen"
+            },
             {"'name':'n3',", "'name':'" + "n".repeat(41) + "'," + PEERING, "peering"},
             {WHOLE, "[]", "LB_CONFIG"},
             {WHOLE, WHOLE.substring(0, 90), "LB_CONFIG"},
@@ -179,21 +242,28 @@
 
     @Test(dataProvider = "faults")
     public void namesTheFaultyKey(String out, String in, String key) {
-        String message = expectThrows(ConfigException.class, () -> read(WHOLE.replace(out, in), Map.of()))
-                .getMessage();
+        String message =
+                expectThrows(ConfigException.class, () -> read(WHOLE.replace(out, in), Map.of()))
+                        .getMessage();
         assertTrue(message.contains(key), message);
     }
 
     @Test
     public void namesTheMissingFile() {
-        String message = expectThrows(ConfigException.class,
-                () -> read(WHOLE, Map.of("LB_CONFIG", "/no/such/file"))).getMessage();
+        String message =
+                expectThrows(
+                                ConfigException.class,
+                                () -> read(WHOLE, Map.of("LB_CONFIG", "/no/such/file")))
+                        .getMessage();
         assertTrue(message.contains("LB_CONFIG"), message);
-        assertTrue(expectThrows(ConfigException.class, () -> ConfigReader.read(Map.of())).getMessage()
-                .contains("LB_CONFIG"));
+        assertTrue(
+                expectThrows(ConfigException.class, () -> ConfigReader.read(Map.of()))
+                        .getMessage()
+                        .contains("LB_CONFIG"));
     }
 
-    private static final String TOML = """
+    private static final String TOML =
+            """
             name = "n3"
             listen = "127.0.0.4:8081"
             discovery = "127.0.0.1:8500"
@@ -248,8 +318,10 @@
         assertEquals(config.settings().quotas(), Map.of(new Ids.Tenant("t"), 28.0));
         assertTrue(config.settings().listMustBeAsked());
         assertFalse(config.settings().goneIsAdvice());
-        Config ordered = readToml(TOML.replace("[terms]", "[terms]\nkey_rest = 0.2\ngone_is_advice = true")
-                .replace("window = 30", "window = 30\nin_turn = true"));
+        Config ordered =
+                readToml(
+                        TOML.replace("[terms]", "[terms]\nkey_rest = 0.2\ngone_is_advice = true")
+                                .replace("window = 30", "window = 30\nin_turn = true"));
         assertTrue(ordered.settings().goneIsAdvice());
         assertEquals(ordered.settings().keyRest(), 0.2);
         assertFalse(ordered.settings().offerings().get(0).inTurn());
@@ -262,12 +334,28 @@
         return new Object[][] {
             // what is taken out, what stands there instead, what is told, with its place
             {"quoted = 0.2\n", "", "offerings[0].quoted"},
-            {"quoted = 0.2", "quoted = \"soon\"", "'offerings[0].quoted' is not a number: soon (line 12)"},
+            {
+                "quoted = 0.2",
+                "quoted = \"soon\"",
+                "'offerings[0].quoted' is not a number: soon (line 12)"
+            },
             {"quoted = 0.2", "quotet = 0.2", "offerings[0].quotet is not known"},
-            {"\"deduplicated\"", "\"twice\"", "'offerings[1].effect' is none of idempotent, deduplicated"},
+            {
+                "\"deduplicated\"",
+                "\"twice\"",
+                "'offerings[1].effect' is none of idempotent, deduplicated"
+            },
             {"sockets = 512", "sockets = 12", "'limits.sockets' is not from 64"},
-            {"[limits]", "position = 3\n[limits]", "'position' is not under the number of dispatchers"},
-            {"127.0.0.1:9001", "nowhere", "'workers[0].address' is not host:port: nowhere (line 27)"},
+            {
+                "[limits]",
+                "position = 3\n[limits]",
+                "'position' is not under the number of dispatchers"
+            },
+            {
+                "127.0.0.1:9001",
+                "nowhere",
+                "'workers[0].address' is not host:port: nowhere (line 27)"
+            },
             {"\"w1\"", "\"w\\\"1\"", "'workers[0].name' has a character"},
             {"[limits]", "[limits", "'line 5' is no TOML"},
             {"idle_limit = 60", "key_rest = -1", "'terms.key_rest' is not from 0"},
@@ -280,8 +368,9 @@
 
     @Test(dataProvider = "tomlFaults")
     public void namesTheFaultyKeyOfToml(String out, String in, String told) {
-        String message = expectThrows(ConfigException.class, () -> readToml(TOML.replace(out,
-                in))).getMessage();
+        String message =
+                expectThrows(ConfigException.class, () -> readToml(TOML.replace(out, in)))
+                        .getMessage();
         assertTrue(message.contains(told), message);
     }
 }
--- a/daemon/src/test/java/wheelroute/DescriptorsTest.java
+++ b/daemon/src/test/java/wheelroute/DescriptorsTest.java
@@ -26,17 +26,23 @@
 import org.testng.annotations.Test;
 
 /**
- * A process with few descriptors, all of which clients would take who do nothing, while discovery is down.
+ * A process with few descriptors, all of which clients would take who do nothing, while discovery
+ * is down.
  */
 public class DescriptorsTest {
     private static final int PATIENCE = 90_000;
+
     /** Of the process, by its settings and by the system. */
     private static final int DESCRIPTORS = 160;
+
     private static final int CLIENTS = 600;
+
     /**
-     * Discovery is asked again, and has answered whole, within this of its return; and some for the machine.
+     * Discovery is asked again, and has answered whole, within this of its return; and some for the
+     * machine.
      */
     private static final double IN_TIME = 4.8 + 0.5;
+
     private static final int READING = 20_000;
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
 
@@ -80,7 +86,8 @@
     }
 
     private static String job(String id) {
-        return "POST /job/x HTTP/1.1\r\nHost: a\r\nX-Request-ID: " + id
+        return "POST /job/x HTTP/1.1\r\nHost: a\r\nX-Request-ID: "
+                + id
                 + "\r\nX-Timeout: 10\r\nX-Cost: 20000\r\nContent-Length: 2\r\n\r\nhi";
     }
 
@@ -88,37 +95,54 @@
     private int worker(BlockingQueue<Integer> heard) throws IOException {
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         open.add(server);
-        Life.start(() -> {
-            while (true) {
-                Socket socket = server.accept();
-                open.add(socket);
-                Life.start(() -> {
+        Life.start(
+                () -> {
                     while (true) {
-                        String id = head(socket.getInputStream())
-                                .replaceAll("(?s).*X-Request-ID: (\\w+).*", "$1");
-                        socket.getInputStream().readNBytes(2);
-                        heard.add(server.getLocalPort());
-                        String line = "{\"id\":\"" + id
-                                + "\",\"from\":\"w\",\"state\":\"done\",\"result\":\"\"}\n";
-                        say(socket, line);
+                        Socket socket = server.accept();
+                        open.add(socket);
+                        Life.start(
+                                () -> {
+                                    while (true) {
+                                        String id =
+                                                head(socket.getInputStream())
+                                                        .replaceAll(
+                                                                "(?s).*X-Request-ID: (\\w+).*",
+                                                                "$1");
+                                        socket.getInputStream().readNBytes(2);
+                                        heard.add(server.getLocalPort());
+                                        String line =
+                                                "{\"id\":\""
+                                                        + id
+                                                        + "\",\"from\":\"w\",\"state\":\"done\",\"result\":\"\"}\n";
+                                        say(socket, line);
+                                    }
+                                });
                     }
                 });
-            }
-        });
         return server.getLocalPort();
     }
 
     private static String list(int version, int worker) {
-        return "{\"version\":" + version + ",\"full\":true,\"servers\":[{\"id\":\"w" + worker + "\",\"addr\":"
-                + "\"127.0.0.1:" + worker + "\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,"
+        return "{\"version\":"
+                + version
+                + ",\"full\":true,\"servers\":[{\"id\":\"w"
+                + worker
+                + "\",\"addr\":"
+                + "\"127.0.0.1:"
+                + worker
+                + "\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,"
                 + "\"state\":\"ready\"}]}";
     }
 
     private static String config(int discovery, int worker) {
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"admin\":\"127.0.0.1:0\",\"discovery\":"
-                + "\"127.0.0.1:" + discovery + "\",\"limits\":{\"sockets\":" + DESCRIPTORS + "},\"known\":"
+                + "\"127.0.0.1:"
+                + discovery
+                + "\",\"limits\":{\"sockets\":"
+                + DESCRIPTORS
+                + "},\"known\":"
                 + list(5, worker)
-                        + ",\"settings\":{\"request_classes\":[{\"name\":\"job\",\"effect\":\"free\","
+                + ",\"settings\":{\"request_classes\":[{\"name\":\"job\",\"effect\":\"free\","
                 + "\"on_time_us\":4000000,\"worth\":1,\"hard_limit_us\":10000000}],"
                 + "\"permissions\":{\"cancel\":true,\"most_tries\":6,\"connect_timeout_us\":500000}}}";
     }
@@ -130,7 +154,10 @@
             {"silent", ""},
             {"idle after a message", HEALTH},
             {"half-open", "POST /job/x HTTP/1.1\r\nHost: a\r\nX-Req"},
-            {"much ahead of its turn", HEALTH.repeat(40) + "POST /job/x HTTP/1.1\r\nHost: a\r\nX-Req"},
+            {
+                "much ahead of its turn",
+                HEALTH.repeat(40) + "POST /job/x HTTP/1.1\r\nHost: a\r\nX-Req"
+            },
         };
     }
 
@@ -145,7 +172,8 @@
             discovery = place.getLocalPort();
         }
         Path directory = Files.createTempDirectory("wheelroute");
-        ServedProcess process = ServedProcess.start(directory, config(discovery, first), DESCRIPTORS);
+        ServedProcess process =
+                ServedProcess.start(directory, config(discovery, first), DESCRIPTORS);
         open.add(process);
         Socket steady = connect(process.port());
         send(steady, job("a1"));
@@ -162,12 +190,19 @@
         BlockingQueue<String> calls = new LinkedBlockingQueue<>();
         long returned = back(discovery, second, calls);
         String call = calls.poll((long) (IN_TIME * 1e3), TimeUnit.MILLISECONDS);
-        assertTrue(call != null, "not asked again " + (System.nanoTime() - returned) / 1e9 + " s after\n"
-                + process.log());
+        assertTrue(
+                call != null,
+                "not asked again "
+                        + (System.nanoTime() - returned) / 1e9
+                        + " s after\n"
+                        + process.log());
         Socket door = connect(process.door());
         send(door, "READY\n");
-        assertEquals(new String(door.getInputStream().readAllBytes(), StandardCharsets.UTF_8), "ok ready\n");
-        // A newcomer is served, by the worker that the list names now, to which no connection is up yet.
+        assertEquals(
+                new String(door.getInputStream().readAllBytes(), StandardCharsets.UTF_8),
+                "ok ready\n");
+        // A newcomer is served, by the worker that the list names now, to which no connection is up
+        // yet.
         int status = 0;
         for (int i = 0; status != 200 || heard.take() != second; i++) {
             try (Socket client = connect(process.port())) {
@@ -190,20 +225,22 @@
         server.setReuseAddress(true);
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
         AtomicInteger answers = new AtomicInteger();
-        Life.start(() -> {
-            while (true) {
-                Socket socket = server.accept();
-                open.add(socket);
-                Life.start(() -> {
+        Life.start(
+                () -> {
                     while (true) {
-                        calls.add(head(socket.getInputStream()));
-                        if (answers.getAndIncrement() == 0) {
-                            say(socket, list(6, worker));
-                        }
+                        Socket socket = server.accept();
+                        open.add(socket);
+                        Life.start(
+                                () -> {
+                                    while (true) {
+                                        calls.add(head(socket.getInputStream()));
+                                        if (answers.getAndIncrement() == 0) {
+                                            say(socket, list(6, worker));
+                                        }
+                                    }
+                                });
                     }
                 });
-            }
-        });
         return System.nanoTime();
     }
 
--- a/daemon/src/test/java/wheelroute/IdsTest.java
+++ b/daemon/src/test/java/wheelroute/IdsTest.java
@@ -28,7 +28,8 @@
         assertEquals(id.hashCode(), same.hashCode());
         assertNotEquals(id, other);
         for (Object[] row : kinds()) {
-            assertEquals(id.equals(row[0]), id.getClass() == row[0].getClass(), id + " and " + row[0]);
+            assertEquals(
+                    id.equals(row[0]), id.getClass() == row[0].getClass(), id + " and " + row[0]);
         }
     }
 }
--- a/daemon/src/test/java/wheelroute/Life.java
+++ b/daemon/src/test/java/wheelroute/Life.java
@@ -1,18 +1,23 @@
 package wheelroute;
 
-/** What a stand-in of a test does on a thread of its own, until its peer has gone or the case is over. */
+/**
+ * What a stand-in of a test does on a thread of its own, until its peer has gone or the case is
+ * over.
+ */
 public interface Life {
     void run() throws Exception;
 
     static void start(Life life) {
-        Thread thread = new Thread(() -> {
-            try {
-                life.run();
-            } catch (Exception e) {
-                // Its peer has gone, or the case is over.
-                Thread.currentThread().interrupt();
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                life.run();
+                            } catch (Exception e) {
+                                // Its peer has gone, or the case is over.
+                                Thread.currentThread().interrupt();
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
--- a/daemon/src/test/java/wheelroute/LogLinesTest.java
+++ b/daemon/src/test/java/wheelroute/LogLinesTest.java
@@ -15,22 +15,29 @@
         LogRecord entry = new LogRecord(Level.WARNING, "it stays");
         entry.setLoggerName("a.B");
         entry.setInstant(Instant.parse("2026-02-28T03:04:05.006Z"));
-        assertEquals(new LogLines().format(entry), "2026-02-28 03:04:05.006Z WARNING a.B: it stays\n");
+        assertEquals(
+                new LogLines().format(entry), "2026-02-28 03:04:05.006Z WARNING a.B: it stays\n");
         entry.setThrown(new IllegalStateException("why"));
         assertTrue(new LogLines().format(entry).contains("IllegalStateException: why"));
     }
 
-    /** What a line of text would garble stays one entry: whoever gathers logs reads them line by line. */
+    /**
+     * What a line of text would garble stays one entry: whoever gathers logs reads them line by
+     * line.
+     */
     @Test
     public void tellsItAsJson() {
         LogRecord entry = new LogRecord(Level.INFO, "it says \"a\"\nand more");
         entry.setLoggerName("a.B");
         entry.setInstant(Instant.parse("2026-02-28T03:04:05.006Z"));
-        assertEquals(new JsonLines().format(entry),
+        assertEquals(
+                new JsonLines().format(entry),
                 "{\"time\":\"2026-02-28T03:04:05.006Z\",\"level\":\"INFO\","
-                + "\"logger\":\"a.B\",\"message\":\"it says \\\"a\\\"\\nand more\"}\n");
+                        + "\"logger\":\"a.B\",\"message\":\"it says \\\"a\\\"\\nand more\"}\n");
         entry.setThrown(new IllegalStateException("why"));
-        assertTrue(new JsonLines().format(entry).contains("\"trace\":\"java.lang.IllegalStateException:"
-                + " why"));
+        assertTrue(
+                new JsonLines()
+                        .format(entry)
+                        .contains("\"trace\":\"java.lang.IllegalStateException:" + " why"));
     }
 }
--- a/daemon/src/test/java/wheelroute/OrderTest.java
+++ b/daemon/src/test/java/wheelroute/OrderTest.java
@@ -14,7 +14,10 @@
 import wheelroute.decision.Outcome;
 import wheelroute.decision.Policy;
 
-/** The rule on keys: one at a time, in the order of their taking, and a rest after what may still run. */
+/**
+ * The rule on keys: one at a time, in the order of their taking, and a rest after what may still
+ * run.
+ */
 public class OrderTest {
     private static final double QUOTED = 1;
     private World.Given given;
@@ -41,7 +44,8 @@
     @DataProvider
     public Object[][] neighbours() {
         return new Object[][] {
-            // the second one's offering and key, whether the offerings keep order, whether it goes at once
+            // the second one's offering and key, whether the offerings keep order, whether it goes
+            // at once
             {"job", "a", true, false},
             {"patient", "a", true, false},
             {"job", "b", true, true},
@@ -161,10 +165,14 @@
         long told = w.count("bounce");
         assertTrue(told >= 20, "told " + told);
         assertEquals(w.count("launch"), 1);
-        assertTrue(w.advised >= QUOTED && w.advised <= given.retryAfter, "come back after " + w.advised);
+        assertTrue(
+                w.advised >= QUOTED && w.advised <= given.retryAfter,
+                "come back after " + w.advised);
     }
 
-    /** One of great value behind lesser ones of its key, which run long: the lesser one gives way. */
+    /**
+     * One of great value behind lesser ones of its key, which run long: the lesser one gives way.
+     */
     @Test
     public void whatIsWorthLessGivesWay() {
         given.patientValue = 0.1;
@@ -232,11 +240,14 @@
                     out.add(new ArrayList<>());
                     handles.add(take(w, "k" + keys.get(keys.size() - 1)));
                 } else if (!handles.isEmpty() && !out.get(pick).isEmpty()) {
-                    Outcome outcome = random.nextInt(3) > 0 ? Outcome.ANSWERED
-                            : Outcome.values()[random.nextInt(Outcome.values().length)];
+                    Outcome outcome =
+                            random.nextInt(3) > 0
+                                    ? Outcome.ANSWERED
+                                    : Outcome.values()[random.nextInt(Outcome.values().length)];
                     int number = out.get(pick).remove(0);
                     if (outcome.mayStillRun()) {
-                        rest[keys.get(pick)] = Math.max(rest[keys.get(pick)], w.now + given.keyRest);
+                        rest[keys.get(pick)] =
+                                Math.max(rest[keys.get(pick)], w.now + given.keyRest);
                     }
                     w.end(handles.get(pick), number, outcome);
                 } else {
@@ -246,14 +257,23 @@
                     String[] words = w.did.get(seen).split(" ");
                     if (words[0].equals("launch")) {
                         int id = Integer.parseInt(words[1]) - 1;
-                        int before = (int) w.did.subList(0, seen).stream()
-                                .filter(did -> did.startsWith("launch " + words[1] + " ")).count();
+                        int before =
+                                (int)
+                                        w.did.subList(0, seen).stream()
+                                                .filter(
+                                                        did ->
+                                                                did.startsWith(
+                                                                        "launch " + words[1] + " "))
+                                                .count();
                         out.get(id).add(before);
                         for (int other = 0; other < id; other++) {
-                            assertTrue(!keys.get(other).equals(keys.get(id)) || handles.get(other).isOver(),
+                            assertTrue(
+                                    !keys.get(other).equals(keys.get(id))
+                                            || handles.get(other).isOver(),
                                     "seed " + seed + ": " + id + " before " + other + " was over");
                         }
-                        assertTrue(before > 0 || w.now >= rest[keys.get(id)], "a rest was not kept");
+                        assertTrue(
+                                before > 0 || w.now >= rest[keys.get(id)], "a rest was not kept");
                     }
                 }
             }
--- a/daemon/src/test/java/wheelroute/RulesTest.java
+++ b/daemon/src/test/java/wheelroute/RulesTest.java
@@ -54,10 +54,14 @@
 
     @DataProvider
     public Object[][] blames() {
-        return new Object[][] {{Outcome.ERRED, true}, {Outcome.UNUSABLE, false}, {Outcome.STALE, false}};
+        return new Object[][] {
+            {Outcome.ERRED, true}, {Outcome.UNUSABLE, false}, {Outcome.STALE, false}
+        };
     }
 
-    /** Bad noise teaches nothing: a submission's fault or a connection's is held against no worker. */
+    /**
+     * Bad noise teaches nothing: a submission's fault or a connection's is held against no worker.
+     */
     @Test(dataProvider = "blames")
     public void onlyAWorkersOwnFaultIsHeldAgainstIt(Outcome outcome, boolean blamed) {
         World w = new World(new World.Given()).list(2);
@@ -67,7 +71,8 @@
     @DataProvider
     public Object[][] repeats() {
         return new Object[][] {
-            // group, seconds from the send to the error, second outcome, final word, launches in all
+            // group, seconds from the send to the error, second outcome, final word, launches in
+            // all
             {Group.CELL, 0.1, Outcome.ERRED, "scrap", 3},
             {Group.ZONE, 0.1, Outcome.ERRED, "scrap", 4},
             {Group.ALL, 0.1, Outcome.ERRED, "bounce", 6},
@@ -76,10 +81,13 @@
         };
     }
 
-    /** Every launch may have run: repeats stay in the group, and within its window less the way there. */
+    /**
+     * Every launch may have run: repeats stay in the group, and within its window less the way
+     * there.
+     */
     @Test(dataProvider = "repeats")
-    public void repeatsStayInTheirGroupAndWindow(Group group, double after, Outcome outcome, String end,
-            int most) {
+    public void repeatsStayInTheirGroupAndWindow(
+            Group group, double after, Outcome outcome, String end, int most) {
         World.Given given = new World.Given();
         given.effect = Effect.DEDUPLICATED;
         given.group = group;
@@ -116,7 +124,8 @@
     }
 
     @Test(dataProvider = "deadEnds")
-    public void givesOneAnswerAtOnceAndNothingAfter(int listed, double left, int allowed, int made) {
+    public void givesOneAnswerAtOnceAndNothingAfter(
+            int listed, double left, int allowed, int made) {
         World.Given given = new World.Given();
         given.mostLaunches = allowed;
         World w = new World(given).list(listed);
@@ -187,7 +196,8 @@
     @DataProvider
     public Object[][] coldBudgets() {
         return new Object[][] {
-            // dispatchers, processes of this one, seconds since the start, work each, most of it in a window
+            // dispatchers, processes of this one, seconds since the start, work each, most of it in
+            // a window
             // of 3 s; speed and slots are the standard ones here, so the budget is 4 x warmth x 3 s
             {1, 1, 0.1, 0.3, 12.0 * 0.26},
             {1, 2, 0.1, 0.3, 12.0 * 0.26 / 2},
@@ -198,8 +208,8 @@
     }
 
     @Test(dataProvider = "coldBudgets")
-    public void aColdWorkerGetsNoMoreThanOurShare(int dispatchers, int processes, double age, double work,
-            double most) {
+    public void aColdWorkerGetsNoMoreThanOurShare(
+            int dispatchers, int processes, double age, double work, double most) {
         World.Given given = new World.Given();
         given.dispatchers = dispatchers;
         World w = new World(given);
@@ -222,13 +232,17 @@
     @DataProvider
     public Object[][] carried() {
         return new Object[][] {
-            // answers of 0.3 s each one after the other by two warm workers; how often one slot's budget is
-            // passed for sure, and at most, as ten dispatchers with such traffic keep five slots of each busy
+            // answers of 0.3 s each one after the other by two warm workers; how often one slot's
+            // budget is
+            // passed for sure, and at most, as ten dispatchers with such traffic keep five slots of
+            // each busy
             {2, 0, 1}, {40, 2, 5},
         };
     }
 
-    /** Guards against budgets by the one slot that a dispatcher among many has seen busy at a time. */
+    /**
+     * Guards against budgets by the one slot that a dispatcher among many has seen busy at a time.
+     */
     @Test(dataProvider = "carried")
     public void aColdWorkerIsTakenToCarryWhatOthersOfItsModelDo(int answers, int least, int most) {
         World.Given given = new World.Given();
@@ -244,17 +258,22 @@
             Policy.Handle handle = w.take(0.02);
             if (w.lastWorker() == 1) {
                 sent += 0.02;
-                // Its client leaves, so that neither a queue nor a rest of the worker's stands in the way.
+                // Its client leaves, so that neither a queue nor a rest of the worker's stands in
+                // the way.
                 handle.gone();
                 w.end(handle, 0, Outcome.CANCELLED);
             }
             w.pass(0.02);
         }
         double ofOneSlot = 0.65 * 12 * 0.26 / 10;
-        assertTrue(sent >= least * ofOneSlot && sent <= most * ofOneSlot * 1.1, sent + " by " + ofOneSlot);
+        assertTrue(
+                sent >= least * ofOneSlot && sent <= most * ofOneSlot * 1.1,
+                sent + " by " + ofOneSlot);
     }
 
-    /** Guards against shares of a cold worker's budget that no job fits into, and against their sum. */
+    /**
+     * Guards against shares of a cold worker's budget that no job fits into, and against their sum.
+     */
     @Test
     public void manyDispatchersTakeTurnsAtAColdWorker() {
         List<World> all = new ArrayList<>();
@@ -278,8 +297,11 @@
         }
         for (double[] last : sent) {
             double from = last[0] - 3;
-            double work = sent.stream().filter(s -> s[0] > from && s[0] <= last[0])
-                    .mapToDouble(s -> s[1]).sum();
+            double work =
+                    sent.stream()
+                            .filter(s -> s[0] > from && s[0] <= last[0])
+                            .mapToDouble(s -> s[1])
+                            .sum();
             double warmth = 0.25 + 0.75 * Math.max(0, from) / 20;
             assertTrue(work <= 12 * warmth, work + " in the window that ends at " + last[0]);
         }
@@ -289,7 +311,8 @@
     @DataProvider
     public Object[][] leavings() {
         return new Object[][] {
-            // whether only a drain binds, what the list says of worker 1 in turn, whether it may be sent to
+            // whether only a drain binds, what the list says of worker 1 in turn, whether it may be
+            // sent to
             {false, List.of(Readiness.GONE), false},
             {true, List.of(Readiness.GONE), true},
             {true, List.of(Readiness.LEAVING), false},
@@ -302,7 +325,8 @@
 
     /** Rule 3 where only a drain binds; no entry at all stands for a whole list without it. */
     @Test(dataProvider = "leavings")
-    public void whoIsGoneMayBeSentToWhereOnlyADrainBinds(boolean advice, List<Readiness> told, boolean may) {
+    public void whoIsGoneMayBeSentToWhereOnlyADrainBinds(
+            boolean advice, List<Readiness> told, boolean may) {
         World.Given given = new World.Given();
         given.goneIsAdvice = advice;
         World w = new World(given).list(1);
--- a/daemon/src/test/java/wheelroute/ServedProcess.java
+++ b/daemon/src/test/java/wheelroute/ServedProcess.java
@@ -18,6 +18,7 @@
 public final class ServedProcess implements AutoCloseable {
     private static final Pattern LISTENS = Pattern.compile("listens on .*:(\\d+)$");
     private static final Pattern DOOR = Pattern.compile("operators call .*:(\\d+)$");
+
     /** On a machine with much else to do a start takes some seconds. */
     private static final int UP_SECONDS = 20;
 
@@ -30,14 +31,25 @@
         this.process = process;
     }
 
-    /** With the log of the process joined to its output; a bound on descriptors of 0 is that of the test. */
-    static ProcessBuilder builder(Path directory, String config, int descriptors) throws IOException {
+    /**
+     * With the log of the process joined to its output; a bound on descriptors of 0 is that of the
+     * test.
+     */
+    static ProcessBuilder builder(Path directory, String config, int descriptors)
+            throws IOException {
         Path file = directory.resolve("config.json");
         Files.writeString(file, config);
-        List<String> command = List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx96m", "-cp",
-                System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-                Main.class.getName(), "serve");
+        List<String> command =
+                List.of(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-XX:TieredStopAtLevel=1",
+                        "-Xmx96m",
+                        "-cp",
+                        System.getProperty(
+                                "surefire.test.class.path", System.getProperty("java.class.path")),
+                        Main.class.getName(),
+                        "serve");
         ProcessBuilder builder = new ProcessBuilder(command);
         if (descriptors > 0) {
             // The child's own bound, as a deployment sets it: the shell becomes the process.
@@ -50,7 +62,8 @@
     }
 
     /** Returns once it listens to clients. */
-    public static ServedProcess start(Path directory, String config, int descriptors) throws Exception {
+    public static ServedProcess start(Path directory, String config, int descriptors)
+            throws Exception {
         ServedProcess served = new ServedProcess(builder(directory, config, descriptors).start());
         Thread reader = new Thread(served::read, "log");
         reader.setDaemon(true);
@@ -65,8 +78,9 @@
     }
 
     private void read() {
-        try (BufferedReader lines = new BufferedReader(
-                new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader lines =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 log.add(line);
                 tell(DOOR.matcher(line), door);
--- a/daemon/src/test/java/wheelroute/SignalTest.java
+++ b/daemon/src/test/java/wheelroute/SignalTest.java
@@ -30,16 +30,26 @@
     }
 
     private static Process start(Path directory, int port, String extra) throws IOException {
-        return ServedProcess.builder(directory, "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port
-                + "\",\"admin\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":"
-                + "{\"request_classes\":[{\"name\":\"job\",\"effect\":\"free\"" + extra + "}]}}", 0).start();
+        return ServedProcess.builder(
+                        directory,
+                        "{\"name\":\"n0\",\"listen\":\"127.0.0.1:"
+                                + port
+                                + "\",\"admin\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:1\",\"settings\":"
+                                + "{\"request_classes\":[{\"name\":\"job\",\"effect\":\"free\""
+                                + extra
+                                + "}]}}",
+                        0)
+                .start();
     }
 
     /** Where the processes of that dispatcher meet. */
     private static Path meeting(Path directory, int port) {
         CRC32 crc = new CRC32();
-        crc.update(("n0 " + new InetSocketAddress("127.0.0.1", port)).getBytes(StandardCharsets.UTF_8));
-        return directory.resolve(String.format(Locale.ROOT, "wheelroute-%08x.sock", crc.getValue()));
+        crc.update(
+                ("n0 " + new InetSocketAddress("127.0.0.1", port))
+                        .getBytes(StandardCharsets.UTF_8));
+        return directory.resolve(
+                String.format(Locale.ROOT, "wheelroute-%08x.sock", crc.getValue()));
     }
 
     @DataProvider
@@ -49,8 +59,8 @@
     }
 
     /**
-     * Told to end while it asks a process whose place it takes, it ends in order and never listens; one whose
-     * start fails keeps the exit code for that.
+     * Told to end while it asks a process whose place it takes, it ends in order and never listens;
+     * one whose start fails keeps the exit code for that.
      */
     @Test(dataProvider = "starts", timeOut = PATIENCE)
     public void aStartThatIsToldToEndEndsInOrder(String extra, int code) throws Exception {
@@ -67,7 +77,8 @@
                     // Not by the process itself, which would close what it says.
                     process.toHandle().destroy();
                 }
-                String log = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+                String log =
+                        new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
                 assertEquals(process.waitFor(), code, log);
                 assertFalse(log.contains("n0 listens on"), log);
                 assertTrue(code == 0 || log.contains("hard_limit_us"), log);
--- a/daemon/src/test/java/wheelroute/StandstillTest.java
+++ b/daemon/src/test/java/wheelroute/StandstillTest.java
@@ -28,12 +28,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A process that stands still for a while, as by a signal, a frozen machine or a long collection. */
+/**
+ * A process that stands still for a while, as by a signal, a frozen machine or a long collection.
+ */
 public class StandstillTest {
     private static final int PATIENCE = 60_000;
     private static final double NANOS = 1e9;
+
     /** No attempt begins so long after the time that its client gave. */
     private static final double GRACE = 0.05;
+
     private static final int WORKERS = 40;
     private static final int SLOTS = 4;
     private static final double RATE = 100;
@@ -43,8 +47,10 @@
     private static final double RUN = 1;
 
     private final List<AutoCloseable> open = new ArrayList<>();
+
     /** By id: the time that its client gave, and the attempts that workers were handed. */
     private final Map<String, Double> deadlines = new ConcurrentHashMap<>();
+
     private final Queue<String> late = new ConcurrentLinkedQueue<>();
     private final AtomicInteger attempts = new AtomicInteger();
     private final AtomicInteger answered = new AtomicInteger();
@@ -81,12 +87,13 @@
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         open.add(server);
         AtomicInteger busy = new AtomicInteger();
-        Life.start(() -> {
-            while (true) {
-                Socket socket = server.accept();
-                Life.start(() -> work(socket, busy));
-            }
-        });
+        Life.start(
+                () -> {
+                    while (true) {
+                        Socket socket = server.accept();
+                        Life.start(() -> work(socket, busy));
+                    }
+                });
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
@@ -109,8 +116,11 @@
                 String answer = "HTTP/1.1 503 X\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
                 if (busy.incrementAndGet() <= SLOTS) {
                     String line = "{\"id\":\"" + id + "\",\"state\":\"STATE\",\"result\":\"x\"}";
-                    socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                            + chunk(line.replace("STATE", "started"))).getBytes(StandardCharsets.UTF_8));
+                    socket.getOutputStream()
+                            .write(
+                                    ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                                    + chunk(line.replace("STATE", "started")))
+                                            .getBytes(StandardCharsets.UTF_8));
                     TimeUnit.NANOSECONDS.sleep((long) (RUN * NANOS));
                     answer = chunk(line.replace("STATE", "done")) + "0\r\n\r\n";
                 }
@@ -120,33 +130,49 @@
         }
     }
 
-    private static String config(InetSocketAddress discovery, List<InetSocketAddress> workers,
-            boolean inTurn) {
+    private static String config(
+            InetSocketAddress discovery, List<InetSocketAddress> workers, boolean inTurn) {
         StringBuilder known = new StringBuilder();
         for (InetSocketAddress worker : workers) {
-            known.append(known.length() > 0 ? "," : "").append("{\"id\":\"w").append(worker.getPort())
-                    .append("\",\"addr\":\"127.0.0.1:").append(worker.getPort())
+            known.append(known.length() > 0 ? "," : "")
+                    .append("{\"id\":\"w")
+                    .append(worker.getPort())
+                    .append("\",\"addr\":\"127.0.0.1:")
+                    .append(worker.getPort())
                     .append("\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,\"state\":\"ready\"}");
         }
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"admin\":\"127.0.0.1:0\","
-                + "\"discovery\":\"127.0.0.1:" + discovery.getPort() + "\",\"limits\":{\"sockets\":4096},"
-                + "\"known\":{\"version\":5,\"full\":true,\"servers\":[" + known
-                        + "]},\"settings\":{\"request_classes\":[{\"name\":"
+                + "\"discovery\":\"127.0.0.1:"
+                + discovery.getPort()
+                + "\",\"limits\":{\"sockets\":4096},"
+                + "\"known\":{\"version\":5,\"full\":true,\"servers\":["
+                + known
+                + "]},\"settings\":{\"request_classes\":[{\"name\":"
                 + "\"job\",\"effect\":\"never\",\"on_time_us\":4000000,\"aim_stretch\":3,\"worth\":1,"
-                + "\"one_at_a_time\":" + inTurn + ",\"hard_limit_us\":30000000}],"
+                + "\"one_at_a_time\":"
+                + inTurn
+                + ",\"hard_limit_us\":30000000}],"
                 + "\"family_info\":{\"tells_start\":true},\"permissions\":{"
                 + "\"cancel\":true,\"most_tries\":6,\"connect_timeout_us\":500000}}}";
     }
 
     /** Waits on for whatever is answered, however late, with its connection open. */
-    private void submit(Socket connected, int port, String id, double timeout,
-            CountDownLatch done) throws Exception {
-        try (Socket socket = connected != null ? connected : new Socket(InetAddress.getLoopbackAddress(),
-                port)) {
-            byte[] message = ("POST /job/x HTTP/1.1\r\nHost: a\r\nX-Request-ID: " + id
-                    + "\r\nX-Timeout: " + String.format(Locale.ROOT, "%.3f", timeout) + "\r\nX-Cost: 1000000"
-                    + "\r\nX-Route-Key: k" + id.charAt(id.length() - 1)
-                    + "\r\nContent-Length: 2\r\n\r\nhi").getBytes(StandardCharsets.UTF_8);
+    private void submit(Socket connected, int port, String id, double timeout, CountDownLatch done)
+            throws Exception {
+        try (Socket socket =
+                connected != null
+                        ? connected
+                        : new Socket(InetAddress.getLoopbackAddress(), port)) {
+            byte[] message =
+                    ("POST /job/x HTTP/1.1\r\nHost: a\r\nX-Request-ID: "
+                                    + id
+                                    + "\r\nX-Timeout: "
+                                    + String.format(Locale.ROOT, "%.3f", timeout)
+                                    + "\r\nX-Cost: 1000000"
+                                    + "\r\nX-Route-Key: k"
+                                    + id.charAt(id.length() - 1)
+                                    + "\r\nContent-Length: 2\r\n\r\nhi")
+                            .getBytes(StandardCharsets.UTF_8);
             // From here on: its connection may have taken a while.
             deadlines.put(id, now() + timeout);
             socket.getOutputStream().write(message);
@@ -162,14 +188,17 @@
 
     @DataProvider
     public Object[][] clients() {
-        // How long they wait, whether they come on connections that were opened before, and in lines of keys.
-        return new Object[][] {{2.5, false, false}, {3.8, false, false}, {2.5, true, false},
-            {3.8, true, true}};
+        // How long they wait, whether they come on connections that were opened before, and in
+        // lines of keys.
+        return new Object[][] {
+            {2.5, false, false}, {3.8, false, false}, {2.5, true, false}, {3.8, true, true}
+        };
     }
 
     /** Clients wait on, with their connections open; no attempt begins past what they gave. */
     @Test(dataProvider = "clients", timeOut = PATIENCE)
-    public void nothingBeginsPastItsDeadline(double timeout, boolean kept, boolean inTurn) throws Exception {
+    public void nothingBeginsPastItsDeadline(double timeout, boolean kept, boolean inTurn)
+            throws Exception {
         ServerSocket discovery = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         open.add(discovery);
         List<InetSocketAddress> workers = new ArrayList<>();
@@ -177,15 +206,24 @@
             workers.add(listenAsWorker());
         }
         Path directory = Files.createTempDirectory("wheelroute");
-        ServedProcess process = ServedProcess.start(directory, config((InetSocketAddress)
-                discovery.getLocalSocketAddress(), workers, inTurn), 0);
+        ServedProcess process =
+                ServedProcess.start(
+                        directory,
+                        config(
+                                (InetSocketAddress) discovery.getLocalSocketAddress(),
+                                workers,
+                                inTurn),
+                        0);
         open.add(process);
         int count = (int) (RATE * (BEFORE + STOP + AFTER));
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; kept && i < count; i++) {
             sockets.add(new Socket(InetAddress.getLoopbackAddress(), process.port()));
-            sockets.get(i).getOutputStream().write("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(
-                    StandardCharsets.UTF_8));
+            sockets.get(i)
+                    .getOutputStream()
+                    .write(
+                            "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"
+                                    .getBytes(StandardCharsets.UTF_8));
             read(sockets.get(i).getInputStream());
         }
         CountDownLatch done = new CountDownLatch(count);
@@ -206,7 +244,9 @@
             String id = "j" + i;
             Life.start(() -> submit(socket, process.port(), id, timeout, done));
         }
-        assertTrue(done.await(PATIENCE / 3, TimeUnit.MILLISECONDS), done.getCount() + " without an answer");
+        assertTrue(
+                done.await(PATIENCE / 3, TimeUnit.MILLISECONDS),
+                done.getCount() + " without an answer");
         assertEquals(answered.get(), count);
         assertTrue(late.isEmpty(), "begun too late, of " + attempts + " attempts: " + late);
         // It goes on serving, once it has caught up: until then it may tell anybody to come back.
--- a/daemon/src/test/java/wheelroute/StartScriptTest.java
+++ b/daemon/src/test/java/wheelroute/StartScriptTest.java
@@ -10,15 +10,16 @@
 import org.testng.annotations.Test;
 
 /**
- * The start script with a stand-in for the runtime that prints its flags, and no other program to be found:
- * where forks are refused, a heap that was read through a pipeline was never found.
+ * The start script with a stand-in for the runtime that prints its flags, and no other program to
+ * be found: where forks are refused, a heap that was read through a pipeline was never found.
  */
 public class StartScriptTest {
     private static final Path ROOT = Path.of("").toAbsolutePath().getParent();
 
     @DataProvider
     public Object[][] configurations() {
-        String blanks = "{ \"limits\" :\n\t{ \"cores\": 0.5,\r\n \"memory_mb\" : 100 },\n \"known\": {} }\n";
+        String blanks =
+                "{ \"limits\" :\n\t{ \"cores\": 0.5,\r\n \"memory_mb\" : 100 },\n \"known\": {} }\n";
         return new Object[][] {
             {"{\"limits\":{\"cores\":1.0,\"memory_mb\":80,\"sockets\":9}}", "-Xmx35m"},
             {"{\"known\":{\"servers\":[{\"a\":{}}]},\"limits\":{\"memory_mb\":80}}", "-Xmx35m"},
@@ -27,24 +28,34 @@
             {"{\"limits\":{\"memory_mb\":20}}", "-Xmx16m"},
             {"{\"limits\":{\"memory_mb\":4000}}", "-Xmx96m"},
             // Names of offerings are no keys.
-            {"{\"settings\":{\"request_classes\":[\n{\"name\":\"limits\",\"worth\":1},\n{\"name\":"
-                + "\"memory_mb\",\"worth\":64}]},\n\"limits\":\n{\"memory_mb\":80}}", "-Xmx35m"},
+            {
+                "{\"settings\":{\"request_classes\":[\n{\"name\":\"limits\",\"worth\":1},\n{\"name\":"
+                        + "\"memory_mb\",\"worth\":64}]},\n\"limits\":\n{\"memory_mb\":80}}",
+                "-Xmx35m"
+            },
             {"{\"settings\":{\"memory_mb\":64},\n\"limits\":{\"memory_mb\":80}}", "-Xmx35m"},
             // What is odd gets the usual size: the program says what is wrong with it.
             {"{\"limits\":{\"memory_mb\":\"80\"}}", "-Xmx96m"},
             {"{\"limits\":{\"memory_mb\":12345678901234567890}}", "-Xmx96m"},
             {"{\"limits\":{\"memory_mb\":080}}", "-Xmx96m"},
             {"{\"limits\":{\"cores\":1},\"other\":{\"memory_mb\":64}}", "-Xmx96m"},
-            // Cut in two by the end of a block that is read, wherever in it that falls, and without an end.
+            // Cut in two by the end of a block that is read, wherever in it that falls, and without
+            // an end.
             {" ".repeat(65_536 - 12) + "{\"limits\":{\"memory_mb\":80}}", "-Xmx35m"},
             {" ".repeat(65_536 - 24) + "{\"limits\":{\"memory_mb\":80}}", "-Xmx35m"},
             {" ".repeat(65_536 - 25) + "{\"limits\":{\"memory_mb\":80}}", "-Xmx35m"},
-            {" ".repeat(200_000) + "{\"limits\":{\"memory_mb\":208}," + " ".repeat(100_000)
-                + "\"admin\":\"127.0.0.1:1\"}", "-Xmx59m"},
+            {
+                " ".repeat(200_000)
+                        + "{\"limits\":{\"memory_mb\":208},"
+                        + " ".repeat(100_000)
+                        + "\"admin\":\"127.0.0.1:1\"}",
+                "-Xmx59m"
+            },
             {"{\"limits\":{\"memory_mb\":80", "-Xmx96m"},
             {"* $(echo) `echo` \\", "-Xmx96m"},
             {"", "-Xmx96m"},
-            // Two processes share what one has: half of it each, with a door in the file or the environment.
+            // Two processes share what one has: half of it each, with a door in the file or the
+            // environment.
             {"{\"admin\":\"127.0.0.1:1\",\"limits\":{\"memory_mb\":208}}", "-Xmx59m"},
             {"{\"admin\" : \"127.0.0.1:1\", \"limits\":{\"memory_mb\":72}}", "-Xmx16m"},
         };
@@ -62,7 +73,8 @@
     @Test
     public void aDoorInTheEnvironmentHalvesTheMemory() throws Exception {
         Path dir = Files.createTempDirectory("start");
-        Path file = Files.writeString(dir.resolve("config.json"), "{\"limits\":{\"memory_mb\":144}}");
+        Path file =
+                Files.writeString(dir.resolve("config.json"), "{\"limits\":{\"memory_mb\":144}}");
         Result result = start(dir, Map.of("LB_CONFIG", file.toString(), "LB_ADMIN", "127.0.0.1:1"));
         assertTrue(result.text.contains(" -Xmx27m "), result.text);
     }
@@ -84,13 +96,13 @@
         assertTrue(result.text.contains("LB_CONFIG: names no configuration file"), result.text);
     }
 
-    private record Result(int code, String text) {
-    }
+    private record Result(int code, String text) {}
 
     private static Result start(Path dir, Map<String, String> variables) throws Exception {
         Path runtime = Files.writeString(dir.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
         assertTrue(runtime.toFile().setExecutable(true));
-        ProcessBuilder builder = new ProcessBuilder("/bin/bash", ROOT.resolve("deploy/run.sh").toString());
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/bash", ROOT.resolve("deploy/run.sh").toString());
         builder.environment().clear();
         builder.environment().put("PATH", dir.toString());
         builder.environment().putAll(variables);
--- a/daemon/src/test/java/wheelroute/World.java
+++ b/daemon/src/test/java/wheelroute/World.java
@@ -42,25 +42,66 @@
         double patientValue = 3;
 
         public Settings settings() {
-            return new Settings(7, new Ids.Zone("here"), dispatchers, position, 0.005,
-                    List.of(new Settings.Offering(
-                    new Ids.Offering("job"), effect, group, 1, 2, 3, 0.3, window, null,
-                    inTurn),
-                    new Settings.Offering(new Ids.Offering("patient"), effect, group, 8, 2,
-                    patientValue, 0.3,
-                    window, null, inTurn)),
-                    Map.of(new Ids.Tenant("t"), 10.0, new Ids.Tenant("greedy"), 10.0), 0.1, mustAsk,
-                    tellsStart, progressEvery, true, true, mayCopy, retryAfter > 0,
-                    retryAfter, mostLaunches, 0.25, 20, 4, 3, 0, 0, goneIsAdvice, keyRest);
+            return new Settings(
+                    7,
+                    new Ids.Zone("here"),
+                    dispatchers,
+                    position,
+                    0.005,
+                    List.of(
+                            new Settings.Offering(
+                                    new Ids.Offering("job"),
+                                    effect,
+                                    group,
+                                    1,
+                                    2,
+                                    3,
+                                    0.3,
+                                    window,
+                                    null,
+                                    inTurn),
+                            new Settings.Offering(
+                                    new Ids.Offering("patient"),
+                                    effect,
+                                    group,
+                                    8,
+                                    2,
+                                    patientValue,
+                                    0.3,
+                                    window,
+                                    null,
+                                    inTurn)),
+                    Map.of(new Ids.Tenant("t"), 10.0, new Ids.Tenant("greedy"), 10.0),
+                    0.1,
+                    mustAsk,
+                    tellsStart,
+                    progressEvery,
+                    true,
+                    true,
+                    mayCopy,
+                    retryAfter > 0,
+                    retryAfter,
+                    mostLaunches,
+                    0.25,
+                    20,
+                    4,
+                    3,
+                    0,
+                    0,
+                    goneIsAdvice,
+                    keyRest);
         }
     }
 
     final Policy policy;
     final List<String> did = new ArrayList<>();
+
     /** When wakes were asked for. */
     final List<Double> wakes = new ArrayList<>();
+
     /** The last bounce's advice. */
     double advised;
+
     double now = START;
     private long lastId;
 
@@ -85,15 +126,29 @@
         return new World(given);
     }
 
-    static Listing worker(long id, long cell, String zone, double startedAt, Listing.Readiness readiness) {
-        return new Listing(new Ids.Worker(id), new Ids.Model("m"), 1, new Ids.Zone(zone), startedAt,
-                new Ids.Cell(cell), readiness);
+    static Listing worker(
+            long id, long cell, String zone, double startedAt, Listing.Readiness readiness) {
+        return new Listing(
+                new Ids.Worker(id),
+                new Ids.Model("m"),
+                1,
+                new Ids.Zone(zone),
+                startedAt,
+                new Ids.Cell(cell),
+                readiness);
     }
 
-    /** Workers 1 and 2 share a cell; 3 shares their zone; 4 is elsewhere. The first so many are listed. */
+    /**
+     * Workers 1 and 2 share a cell; 3 shares their zone; 4 is elsewhere. The first so many are
+     * listed.
+     */
     World list(int count) {
-        List<Listing> all = List.of(active(1, 1, "here"), active(2, 1, "here"), active(3, 2, "here"),
-                active(4, 3, "there"));
+        List<Listing> all =
+                List.of(
+                        active(1, 1, "here"),
+                        active(2, 1, "here"),
+                        active(3, 2, "here"),
+                        active(4, 3, "there"));
         policy.listed(all.subList(0, count), true);
         return this;
     }
@@ -139,9 +194,17 @@
     }
 
     Policy.Handle take(String offering, String tenant, double hint, double outerLimit, String key) {
-        return policy.take(new Submission(new Ids.Submission(++lastId), new Ids.Offering(offering),
-                new Ids.Tenant(tenant), outerLimit, hint, 1, 0, false,
-                key == null ? null : new Ids.Key(key)));
+        return policy.take(
+                new Submission(
+                        new Ids.Submission(++lastId),
+                        new Ids.Offering(offering),
+                        new Ids.Tenant(tenant),
+                        outerLimit,
+                        hint,
+                        1,
+                        0,
+                        false,
+                        key == null ? null : new Ids.Key(key)));
     }
 
     void end(Policy.Handle handle, int launch, Outcome outcome) {
@@ -197,7 +260,9 @@
     /** The worker of the last launch, or 0 if what was done last is no launch. */
     long lastWorker() {
         String last = last();
-        return last.startsWith("launch ") ? Long.parseLong(last.substring(last.lastIndexOf(' ') + 1)) : 0;
+        return last.startsWith("launch ")
+                ? Long.parseLong(last.substring(last.lastIndexOf(' ') + 1))
+                : 0;
     }
 
     long count(String what) {
--- a/daemon/src/test/java/wheelroute/decision/HomesTest.java
+++ b/daemon/src/test/java/wheelroute/decision/HomesTest.java
@@ -17,8 +17,14 @@
     private static final int KEYS = 400;
 
     private static Listing worker(long id, String model, double size) {
-        return new Listing(new Ids.Worker(id), new Ids.Model(model), size, new Ids.Zone("z"), Double.NaN,
-                new Ids.Cell(0), Listing.Readiness.ACTIVE);
+        return new Listing(
+                new Ids.Worker(id),
+                new Ids.Model(model),
+                size,
+                new Ids.Zone("z"),
+                Double.NaN,
+                new Ids.Cell(0),
+                Listing.Readiness.ACTIVE);
     }
 
     private static List<Listing> fleet(int count) {
@@ -77,8 +83,9 @@
     public void aModelsJobsHaveHomesAmongItsWorkers() {
         Homes<Listing> homes = homes(fleet(20));
         for (int i = 0; i < KEYS; i++) {
-            assertTrue(homes.of(key(i)).ranked(new Ids.Model("odd")).stream()
-                    .allMatch(w -> w.model().name().equals("odd")));
+            assertTrue(
+                    homes.of(key(i)).ranked(new Ids.Model("odd")).stream()
+                            .allMatch(w -> w.model().name().equals("odd")));
         }
         assertEquals(homes.of(key(0)).ranked(new Ids.Model("none")), List.of());
     }
@@ -141,7 +148,8 @@
     @DataProvider
     public Object[][] fetches() {
         return new Object[][] {
-            // how much longer a run away from home takes, the least and the most that is learned, in seconds
+            // how much longer a run away from home takes, the least and the most that is learned,
+            // in seconds
             {0.0, 0.0, 0.01},
             {0.5, 0.45, 0.55},
             {3.0, 2.8, 3.2},
--- a/daemon/src/test/java/wheelroute/limits/ColdBudgetTest.java
+++ b/daemon/src/test/java/wheelroute/limits/ColdBudgetTest.java
@@ -33,13 +33,23 @@
         };
     }
 
-    /** The most that came within any window, in parts of what the settings allow; and all that came. */
-    private static double[] sent(int dispatchers, int processes, boolean placed, double[] capacity,
-            double[] mean, double draw, long seed) {
+    /**
+     * The most that came within any window, in parts of what the settings allow; and all that came.
+     */
+    private static double[] sent(
+            int dispatchers,
+            int processes,
+            boolean placed,
+            double[] capacity,
+            double[] mean,
+            double draw,
+            long seed) {
         List<ColdBudget> all = new ArrayList<>();
         for (int i = 0; i < dispatchers * processes; i++) {
-            ColdBudget budget = new ColdBudget(new ColdBudget.Terms(dispatchers, placed ? i / processes : -1,
-                    MULTIPLE, WINDOW));
+            ColdBudget budget =
+                    new ColdBudget(
+                            new ColdBudget.Terms(
+                                    dispatchers, placed ? i / processes : -1, MULTIPLE, WINDOW));
             budget.started(START, draw);
             all.add(budget);
         }
@@ -54,8 +64,13 @@
                 // Sizes are heavy-tailed, as they are in service.
                 double work = -Math.log(1 - random.nextDouble());
                 int kind = i / processes % capacity.length;
-                if (all.get(i).holds(now, work, capacity[kind] / processes, mean[kind],
-                        alone(i / processes, dispatchers))) {
+                if (all.get(i)
+                        .holds(
+                                now,
+                                work,
+                                capacity[kind] / processes,
+                                mean[kind],
+                                alone(i / processes, dispatchers))) {
                     all.get(i).sent(now, work);
                     window.addLast(new double[] {now, work});
                     sum += work;
@@ -73,7 +88,8 @@
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
-            // dispatchers, processes of each, whether they know their places, the worker's work in a window
+            // dispatchers, processes of each, whether they know their places, the worker's work in
+            // a window
             {1, 1, false, 2.0}, {3, 1, true, 2.0}, {3, 2, true, 8.0}, {10, 1, false, 30.0},
             {10, 1, true, 3.0}, {20, 1, true, 0.8}, {20, 1, true, 3.0}, {30, 1, true, 3.0},
             {30, 2, true, 6.0}, {30, 1, true, 20.0}, {30, 1, true, 60.0}, {100, 1, true, 10.0},
@@ -82,23 +98,45 @@
 
     /** The sum keeps to the budget in every window; and not so that the worker is hardly used. */
     @Test(dataProvider = "fleets")
-    public void allTogetherKeepToTheBudget(int dispatchers, int processes, boolean placed, double capacity) {
-        double[] sent = sent(dispatchers, processes, placed, new double[] {capacity}, new double[] {1}, 0.4,
-                dispatchers);
-        assertTrue(sent[0] <= USE * MULTIPLE * capacity * 1.000001, sent[0] + " of " + MULTIPLE * capacity);
+    public void allTogetherKeepToTheBudget(
+            int dispatchers, int processes, boolean placed, double capacity) {
+        double[] sent =
+                sent(
+                        dispatchers,
+                        processes,
+                        placed,
+                        new double[] {capacity},
+                        new double[] {1},
+                        0.4,
+                        dispatchers);
+        assertTrue(
+                sent[0] <= USE * MULTIPLE * capacity * 1.000001,
+                sent[0] + " of " + MULTIPLE * capacity);
         double windows = STEPS * STEP / WINDOW;
-        assertTrue(sent[1] > 0.25 * USE * MULTIPLE * capacity * windows, "only " + sent[1] / windows
-                + " a window");
+        assertTrue(
+                sent[1] > 0.25 * USE * MULTIPLE * capacity * windows,
+                "only " + sent[1] / windows + " a window");
     }
 
-    /** Where dispatchers estimate differently the mean over the starts keeps to it, and none goes past N. */
+    /**
+     * Where dispatchers estimate differently the mean over the starts keeps to it, and none goes
+     * past N.
+     */
     @Test
     public void estimatesThatDifferKeepToItInTheMean() {
         double sum = 0;
         double most = 0;
         int starts = 60;
         for (int i = 0; i < starts; i++) {
-            double[] sent = sent(30, 1, true, new double[] {8, 2, 4}, new double[] {1, 0.5, 2}, i / 60.0, i);
+            double[] sent =
+                    sent(
+                            30,
+                            1,
+                            true,
+                            new double[] {8, 2, 4},
+                            new double[] {1, 0.5, 2},
+                            i / 60.0,
+                            i);
             sum += sent[1] / (STEPS * STEP / WINDOW);
             most = Math.max(most, sent[0]);
         }
@@ -110,12 +148,15 @@
     @DataProvider
     public Object[][] before() {
         return new Object[][] {
-            // when it sent 4 of the 4 that it may, against the start; whether that counts once it is told
+            // when it sent 4 of the 4 that it may, against the start; whether that counts once it
+            // is told
             {-0.5, false}, {0.5, true},
         };
     }
 
-    /** Guards against a dispatcher that sends its part on top of what it sent before it was told. */
+    /**
+     * Guards against a dispatcher that sends its part on top of what it sent before it was told.
+     */
     @Test(dataProvider = "before")
     public void whatWentBeforeTheStartWasToldCounts(double at, boolean counts) {
         ColdBudget budget = new ColdBudget(new ColdBudget.Terms(1, 0, MULTIPLE, WINDOW));
--- a/daemon/src/test/java/wheelroute/limits/PlacesTest.java
+++ b/daemon/src/test/java/wheelroute/limits/PlacesTest.java
@@ -9,7 +9,10 @@
 import org.testng.annotations.Test;
 import wheelroute.limits.Places.Stage;
 
-/** Four places: who makes room for a fifth. Each row tells what came, as "name stage time", in its order. */
+/**
+ * Four places: who makes room for a fifth. Each row tells what came, as "name stage time", in its
+ * order.
+ */
 public class PlacesTest {
     private static final int MOST = 4;
     private static final double NOW = 10;
@@ -23,7 +26,9 @@
             if (words[1].equals("gone")) {
                 places.closed(words[0]);
             } else {
-                places.is(words[0], Stage.valueOf(words[1].toUpperCase(java.util.Locale.ROOT)),
+                places.is(
+                        words[0],
+                        Stage.valueOf(words[1].toUpperCase(java.util.Locale.ROOT)),
                         Double.parseDouble(words[2]));
             }
         }
@@ -60,31 +65,45 @@
         assertEquals(places.makesRoom(NOW, unread::contains).orElse(""), who);
     }
 
-    /** Reading what lies unread may take a connection on to another stage, or end it, amid the choice. */
+    /**
+     * Reading what lies unread may take a connection on to another stage, or end it, amid the
+     * choice.
+     */
     @Test
     public void whoMovesOnAsItIsReadKeepsItsPlace() {
         Places<String> places = places("a unknown 1, b unknown 2, c unknown 3, d held 1");
-        assertEquals(places.makesRoom(NOW, name -> {
-            if (name.equals("a")) {
-                places.is("a", Stage.HELD, NOW);
-                places.closed("b");
-            }
-            return name.equals("a");
-        }).orElse(""), "c");
+        assertEquals(
+                places.makesRoom(
+                                NOW,
+                                name -> {
+                                    if (name.equals("a")) {
+                                        places.is("a", Stage.HELD, NOW);
+                                        places.closed("b");
+                                    }
+                                    return name.equals("a");
+                                })
+                        .orElse(""),
+                "c");
         assertEquals(places.taken(), 3);
     }
 
     @DataProvider
     public Object[][] expecting() {
         return new Object[][] {
-            {"a known 1, b held 1, c leaving 9.99, d visitor 9.99", false}, {"a begun 1", false},
-            {"a begun 9.1", true}, {"a begun 1, a begun 9.5", true}, {"a unknown 9", false},
-            {"a unknown 9.9", true}, {"a begun 9.5, a held 9.6", false},
+            {"a known 1, b held 1, c leaving 9.99, d visitor 9.99", false},
+            {"a begun 1", false},
+            {"a begun 9.1", true},
+            {"a begun 1, a begun 9.5", true},
+            {"a unknown 9", false},
+            {"a unknown 9.9", true},
+            {"a begun 9.5, a held 9.6", false},
             {"a unknown 9, b unknown 9.9, b gone", false},
         };
     }
 
-    /** What a process that ends must wait for: a message under way, not a stranger who says nothing. */
+    /**
+     * What a process that ends must wait for: a message under way, not a stranger who says nothing.
+     */
     @Test(dataProvider = "expecting")
     public void aMessageUnderWayIsExpected(String came, boolean expects) {
         assertEquals(places(came).expects(NOW), expects);
--- a/daemon/src/test/java/wheelroute/list/BackoffTest.java
+++ b/daemon/src/test/java/wheelroute/list/BackoffTest.java
@@ -65,14 +65,16 @@
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
-            // dispatchers, how long each failing call takes, answers a second that discovery can give
+            // dispatchers, how long each failing call takes, answers a second that discovery can
+            // give
             {100, 0.0, 45}, {300, 0.0, 135}, {300, Backoff.PATIENCE, 200}, {300, 0.25, 140},
         };
     }
 
     /**
-     * All lose discovery in one moment, and it returns 17 s later with a queue for its callers. It works
-     * through the calls that were given up, too. Nobody gives up a call then, and all have the list in time.
+     * All lose discovery in one moment, and it returns 17 s later with a queue for its callers. It
+     * works through the calls that were given up, too. Nobody gives up a call then, and all have
+     * the list in time.
      */
     @Test(dataProvider = "fleets")
     public void afterAnOutageNobodyAsksTwice(int dispatchers, double took, double answersASecond) {
@@ -108,7 +110,10 @@
         assertTrue(last - returns <= 4.8, "the last answer after " + (last - returns));
     }
 
-    /** They part although they fail together and take equally long: in no tenth of a second do many ask. */
+    /**
+     * They part although they fail together and take equally long: in no tenth of a second do many
+     * ask.
+     */
     @Test
     public void thoseThatFailTogetherAskApart() {
         int dispatchers = 300;
--- a/daemon/src/test/java/wheelroute/net/DiscoveryReturnTest.java
+++ b/daemon/src/test/java/wheelroute/net/DiscoveryReturnTest.java
@@ -4,7 +4,6 @@
 
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
-import java.net.Socket;
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicBoolean;
@@ -13,16 +12,23 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Effect;
 
-/** Discovery is away for a while, in each way in which it can be, and its news come in time at its return. */
+/**
+ * Discovery is away for a while, in each way in which it can be, and its news come in time at its
+ * return.
+ */
 public class DiscoveryReturnTest extends ServiceHarness {
     private static final double OUTAGE = 17;
     private static final double STEP = 0.1;
+
     /** From its return to the whole answer, whatever was drawn; news count as told after 6 s. */
     private static final double IN_TIME = 4.8;
+
     /** How often it goes and returns: each time other pauses are drawn. */
     private static final int RETURNS = 3;
+
     private static final String BUSY = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
-    private static final String HALF = "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":6,";
+    private static final String HALF =
+            "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":6,";
 
     private static final Counters.Kind CALLS = Counters.Kind.LIST_CALLS;
     private static final Counters.Kind FAILURES = Counters.Kind.LIST_FAILURES;
@@ -31,13 +37,21 @@
     private long version = 5;
 
     private enum Away {
-        REFUSES, ANSWERS_503, IS_SILENT, STOPS_HALFWAY, HANGS_UP, DOES_NOT_SHAKE_HANDS
+        REFUSES,
+        ANSWERS_503,
+        IS_SILENT,
+        STOPS_HALFWAY,
+        HANGS_UP,
+        DOES_NOT_SHAKE_HANDS
     }
 
     private enum Returns {
         /** The moment at which a call has failed: all of the pause is to come. */
         AFTER_A_FAILURE,
-        /** The moment at which a call went out, or would have: all that it takes to fail is to come, too. */
+        /**
+         * The moment at which a call went out, or would have: all that it takes to fail is to come,
+         * too.
+         */
         AFTER_A_CALL
     }
 
@@ -47,8 +61,10 @@
             {Away.REFUSES, Returns.AFTER_A_FAILURE},
             {Away.ANSWERS_503, Returns.AFTER_A_FAILURE},
             {Away.HANGS_UP, Returns.AFTER_A_FAILURE},
-            {Away.IS_SILENT, Returns.AFTER_A_FAILURE}, {Away.IS_SILENT, Returns.AFTER_A_CALL},
-            {Away.STOPS_HALFWAY, Returns.AFTER_A_FAILURE}, {Away.STOPS_HALFWAY, Returns.AFTER_A_CALL},
+            {Away.IS_SILENT, Returns.AFTER_A_FAILURE},
+            {Away.IS_SILENT, Returns.AFTER_A_CALL},
+            {Away.STOPS_HALFWAY, Returns.AFTER_A_FAILURE},
+            {Away.STOPS_HALFWAY, Returns.AFTER_A_CALL},
             // It has no call to return after: what it then asks goes out as the handshake comes up.
             {Away.DOES_NOT_SHAKE_HANDS, Returns.AFTER_A_FAILURE},
         };
@@ -73,7 +89,7 @@
             }
             // Goes on until the worst moment for a return.
             Counters.Kind moment = when == Returns.AFTER_A_FAILURE ? FAILURES : CALLS;
-            for (long before = figure(moment); figure(moment) == before;) {
+            for (long before = figure(moment); figure(moment) == before; ) {
                 step();
             }
             returns(away, worker, i % 2 == 0);
@@ -135,8 +151,9 @@
     }
 
     private void returns(Away away, InetSocketAddress worker, boolean two) throws Exception {
-        String list = (two ? known(worker, new InetSocketAddress(worker.getAddress(), 9)) : known(worker))
-                .replace("\"version\":5", "\"version\":" + ++version);
+        String list =
+                (two ? known(worker, new InetSocketAddress(worker.getAddress(), 9)) : known(worker))
+                        .replace("\"version\":5", "\"version\":" + ++version);
         answerOnce(list);
         if (away == Away.REFUSES) {
             discovery.listen(refused);
--- a/daemon/src/test/java/wheelroute/net/HeldLoop.java
+++ b/daemon/src/test/java/wheelroute/net/HeldLoop.java
@@ -20,15 +20,21 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.Scheduler;
 
-/** A loop that lets a test say in which order things happen: what would come at any time waits until told. */
+/**
+ * A loop that lets a test say in which order things happen: what would come at any time waits until
+ * told.
+ */
 final class HeldLoop extends Loop {
     /** The connections that wait to be made, in their order. */
     final BlockingQueue<SocketAddress> connecting = new LinkedBlockingQueue<>();
+
     private final Queue<Runnable> connects = new ConcurrentLinkedQueue<>();
     private final Set<SocketAddress> held = ConcurrentHashMap.newKeySet();
     private final Set<Integer> unread = ConcurrentHashMap.newKeySet();
+
     /** On all connections. */
     final AtomicLong bytesRead = new AtomicLong();
+
     private final StepClock clock;
 
     HeldLoop(StepClock clock, double connectLimit) {
@@ -55,14 +61,18 @@
     /** The same for connections only. */
     void goOnConnecting() {
         held.clear();
-        post(() -> {
-            for (Runnable next = connects.poll(); next != null; next = connects.poll()) {
-                next.run();
-            }
-        });
+        post(
+                () -> {
+                    for (Runnable next = connects.poll(); next != null; next = connects.poll()) {
+                        next.run();
+                    }
+                });
     }
 
-    /** Lets so much time pass while the clock is stopped, and returns when what it made due has been done. */
+    /**
+     * Lets so much time pass while the clock is stopped, and returns when what it made due has been
+     * done.
+     */
     void step(double seconds) throws InterruptedException {
         // What is being done is done at the time at which it began.
         settle();
@@ -91,8 +101,8 @@
     }
 
     @Override
-    protected EndPoint endPoint(SocketChannel channel, ManagedSelector s, SelectionKey key,
-            Scheduler timers) {
+    protected EndPoint endPoint(
+            SocketChannel channel, ManagedSelector s, SelectionKey key, Scheduler timers) {
         return new SocketChannelEndPoint(channel, s, key, timers) {
             @Override
             public void fillInterested(Callback callback) {
--- a/daemon/src/test/java/wheelroute/net/LeaversTest.java
+++ b/daemon/src/test/java/wheelroute/net/LeaversTest.java
@@ -22,18 +22,25 @@
 import wheelroute.config.Config;
 import wheelroute.decision.Effect;
 
-/** A client leaves while its submission waits for an attempt, and none begins for it, by whatever way. */
+/**
+ * A client leaves while its submission waits for an attempt, and none begins for it, by whatever
+ * way.
+ */
 public class LeaversTest extends ServiceHarness {
     /** Far over what one look reads, and under what is read ahead of a turn. */
     private static final String MORE = "x".repeat(20_000);
+
     private static final int WORKERS = 3;
+
     /** Descriptors, for 16 clients. */
     private static final int FEW = 72;
+
     private static final int PLACES = 16;
 
-    private static final String GONE = "{\"version\":6,\"full\":false,\"servers\":[{\"id\":\"wPORT\","
-            + "\"addr\":\"127.0.0.1:PORT\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,"
-            + "\"state\":\"gone\"}]}";
+    private static final String GONE =
+            "{\"version\":6,\"full\":false,\"servers\":[{\"id\":\"wPORT\","
+                    + "\"addr\":\"127.0.0.1:PORT\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,"
+                    + "\"state\":\"gone\"}]}";
 
     /** How its client leaves; none of it is heard until something looks. */
     private enum Leaving {
@@ -87,7 +94,8 @@
     }
 
     private static String job(int id) {
-        return post(10).replace("77", Integer.toString(id)).replace("X-Cost", "X-Route-Key: a\r\nX-Cost");
+        return post(10).replace("77", Integer.toString(id))
+                .replace("X-Cost", "X-Route-Key: a\r\nX-Cost");
     }
 
     private static void send(Socket socket, String text) throws IOException {
@@ -127,7 +135,7 @@
             send(client, MORE);
         }
         switch (leaving) {
-            case STAYS -> { }
+            case STAYS -> {}
             case HALF_CLOSES, HALF_CLOSES_AHEAD -> client.shutdownOutput();
             case RESETS, RESETS_AHEAD -> {
                 client.setSoLinger(true, 0);
@@ -147,15 +155,31 @@
         hasDoor = wait == Wait.LINE_IN_A_HANDOVER;
         mayCopy = wait == Wait.COPY;
         boolean again = wait == Wait.SECOND || wait == Wait.COPY;
-        serve(again ? Effect.IDEMPOTENT : Effect.UNREPEATABLE, wait == Wait.PLACE ? FEW : 1024, known(
-                addresses.toArray(new InetSocketAddress[0])), 2);
+        serve(
+                again ? Effect.IDEMPOTENT : Effect.UNREPEATABLE,
+                wait == Wait.PLACE ? FEW : 1024,
+                known(addresses.toArray(new InetSocketAddress[0])),
+                2);
         if (hasDoor) {
             // On the port that it got, so that another process can listen there as well.
             service.drain();
             meeting = Files.createTempDirectory("meet");
-            config = new Config("n0", new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                    config.discovery(), config.admin(), meeting, 1024, Double.NaN, config.known(),
-                    config.settings(), 0.5, 10, longest, false, null);
+            config =
+                    new Config(
+                            "n0",
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                            config.discovery(),
+                            config.admin(),
+                            meeting,
+                            1024,
+                            Double.NaN,
+                            config.known(),
+                            config.settings(),
+                            0.5,
+                            10,
+                            longest,
+                            false,
+                            null);
             loop = new HeldLoop(clock, 0.5);
             service = new Service(config, loop);
             service.start();
@@ -175,17 +199,20 @@
             CompletableFuture<Void> begun = new CompletableFuture<>();
             drain(service);
             while (!begun.isDone()) {
-                loop.post(() -> {
-                    if (service.whyNotReady() != null) {
-                        begun.complete(null);
-                    }
-                });
+                loop.post(
+                        () -> {
+                            if (service.whyNotReady() != null) {
+                                begun.complete(null);
+                            }
+                        });
                 loop.settle();
             }
         }
     }
 
-    /** No attempt begins for a client that left, whose end lies unread as its attempt would begin. */
+    /**
+     * No attempt begins for a client that left, whose end lies unread as its attempt would begin.
+     */
     @Test(dataProvider = "leavers", timeOut = PATIENCE)
     public void noAttemptBeginsForWhoLeft(Wait wait, Leaving leaving) throws Exception {
         Set<SocketAddress> addresses = Collections.newSetFromMap(new LinkedHashMap<>());
@@ -204,13 +231,14 @@
         Socket client = wait == Wait.PLACE ? null : leaver(leaving);
         if (wait == Wait.TURN || wait == Wait.PLACE) {
             CountDownLatch goesOn = new CountDownLatch(1);
-            loop.post(() -> {
-                try {
-                    goesOn.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
+            loop.post(
+                    () -> {
+                        try {
+                            goesOn.await();
+                        } catch (InterruptedException e) {
+                            Thread.currentThread().interrupt();
+                        }
+                    });
             client = wait == Wait.PLACE ? connect() : client;
             send(client, job(12));
             leave(client, leaving);
@@ -252,7 +280,8 @@
                 LockSupport.parkNanos(1_000_000);
             }
             awaitOpen(0);
-            assertEquals(service.counters().value(Counters.Kind.WRITTEN), before, "written for nobody");
+            assertEquals(
+                    service.counters().value(Counters.Kind.WRITTEN), before, "written for nobody");
             assertEquals(workers.messages.get(), before);
         }
     }
--- a/daemon/src/test/java/wheelroute/net/LinkTest.java
+++ b/daemon/src/test/java/wheelroute/net/LinkTest.java
@@ -12,31 +12,33 @@
     @Test
     public void leavesTheOthersTheirTurns() {
         int[] reads = new int[1];
-        ByteArrayEndPoint endless = new ByteArrayEndPoint() {
-            @Override
-            public int fill(ByteBuffer buffer) {
-                reads[0]++;
-                return 1;
-            }
-        };
-        Link link = new Link(endless, new Loop(new Clock(), 1)) {
-            @Override
-            protected void received(ByteBuffer in) {
-                if (reads[0] > 100) {
-                    throw new IllegalStateException("it never ends");
-                }
-            }
+        ByteArrayEndPoint endless =
+                new ByteArrayEndPoint() {
+                    @Override
+                    public int fill(ByteBuffer buffer) {
+                        reads[0]++;
+                        return 1;
+                    }
+                };
+        Link link =
+                new Link(endless, new Loop(new Clock(), 1)) {
+                    @Override
+                    protected void received(ByteBuffer in) {
+                        if (reads[0] > 100) {
+                            throw new IllegalStateException("it never ends");
+                        }
+                    }
 
-            @Override
-            protected void atEnd() {
-                // Such a sender has none.
-            }
+                    @Override
+                    protected void atEnd() {
+                        // Such a sender has none.
+                    }
 
-            @Override
-            protected void broke(Throwable cause) {
-                reads[0] = -1;
-            }
-        };
+                    @Override
+                    protected void broke(Throwable cause) {
+                        reads[0] = -1;
+                    }
+                };
         endless.setConnection(link);
         link.onFillable();
         assertEquals(reads[0], 4);
--- a/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
+++ b/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
@@ -28,10 +28,17 @@
 import wheelroute.net.clients.ClientMessage;
 import wheelroute.net.clients.Submitters;
 
-/** Two events that cross, each put into the order that does harm: docs/narrow-moments.md tells of each. */
+/**
+ * Two events that cross, each put into the order that does harm: docs/narrow-moments.md tells of
+ * each.
+ */
 public class NarrowMomentsTest extends ServiceHarness {
-    /** At the clock, from the reading of a message until all of its answer is out, are fewer than these. */
+    /**
+     * At the clock, from the reading of a message until all of its answer is out, are fewer than
+     * these.
+     */
     private static final int MOST_LOOKS = 80;
+
     /** Longer than any connection's rest, shorter than any outer limit. */
     private static final double WHILE = 0.2;
 
@@ -65,7 +72,9 @@
     // ---- clients that leave while they wait
 
     private enum Leaving {
-        CLOSE, HALF_CLOSE, RESET
+        CLOSE,
+        HALF_CLOSE,
+        RESET
     }
 
     @DataProvider
@@ -93,14 +102,18 @@
                 client.close();
             }
         }
-        assertNotEquals(workers.closed.poll(PATIENCE / 2, TimeUnit.MILLISECONDS), null, "still out");
+        assertNotEquals(
+                workers.closed.poll(PATIENCE / 2, TimeUnit.MILLISECONDS), null, "still out");
         assertEquals(metric("clients_gone_total"), 1);
         assertEquals(metric("launch_ends_total{end=\"called_off\"}"), 1);
         assertEquals(metric("launches_total"), 1);
         assertEquals(metric("submissions_open"), 0);
     }
 
-    /** What came before its turn is read no further than to a bound, and answered whole, in its order. */
+    /**
+     * What came before its turn is read no further than to a bound, and answered whole, in its
+     * order.
+     */
     @Test(timeOut = PATIENCE)
     public void whatComesAheadIsAnsweredInItsTurn() throws Exception {
         workers.answers.add(DONE);
@@ -114,7 +127,9 @@
         assertTrue(read(client.getInputStream()).endsWith("\r\n\r\nfine"));
     }
 
-    /** Who sends much behind its message takes the room of who does the same, and of nobody else. */
+    /**
+     * Who sends much behind its message takes the room of who does the same, and of nobody else.
+     */
     @Test(timeOut = PATIENCE)
     public void aCrowdThatSendsAheadKeepsNobodyOut() throws Exception {
         // No worker is to be taken for a silent one.
@@ -138,7 +153,7 @@
             }
         }
         // All of it has come, and is more than there is room for: it is read until there is none.
-        for (long before = -1; before != loop.bytesRead.get();) {
+        for (long before = -1; before != loop.bytesRead.get(); ) {
             before = loop.bytesRead.get();
             for (int i = 0; i < 10; i++) {
                 loop.settle();
@@ -190,10 +205,12 @@
 
     @DataProvider
     public Object[][] listings() {
-        String entry = "{\"version\":6,\"full\":false,\"servers\":[{\"id\":\"wPORT\",\"addr\":"
-                + "\"127.0.0.1:PORT\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,\"state\":\"STATE\"}]}";
-        String whole = "{\"version\":6,\"full\":true,\"servers\":[{\"id\":\"wOTHER\",\"addr\":"
-                + "\"127.0.0.1:OTHER\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,\"state\":\"ready\"}]}";
+        String entry =
+                "{\"version\":6,\"full\":false,\"servers\":[{\"id\":\"wPORT\",\"addr\":"
+                        + "\"127.0.0.1:PORT\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,\"state\":\"STATE\"}]}";
+        String whole =
+                "{\"version\":6,\"full\":true,\"servers\":[{\"id\":\"wOTHER\",\"addr\":"
+                        + "\"127.0.0.1:OTHER\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,\"state\":\"ready\"}]}";
         return new Object[][] {
             {Effect.IDEMPOTENT, entry.replace("STATE", "draining")},
             {Effect.UNREPEATABLE, entry.replace("STATE", "draining")},
@@ -203,9 +220,13 @@
         };
     }
 
-    /** Rule 3: its worker is told draining or gone while it waits for a connection, and it goes elsewhere. */
+    /**
+     * Rule 3: its worker is told draining or gone while it waits for a connection, and it goes
+     * elsewhere.
+     */
     @Test(dataProvider = "listings", timeOut = PATIENCE)
-    public void aLaunchThatWaitsForItsConnectionHearsOfADrain(Effect effect, String list) throws Exception {
+    public void aLaunchThatWaitsForItsConnectionHearsOfADrain(Effect effect, String list)
+            throws Exception {
         Stub[] stubs = {new Stub(), new Stub()};
         InetSocketAddress[] at = {stubs[0].listen(), stubs[1].listen()};
         stubs[0].answers.add(DONE);
@@ -217,8 +238,10 @@
         send(client, post(10));
         InetSocketAddress first = (InetSocketAddress) loop.connecting.take();
         int chosen = first.equals(at[0]) ? 0 : 1;
-        discovery.say(http(list.replace("PORT", "" + first.getPort())
-                .replace("OTHER", "" + at[1 - chosen].getPort())));
+        discovery.say(
+                http(
+                        list.replace("PORT", "" + first.getPort())
+                                .replace("OTHER", "" + at[1 - chosen].getPort())));
         discovery.next();
         loop.goOn();
         assertEquals(status(read(client.getInputStream())), 200);
@@ -268,7 +291,10 @@
 
     // ---- kept connections
 
-    /** A second answer, late, to a launch before: what must not run twice does not go where it may come. */
+    /**
+     * A second answer, late, to a launch before: what must not run twice does not go where it may
+     * come.
+     */
     @Test(timeOut = PATIENCE)
     public void whatMustNotRunTwiceWaitsForNoOthersAnswer() throws Exception {
         clock.stop();
@@ -283,7 +309,8 @@
         workers.next();
         late.getOutputStream().write(TURNED_AWAY.getBytes(StandardCharsets.UTF_8));
         // The launch it might be taken for runs, and is answered.
-        assertTrue(workers.last != late, "on the connection that may still speak of the one before");
+        assertTrue(
+                workers.last != late, "on the connection that may still speak of the one before");
         workers.say(DONE.replace("ID", "88"));
         assertEquals(status(read(second.getInputStream())), 200);
         assertEquals(workers.messages.get(), 2, "launched twice");
@@ -303,7 +330,10 @@
         assertEquals(workers.connections.get(), 2);
     }
 
-    /** What may run again goes there, but a bad answer then ends the connection before it is believed. */
+    /**
+     * What may run again goes there, but a bad answer then ends the connection before it is
+     * believed.
+     */
     @Test(timeOut = PATIENCE)
     public void aBadAnswerOnAnUnrestedConnectionEndsIt() throws Exception {
         clock.stop();
@@ -316,7 +346,9 @@
         workers.next();
         assertEquals(workers.connections.get(), 1);
         workers.say("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
-        assertEquals(workers.closed.poll(PATIENCE / 2, TimeUnit.MILLISECONDS), Integer.valueOf(1),
+        assertEquals(
+                workers.closed.poll(PATIENCE / 2, TimeUnit.MILLISECONDS),
+                Integer.valueOf(1),
                 "it may run there still");
     }
 
@@ -325,7 +357,10 @@
         return new Object[][] {{"HTTP/1.1 5"}, {"\r\n"}, {TURNED_AWAY}, {DONE}};
     }
 
-    /** Part of an answer to nothing, read while the connection is idle, would begin the next one's answer. */
+    /**
+     * Part of an answer to nothing, read while the connection is idle, would begin the next one's
+     * answer.
+     */
     @Test(dataProvider = "strayBytes", timeOut = PATIENCE)
     public void whatAnIdleConnectionSaysEndsIt(String stray) throws Exception {
         // It is not to expire.
@@ -334,7 +369,9 @@
         serve(Effect.UNREPEATABLE, 1024, known(workers.listen()));
         assertEquals(status(ask(connect(), post(10))), 200);
         workers.say(stray);
-        assertEquals(workers.closed.poll(PATIENCE / 2, TimeUnit.MILLISECONDS), Integer.valueOf(1),
+        assertEquals(
+                workers.closed.poll(PATIENCE / 2, TimeUnit.MILLISECONDS),
+                Integer.valueOf(1),
                 "kept with part of an answer");
         assertEquals(status(ask(connect(), post(10))), 200);
     }
@@ -345,7 +382,10 @@
     private static final String HELD_CALL = "GET /v1/servers?from=5&hold_ms=HELD HTTP/1.1";
     private static final String SHORT_CALL = "GET /v1/servers?from=5&hold_ms=0 HTTP/1.1";
 
-    /** Rule 3: a silent watch is opened anew long before what it kept back counts as told, and twice. */
+    /**
+     * Rule 3: a silent watch is opened anew long before what it kept back counts as told, and
+     * twice.
+     */
     @Test(timeOut = PATIENCE)
     public void aSilentWatchIsOpenedAnewAtOnce() throws Exception {
         clock.stop();
@@ -354,7 +394,8 @@
         loop.step(4.8);
         // No time passes here: a pause would not end.
         assertEquals(soon(discovery), SHORT_CALL);
-        // The second is silent as well: known 1.2 s later, and asked again 0.2 s after that, 6.2 s in all.
+        // The second is silent as well: known 1.2 s later, and asked again 0.2 s after that, 6.2 s
+        // in all.
         loop.step(1.21);
         loop.step(0.21);
         assertEquals(discovery.next(), SHORT_CALL);
@@ -374,7 +415,9 @@
         assertTrue(calls >= 4 && calls <= 9, calls + " calls in 20 s");
     }
 
-    /** A watch that worked and then breaks is opened anew at once, and a refused one after a pause. */
+    /**
+     * A watch that worked and then breaks is opened anew at once, and a refused one after a pause.
+     */
     @Test(timeOut = PATIENCE)
     public void aBrokenWatchIsOpenedAnewAtOnce() throws Exception {
         clock.stop();
@@ -382,7 +425,8 @@
         serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(discovery.next(), HELD_CALL);
         assertEquals(discovery.next(), HELD_CALL);
-        // The one after the break: no time has passed, and none is to pass before what is known there comes.
+        // The one after the break: no time has passed, and none is to pass before what is known
+        // there comes.
         assertEquals(soon(discovery), SHORT_CALL);
     }
 
@@ -421,14 +465,15 @@
     private CountDownLatch standStill() throws InterruptedException {
         CountDownLatch stands = new CountDownLatch(1);
         CountDownLatch goesOn = new CountDownLatch(1);
-        loop.post(() -> {
-            stands.countDown();
-            try {
-                goesOn.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        loop.post(
+                () -> {
+                    stands.countDown();
+                    try {
+                        goesOn.await();
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
         stands.await();
         return goesOn;
     }
@@ -439,7 +484,9 @@
         return new Object[][] {{1, false}, {1, true}, {300, false}, {600, true}};
     }
 
-    /** What lay unread in a standstill may be as old as that: who has no time left is told at once. */
+    /**
+     * What lay unread in a standstill may be as old as that: who has no time left is told at once.
+     */
     @Test(dataProvider = "unread", timeOut = PATIENCE)
     public void whatLayUnreadMayBeAsOldAsTheStandstill(int count, boolean kept) throws Exception {
         clock.stop();
@@ -475,7 +522,9 @@
         assertTrue(launched.contains("X-Timeout: 3.7"), launched);
     }
 
-    /** The process stands still between any two looks at the clock: nothing goes out past its time. */
+    /**
+     * The process stands still between any two looks at the clock: nothing goes out past its time.
+     */
     @Test(timeOut = 2 * PATIENCE)
     public void nothingGoesOutPastItsTimeWhereverItStandsStill() throws Exception {
         clock.stop();
@@ -498,9 +547,13 @@
             int status = status(ask(client, job(10 + looks)));
             assertTrue(List.of(200, 502, 503).contains(status), looks + " looks: " + status);
             loop.settle();
-            for (String message = workers.heard.poll(); message != null; message = workers.heard.poll()) {
+            for (String message = workers.heard.poll();
+                    message != null;
+                    message = workers.heard.poll()) {
                 launched++;
-                assertTrue(message.matches("(?s).*X-Timeout: [0-9.]*[1-9].*"), looks + " looks: " + message);
+                assertTrue(
+                        message.matches("(?s).*X-Timeout: [0-9.]*[1-9].*"),
+                        looks + " looks: " + message);
             }
         }
         assertTrue(launched > 0, "nothing was launched");
@@ -511,7 +564,10 @@
         return new Object[][] {{"1.0", 503}, {"5.0", 200}};
     }
 
-    /** What a client sends ahead of its turn waits from when it came, and not from when its turn comes. */
+    /**
+     * What a client sends ahead of its turn waits from when it came, and not from when its turn
+     * comes.
+     */
     @Test(dataProvider = "ahead", timeOut = PATIENCE)
     public void whatComesAheadIsAsOldAsItIs(String timeout, int status) throws Exception {
         clock.stop();
@@ -533,12 +589,16 @@
         assertEquals(status(read(client.getInputStream())), 200);
         assertEquals(status(read(client.getInputStream())), status);
         String launched = workers.heard.poll();
-        assertTrue(status == 503 ? launched == null : launched.contains("X-Timeout: 2.9"), launched);
+        assertTrue(
+                status == 503 ? launched == null : launched.contains("X-Timeout: 2.9"), launched);
     }
 
     // ---- the end
 
-    /** A message that comes in the last moment on a connection that said nothing is answered all the same. */
+    /**
+     * A message that comes in the last moment on a connection that said nothing is answered all the
+     * same.
+     */
     @Test(timeOut = PATIENCE)
     public void whatComesInTheLastMomentIsAnswered() throws Exception {
         clock.stop();
@@ -566,34 +626,71 @@
         service = null;
     }
 
-    /** A fault of the decisions, from the taking on: at its outer limit it is scrapped all the same. */
+    /**
+     * A fault of the decisions, from the taking on: at its outer limit it is scrapped all the same.
+     */
     @Test(timeOut = PATIENCE)
     public void aFaultOfTheDecisionsTakesNoAnswerWithIt() throws Exception {
         wantsFaults = true;
         serve(Effect.IDEMPOTENT);
-        Exchanges exchanges = new Exchanges(loop, new Counters(List.of(new Ids.Offering("job"))), null,
-                config.settings(), 2);
+        Exchanges exchanges =
+                new Exchanges(
+                        loop,
+                        new Counters(List.of(new Ids.Offering("job"))),
+                        null,
+                        config.settings(),
+                        2);
         CompletableFuture<Integer> status = new CompletableFuture<>();
-        ClientMessage message = new ClientMessage("POST", "/job/x", "77", null, null, "", 10, 1, 1, 0, false,
-                true, new byte[0]);
-        Submission submission = new Submission(new Ids.Submission(1), new Ids.Offering("job"),
-                new Ids.Tenant(""), loop.now() + 2, 1, 1, 0, false, null);
-        loop.post(() -> {
-            Exchange exchange = new Exchange(exchanges, loop, submission, message, new Submitters.Answers() {
-                @Override
-                public void answer(ClientAnswer answer) {
-                    status.complete(answer.status());
-                }
-
-                @Override
-                public boolean hasLeft() {
-                    return false;
-                }
-            }, false);
-            // There is no policy: its call fails as one would that throws.
-            exchanges.turn(() -> exchange.begin(null));
-            exchange.outOfTime();
-        });
+        ClientMessage message =
+                new ClientMessage(
+                        "POST",
+                        "/job/x",
+                        "77",
+                        null,
+                        null,
+                        "",
+                        10,
+                        1,
+                        1,
+                        0,
+                        false,
+                        true,
+                        new byte[0]);
+        Submission submission =
+                new Submission(
+                        new Ids.Submission(1),
+                        new Ids.Offering("job"),
+                        new Ids.Tenant(""),
+                        loop.now() + 2,
+                        1,
+                        1,
+                        0,
+                        false,
+                        null);
+        loop.post(
+                () -> {
+                    Exchange exchange =
+                            new Exchange(
+                                    exchanges,
+                                    loop,
+                                    submission,
+                                    message,
+                                    new Submitters.Answers() {
+                                        @Override
+                                        public void answer(ClientAnswer answer) {
+                                            status.complete(answer.status());
+                                        }
+
+                                        @Override
+                                        public boolean hasLeft() {
+                                            return false;
+                                        }
+                                    },
+                                    false);
+                    // There is no policy: its call fails as one would that throws.
+                    exchanges.turn(() -> exchange.begin(null));
+                    exchange.outOfTime();
+                });
         assertEquals(status.get().intValue(), 502);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/OperatingTest.java
+++ b/daemon/src/test/java/wheelroute/net/OperatingTest.java
@@ -20,7 +20,10 @@
 import wheelroute.config.ConfigException;
 import wheelroute.decision.Effect;
 
-/** What staff do with a dispatcher in service: the calls at its door, and the figures they read there. */
+/**
+ * What staff do with a dispatcher in service: the calls at its door, and the figures they read
+ * there.
+ */
 public class OperatingTest extends ServiceHarness {
     @BeforeMethod
     public void wantDoor() {
@@ -72,7 +75,10 @@
         assertEquals(new String(socket.getInputStream().readAllBytes()), "ok ready\n");
     }
 
-    /** Callers who say nothing, or half a call, stop neither the others nor any client, and are let go. */
+    /**
+     * Callers who say nothing, or half a call, stop neither the others nor any client, and are let
+     * go.
+     */
     @Test(timeOut = PATIENCE)
     public void letsSilentCallersGo() throws Exception {
         serve(Effect.IDEMPOTENT, DONE);
@@ -94,9 +100,29 @@
         // Served; turned away and served; broken off and served; still at work.
         workers.answers.addAll(List.of(DONE, TURNED_AWAY, DONE, BREAK, DONE, TAKEN));
         serve(Effect.IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
-        assertEquals(figures(), Map.of("completed.job", 0, "completed.patient", 0, "rejected.job", 0,
-                "rejected.patient", 0, "failed.job", 0, "failed.patient", 0, "upstream_requests", 0,
-                "pending", 0, "members", 2, "members_unavailable", 0));
+        assertEquals(
+                figures(),
+                Map.of(
+                        "completed.job",
+                        0,
+                        "completed.patient",
+                        0,
+                        "rejected.job",
+                        0,
+                        "rejected.patient",
+                        0,
+                        "failed.job",
+                        0,
+                        "failed.patient",
+                        0,
+                        "upstream_requests",
+                        0,
+                        "pending",
+                        0,
+                        "members",
+                        2,
+                        "members_unavailable",
+                        0));
         for (int i = 0; i < 3; i++) {
             String path = i == 1 ? "/patient/" : "/job/";
             assertEquals(status(ask(connect(), post(10).replace("/job/", path))), 200);
@@ -111,8 +137,13 @@
         }
         assertEquals(status(ask(connect(), post(10))), 409);
         Map<String, Integer> now = figures();
-        assertEquals(List.of(now.get("completed.job"), now.get("completed.patient"), now.get("pending"),
-                now.get("upstream_requests")), List.of(2, 1, 1, 6));
+        assertEquals(
+                List.of(
+                        now.get("completed.job"),
+                        now.get("completed.patient"),
+                        now.get("pending"),
+                        now.get("upstream_requests")),
+                List.of(2, 1, 1, 6));
         waiting.close();
         while (figures().get("pending") > 0) {
             Thread.onSpinWait();
@@ -122,8 +153,12 @@
         workers.answers.addAll(List.of(TURNED_AWAY, TURNED_AWAY));
         assertEquals(status(ask(connect(), post(10))), 503);
         now = figures();
-        assertEquals(List.of(now.get("rejected.job"), now.get("upstream_requests"),
-                now.get("members_unavailable")), List.of(1, workers.messages.get(), 2));
+        assertEquals(
+                List.of(
+                        now.get("rejected.job"),
+                        now.get("upstream_requests"),
+                        now.get("members_unavailable")),
+                List.of(1, workers.messages.get(), 2));
         assertEquals(metric("launches_written_total"), workers.messages.get());
         assertEquals(metric("offering_answers_total{offering=\"job\",kind=\"bounced\"}"), 1);
         assertEquals(metric("answers_total{kind=\"fulfilled\"}"), 3);
@@ -146,9 +181,24 @@
     public void namesATakenDoor() throws Exception {
         InetSocketAddress taken = discovery.listen();
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        Config config = new Config("n0", any, taken, taken, null, 1024, Double.NaN, null,
-                new World.Given().settings(), 0.5, 10, 2, false, null);
-        String message = expectThrows(ConfigException.class, () -> new Service(config).start()).getMessage();
+        Config config =
+                new Config(
+                        "n0",
+                        any,
+                        taken,
+                        taken,
+                        null,
+                        1024,
+                        Double.NaN,
+                        null,
+                        new World.Given().settings(),
+                        0.5,
+                        10,
+                        2,
+                        false,
+                        null);
+        String message =
+                expectThrows(ConfigException.class, () -> new Service(config).start()).getMessage();
         assertTrue(message.contains("'admin'"), message);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/OrderedServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/OrderedServiceTest.java
@@ -11,7 +11,10 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Effect;
 
-/** Submissions of one key on sockets: who waits, who goes on, and what those are told who wait in vain. */
+/**
+ * Submissions of one key on sockets: who waits, who goes on, and what those are told who wait in
+ * vain.
+ */
 public class OrderedServiceTest extends ServiceHarness {
     @BeforeMethod
     public void keepOrder() {
@@ -20,8 +23,9 @@
     }
 
     private static String job(int id, String key, double timeout) {
-        return post(timeout).replace("77", Integer.toString(id)).replace("X-Cost", "X-Route-Key: " + key
-                + "\r\nX-Cost");
+        return post(timeout)
+                .replace("77", Integer.toString(id))
+                .replace("X-Cost", "X-Route-Key: " + key + "\r\nX-Cost");
     }
 
     private Socket send(String message) throws Exception {
@@ -31,11 +35,15 @@
     }
 
     private String nextId() throws InterruptedException {
-        return workers.heard.poll(PATIENCE, TimeUnit.MILLISECONDS)
+        return workers.heard
+                .poll(PATIENCE, TimeUnit.MILLISECONDS)
                 .replaceAll("(?s).*X-Request-ID: (\\w+).*", "$1");
     }
 
-    /** The first one's client leaves; its launch is called off, the key rests, and the second one goes. */
+    /**
+     * The first one's client leaves; its launch is called off, the key rests, and the second one
+     * goes.
+     */
     @Test(timeOut = PATIENCE)
     public void theNextGoesWhenTheFirstIsOver() throws Exception {
         workers.answers.addAll(List.of(TAKEN, DONE, DONE));
@@ -52,7 +60,10 @@
         assertEquals(status(read(second.getInputStream())), 200);
     }
 
-    /** The first one never ends; who waits hears so before its own limit, and its id is free at once. */
+    /**
+     * The first one never ends; who waits hears so before its own limit, and its id is free at
+     * once.
+     */
     @Test(timeOut = PATIENCE)
     public void whoWaitsInVainIsBouncedInTime() throws Exception {
         workers.answers.addAll(List.of(TAKEN));
--- a/daemon/src/test/java/wheelroute/net/ReplacementTest.java
+++ b/daemon/src/test/java/wheelroute/net/ReplacementTest.java
@@ -10,11 +10,9 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.net.StandardProtocolFamily;
-import java.net.StandardProtocolFamily;
 import java.net.UnixDomainSocketAddress;
 import java.nio.channels.Channels;
 import java.nio.channels.ServerSocketChannel;
-import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -34,6 +32,7 @@
 /** One process of a dispatcher takes another's place, on real sockets and in one directory. */
 public class ReplacementTest extends ServiceHarness {
     private static final int MANY = 24;
+
     /** The first of two digits. */
     private static final int FIRST_ID = 36;
 
@@ -47,7 +46,10 @@
         meeting = Files.createTempDirectory("meet");
     }
 
-    /** Starts one more process of the dispatcher that the harness serves, on the same clients' address. */
+    /**
+     * Starts one more process of the dispatcher that the harness serves, on the same clients'
+     * address.
+     */
     private Service beside(Path directory) throws Exception {
         Service next = another(directory, port);
         next.start();
@@ -56,13 +58,29 @@
     }
 
     private Service another(Path directory, int clientsPort) {
-        InetSocketAddress shared = new InetSocketAddress(InetAddress.getLoopbackAddress(), clientsPort);
-        return new Service(new Config("n0", shared, config.discovery(), config.admin(), directory, sockets,
-                Double.NaN, config.known(), config.settings(), 0.5, 10, longest, false,
-                null));
+        InetSocketAddress shared =
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), clientsPort);
+        return new Service(
+                new Config(
+                        "n0",
+                        shared,
+                        config.discovery(),
+                        config.admin(),
+                        directory,
+                        sockets,
+                        Double.NaN,
+                        config.known(),
+                        config.settings(),
+                        0.5,
+                        10,
+                        longest,
+                        false,
+                        null));
     }
 
-    /** The harness's own listens where the system likes; one on a known address is put in its place. */
+    /**
+     * The harness's own listens where the system likes; one on a known address is put in its place.
+     */
     private void serveKnown(Effect effect, String... answers) throws Exception {
         Path wanted = meeting;
         meeting = null;
@@ -79,7 +97,9 @@
         return Files.readAttributes(file, BasicFileAttributes.class).fileKey();
     }
 
-    /** Two characters, as the stand-ins want it, and never the same again unless the case names it. */
+    /**
+     * Two characters, as the stand-ins want it, and never the same again unless the case names it.
+     */
     private String job(int id) {
         return post(10).replace("77", Integer.toString(FIRST_ID + id, Character.MAX_RADIX));
     }
@@ -88,7 +108,9 @@
         return job(++lastId);
     }
 
-    /** Whoever was connected, idle or in the middle of a message, is served; nobody is turned back. */
+    /**
+     * Whoever was connected, idle or in the middle of a message, is served; nobody is turned back.
+     */
     @Test(timeOut = PATIENCE)
     public void nobodyIsTurnedBack() throws Exception {
         serveKnown(Effect.IDEMPOTENT, Collections.nCopies(5 * MANY, DONE).toArray(new String[0]));
@@ -100,8 +122,9 @@
             silent.add(connect());
             begun.add(connect());
             messages.add(job());
-            begun.get(i).getOutputStream().write(messages.get(i).substring(0, 20).getBytes(
-                    StandardCharsets.UTF_8));
+            begun.get(i)
+                    .getOutputStream()
+                    .write(messages.get(i).substring(0, 20).getBytes(StandardCharsets.UTF_8));
             kept.add(connect());
             assertEquals(status(ask(kept.get(i), job())), 200);
         }
@@ -113,8 +136,9 @@
         }
         CompletableFuture<Void> ended = drain(service);
         for (int i = 0; i < MANY; i++) {
-            begun.get(i).getOutputStream().write(messages.get(i).substring(20).getBytes(
-                    StandardCharsets.UTF_8));
+            begun.get(i)
+                    .getOutputStream()
+                    .write(messages.get(i).substring(20).getBytes(StandardCharsets.UTF_8));
             String answer = read(begun.get(i).getInputStream());
             assertEquals(status(answer), 200, i + answer);
             assertEquals(status(ask(silent.get(i), job())), 200);
@@ -134,8 +158,8 @@
     }
 
     /**
-     * Half of the places are the other's from the moment it is there: room is made then, not as clients
-     * come.
+     * Half of the places are the other's from the moment it is there: room is made then, not as
+     * clients come.
      */
     @Test(timeOut = PATIENCE)
     public void roomIsMadeAtOnceForTwo() throws Exception {
@@ -164,7 +188,8 @@
         CompletableFuture<Void> ended = drain(service);
         Socket other = connect();
         while (figures(next).get("completed.job") == 0) {
-            // The new process alone is reached by now, or will be in a moment; it knows the open id.
+            // The new process alone is reached by now, or will be in a moment; it knows the open
+            // id.
             int same = status(ask(other, job(0)));
             assertEquals(same, 409);
             other = connect();
@@ -211,26 +236,36 @@
         service.drain();
         try (ServerSocketChannel other = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             other.bind(UnixDomainSocketAddress.of(file));
-            start(() -> {
-                SocketChannel asks = other.accept();
-                open.add(asks);
-                asks.write(StandardCharsets.UTF_8.encode("wheelroute-handover n1 /127.0.0.1:1\nlist "
-                        + known(workers.listen()).replace(":5,", ":99,") + "\nopen 77\ntold\n"));
-            });
+            start(
+                    () -> {
+                        SocketChannel asks = other.accept();
+                        open.add(asks);
+                        asks.write(
+                                StandardCharsets.UTF_8.encode(
+                                        "wheelroute-handover n1 /127.0.0.1:1\nlist "
+                                                + known(workers.listen()).replace(":5,", ":99,")
+                                                + "\nopen 77\ntold\n"));
+                    });
             service = another(meeting, port);
             service.start();
             assertEquals(metric("workers_listed"), 2);
         }
     }
 
-    /** One that dies before it serves leaves the old one serving, and to be found; words bring no words. */
+    /**
+     * One that dies before it serves leaves the old one serving, and to be found; words bring no
+     * words.
+     */
     @Test(timeOut = PATIENCE)
     public void aStartThatFailsChangesNothing() throws Exception {
         serveKnown(Effect.IDEMPOTENT, DONE, DONE, DONE);
         Path file = onlyFile();
         try (SocketChannel dying = SocketChannel.open(UnixDomainSocketAddress.of(file))) {
-            dying.write(StandardCharsets.UTF_8.encode("wheelroute-handover\nbeyond 0\nbeyond 1\nodd\n"));
-            BufferedReader in = new BufferedReader(Channels.newReader(dying, StandardCharsets.UTF_8));
+            dying.write(
+                    StandardCharsets.UTF_8.encode(
+                            "wheelroute-handover\nbeyond 0\nbeyond 1\nodd\n"));
+            BufferedReader in =
+                    new BufferedReader(Channels.newReader(dying, StandardCharsets.UTF_8));
             List<String> words = new ArrayList<>();
             while (!words.contains("told")) {
                 words.add(in.readLine().split(" ")[0]);
@@ -269,8 +304,15 @@
 
     @DataProvider
     public Object[][] leftovers() {
-        return new Object[][] {{"nothing"}, {"a plain file"}, {"a dead socket"}, {"a stranger"}, {"a mute"},
-            {"no directory"}, {"a path too long"}};
+        return new Object[][] {
+            {"nothing"},
+            {"a plain file"},
+            {"a dead socket"},
+            {"a stranger"},
+            {"a mute"},
+            {"no directory"},
+            {"a path too long"}
+        };
     }
 
     /** Whatever lies in the directory, a start needs no predecessor, and a lie is seen through. */
@@ -329,8 +371,7 @@
     @Test(timeOut = PATIENCE)
     public void itsFileIsPrivate() throws Exception {
         serveKnown(Effect.IDEMPOTENT);
-        String rights = PosixFilePermissions.toString(
-                Files.getPosixFilePermissions(onlyFile()));
+        String rights = PosixFilePermissions.toString(Files.getPosixFilePermissions(onlyFile()));
         assertEquals(rights, "rw-------");
         assertTrue(onlyFile().getFileName().toString().matches("wheelroute-[0-9a-f]{8}\\.sock"));
     }
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -37,7 +37,6 @@
 import wheelroute.World;
 import wheelroute.config.Config;
 import wheelroute.decision.Effect;
-import wheelroute.decision.Ids;
 import wheelroute.decision.Settings;
 
 /** A dispatcher on loopback sockets, among clients, workers and a discovery that do as told. */
@@ -46,8 +45,8 @@
     protected static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     protected static final String STARTED = line("started");
     protected static final String DONE = HEAD + STARTED + line("done") + "0\r\n\r\n";
-    protected static final String TURNED_AWAY = "HTTP/1.1 503 X\r\n"
-            + "X-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
+    protected static final String TURNED_AWAY =
+            "HTTP/1.1 503 X\r\n" + "X-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
     protected static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
     protected static final String BREAK = "";
     protected static final String BREAK_LATE = HEAD + STARTED;
@@ -55,33 +54,39 @@
     protected static final String SILENCE = null;
     private static final Pattern HOLD = Pattern.compile("hold_ms=(\\d+)");
 
-    /** What the guards against our own faults have logged: none of them may hide one from a test. */
+    /**
+     * What the guards against our own faults have logged: none of them may hide one from a test.
+     */
     private static final Queue<String> FAULTS = new ConcurrentLinkedQueue<>();
+
     private static final Logger LOGGER = Logger.getLogger("wheelroute.net");
 
     static {
-        LOGGER.addHandler(new Handler() {
-            @Override
-            public void publish(LogRecord record) {
-                if (record.getLevel().intValue() >= Level.WARNING.intValue() && record.getThrown() != null) {
-                    FAULTS.add(record.getMessage() + ": " + record.getThrown());
-                }
-            }
-
-            @Override
-            public void flush() {
-                // Nothing is held back.
-            }
-
-            @Override
-            public void close() {
-                // Nothing is open.
-            }
-        });
+        LOGGER.addHandler(
+                new Handler() {
+                    @Override
+                    public void publish(LogRecord record) {
+                        if (record.getLevel().intValue() >= Level.WARNING.intValue()
+                                && record.getThrown() != null) {
+                            FAULTS.add(record.getMessage() + ": " + record.getThrown());
+                        }
+                    }
+
+                    @Override
+                    public void flush() {
+                        // Nothing is held back.
+                    }
+
+                    @Override
+                    public void close() {
+                        // Nothing is open.
+                    }
+                });
     }
 
     /** The test makes the decisions fail. */
     protected boolean wantsFaults;
+
     protected final List<AutoCloseable> open = new ArrayList<>();
     protected final Stub workers = new Stub();
     protected final Stub discovery = new Stub();
@@ -97,15 +102,19 @@
     protected Service service;
     protected int port;
 
-    /** Listens, notes each message that comes, and answers the nth with the nth of what it was told. */
+    /**
+     * Listens, notes each message that comes, and answers the nth with the nth of what it was told.
+     */
     protected final class Stub {
         final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         final BlockingQueue<Integer> closed = new LinkedBlockingQueue<>();
         final List<String> answers = new ArrayList<>();
         final AtomicInteger messages = new AtomicInteger();
         final AtomicInteger connections = new AtomicInteger();
+
         /** The answer to what comes after those. */
         volatile Supplier<String> otherwise = () -> SILENCE;
+
         volatile Socket last;
 
         InetSocketAddress listen() throws IOException {
@@ -118,20 +127,22 @@
             server.setReuseAddress(true);
             server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), at), 50);
             open.add(server);
-            start(() -> {
-                while (true) {
-                    Socket socket = server.accept();
-                    open.add(socket);
-                    int number = connections.incrementAndGet();
-                    start(() -> {
-                        try (socket) {
-                            serve(socket);
-                        } finally {
-                            closed.add(number);
+            start(
+                    () -> {
+                        while (true) {
+                            Socket socket = server.accept();
+                            open.add(socket);
+                            int number = connections.incrementAndGet();
+                            start(
+                                    () -> {
+                                        try (socket) {
+                                            serve(socket);
+                                        } finally {
+                                            closed.add(number);
+                                        }
+                                    });
                         }
                     });
-                }
-            });
             return (InetSocketAddress) server.getLocalSocketAddress();
         }
 
@@ -146,7 +157,8 @@
                     continue;
                 }
                 String id = message.replaceAll("(?s).*X-Request-ID: (\\w+).*", "$1");
-                socket.getOutputStream().write(answer.replace("ID", id).getBytes(StandardCharsets.UTF_8));
+                socket.getOutputStream()
+                        .write(answer.replace("ID", id).getBytes(StandardCharsets.UTF_8));
                 if (answer.equals(BREAK) || answer.equals(BREAK_LATE)) {
                     return;
                 }
@@ -155,7 +167,9 @@
 
         String next() throws InterruptedException {
             String message = heard.poll(PATIENCE, TimeUnit.MILLISECONDS);
-            return message == null ? "nothing came" : held(message.substring(0, message.indexOf("\r\n")));
+            return message == null
+                    ? "nothing came"
+                    : held(message.substring(0, message.indexOf("\r\n")));
         }
 
         /** Says something unasked on the connection that spoke last. */
@@ -167,8 +181,10 @@
     /** Watches are spread: each holds for 3 to 3.8 s. */
     protected static String held(String call) {
         Matcher hold = HOLD.matcher(call);
-        boolean spread = hold.find() && Integer.parseInt(hold.group(1)) >= 3000
-                && Integer.parseInt(hold.group(1)) < 3800;
+        boolean spread =
+                hold.find()
+                        && Integer.parseInt(hold.group(1)) >= 3000
+                        && Integer.parseInt(hold.group(1)) < 3800;
         return spread ? hold.replaceFirst("hold_ms=HELD") : call;
     }
 
@@ -189,7 +205,11 @@
             if (left < 0 && out.toString(StandardCharsets.UTF_8).endsWith("\r\n\r\n")) {
                 String head = out.toString(StandardCharsets.UTF_8);
                 int at = head.indexOf("Content-Length: ");
-                length = at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r\n", at)));
+                length =
+                        at < 0
+                                ? 0
+                                : Integer.parseInt(
+                                        head.substring(at + 16, head.indexOf("\r\n", at)));
                 left = length + 1;
             }
         }
@@ -197,7 +217,8 @@
     }
 
     protected static String line(String state) {
-        String line = "{\"id\":\"ID\",\"from\":\"w\",\"state\":\"" + state + "\",\"result\":\"fine\"}\n";
+        String line =
+                "{\"id\":\"ID\",\"from\":\"w\",\"state\":\"" + state + "\",\"result\":\"fine\"}\n";
         // Ids in the cases have as many letters as the word that stands for them.
         return Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
     }
@@ -205,8 +226,11 @@
     protected static String known(InetSocketAddress... addresses) {
         StringBuilder out = new StringBuilder();
         for (InetSocketAddress address : addresses) {
-            out.append(out.length() > 0 ? "," : "").append("{\"id\":\"w").append(address.getPort())
-                    .append("\",\"addr\":\"127.0.0.1:").append(address.getPort())
+            out.append(out.length() > 0 ? "," : "")
+                    .append("{\"id\":\"w")
+                    .append(address.getPort())
+                    .append("\",\"addr\":\"127.0.0.1:")
+                    .append(address.getPort())
                     .append("\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,\"state\":\"ready\"}");
         }
         return "{\"version\":5,\"full\":true,\"servers\":[" + out + "]}";
@@ -216,7 +240,8 @@
         serve(effect, sockets, known, 1);
     }
 
-    protected void serve(Effect effect, int sockets, String known, int dispatchers) throws Exception {
+    protected void serve(Effect effect, int sockets, String known, int dispatchers)
+            throws Exception {
         World.Given given = new World.Given();
         given.dispatchers = dispatchers;
         given.effect = effect;
@@ -225,8 +250,22 @@
         given.inTurn = inTurn;
         Settings settings = given.settings();
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        config = new Config("n0", any, discovery.listen(), hasDoor ? any : null, meeting, sockets,
-                Double.NaN, known.getBytes(StandardCharsets.UTF_8), settings, 0.5, 10, longest, pushed, null);
+        config =
+                new Config(
+                        "n0",
+                        any,
+                        discovery.listen(),
+                        hasDoor ? any : null,
+                        meeting,
+                        sockets,
+                        Double.NaN,
+                        known.getBytes(StandardCharsets.UTF_8),
+                        settings,
+                        0.5,
+                        10,
+                        longest,
+                        pushed,
+                        null);
         loop = new HeldLoop(clock, 0.5);
         service = new Service(config, loop);
         service.start();
@@ -234,8 +273,21 @@
     }
 
     protected Config config(InetSocketAddress otherDiscovery) {
-        return new Config("n0", config.listen(), otherDiscovery, config.admin(), null, config.sockets(),
-                config.memory(), config.known(), config.settings(), 0.5, 10, longest, pushed, null);
+        return new Config(
+                "n0",
+                config.listen(),
+                otherDiscovery,
+                config.admin(),
+                null,
+                config.sockets(),
+                config.memory(),
+                config.known(),
+                config.settings(),
+                0.5,
+                10,
+                longest,
+                pushed,
+                null);
     }
 
     protected void serve(Effect effect, String... answers) throws Exception {
@@ -252,7 +304,8 @@
 
     protected static String post(double timeout) {
         return "POST /job/x HTTP/1.1\r\nHost: a\r\nX-Request-ID: 77\r\nIdempotency-Key: k\r\n"
-                + "X-Timeout: " + String.format(Locale.ROOT, "%.1f", timeout)
+                + "X-Timeout: "
+                + String.format(Locale.ROOT, "%.1f", timeout)
                 + "\r\nX-Cost: 20000\r\nContent-Length: 2\r\n\r\nhi";
     }
 
@@ -304,7 +357,8 @@
         Map<String, Integer> figures = new HashMap<>();
         for (String line : text.substring(0, text.length() - 4).split("\n")) {
             assertTrue(line.matches("app\\.[a-z_.]+:\\d+\\|[cg]"), line);
-            figures.put(line.substring(4, line.indexOf(':')),
+            figures.put(
+                    line.substring(4, line.indexOf(':')),
                     Integer.parseInt(line.substring(line.indexOf(':') + 1, line.indexOf('|'))));
         }
         return figures;
@@ -313,10 +367,11 @@
     /** Tells a process to end; done when it has. */
     protected static CompletableFuture<Void> drain(Service whom) {
         CompletableFuture<Void> ended = new CompletableFuture<>();
-        start(() -> {
-            whom.drain();
-            ended.complete(null);
-        });
+        start(
+                () -> {
+                    whom.drain();
+                    ended.complete(null);
+                });
         return ended;
     }
 
@@ -366,18 +421,28 @@
             over += figure(figures, "answers_total{kind=\"" + kind + "\"}");
         }
         long taken = figure(figures, "submissions_taken_total");
-        // A bounce for want of a place, or of time before the end, is an answer to what was not taken.
-        assertTrue(over >= taken && over - taken <= figure(figures, "messages_not_taken_total"), figures);
+        // A bounce for want of a place, or of time before the end, is an answer to what was not
+        // taken.
+        assertTrue(
+                over >= taken && over - taken <= figure(figures, "messages_not_taken_total"),
+                figures);
         assertEquals(figure(figures, "submissions_open"), 0, figures);
         assertEquals(figure(figures, "submissions_pending"), 0, figures);
         long ends = 0;
         for (End end : End.values()) {
-            ends += figure(figures, "launch_ends_total{end=\"" + end.name().toLowerCase(Locale.ROOT) + "\"}");
+            ends +=
+                    figure(
+                            figures,
+                            "launch_ends_total{end=\""
+                                    + end.name().toLowerCase(Locale.ROOT)
+                                    + "\"}");
         }
         // What is launched at the end, or for a client that left, ends without having been sent.
         assertTrue(ends >= figure(figures, "launches_total"), figures);
-        assertTrue(ends - figure(figures, "launches_total")
-                <= figure(figures, "launch_ends_total{end=\"ended_unsent\"}"), figures);
+        assertTrue(
+                ends - figure(figures, "launches_total")
+                        <= figure(figures, "launch_ends_total{end=\"ended_unsent\"}"),
+                figures);
     }
 
     private static long figure(String text, String name) {
