--- a/daemon/src/test/java/wheelroute/net/ServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceTest.java
@@ -28,12 +28,18 @@
         String otherId = HEAD + line("done").replace("ID", "78") + "0\r\n\r\n";
         String plain = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
         return new Object[][] {
-            // what a repeat would do, the answers to its launches, the client's status, launches in all
+            // what a repeat would do, the answers to its launches, the client's status, launches in
+            // all
             {Effect.UNREPEATABLE, List.of(DONE), 200, 1},
             {Effect.UNREPEATABLE, List.of(TURNED_AWAY, DONE), 200, 2},
             {Effect.UNREPEATABLE, List.of(HEAD + line("returned") + "0\r\n\r\n", DONE), 200, 2},
             {Effect.UNREPEATABLE, List.of(BREAK, DONE), 502, 1},
-            {Effect.IDEMPOTENT, List.of("HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n", DONE), 502, 1},
+            {
+                Effect.IDEMPOTENT,
+                List.of("HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n", DONE),
+                502,
+                1
+            },
             {Effect.UNREPEATABLE, List.of(BREAK_LATE, DONE), 502, 1},
             {Effect.UNREPEATABLE, List.of(plain, DONE), 502, 1},
             {Effect.UNREPEATABLE, List.of(HEAD + line("lost") + "0\r\n\r\n", DONE), 502, 1},
@@ -47,15 +53,17 @@
     }
 
     @Test(dataProvider = "lives", timeOut = PATIENCE)
-    public void answersOnceByWhatWorkersSaid(Effect effect, List<String> answers, int status, int launches)
-            throws Exception {
+    public void answersOnceByWhatWorkersSaid(
+            Effect effect, List<String> answers, int status, int launches) throws Exception {
         serve(effect, answers.toArray(new String[0]));
         String answer = ask(connect(), post(10));
         assertEquals(status(answer), status, answer);
         assertEquals(answer.endsWith("\r\n\r\nfine"), status == 200, answer);
         assertEquals(workers.messages.get(), launches);
         String first = workers.heard.take();
-        assertTrue(first.startsWith("POST /job/x HTTP/1.1\r\n") && first.endsWith("\r\n\r\nhi"), first);
+        assertTrue(
+                first.startsWith("POST /job/x HTTP/1.1\r\n") && first.endsWith("\r\n\r\nhi"),
+                first);
         assertEquals(metric("launches_total"), launches);
         assertEquals(metric("answers_total{kind=\"fulfilled\"}"), status == 200 ? 1 : 0);
         assertEquals(metric("submissions_open"), 0);
@@ -86,7 +94,9 @@
         assertEquals(workers.messages.get(), 1);
     }
 
-    /** A worker that refuses connections has run nothing: even what must not be repeated goes on. */
+    /**
+     * A worker that refuses connections has run nothing: even what must not be repeated goes on.
+     */
     @Test(timeOut = PATIENCE)
     public void refusedConnectionsProveNothingRan() throws Exception {
         ServerSocket dead = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -94,7 +104,8 @@
         dead.close();
         workers.answers.addAll(List.of(DONE, DONE, DONE, DONE, DONE, DONE));
         serve(Effect.UNREPEATABLE, 1024, known(refusing, workers.listen()));
-        // Which of two equals is chosen first is chance: six go wrong all the same with one chance in 64.
+        // Which of two equals is chosen first is chance: six go wrong all the same with one chance
+        // in 64.
         for (int i = 0; i < 6; i++) {
             assertEquals(status(ask(connect(), post(10))), 200);
         }
@@ -129,7 +140,10 @@
         assertEquals(metric("launch_ends_total{end=\"timed_out\"}"), 1);
     }
 
-    /** Guards against a place held for ever: no submission waits longer than the settings' longest limit. */
+    /**
+     * Guards against a place held for ever: no submission waits longer than the settings' longest
+     * limit.
+     */
     @Test(timeOut = PATIENCE)
     public void aClientsPatienceHasABound() throws Exception {
         serve(Effect.IDEMPOTENT);
@@ -149,7 +163,9 @@
         assertEquals(metric("submissions_open"), 0);
     }
 
-    /** A connection serves one launch after the other, for both sides; only a whole answer frees it. */
+    /**
+     * A connection serves one launch after the other, for both sides; only a whole answer frees it.
+     */
     @Test(timeOut = PATIENCE)
     public void keepsConnections() throws Exception {
         workers.answers.addAll(List.of(DONE, DONE, DONE));
@@ -161,7 +177,9 @@
         assertEquals(workers.connections.get(), 1);
     }
 
-    /** The answer goes out with the last line, but what may still come bars its connection from use. */
+    /**
+     * The answer goes out with the last line, but what may still come bars its connection from use.
+     */
     @Test(timeOut = PATIENCE)
     public void anUnreadTailBarsReuse() throws Exception {
         workers.answers.addAll(List.of(DONE.substring(0, DONE.length() - 5), DONE));
@@ -169,7 +187,8 @@
         assertEquals(status(ask(connect(), post(10))), 200);
         assertEquals(status(ask(connect(), post(10))), 200);
         assertEquals(workers.connections.get(), 2);
-        // Nor does it stay: a worker that never sends its last chunks would hold one for each launch.
+        // Nor does it stay: a worker that never sends its last chunks would hold one for each
+        // launch.
         assertEquals(workers.closed.take().intValue(), 1);
     }
 
@@ -198,7 +217,9 @@
         assertEquals(status(ask(connect(), post(10))), 200);
     }
 
-    /** Descriptors run out some day: who is idle makes room; with none idle one too many is told so. */
+    /**
+     * Descriptors run out some day: who is idle makes room; with none idle one too many is told so.
+     */
     @Test(timeOut = PATIENCE)
     public void turnsAwayWhenFull() throws Exception {
         serve(Effect.IDEMPOTENT, 58, known(workers.listen()));
@@ -211,13 +232,16 @@
         for (int i = 11; i < 20; i++) {
             String message = post(10).replace("77", "" + (10 + i));
             clients.get(i).getOutputStream().write(message.getBytes(StandardCharsets.UTF_8));
-            // Past its bound of seven connections to workers the last two are bounced, with an answer.
+            // Past its bound of seven connections to workers the last two are bounced, with an
+            // answer.
             assertTrue(i >= 18 || workers.next().startsWith("POST"));
         }
         assertEquals(status(read(clients.get(19).getInputStream())), 503);
     }
 
-    /** Slow senders make room, the longest silent first, and are told to come back; nothing stalls. */
+    /**
+     * Slow senders make room, the longest silent first, and are told to come back; nothing stalls.
+     */
     @Test(timeOut = PATIENCE)
     public void slowSendersMakeRoomAndAreTold() throws Exception {
         workers.answers.add(DONE);
@@ -256,7 +280,10 @@
         assertEquals(status, 200);
     }
 
-    /** Owed within 3 s: an answer to a message without end, a close to silence; kept connections stay. */
+    /**
+     * Owed within 3 s: an answer to a message without end, a close to silence; kept connections
+     * stay.
+     */
     @Test(timeOut = PATIENCE)
     public void silenceAndEndlessMessagesEndInTime() throws Exception {
         serve(Effect.IDEMPOTENT, DONE);
@@ -265,7 +292,8 @@
         long before = System.nanoTime();
         Socket silent = connect();
         Socket endless = connect();
-        endless.getOutputStream().write(post(10).replace("hi", "h").getBytes(StandardCharsets.UTF_8));
+        endless.getOutputStream()
+                .write(post(10).replace("hi", "h").getBytes(StandardCharsets.UTF_8));
         String answer = read(endless.getInputStream());
         assertEquals(status(answer), 408);
         assertTrue(answer.contains("Connection: close"), answer);
@@ -294,7 +322,9 @@
         assertEquals(status(ask(fresh.get(0), post(10))), 200);
     }
 
-    /** Guards against hundreds who connect and say nothing: those who keep connections keep them. */
+    /**
+     * Guards against hundreds who connect and say nothing: those who keep connections keep them.
+     */
     @Test(timeOut = PATIENCE)
     public void aCrowdOfStrangersPushesNobodyOut() throws Exception {
         workers.answers.addAll(List.of(DONE, DONE));
@@ -307,15 +337,22 @@
         assertEquals(status(ask(kept, post(10))), 200);
     }
 
-    /** Bytes ahead of their turn wait, however many: the answer under way must not be lost for them. */
+    /**
+     * Bytes ahead of their turn wait, however many: the answer under way must not be lost for them.
+     */
     @Test(timeOut = PATIENCE)
     public void servesWhatCameAheadOfItsTurn() throws Exception {
         workers.answers.addAll(List.of(DONE, DONE, DONE, DONE, DONE));
         serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
         Socket client = connect();
-        String large = post(10).replace("Content-Length: 2\r\n\r\nhi", "Content-Length: 60000\r\n\r\n"
-                + "h".repeat(60_000));
-        start(() -> client.getOutputStream().write(large.repeat(5).getBytes(StandardCharsets.UTF_8)));
+        String large =
+                post(10).replace(
+                                "Content-Length: 2\r\n\r\nhi",
+                                "Content-Length: 60000\r\n\r\n" + "h".repeat(60_000));
+        start(
+                () ->
+                        client.getOutputStream()
+                                .write(large.repeat(5).getBytes(StandardCharsets.UTF_8)));
         for (int i = 0; i < 5; i++) {
             assertEquals(status(read(client.getInputStream())), 200);
         }
@@ -329,8 +366,10 @@
         return new Object[][] {
             // what the first call is answered, and the call that follows it
             {fresh, "/v1/servers?from=7&hold_ms=HELD"},
-            {fresh.replace("HTTP/1.1 200 OK", "HTTP/1.1 200 OK\r\nConnection: close"),
-                "/v1/servers?from=7&hold_ms=HELD"},
+            {
+                fresh.replace("HTTP/1.1 200 OK", "HTTP/1.1 200 OK\r\nConnection: close"),
+                "/v1/servers?from=7&hold_ms=HELD"
+            },
             {http(text.replace("7", "3")), "/v1/servers"},
             {http(text.replace("7", "5")), "/v1/servers?from=5&hold_ms=HELD"},
             {http(text.replace("false", "true")), "/v1/servers?from=7&hold_ms=HELD"},
@@ -351,12 +390,19 @@
         assertEquals(discovery.next(), "GET " + call + " HTTP/1.1");
     }
 
-    /** Guards against a hot loop with a discovery that neither holds calls nor gives whole lists. */
+    /**
+     * Guards against a hot loop with a discovery that neither holds calls nor gives whole lists.
+     */
     @Test(timeOut = PATIENCE)
     public void pausesBetweenAnswersThatTellNothing() throws Exception {
         String nothing = http("{\"version\":5,\"full\":false,\"servers\":[]}");
-        discovery.answers.addAll(List.of(nothing, nothing, nothing, http("{\"version\":1,\"full\":false,"
-                + "\"servers\":[]}"), nothing));
+        discovery.answers.addAll(
+                List.of(
+                        nothing,
+                        nothing,
+                        nothing,
+                        http("{\"version\":1,\"full\":false," + "\"servers\":[]}"),
+                        nothing));
         long before = System.nanoTime();
         serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
         for (int i = 0; i < 4; i++) {
@@ -368,7 +414,9 @@
         assertEquals(metric("list_failures_total"), 1);
     }
 
-    /** A configuration read again moves the watch: at once, for the whole list, until it is there. */
+    /**
+     * A configuration read again moves the watch: at once, for the whole list, until it is there.
+     */
     @Test(timeOut = PATIENCE)
     public void asksTheNewDiscoveryAtOnce() throws Exception {
         workers.answers.addAll(List.of(DONE, DONE));
@@ -376,9 +424,10 @@
         discovery.next();
         Stub other = new Stub();
         Config moved = config(other.listen());
-        service.reload(() -> {
-            throw new ConfigException("discovery", "is missing");
-        });
+        service.reload(
+                () -> {
+                    throw new ConfigException("discovery", "is missing");
+                });
         service.reload(() -> config);
         assertEquals(status(ask(connect(), post(10))), 503);
         assertEquals(discovery.closed.size(), 0);
@@ -410,20 +459,39 @@
 
     @DataProvider
     public Object[][] badStarts() {
-        return new Object[][] {{"nonsense", "known"}, {"{\"version\":1}", "known"}, {known(), "listen"}};
+        return new Object[][] {
+            {"nonsense", "known"}, {"{\"version\":1}", "known"}, {known(), "listen"}
+        };
     }
 
     /** A start that cannot serve ends at once, and names the key at fault. */
     @Test(dataProvider = "badStarts", timeOut = PATIENCE)
     public void namesWhatKeepsItFromStarting(String known, String key) throws Exception {
-        Config config = new Config("n0", discovery.listen(), discovery.listen(), null, null, 64, Double.NaN,
-                known.getBytes(StandardCharsets.UTF_8), new World.Given().settings(), 0.5, 10, 2, false,
-                null);
-        String message = expectThrows(ConfigException.class, () -> new Service(config).start()).getMessage();
+        Config config =
+                new Config(
+                        "n0",
+                        discovery.listen(),
+                        discovery.listen(),
+                        null,
+                        null,
+                        64,
+                        Double.NaN,
+                        known.getBytes(StandardCharsets.UTF_8),
+                        new World.Given().settings(),
+                        0.5,
+                        10,
+                        2,
+                        false,
+                        null);
+        String message =
+                expectThrows(ConfigException.class, () -> new Service(config).start()).getMessage();
         assertTrue(message.contains("'" + key + "'"), message);
     }
 
-    /** Who is alone serves its kept connections to the end, and tells the others when it will be back. */
+    /**
+     * Who is alone serves its kept connections to the end, and tells the others when it will be
+     * back.
+     */
     @Test(timeOut = PATIENCE)
     public void servesOnWhileItDrainsAlone() throws Exception {
         longest = 10;
@@ -444,20 +512,30 @@
             }
         }
         String served = ask(kept, post(10));
-        assertTrue(served.startsWith("HTTP/1.1 200") && !served.contains("Connection: close"), served);
+        assertTrue(
+                served.startsWith("HTTP/1.1 200") && !served.contains("Connection: close"), served);
         workers.heard.clear();
         other.getOutputStream().write(post(10).getBytes(StandardCharsets.UTF_8));
         workers.next();
-        String late = ask(kept, post(10).replace("77", "78").replace("X-Cost: 20000", "X-Cost: 19000000"));
+        String late =
+                ask(
+                        kept,
+                        post(10).replace("77", "78").replace("X-Cost: 20000", "X-Cost: 19000000"));
         assertTrue(late.startsWith("HTTP/1.1 503") && late.contains("Retry-After: 2.0\r\n"), late);
         String last = read(other.getInputStream());
-        assertTrue(last.startsWith("HTTP/1.1 503") && last.contains("Retry-After: 1.")
-                && last.contains("Connection: close"), last);
+        assertTrue(
+                last.startsWith("HTTP/1.1 503")
+                        && last.contains("Retry-After: 1.")
+                        && last.contains("Connection: close"),
+                last);
         ended.get();
         service = null;
     }
 
-    /** Who is slow to write as the signal comes is served all the same, though nothing else is left to do. */
+    /**
+     * Who is slow to write as the signal comes is served all the same, though nothing else is left
+     * to do.
+     */
     @Test(timeOut = PATIENCE)
     public void slowWritersAreServedBeforeItEnds() throws Exception {
         workers.answers.add(DONE);
@@ -478,7 +556,9 @@
         service = null;
     }
 
-    /** The end that a signal brings: what was taken is answered, and nothing after that is accepted. */
+    /**
+     * The end that a signal brings: what was taken is answered, and nothing after that is accepted.
+     */
     @Test(timeOut = PATIENCE)
     public void answersAllBeforeItEnds() throws Exception {
         workers.answers.addAll(List.of(HEAD + STARTED + STARTED));
--- a/daemon/src/test/java/wheelroute/net/StepClock.java
+++ b/daemon/src/test/java/wheelroute/net/StepClock.java
@@ -23,7 +23,9 @@
         stoppedAt += seconds;
     }
 
-    /** So much time passes all at once, as in a standstill, after so many more looks at the clock. */
+    /**
+     * So much time passes all at once, as in a standstill, after so many more looks at the clock.
+     */
     synchronized void jumpAfter(int looks, double seconds) {
         looksLeft = looks;
         jump = seconds;
--- a/daemon/src/test/java/wheelroute/net/clients/ClientDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ClientDecoderTest.java
@@ -21,16 +21,20 @@
 /** Clients' messages in all the shapes that a network or a stranger may give them. */
 public class ClientDecoderTest {
     private static final long ROOM = 100_000;
-    private static final String FIELDS = "Host: app.svc\r\nX-Request-ID: 9b1f\r\nx-route-key: 7f3a\r\n"
-            + "X-Timeout: 0.480\r\nIdempotency-Key: 5c0f\r\nX-Cost: 12000\r\nX-Retried: 1\r\n"
-            + "X-Attrs: slots=2,memory=1.5\r\nX-Tenant-Id: t\r\n";
-    private static final String POST = "POST /render/a%20b?q=1&r HTTP/1.1\r\n" + FIELDS
-            + "Content-Length: 5\r\n\r\nhello";
-    private static final String CHUNKED = "POST /render/a%20b?q=1&r HTTP/1.1\r\n" + FIELDS
-            + "Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n";
+    private static final String FIELDS =
+            "Host: app.svc\r\nX-Request-ID: 9b1f\r\nx-route-key: 7f3a\r\n"
+                    + "X-Timeout: 0.480\r\nIdempotency-Key: 5c0f\r\nX-Cost: 12000\r\nX-Retried: 1\r\n"
+                    + "X-Attrs: slots=2,memory=1.5\r\nX-Tenant-Id: t\r\n";
+    private static final String POST =
+            "POST /render/a%20b?q=1&r HTTP/1.1\r\n" + FIELDS + "Content-Length: 5\r\n\r\nhello";
+    private static final String CHUNKED =
+            "POST /render/a%20b?q=1&r HTTP/1.1\r\n"
+                    + FIELDS
+                    + "Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n";
 
-    private static final String ANSWER = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
-            + "Content-Length: 5\r\nX-Server-Load: x0=3\r\n\r\nhello";
+    private static final String ANSWER =
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
+                    + "Content-Length: 5\r\nX-Server-Load: x0=3\r\n\r\nhello";
 
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
@@ -62,7 +66,10 @@
         }
     }
 
-    /** A dispatcher holds thousands of connections, clients' and workers': what each keeps must be little. */
+    /**
+     * A dispatcher holds thousands of connections, clients' and workers': what each keeps must be
+     * little.
+     */
     @Test
     public void takesLittleMemoryAConnection() throws Exception {
         int connections = 100;
@@ -87,7 +94,9 @@
             parsers[i].parse(messages[4 * i + 3]);
         }
         long each = (threads.getThreadAllocatedBytes(thread) - before) / connections;
-        assertTrue(each > 0 && each < 20_000, each + " bytes for a client's and a worker's connection");
+        assertTrue(
+                each > 0 && each < 20_000,
+                each + " bytes for a client's and a worker's connection");
     }
 
     private static final class Unread implements AnswerParser.Reader {
@@ -111,12 +120,15 @@
     @Test
     public void decodesOneAfterTheOther() throws BadMessage {
         ClientDecoder decoder = new ClientDecoder(new Room(ROOM));
-        ByteBuffer two = bytes(POST + "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+        ByteBuffer two =
+                bytes(POST + "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         decoder.decode(two);
         ClientMessage second = decoder.decode(two);
         assertEquals(second.method() + second.path(), "GET/healthz");
         assertNull(second.id());
-        assertEquals(decoder.decode(bytes("GET / HTTP/1.1\r\nHost: a\r\nX-Attrs:\r\n\r\n")).slots(), 1.0);
+        assertEquals(
+                decoder.decode(bytes("GET / HTTP/1.1\r\nHost: a\r\nX-Attrs:\r\n\r\n")).slots(),
+                1.0);
         assertTrue(Double.isNaN(second.timeout()) && Double.isNaN(second.hint()));
         assertFalse(second.repeated() || second.keepsOpen());
         assertEquals(second.body().length, 0);
@@ -125,21 +137,41 @@
     @DataProvider
     public Object[][] names() {
         return new Object[][] {
-            {"render", "render"}, {"ren%64er", "render"}, {"a%20b", "a b"}, {"a%2Fb", "a/b"}, {"a.b", "a.b"},
-            {"%C3%A9t%C3%A9", "\u00e9t\u00e9"}, {"\u00e9t%C3%A9", "\u00e9t\u00e9"}, {"healthz", "healthz"},
+            {"render", "render"},
+            {"ren%64er", "render"},
+            {"a%20b", "a b"},
+            {"a%2Fb", "a/b"},
+            {"a.b", "a.b"},
+            {"%C3%A9t%C3%A9", "\u00e9t\u00e9"},
+            {"\u00e9t%C3%A9", "\u00e9t\u00e9"},
+            {"healthz", "healthz"},
         };
     }
 
     /** An offering's name may hold what a path must escape, a tenant's what is no ASCII. */
     @Test(dataProvider = "names")
     public void readsNames(String inPath, String name) throws BadMessage {
-        ClientMessage message = new ClientDecoder(new Room(ROOM)).decode(bytes(POST.replace("/render/",
-                "/" + inPath + "/").replace("X-Tenant-Id: t", "X-Tenant-Id: " + name)));
+        ClientMessage message =
+                new ClientDecoder(new Room(ROOM))
+                        .decode(
+                                bytes(
+                                        POST.replace("/render/", "/" + inPath + "/")
+                                                .replace(
+                                                        "X-Tenant-Id: t", "X-Tenant-Id: " + name)));
         assertEquals(message.offering(), name);
         assertEquals(message.tenant(), name);
         // To the worker it goes as it came, byte for byte.
-        String sent = World.text(new LaunchMessage(message.method(), message.target(), message.id(), null,
-                null, message.body(), false).encode("a", 1));
+        String sent =
+                World.text(
+                        new LaunchMessage(
+                                        message.method(),
+                                        message.target(),
+                                        message.id(),
+                                        null,
+                                        null,
+                                        message.body(),
+                                        false)
+                                .encode("a", 1));
         assertTrue(sent.startsWith("POST /" + inPath + "/a%20b?q=1&r HTTP/1.1\r\n"), sent);
     }
 
@@ -192,7 +224,10 @@
         };
     }
 
-    /** Guards against a matcher that calls itself for each character: the stack's end was the thread's. */
+    /**
+     * Guards against a matcher that calls itself for each character: the stack's end was the
+     * thread's.
+     */
     @Test
     public void readsTargetsAsLongAsAHead() throws BadMessage {
         for (String part : new String[] {"a".repeat(7500), "%41".repeat(2500)}) {
@@ -204,15 +239,23 @@
 
     @Test(dataProvider = "bad")
     public void refusesWithTheRightStatus(String text, int status) {
-        assertEquals(expectThrows(BadMessage.class, () -> {
-            ClientDecoder decoder = new ClientDecoder(new Room(ROOM));
-            ByteBuffer in = bytes(text);
-            while (in.hasRemaining()) {
-                ByteBuffer piece = in.slice(in.position(), Math.min(1000, in.remaining()));
-                in.position(in.position() + piece.remaining());
-                decoder.decode(piece);
-            }
-        }).status(), status);
+        assertEquals(
+                expectThrows(
+                                BadMessage.class,
+                                () -> {
+                                    ClientDecoder decoder = new ClientDecoder(new Room(ROOM));
+                                    ByteBuffer in = bytes(text);
+                                    while (in.hasRemaining()) {
+                                        ByteBuffer piece =
+                                                in.slice(
+                                                        in.position(),
+                                                        Math.min(1000, in.remaining()));
+                                        in.position(in.position() + piece.remaining());
+                                        decoder.decode(piece);
+                                    }
+                                })
+                        .status(),
+                status);
     }
 
     /** Guards against many large bodies at once, which ended the process for want of memory. */
@@ -222,11 +265,13 @@
         ClientDecoder first = new ClientDecoder(room);
         ClientDecoder second = new ClientDecoder(room);
         first.decode(bytes(text));
-        assertEquals(expectThrows(BadMessage.class, () -> second.decode(bytes(text))).status(), 503);
+        assertEquals(
+                expectThrows(BadMessage.class, () -> second.decode(bytes(text))).status(), 503);
         second.release();
         first.release();
         String stalled = POST.replace("Content-Length: 5", "Content-Length: 60000");
-        assertNull(new ClientDecoder(room).decode(bytes(stalled.substring(0, stalled.length() - 3))));
+        assertNull(
+                new ClientDecoder(room).decode(bytes(stalled.substring(0, stalled.length() - 3))));
         ClientDecoder third = new ClientDecoder(room);
         assertEquals(third.decode(bytes(text)).body().length, 5);
         third.release();
@@ -236,14 +281,29 @@
     @DataProvider
     public Object[][] answers() {
         return new Object[][] {
-            {ClientAnswer.fulfilled("ok".getBytes(StandardCharsets.UTF_8)), false,
-                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"},
-            {ClientAnswer.bounced(0.0401), true, "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.041\r\n"
-                + "Connection: close\r\nContent-Length: 25\r\n\r\nbounced: a retry is safe\n"},
-            {ClientAnswer.bounced(0), false, "HTTP/1.1 503 Service Unavailable\r\n"
-                + "Content-Length: 25\r\n\r\nbounced: a retry is safe\n"},
-            {ClientAnswer.scrapped(), false, "HTTP/1.1 502 Bad Gateway\r\n"
-                + "Content-Length: 26\r\n\r\nscrapped: it may have run\n"},
+            {
+                ClientAnswer.fulfilled("ok".getBytes(StandardCharsets.UTF_8)),
+                false,
+                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+            },
+            {
+                ClientAnswer.bounced(0.0401),
+                true,
+                "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.041\r\n"
+                        + "Connection: close\r\nContent-Length: 25\r\n\r\nbounced: a retry is safe\n"
+            },
+            {
+                ClientAnswer.bounced(0),
+                false,
+                "HTTP/1.1 503 Service Unavailable\r\n"
+                        + "Content-Length: 25\r\n\r\nbounced: a retry is safe\n"
+            },
+            {
+                ClientAnswer.scrapped(),
+                false,
+                "HTTP/1.1 502 Bad Gateway\r\n"
+                        + "Content-Length: 26\r\n\r\nscrapped: it may have run\n"
+            },
         };
     }
 
--- a/daemon/src/test/java/wheelroute/net/handover/LearnedTextTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/LearnedTextTest.java
@@ -16,14 +16,18 @@
 
     private static Learned learned() {
         return new Learned(
-                Map.of(new Ids.Worker(1), new Learned.OfWorker(SAMPLES, new double[0], SAMPLES),
-                        new Ids.Worker(2), new Learned.OfWorker(SAMPLES, SAMPLES, SAMPLES)),
+                Map.of(
+                        new Ids.Worker(1),
+                        new Learned.OfWorker(SAMPLES, new double[0], SAMPLES),
+                        new Ids.Worker(2),
+                        new Learned.OfWorker(SAMPLES, SAMPLES, SAMPLES)),
                 Map.of(new Ids.Model("m \"2\""), new Learned.OfModel(3, SAMPLES, SAMPLES)),
                 Map.of(new Ids.Offering("job"), SAMPLES));
     }
 
     private static Learned decode(String text) throws IOException {
-        return LearnedText.decode(text.getBytes(StandardCharsets.UTF_8),
+        return LearnedText.decode(
+                text.getBytes(StandardCharsets.UTF_8),
                 name -> name.equals("one") ? new Ids.Worker(7) : null);
     }
 
@@ -45,10 +49,18 @@
     public Object[][] faults() {
         String worker = "{\"workers\":{\"one\":{\"runs\":[R],\"waits\":[],\"failures\":[]}}}";
         return new Object[][] {
-            {""}, {"[]"}, {"{\"workers\":["}, {"{\"workers\":{\"one\":[1]}}"}, {"{\"workers\":{\"one\":{}}}"},
-            {worker.replace("R", "1,2")}, {worker.replace("R", "1,0,3")}, {worker.replace("R", "1,2,\"x\"")},
-            {worker.replace("R", "1,2,1e999")}, {worker.replace("R", "1,1,1,".repeat(65) + "1,1,1")},
-            {"{\"models\":{\"m\":{\"slots\":-1,\"runs\":[],\"waits\":[]}}}"}, {"{\"hints\":{\"job\":[1,2]}}"},
+            {""},
+            {"[]"},
+            {"{\"workers\":["},
+            {"{\"workers\":{\"one\":[1]}}"},
+            {"{\"workers\":{\"one\":{}}}"},
+            {worker.replace("R", "1,2")},
+            {worker.replace("R", "1,0,3")},
+            {worker.replace("R", "1,2,\"x\"")},
+            {worker.replace("R", "1,2,1e999")},
+            {worker.replace("R", "1,1,1,".repeat(65) + "1,1,1")},
+            {"{\"models\":{\"m\":{\"slots\":-1,\"runs\":[],\"waits\":[]}}}"},
+            {"{\"hints\":{\"job\":[1,2]}}"},
         };
     }
 
--- a/daemon/src/test/java/wheelroute/net/handover/PlacesTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/PlacesTest.java
@@ -10,7 +10,8 @@
     @DataProvider
     public Object[][] histories() {
         return new Object[][] {
-            // what happens, in order; then processes, told to the one before, to the one after, succeeded
+            // what happens, in order; then processes, told to the one before, to the one after,
+            // succeeded
             {"", 1, 0, 0, false},
             {"after+", 2, 1, 0, false},
             {"after+ serves", 2, 1, 0, true},
@@ -27,9 +28,13 @@
         };
     }
 
-    /** Shares follow from who is known to be there, whatever the order in which they come, speak and go. */
+    /**
+     * Shares follow from who is known to be there, whatever the order in which they come, speak and
+     * go.
+     */
     @Test(dataProvider = "histories")
-    public void countsWhoIsThere(String history, int processes, int before, int after, boolean succeeded) {
+    public void countsWhoIsThere(
+            String history, int processes, int before, int after, boolean succeeded) {
         Places places = new Places();
         for (String event : history.isEmpty() ? new String[0] : history.split(" ")) {
             Side side = event.startsWith("before") ? Side.BEFORE : Side.AFTER;
--- a/daemon/src/test/java/wheelroute/net/list/WorkerListTest.java
+++ b/daemon/src/test/java/wheelroute/net/list/WorkerListTest.java
@@ -12,10 +12,11 @@
 
 /** Discovery's answers, and what is none. */
 public class WorkerListTest {
-    private static final String ENTRY = "{'id':'s-5b','addr':'127.1.0.18:8081','zone':'a','kind':'m2',"
-            + "'cell':3,'state':'ready','weight':1.5,'started_ms':1500,'new':[{}]}";
-    private static final String LIST = "{'version':41,'full':true,'later':{'a':[1]},"
-            + "'servers':[" + ENTRY + "]}";
+    private static final String ENTRY =
+            "{'id':'s-5b','addr':'127.1.0.18:8081','zone':'a','kind':'m2',"
+                    + "'cell':3,'state':'ready','weight':1.5,'started_ms':1500,'new':[{}]}";
+    private static final String LIST =
+            "{'version':41,'full':true,'later':{'a':[1]}," + "'servers':[" + ENTRY + "]}";
 
     private static WorkerList decode(String json) throws IOException {
         return WorkerList.decode(json.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
@@ -50,11 +51,19 @@
     @DataProvider
     public Object[][] nonsense() {
         return new Object[][] {
-            {""}, {"[]"}, {"{}"}, {"hello"}, {LIST.substring(0, 100)}, {LIST.replace("41", "'new'")},
-            {LIST.replace("'version':41,", "")}, {LIST.replace(ENTRY, "7")},
+            {""},
+            {"[]"},
+            {"{}"},
+            {"hello"},
+            {LIST.substring(0, 100)},
+            {LIST.replace("41", "'new'")},
+            {LIST.replace("'version':41,", "")},
+            {LIST.replace(ENTRY, "7")},
             {LIST.replace("[" + ENTRY + "]", "{}")},
-            {LIST.replace("127.1.0.18:8081", "somewhere")}, {LIST.replace("'state':'ready',", "")},
-            {LIST.replace("'id':'s-5b',", "")}, {LIST.replace("'cell':3", "'cell':'three'")},
+            {LIST.replace("127.1.0.18:8081", "somewhere")},
+            {LIST.replace("'state':'ready',", "")},
+            {LIST.replace("'id':'s-5b',", "")},
+            {LIST.replace("'cell':3", "'cell':'three'")},
         };
     }
 
--- a/daemon/src/test/java/wheelroute/net/workers/FlightTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/FlightTest.java
@@ -14,7 +14,8 @@
 
     @DataProvider
     public Object[][] moments() {
-        // When its connection is up, whether its client still waits, whether it goes, and how it ends.
+        // When its connection is up, whether its client still waits, whether it goes, and how it
+        // ends.
         return new Object[][] {
             {LIMIT - 0.001, true, true, List.of()},
             {LIMIT, true, false, List.of(End.ENDED_UNSENT)},
@@ -23,33 +24,39 @@
         };
     }
 
-    /** Its connection may come up in a standstill of the process, and be heard of before its timer. */
+    /**
+     * Its connection may come up in a standstill of the process, and be heard of before its timer.
+     */
     @Test(dataProvider = "moments")
-    public void nothingGoesOutPastItsLimit(double now, boolean wanted, boolean goes, List<End> expected) {
+    public void nothingGoesOutPastItsLimit(
+            double now, boolean wanted, boolean goes, List<End> expected) {
         List<End> ends = new ArrayList<>();
-        Launches launches = new Launches() {
-            @Override
-            public boolean isWanted() {
-                return wanted;
-            }
-
-            @Override
-            public void started() {
-                throw new AssertionError("it has not gone");
-            }
-
-            @Override
-            public void progressed(double share) {
-                throw new AssertionError("it has not gone");
-            }
-
-            @Override
-            public void ended(End end, byte[] result, double freeSlots) {
-                ends.add(end);
-            }
-        };
-        LaunchMessage message = new LaunchMessage("POST", "/job/x", "77", null, null, new byte[0], true);
-        assertEquals(new Flight(message, LIMIT, launches, new Counters(List.of())).mayGo(now), goes);
+        Launches launches =
+                new Launches() {
+                    @Override
+                    public boolean isWanted() {
+                        return wanted;
+                    }
+
+                    @Override
+                    public void started() {
+                        throw new AssertionError("it has not gone");
+                    }
+
+                    @Override
+                    public void progressed(double share) {
+                        throw new AssertionError("it has not gone");
+                    }
+
+                    @Override
+                    public void ended(End end, byte[] result, double freeSlots) {
+                        ends.add(end);
+                    }
+                };
+        LaunchMessage message =
+                new LaunchMessage("POST", "/job/x", "77", null, null, new byte[0], true);
+        assertEquals(
+                new Flight(message, LIMIT, launches, new Counters(List.of())).mayGo(now), goes);
         assertEquals(ends, expected);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/workers/LaunchDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/LaunchDecoderTest.java
@@ -16,15 +16,19 @@
 public class LaunchDecoderTest implements LaunchDecoder.Hearer {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String STARTED = "{'id':'9b','from':'s-0','state':'started'}\n";
-    private static final String RUNNING = "{'id':'9b','from':'s-0','state':'running','share':0.4}\n";
-    private static final String DONE = "{'id':'9b','state':'done','load':{'pending':1,'x0':2},"
-            + "'result':'r\\n\u00e9'}\n";
+    private static final String RUNNING =
+            "{'id':'9b','from':'s-0','state':'running','share':0.4}\n";
+    private static final String DONE =
+            "{'id':'9b','state':'done','load':{'pending':1,'x0':2}," + "'result':'r\\n\u00e9'}\n";
     private static final String LAST = "0\r\n\r\n";
 
     private final StringBuilder heard = new StringBuilder();
 
     private static String chunk(String text) {
-        return Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + text + "\r\n";
+        return Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length)
+                + "\r\n"
+                + text
+                + "\r\n";
     }
 
     private static String answer(String... lines) {
@@ -46,13 +50,22 @@
             {answer(STARTED, RUNNING, DONE), "started 0.4 DONE[r\n\u00e9]2.0 kept"},
             {answer(STARTED + RUNNING + DONE), "started 0.4 DONE[r\n\u00e9]2.0 kept"},
             {answer(DONE.trim()), "DONE[r\n\u00e9]2.0 kept"},
-            {answer("{'id':'9b','state':'done','result':{'a':[1]}}\n"), "DONE[{\"a\":[1]}]NaN kept"},
-            {answer("{'id':'9b','state':'paused','new':{'x':1}}\n", "\n", DONE), "DONE[r\n\u00e9]2.0 kept"},
+            {
+                answer("{'id':'9b','state':'done','result':{'a':[1]}}\n"),
+                "DONE[{\"a\":[1]}]NaN kept"
+            },
+            {
+                answer("{'id':'9b','state':'paused','new':{'x':1}}\n", "\n", DONE),
+                "DONE[r\n\u00e9]2.0 kept"
+            },
             {answer(DONE, DONE), "DONE[r\n\u00e9]2.0 kept"},
             {answer("{'id':'9b','state':'failed','load':3}\n"), "FAILED[]NaN kept"},
             {answer("{'id':'9b','state':'returned'}\n"), "RETURNED[]NaN kept"},
             {answer("{'id':'9b','state':'lost'}\n"), "LOST[]NaN kept"},
-            {plain("503", notBegun + "X-Server-Load: pending=2,x0=1.5\r\n"), "TURNED_AWAY[]1.5 kept"},
+            {
+                plain("503", notBegun + "X-Server-Load: pending=2,x0=1.5\r\n"),
+                "TURNED_AWAY[]1.5 kept"
+            },
             {plain("504", notBegun), "TURNED_AWAY[]NaN kept"},
             {plain("503", "X-Server-Load: x0=many\r\n"), "ODD_STATUS[]NaN kept"},
             {plain("503", "X-Not-Processed: 0\r\n"), "ODD_STATUS[]NaN kept"},
@@ -98,13 +111,19 @@
         };
     }
 
-    /** Nothing of it may pass for an answer, and nothing may be thrown but what its caller expects. */
+    /**
+     * Nothing of it may pass for an answer, and nothing may be thrown but what its caller expects.
+     */
     @Test(dataProvider = "nonsense")
     public void refusesWhatIsNotAnAnswer(String text) {
         LaunchDecoder decoder = new LaunchDecoder(this);
         decoder.expect("9b");
-        assertThrows(IOException.class, () -> decoder.decode(ByteBuffer.wrap(text.replace('\'', '"')
-                .getBytes(StandardCharsets.UTF_8))));
+        assertThrows(
+                IOException.class,
+                () ->
+                        decoder.decode(
+                                ByteBuffer.wrap(
+                                        text.replace('\'', '"').getBytes(StandardCharsets.UTF_8))));
     }
 
     /** Bytes left behind an answer belong to nobody: the connection must not be used again. */
@@ -113,11 +132,15 @@
         LaunchDecoder decoder = new LaunchDecoder(this);
         decoder.expect("9b");
         heard.setLength(0);
-        decoder.decode(ByteBuffer.wrap((plain("500", "") + "tail").getBytes(StandardCharsets.UTF_8)));
+        decoder.decode(
+                ByteBuffer.wrap((plain("500", "") + "tail").getBytes(StandardCharsets.UTF_8)));
         assertEquals(heard.toString(), "FAILED[]NaN closed");
     }
 
-    /** Guards against an end counted as proof that nothing ran: these are all that the protocol proves. */
+    /**
+     * Guards against an end counted as proof that nothing ran: these are all that the protocol
+     * proves.
+     */
     @Test
     public void onlyProvenEndsNeverRan() {
         EnumSet<End> never = EnumSet.noneOf(End.class);
@@ -126,17 +149,27 @@
                 never.add(end);
             }
         }
-        assertEquals(never, EnumSet.of(End.RETURNED, End.TURNED_AWAY, End.REFUSED, End.NEVER_UP, End.NO_ROOM,
-                End.BROKE_UNSENT, End.ENDED_UNSENT));
+        assertEquals(
+                never,
+                EnumSet.of(
+                        End.RETURNED,
+                        End.TURNED_AWAY,
+                        End.REFUSED,
+                        End.NEVER_UP,
+                        End.NO_ROOM,
+                        End.BROKE_UNSENT,
+                        End.ENDED_UNSENT));
     }
 
     @Test
     public void encodesWhatTheClientSent() {
-        LaunchMessage message = new LaunchMessage("POST", "/a%20b?q", "9b", null, "7f",
-                new byte[] {'h', 'i'}, false);
-        assertEquals(World.text(message.encode("127.0.0.1:80", 0.4567)),
+        LaunchMessage message =
+                new LaunchMessage(
+                        "POST", "/a%20b?q", "9b", null, "7f", new byte[] {'h', 'i'}, false);
+        assertEquals(
+                World.text(message.encode("127.0.0.1:80", 0.4567)),
                 "POST /a%20b?q HTTP/1.1\r\nHost: 127.0.0.1:80\r\nX-Request-ID: 9b\r\nX-Route-Key: 7f\r\n"
-                + "X-Timeout: 0.457\r\nContent-Length: 2\r\n\r\nhi");
+                        + "X-Timeout: 0.457\r\nContent-Length: 2\r\n\r\nhi");
     }
 
     @Override
@@ -151,8 +184,12 @@
 
     @Override
     public void ended(End end, byte[] result, double freeSlots) {
-        heard.append(end).append('[').append(new String(result, StandardCharsets.UTF_8)).append(']')
-                .append(freeSlots).append(' ');
+        heard.append(end)
+                .append('[')
+                .append(new String(result, StandardCharsets.UTF_8))
+                .append(']')
+                .append(freeSlots)
+                .append(' ');
     }
 
     @Override
--- a/daemon/src/test/java/wheelroute/peers/CodecTest.java
+++ b/daemon/src/test/java/wheelroute/peers/CodecTest.java
@@ -15,7 +15,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Datagrams: what goes out comes back the same, and whatever comes in, nothing but a message or a no does.
+ * Datagrams: what goes out comes back the same, and whatever comes in, nothing but a message or a
+ * no does.
  */
 public class CodecTest {
     private static final long SEED = 1;
@@ -30,9 +31,12 @@
 
     private static Sighting sighting(int number, int nameLength) {
         Sighting.State[] states = Sighting.State.values();
-        return new Sighting(new PeerId("n".repeat(nameLength) + number % 7),
-                new Place(0x7f000001, number & 0xffff), (long) number << 20,
-                states[number % states.length], number * 31);
+        return new Sighting(
+                new PeerId("n".repeat(nameLength) + number % 7),
+                new Place(0x7f000001, number & 0xffff),
+                (long) number << 20,
+                states[number % states.length],
+                number * 31);
     }
 
     private static Message message(int kindAt, int number, int names) {
@@ -42,26 +46,40 @@
             news.add(sighting(number + i, 1 + (number + i) % (PeerId.MOST_BYTES - 1)));
         }
         boolean endOfPages = kind != Message.Kind.ASK && number % 2 == 0;
-        return new Message(kind, 5, SELF, number, -number, kind.hasTarget() && !endOfPages
-                ? sighting(number, PeerId.MOST_BYTES - 1) : null, kind.hasLease()
-                ? new Message.Lease(number, number * 7L) : null, news);
+        return new Message(
+                kind,
+                5,
+                SELF,
+                number,
+                -number,
+                kind.hasTarget() && !endOfPages ? sighting(number, PeerId.MOST_BYTES - 1) : null,
+                kind.hasLease() ? new Message.Lease(number, number * 7L) : null,
+                news);
     }
 
-    /** The bound holds whatever is said, and what fits of the news comes back, from its beginning. */
+    /**
+     * The bound holds whatever is said, and what fits of the news comes back, from its beginning.
+     */
     @Test
     public void whatGoesOutComesBack() {
-        fixed().forAll(integers().between(0, KINDS - 1), integers().between(0, 1_000_000),
-                integers().between(0, 30)).checkAssert((kind, number, names) -> {
-                    Message sent = message(kind, number, names);
-                    ByteBuffer bytes = Codec.encode(sent);
-                    assertEquals(bytes.remaining() <= Codec.MOST_BYTES, true);
-                    int fitting = Codec.fitting(sent.with(List.of()), sent.news());
-                    try {
-                        assertEquals(Codec.decode(bytes), sent.with(sent.news().subList(0, fitting)));
-                    } catch (MalformedException e) {
-                        throw new AssertionError(e);
-                    }
-                });
+        fixed().forAll(
+                        integers().between(0, KINDS - 1),
+                        integers().between(0, 1_000_000),
+                        integers().between(0, 30))
+                .checkAssert(
+                        (kind, number, names) -> {
+                            Message sent = message(kind, number, names);
+                            ByteBuffer bytes = Codec.encode(sent);
+                            assertEquals(bytes.remaining() <= Codec.MOST_BYTES, true);
+                            int fitting = Codec.fitting(sent.with(List.of()), sent.news());
+                            try {
+                                assertEquals(
+                                        Codec.decode(bytes),
+                                        sent.with(sent.news().subList(0, fitting)));
+                            } catch (MalformedException e) {
+                                throw new AssertionError(e);
+                            }
+                        });
     }
 
     private static void reads(byte[] bytes) {
@@ -73,34 +91,40 @@
     }
 
     /**
-     * Noise, and noise under a true checksum, which is all that a liar needs: read or refused, no other
-     * end.
+     * Noise, and noise under a true checksum, which is all that a liar needs: read or refused, no
+     * other end.
      */
     @Test
     public void noiseIsReadOrRefused() {
-        fixed().forAll(lists().of(integers().between(-128, 127)).ofSizeBetween(0, 300)).checkAssert(list -> {
-            byte[] bytes = new byte[list.size()];
-            for (int i = 0; i < bytes.length; i++) {
-                bytes[i] = list.get(i).byteValue();
-            }
-            reads(bytes);
-            reads(sealed(bytes));
-        });
+        fixed().forAll(lists().of(integers().between(-128, 127)).ofSizeBetween(0, 300))
+                .checkAssert(
+                        list -> {
+                            byte[] bytes = new byte[list.size()];
+                            for (int i = 0; i < bytes.length; i++) {
+                                bytes[i] = list.get(i).byteValue();
+                            }
+                            reads(bytes);
+                            reads(sealed(bytes));
+                        });
     }
 
     /** Any byte of a true datagram changed, cut off or doubled, and sealed again. */
     @Test
     public void whatIsNearlyTrueIsReadOrRefused() {
-        fixed().forAll(integers().between(0, KINDS - 1), integers().between(0, 255),
-                integers().between(-128, 127), integers().between(0, 5))
-                .checkAssert((kind, at, value, cut) -> {
-                    ByteBuffer out = Codec.encode(message(kind, 1000 + at, 3));
-                    byte[] bytes = new byte[Math.max(CHECKSUM, out.remaining() - cut)];
-                    out.get(bytes);
-                    bytes[at % bytes.length] = value.byteValue();
-                    reads(bytes);
-                    reads(sealed(bytes));
-                });
+        fixed().forAll(
+                        integers().between(0, KINDS - 1),
+                        integers().between(0, 255),
+                        integers().between(-128, 127),
+                        integers().between(0, 5))
+                .checkAssert(
+                        (kind, at, value, cut) -> {
+                            ByteBuffer out = Codec.encode(message(kind, 1000 + at, 3));
+                            byte[] bytes = new byte[Math.max(CHECKSUM, out.remaining() - cut)];
+                            out.get(bytes);
+                            bytes[at % bytes.length] = value.byteValue();
+                            reads(bytes);
+                            reads(sealed(bytes));
+                        });
     }
 
     private static byte[] sealed(byte[] bytes) {
@@ -118,9 +142,13 @@
         int size = Codec.encode(message(0, 7, 1)).remaining();
         return new Object[][] {
             // which byte, its value, what is told
-            {0, 0, "mark", true_, size}, {3, 2, "mark or version", true_, size},
-            {4, 77, "its kind 77", true_, size}, {4, -1, "its kind -1", true_, size},
-            {17, 0, "a name", true_, size}, {17, 41, "a name", true_, size}, {18, 32, "a name", true_, size},
+            {0, 0, "mark", true_, size},
+            {3, 2, "mark or version", true_, size},
+            {4, 77, "its kind 77", true_, size},
+            {4, -1, "its kind -1", true_, size},
+            {17, 0, "a name", true_, size},
+            {17, 41, "a name", true_, size},
+            {18, 32, "a name", true_, size},
             {size - CHECKSUM - 5, 9, "a state", true_, size},
         };
     }
@@ -129,8 +157,10 @@
     public void whatIsRefusedIsNamed(int at, int value, String told, byte[] bytes, int size) {
         byte[] changed = java.util.Arrays.copyOf(bytes, size);
         changed[at] = (byte) value;
-        MalformedException e = expectThrows(MalformedException.class,
-                () -> Codec.decode(ByteBuffer.wrap(sealed(changed))));
+        MalformedException e =
+                expectThrows(
+                        MalformedException.class,
+                        () -> Codec.decode(ByteBuffer.wrap(sealed(changed))));
         assertEquals(e.getMessage().contains(told), true, e.getMessage());
     }
 }
--- a/daemon/src/test/java/wheelroute/peers/LeaseCheckTest.java
+++ b/daemon/src/test/java/wheelroute/peers/LeaseCheckTest.java
@@ -17,27 +17,41 @@
 import org.testng.annotations.Test;
 
 /**
- * Three dispatchers and one share that two of them want, with the program's own leases and votes: every
- * order of asking, hearing, passing time, standing still, giving back and starting anew, to a stated depth,
- * datagrams coming late, again or never. At no moment do two use the share; and with any one guard taken
- * out, they do.
+ * Three dispatchers and one share that two of them want, with the program's own leases and votes:
+ * every order of asking, hearing, passing time, standing still, giving back and starting anew, to a
+ * stated depth, datagrams coming late, again or never. At no moment do two use the share; and with
+ * any one guard taken out, they do.
  */
 public class LeaseCheckTest {
     private static final int MEMBERS = 3;
     private static final int HOLDERS = 2;
+
     /** In steps of the model: long enough beside the passes of time below. */
     private static final double USED = 10;
+
     /** Clocks in the model run apart by this, so that it shows within one lease. */
     private static final double RATES = 0.1;
+
     private static final double PROMISED = USED * (1 + RATES) / (1 - RATES);
     private static final double[] PASSES = {1, 9.5, 12.5};
     private static final PeerId[] NAMES = {new PeerId("a"), new PeerId("b"), new PeerId("c")};
-    /** The second holder is another process under the first one's name, started while that stood still. */
+
+    /**
+     * The second holder is another process under the first one's name, started while that stood
+     * still.
+     */
     private static final PeerId[] TWINS = {NAMES[0], NAMES[0], NAMES[2]};
 
     private enum Guard {
-        NONE, COUNTS_FROM_ASKING, KEEPS_ITS_WORD, SILENT_AFTER_START, MARGIN_FOR_RATES, MOST_OF_THEM,
-        LOOKS_AT_USE, LIFE, LATEST_BACK
+        NONE,
+        COUNTS_FROM_ASKING,
+        KEEPS_ITS_WORD,
+        SILENT_AFTER_START,
+        MARGIN_FOR_RATES,
+        MOST_OF_THEM,
+        LOOKS_AT_USE,
+        LIFE,
+        LATEST_BACK
     }
 
     /** A datagram on its way, or come: it may come again at any time. */
@@ -64,8 +78,10 @@
         final long[] lives = new long[MEMBERS];
         final int[] numbers = new int[HOLDERS];
         final boolean[] still = new boolean[HOLDERS];
+
         /** Only without the look at use: it uses the share until something happens to it. */
         final boolean[] believes = new boolean[HOLDERS];
+
         final Set<Sent> sent = new TreeSet<>();
         final List<String> story = new ArrayList<>();
 
@@ -106,8 +122,10 @@
             return new Votes(now, promised, silent) {
                 @Override
                 boolean isSame(Promise last, PeerId holder, long life) {
-                    return without == Guard.KEEPS_ITS_WORD || (without == Guard.LIFE
-                            ? last.holder().equals(holder) : super.isSame(last, holder, life));
+                    return without == Guard.KEEPS_ITS_WORD
+                            || (without == Guard.LIFE
+                                    ? last.holder().equals(holder)
+                                    : super.isSame(last, holder, life));
                 }
 
                 @Override
@@ -131,8 +149,10 @@
         }
 
         boolean uses(int holder) {
-            return !still[holder] && (without == Guard.LOOKS_AT_USE ? believes[holder]
-                    : leases[holder].isHeld(clock(holder)));
+            return !still[holder]
+                    && (without == Guard.LOOKS_AT_USE
+                            ? believes[holder]
+                            : leases[holder].isHeld(clock(holder)));
         }
 
         String key() {
@@ -141,7 +161,10 @@
                 key.append(lives[i]).append(votes[i].key(clock(i))).append(';');
             }
             for (int i = 0; i < HOLDERS; i++) {
-                key.append(leases[i].key(clock(i))).append(still[i]).append(believes[i]).append(';');
+                key.append(leases[i].key(clock(i)))
+                        .append(still[i])
+                        .append(believes[i])
+                        .append(';');
             }
             sent.forEach(one -> key.append(one.text).append(','));
             return key.toString();
@@ -171,7 +194,9 @@
                     }
                 }
                 if (uses(h) || still[h]) {
-                    step(all, (still[h] ? "goes on " : "stands still ") + NAMES[h],
+                    step(
+                            all,
+                            (still[h] ? "goes on " : "stands still ") + NAMES[h],
                             s -> s.still[h] = !s.still[h]);
                 }
             }
@@ -256,8 +281,7 @@
     }
 
     /** Something that can happen to a state. */
-    private record Step(String what, Consumer<State> does) {
-    }
+    private record Step(String what, Consumer<State> does) {}
 
     private int states;
 
@@ -287,14 +311,17 @@
     }
 
     /** Goes one way at each state, by chance: far deeper, in a part of all ways. */
-    private static List<String> brokenAtLast(Guard without, double[] rates, PeerId[] names, int walks) {
+    private static List<String> brokenAtLast(
+            Guard without, double[] rates, PeerId[] names, int walks) {
         for (int seed = 0; seed < walks; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             State state = new State(without, rates, names);
             while (state.story.size() < WALK) {
                 List<Step> steps = state.steps();
-                // Mostly something is heard, and mostly something new: else long stories never come about.
-                List<Step> heard = steps.stream().filter(one -> one.what.startsWith("hears")).toList();
+                // Mostly something is heard, and mostly something new: else long stories never come
+                // about.
+                List<Step> heard =
+                        steps.stream().filter(one -> one.what.startsWith("hears")).toList();
                 List<Step> open = heard.isEmpty() || random.nextInt(3) == 0 ? steps : heard;
                 Step step = open.get(random.nextInt(open.size()));
                 step.does.accept(state);
@@ -309,8 +336,10 @@
 
     private static final double SLOW = 1 - RATES;
     private static final double FAST = 1 + RATES;
+
     /** Every way to this depth is gone: some hundred thousand states for each set of clocks. */
     private static final int DEPTH = 6;
+
     private static final int WALK = 30;
     private static final int WALKS = 250_000;
 
@@ -334,13 +363,20 @@
 
     @DataProvider
     public Object[][] guards() {
-        return Arrays.stream(Guard.values()).filter(g -> g != Guard.NONE).map(g -> new Object[] {g})
+        return Arrays.stream(Guard.values())
+                .filter(g -> g != Guard.NONE)
+                .map(g -> new Object[] {g})
                 .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "guards")
     public void withoutOneGuardTwoUseItAtOnce(Guard guard) {
-        assertNotNull(brokenAtLast(guard, new double[] {SLOW, FAST, FAST},
-                guard == Guard.LIFE ? TWINS : NAMES, WALKS), "not found");
+        assertNotNull(
+                brokenAtLast(
+                        guard,
+                        new double[] {SLOW, FAST, FAST},
+                        guard == Guard.LIFE ? TWINS : NAMES,
+                        WALKS),
+                "not found");
     }
 }
--- a/daemon/src/test/java/wheelroute/peers/SharesTest.java
+++ b/daemon/src/test/java/wheelroute/peers/SharesTest.java
@@ -27,8 +27,10 @@
         final List<Runnable> under = new ArrayList<>();
         final SplittableRandom random = new SplittableRandom(7);
         double loss;
+
         /** From here on one side does not hear the other. */
         int cutAt = -1;
+
         boolean lies;
         double now = 100;
         double most;
@@ -48,9 +50,13 @@
             up[i] = true;
             long life = ++lives[i];
             votes[i] = new Votes(now);
-            shares[i] = new Shares(i, count, life, other -> lies ? random.nextBoolean()
-                    : up[other] && !isCut(i, other), (to, kind, number, lease) -> send(i, life, to, kind,
-                            number, lease));
+            shares[i] =
+                    new Shares(
+                            i,
+                            count,
+                            life,
+                            other -> lies ? random.nextBoolean() : up[other] && !isCut(i, other),
+                            (to, kind, number, lease) -> send(i, life, to, kind, number, lease));
         }
 
         boolean isCut(int one, int other) {
@@ -61,36 +67,44 @@
             if (isCut(from, to) || random.nextDouble() < loss) {
                 return;
             }
-            under.add(() -> {
-                if (!up[to] || still.contains(to)) {
-                    return;
-                }
-                PeerId by = new PeerId("n" + from);
-                switch (kind) {
-                    case LEASE_ASK -> {
-                        if (votes[to].ask(now, lease.share(), by, lease.life(), number)) {
-                            send(to, lives[to], from, Message.Kind.LEASE_GRANT, number, lease);
+            under.add(
+                    () -> {
+                        if (!up[to] || still.contains(to)) {
+                            return;
                         }
-                    }
-                    case LEASE_GRANT -> shares[to].granted(now, number, lease, by);
-                    default -> votes[to].back(lease.share(), by, lease.life(), number);
-                }
-            });
+                        PeerId by = new PeerId("n" + from);
+                        switch (kind) {
+                            case LEASE_ASK -> {
+                                if (votes[to].ask(now, lease.share(), by, lease.life(), number)) {
+                                    send(
+                                            to,
+                                            lives[to],
+                                            from,
+                                            Message.Kind.LEASE_GRANT,
+                                            number,
+                                            lease);
+                                }
+                            }
+                            case LEASE_GRANT -> shares[to].granted(now, number, lease, by);
+                            default -> votes[to].back(lease.share(), by, lease.life(), number);
+                        }
+                    });
         }
 
         void pass(double seconds) {
-            for (double end = now + seconds; now < end;) {
+            for (double end = now + seconds; now < end; ) {
                 now += STEP;
                 List<Runnable> due = new ArrayList<>(under);
                 under.clear();
                 // Some come a step later, and so out of their order.
-                due.forEach(one -> {
-                    if (random.nextInt(4) == 0) {
-                        under.add(one);
-                    } else {
-                        one.run();
-                    }
-                });
+                due.forEach(
+                        one -> {
+                            if (random.nextInt(4) == 0) {
+                                under.add(one);
+                            } else {
+                                one.run();
+                            }
+                        });
                 for (int i = 0; i < count; i++) {
                     if (up[i] && !still.contains(i)) {
                         shares[i].woken(now);
@@ -143,7 +157,8 @@
     }
 
     /**
-     * Cut off from all it has its floor, at once after the lease, and goes on; nobody is left with nothing.
+     * Cut off from all it has its floor, at once after the lease, and goes on; nobody is left with
+     * nothing.
      */
     @Test
     public void whoIsCutOffKeepsItsFloor() {
@@ -179,11 +194,14 @@
         all.shares[4].leave();
         all.up[4] = false;
         all.pass(Lease.USED / 2);
-        assertTrue(all.shares[5].held(all.now).contains(4), "it waits for a promise that was given back");
+        assertTrue(
+                all.shares[5].held(all.now).contains(4),
+                "it waits for a promise that was given back");
     }
 
     /**
-     * Whatever is believed and lost: kills, starts, stops, cuts, by chance, over many seeds' worth of time.
+     * Whatever is believed and lost: kills, starts, stops, cuts, by chance, over many seeds' worth
+     * of time.
      */
     @Test
     public void neverMoreThanTheWhole() {
--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -22,57 +22,75 @@
 import wheelroute.kit.world.WorkerModel;
 
 /**
- * Checks the four rules on what stand-ins and clients saw. A submission's record is kept until nothing that
- * breaks a rule can follow any more, so that a run of any length takes bounded memory.
+ * Checks the four rules on what stand-ins and clients saw. A submission's record is kept until
+ * nothing that breaks a rule can follow any more, so that a run of any length takes bounded memory.
  */
 public final class Auditor implements Witness {
     /** A broken rule, with all that is known of the submission it befell. */
-    public record Breach(Rule rule, String what, List<String> history) {
-    }
+    public record Breach(Rule rule, String what, List<String> history) {}
 
     /** Breaches told in full; more of them are counted. */
     private static final int MOST_TOLD = 20;
+
     /** After its outer limit a submission's record is kept for so long. */
     private static final double KEEP = 1;
+
     /**
-     * From a submission's sending to the end of the turn in which it is launched; no program sees a stop in
-     * it.
+     * From a submission's sending to the end of the turn in which it is launched; no program sees a
+     * stop in it.
      */
     private static final double TURN = 0.02;
 
-    /** That a client left while its submission waited is seen within this: nothing goes out for it. */
+    /**
+     * That a client left while its submission waited is seen within this: nothing goes out for it.
+     */
     private static final double LEFT = 0.3;
 
     /** Words of the histories, made once: they are noted millions of times and seldom read. */
     private static final String[] ANSWERED = words("answered ", Answer.values(), "");
+
     private static final String[] ENDED = words("", Ending.values(), " at");
     private static final String[] ENDED_UNTOLD = words("untold: ", Ending.values(), " at");
 
     private final Scenario scenario;
     private final Timeline timeline;
+
     /** What the ways to and fro, and the machine's own lateness, may add to any time. */
     private final double slack;
+
     private final Map<Long, Record> records = new HashMap<>();
     private final ArrayDeque<Record> aging = new ArrayDeque<>();
+
     /** By dispatcher and worker: since when it is told draining or gone. */
     private final Map<Long, Double> toldLeaving = new HashMap<>();
+
     private final Map<Integer, Set<Integer>> effects = new HashMap<>();
     private final Set<Integer> deadDispatchers = new HashSet<>();
-    /** Since when processes stand still: what they hold cannot be answered, and is no fault of theirs. */
+
+    /**
+     * Since when processes stand still: what they hold cannot be answered, and is no fault of
+     * theirs.
+     */
     private final Map<Integer, Double> pausedSince = new HashMap<>();
+
     /** Dispatchers the ways to whose clients are harmed: how long those wait they cannot know. */
     private final Set<Integer> unheard = new HashSet<>();
+
     private final Set<Integer> halved = new HashSet<>();
-    /** By dispatcher and worker: how much later what is sent between them may come now, or could lately. */
+
+    /**
+     * By dispatcher and worker: how much later what is sent between them may come now, or could
+     * lately.
+     */
     private final Map<Long, Double> later = new HashMap<>();
+
     private double mostLater;
     private final List<Breach> breaches = new ArrayList<>();
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
     private double start;
 
     /** One event in a submission's life. */
-    private record Event(double at, String what, int worker) {
-    }
+    private record Event(double at, String what, int worker) {}
 
     /** One launch as its worker saw it. */
     private static final class Seen {
@@ -96,14 +114,24 @@
         final List<Event> events = new ArrayList<>();
         Answer answer;
         double answeredAt = Double.NaN;
+
         /** When its client hung up of its own wish, before any answer. */
         double leftAt = Double.NaN;
+
         boolean given;
         boolean excused;
-        /** It came by a way that was harmed: when its time began, nobody could tell its dispatcher. */
+
+        /**
+         * It came by a way that was harmed: when its time began, nobody could tell its dispatcher.
+         */
         boolean untimed;
-        /** Its process was stopped in the moment of its taking: what that turn had begun goes on with it. */
+
+        /**
+         * Its process was stopped in the moment of its taking: what that turn had begun goes on
+         * with it.
+         */
         boolean midTurn;
+
         boolean done;
 
         Record(Submitted submitted) {
@@ -141,8 +169,10 @@
         Record record = new Record(submitted);
         record.note(timeline.now(), "sent to dispatcher", submitted.dispatcher());
         record.untimed = unheard.contains(submitted.dispatcher());
-        record.excused = record.untimed || pausedSince.containsKey(submitted.dispatcher())
-                || halved.contains(submitted.dispatcher());
+        record.excused =
+                record.untimed
+                        || pausedSince.containsKey(submitted.dispatcher())
+                        || halved.contains(submitted.dispatcher());
         Double stopped = pausedSince.get(submitted.dispatcher());
         record.midTurn = stopped != null && timeline.now() - stopped < TURN;
         records.put(submitted.key(), record);
@@ -175,7 +205,9 @@
         }
     }
 
-    /** The client stopped waiting: its own wish is no fault of the dispatcher, its time being up is. */
+    /**
+     * The client stopped waiting: its own wish is no fault of the dispatcher, its time being up is.
+     */
     public void gaveUp(Submitted submitted, boolean ownWish) {
         Record record = records.get(submitted.key());
         if (record == null) {
@@ -227,8 +259,8 @@
     }
 
     /**
-     * One of its two processes is being killed, until it is gone, or both stand still: what that one holds,
-     * or is handed meanwhile, is lost, and which it holds nobody can tell.
+     * One of its two processes is being killed, until it is gone, or both stand still: what that
+     * one holds, or is handed meanwhile, is lost, and which it holds nobody can tell.
      */
     public void dispatcherHalved(int dispatcher, boolean begins) {
         if (begins) {
@@ -251,7 +283,10 @@
         }
     }
 
-    /** What is sent on this way comes so much later at most from here on; that alone is no late launch. */
+    /**
+     * What is sent on this way comes so much later at most from here on; that alone is no late
+     * launch.
+     */
     public void wayLater(int dispatcher, int worker, double by) {
         long key = way(dispatcher, worker);
         mostLater = Math.max(mostLater, by);
@@ -274,25 +309,35 @@
         return record == null ? null : record.submitted;
     }
 
-    /** What is on its way to or from clients may come late or never: what was launched still counts. */
+    /**
+     * What is on its way to or from clients may come late or never: what was launched still counts.
+     */
     public void clientsHarmed(int dispatcher, boolean harmed) {
         if (harmed) {
             unheard.add(dispatcher);
             excuse(dispatcher);
-            records.values().stream().filter(r -> r.submitted.dispatcher() == dispatcher && r.answer == null)
+            records.values().stream()
+                    .filter(r -> r.submitted.dispatcher() == dispatcher && r.answer == null)
                     .forEach(r -> r.untimed = true);
         } else {
             unheard.remove(dispatcher);
         }
     }
 
-    /** What it holds may go without an answer from here; whatever it launches still counts, also later. */
+    /**
+     * What it holds may go without an answer from here; whatever it launches still counts, also
+     * later.
+     */
     public void dispatcherPaused(int dispatcher) {
         double now = timeline.now();
         pausedSince.put(dispatcher, now);
         excuse(dispatcher);
-        records.values().stream().filter(r -> r.submitted.dispatcher() == dispatcher
-                && now - r.submitted.sentAt() < TURN).forEach(r -> r.midTurn = true);
+        records.values().stream()
+                .filter(
+                        r ->
+                                r.submitted.dispatcher() == dispatcher
+                                        && now - r.submitted.sentAt() < TURN)
+                .forEach(r -> r.midTurn = true);
     }
 
     /** What it was told while it stood still it can have heard only now. */
@@ -300,7 +345,8 @@
         Double since = pausedSince.remove(dispatcher);
         if (since != null) {
             double now = timeline.now();
-            toldLeaving.replaceAll((key, at) -> key >> Integer.SIZE == dispatcher && at >= since ? now : at);
+            toldLeaving.replaceAll(
+                    (key, at) -> key >> Integer.SIZE == dispatcher && at >= since ? now : at);
         }
     }
 
@@ -337,13 +383,21 @@
             breach(Rule.ONE_ANSWER, "a launch after the outer limit", record);
         }
         if (timed && now > record.leftAt + LEFT + slack) {
-            breach(Rule.ONE_ANSWER, "a launch " + seconds(now - record.leftAt) + " s after its client left",
+            breach(
+                    Rule.ONE_ANSWER,
+                    "a launch " + seconds(now - record.leftAt) + " s after its client left",
                     record);
         }
         Double told = toldLeaving.get(way);
         if (told != null && now > told + scenario.terms().grace() + slack) {
-            breach(Rule.NO_LATE_LAUNCH, "a launch " + seconds(now - told) + " s after " + worker.name
-                    + " was told draining or gone", record);
+            breach(
+                    Rule.NO_LATE_LAUNCH,
+                    "a launch "
+                            + seconds(now - told)
+                            + " s after "
+                            + worker.name
+                            + " was told draining or gone",
+                    record);
         }
         for (Seen earlier : record.launches) {
             checkAgain(record, earlier, seen, slack);
@@ -357,11 +411,16 @@
         Scenario.Offering offering = record.submitted.ask().offering();
         if (!scenario.terms().mayCopy() && !earlier.over) {
             // The end of the earlier connection may be seen a moment later than the new launch.
-            timeline.after(slack, () -> {
-                if (!earlier.over) {
-                    breach(Rule.NO_EFFECT_TWICE, "a second copy while the first is out", record);
-                }
-            });
+            timeline.after(
+                    slack,
+                    () -> {
+                        if (!earlier.over) {
+                            breach(
+                                    Rule.NO_EFFECT_TWICE,
+                                    "a second copy while the first is out",
+                                    record);
+                        }
+                    });
         }
         if (earlier.neverRan || offering.effect() == Effect.IDEMPOTENT) {
             return;
@@ -403,8 +462,8 @@
         // Also over several submissions of one ask: a bounce promises that a retry does no harm.
         Scenario.Offering offering = seen.of.submitted.ask().offering();
         if (offering.effect() == Effect.UNREPEATABLE) {
-            Set<Integer> places = effects.computeIfAbsent(seen.of.submitted.ask().number(),
-                    n -> new HashSet<>());
+            Set<Integer> places =
+                    effects.computeIfAbsent(seen.of.submitted.ask().number(), n -> new HashSet<>());
             if (!places.isEmpty()) {
                 breach(Rule.NO_EFFECT_TWICE, "its effect happened twice", seen.of);
             }
@@ -418,7 +477,8 @@
         if (seen == null) {
             return;
         }
-        seen.of.note(timeline.now(), (told ? ENDED : ENDED_UNTOLD)[ending.ordinal()], worker.number);
+        seen.of.note(
+                timeline.now(), (told ? ENDED : ENDED_UNTOLD)[ending.ordinal()], worker.number);
         if (ending == Ending.DONE) {
             seen.of.done = true;
         }
@@ -481,12 +541,24 @@
     private List<String> history(Record record) {
         List<String> lines = new ArrayList<>();
         Submitted s = record.submitted;
-        lines.add("ask " + s.ask().number() + ", try " + s.attempt() + ", " + s.ask().offering().name() + " ("
-                + s.ask().offering().effect().name().toLowerCase(Locale.ROOT) + "), waits "
-                + seconds(s.timeout()) + " s");
+        lines.add(
+                "ask "
+                        + s.ask().number()
+                        + ", try "
+                        + s.attempt()
+                        + ", "
+                        + s.ask().offering().name()
+                        + " ("
+                        + s.ask().offering().effect().name().toLowerCase(Locale.ROOT)
+                        + "), waits "
+                        + seconds(s.timeout())
+                        + " s");
         for (Event event : record.events) {
-            lines.add(seconds(event.at() - start) + " s  " + event.what() + (event.worker() < 0 ? ""
-                    : " " + event.worker()));
+            lines.add(
+                    seconds(event.at() - start)
+                            + " s  "
+                            + event.what()
+                            + (event.worker() < 0 ? "" : " " + event.worker()));
         }
         return lines;
     }
--- a/kit/src/main/java/wheelroute/kit/audit/Ledger.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Ledger.java
@@ -10,31 +10,40 @@
 import wheelroute.kit.world.Timeline;
 
 /**
- * Holds the figures of the operators' doors against what clients and workers saw. Processes count from 0,
- * also those that take another's place: what the two of one dispatcher tell together is compared.
+ * Holds the figures of the operators' doors against what clients and workers saw. Processes count
+ * from 0, also those that take another's place: what the two of one dispatcher tell together is
+ * compared.
  */
 public final class Ledger {
     /** What is told may be so old, or as much ahead of what a client has heard. */
     private static final double LATE = 0.5;
+
     /** So much of a count may be off, or a few. */
     private static final double OFF = 0.01;
+
     private static final double OFF_LAUNCHES = 0.02;
     private static final double OFF_PENDING = 0.1;
     private static final long FEW = 3;
+
     /** More than any count: what cannot be told from outside. */
     private static final long UNKNOWN = 1L << 60;
+
     /** For so long after it nothing is compared: what was held back comes all at once. */
     private static final double SETTLE = 2.5;
+
     /** Untrue figures told in full; more are counted. */
     private static final int MOST_TOLD = 10;
+
     private static final String LAUNCHES = "upstream_requests";
     private static final String PENDING = "pending";
 
     /** One count of one dispatcher. */
     private static final class Count {
         final Track seen = new Track();
+
         /** Of those seen, how many a process that is no more has counted: at least, and at most. */
         long leastBefore;
+
         long mostBefore;
     }
 
@@ -48,11 +57,14 @@
     private static final class Of {
         final Map<String, Count> counts = new LinkedHashMap<>();
         final Track open = new Track();
+
         /** Ended with nobody listening: they may stand under any count, or none. */
         final Track loose = new Track();
+
         final Map<Object, Told> processes = new LinkedHashMap<>();
         double unsureUntil = Double.NEGATIVE_INFINITY;
         boolean unsure;
+
         /** Launches that were written went nowhere, in the life of a process that still runs. */
         boolean lost;
     }
@@ -83,10 +95,11 @@
     /** As the figures name it. */
     public static String name(Answer answer, String offering) {
         return switch (answer) {
-            case FULFILLED -> "completed.";
-            case BOUNCED -> "rejected.";
-            case SCRAPPED -> "failed.";
-        } + offering;
+                    case FULFILLED -> "completed.";
+                    case BOUNCED -> "rejected.";
+                    case SCRAPPED -> "failed.";
+                }
+                + offering;
     }
 
     // ---- what was seen
@@ -115,16 +128,22 @@
     public void began(int dispatcher, Object process) {
         Of of = of(dispatcher);
         if (of.processes.isEmpty()) {
-            of.counts.values().forEach(count -> {
-                count.leastBefore = count.seen.now();
-                count.mostBefore = count.seen.now();
-            });
+            of.counts
+                    .values()
+                    .forEach(
+                            count -> {
+                                count.leastBefore = count.seen.now();
+                                count.mostBefore = count.seen.now();
+                            });
             of.lost = false;
         }
         of.processes.put(process, new Told());
     }
 
-    /** What it had counted when it ended lies between what it last told and what has been seen since. */
+    /**
+     * What it had counted when it ended lies between what it last told and what has been seen
+     * since.
+     */
     public void ended(int dispatcher, Object process) {
         Of of = of(dispatcher);
         Told told = of.processes.remove(process);
@@ -132,13 +151,17 @@
             return;
         }
         double now = timeline.now();
-        of.counts.forEach((name, count) -> {
-            long last = told.last.getOrDefault(name, 0L);
-            long since = count.seen.now() - count.seen.at(now - 2 * LATE - 1) + of.loose.now()
-                    - of.loose.at(now - 2 * LATE - 1);
-            count.leastBefore += last;
-            count.mostBefore += last + since + FEW;
-        });
+        of.counts.forEach(
+                (name, count) -> {
+                    long last = told.last.getOrDefault(name, 0L);
+                    long since =
+                            count.seen.now()
+                                    - count.seen.at(now - 2 * LATE - 1)
+                                    + of.loose.now()
+                                    - of.loose.at(now - 2 * LATE - 1);
+                    count.leastBefore += last;
+                    count.mostBefore += last + since + FEW;
+                });
         unsure(dispatcher);
     }
 
@@ -189,43 +212,64 @@
         // Each of two was asked at a moment of its own, so what they tell is that much less sharp.
         double window = of.processes.size() > 1 ? 2 * LATE : LATE;
         Map<String, Long> sums = new HashMap<>();
-        of.processes.values().forEach(t -> t.last.forEach((name, value) -> sums.merge(name, value,
-                Long::sum)));
+        of.processes
+                .values()
+                .forEach(t -> t.last.forEach((name, value) -> sums.merge(name, value, Long::sum)));
         double at = timeline.now();
-        timeline.after(LATE, () -> {
-            if (!isUnsure(of)) {
-                compare(dispatcher, of, sums, at, window);
-            }
-        });
+        timeline.after(
+                LATE,
+                () -> {
+                    if (!isUnsure(of)) {
+                        compare(dispatcher, of, sums, at, window);
+                    }
+                });
     }
 
     private void compare(int dispatcher, Of of, Map<String, Long> sums, double at, double window) {
         long loose = of.loose.now();
-        of.counts.forEach((name, count) -> {
-            long least = count.seen.at(at - window) - count.mostBefore;
-            long most = count.seen.at(at + LATE) - count.leastBefore;
-            if (name.equals(LAUNCHES)) {
-                check(dispatcher, name, sums.get(name), least, of.lost ? UNKNOWN : most, OFF_LAUNCHES);
-            } else {
-                check(dispatcher, name, sums.get(name), least, most + loose, OFF);
-            }
-        });
-        check(dispatcher, PENDING, sums.get(PENDING),
+        of.counts.forEach(
+                (name, count) -> {
+                    long least = count.seen.at(at - window) - count.mostBefore;
+                    long most = count.seen.at(at + LATE) - count.leastBefore;
+                    if (name.equals(LAUNCHES)) {
+                        check(
+                                dispatcher,
+                                name,
+                                sums.get(name),
+                                least,
+                                of.lost ? UNKNOWN : most,
+                                OFF_LAUNCHES);
+                    } else {
+                        check(dispatcher, name, sums.get(name), least, most + loose, OFF);
+                    }
+                });
+        check(
+                dispatcher,
+                PENDING,
+                sums.get(PENDING),
                 piecewise ? -UNKNOWN : of.open.least(at - window, at + LATE),
-                of.open.most(at - window, at + LATE), OFF_PENDING);
+                of.open.most(at - window, at + LATE),
+                OFF_PENDING);
     }
 
     private void check(int dispatcher, String name, Long told, long least, long most, double off) {
         checks++;
-        long slack = Math.max(FEW, (long) Math.ceil(off * Math.max(0, Math.min(most, UNKNOWN / 2))));
+        long slack =
+                Math.max(FEW, (long) Math.ceil(off * Math.max(0, Math.min(most, UNKNOWN / 2))));
         if (told != null && told >= least - slack && told <= most + slack) {
             return;
         }
         untrueChecks++;
         if (untrue.size() < MOST_TOLD) {
-            untrue.add(String.format(Locale.ROOT, "n%d tells %s %s, seen were %s to %s", dispatcher, name,
-                    told == null ? "nothing" : told, least == -UNKNOWN ? "any" : least,
-                    most >= UNKNOWN ? "any" : most));
+            untrue.add(
+                    String.format(
+                            Locale.ROOT,
+                            "n%d tells %s %s, seen were %s to %s",
+                            dispatcher,
+                            name,
+                            told == null ? "nothing" : told,
+                            least == -UNKNOWN ? "any" : least,
+                            most >= UNKNOWN ? "any" : most));
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/audit/Track.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Track.java
@@ -6,8 +6,7 @@
 final class Track {
     private static final double KEEP = 5;
 
-    private record Point(double at, long value) {
-    }
+    private record Point(double at, long value) {}
 
     private final ArrayDeque<Point> points = new ArrayDeque<>();
     private long value;
--- a/kit/src/main/java/wheelroute/kit/brain/Baseline.java
+++ b/kit/src/main/java/wheelroute/kit/brain/Baseline.java
@@ -17,21 +17,27 @@
 import wheelroute.decision.Submission;
 
 /**
- * Textbook dispatching that keeps the first three rules: a choice among the active workers, again elsewhere
- * where a repeat is allowed, else the answer that the rules leave. It bounces only what cannot be placed.
+ * Textbook dispatching that keeps the first three rules: a choice among the active workers, again
+ * elsewhere where a repeat is allowed, else the answer that the rules leave. It bounces only what
+ * cannot be placed.
  */
 public final class Baseline implements Brain {
     /** Nothing is launched with less than this left. */
     private static final double LAST_CALL = 0.02;
+
     /** Taken off the window in which repeats are known, for the way to the worker. */
     private static final double TRANSIT = 0.5;
+
     /** A failed watch is asked for again after this long. */
     private static final double ASK = 0.5;
 
     /** How a worker is chosen. */
     public interface Choice {
         /** One of the workers, of which there is at least one; null where none is worth it. */
-        Ids.Worker choose(List<Listing> open, Submission submission, Map<Ids.Worker, Integer> out,
+        Ids.Worker choose(
+                List<Listing> open,
+                Submission submission,
+                Map<Ids.Worker, Integer> out,
                 SplittableRandom random);
     }
 
@@ -128,8 +134,10 @@
 
         void place() {
             List<Listing> candidates = candidates();
-            Ids.Worker worker = candidates.isEmpty() ? null
-                    : choice.choose(candidates, submission, out, random);
+            Ids.Worker worker =
+                    candidates.isEmpty()
+                            ? null
+                            : choice.choose(candidates, submission, out, random);
             if (worker != null) {
                 launches.add(new Sent(listed.get(worker), now));
                 open++;
@@ -138,9 +146,11 @@
                 return;
             }
             done = true;
-            boolean harmless = offering.effect() == Effect.IDEMPOTENT
-                    || offering.effect() == Effect.DEDUPLICATED && offering.group() == Group.ALL
-                    || launches.stream().noneMatch(Sent::mayHaveRun);
+            boolean harmless =
+                    offering.effect() == Effect.IDEMPOTENT
+                            || offering.effect() == Effect.DEDUPLICATED
+                                    && offering.group() == Group.ALL
+                            || launches.stream().noneMatch(Sent::mayHaveRun);
             if (harmless) {
                 dispatcher.bounce(submission.id(), 0);
             } else {
@@ -150,17 +160,31 @@
 
         private List<Listing> candidates() {
             boolean again = launches.stream().anyMatch(Sent::mayHaveRun);
-            if (launches.size() >= settings.mostLaunches() || now > submission.outerLimit() - LAST_CALL
+            if (launches.size() >= settings.mostLaunches()
+                    || now > submission.outerLimit() - LAST_CALL
                     || again && offering.effect() == Effect.UNREPEATABLE) {
                 return List.of();
             }
             List<Listing> all = new ArrayList<>(listed.values());
             if (again && offering.effect() == Effect.DEDUPLICATED) {
-                all.removeIf(to -> launches.stream().anyMatch(sent -> sent.mayHaveRun()
-                        && (!sameGroup(sent.place, to) || now > sent.at + offering.window() - TRANSIT)));
+                all.removeIf(
+                        to ->
+                                launches.stream()
+                                        .anyMatch(
+                                                sent ->
+                                                        sent.mayHaveRun()
+                                                                && (!sameGroup(sent.place, to)
+                                                                        || now
+                                                                                > sent.at
+                                                                                        + offering
+                                                                                                .window()
+                                                                                        - TRANSIT)));
             }
             List<Listing> fresh = new ArrayList<>(all);
-            fresh.removeIf(to -> launches.stream().anyMatch(sent -> sent.place.worker().equals(to.worker())));
+            fresh.removeIf(
+                    to ->
+                            launches.stream()
+                                    .anyMatch(sent -> sent.place.worker().equals(to.worker())));
             return fresh.isEmpty() ? all : fresh;
         }
 
--- a/kit/src/main/java/wheelroute/kit/brain/Brains.java
+++ b/kit/src/main/java/wheelroute/kit/brain/Brains.java
@@ -16,45 +16,89 @@
 public final class Brains {
     /** The daemon's module: what all others are compared with. */
     public static final String MODULE = "module";
+
     /** Sees the true state of all workers, which no dispatcher can. */
     public static final String SEEING = "seeing";
 
     /** A late answer that earns less than this is not worth the time it takes from others. */
     private static final double WORTH_IT = 0.5;
 
-    private static final Map<String, Function<World, Brain.Maker>> ALL = new TreeMap<>(Map.of(
-            MODULE, world -> PolicyBrain::new,
-            "random", world -> baseline((open, submission, out, random) -> {
-                // By speed, as the paper's basic policy: in proportion to what each can do.
-                double draw = random.nextDouble() * open.stream().mapToDouble(w -> capacity(world, w)).sum();
-                for (Listing worker : open) {
-                    draw -= capacity(world, worker);
-                    if (draw < 0) {
-                        return worker.worker();
-                    }
-                }
-                return open.get(open.size() - 1).worker();
-            }),
-            "round-robin", world -> (settings, dispatcher) -> {
-                int[] next = {0};
-                return new Baseline(settings, dispatcher,
-                        (open, submission, out, random) -> open.get(next[0]++ % open.size()).worker());
-            },
-            "least-outstanding", world -> baseline((open, submission, out, random) -> {
-                // From a place drawn by chance: ties must not all go to the first.
-                int from = random.nextInt(open.size());
-                return least(open, from, w -> out.getOrDefault(w.worker(), 0));
-            }),
-            "two-choices", world -> baseline((open, submission, out, random) -> {
-                Ids.Worker one = open.get(random.nextInt(open.size())).worker();
-                Ids.Worker other = open.get(random.nextInt(open.size())).worker();
-                return out.getOrDefault(one, 0) <= out.getOrDefault(other, 0) ? one : other;
-            }),
-            SEEING, world -> baseline((open, submission, out, random) -> seen(world, open, submission,
-                    random.nextInt(open.size())))));
+    private static final Map<String, Function<World, Brain.Maker>> ALL =
+            new TreeMap<>(
+                    Map.of(
+                            MODULE,
+                            world -> PolicyBrain::new,
+                            "random",
+                            world ->
+                                    baseline(
+                                            (open, submission, out, random) -> {
+                                                // By speed, as the paper's basic policy: in
+                                                // proportion to what each can do.
+                                                double draw =
+                                                        random.nextDouble()
+                                                                * open.stream()
+                                                                        .mapToDouble(
+                                                                                w ->
+                                                                                        capacity(
+                                                                                                world,
+                                                                                                w))
+                                                                        .sum();
+                                                for (Listing worker : open) {
+                                                    draw -= capacity(world, worker);
+                                                    if (draw < 0) {
+                                                        return worker.worker();
+                                                    }
+                                                }
+                                                return open.get(open.size() - 1).worker();
+                                            }),
+                            "round-robin",
+                            world ->
+                                    (settings, dispatcher) -> {
+                                        int[] next = {0};
+                                        return new Baseline(
+                                                settings,
+                                                dispatcher,
+                                                (open, submission, out, random) ->
+                                                        open.get(next[0]++ % open.size()).worker());
+                                    },
+                            "least-outstanding",
+                            world ->
+                                    baseline(
+                                            (open, submission, out, random) -> {
+                                                // From a place drawn by chance: ties must not all
+                                                // go to the first.
+                                                int from = random.nextInt(open.size());
+                                                return least(
+                                                        open,
+                                                        from,
+                                                        w -> out.getOrDefault(w.worker(), 0));
+                                            }),
+                            "two-choices",
+                            world ->
+                                    baseline(
+                                            (open, submission, out, random) -> {
+                                                Ids.Worker one =
+                                                        open.get(random.nextInt(open.size()))
+                                                                .worker();
+                                                Ids.Worker other =
+                                                        open.get(random.nextInt(open.size()))
+                                                                .worker();
+                                                return out.getOrDefault(one, 0)
+                                                                <= out.getOrDefault(other, 0)
+                                                        ? one
+                                                        : other;
+                                            }),
+                            SEEING,
+                            world ->
+                                    baseline(
+                                            (open, submission, out, random) ->
+                                                    seen(
+                                                            world,
+                                                            open,
+                                                            submission,
+                                                            random.nextInt(open.size())))));
 
-    private Brains() {
-    }
+    private Brains() {}
 
     public static List<String> names() {
         return List.copyOf(ALL.keySet());
@@ -65,20 +109,30 @@
     }
 
     /**
-     * The earliest end, with what an error would cost in time; none where even that comes after the outer
-     * limit, or too late to earn anything.
+     * The earliest end, with what an error would cost in time; none where even that comes after the
+     * outer limit, or too late to earn anything.
      */
-    private static Ids.Worker seen(World world, List<Listing> open, Submission submission, int from) {
+    private static Ids.Worker seen(
+            World world, List<Listing> open, Submission submission, int from) {
         double work = Double.isNaN(submission.hint()) ? 0 : submission.hint();
-        Scenario.Offering offering = world.scenario.offerings().stream()
-                .filter(o -> o.name().equals(submission.offering().name())).findFirst().orElseThrow();
-        ToDoubleFunction<Listing> end = w -> model(world, w).doneAt(work)
-                + model(world, w).failingPart() * offering.quoted();
+        Scenario.Offering offering =
+                world.scenario.offerings().stream()
+                        .filter(o -> o.name().equals(submission.offering().name()))
+                        .findFirst()
+                        .orElseThrow();
+        ToDoubleFunction<Listing> end =
+                w ->
+                        model(world, w).doneAt(work)
+                                + model(world, w).failingPart() * offering.quoted();
         Ids.Worker best = least(open, from, end);
         double done = world.workers.get((int) best.value()).doneAt(work);
-        double quotedAt = submission.outerLimit() - offering.outer() + offering.quoted()
-                + offering.stretch() * work;
-        return done > submission.outerLimit() || offering.lateValue() < WORTH_IT && done > quotedAt ? null
+        double quotedAt =
+                submission.outerLimit()
+                        - offering.outer()
+                        + offering.quoted()
+                        + offering.stretch() * work;
+        return done > submission.outerLimit() || offering.lateValue() < WORTH_IT && done > quotedAt
+                ? null
                 : best;
     }
 
@@ -95,7 +149,8 @@
         return model.group.speed() * model.group.slots();
     }
 
-    private static Ids.Worker least(List<Listing> open, int from, ToDoubleFunction<Listing> figure) {
+    private static Ids.Worker least(
+            List<Listing> open, int from, ToDoubleFunction<Listing> figure) {
         Listing best = null;
         double least = Double.POSITIVE_INFINITY;
         for (int i = 0; i < open.size(); i++) {
--- a/kit/src/main/java/wheelroute/kit/cli/Admin.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Admin.java
@@ -14,11 +14,14 @@
 import picocli.CommandLine.Spec;
 import wheelroute.config.ConfigReader;
 
-@Command(name = "admin", mixinStandardHelpOptions = true,
+@Command(
+        name = "admin",
+        mixinStandardHelpOptions = true,
         description = "Ask a dispatcher's operators' door; a READY that says no ends with 3.")
 final class Admin implements Callable<Integer> {
     /** Far more than the figures of any dispatcher: what listens there may be something else. */
     private static final int MOST_ANSWER = 1 << 20;
+
     private static final double MILLIS = 1e3;
 
     @Parameters(index = "0", paramLabel = "HOST:PORT", description = "the door's address")
@@ -27,12 +30,14 @@
     @Parameters(index = "1", paramLabel = "CALL", description = "READY, STATS or PEERS")
     private String call;
 
-    @Option(names = "--timeout", defaultValue = "1", paramLabel = "S",
+    @Option(
+            names = "--timeout",
+            defaultValue = "1",
+            paramLabel = "S",
             description = "for the whole answer (default: ${DEFAULT-VALUE})")
     private double timeout;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -55,15 +60,16 @@
         String last = answer.substring(answer.lastIndexOf('\n', answer.length() - 2) + 1).strip();
         boolean says = answer.startsWith("ok") || answer.startsWith("fail");
         if (!answer.endsWith("\n") || !says && !last.equals("eof")) {
-            throw new Fault(address + " gives no whole answer: no operators' door, or one that broke off");
+            throw new Fault(
+                    address + " gives no whole answer: no operators' door, or one that broke off");
         }
         spec.commandLine().getOut().print(answer);
         spec.commandLine().getOut().flush();
         return answer.startsWith("fail") ? Exit.DOES_NOT_HOLD : Exit.HOLDS;
     }
 
-    private static String answer(InetSocketAddress door, String address, String call, double timeout)
-            throws Fault {
+    private static String answer(
+            InetSocketAddress door, String address, String call, double timeout) throws Fault {
         long end = System.nanoTime() + (long) (timeout * 1e9);
         try (Socket socket = new Socket()) {
             socket.connect(door, left(end));
@@ -71,7 +77,7 @@
             InputStream in = socket.getInputStream();
             StringBuilder answer = new StringBuilder();
             byte[] piece = new byte[4096];
-            for (int got = 0; got >= 0 && answer.length() < MOST_ANSWER;) {
+            for (int got = 0; got >= 0 && answer.length() < MOST_ANSWER; ) {
                 answer.append(new String(piece, 0, got, StandardCharsets.ISO_8859_1));
                 // Anew before each read: pieces that keep coming must not make it last for ever.
                 socket.setSoTimeout(left(end));
--- a/kit/src/main/java/wheelroute/kit/cli/Capacity.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Capacity.java
@@ -16,18 +16,27 @@
 import wheelroute.kit.scale.Size;
 import wheelroute.kit.scale.Slopes;
 
-@Command(name = "capacity", mixinStandardHelpOptions = true,
+@Command(
+        name = "capacity",
+        mixinStandardHelpOptions = true,
         description = "Work the tables of a capacity page out from the slopes of a scale run.")
 final class Capacity implements Callable<Integer> {
     static final String SIZE = "docs/capacity/size.toml";
 
     /** One of the three. */
     static final class What {
-        @Option(names = "--check", paramLabel = "PAGE", required = true,
+        @Option(
+                names = "--check",
+                paramLabel = "PAGE",
+                required = true,
                 description = "end with 3 where the page says something else")
         private Path check;
 
-        @Option(names = "--write", paramLabel = "PAGE", required = true, description = "put them on the page")
+        @Option(
+                names = "--write",
+                paramLabel = "PAGE",
+                required = true,
+                description = "put them on the page")
         private Path write;
 
         @Option(names = "--print", required = true, description = "print them")
@@ -37,16 +46,21 @@
     @ArgGroup(multiplicity = "1")
     private What what;
 
-    @Option(names = "--slopes", paramLabel = "FILE", defaultValue = "docs/capacity/slopes.json",
+    @Option(
+            names = "--slopes",
+            paramLabel = "FILE",
+            defaultValue = "docs/capacity/slopes.json",
             description = "default: ${DEFAULT-VALUE}")
     private Path slopes;
 
-    @Option(names = "--size", paramLabel = "FILE", defaultValue = SIZE,
+    @Option(
+            names = "--size",
+            paramLabel = "FILE",
+            defaultValue = SIZE,
             description = "default: ${DEFAULT-VALUE}")
     private Path size;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -58,17 +72,23 @@
             throw new Fault(slopes + ": " + e.getMessage());
         }
         if (what.print) {
-            tables.forEach((name, table) -> spec.commandLine().getOut().println(name + "\n" + table));
+            tables.forEach(
+                    (name, table) -> spec.commandLine().getOut().println(name + "\n" + table));
         } else if (what.write != null) {
             String page = Files.readString(existing("--write", what.write));
             Files.writeString(what.write, CapacityPage.filled(page, tables));
         } else {
-            List<String> faults = CapacityPage.faults(Files.readString(existing("--check", what.check)),
-                    tables);
+            List<String> faults =
+                    CapacityPage.faults(Files.readString(existing("--check", what.check)), tables);
             faults.forEach(spec.commandLine().getOut()::println);
-            spec.commandLine().getOut().println(what.check + (faults.isEmpty() ? " follows from "
-                    : " does not"
-                    + " follow from ") + slopes);
+            spec.commandLine()
+                    .getOut()
+                    .println(
+                            what.check
+                                    + (faults.isEmpty()
+                                            ? " follows from "
+                                            : " does not" + " follow from ")
+                                    + slopes);
             return faults.isEmpty() ? Exit.HOLDS : Exit.DOES_NOT_HOLD;
         }
         return Exit.HOLDS;
--- a/kit/src/main/java/wheelroute/kit/cli/Check.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Check.java
@@ -15,15 +15,17 @@
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.scenario.ScenarioReader;
 
-@Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Read a scenario or a daemon's configuration as a whole, and say what is wrong with"
-                + " it.")
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description =
+                "Read a scenario or a daemon's configuration as a whole, and say what is wrong with"
+                        + " it.")
 final class Check implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", description = "a scenario or a configuration, TOML or JSON")
     private Path file;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -37,8 +39,14 @@
         if (toml && !text.matches("(?s)(^|.*\\n)\\s*listen\\s*=.*")) {
             Scenario scenario = ScenarioReader.read(file);
             DaemonSettings.settings(0, DaemonSettings.pairs(scenario, Map.of()));
-            found = "a scenario of " + scenario.workers() + " workers, " + scenario.offerings().size()
-                    + " offerings, " + scenario.faults().size() + " faults";
+            found =
+                    "a scenario of "
+                            + scenario.workers()
+                            + " workers, "
+                            + scenario.offerings().size()
+                            + " offerings, "
+                            + scenario.faults().size()
+                            + " faults";
         } else {
             Map<String, String> environment = new HashMap<>(System.getenv());
             environment.put("LB_CONFIG", file.toString());
--- a/kit/src/main/java/wheelroute/kit/cli/Load.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Load.java
@@ -11,7 +11,9 @@
 import wheelroute.decision.Effect;
 import wheelroute.kit.real.LoadRun;
 
-@Command(name = "load", mixinStandardHelpOptions = true,
+@Command(
+        name = "load",
+        mixinStandardHelpOptions = true,
         description = "Clients alone against a dispatcher at an address of this machine.")
 final class Load implements Callable<Integer> {
     private static final double MOST_RATE = 1e6;
@@ -20,41 +22,68 @@
     @Parameters(paramLabel = "HOST:PORT")
     private String address;
 
-    @Option(names = "--offering", required = true, paramLabel = "NAME", description = "what is asked for")
+    @Option(
+            names = "--offering",
+            required = true,
+            paramLabel = "NAME",
+            description = "what is asked for")
     private String offering;
 
-    @Option(names = "--keys", description = "send an Idempotency-Key with each, as deduplicated offerings"
-            + " need")
+    @Option(
+            names = "--keys",
+            description = "send an Idempotency-Key with each, as deduplicated offerings" + " need")
     private boolean keys;
 
-    @Option(names = "--rate", defaultValue = "0", paramLabel = "N", description = "open loop: asks a second")
+    @Option(
+            names = "--rate",
+            defaultValue = "0",
+            paramLabel = "N",
+            description = "open loop: asks a second")
     private double rate;
 
-    @Option(names = "--connections", defaultValue = "0", paramLabel = "N",
+    @Option(
+            names = "--connections",
+            defaultValue = "0",
+            paramLabel = "N",
             description = "closed loop: each always has one out")
     private int connections;
 
-    @Option(names = "--work", defaultValue = "0.05", paramLabel = "S",
+    @Option(
+            names = "--work",
+            defaultValue = "0.05",
+            paramLabel = "S",
             description = "mean work, told to stand-in workers (default: ${DEFAULT-VALUE})")
     private double work;
 
-    @Option(names = "--spread", defaultValue = "0.5", paramLabel = "X",
+    @Option(
+            names = "--spread",
+            defaultValue = "0.5",
+            paramLabel = "X",
             description = "of the work's logarithm (default: ${DEFAULT-VALUE})")
     private double spread;
 
-    @Option(names = "--timeout", defaultValue = "5", paramLabel = "S",
+    @Option(
+            names = "--timeout",
+            defaultValue = "5",
+            paramLabel = "S",
             description = "default: ${DEFAULT-VALUE}")
     private double timeout;
 
-    @Option(names = "--seconds", defaultValue = "10", paramLabel = "S",
+    @Option(
+            names = "--seconds",
+            defaultValue = "10",
+            paramLabel = "S",
             description = "default: ${DEFAULT-VALUE}")
     private double seconds;
 
-    @Option(names = "--seed", defaultValue = "1", paramLabel = "N", description = "default: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            paramLabel = "N",
+            description = "default: ${DEFAULT-VALUE}")
     private long seed;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -79,9 +108,25 @@
         within("--seconds", seconds, 0.1, 86_400);
         Stop stop = new Stop();
         try {
-            spec.commandLine().getOut().println(LoadRun.play(new LoadRun.Load(to, offering,
-                    keys ? Effect.DEDUPLICATED : Effect.IDEMPOTENT, rate, connections, work, spread, timeout,
-                    seconds, seed, 0, 0), stop).text());
+            spec.commandLine()
+                    .getOut()
+                    .println(
+                            LoadRun.play(
+                                            new LoadRun.Load(
+                                                    to,
+                                                    offering,
+                                                    keys ? Effect.DEDUPLICATED : Effect.IDEMPOTENT,
+                                                    rate,
+                                                    connections,
+                                                    work,
+                                                    spread,
+                                                    timeout,
+                                                    seconds,
+                                                    seed,
+                                                    0,
+                                                    0),
+                                            stop)
+                                    .text());
             spec.commandLine().getOut().flush();
         } finally {
             stop.finished();
@@ -89,7 +134,8 @@
         return Exit.HOLDS;
     }
 
-    private static void within(String option, double value, double least, double most) throws Fault {
+    private static void within(String option, double value, double least, double most)
+            throws Fault {
         if (!(value >= least && value <= most)) {
             throw new Fault(option + ": " + value + " is not from " + least + " to " + most);
         }
--- a/kit/src/main/java/wheelroute/kit/cli/OutputFile.java
+++ b/kit/src/main/java/wheelroute/kit/cli/OutputFile.java
@@ -6,7 +6,9 @@
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 
-/** A file that a rehearsal is to write: tried before the run, so that no run is played for nothing. */
+/**
+ * A file that a rehearsal is to write: tried before the run, so that no run is played for nothing.
+ */
 final class OutputFile {
     private final Path path;
     private final Path part;
@@ -23,13 +25,24 @@
         }
         Path folder = path.toAbsolutePath().getParent();
         if (Files.isDirectory(path) || folder == null || !Files.isDirectory(folder)) {
-            throw new Fault(option + ": " + path + (Files.isDirectory(path) ? " is a folder"
-                    : " lies in a folder that is not there"));
+            throw new Fault(
+                    option
+                            + ": "
+                            + path
+                            + (Files.isDirectory(path)
+                                    ? " is a folder"
+                                    : " lies in a folder that is not there"));
         }
         try {
             // Not a temporary file of the runtime's: those only their owner can read.
-            Path part = Files.createFile(folder.resolve("." + path.getFileName() + "."
-                    + ProcessHandle.current().pid() + ".part"));
+            Path part =
+                    Files.createFile(
+                            folder.resolve(
+                                    "."
+                                            + path.getFileName()
+                                            + "."
+                                            + ProcessHandle.current().pid()
+                                            + ".part"));
             part.toFile().deleteOnExit();
             return new OutputFile(path, part);
         } catch (IOException e) {
--- a/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
@@ -32,67 +32,99 @@
 import wheelroute.kit.scenario.ScenarioException;
 import wheelroute.kit.scenario.ScenarioWriter;
 
-@Command(name = "rehearse", mixinStandardHelpOptions = true,
+@Command(
+        name = "rehearse",
+        mixinStandardHelpOptions = true,
         description = "Play scenarios against the dispatcher, watch the rules, and report.")
 final class Rehearse implements Callable<Integer> {
     private static final String REAL = "real";
     private static final String VIRTUAL = "virtual";
     private static final String BOTH = "both";
+
     /** Plays of a schedule that fails, to make it smaller. */
     private static final int MOST_CUTS = 60;
 
-    @Parameters(arity = "0..*", paramLabel = "NAME|FILE",
+    @Parameters(
+            arity = "0..*",
+            paramLabel = "NAME|FILE",
             description = "shipped scenarios or files; closing-prices, quickly, if none")
     private List<String> names = new ArrayList<>();
 
-    @Option(names = "--seed", split = ",", paramLabel = "N[,N...]|N..N", description = "seeds (default: 1)")
+    @Option(
+            names = "--seed",
+            split = ",",
+            paramLabel = "N[,N...]|N..N",
+            description = "seeds (default: 1)")
     private List<String> seeds = List.of("1");
 
-    @Option(names = "--seconds", paramLabel = "S", description = "how long asks come, instead of the"
-            + " scenario's")
+    @Option(
+            names = "--seconds",
+            paramLabel = "S",
+            description = "how long asks come, instead of the" + " scenario's")
     private double seconds;
 
-    @Option(names = "--clock", paramLabel = "virtual|real|both",
-            description = "real if all scenarios and variants can be played so; both compares the two")
+    @Option(
+            names = "--clock",
+            paramLabel = "virtual|real|both",
+            description =
+                    "real if all scenarios and variants can be played so; both compares the two")
     private String clock;
 
     @Option(names = "--quick", description = "30 s at most")
     private boolean quick;
 
-    @Option(names = "--twice", description = "everything twice: the same seed must give the same figures")
+    @Option(
+            names = "--twice",
+            description = "everything twice: the same seed must give the same figures")
     private boolean twice;
 
-    @Option(names = "--variant", paramLabel = "NAME:KEY=VALUE,...", description = "another way to dispatch"
-            + " beside "
-            + "the first: a setting, brain=NAME on the virtual clock, daemon=JAR on the real one; repeatable")
+    @Option(
+            names = "--variant",
+            paramLabel = "NAME:KEY=VALUE,...",
+            description =
+                    "another way to dispatch"
+                            + " beside "
+                            + "the first: a setting, brain=NAME on the virtual clock, daemon=JAR on the real one; repeatable")
     private List<String> variants = new ArrayList<>();
 
     @Option(names = "--baselines", description = "every baseline as a variant")
     private boolean baselines;
 
-    @Option(names = "--older", paramLabel = "JAR", description = "the daemon of an earlier build, for faults"
-            + " that start one")
+    @Option(
+            names = "--older",
+            paramLabel = "JAR",
+            description = "the daemon of an earlier build, for faults" + " that start one")
     private Path older;
 
-    @Option(names = "--cores", paramLabel = "N", description = "runs side by side (default: on the virtual"
-            + " clock all cores, on the real one 1)")
+    @Option(
+            names = "--cores",
+            paramLabel = "N",
+            description =
+                    "runs side by side (default: on the virtual"
+                            + " clock all cores, on the real one 1)")
     private Integer cores;
 
-    @Option(names = "--cut-down", paramLabel = "FILE", description = "the first run that does not hold is"
-            + " made smaller, as long as it still does not, and written there as a scenario")
+    @Option(
+            names = "--cut-down",
+            paramLabel = "FILE",
+            description =
+                    "the first run that does not hold is"
+                            + " made smaller, as long as it still does not, and written there as a scenario")
     private Path cutDown;
 
     @Option(names = "--json", paramLabel = "FILE", description = "the reports for machines")
     private Path json;
 
-    @Option(names = "--html", paramLabel = "FILE", description = "the reports as one page with plots")
+    @Option(
+            names = "--html",
+            paramLabel = "FILE",
+            description = "the reports as one page with plots")
     private Path html;
 
     @Option(names = "--list", description = "list the shipped scenarios")
     private boolean list;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -137,17 +169,29 @@
         }
     }
 
-    private int play(List<Plan> plans, OutputFile jsonFile, OutputFile htmlFile, OutputFile cutFile,
-            Stop stop, PrintWriter out) throws Exception {
+    private int play(
+            List<Plan> plans,
+            OutputFile jsonFile,
+            OutputFile htmlFile,
+            OutputFile cutFile,
+            Stop stop,
+            PrintWriter out)
+            throws Exception {
         PrintWriter err = spec.commandLine().getErr();
         List<Report> reports = new ArrayList<>();
         List<List<Report>> rounds = new ArrayList<>();
         for (Plan plan : plans) {
             for (int round = 0; round < (twice ? 2 : 1) && !stop.getAsBoolean(); round++) {
-                List<Report> played = new Matrix(plan, cores(plan), stop, text -> {
-                    err.println(text);
-                    err.flush();
-                }).play();
+                List<Report> played =
+                        new Matrix(
+                                        plan,
+                                        cores(plan),
+                                        stop,
+                                        text -> {
+                                            err.println(text);
+                                            err.flush();
+                                        })
+                                .play();
                 rounds.add(played);
                 if (round == 0) {
                     reports.addAll(played);
@@ -176,10 +220,14 @@
         if (stop.getAsBoolean()) {
             return Exit.STOPPED;
         }
-        // A variant that is there to be compared with need not hold; whoever it is, it must be watched.
+        // A variant that is there to be compared with need not hold; whoever it is, it must be
+        // watched.
         String first = plans.get(0).variants().get(0).name();
-        Set<Report.Judgement> judged = reports.stream().filter(r -> r.run().variant().equals(first))
-                .map(Report::judgement).collect(Collectors.toSet());
+        Set<Report.Judgement> judged =
+                reports.stream()
+                        .filter(r -> r.run().variant().equals(first))
+                        .map(Report::judgement)
+                        .collect(Collectors.toSet());
         if (judged.contains(Report.Judgement.DOES_NOT_HOLD)) {
             return Exit.DOES_NOT_HOLD;
         }
@@ -191,40 +239,80 @@
     }
 
     /** Plays the first that does not hold again and again, with less and less of its schedule. */
-    private void cutDown(List<Plan> plans, List<Report> reports, OutputFile file, Stop stop, PrintWriter out)
+    private void cutDown(
+            List<Plan> plans, List<Report> reports, OutputFile file, Stop stop, PrintWriter out)
             throws Exception {
         for (Plan plan : plans) {
             for (Plan.Item item : plan.items()) {
-                Report first = reports.stream().filter(r -> r.run().scenario().equals(item.scenario().name())
-                        && r.run().seed() == item.seed() && r.run().variant().equals(item.variant().name())
-                        && r.run().clock().equals(plan.clock().word())).findFirst().orElse(null);
+                Report first =
+                        reports.stream()
+                                .filter(
+                                        r ->
+                                                r.run().scenario().equals(item.scenario().name())
+                                                        && r.run().seed() == item.seed()
+                                                        && r.run()
+                                                                .variant()
+                                                                .equals(item.variant().name())
+                                                        && r.run()
+                                                                .clock()
+                                                                .equals(plan.clock().word()))
+                                .findFirst()
+                                .orElse(null);
                 if (first == null || first.judgement() != Report.Judgement.DOES_NOT_HOLD) {
                     continue;
                 }
                 Scenario whole = Draw.drawn(item.scenario(), item.seed());
-                Matrix player = new Matrix(plan, 1, stop, text -> { });
-                CutDown.Result result = CutDown.of(whole.faults(), MOST_CUTS, faults -> {
-                    Report report = player.play(item.with(whole.with(faults)));
-                    spec.commandLine().getErr().println("with " + faults.size() + " faults: "
-                            + report.judgement().name().toLowerCase(Locale.ROOT));
-                    return !stop.getAsBoolean() && report.judgement() == Report.Judgement.DOES_NOT_HOLD;
-                });
-                file.write("# Seed " + item.seed() + ", cut down from " + whole.faults().size()
-                        + " faults in " + result.plays() + " plays"
-                        + (result.whole() ? "" : ", not to its end")
-                        + ": play it with this seed.\n"
-                        + ScenarioWriter.text(whole.with(result.faults())));
-                out.println(item.text() + ": cut down to " + result.faults().size() + " of "
-                        + whole.faults().size() + " faults in " + result.plays() + " plays");
+                Matrix player = new Matrix(plan, 1, stop, text -> {});
+                CutDown.Result result =
+                        CutDown.of(
+                                whole.faults(),
+                                MOST_CUTS,
+                                faults -> {
+                                    Report report = player.play(item.with(whole.with(faults)));
+                                    spec.commandLine()
+                                            .getErr()
+                                            .println(
+                                                    "with "
+                                                            + faults.size()
+                                                            + " faults: "
+                                                            + report.judgement()
+                                                                    .name()
+                                                                    .toLowerCase(Locale.ROOT));
+                                    return !stop.getAsBoolean()
+                                            && report.judgement() == Report.Judgement.DOES_NOT_HOLD;
+                                });
+                file.write(
+                        "# Seed "
+                                + item.seed()
+                                + ", cut down from "
+                                + whole.faults().size()
+                                + " faults in "
+                                + result.plays()
+                                + " plays"
+                                + (result.whole() ? "" : ", not to its end")
+                                + ": play it with this seed.\n"
+                                + ScenarioWriter.text(whole.with(result.faults())));
+                out.println(
+                        item.text()
+                                + ": cut down to "
+                                + result.faults().size()
+                                + " of "
+                                + whole.faults().size()
+                                + " faults in "
+                                + result.plays()
+                                + " plays");
                 return;
             }
         }
     }
 
-    /** Processes and stand-ins share the cores: real runs side by side measure each other a little. */
+    /**
+     * Processes and stand-ins share the cores: real runs side by side measure each other a little.
+     */
     private int cores(Plan plan) {
-        return cores != null ? cores : plan.clock() == Plan.Clock.REAL ? 1
-                : Runtime.getRuntime().availableProcessors();
+        return cores != null
+                ? cores
+                : plan.clock() == Plan.Clock.REAL ? 1 : Runtime.getRuntime().availableProcessors();
     }
 
     private boolean agree(List<Plan> plans, List<List<Report>> rounds, Stop stop, PrintWriter out) {
@@ -271,7 +359,8 @@
             throw new Fault("--variant: " + e.getMessage());
         }
         if (baselines) {
-            Brains.names().stream().filter(name -> !name.equals(Brains.MODULE))
+            Brains.names().stream()
+                    .filter(name -> !name.equals(Brains.MODULE))
                     .forEach(name -> all.add(Variant.baseline(name)));
         }
         Set<String> seen = new HashSet<>();
@@ -284,16 +373,19 @@
     }
 
     private List<Plan> plans(List<Scenario> scenarios, List<Variant> all) throws Fault {
-        boolean realDaemons = scenarios.stream().allMatch(s -> s.clocks().contains(REAL))
-                && all.stream().allMatch(v -> v.brain().equals(Brains.MODULE));
-        String wanted = clock == null ? realDaemons ? REAL : VIRTUAL : clock.toLowerCase(Locale.ROOT);
+        boolean realDaemons =
+                scenarios.stream().allMatch(s -> s.clocks().contains(REAL))
+                        && all.stream().allMatch(v -> v.brain().equals(Brains.MODULE));
+        String wanted =
+                clock == null ? realDaemons ? REAL : VIRTUAL : clock.toLowerCase(Locale.ROOT);
         if (!Set.of(REAL, VIRTUAL, BOTH).contains(wanted)) {
             throw new Fault("--clock: " + clock + " is none of virtual, real, both");
         }
         for (Scenario scenario : scenarios) {
             for (String word : wanted.equals(BOTH) ? List.of(VIRTUAL, REAL) : List.of(wanted)) {
                 if (!scenario.clocks().contains(word)) {
-                    throw new Fault(scenario.name() + " cannot be played on the " + word + " clock");
+                    throw new Fault(
+                            scenario.name() + " cannot be played on the " + word + " clock");
                 }
             }
         }
--- a/kit/src/main/java/wheelroute/kit/cli/Scale.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Scale.java
@@ -15,23 +15,30 @@
 import wheelroute.kit.scale.Size;
 import wheelroute.kit.scale.Slopes;
 
-@Command(name = "scale", mixinStandardHelpOptions = true,
-        description = "Measure what dispatchers and a list service cost as workers, changes, launches,"
-                + " tenants and dispatchers grow, and hold it against a size.")
+@Command(
+        name = "scale",
+        mixinStandardHelpOptions = true,
+        description =
+                "Measure what dispatchers and a list service cost as workers, changes, launches,"
+                        + " tenants and dispatchers grow, and hold it against a size.")
 final class Scale implements Callable<Integer> {
     /** One of the two. */
     static final class Kind {
         @Option(names = "--quick", description = "small sizes, under a minute (the default)")
         private boolean quick;
 
-        @Option(names = "--full", description = "to 30,000 workers and 300 dispatchers, some minutes")
+        @Option(
+                names = "--full",
+                description = "to 30,000 workers and 300 dispatchers, some minutes")
         private boolean full;
     }
 
-    @ArgGroup
-    private Kind kind;
+    @ArgGroup private Kind kind;
 
-    @Option(names = "--size", paramLabel = "FILE", defaultValue = Capacity.SIZE,
+    @Option(
+            names = "--size",
+            paramLabel = "FILE",
+            defaultValue = Capacity.SIZE,
             description = "the size to hold it against (default: ${DEFAULT-VALUE})")
     private Path size;
 
@@ -41,8 +48,7 @@
     @Option(names = "--html", paramLabel = "FILE", description = "draw them on a page there")
     private Path html;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
@@ -56,11 +62,14 @@
             jsonFile = OutputFile.open("--json", json);
             htmlFile = OutputFile.open("--html", html);
             boolean full = kind != null && kind.full;
-            Slopes slopes = ScaleRun.play(full ? ScaleRun.Sizes.full() : ScaleRun.Sizes.quick(), stop, text
-                    -> {
-                err.println(text);
-                err.flush();
-            });
+            Slopes slopes =
+                    ScaleRun.play(
+                            full ? ScaleRun.Sizes.full() : ScaleRun.Sizes.quick(),
+                            stop,
+                            text -> {
+                                err.println(text);
+                                err.flush();
+                            });
             Reckoning reckoning = new Reckoning(slopes, wanted);
             List<String> over = reckoning.verdict();
             reckoning.tables().forEach((name, table) -> out.println(name + "\n" + table));
@@ -71,12 +80,16 @@
                 htmlFile.write(ScalePage.text(slopes, over));
             }
             over.forEach(out::println);
-            out.println(!slopes.notJudged().isEmpty() ? "not judged: " + slopes.notJudged()
-                    : over.isEmpty() ? "the size '" + wanted.name() + "' fits"
-                    : "the size '" + wanted.name() + "' does not fit");
+            out.println(
+                    !slopes.notJudged().isEmpty()
+                            ? "not judged: " + slopes.notJudged()
+                            : over.isEmpty()
+                                    ? "the size '" + wanted.name() + "' fits"
+                                    : "the size '" + wanted.name() + "' does not fit");
             out.flush();
-            return !slopes.notJudged().isEmpty() ? Exit.NOT_JUDGED : over.isEmpty() ? Exit.HOLDS
-                    : Exit.DOES_NOT_HOLD;
+            return !slopes.notJudged().isEmpty()
+                    ? Exit.NOT_JUDGED
+                    : over.isEmpty() ? Exit.HOLDS : Exit.DOES_NOT_HOLD;
         } finally {
             if (jsonFile != null) {
                 jsonFile.drop();
--- a/kit/src/main/java/wheelroute/kit/cli/Serve.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Serve.java
@@ -8,14 +8,21 @@
 import picocli.CommandLine.Parameters;
 import wheelroute.Main;
 
-@Command(name = "serve", mixinStandardHelpOptions = true,
+@Command(
+        name = "serve",
+        mixinStandardHelpOptions = true,
         description = "Dispatch on sockets, by a file of the operator's or by LB_CONFIG.")
 final class Serve implements Callable<Integer> {
-    @Parameters(arity = "0..1", paramLabel = "FILE", description = "TOML or JSON; LB_CONFIG names it"
-            + " otherwise")
+    @Parameters(
+            arity = "0..1",
+            paramLabel = "FILE",
+            description = "TOML or JSON; LB_CONFIG names it" + " otherwise")
     private String file;
 
-    @Option(names = "--log-format", paramLabel = "text|json", description = "the log's lines (default: text)")
+    @Option(
+            names = "--log-format",
+            paramLabel = "text|json",
+            description = "the log's lines (default: text)")
     private String logFormat;
 
     @Override
--- a/kit/src/main/java/wheelroute/kit/cli/StandIn.java
+++ b/kit/src/main/java/wheelroute/kit/cli/StandIn.java
@@ -9,39 +9,64 @@
 import wheelroute.kit.real.StandInRun;
 import wheelroute.kit.scenario.Library;
 
-@Command(name = "stand-in", mixinStandardHelpOptions = true,
-        description = "A scenario's workers and discovery alone, on loopback, for a daemon of your own.")
+@Command(
+        name = "stand-in",
+        mixinStandardHelpOptions = true,
+        description =
+                "A scenario's workers and discovery alone, on loopback, for a daemon of your own.")
 final class StandIn implements Callable<Integer> {
-    @Parameters(arity = "0..1", paramLabel = "NAME|FILE", defaultValue = "calm",
+    @Parameters(
+            arity = "0..1",
+            paramLabel = "NAME|FILE",
+            defaultValue = "calm",
             description = "whose workers and faults (default: ${DEFAULT-VALUE})")
     private String name;
 
-    @Option(names = "--seed", defaultValue = "1", paramLabel = "N", description = "default: ${DEFAULT-VALUE}")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            paramLabel = "N",
+            description = "default: ${DEFAULT-VALUE}")
     private long seed;
 
-    @Option(names = "--discovery", defaultValue = "8500", paramLabel = "PORT",
+    @Option(
+            names = "--discovery",
+            defaultValue = "8500",
+            paramLabel = "PORT",
             description = "where discovery listens (default: ${DEFAULT-VALUE}); 0 for any")
     private int discovery;
 
-    @Option(names = "--workers", defaultValue = "0", paramLabel = "PORT",
+    @Option(
+            names = "--workers",
+            defaultValue = "0",
+            paramLabel = "PORT",
             description = "the first worker's port, the others' follow; 0 for any (default)")
     private int workers;
 
-    @Option(names = "--seconds", defaultValue = "3600", paramLabel = "S",
+    @Option(
+            names = "--seconds",
+            defaultValue = "3600",
+            paramLabel = "S",
             description = "how long (default: ${DEFAULT-VALUE})")
     private double seconds;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
         Stop stop = new Stop();
         try {
-            StandInRun.play(Library.find(name), seed, seconds, discovery, workers, stop, text -> {
-                spec.commandLine().getOut().println(text);
-                spec.commandLine().getOut().flush();
-            });
+            StandInRun.play(
+                    Library.find(name),
+                    seed,
+                    seconds,
+                    discovery,
+                    workers,
+                    stop,
+                    text -> {
+                        spec.commandLine().getOut().println(text);
+                        spec.commandLine().getOut().flush();
+                    });
         } finally {
             stop.finished();
         }
--- a/kit/src/main/java/wheelroute/kit/cli/Stop.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Stop.java
@@ -5,7 +5,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * ^C: the run ends early, its children are ended and its partial report is written before the process goes.
+ * ^C: the run ends early, its children are ended and its partial report is written before the
+ * process goes.
  */
 final class Stop implements BooleanSupplier {
     private static final int MOST_SECONDS = 15;
--- a/kit/src/main/java/wheelroute/kit/cli/Wheelroute.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Wheelroute.java
@@ -12,26 +12,44 @@
 import wheelroute.kit.scenario.ScenarioException;
 
 /** The command line: one subcommand for each thing that can be done. */
-@Command(name = "wheelroute", mixinStandardHelpOptions = true, versionProvider = Wheelroute.Version.class,
-        description = "A dispatcher that sits beside each submitter and pushes jobs to workers, and its"
-                + " test kit.",
-        subcommands = {Serve.class, Adapter.class, Rehearse.class, Check.class, Load.class, StandIn.class,
-            Admin.class, Peers.class, Scale.class, Capacity.class,
-            AutoComplete.GenerateCompletion.class},
-        footer = {"", "Exit codes: 0 done, and all that was expected holds; 1 input that cannot be used,"
-                + " or a run "
-            + "that could not go on; 2 wrong usage; 3 a rule broken or an expectation that does not hold; "
-            + "4 the machine is too slow for the load; 130 stopped."})
+@Command(
+        name = "wheelroute",
+        mixinStandardHelpOptions = true,
+        versionProvider = Wheelroute.Version.class,
+        description =
+                "A dispatcher that sits beside each submitter and pushes jobs to workers, and its"
+                        + " test kit.",
+        subcommands = {
+            Serve.class,
+            Adapter.class,
+            Rehearse.class,
+            Check.class,
+            Load.class,
+            StandIn.class,
+            Admin.class,
+            Peers.class,
+            Scale.class,
+            Capacity.class,
+            AutoComplete.GenerateCompletion.class
+        },
+        footer = {
+            "",
+            "Exit codes: 0 done, and all that was expected holds; 1 input that cannot be used,"
+                    + " or a run "
+                    + "that could not go on; 2 wrong usage; 3 a rule broken or an expectation that does not hold; "
+                    + "4 the machine is too slow for the load; 130 stopped."
+        })
 public final class Wheelroute implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     /** Only what the build wrote into the jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
             String version = Wheelroute.class.getPackage().getImplementationVersion();
-            return new String[] {"wheelroute " + (version == null ? "(not built as a jar)" : version)};
+            return new String[] {
+                "wheelroute " + (version == null ? "(not built as a jar)" : version)
+            };
         }
     }
 
@@ -43,14 +61,18 @@
 
     static CommandLine commandLine() {
         CommandLine line = new CommandLine(new Wheelroute());
-        line.setExecutionExceptionHandler((e, command, parsed) -> {
-            if (e instanceof Fault || e instanceof ScenarioException || e instanceof ConfigException
-                    || e instanceof RehearsalException || e instanceof IOException) {
-                command.getErr().println("wheelroute: " + e.getMessage());
-                return Exit.BAD_INPUT;
-            }
-            throw e;
-        });
+        line.setExecutionExceptionHandler(
+                (e, command, parsed) -> {
+                    if (e instanceof Fault
+                            || e instanceof ScenarioException
+                            || e instanceof ConfigException
+                            || e instanceof RehearsalException
+                            || e instanceof IOException) {
+                        command.getErr().println("wheelroute: " + e.getMessage());
+                        return Exit.BAD_INPUT;
+                    }
+                    throw e;
+                });
         line.setCaseInsensitiveEnumValuesAllowed(true);
         return line;
     }
--- a/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
@@ -14,6 +14,7 @@
 public final class Agreement {
     /** Two runs on the real clock may differ by so much of service. */
     private static final double REPEATS = 0.005;
+
     /** The two clocks may differ by so much in the service of any offering. */
     private static final double CLOCKS = 0.03;
 
@@ -31,15 +32,26 @@
         agreement.rows.add(new String[] {"", "figure", "once", "again", "differs by", "allowed"});
         for (int i = 0; i < Math.min(once.size(), again.size()); i++) {
             if (once.get(i).run().clock().equals("virtual")) {
-                boolean same = JsonWriter.text(List.of(once.get(i))).equals(JsonWriter.text(
-                        List.of(again.get(i))));
+                boolean same =
+                        JsonWriter.text(List.of(once.get(i)))
+                                .equals(JsonWriter.text(List.of(again.get(i))));
                 agreement.holds &= same;
-                agreement.rows.add(new String[] {name(once.get(i)), "whole report", "", "",
-                    same ? "nothing" : "SOMETHING", "nothing"});
+                agreement.rows.add(
+                        new String[] {
+                            name(once.get(i)),
+                            "whole report",
+                            "",
+                            "",
+                            same ? "nothing" : "SOMETHING",
+                            "nothing"
+                        });
             } else {
-                agreement.compare(name(once.get(i)), Figures.SERVICE,
+                agreement.compare(
+                        name(once.get(i)),
+                        Figures.SERVICE,
                         once.get(i).figures().get(Figures.SERVICE),
-                        again.get(i).figures().get(Figures.SERVICE), REPEATS);
+                        again.get(i).figures().get(Figures.SERVICE),
+                        REPEATS);
             }
         }
         return agreement;
@@ -52,19 +64,32 @@
         Map<String, List<Integer>> groups = new LinkedHashMap<>();
         for (int i = 0; i < Math.min(virtual.size(), real.size()); i++) {
             Report.Run run = virtual.get(i).run();
-            groups.computeIfAbsent(run.scenario() + " " + run.variant(), n -> new ArrayList<>()).add(i);
+            groups.computeIfAbsent(run.scenario() + " " + run.variant(), n -> new ArrayList<>())
+                    .add(i);
         }
-        groups.forEach((name, places) -> virtual.get(places.get(0)).figures().keySet().stream()
-                .filter(figure -> figure.startsWith(Figures.OFFERING)).forEach(figure -> {
-                    // Where all queues are full one launch decides where the next go: single days scatter.
-                    agreement.compare(name + ", " + places.size() + " seeds", figure,
-                            mean(virtual, places, figure), mean(real, places, figure), CLOCKS);
-                }));
+        groups.forEach(
+                (name, places) ->
+                        virtual.get(places.get(0)).figures().keySet().stream()
+                                .filter(figure -> figure.startsWith(Figures.OFFERING))
+                                .forEach(
+                                        figure -> {
+                                            // Where all queues are full one launch decides where
+                                            // the next go: single days scatter.
+                                            agreement.compare(
+                                                    name + ", " + places.size() + " seeds",
+                                                    figure,
+                                                    mean(virtual, places, figure),
+                                                    mean(real, places, figure),
+                                                    CLOCKS);
+                                        }));
         return agreement;
     }
 
     private static double mean(List<Report> reports, List<Integer> places, String figure) {
-        return places.stream().mapToDouble(i -> reports.get(i).figures().get(figure)).average().orElseThrow();
+        return places.stream()
+                .mapToDouble(i -> reports.get(i).figures().get(figure))
+                .average()
+                .orElseThrow();
     }
 
     private static String name(Report report) {
@@ -74,10 +99,15 @@
     private void compare(String name, String figure, double a, double b, double allowed) {
         boolean near = Math.abs(a - b) <= allowed;
         holds &= near;
-        rows.add(new String[] {name, figure, String.format(Locale.ROOT, "%.4f", a),
-            String.format(Locale.ROOT, "%.4f", b),
-            String.format(Locale.ROOT, "%.4f", Math.abs(a - b)) + (near ? "" : " TOO MUCH"),
-            String.format(Locale.ROOT, "%.3f", allowed)});
+        rows.add(
+                new String[] {
+                    name,
+                    figure,
+                    String.format(Locale.ROOT, "%.4f", a),
+                    String.format(Locale.ROOT, "%.4f", b),
+                    String.format(Locale.ROOT, "%.4f", Math.abs(a - b)) + (near ? "" : " TOO MUCH"),
+                    String.format(Locale.ROOT, "%.3f", allowed)
+                });
     }
 
     public boolean holds() {
--- a/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
@@ -11,13 +11,19 @@
 import wheelroute.kit.scenario.Figures;
 
 /**
- * What several runs say together: each figure's mean and spread over the seeds, and how a variant differs
- * from the first one on the same seeds. Asks are the same for all variants of a seed, so differences are
- * paired: their spread is that of the difference, not of the days.
+ * What several runs say together: each figure's mean and spread over the seeds, and how a variant
+ * differs from the first one on the same seeds. Asks are the same for all variants of a seed, so
+ * differences are paired: their spread is that of the difference, not of the days.
  */
 public final class Comparison {
-    private static final List<String> FIGURES = List.of(Figures.SERVICE, Figures.IN_TIME, Figures.BOUNCED,
-            Figures.SCRAPPED, Figures.P99, Figures.LAUNCHES);
+    private static final List<String> FIGURES =
+            List.of(
+                    Figures.SERVICE,
+                    Figures.IN_TIME,
+                    Figures.BOUNCED,
+                    Figures.SCRAPPED,
+                    Figures.P99,
+                    Figures.LAUNCHES);
 
     /**
      * Of one scenario and variant.
@@ -26,12 +32,19 @@
      * @param difference from the first variant, the mean over seeds; 0 for that one itself
      * @param differenceError the standard error of the difference; NaN with one seed
      */
-    public record Cell(String scenario, String variant, String figure, int seeds, double mean, double error,
-            double least, double most, double difference, double differenceError) {
-    }
+    public record Cell(
+            String scenario,
+            String variant,
+            String figure,
+            int seeds,
+            double mean,
+            double error,
+            double least,
+            double most,
+            double difference,
+            double differenceError) {}
 
-    private Comparison() {
-    }
+    private Comparison() {}
 
     public static List<Cell> of(List<Report> reports) {
         Map<String, Map<String, Map<Long, Report>>> tree = new LinkedHashMap<>();
@@ -41,30 +54,52 @@
                     .put(report.run().seed(), report);
         }
         List<Cell> cells = new ArrayList<>();
-        tree.forEach((scenario, variants) -> {
-            Map<Long, Report> first = variants.values().iterator().next();
-            for (String figure : FIGURES) {
-                variants.forEach((variant, runs) -> cells.add(cell(scenario, variant, figure, runs, first)));
-            }
-        });
+        tree.forEach(
+                (scenario, variants) -> {
+                    Map<Long, Report> first = variants.values().iterator().next();
+                    for (String figure : FIGURES) {
+                        variants.forEach(
+                                (variant, runs) ->
+                                        cells.add(cell(scenario, variant, figure, runs, first)));
+                    }
+                });
         return cells;
     }
 
-    private static Cell cell(String scenario, String variant, String figure, Map<Long, Report> runs,
+    private static Cell cell(
+            String scenario,
+            String variant,
+            String figure,
+            Map<Long, Report> runs,
             Map<Long, Report> first) {
-        double[] values = runs.values().stream().mapToDouble(r -> r.figures().get(figure)).toArray();
+        double[] values =
+                runs.values().stream().mapToDouble(r -> r.figures().get(figure)).toArray();
         TreeSet<Long> both = new TreeSet<>(runs.keySet());
         both.retainAll(first.keySet());
-        double[] differences = both.stream().mapToDouble(seed -> runs.get(seed).figures().get(figure)
-                - first.get(seed).figures().get(figure)).toArray();
+        double[] differences =
+                both.stream()
+                        .mapToDouble(
+                                seed ->
+                                        runs.get(seed).figures().get(figure)
+                                                - first.get(seed).figures().get(figure))
+                        .toArray();
         double least = Double.POSITIVE_INFINITY;
         double most = Double.NEGATIVE_INFINITY;
         for (double value : values) {
             least = Math.min(least, value);
             most = Math.max(most, value);
         }
-        return new Cell(scenario, variant, figure, values.length, mean(values), error(values), least, most,
-                mean(differences), error(differences));
+        return new Cell(
+                scenario,
+                variant,
+                figure,
+                values.length,
+                mean(values),
+                error(values),
+                least,
+                most,
+                mean(differences),
+                error(differences));
     }
 
     static double mean(double[] values) {
@@ -90,13 +125,33 @@
 
     public static String text(List<Cell> cells) {
         List<String[]> rows = new ArrayList<>();
-        rows.add(new String[] {"scenario", "figure", "variant", "seeds", "mean", "+-", "least", "most",
-            "less first", "+-"});
+        rows.add(
+                new String[] {
+                    "scenario",
+                    "figure",
+                    "variant",
+                    "seeds",
+                    "mean",
+                    "+-",
+                    "least",
+                    "most",
+                    "less first",
+                    "+-"
+                });
         for (Cell cell : cells) {
-            rows.add(new String[] {cell.scenario(), cell.figure(), cell.variant(),
-                Integer.toString(cell.seeds()), number(cell.mean()), number(cell.error()),
-                number(cell.least()), number(cell.most()), number(cell.difference()),
-                number(cell.differenceError())});
+            rows.add(
+                    new String[] {
+                        cell.scenario(),
+                        cell.figure(),
+                        cell.variant(),
+                        Integer.toString(cell.seeds()),
+                        number(cell.mean()),
+                        number(cell.error()),
+                        number(cell.least()),
+                        number(cell.most()),
+                        number(cell.difference()),
+                        number(cell.differenceError())
+                    });
         }
         return TableWriter.aligned(rows);
     }
--- a/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
@@ -34,7 +34,10 @@
         this.progress = progress;
     }
 
-    /** The reports in the plan's order, whatever order they were played in; fewer when it was stopped. */
+    /**
+     * The reports in the plan's order, whatever order they were played in; fewer when it was
+     * stopped.
+     */
     public List<Report> play() throws RehearsalException, ConfigException {
         List<Plan.Item> items = plan.items();
         ExecutorService pool = Executors.newFixedThreadPool(cores);
@@ -42,23 +45,37 @@
         AtomicBoolean failed = new AtomicBoolean();
         List<Future<Report>> futures = new ArrayList<>();
         for (Plan.Item item : items) {
-            futures.add(pool.submit(() -> {
-                if (stop.getAsBoolean() || failed.get()) {
-                    return null;
-                }
-                try {
-                    long begun = System.nanoTime();
-                    Report report = play(item);
-                    progress.accept(String.format(Locale.ROOT, "%d of %d runs played: %s, %d asks in %.2f s,"
-                            + " %s", done.incrementAndGet(), items.size(), item.text(),
-                            report.total().asked(), (System.nanoTime() - begun) / NANOS,
-                            report.judgement().name().toLowerCase(Locale.ROOT).replace('_', ' ')));
-                    return report;
-                } catch (ConfigException | RehearsalException | RuntimeException e) {
-                    failed.set(true);
-                    throw e;
-                }
-            }));
+            futures.add(
+                    pool.submit(
+                            () -> {
+                                if (stop.getAsBoolean() || failed.get()) {
+                                    return null;
+                                }
+                                try {
+                                    long begun = System.nanoTime();
+                                    Report report = play(item);
+                                    progress.accept(
+                                            String.format(
+                                                    Locale.ROOT,
+                                                    "%d of %d runs played: %s, %d asks in %.2f s,"
+                                                            + " %s",
+                                                    done.incrementAndGet(),
+                                                    items.size(),
+                                                    item.text(),
+                                                    report.total().asked(),
+                                                    (System.nanoTime() - begun) / NANOS,
+                                                    report.judgement()
+                                                            .name()
+                                                            .toLowerCase(Locale.ROOT)
+                                                            .replace('_', ' ')));
+                                    return report;
+                                } catch (ConfigException
+                                        | RehearsalException
+                                        | RuntimeException e) {
+                                    failed.set(true);
+                                    throw e;
+                                }
+                            }));
         }
         pool.shutdown();
         List<Report> reports = new ArrayList<>();
@@ -73,7 +90,8 @@
             if (e.getCause() instanceof ConfigException cause) {
                 throw cause;
             }
-            throw e.getCause() instanceof RehearsalException cause ? cause
+            throw e.getCause() instanceof RehearsalException cause
+                    ? cause
                     : new RehearsalException("a run broke off: " + e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -87,11 +105,24 @@
     public Report play(Plan.Item item) throws RehearsalException, ConfigException {
         Variant variant = item.variant();
         if (plan.clock() == Plan.Clock.REAL) {
-            return RealRun.play(item.scenario(), item.seed(), item.seconds(), variant.settings(),
-                    variant.name(), variant.jar(), plan.older(), stop,
+            return RealRun.play(
+                    item.scenario(),
+                    item.seed(),
+                    item.seconds(),
+                    variant.settings(),
+                    variant.name(),
+                    variant.jar(),
+                    plan.older(),
+                    stop,
                     text -> progress.accept(item.text() + ": " + text));
         }
-        return VirtualRun.play(item.scenario(), item.seed(), item.seconds(), variant.settings(),
-                variant.name(), world -> Brains.maker(variant.brain(), world), stop);
+        return VirtualRun.play(
+                item.scenario(),
+                item.seed(),
+                item.seconds(),
+                variant.settings(),
+                variant.name(),
+                world -> Brains.maker(variant.brain(), world),
+                stop);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/experiment/Plan.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Plan.java
@@ -10,14 +10,21 @@
  *
  * @param older the jar of the build that faults call older; null for none
  */
-public record Plan(List<Scenario> scenarios, List<Long> seeds, List<Variant> variants, Clock clock,
-        double seconds, boolean quick, Path older) {
+public record Plan(
+        List<Scenario> scenarios,
+        List<Long> seeds,
+        List<Variant> variants,
+        Clock clock,
+        double seconds,
+        boolean quick,
+        Path older) {
     /** A quick run lasts no longer than this. */
     public static final double QUICK_SECONDS = 30;
 
     /** Which time a plan is played in. */
     public enum Clock {
-        VIRTUAL, REAL;
+        VIRTUAL,
+        REAL;
 
         public String word() {
             return name().toLowerCase(java.util.Locale.ROOT);
--- a/kit/src/main/java/wheelroute/kit/experiment/Variant.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Variant.java
@@ -29,16 +29,20 @@
         int colon = text.indexOf(':');
         String name = colon < 0 ? text : text.substring(0, colon);
         if (name.isEmpty()) {
-            throw new IllegalArgumentException("variant '" + text + "' has no name before its colon");
+            throw new IllegalArgumentException(
+                    "variant '" + text + "' has no name before its colon");
         }
         String brain = Brains.MODULE;
         Path jar = null;
         Map<String, String> settings = new LinkedHashMap<>();
-        for (String pair : colon < 0 || colon == text.length() - 1 ? new String[0]
-                : text.substring(colon + 1).split(",")) {
+        for (String pair :
+                colon < 0 || colon == text.length() - 1
+                        ? new String[0]
+                        : text.substring(colon + 1).split(",")) {
             int eq = pair.indexOf('=');
             if (eq < 1) {
-                throw new IllegalArgumentException("variant '" + name + "': '" + pair + "' is not KEY=VALUE");
+                throw new IllegalArgumentException(
+                        "variant '" + name + "': '" + pair + "' is not KEY=VALUE");
             }
             String key = pair.substring(0, eq).trim();
             String value = pair.substring(eq + 1).trim();
@@ -53,8 +57,13 @@
 
     private static String brain(String name, String value) {
         if (!Brains.names().contains(value)) {
-            throw new IllegalArgumentException("variant '" + name + "': no brain '" + value + "'; there are "
-                    + String.join(", ", Brains.names()));
+            throw new IllegalArgumentException(
+                    "variant '"
+                            + name
+                            + "': no brain '"
+                            + value
+                            + "'; there are "
+                            + String.join(", ", Brains.names()));
         }
         return value;
     }
--- a/kit/src/main/java/wheelroute/kit/many/CutDown.java
+++ b/kit/src/main/java/wheelroute/kit/many/CutDown.java
@@ -6,8 +6,9 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * Makes a schedule that fails smaller, as long as it still fails: first fewer faults, halves of them before
- * single ones, then shorter, fewer met, all at once. Pure: who plays a schedule says whether it fails.
+ * Makes a schedule that fails smaller, as long as it still fails: first fewer faults, halves of
+ * them before single ones, then shorter, fewer met, all at once. Pure: who plays a schedule says
+ * whether it fails.
  */
 public final class CutDown {
     /** Plays one; true if it still fails. */
@@ -16,11 +17,11 @@
     }
 
     /** What is left, and after how many plays. */
-    public record Result(List<Scenario.Fault> faults, int plays, boolean whole) {
-    }
+    public record Result(List<Scenario.Fault> faults, int plays, boolean whole) {}
 
     /** Shorter or less than this is no simpler. */
     private static final double LEAST_LENGTH = 0.2;
+
     private static final double LEAST_SHARE = 0.05;
 
     private final Player player;
@@ -35,12 +36,25 @@
     }
 
     /** The faults given are known to fail. */
-    public static Result of(List<Scenario.Fault> faults, int mostPlays, Player player) throws Exception {
+    public static Result of(List<Scenario.Fault> faults, int mostPlays, Player player)
+            throws Exception {
         CutDown cut = new CutDown(List.copyOf(faults), mostPlays, player);
         cut.fewer();
         cut.smaller(f -> with(f, f.length(), f.share(), 0));
-        cut.smaller(f -> with(f, Math.max(LEAST_LENGTH, rounded(f.length() / 2)), f.share(), f.within()));
-        cut.smaller(f -> with(f, f.length(), Math.max(LEAST_SHARE, rounded(f.share() / 2)), f.within()));
+        cut.smaller(
+                f ->
+                        with(
+                                f,
+                                Math.max(LEAST_LENGTH, rounded(f.length() / 2)),
+                                f.share(),
+                                f.within()));
+        cut.smaller(
+                f ->
+                        with(
+                                f,
+                                f.length(),
+                                Math.max(LEAST_SHARE, rounded(f.share() / 2)),
+                                f.within()));
         return new Result(cut.faults, cut.plays, cut.plays < mostPlays);
     }
 
@@ -56,7 +70,7 @@
         int size = (faults.size() + 1) / 2;
         while (size >= 1 && faults.size() > 1) {
             boolean cut = false;
-            for (int from = 0; from < faults.size() && faults.size() > 1;) {
+            for (int from = 0; from < faults.size() && faults.size() > 1; ) {
                 List<Scenario.Fault> rest = new ArrayList<>(faults);
                 rest.subList(from, Math.min(rest.size(), from + size)).clear();
                 if (!rest.isEmpty() && fails(rest)) {
@@ -90,8 +104,22 @@
         return Math.rint(100 * value) / 100;
     }
 
-    private static Scenario.Fault with(Scenario.Fault f, double length, double share, double within) {
-        return new Scenario.Fault(f.kind(), f.at(), length, f.group(), share, f.level(), f.pick(), within,
-                f.to(), f.zone(), f.from(), f.spread(), f.how(), f.others());
+    private static Scenario.Fault with(
+            Scenario.Fault f, double length, double share, double within) {
+        return new Scenario.Fault(
+                f.kind(),
+                f.at(),
+                length,
+                f.group(),
+                share,
+                f.level(),
+                f.pick(),
+                within,
+                f.to(),
+                f.zone(),
+                f.from(),
+                f.spread(),
+                f.how(),
+                f.others());
     }
 }
--- a/kit/src/main/java/wheelroute/kit/many/DatagramRelay.java
+++ b/kit/src/main/java/wheelroute/kit/many/DatagramRelay.java
@@ -10,8 +10,9 @@
 import wheelroute.net.Loop;
 
 /**
- * One way for datagrams from one process to another: what comes here goes on to the far end, from the address
- * of the way that leads back, so that whoever answers answers by that. Two of them make a pair of ways.
+ * One way for datagrams from one process to another: what comes here goes on to the far end, from
+ * the address of the way that leads back, so that whoever answers answers by that. Two of them make
+ * a pair of ways.
  */
 public final class DatagramRelay {
     /** More than any datagram of the program's. */
@@ -36,8 +37,12 @@
         this.loop = loop;
         this.target = target;
         this.chance = chance;
-        socket = new Datagrams(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), SIZE,
-                (from, bytes) -> came(bytes));
+        socket =
+                new Datagrams(
+                        loop,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        SIZE,
+                        (from, bytes) -> came(bytes));
     }
 
     /** The direction that leads back. */
@@ -80,8 +85,10 @@
             byte[] copy = new byte[bytes.remaining()];
             bytes.duplicate().get(copy);
             double spread = sender.spread() + receiver.spread();
-            double later = sender.delay() + receiver.delay()
-                    + (spread > 0 ? spread * chance.getAsDouble() : 0);
+            double later =
+                    sender.delay()
+                            + receiver.delay()
+                            + (spread > 0 ? spread * chance.getAsDouble() : 0);
             if (later > 0) {
                 // Each by itself: one that is sent later may come sooner.
                 loop.later(later, () -> goOn(copy));
--- a/kit/src/main/java/wheelroute/kit/many/Harm.java
+++ b/kit/src/main/java/wheelroute/kit/many/Harm.java
@@ -2,9 +2,14 @@
 
 import wheelroute.kit.scenario.Scenario;
 
-/** What can be done to a way. Each heals on its own; what was held back then goes on in its order. */
+/**
+ * What can be done to a way. Each heals on its own; what was held back then goes on in its order.
+ */
 public enum Harm {
-    /** Nothing passes, and nobody is told: bytes wait, as they would for a network that resends them. */
+    /**
+     * Nothing passes, and nobody is told: bytes wait, as they would for a network that resends
+     * them.
+     */
     CUT,
     /** What is open is reset, and what comes is refused. */
     REFUSE,
@@ -13,10 +18,14 @@
     /** What the others send arrives, the dispatcher's bytes do not. */
     UNHEARD,
     /**
-     * Everything comes later, in both directions, by the level in seconds, and by chance up to the spread.
+     * Everything comes later, in both directions, by the level in seconds, and by chance up to the
+     * spread.
      */
     SLOW,
-    /** Of all pieces the part that the level says is lost: bytes are sent again later, datagrams are not. */
+    /**
+     * Of all pieces the part that the level says is lost: bytes are sent again later, datagrams are
+     * not.
+     */
     LOSS,
     /** So many bytes a second pass in each direction. */
     TRICKLE,
--- a/kit/src/main/java/wheelroute/kit/many/Links.java
+++ b/kit/src/main/java/wheelroute/kit/many/Links.java
@@ -9,8 +9,9 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * Which ways are harmed. Harms of several faults may lie over one another on one way: it is open again when
- * the last of them has healed. Pure: it decides what each way lets through, and tells who carries it out.
+ * Which ways are harmed. Harms of several faults may lie over one another on one way: it is open
+ * again when the last of them has healed. Pure: it decides what each way lets through, and tells
+ * who carries it out.
  */
 public final class Links {
     /** Who carries it out. */
@@ -19,21 +20,33 @@
     }
 
     /** One harm, of one fault. */
-    private record Lying(Harm harm, double level, double spread) {
-    }
+    private record Lying(Harm harm, double level, double spread) {}
 
     private static Passage passage(List<Lying> all) {
         boolean refuses = all.stream().anyMatch(l -> l.harm == Harm.REFUSE);
         boolean open = !refuses && all.stream().noneMatch(l -> l.harm == Harm.CUT);
-        double through = all.stream().filter(l -> l.harm == Harm.LOSS).mapToDouble(l -> 1 - l.level)
-                .reduce(1, (a, b) -> a * b);
-        return new Passage(refuses, open && all.stream().noneMatch(l -> l.harm == Harm.UNHEARD),
+        double through =
+                all.stream()
+                        .filter(l -> l.harm == Harm.LOSS)
+                        .mapToDouble(l -> 1 - l.level)
+                        .reduce(1, (a, b) -> a * b);
+        return new Passage(
+                refuses,
+                open && all.stream().noneMatch(l -> l.harm == Harm.UNHEARD),
                 open && all.stream().noneMatch(l -> l.harm == Harm.ONE_WAY),
                 all.stream().filter(l -> l.harm == Harm.SLOW).mapToDouble(Lying::level).sum(),
-                all.stream().filter(l -> l.harm == Harm.SLOW).mapToDouble(Lying::spread).sum(), 1 - through,
-                all.stream().filter(l -> l.harm == Harm.TRICKLE).mapToDouble(Lying::level).min()
+                all.stream().filter(l -> l.harm == Harm.SLOW).mapToDouble(Lying::spread).sum(),
+                1 - through,
+                all.stream()
+                        .filter(l -> l.harm == Harm.TRICKLE)
+                        .mapToDouble(Lying::level)
+                        .min()
                         .orElse(Double.POSITIVE_INFINITY),
-                all.stream().filter(l -> l.harm == Harm.DOUBLE).mapToDouble(Lying::level).max().orElse(0));
+                all.stream()
+                        .filter(l -> l.harm == Harm.DOUBLE)
+                        .mapToDouble(Lying::level)
+                        .max()
+                        .orElse(0));
     }
 
     private final Hearer hearer;
@@ -51,11 +64,14 @@
     public void heal(Harm harm, double level, double spread, Collection<Way> ways) {
         Lying one = new Lying(harm, level, spread);
         for (Way way : ways) {
-            change(way, all -> {
-                if (!all.remove(one)) {
-                    throw new IllegalStateException(way + " heals of " + harm + ", which it does not have");
-                }
-            });
+            change(
+                    way,
+                    all -> {
+                        if (!all.remove(one)) {
+                            throw new IllegalStateException(
+                                    way + " heals of " + harm + ", which it does not have");
+                        }
+                    });
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/many/Passage.java
+++ b/kit/src/main/java/wheelroute/kit/many/Passage.java
@@ -14,12 +14,21 @@
  * @param rate bytes a second in each direction; infinite for no limit
  * @param doubled the part of the datagrams that comes twice
  */
-public record Passage(boolean refuses, boolean forth, boolean back, double delay, double spread, double loss,
-        double rate, double doubled) {
-    public static final Passage OPEN = new Passage(false, true, true, 0, 0, 0, Double.POSITIVE_INFINITY,
-            0);
+public record Passage(
+        boolean refuses,
+        boolean forth,
+        boolean back,
+        double delay,
+        double spread,
+        double loss,
+        double rate,
+        double doubled) {
+    public static final Passage OPEN =
+            new Passage(false, true, true, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
+
     /** A sender takes this long to find out that a piece was lost, and sends it again. */
     public static final double RESEND = 0.2;
+
     /** After so many losses of one piece running the next one gets through. */
     private static final int MOST_RESENDS = 3;
 
--- a/kit/src/main/java/wheelroute/kit/many/Relay.java
+++ b/kit/src/main/java/wheelroute/kit/many/Relay.java
@@ -22,23 +22,29 @@
 import wheelroute.net.Loop;
 
 /**
- * One way between two processes, led through this one: a socket that stands for the far end. What it lets
- * through is set from outside. Loopback cannot leave a handshake unanswered: on a way that is cut a
- * connection still comes up here, and stays as silent as the way. What a sender had under way when it closed
- * the connection is lost with it while the way is cut; a real network's kernel may send it again after that.
+ * One way between two processes, led through this one: a socket that stands for the far end. What
+ * it lets through is set from outside. Loopback cannot leave a handshake unanswered: on a way that
+ * is cut a connection still comes up here, and stays as silent as the way. What a sender had under
+ * way when it closed the connection is lost with it while the way is cut; a real network's kernel
+ * may send it again after that.
  */
 public final class Relay implements Loop.Peer {
-    /** Bytes held for one direction before the sender has to wait, as a socket's buffers would make it. */
+    /**
+     * Bytes held for one direction before the sender has to wait, as a socket's buffers would make
+     * it.
+     */
     private static final int MOST_HELD = 1 << 20;
+
     /** A port that was ours a moment ago is free again soon. */
     private static final double LISTEN_AGAIN = 0.05;
+
     private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
 
     private final Loop loop;
     private final Supplier<InetSocketAddress> target;
     private final boolean dispatcherIsNear;
     private final DoubleSupplier chance;
-    private IntConsumer nearClosed = port -> { };
+    private IntConsumer nearClosed = port -> {};
     private final Set<Pair> pairs = new HashSet<>();
     private final InetSocketAddress address;
     private ServerSocketChannel server;
@@ -50,8 +56,12 @@
      * @param dispatcherIsNear it is the dispatcher that connects; else it is connected to
      * @param chance draws from 0 to 1, for what is lost and what comes late
      */
-    public Relay(Loop loop, Supplier<InetSocketAddress> target, boolean dispatcherIsNear,
-            DoubleSupplier chance) throws IOException {
+    public Relay(
+            Loop loop,
+            Supplier<InetSocketAddress> target,
+            boolean dispatcherIsNear,
+            DoubleSupplier chance)
+            throws IOException {
         this.loop = loop;
         this.target = target;
         this.dispatcherIsNear = dispatcherIsNear;
@@ -66,8 +76,8 @@
     }
 
     /**
-     * Hears at once that who connected has closed, however long the far end will not know of it: with the
-     * port by which the far end knows the connection.
+     * Hears at once that who connected has closed, however long the far end will not know of it:
+     * with the port by which the far end knows the connection.
      */
     public void onNearClosed(IntConsumer hearer) {
         nearClosed = hearer;
@@ -81,10 +91,12 @@
             new HashSet<>(pairs).forEach(Pair::reset);
         } else {
             listen();
-            new HashSet<>(pairs).forEach(pair -> {
-                pair.forth.flush();
-                pair.back.flush();
-            });
+            new HashSet<>(pairs)
+                    .forEach(
+                            pair -> {
+                                pair.forth.flush();
+                                pair.back.flush();
+                            });
         }
     }
 
@@ -100,11 +112,13 @@
                 server = loop.listen(address, this);
             }
         } catch (IOException e) {
-            loop.later(LISTEN_AGAIN, () -> {
-                if (!passage.refuses()) {
-                    listen();
-                }
-            });
+            loop.later(
+                    LISTEN_AGAIN,
+                    () -> {
+                        if (!passage.refuses()) {
+                            listen();
+                        }
+                    });
         }
     }
 
@@ -149,14 +163,15 @@
         @Override
         public Connection opened(EndPoint endPoint) {
             far = new End(endPoint, this, back);
-            loop.post(() -> {
-                if (over) {
-                    far.close();
-                } else {
-                    forth.to = far;
-                    forth.flush();
-                }
-            });
+            loop.post(
+                    () -> {
+                        if (over) {
+                            far.close();
+                        } else {
+                            forth.to = far;
+                            forth.flush();
+                        }
+                    });
             return far;
         }
 
@@ -167,8 +182,10 @@
         }
 
         void nearCloses() {
-            if (!nearIsClosed && far != null
-                    && far.getEndPoint().getLocalSocketAddress() instanceof InetSocketAddress local) {
+            if (!nearIsClosed
+                    && far != null
+                    && far.getEndPoint().getLocalSocketAddress()
+                            instanceof InetSocketAddress local) {
                 nearIsClosed = true;
                 nearClosed.accept(local.getPort());
             }
@@ -205,6 +222,7 @@
         private boolean ended;
         private boolean endTold;
         private Loop.Timer timer;
+
         /** When the last piece is due: nothing overtakes it. */
         private double lastDue = Double.NEGATIVE_INFINITY;
 
@@ -255,10 +273,13 @@
             double wait = first.due - loop.now();
             if (wait > 0) {
                 if (timer == null) {
-                    timer = loop.later(wait, () -> {
-                        timer = null;
-                        flush();
-                    });
+                    timer =
+                            loop.later(
+                                    wait,
+                                    () -> {
+                                        timer = null;
+                                        flush();
+                                    });
                 }
                 return;
             }
@@ -270,12 +291,19 @@
                 return;
             }
             writing = true;
-            to.getEndPoint().write(Callback.from(() -> loop.post(() -> {
-                writing = false;
-                bytes -= first.size;
-                first.from.goOn();
-                flush();
-            }), cause -> loop.post(first.from.pair::reset)), first.buffer);
+            to.getEndPoint()
+                    .write(
+                            Callback.from(
+                                    () ->
+                                            loop.post(
+                                                    () -> {
+                                                        writing = false;
+                                                        bytes -= first.size;
+                                                        first.from.goOn();
+                                                        flush();
+                                                    }),
+                                    cause -> loop.post(first.from.pair::reset)),
+                            first.buffer);
         }
     }
 
@@ -343,7 +371,8 @@
         /** So that the other side sees a reset, not an end. */
         void reset() {
             try {
-                if (getEndPoint().getTransport() instanceof SocketChannel channel && channel.isOpen()) {
+                if (getEndPoint().getTransport() instanceof SocketChannel channel
+                        && channel.isOpen()) {
                     channel.setOption(StandardSocketOptions.SO_LINGER, 0);
                 }
             } catch (IOException e) {
--- a/kit/src/main/java/wheelroute/kit/many/Way.java
+++ b/kit/src/main/java/wheelroute/kit/many/Way.java
@@ -8,7 +8,8 @@
 /**
  * One way from a dispatcher to another process.
  *
- * @param worker which worker, {@link #LIST}, {@link #CLIENTS} or, from {@link #PEERS} down, which peer
+ * @param worker which worker, {@link #LIST}, {@link #CLIENTS} or, from {@link #PEERS} down, which
+ *     peer
  */
 public record Way(int dispatcher, int worker) {
     public static final int LIST = -1;
@@ -47,16 +48,26 @@
      * @param dispatchers how many there are
      * @param groups the group of each worker, by its number
      */
-    public static List<Way> of(Scenario.Fault fault, int dispatcher, int[] targets, int dispatchers,
+    public static List<Way> of(
+            Scenario.Fault fault,
+            int dispatcher,
+            int[] targets,
+            int dispatchers,
             List<Scenario.WorkerGroup> groups) {
         return switch (fault.ends()) {
             case LIST -> List.of(toList(dispatcher));
             case CLIENTS -> List.of(toClients(dispatcher));
-            case PEERS -> IntStream.range(0, dispatchers).filter(n -> Arrays.stream(targets)
-                    .noneMatch(t -> t == n)).limit((long) Math.ceil(fault.others() * dispatchers))
-                    .mapToObj(n -> toPeer(dispatcher, n)).toList();
-            case WORKERS -> IntStream.range(0, groups.size()).filter(n -> fault.concerns(groups.get(n)))
-                    .mapToObj(n -> new Way(dispatcher, n)).toList();
+            case PEERS ->
+                    IntStream.range(0, dispatchers)
+                            .filter(n -> Arrays.stream(targets).noneMatch(t -> t == n))
+                            .limit((long) Math.ceil(fault.others() * dispatchers))
+                            .mapToObj(n -> toPeer(dispatcher, n))
+                            .toList();
+            case WORKERS ->
+                    IntStream.range(0, groups.size())
+                            .filter(n -> fault.concerns(groups.get(n)))
+                            .mapToObj(n -> new Way(dispatcher, n))
+                            .toList();
         };
     }
 }
--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -16,17 +16,21 @@
 import wheelroute.peers.Sighting;
 
 /**
- * Members of one cluster on the virtual clock. Every datagram goes through the codec; it may be lost, late,
- * doubled, overtaken, or cut off by whoever sends it to whom; members crash, stand still and come back.
+ * Members of one cluster on the virtual clock. Every datagram goes through the codec; it may be
+ * lost, late, doubled, overtaken, or cut off by whoever sends it to whom; members crash, stand
+ * still and come back.
  */
 public final class PeerModel {
     /** Any; each member has a port of its own on it. */
     private static final int HOST = 0x7f000001;
+
     private static final int FIRST_PORT = 10_000;
     private static final double DELAY = 0.0005;
     private static final double JITTER = 0.001;
+
     /** A starved member runs for so long at a time. */
     private static final double FED = 0.3;
+
     private static final int CLUSTER = 7;
 
     public final VirtualTime time = new VirtualTime();
@@ -53,8 +57,10 @@
         private boolean still;
         private boolean up;
         private double wakeAt = Double.POSITIVE_INFINITY;
+
         /** So long at a time it gets no core; 0 for as it should be. */
         private double slow;
+
         private final ArrayDeque<Runnable> meanwhile = new ArrayDeque<>();
 
         private Member(int number) {
@@ -85,8 +91,16 @@
                 places.add(place(i));
             }
             long millis = (long) (1000 * (1e6 + time.now() - start + clockAhead));
-            membership = new Membership(CLUSTER, id(number), place(number), millis, places,
-                    chance.key(Chance.Of.BRAIN, number, life), doubts, this);
+            membership =
+                    new Membership(
+                            CLUSTER,
+                            id(number),
+                            place(number),
+                            millis,
+                            places,
+                            chance.key(Chance.Of.BRAIN, number, life),
+                            doubts,
+                            this);
             event(membership::begin);
         }
 
@@ -102,7 +116,10 @@
             }
         }
 
-        /** From here on it stands still about so long, again and again, with moments between; 0 ends that. */
+        /**
+         * From here on it stands still about so long, again and again, with moments between; 0 ends
+         * that.
+         */
         public void slow(double by) {
             boolean was = slow > 0;
             slow = by;
@@ -114,10 +131,12 @@
         private void starve() {
             if (slow > 0 && up) {
                 pause(true);
-                time.after(slow * (0.5 + draw()), () -> {
-                    pause(false);
-                    time.after(FED, this::starve);
-                });
+                time.after(
+                        slow * (0.5 + draw()),
+                        () -> {
+                            pause(false);
+                            time.after(FED, this::starve);
+                        });
             }
         }
 
@@ -128,17 +147,18 @@
 
         private void event(Runnable what) {
             int of = life;
-            Runnable now = () -> {
-                if (of != life) {
-                    return;
-                }
-                if (still) {
-                    meanwhile.addLast(() -> event(what));
-                    return;
-                }
-                membership.at(time.now());
-                what.run();
-            };
+            Runnable now =
+                    () -> {
+                        if (of != life) {
+                            return;
+                        }
+                        if (still) {
+                            meanwhile.addLast(() -> event(what));
+                            return;
+                        }
+                        membership.at(time.now());
+                        what.run();
+                    };
             now.run();
         }
 
@@ -149,13 +169,17 @@
             bytes += datagram.remaining();
             largest = Math.max(largest, datagram.remaining());
             int target = to.port() - FIRST_PORT;
-            if (target < 0 || target >= members.size() || cut.test(number, target) || draw() < loss) {
+            if (target < 0
+                    || target >= members.size()
+                    || cut.test(number, target)
+                    || draw() < loss) {
                 return;
             }
             for (int copies = draw() < doubled ? 2 : 1; copies > 0; copies--) {
                 ByteBuffer copy = datagram.duplicate();
-                time.after(DELAY + JITTER * draw() + spread * draw(), () -> members.get(target).comes(number,
-                        copy));
+                time.after(
+                        DELAY + JITTER * draw() + spread * draw(),
+                        () -> members.get(target).comes(number, copy));
             }
         }
 
@@ -177,12 +201,14 @@
             if (at < wakeAt) {
                 wakeAt = at;
                 int of = life;
-                time.after(delay, () -> {
-                    if (of == life && wakeAt == at) {
-                        wakeAt = Double.POSITIVE_INFINITY;
-                        event(membership::woken);
-                    }
-                });
+                time.after(
+                        delay,
+                        () -> {
+                            if (of == life && wakeAt == at) {
+                                wakeAt = Double.POSITIVE_INFINITY;
+                                event(membership::woken);
+                            }
+                        });
             }
         }
 
@@ -198,7 +224,10 @@
         }
     }
 
-    /** So many members, of which the first few are everybody's seeds; who doubt themselves, or do not. */
+    /**
+     * So many members, of which the first few are everybody's seeds; who doubt themselves, or do
+     * not.
+     */
     public PeerModel(int count, int seeds, long seed, boolean doubts) {
         this.seeds = seeds;
         this.doubts = doubts;
@@ -247,7 +276,10 @@
         }
     }
 
-    /** Passes until it is so, looking ten times a second; how long it took, or NaN if it did not come. */
+    /**
+     * Passes until it is so, looking ten times a second; how long it took, or NaN if it did not
+     * come.
+     */
     public double passUntil(java.util.function.BooleanSupplier so, double most) {
         double from = time.now();
         while (time.now() < from + most) {
@@ -262,17 +294,35 @@
     /** All that run hold just those that run to be there. */
     public boolean isAgreed() {
         long up = members.stream().filter(Member::isUp).count();
-        return members.stream().filter(m -> m.up && !m.still).allMatch(m -> m.membership.there() == up
-                && m.membership.others().stream().allMatch(o -> (o.state() == Sighting.State.ALIVE)
-                        == members.get(Integer.parseInt(o.id().name().substring(1))).up));
+        return members.stream()
+                .filter(m -> m.up && !m.still)
+                .allMatch(
+                        m ->
+                                m.membership.there() == up
+                                        && m.membership.others().stream()
+                                                .allMatch(
+                                                        o ->
+                                                                (o.state() == Sighting.State.ALIVE)
+                                                                        == members.get(
+                                                                                        Integer
+                                                                                                .parseInt(
+                                                                                                        o.id().name()
+                                                                                                                .substring(
+                                                                                                                        1)))
+                                                                                .up));
     }
 
     /** All that run have given this one up. */
     public boolean isGivenUp(int number) {
-        return members.stream().filter(m -> m.up && m.number != number).allMatch(m -> {
-            Sighting of = m.membership.of(id(number));
-            return of == null || of.state() == Sighting.State.DEAD || of.state() == Sighting.State.LEFT;
-        });
+        return members.stream()
+                .filter(m -> m.up && m.number != number)
+                .allMatch(
+                        m -> {
+                            Sighting of = m.membership.of(id(number));
+                            return of == null
+                                    || of.state() == Sighting.State.DEAD
+                                    || of.state() == Sighting.State.LEFT;
+                        });
     }
 
     /** Verdicts on members that ran as they should. */
