--- a/kit/src/main/java/wheelroute/kit/peers/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/peers/package-info.java
@@ -1,2 +1,5 @@
-/** Dispatchers that know each other, on the virtual clock: their datagrams, and whatever can befall them. */
+/**
+ * Dispatchers that know each other, on the virtual clock: their datagrams, and whatever can befall
+ * them.
+ */
 package wheelroute.kit.peers;
--- a/kit/src/main/java/wheelroute/kit/real/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/real/ClientPool.java
@@ -21,7 +21,9 @@
 import wheelroute.net.Link;
 import wheelroute.net.Loop;
 
-/** Clients' connections to one dispatcher: one submission at a time on each, more when all are busy. */
+/**
+ * Clients' connections to one dispatcher: one submission at a time on each, more when all are busy.
+ */
 final class ClientPool {
     private static final double MICROS = 1e6;
 
@@ -44,17 +46,18 @@
     }
 
     /** All at once, on whatever connection is idle. */
-    static final Manners USUAL = new Manners() {
-        @Override
-        public boolean isFresh(Submitted submitted) {
-            return false;
-        }
+    static final Manners USUAL =
+            new Manners() {
+                @Override
+                public boolean isFresh(Submitted submitted) {
+                    return false;
+                }
 
-        @Override
-        public double pause(Submitted submitted) {
-            return 0;
-        }
-    };
+                @Override
+                public double pause(Submitted submitted) {
+                    return 0;
+                }
+            };
 
     ClientPool(Loop loop, InetSocketAddress address, Answers clients, Manners manners) {
         this.loop = loop;
@@ -100,7 +103,10 @@
         closeIdle();
     }
 
-    /** What is open now breaks for no reason of the dispatcher's: what it has read of it nobody knows. */
+    /**
+     * What is open now breaks for no reason of the dispatcher's: what it has read of it nobody
+     * knows.
+     */
     void severed() {
         lines.forEach(line -> line.severed = true);
     }
@@ -113,10 +119,11 @@
     }
 
     private byte[] message(Submitted submitted, double timeout) {
-        HttpText text = new HttpText("POST /" + submitted.ask().offering().name() + " HTTP/1.1")
-                .field("Host", address.getAddress().getHostAddress()).field("X-Request-ID",
-                        Jobs.id(submitted))
-                .field("X-Timeout", String.format(Locale.ROOT, "%.3f", timeout));
+        HttpText text =
+                new HttpText("POST /" + submitted.ask().offering().name() + " HTTP/1.1")
+                        .field("Host", address.getAddress().getHostAddress())
+                        .field("X-Request-ID", Jobs.id(submitted))
+                        .field("X-Timeout", String.format(Locale.ROOT, "%.3f", timeout));
         if (!Double.isNaN(submitted.ask().hint())) {
             text.field("X-Cost", Long.toString(Math.round(MICROS * submitted.ask().hint())));
         }
@@ -158,13 +165,14 @@
         @Override
         public Connection opened(EndPoint endPoint) {
             Line opened = new Line(endPoint);
-            loop.post(() -> {
-                if (over) {
-                    opened.close();
-                } else {
-                    opened.send(this);
-                }
-            });
+            loop.post(
+                    () -> {
+                        if (over) {
+                            opened.close();
+                        } else {
+                            opened.send(this);
+                        }
+                    });
             return opened;
         }
 
@@ -214,15 +222,18 @@
             }
             next.wasWritten = true;
             // What it waits is counted from its last byte.
-            byte[] message = message(next.submitted, Math.max(0.001, next.submitted.timeout() - next.pause));
+            byte[] message =
+                    message(next.submitted, Math.max(0.001, next.submitted.timeout() - next.pause));
             if (next.pause > 0) {
                 int half = message.length / 2;
                 out.send(ByteBuffer.wrap(message, 0, half));
-                loop.later(next.pause, () -> {
-                    if (sending == next) {
-                        out.send(ByteBuffer.wrap(message, half, message.length - half));
-                    }
-                });
+                loop.later(
+                        next.pause,
+                        () -> {
+                            if (sending == next) {
+                                out.send(ByteBuffer.wrap(message, half, message.length - half));
+                            }
+                        });
             } else {
                 out.send(ByteBuffer.wrap(message));
             }
@@ -266,11 +277,14 @@
             } else {
                 close();
             }
-            clients.answered(done.submitted, switch (status) {
-                case 200 -> Answer.FULFILLED;
-                case 429, 503 -> Answer.BOUNCED;
-                default -> Answer.SCRAPPED;
-            }, retryAfter);
+            clients.answered(
+                    done.submitted,
+                    switch (status) {
+                        case 200 -> Answer.FULFILLED;
+                        case 429, 503 -> Answer.BOUNCED;
+                        default -> Answer.SCRAPPED;
+                    },
+                    retryAfter);
         }
 
         @Override
@@ -293,9 +307,11 @@
                 return;
             }
             if (kept && !heard && !severed && !dead) {
-                // A dispatcher may close a kept connection as a message crosses that: once more, on a new
+                // A dispatcher may close a kept connection as a message crosses that: once more, on
+                // a new
                 // one.
-                // Of a dead one nobody knows what it had read: taken for unread, an alert went out twice.
+                // Of a dead one nobody knows what it had read: taken for unread, an alert went out
+                // twice.
                 last.line = null;
                 loop.connect(address, last);
                 return;
--- a/kit/src/main/java/wheelroute/kit/real/Crowd.java
+++ b/kit/src/main/java/wheelroute/kit/real/Crowd.java
@@ -11,14 +11,20 @@
 import wheelroute.net.Link;
 import wheelroute.net.Loop;
 
-/** Strangers at the clients' addresses: they connect, say nothing or half a message, stay, and go. */
+/**
+ * Strangers at the clients' addresses: they connect, say nothing or half a message, stay, and go.
+ */
 final class Crowd {
     /** Longer than the program has patience for. */
     private static final double STAY = 4;
+
     /** In turn: nothing, half a head, a head with half a body. */
-    private static final String[] HALVES = {"", "POST /statement HTTP/1.1\r\nHost: x\r\nX-Req",
+    private static final String[] HALVES = {
+        "",
+        "POST /statement HTTP/1.1\r\nHost: x\r\nX-Req",
         "POST /statement HTTP/1.1\r\nHost: x\r\nX-Request-ID: none\r\nX-Timeout: 2\r\nContent-Length: 99\r\n"
-            + "\r\nhalf"};
+                + "\r\nhalf"
+    };
 
     private final Loop loop;
     private final IntFunction<InetSocketAddress> addresses;
@@ -50,17 +56,19 @@
         InetSocketAddress address = addresses.apply(dispatcher);
         if (address != null) {
             String says = HALVES[(int) (came++ % HALVES.length)];
-            loop.connect(address, new Loop.Peer() {
-                @Override
-                public Connection opened(EndPoint endPoint) {
-                    return new Stranger(endPoint, says);
-                }
+            loop.connect(
+                    address,
+                    new Loop.Peer() {
+                        @Override
+                        public Connection opened(EndPoint endPoint) {
+                            return new Stranger(endPoint, says);
+                        }
 
-                @Override
-                public void failed(Throwable cause) {
-                    // Turned away at the door: what it is there to try.
-                }
-            });
+                        @Override
+                        public void failed(Throwable cause) {
+                            // Turned away at the door: what it is there to try.
+                        }
+                    });
         }
         loop.later(1 / rate, () -> next(dispatcher));
     }
@@ -78,8 +86,8 @@
             super.onOpen();
             loop.later(STAY, this::close);
             if (!says.isEmpty()) {
-                new Outbox(getEndPoint(), this::close).send(ByteBuffer.wrap(
-                        says.getBytes(StandardCharsets.US_ASCII)));
+                new Outbox(getEndPoint(), this::close)
+                        .send(ByteBuffer.wrap(says.getBytes(StandardCharsets.US_ASCII)));
             }
         }
 
--- a/kit/src/main/java/wheelroute/kit/real/DaemonProcess.java
+++ b/kit/src/main/java/wheelroute/kit/real/DaemonProcess.java
@@ -21,10 +21,17 @@
 
 /** One process of the program, as an operator would run it, from its start to its end. */
 final class DaemonProcess {
-    /** How it is started; a port of 0 is the system's choice, a jar of null the build of this kit. */
-    record Spec(String name, Path config, InetSocketAddress discovery, int port, Path temporary, Path jar,
-            int heapMb) {
-    }
+    /**
+     * How it is started; a port of 0 is the system's choice, a jar of null the build of this kit.
+     */
+    record Spec(
+            String name,
+            Path config,
+            InetSocketAddress discovery,
+            int port,
+            Path temporary,
+            Path jar,
+            int heapMb) {}
 
     /** What becomes of it; each word comes on a thread of its own. */
     interface Hearer {
@@ -40,8 +47,10 @@
     private static final Pattern PEERS = Pattern.compile("peers are heard at .*:(\\d+), as");
     private static final String JAR = "daemon/target/wheelroute.jar";
     private static final String ARCHIVE = "daemon/target/serve.jsa";
+
     /** How long it may take to say that it is well, once it listens. */
     private static final int WELL_MILLIS = 5000;
+
     /** Lines of its log that are kept for when it ends unasked. */
     private static final int KEPT_LINES = 12;
 
@@ -51,6 +60,7 @@
     private volatile int port;
     private volatile int door;
     private volatile int peers;
+
     /** Nobody has asked it to end. */
     private volatile boolean wanted = true;
 
@@ -61,18 +71,33 @@
     }
 
     static DaemonProcess start(Spec spec, Keeper keeper, Hearer hearer) throws IOException {
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData",
-                "-Xshare:auto", "-Xlog:disable", "-Djava.locale.providers=COMPAT", "-Xms24m",
-                "-Xmx" + spec.heapMb + "m", "-Xss512k"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-XX:-UsePerfData",
+                                "-Xshare:auto",
+                                "-Xlog:disable",
+                                "-Djava.locale.providers=COMPAT",
+                                "-Xms24m",
+                                "-Xmx" + spec.heapMb + "m",
+                                "-Xss512k"));
         Path root = root();
         if (spec.jar != null) {
             command.addAll(List.of("-jar", spec.jar.toString(), "serve"));
         } else if (root != null) {
-            // As deploy/run.sh starts it: without its class data a start takes several times as long.
+            // As deploy/run.sh starts it: without its class data a start takes several times as
+            // long.
             command.addAll(List.of("-XX:SharedArchiveFile=" + ARCHIVE, "-jar", JAR, "serve"));
         } else {
-            command.addAll(List.of("-cp", System.getProperty("java.class.path"), "wheelroute.Main", "serve"));
+            command.addAll(
+                    List.of(
+                            "-cp",
+                            System.getProperty("java.class.path"),
+                            "wheelroute.Main",
+                            "serve"));
         }
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         if (spec.jar == null && root != null) {
@@ -99,8 +124,9 @@
 
     /** Where the whole repository is built; null where the kit runs off its classes alone. */
     private static Path root() {
-        Path first = Path.of(System.getProperty("java.class.path").split(File.pathSeparator)[0])
-                .toAbsolutePath();
+        Path first =
+                Path.of(System.getProperty("java.class.path").split(File.pathSeparator)[0])
+                        .toAbsolutePath();
         Path folder = first.toString().endsWith(".jar") ? first : null;
         while (folder != null && !Files.isRegularFile(folder.resolve(JAR))) {
             folder = folder.getParent();
@@ -114,8 +140,9 @@
 
     private void read(Hearer hearer) {
         boolean listens = false;
-        try (BufferedReader lines = new BufferedReader(
-                new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+        try (BufferedReader lines =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 keep(line);
                 Matcher doorAt = DOOR.matcher(line);
@@ -139,22 +166,30 @@
         process.onExit().thenRun(() -> hearer.ended(this));
     }
 
-    /** A front takes a dispatcher in once it has answered that it is well, not when it merely listens. */
+    /**
+     * A front takes a dispatcher in once it has answered that it is well, not when it merely
+     * listens.
+     */
     private void whenWell(Runnable task) {
-        Thread asker = new Thread(() -> {
-            try {
-                HttpURLConnection call = (HttpURLConnection) new URL("http", host(), port, "/healthz")
-                        .openConnection(Proxy.NO_PROXY);
-                call.setConnectTimeout(WELL_MILLIS);
-                call.setReadTimeout(WELL_MILLIS);
-                keep("/healthz answered " + call.getResponseCode());
-                call.disconnect();
-            } catch (IOException e) {
-                // Whether it serves is what the run is there to find out.
-                keep("/healthz: " + e);
-            }
-            task.run();
-        }, spec.name + "-well");
+        Thread asker =
+                new Thread(
+                        () -> {
+                            try {
+                                HttpURLConnection call =
+                                        (HttpURLConnection)
+                                                new URL("http", host(), port, "/healthz")
+                                                        .openConnection(Proxy.NO_PROXY);
+                                call.setConnectTimeout(WELL_MILLIS);
+                                call.setReadTimeout(WELL_MILLIS);
+                                keep("/healthz answered " + call.getResponseCode());
+                                call.disconnect();
+                            } catch (IOException e) {
+                                // Whether it serves is what the run is there to find out.
+                                keep("/healthz: " + e);
+                            }
+                            task.run();
+                        },
+                        spec.name + "-well");
         asker.setDaemon(true);
         asker.start();
     }
--- a/kit/src/main/java/wheelroute/kit/real/DoorCall.java
+++ b/kit/src/main/java/wheelroute/kit/real/DoorCall.java
@@ -11,7 +11,9 @@
 import wheelroute.net.Link;
 import wheelroute.net.Loop;
 
-/** One call at an operators' door: a line goes, an answer comes, or null when none comes in time. */
+/**
+ * One call at an operators' door: a line goes, an answer comes, or null when none comes in time.
+ */
 final class DoorCall implements Loop.Peer {
     private final Loop loop;
     private final String word;
@@ -28,7 +30,8 @@
         this.limit = loop.later(limit, () -> end(null));
     }
 
-    static void ask(Loop loop, InetSocketAddress door, String word, double limit, Consumer<String> hearer) {
+    static void ask(
+            Loop loop, InetSocketAddress door, String word, double limit, Consumer<String> hearer) {
         loop.connect(door, new DoorCall(loop, word, limit, hearer));
     }
 
@@ -62,8 +65,10 @@
         @Override
         public void onOpen() {
             super.onOpen();
-            getEndPoint().write(Callback.from(() -> { }, cause -> loop.post(() -> end(null))),
-                    ByteBuffer.wrap((word + "\n").getBytes(StandardCharsets.US_ASCII)));
+            getEndPoint()
+                    .write(
+                            Callback.from(() -> {}, cause -> loop.post(() -> end(null))),
+                            ByteBuffer.wrap((word + "\n").getBytes(StandardCharsets.US_ASCII)));
         }
 
         @Override
--- a/kit/src/main/java/wheelroute/kit/real/DoorPoll.java
+++ b/kit/src/main/java/wheelroute/kit/real/DoorPoll.java
@@ -8,6 +8,7 @@
 /** Asks every process's door for its figures now and then, and hands them to the ledger. */
 final class DoorPoll {
     private static final double EVERY = 0.5;
+
     /** An answer is due within this, whatever the load. */
     private static final double DUE = 1;
 
@@ -35,21 +36,33 @@
     }
 
     private void ask(int dispatcher, DaemonProcess process) {
-        DoorCall.ask(loop, Fleet.address(process.door()), "STATS", DUE, answer -> {
-            if (answer != null && answer.endsWith("eof\n")) {
-                ledger.told(dispatcher, process, figures(answer));
-            } else if (process.isWanted() && !fleet.isStill(dispatcher)) {
-                ledger.silent(dispatcher);
-            }
-        });
+        DoorCall.ask(
+                loop,
+                Fleet.address(process.door()),
+                "STATS",
+                DUE,
+                answer -> {
+                    if (answer != null && answer.endsWith("eof\n")) {
+                        ledger.told(dispatcher, process, figures(answer));
+                    } else if (process.isWanted() && !fleet.isStill(dispatcher)) {
+                        ledger.silent(dispatcher);
+                    }
+                });
     }
 
     /** Lines of the form app.NAME:NUMBER|KIND. */
     static Map<String, Long> figures(String answer) {
         Map<String, Long> figures = new HashMap<>();
-        answer.lines().filter(line -> line.matches("app\\.[^:]+:\\d{1,18}\\|[cg]")).forEach(line ->
-                figures.put(line.substring("app.".length(), line.indexOf(':')),
-                        Long.parseLong(line.substring(line.indexOf(':') + 1, line.indexOf('|')))));
+        answer.lines()
+                .filter(line -> line.matches("app\\.[^:]+:\\d{1,18}\\|[cg]"))
+                .forEach(
+                        line ->
+                                figures.put(
+                                        line.substring("app.".length(), line.indexOf(':')),
+                                        Long.parseLong(
+                                                line.substring(
+                                                        line.indexOf(':') + 1,
+                                                        line.indexOf('|')))));
         return figures;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/real/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/real/Fleet.java
@@ -21,8 +21,8 @@
 import wheelroute.net.Loop;
 
 /**
- * The dispatchers of a run: each is one process, or two while one takes the other's place. Used on the loop's
- * thread only, but for its end.
+ * The dispatchers of a run: each is one process, or two while one takes the other's place. Used on
+ * the loop's thread only, but for its end.
  */
 final class Fleet {
     /** What others have to know of the processes. */
@@ -39,7 +39,10 @@
         /** All of its processes are gone; what they held is lost. */
         void down(int dispatcher);
 
-        /** One of its two processes is killed from here until it is gone, or both stand still for a while. */
+        /**
+         * One of its two processes is killed from here until it is gone, or both stand still for a
+         * while.
+         */
         void halves(int dispatcher, boolean begins);
 
         /** It ended, and nobody had told it to; it is started again, as a supervisor would. */
@@ -50,16 +53,25 @@
 
     /** So long a process may take from its start until it takes clients. */
     static final int READY_SECONDS = 30;
+
     /** One that was told to end and is not gone by then is killed, as the platform would. */
     private static final double GONE = 6;
+
     private static final int CLOSE_SECONDS = 6;
     private static final int DELETE_TRIES = 5;
     private static final double READY_LOOK = 0.05;
-    /** A starved process is let run and stopped in turn, once in each of these: short against any limit. */
+
+    /**
+     * A starved process is let run and stopped in turn, once in each of these: short against any
+     * limit.
+     */
     private static final double HUNGER_ROUND = 0.02;
+
     /** The first process of a replacement that is killed dies within this of its start. */
     private static final double NEW_KILLED_WITHIN = 0.6;
+
     private static final double BOTH_STOPPED = 1;
+
     /** The signal takes a moment, and what the process then reads another one. */
     private static final double GOES_ON = 0.1;
 
@@ -84,15 +96,19 @@
         final Path home;
         final Set<DaemonProcess> alive = new HashSet<>();
         DaemonProcess current;
+
         /** Takes the current one's place. */
         DaemonProcess next;
+
         int port;
         int starts;
         double share = 1;
         boolean paused;
         boolean hungry;
+
         /** Killed while another one goes on, and not gone yet. */
         DaemonProcess killedBeside;
+
         /** To be started once the last process is gone; null for not. */
         Scenario.How startsAs;
 
@@ -102,8 +118,16 @@
         }
     }
 
-    Fleet(Loop loop, Scenario scenario, Chance chance, Map<String, String> pairs, Path jar, Path older,
-            IntFunction<InetSocketAddress> lists, IntFunction<List<String>> peers, Hearer hearer)
+    Fleet(
+            Loop loop,
+            Scenario scenario,
+            Chance chance,
+            Map<String, String> pairs,
+            Path jar,
+            Path older,
+            IntFunction<InetSocketAddress> lists,
+            IntFunction<List<String>> peers,
+            Hearer hearer)
             throws IOException {
         this.loop = loop;
         this.scenario = scenario;
@@ -138,7 +162,8 @@
     /** Where its newest process hears peers; null while there is none. */
     InetSocketAddress peersOf(int dispatcher) {
         Place place = places.get(dispatcher);
-        DaemonProcess speaks = place.next != null && place.next.peers() != 0 ? place.next : place.current;
+        DaemonProcess speaks =
+                place.next != null && place.next.peers() != 0 ? place.next : place.current;
         return speaks == null || speaks.peers() == 0 ? null : address(speaks.peers());
     }
 
@@ -153,37 +178,45 @@
         if (!place.alive.isEmpty()) {
             // The old one may still be at its end.
             place.startsAs = how;
-            loop.later(GONE, () -> {
-                if (place.startsAs != null) {
-                    place.alive.forEach(DaemonProcess::kill);
-                }
-            });
+            loop.later(
+                    GONE,
+                    () -> {
+                        if (place.startsAs != null) {
+                            place.alive.forEach(DaemonProcess::kill);
+                        }
+                    });
             return;
         }
         place.startsAs = null;
-        place.current = launch(place, how, new DaemonProcess.Hearer() {
-            @Override
-            public void up(DaemonProcess process) {
-                loop.post(() -> {
-                    if (place.current == process) {
-                        place.port = process.port();
-                        hearer.up(dispatcher, address(place.port));
-                    }
-                });
-            }
-
-            @Override
-            public void ended(DaemonProcess process) {
-                loop.post(() -> gone(place, process));
-            }
-        });
+        place.current =
+                launch(
+                        place,
+                        how,
+                        new DaemonProcess.Hearer() {
+                            @Override
+                            public void up(DaemonProcess process) {
+                                loop.post(
+                                        () -> {
+                                            if (place.current == process) {
+                                                place.port = process.port();
+                                                hearer.up(dispatcher, address(place.port));
+                                            }
+                                        });
+                            }
+
+                            @Override
+                            public void ended(DaemonProcess process) {
+                                loop.post(() -> gone(place, process));
+                            }
+                        });
     }
 
     static InetSocketAddress address(int port) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    private DaemonProcess launch(Place place, Scenario.How how, DaemonProcess.Hearer processHearer) {
+    private DaemonProcess launch(
+            Place place, Scenario.How how, DaemonProcess.Hearer processHearer) {
         try {
             Map<String, String> own = DaemonSettings.pairsOf(scenario, place.number, pairs);
             if (how == Scenario.How.CHANGED) {
@@ -191,13 +224,28 @@
             }
             Path config = place.home.resolve("config-" + place.starts + ".json");
             long seed = chance.key(Chance.Of.BRAIN, place.number, place.starts++);
-            Files.writeString(config, DaemonSettings.file("n" + place.number, seed,
-                    scenario.limits().memoryMb(), scenario.limits().sockets(), own,
-                    peers.apply(place.number)));
+            Files.writeString(
+                    config,
+                    DaemonSettings.file(
+                            "n" + place.number,
+                            seed,
+                            scenario.limits().memoryMb(),
+                            scenario.limits().sockets(),
+                            own,
+                            peers.apply(place.number)));
             Path from = how == Scenario.How.OLDER && older != null ? older : jar;
-            DaemonProcess process = DaemonProcess.start(new DaemonProcess.Spec("n" + place.number, config,
-                    lists.apply(place.number), place.port, place.home, from, heapMb()), keeper,
-                    processHearer);
+            DaemonProcess process =
+                    DaemonProcess.start(
+                            new DaemonProcess.Spec(
+                                    "n" + place.number,
+                                    config,
+                                    lists.apply(place.number),
+                                    place.port,
+                                    place.home,
+                                    from,
+                                    heapMb()),
+                            keeper,
+                            processHearer);
             place.alive.add(process);
             hearer.began(place.number, process);
             return process;
@@ -262,8 +310,11 @@
         try {
             keeper.pause(process.process(), stop);
         } catch (IOException e) {
-            hearer.failed("dispatcher n" + place.number + " cannot be stopped or let go on: "
-                    + e.getMessage());
+            hearer.failed(
+                    "dispatcher n"
+                            + place.number
+                            + " cannot be stopped or let go on: "
+                            + e.getMessage());
         }
     }
 
@@ -285,7 +336,9 @@
         if (fed) {
             place.hungry = false;
         } else {
-            loop.later(HUNGER_ROUND * (runs ? place.share : 1 - place.share), () -> round(place, !runs));
+            loop.later(
+                    HUNGER_ROUND * (runs ? place.share : 1 - place.share),
+                    () -> round(place, !runs));
         }
     }
 
@@ -300,34 +353,41 @@
         }
         replacements++;
         DaemonProcess old = place.current;
-        DaemonProcess next = launch(place, how, new DaemonProcess.Hearer() {
-            @Override
-            public void up(DaemonProcess process) {
-                // Its door is asked: see below.
-            }
-
-            @Override
-            public void ended(DaemonProcess process) {
-                loop.post(() -> gone(place, process));
-            }
-        });
+        DaemonProcess next =
+                launch(
+                        place,
+                        how,
+                        new DaemonProcess.Hearer() {
+                            @Override
+                            public void up(DaemonProcess process) {
+                                // Its door is asked: see below.
+                            }
+
+                            @Override
+                            public void ended(DaemonProcess process) {
+                                loop.post(() -> gone(place, process));
+                            }
+                        });
         place.next = next;
         double due = loop.now() + limit;
         if (how == Scenario.How.NEW_KILLED) {
-            double after = NEW_KILLED_WITHIN * chance.once(Chance.Of.FAULT, place.number, place.starts);
-            loop.later(after, () -> {
-                if (place.next == next) {
-                    place.next = null;
-                    killBeside(place, next);
-                }
-            });
+            double after =
+                    NEW_KILLED_WITHIN * chance.once(Chance.Of.FAULT, place.number, place.starts);
+            loop.later(
+                    after,
+                    () -> {
+                        if (place.next == next) {
+                            place.next = null;
+                            killBeside(place, next);
+                        }
+                    });
             return;
         }
         awaitReady(place, old, next, how, due);
     }
 
-    private void awaitReady(Place place, DaemonProcess old, DaemonProcess next, Scenario.How how,
-            double due) {
+    private void awaitReady(
+            Place place, DaemonProcess old, DaemonProcess next, Scenario.How how, double due) {
         if (place.next != next) {
             return;
         }
@@ -342,28 +402,36 @@
             again.run();
             return;
         }
-        DoorCall.ask(loop, address(next.door()), "READY", due - loop.now(), answer -> {
-            if (answer == null || !answer.startsWith("ok")) {
-                again.run();
-            } else if (place.next == next) {
-                ready(place, old, next, how, due);
-            }
-        });
+        DoorCall.ask(
+                loop,
+                address(next.door()),
+                "READY",
+                due - loop.now(),
+                answer -> {
+                    if (answer == null || !answer.startsWith("ok")) {
+                        again.run();
+                    } else if (place.next == next) {
+                        ready(place, old, next, how, due);
+                    }
+                });
     }
 
-    private void ready(Place place, DaemonProcess old, DaemonProcess next, Scenario.How how, double due) {
+    private void ready(
+            Place place, DaemonProcess old, DaemonProcess next, Scenario.How how, double due) {
         place.current = next;
         place.next = null;
         if (how == Scenario.How.BOTH_STOPPED) {
             hearer.halves(place.number, true);
             pause(place.number, true);
-            loop.later(BOTH_STOPPED, () -> {
-                if (place.current == next && place.paused) {
-                    pause(place.number, false);
-                    loop.later(GOES_ON, () -> hearer.halves(place.number, false));
-                    endOld(place, old, due);
-                }
-            });
+            loop.later(
+                    BOTH_STOPPED,
+                    () -> {
+                        if (place.current == next && place.paused) {
+                            pause(place.number, false);
+                            loop.later(GOES_ON, () -> hearer.halves(place.number, false));
+                            endOld(place, old, due);
+                        }
+                    });
         } else if (how == Scenario.How.OLD_KILLED) {
             killBeside(place, old);
         } else {
@@ -380,12 +448,14 @@
 
     private void endOld(Place place, DaemonProcess old, double due) {
         old.end();
-        loop.later(Math.max(0, due - loop.now()), () -> {
-            if (place.alive.contains(old)) {
-                notReplaced++;
-                killBeside(place, old);
-            }
-        });
+        loop.later(
+                Math.max(0, due - loop.now()),
+                () -> {
+                    if (place.alive.contains(old)) {
+                        notReplaced++;
+                        killBeside(place, old);
+                    }
+                });
     }
 
     // ---- the end
--- a/kit/src/main/java/wheelroute/kit/real/Jobs.java
+++ b/kit/src/main/java/wheelroute/kit/real/Jobs.java
@@ -12,8 +12,8 @@
 import wheelroute.net.clients.ClientMessage;
 
 /**
- * How a submission names itself and its work on the wire: the dispatcher passes id and body on unchanged, so
- * a worker learns from them alone what it has to do, whoever sent them.
+ * How a submission names itself and its work on the wire: the dispatcher passes id and body on
+ * unchanged, so a worker learns from them alone what it has to do, whoever sent them.
  */
 public final class Jobs {
     private static final JsonFactory JSON = new JsonFactory();
@@ -21,11 +21,9 @@
     private static final int HEX = 16;
 
     /** What a worker reads off a message. */
-    public record Job(long submission, double work, int slots, double memory) {
-    }
+    public record Job(long submission, double work, int slots, double memory) {}
 
-    private Jobs() {
-    }
+    private Jobs() {}
 
     static String id(Submitted submitted) {
         return MARK + Long.toHexString(submitted.key());
@@ -33,8 +31,13 @@
 
     static byte[] body(Submitted submitted) {
         Scenario.Offering offering = submitted.ask().offering();
-        return String.format(Locale.ROOT, "{\"work\":%.6f,\"slots\":%d,\"memory\":%.3f}",
-                submitted.ask().work(), offering.slots(), offering.memory()).getBytes(StandardCharsets.UTF_8);
+        return String.format(
+                        Locale.ROOT,
+                        "{\"work\":%.6f,\"slots\":%d,\"memory\":%.3f}",
+                        submitted.ask().work(),
+                        offering.slots(),
+                        offering.memory())
+                .getBytes(StandardCharsets.UTF_8);
     }
 
     /** A message of somebody else's is a job of the usual work. */
@@ -48,7 +51,8 @@
                     String name = parser.currentName();
                     boolean number = parser.nextToken().isNumeric();
                     switch (number ? name : "") {
-                        case "work" -> work = Math.max(Scenario.LEAST_WORK, parser.getDoubleValue());
+                        case "work" ->
+                                work = Math.max(Scenario.LEAST_WORK, parser.getDoubleValue());
                         case "slots" -> slots = Math.max(1, parser.getIntValue());
                         case "memory" -> memory = Math.max(0, parser.getDoubleValue());
                         default -> parser.skipChildren();
--- a/kit/src/main/java/wheelroute/kit/real/Keeper.java
+++ b/kit/src/main/java/wheelroute/kit/real/Keeper.java
@@ -8,14 +8,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sends signals to processes, and ends those that are left should this one die without a word: one shell,
- * whose standard input is a pipe from here. The JDK has no word for stopping a process, and a shell of its
- * own for each signal would cost more than the signal. When the pipe ends, for whatever reason, all that is
- * kept is killed, also what stands still just then.
+ * Sends signals to processes, and ends those that are left should this one die without a word: one
+ * shell, whose standard input is a pipe from here. The JDK has no word for stopping a process, and
+ * a shell of its own for each signal would cost more than the signal. When the pipe ends, for
+ * whatever reason, all that is kept is killed, also what stands still just then.
  */
 public final class Keeper implements AutoCloseable {
-    /** It outlives a ^C that reaches the whole group: it must see our end, and clear up after it. */
-    private static final String SCRIPT = """
+    /**
+     * It outlives a ^C that reaches the whole group: it must see our end, and clear up after it.
+     */
+    private static final String SCRIPT =
+            """
             trap '' INT TERM HUP
             while read -r word pid; do
                 kill -"$word" "$pid" 2> /dev/null
@@ -25,12 +28,15 @@
                 [ -f "$file" ] && read -r pid < "$file" && kill -KILL "$pid" 2> /dev/null
             done
             """;
+
     /**
-     * A process notes its number before it becomes what it is to be, and then looks whether it is too late:
-     * either the shell above finds the note, or this finds its mark. Noted from here it could be missed.
+     * A process notes its number before it becomes what it is to be, and then looks whether it is
+     * too late: either the shell above finds the note, or this finds its mark. Noted from here it
+     * could be missed.
      */
-    private static final String NOTED = "echo $$ > \"$0/$$.pid\"; [ ! -e \"$0/closed\" ] || exit 1;"
-            + " exec \"$@\"";
+    private static final String NOTED =
+            "echo $$ > \"$0/$$.pid\"; [ ! -e \"$0/closed\" ] || exit 1;" + " exec \"$@\"";
+
     private static final int END_SECONDS = 5;
 
     private final Path folder;
@@ -40,7 +46,10 @@
     /** Notes lie in this folder, which is nobody else's. */
     public Keeper(Path folder) throws IOException {
         this.folder = folder;
-        shell = new ProcessBuilder("sh", "-c", SCRIPT, folder.toString()).redirectErrorStream(true).start();
+        shell =
+                new ProcessBuilder("sh", "-c", SCRIPT, folder.toString())
+                        .redirectErrorStream(true)
+                        .start();
         words = shell.outputWriter();
     }
 
--- a/kit/src/main/java/wheelroute/kit/real/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/real/LoadRun.java
@@ -32,6 +32,7 @@
     private static final double NANOS = 1e9;
     private static final int POLL_MILLIS = 50;
     private static final double CONNECT = 2;
+
     /** A closed loop that finds nobody tries again after this long. */
     private static final double RECONNECT = 0.1;
 
@@ -44,14 +45,22 @@
      * @param tenants so many take turns, named t0 and on; 0 for none
      * @param most of a closed loop, which is over after so many; 0 for no bound but the time
      */
-    public record Load(InetSocketAddress address, String offering, Effect effect, double rate,
+    public record Load(
+            InetSocketAddress address,
+            String offering,
+            Effect effect,
+            double rate,
             int connections,
-            double work, double spread, double timeout, double seconds, long seed, int tenants, int most) {
-    }
+            double work,
+            double spread,
+            double timeout,
+            double seconds,
+            long seed,
+            int tenants,
+            int most) {}
 
     /** How it went: how many were sent, and how many of them were fulfilled. */
-    public record Result(int sent, long fulfilled, String text) {
-    }
+    public record Result(int sent, long fulfilled, String text) {}
 
     private final Load load;
     private final Loop loop = new Loop(new Clock(), CONNECT);
@@ -71,8 +80,23 @@
         this.load = load;
         chance = new Chance(load.seed());
         pool = new ClientPool(loop, load.address(), this, ClientPool.USUAL);
-        offering = new Scenario.Offering(load.offering(), load.effect(), Group.ALL, 1, load.work(),
-                load.spread(), 0, load.timeout(), 0, load.timeout(), 1, 0, 0, 1, 0);
+        offering =
+                new Scenario.Offering(
+                        load.offering(),
+                        load.effect(),
+                        Group.ALL,
+                        1,
+                        load.work(),
+                        load.spread(),
+                        0,
+                        load.timeout(),
+                        0,
+                        load.timeout(),
+                        1,
+                        0,
+                        0,
+                        1,
+                        0);
     }
 
     /** Plays it to its end, or until it is told to stop. */
@@ -90,8 +114,13 @@
                 over = asked.get();
             }
             CompletableFuture<Result> result = new CompletableFuture<>();
-            run.loop.post(() -> result.complete(new Result(run.sent,
-                    run.answers.getOrDefault(Answer.FULFILLED, 0L), run.text())));
+            run.loop.post(
+                    () ->
+                            result.complete(
+                                    new Result(
+                                            run.sent,
+                                            run.answers.getOrDefault(Answer.FULFILLED, 0L),
+                                            run.text())));
             Result report = result.get();
             run.loop.stop();
             return report;
@@ -120,37 +149,51 @@
     private void next(double before) {
         double at = before - Math.log(1 - chance.once(Chance.Of.ARRIVAL, sent, 0)) / load.rate();
         if (at < start + load.seconds()) {
-            loop.later(Math.max(0, at - loop.now()), () -> {
-                send(at);
-                next(at);
-            });
+            loop.later(
+                    Math.max(0, at - loop.now()),
+                    () -> {
+                        send(at);
+                        next(at);
+                    });
         }
     }
 
     private void send(double at) {
         int number = sent++;
-        double work = load.work() * Chance.lognormal(chance.of(Chance.Of.WORK, number, 0), load.spread());
-        Ask ask = new Ask(number, at - start, offering, tenant(number), work, work,
-                Double.POSITIVE_INFINITY);
+        double work =
+                load.work() * Chance.lognormal(chance.of(Chance.Of.WORK, number, 0), load.spread());
+        Ask ask =
+                new Ask(
+                        number,
+                        at - start,
+                        offering,
+                        tenant(number),
+                        work,
+                        work,
+                        Double.POSITIVE_INFINITY);
         Submitted submitted = new Submitted(ask, 0, 0, at, load.timeout());
         open.add(submitted.key());
-        loop.later(load.timeout(), () -> {
-            if (open.remove(submitted.key())) {
-                timedOut++;
-                pool.hangUp(submitted);
-                again(0);
-            }
-        });
+        loop.later(
+                load.timeout(),
+                () -> {
+                    if (open.remove(submitted.key())) {
+                        timedOut++;
+                        pool.hangUp(submitted);
+                        again(0);
+                    }
+                });
         pool.submit(submitted);
     }
 
     private Scenario.Tenant tenant(int number) {
-        return load.tenants() == 0 ? Scenario.Tenant.NONE
+        return load.tenants() == 0
+                ? Scenario.Tenant.NONE
                 : new Scenario.Tenant("t" + number % load.tenants(), 1, 0);
     }
 
     private void again(double pause) {
-        if (load.connections() > 0 && loop.now() < start + load.seconds()
+        if (load.connections() > 0
+                && loop.now() < start + load.seconds()
                 && (load.most() == 0 || sent < load.most())) {
             loop.later(pause, () -> send(loop.now()));
         }
@@ -161,8 +204,10 @@
         if (open.remove(submitted.key())) {
             answers.merge(answer, 1L, Long::sum);
             // From when it was meant to go, not from when we came round to it.
-            latencies.recordValue(Math.min(MOST_MICROS,
-                    Math.round(MICROS * Math.max(0, loop.now() - submitted.sentAt()))));
+            latencies.recordValue(
+                    Math.min(
+                            MOST_MICROS,
+                            Math.round(MICROS * Math.max(0, loop.now() - submitted.sentAt()))));
             again(0);
         }
     }
@@ -186,18 +231,31 @@
     private String text() {
         List<String> lines = new ArrayList<>();
         double took = Math.max(1e-3, Math.min(loop.now() - start, load.seconds()));
-        lines.add(String.format(Locale.ROOT, "%d sent in %.1f s, %.0f a second", sent, took, sent / took));
+        lines.add(
+                String.format(
+                        Locale.ROOT, "%d sent in %.1f s, %.0f a second", sent, took, sent / took));
         for (Answer answer : Answer.values()) {
-            lines.add(answer.name().toLowerCase(Locale.ROOT) + ": " + answers.getOrDefault(answer, 0L));
+            lines.add(
+                    answer.name().toLowerCase(Locale.ROOT)
+                            + ": "
+                            + answers.getOrDefault(answer, 0L));
         }
-        lines.add("refused: " + refused + ", cut off: " + cutOff + ", timed out: " + timedOut
-                + ", still open: "
-                + open.size());
+        lines.add(
+                "refused: "
+                        + refused
+                        + ", cut off: "
+                        + cutOff
+                        + ", timed out: "
+                        + timedOut
+                        + ", still open: "
+                        + open.size());
         lines.add("latency of answers, ms: " + percentiles(latencies));
         if (load.connections() > 0 && latencies.getTotalCount() > 0) {
-            // A closed loop stops asking while it waits; the median stands for how often it would have asked.
-            Histogram corrected = latencies.copyCorrectedForCoordinatedOmission(
-                    Math.max(1, latencies.getValueAtPercentile(50)));
+            // A closed loop stops asking while it waits; the median stands for how often it would
+            // have asked.
+            Histogram corrected =
+                    latencies.copyCorrectedForCoordinatedOmission(
+                            Math.max(1, latencies.getValueAtPercentile(50)));
             lines.add("corrected for what was not asked meanwhile: " + percentiles(corrected));
         }
         return String.join("\n", lines);
@@ -207,9 +265,13 @@
         if (h.getTotalCount() == 0) {
             return "none";
         }
-        return String.format(Locale.ROOT, "p50 %.2f  p90 %.2f  p99 %.2f  p99.9 %.2f  most %.2f",
-                h.getValueAtPercentile(50) / MILLIS, h.getValueAtPercentile(90) / MILLIS,
-                h.getValueAtPercentile(99) / MILLIS, h.getValueAtPercentile(99.9) / MILLIS,
+        return String.format(
+                Locale.ROOT,
+                "p50 %.2f  p90 %.2f  p99 %.2f  p99.9 %.2f  most %.2f",
+                h.getValueAtPercentile(50) / MILLIS,
+                h.getValueAtPercentile(90) / MILLIS,
+                h.getValueAtPercentile(99) / MILLIS,
+                h.getValueAtPercentile(99.9) / MILLIS,
                 h.getMaxValue() / MILLIS);
     }
 
--- a/kit/src/main/java/wheelroute/kit/real/MachineWatch.java
+++ b/kit/src/main/java/wheelroute/kit/real/MachineWatch.java
@@ -11,8 +11,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long the dispatchers' own threads were ready to run and had no core, by the kernel's account: by it the
- * machine's lateness is told from the program's. Where the kernel gives none, nothing is measured.
+ * How long the dispatchers' own threads were ready to run and had no core, by the kernel's account:
+ * by it the machine's lateness is told from the program's. Where the kernel gives none, nothing is
+ * measured.
  */
 final class MachineWatch implements AutoCloseable {
     private static final int EVERY_MILLIS = 100;
--- a/kit/src/main/java/wheelroute/kit/real/Outbox.java
+++ b/kit/src/main/java/wheelroute/kit/real/Outbox.java
@@ -49,12 +49,16 @@
         writing = true;
         ByteBuffer[] all = waiting.toArray(new ByteBuffer[0]);
         waiting.clear();
-        endPoint.write(Callback.from(() -> {
-            writing = false;
-            flush();
-        }, cause -> {
-            writing = false;
-            broken.run();
-        }), all);
+        endPoint.write(
+                Callback.from(
+                        () -> {
+                            writing = false;
+                            flush();
+                        },
+                        cause -> {
+                            writing = false;
+                            broken.run();
+                        }),
+                all);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/real/RealRun.java
+++ b/kit/src/main/java/wheelroute/kit/real/RealRun.java
@@ -37,12 +37,20 @@
 import wheelroute.net.Clock;
 import wheelroute.net.Loop;
 
-/** One run on the real clock: stand-ins on one thread of this process, each daemon a process of its own. */
+/**
+ * One run on the real clock: stand-ins on one thread of this process, each daemon a process of its
+ * own.
+ */
 public final class RealRun {
-    /** What a loopback way, a timer and a busy core may add to a time before a rule counts as broken. */
+    /**
+     * What a loopback way, a timer and a busy core may add to a time before a rule counts as
+     * broken.
+     */
     private static final double SLACK = 0.1;
+
     /** From the last daemon's readiness to the first ask: the list has to reach it. */
     private static final double SETTLE = 0.7;
+
     private static final double AFTERWARDS = 1;
     private static final double TICK = 0.01;
     private static final double MICROS = 1e6;
@@ -52,6 +60,7 @@
     private static final int POLL_MILLIS = 50;
     private static final double TELL_EVERY = 5;
     private static final int HOP_SECONDS = 20;
+
     /** No message of ours is larger: what a slow way may add to it. */
     private static final int MESSAGE_SIZE = 1000;
 
@@ -86,7 +95,12 @@
     private volatile boolean over;
     private volatile String failure;
 
-    private RealRun(Scenario scenario, long seed, double seconds, Map<String, String> variant, Path jar,
+    private RealRun(
+            Scenario scenario,
+            long seed,
+            double seconds,
+            Map<String, String> variant,
+            Path jar,
             Path older) {
         this.scenario = scenario;
         this.seconds = seconds;
@@ -108,8 +122,16 @@
      * @param jar another build's; null for this one
      * @param older the build that faults call older; null for none
      */
-    public static Report play(Scenario written, long seed, double seconds, Map<String, String> variant,
-            String variantName, Path jar, Path older, BooleanSupplier stop, Consumer<String> progress)
+    public static Report play(
+            Scenario written,
+            long seed,
+            double seconds,
+            Map<String, String> variant,
+            String variantName,
+            Path jar,
+            Path older,
+            BooleanSupplier stop,
+            Consumer<String> progress)
             throws RehearsalException, ConfigException {
         RealRun run = new RealRun(Draw.drawn(written, seed), seed, seconds, variant, jar, older);
         // A fault in the settings is told before anything is started.
@@ -136,55 +158,61 @@
     /** Runs it on the stand-ins' thread and waits for it. */
     private <T> T onLoop(Step<T> step) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        loop.post(() -> {
-            try {
-                done.complete(step.run());
-            } catch (Exception e) {
-                done.completeExceptionally(e);
-            }
-        });
+        loop.post(
+                () -> {
+                    try {
+                        done.complete(step.run());
+                    } catch (Exception e) {
+                        done.completeExceptionally(e);
+                    }
+                });
         try {
             return done.get(HOP_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             throw e.getCause() instanceof Exception cause ? cause : e;
         } catch (TimeoutException e) {
-            throw new RehearsalException("this machine is too busy: nothing ran for " + HOP_SECONDS + " s");
+            throw new RehearsalException(
+                    "this machine is too busy: nothing ran for " + HOP_SECONDS + " s");
         }
     }
 
     private void begin() throws Exception {
         loop.start();
         CompletableFuture<RelayCost.Cost> cost = new CompletableFuture<>();
-        onLoop(() -> {
-            beginStandIns();
-            if (ways.areRelayed()) {
-                RelayCost.measure(loop, cost::complete);
-            } else {
-                cost.complete(RelayCost.Cost.NONE);
-            }
-            return null;
-        });
+        onLoop(
+                () -> {
+                    beginStandIns();
+                    if (ways.areRelayed()) {
+                        RelayCost.measure(loop, cost::complete);
+                    } else {
+                        cost.complete(RelayCost.Cost.NONE);
+                    }
+                    return null;
+                });
         // Before the daemons: their starts would be in it.
         relayCost = cost.get(HOP_SECONDS, TimeUnit.SECONDS);
-        onLoop(() -> {
-            for (int i = 0; i < scenario.dispatchers(); i++) {
-                fleet.start(i, Scenario.How.USUAL);
-            }
-            return null;
-        });
+        onLoop(
+                () -> {
+                    for (int i = 0; i < scenario.dispatchers(); i++) {
+                        fleet.start(i, Scenario.How.USUAL);
+                    }
+                    return null;
+                });
         long due = System.nanoTime() + TimeUnit.SECONDS.toNanos(Fleet.READY_SECONDS);
         while (!allUp.isDone()) {
             failIfFailed();
             if (System.nanoTime() > due) {
-                throw new RehearsalException("a dispatcher is not up after " + Fleet.READY_SECONDS + " s");
+                throw new RehearsalException(
+                        "a dispatcher is not up after " + Fleet.READY_SECONDS + " s");
             }
             Thread.sleep(POLL_MILLIS);
         }
         machine = new MachineWatch(this::processes);
-        onLoop(() -> {
-            loop.later(SETTLE, this::beginAsking);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    loop.later(SETTLE, this::beginAsking);
+                    return null;
+                });
     }
 
     private void beginStandIns() throws IOException {
@@ -197,8 +225,13 @@
         for (WorkerModel model : world.workers) {
             workers.add(new StandInWorker(loop, model, auditor, anyPort()));
         }
-        ways = new Ways(loop, scenario, chance, world.workers.stream().map(w -> w.group).toList(),
-                this::wayChanges);
+        ways =
+                new Ways(
+                        loop,
+                        scenario,
+                        chance,
+                        world.workers.stream().map(w -> w.group).toList(),
+                        this::wayChanges);
         InetSocketAddress[] discoveries = new InetSocketAddress[scenario.dispatchers()];
         for (int i = 0; i < scenario.dispatchers(); i++) {
             int dispatcher = i;
@@ -207,16 +240,34 @@
                 book[j] = ways.toWorker(i, j, workers.get(j));
             }
             // Each is told addresses of its own: no message has to be written anew on the way.
-            StandInList list = new StandInList(loop, i, world.registry, auditor, scenario, n -> book[n],
-                    anyPort(), listCalls, () -> ways.isOpen(Way.toList(dispatcher)));
+            StandInList list =
+                    new StandInList(
+                            loop,
+                            i,
+                            world.registry,
+                            auditor,
+                            scenario,
+                            n -> book[n],
+                            anyPort(),
+                            listCalls,
+                            () -> ways.isOpen(Way.toList(dispatcher)));
             discoveries[i] = ways.toList(i, list);
         }
         List<List<String>> books = new ArrayList<>();
         for (int i = 0; i < scenario.dispatchers(); i++) {
             books.add(peers ? ways.toPeers(i, n -> fleet.peersOf(n)) : List.of());
         }
-        fleet = new Fleet(loop, scenario, chance, pairs, jar, older, i -> discoveries[i], books::get,
-                new Processes());
+        fleet =
+                new Fleet(
+                        loop,
+                        scenario,
+                        chance,
+                        pairs,
+                        jar,
+                        older,
+                        i -> discoveries[i],
+                        books::get,
+                        new Processes());
         crowd = new Crowd(loop, i -> listens[i] ? pools[i].address() : null);
     }
 
@@ -272,37 +323,64 @@
                 if (process.door() == 0 || fleet.isStill(i)) {
                     continue;
                 }
-                DoorCall.ask(loop, Fleet.address(process.door()), "PEERS", AFTERWARDS / 2, answer -> {
-                    long there = answer == null ? 0 : answer.lines().filter(line -> line.matches(
-                            "\\S+ \\d+ (alive|suspect) .*")).count();
-                    long up = IntStream.range(0, scenario.dispatchers())
-                            .filter(n -> listens[n]).count();
-                    if (there != up) {
-                        peersWrong.add("n" + dispatcher + " holds " + there + " of " + up + " to be there: "
-                                + (answer == null ? "no answer" : answer.replace("\n", "; ")));
-                    }
-                });
+                DoorCall.ask(
+                        loop,
+                        Fleet.address(process.door()),
+                        "PEERS",
+                        AFTERWARDS / 2,
+                        answer -> {
+                            long there =
+                                    answer == null
+                                            ? 0
+                                            : answer.lines()
+                                                    .filter(
+                                                            line ->
+                                                                    line.matches(
+                                                                            "\\S+ \\d+ (alive|suspect) .*"))
+                                                    .count();
+                            long up =
+                                    IntStream.range(0, scenario.dispatchers())
+                                            .filter(n -> listens[n])
+                                            .count();
+                            if (there != up) {
+                                peersWrong.add(
+                                        "n"
+                                                + dispatcher
+                                                + " holds "
+                                                + there
+                                                + " of "
+                                                + up
+                                                + " to be there: "
+                                                + (answer == null
+                                                        ? "no answer"
+                                                        : answer.replace("\n", "; ")));
+                            }
+                        });
             }
         }
     }
 
     /** How late this machine runs our own timers. */
     private void tick(double due) {
-        loop.later(due - loop.now(), () -> {
-            lags.recordValue((long) Math.min(MOST_MICROS, Math.max(0, MICROS * (loop.now() - due))));
-            tick(loop.now() + TICK);
-        });
+        loop.later(
+                due - loop.now(),
+                () -> {
+                    lags.recordValue(
+                            (long) Math.min(MOST_MICROS, Math.max(0, MICROS * (loop.now() - due))));
+                    tick(loop.now() + TICK);
+                });
     }
 
     private List<Process> processes() {
         CompletableFuture<List<Process>> all = new CompletableFuture<>();
-        loop.post(() -> {
-            List<Process> found = new ArrayList<>();
-            for (int i = 0; i < scenario.dispatchers(); i++) {
-                fleet.processes(i).forEach(process -> found.add(process.process()));
-            }
-            all.complete(found);
-        });
+        loop.post(
+                () -> {
+                    List<Process> found = new ArrayList<>();
+                    for (int i = 0; i < scenario.dispatchers(); i++) {
+                        fleet.processes(i).forEach(process -> found.add(process.process()));
+                    }
+                    all.complete(found);
+                });
         try {
             return all.get(HOP_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException | InterruptedException e) {
@@ -322,8 +400,15 @@
             double passed = (System.nanoTime() - begun) / 1e9;
             if (passed - last >= TELL_EVERY) {
                 last = passed;
-                progress.accept(onLoop(() -> String.format(Locale.ROOT, "%.0f s of %.0f s: %d asked", passed,
-                        seconds, recorder.tally().asks())));
+                progress.accept(
+                        onLoop(
+                                () ->
+                                        String.format(
+                                                Locale.ROOT,
+                                                "%.0f s of %.0f s: %d asked",
+                                                passed,
+                                                seconds,
+                                                recorder.tally().asks())));
             }
         }
         return false;
@@ -335,15 +420,28 @@
         }
     }
 
-    private Report report(String variantName, long seed, boolean partial) throws RehearsalException {
+    private Report report(String variantName, long seed, boolean partial)
+            throws RehearsalException {
         if (recorder.tally().asks() == 0) {
             throw new RehearsalException("it was stopped before anything was asked");
         }
         auditor.finish();
-        Report.Run run = new Report.Run(scenario.name(), scenario.title(), "real", variantName, seed, seconds,
-                scenario.workers(), scenario.dispatchers());
-        Report.Lag lag = new Report.Lag(lags.getValueAtPercentile(99) / MICROS, lags.getMaxValue() / MICROS,
-                machine.p99(), machine.most());
+        Report.Run run =
+                new Report.Run(
+                        scenario.name(),
+                        scenario.title(),
+                        "real",
+                        variantName,
+                        seed,
+                        seconds,
+                        scenario.workers(),
+                        scenario.dispatchers());
+        Report.Lag lag =
+                new Report.Lag(
+                        lags.getValueAtPercentile(99) / MICROS,
+                        lags.getMaxValue() / MICROS,
+                        machine.p99(),
+                        machine.most());
         return Report.of(run, recorder, auditor, world, lag, extra(), partial);
     }
 
@@ -355,20 +453,37 @@
         figures.put(Figures.NOT_REPLACED, (double) fleet.notReplaced());
         figures.put(Figures.PEERS_WRONG, (double) peersWrong.size());
         List<String> notes = new ArrayList<>();
-        notes.add(String.format(Locale.ROOT, "calls for the list: %d, %d in the busiest second",
-                listCalls.all(), listCalls.most()));
-        notes.add(String.format(Locale.ROOT, "operators' figures: %d held against what was seen, %.2f%%"
-                + " untrue; doors late: %.2f%%", ledger.checks(), 100 * ledger.untruePart(),
-                100 * ledger.latePart()));
+        notes.add(
+                String.format(
+                        Locale.ROOT,
+                        "calls for the list: %d, %d in the busiest second",
+                        listCalls.all(),
+                        listCalls.most()));
+        notes.add(
+                String.format(
+                        Locale.ROOT,
+                        "operators' figures: %d held against what was seen, %.2f%%"
+                                + " untrue; doors late: %.2f%%",
+                        ledger.checks(),
+                        100 * ledger.untruePart(),
+                        100 * ledger.latePart()));
         ledger.untrue().forEach(line -> notes.add("  " + line));
         notes.addAll(peersWrong);
         if (fleet.replacements() > 0) {
-            notes.add(fleet.replacements() + " replacements begun, " + fleet.notReplaced()
-                    + " not through in time");
+            notes.add(
+                    fleet.replacements()
+                            + " replacements begun, "
+                            + fleet.notReplaced()
+                            + " not through in time");
         }
         if (ways.areRelayed()) {
-            notes.add(String.format(Locale.ROOT, "a short exchange through a relay takes %.2f ms at p99,"
-                    + " straight %.2f ms", MILLIS * relayCost.relayed(), MILLIS * relayCost.direct()));
+            notes.add(
+                    String.format(
+                            Locale.ROOT,
+                            "a short exchange through a relay takes %.2f ms at p99,"
+                                    + " straight %.2f ms",
+                            MILLIS * relayCost.relayed(),
+                            MILLIS * relayCost.direct()));
         }
         return new Report.Extra(figures, notes);
     }
@@ -378,7 +493,11 @@
             machine.close();
         }
         // A dispatcher that is alone serves for as long as its clients stay.
-        loop.post(() -> Arrays.stream(pools).filter(pool -> pool != null).forEach(ClientPool::closeIdle));
+        loop.post(
+                () ->
+                        Arrays.stream(pools)
+                                .filter(pool -> pool != null)
+                                .forEach(ClientPool::closeIdle));
         if (fleet != null) {
             fleet.close();
         }
@@ -395,8 +514,9 @@
         @Override
         public void up(int dispatcher, InetSocketAddress own) {
             try {
-                pools[dispatcher] = new ClientPool(loop, ways.toClients(dispatcher, own), clients,
-                        new Manners());
+                pools[dispatcher] =
+                        new ClientPool(
+                                loop, ways.toClients(dispatcher, own), clients, new Manners());
             } catch (IOException e) {
                 failed("no relay for clients: " + e.getMessage());
                 return;
@@ -456,8 +576,13 @@
         @Override
         public double pause(Submitted submitted) {
             double most = Math.min(scenario.clients().writes(), submitted.timeout() / 2);
-            return most <= 0 || !isFresh(submitted) ? 0 : most * chance.once(Chance.Of.CLIENT,
-                    submitted.ask().number(), 2L * submitted.attempt() + 1);
+            return most <= 0 || !isFresh(submitted)
+                    ? 0
+                    : most
+                            * chance.once(
+                                    Chance.Of.CLIENT,
+                                    submitted.ask().number(),
+                                    2L * submitted.attempt() + 1);
         }
     }
 
@@ -488,10 +613,12 @@
             } else {
                 fleet.pause(dispatcher, false);
                 // The signal takes a moment, and what the process then reads another one.
-                loop.later(SLACK, () -> {
-                    auditor.dispatcherWoke(dispatcher);
-                    ledger.unsure(dispatcher, false);
-                });
+                loop.later(
+                        SLACK,
+                        () -> {
+                            auditor.dispatcherWoke(dispatcher);
+                            ledger.unsure(dispatcher, false);
+                        });
             }
         }
 
--- a/kit/src/main/java/wheelroute/kit/real/RelayCost.java
+++ b/kit/src/main/java/wheelroute/kit/real/RelayCost.java
@@ -22,6 +22,7 @@
 
     /** The first of them meet cold code and are not counted. */
     private static final int COLD = 300;
+
     private static final int EXCHANGES = 500;
     private static final int SIZE = 400;
     private static final long MOST_NANOS = 10_000_000_000L;
@@ -35,25 +36,34 @@
     private RelayCost(Loop loop, Consumer<Cost> hearer) throws IOException {
         this.loop = loop;
         this.hearer = hearer;
-        server = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), new Loop.Peer() {
-            @Override
-            public Connection opened(EndPoint endPoint) {
-                return new Echo(endPoint, loop);
-            }
-
-            @Override
-            public void failed(Throwable cause) {
-                // Then there is nothing to compare.
-            }
-        });
+        server =
+                loop.listen(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        new Loop.Peer() {
+                            @Override
+                            public Connection opened(EndPoint endPoint) {
+                                return new Echo(endPoint, loop);
+                            }
+
+                            @Override
+                            public void failed(Throwable cause) {
+                                // Then there is nothing to compare.
+                            }
+                        });
         InetSocketAddress far = Fleet.address(server.socket().getLocalPort());
         relay = new Relay(loop, () -> far, true, () -> 1);
     }
 
     static void measure(Loop loop, Consumer<Cost> hearer) throws IOException {
         RelayCost cost = new RelayCost(loop, hearer);
-        loop.connect(Fleet.address(cost.server.socket().getLocalPort()), new Asker(loop, direct ->
-                loop.connect(cost.relay.address(), new Asker(loop, relayed -> cost.end(direct, relayed)))));
+        loop.connect(
+                Fleet.address(cost.server.socket().getLocalPort()),
+                new Asker(
+                        loop,
+                        direct ->
+                                loop.connect(
+                                        cost.relay.address(),
+                                        new Asker(loop, relayed -> cost.end(direct, relayed)))));
     }
 
     private void end(double direct, double relayed) {
@@ -111,35 +121,36 @@
         @Override
         public Connection opened(EndPoint endPoint) {
             Outbox out = new Outbox(endPoint, () -> done.accept(Double.NaN));
-            Link link = new Link(endPoint, loop) {
-                @Override
-                protected void received(ByteBuffer in) {
-                    missing -= in.remaining();
-                    in.position(in.limit());
-                    if (missing > 0) {
-                        return;
-                    }
-                    if (asked > COLD) {
-                        took.recordValue(Math.min(MOST_NANOS, System.nanoTime() - askedAt));
-                    }
-                    if (took.getTotalCount() < EXCHANGES) {
-                        ask(out);
-                    } else {
-                        close();
-                        done.accept(took.getValueAtPercentile(99) / NANOS);
-                    }
-                }
-
-                @Override
-                protected void atEnd() {
-                    close();
-                }
-
-                @Override
-                protected void broke(Throwable cause) {
-                    close();
-                }
-            };
+            Link link =
+                    new Link(endPoint, loop) {
+                        @Override
+                        protected void received(ByteBuffer in) {
+                            missing -= in.remaining();
+                            in.position(in.limit());
+                            if (missing > 0) {
+                                return;
+                            }
+                            if (asked > COLD) {
+                                took.recordValue(Math.min(MOST_NANOS, System.nanoTime() - askedAt));
+                            }
+                            if (took.getTotalCount() < EXCHANGES) {
+                                ask(out);
+                            } else {
+                                close();
+                                done.accept(took.getValueAtPercentile(99) / NANOS);
+                            }
+                        }
+
+                        @Override
+                        protected void atEnd() {
+                            close();
+                        }
+
+                        @Override
+                        protected void broke(Throwable cause) {
+                            close();
+                        }
+                    };
             loop.post(() -> ask(out));
             return link;
         }
--- a/kit/src/main/java/wheelroute/kit/real/ServerLink.java
+++ b/kit/src/main/java/wheelroute/kit/real/ServerLink.java
@@ -10,7 +10,10 @@
 import wheelroute.net.clients.ClientMessage;
 import wheelroute.net.clients.Room;
 
-/** A connection that a stand-in has accepted: it reads messages as the daemon itself would, and strictly. */
+/**
+ * A connection that a stand-in has accepted: it reads messages as the daemon itself would, and
+ * strictly.
+ */
 public abstract class ServerLink extends Link {
     /** Bodies held at once by all of one kind of stand-in. */
     private static final long ROOM = 64L << 20;
--- a/kit/src/main/java/wheelroute/kit/real/StandInList.java
+++ b/kit/src/main/java/wheelroute/kit/real/StandInList.java
@@ -23,9 +23,13 @@
 
 /** Discovery as one dispatcher sees it: the registry behind the protocol's list and its watches. */
 final class StandInList implements Loop.Peer {
-    private static final Pattern WATCH = Pattern.compile("/v1/servers\\?from=(\\d{1,18})&hold_ms=(\\d{1,6})");
+    private static final Pattern WATCH =
+            Pattern.compile("/v1/servers\\?from=(\\d{1,18})&hold_ms=(\\d{1,6})");
     private static final double MILLIS = 1e3;
-    /** What is not heard by then counts as told all the same: a watch that was missed is no excuse. */
+
+    /**
+     * What is not heard by then counts as told all the same: a watch that was missed is no excuse.
+     */
     private static final double TOLD_AT_LAST = 6;
 
     private final Loop loop;
@@ -37,12 +41,21 @@
     private final Set<Line> lines = new HashSet<>();
     private final InetSocketAddress address;
     private final ListCalls calls;
+
     /** False while what is written here need not arrive. */
     private final BooleanSupplier heard;
 
-    StandInList(Loop loop, int dispatcher, Registry registry, Auditor auditor, Scenario scenario,
-            IntFunction<InetSocketAddress> addresses, InetSocketAddress wanted, ListCalls calls,
-            BooleanSupplier heard) throws IOException {
+    StandInList(
+            Loop loop,
+            int dispatcher,
+            Registry registry,
+            Auditor auditor,
+            Scenario scenario,
+            IntFunction<InetSocketAddress> addresses,
+            InetSocketAddress wanted,
+            ListCalls calls,
+            BooleanSupplier heard)
+            throws IOException {
         this.calls = calls;
         this.heard = heard;
         this.loop = loop;
@@ -52,7 +65,9 @@
         this.scenario = scenario;
         this.addresses = addresses;
         ServerSocketChannel server = loop.listen(wanted, this);
-        address = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
+        address =
+                new InetSocketAddress(
+                        InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
         registry.watch(this::changed);
         registry.onOutage(() -> new ArrayList<>(lines).forEach(Line::outage));
     }
@@ -75,19 +90,27 @@
 
     private void changed(Registry.Entry entry) {
         new ArrayList<>(lines).forEach(Line::changed);
-        loop.later(TOLD_AT_LAST, () -> {
-            if (registry.entries().contains(entry)) {
-                auditor.told(dispatcher, entry.worker().number, entry.state());
-            }
-        });
+        loop.later(
+                TOLD_AT_LAST,
+                () -> {
+                    if (registry.entries().contains(entry)) {
+                        auditor.told(dispatcher, entry.worker().number, entry.state());
+                    }
+                });
     }
 
     private String json(List<Registry.Entry> entries, boolean whole) {
-        StringBuilder json = new StringBuilder("{\"version\":" + registry.version() + ",\"full\":" + whole
-                + ",\"servers\":[");
+        StringBuilder json =
+                new StringBuilder(
+                        "{\"version\":"
+                                + registry.version()
+                                + ",\"full\":"
+                                + whole
+                                + ",\"servers\":[");
         String comma = "";
         for (Registry.Entry entry : entries) {
-            // What need not arrive counts as told only at last; that one is back can only be in its favour.
+            // What need not arrive counts as told only at last; that one is back can only be in its
+            // favour.
             if (heard.getAsBoolean() || entry.state() == Registry.State.READY) {
                 auditor.told(dispatcher, entry.worker().number, entry.state());
             }
@@ -95,18 +118,31 @@
                 continue;
             }
             InetSocketAddress at = addresses.apply(entry.worker().number);
-            long started = Double.isNaN(entry.startedAt()) ? 0 : Math.round(entry.startedAt() * MILLIS);
-            json.append(comma).append("{\"id\":\"").append(entry.worker().name).append("\",\"addr\":\"")
-                    .append(at.getAddress().getHostAddress()).append(':').append(at.getPort())
-                            .append("\",\"zone\":\"")
-                    .append(entry.worker().group.zone()).append("\",\"kind\":\"")
-                    .append(entry.worker().group.model()).append("\",\"cell\":")
-                    .append(scenario.groups().indexOf(entry.worker().group)).append(",\"state\":\"")
-                    .append(switch (entry.state()) {
-                        case READY -> "ready";
-                        case DRAINING -> "draining";
-                        case GONE -> "gone";
-                    }).append("\",\"weight\":1.0,\"started_ms\":").append(started).append('}');
+            long started =
+                    Double.isNaN(entry.startedAt()) ? 0 : Math.round(entry.startedAt() * MILLIS);
+            json.append(comma)
+                    .append("{\"id\":\"")
+                    .append(entry.worker().name)
+                    .append("\",\"addr\":\"")
+                    .append(at.getAddress().getHostAddress())
+                    .append(':')
+                    .append(at.getPort())
+                    .append("\",\"zone\":\"")
+                    .append(entry.worker().group.zone())
+                    .append("\",\"kind\":\"")
+                    .append(entry.worker().group.model())
+                    .append("\",\"cell\":")
+                    .append(scenario.groups().indexOf(entry.worker().group))
+                    .append(",\"state\":\"")
+                    .append(
+                            switch (entry.state()) {
+                                case READY -> "ready";
+                                case DRAINING -> "draining";
+                                case GONE -> "gone";
+                            })
+                    .append("\",\"weight\":1.0,\"started_ms\":")
+                    .append(started)
+                    .append('}');
             comma = ",";
         }
         return json.append("]}").toString();
@@ -116,6 +152,7 @@
     private final class Line extends ServerLink {
         /** The version it waits to see passed; -1 when it waits for nothing. */
         private long heldFrom = -1;
+
         private Loop.Timer hold;
 
         Line(EndPoint endPoint) {
@@ -159,8 +196,11 @@
                 hold.cancel();
             }
             String json = json(entries, whole);
-            out.send("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
-                    + json.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + json);
+            out.send(
+                    "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
+                            + json.getBytes(StandardCharsets.UTF_8).length
+                            + "\r\n\r\n"
+                            + json);
         }
 
         private void outage() {
--- a/kit/src/main/java/wheelroute/kit/real/StandInRun.java
+++ b/kit/src/main/java/wheelroute/kit/real/StandInRun.java
@@ -16,29 +16,46 @@
 import wheelroute.net.Clock;
 import wheelroute.net.Loop;
 
-/** Workers and discovery of a scenario, with its faults, for a dispatcher that somebody else started. */
+/**
+ * Workers and discovery of a scenario, with its faults, for a dispatcher that somebody else
+ * started.
+ */
 public final class StandInRun {
     private static final int POLL_MILLIS = 100;
     private static final double CONNECT = 1;
     private static final double NANOS = 1e9;
 
-    private StandInRun() {
-    }
+    private StandInRun() {}
 
     /** Until the time is over or it is told to stop. Ports of 0 are the system's choice. */
-    public static void play(Scenario scenario, long seed, double seconds, int discoveryPort, int firstWorker,
-            BooleanSupplier stop, Consumer<String> tell) throws RehearsalException {
+    public static void play(
+            Scenario scenario,
+            long seed,
+            double seconds,
+            int discoveryPort,
+            int firstWorker,
+            BooleanSupplier stop,
+            Consumer<String> tell)
+            throws RehearsalException {
         Loop loop = new Loop(new Clock(), CONNECT);
         try {
             loop.start();
             CompletableFuture<List<String>> ready = new CompletableFuture<>();
-            loop.post(() -> {
-                try {
-                    ready.complete(begin(loop, scenario, seed, seconds, discoveryPort, firstWorker));
-                } catch (IOException | RuntimeException e) {
-                    ready.completeExceptionally(e);
-                }
-            });
+            loop.post(
+                    () -> {
+                        try {
+                            ready.complete(
+                                    begin(
+                                            loop,
+                                            scenario,
+                                            seed,
+                                            seconds,
+                                            discoveryPort,
+                                            firstWorker));
+                        } catch (IOException | RuntimeException e) {
+                            ready.completeExceptionally(e);
+                        }
+                    });
             ready.get().forEach(tell);
             long end = System.nanoTime() + (long) (seconds * NANOS);
             while (!stop.getAsBoolean() && System.nanoTime() < end) {
@@ -46,45 +63,71 @@
             }
             loop.stop();
         } catch (ExecutionException e) {
-            throw new RehearsalException("the stand-ins cannot listen: " + e.getCause().getMessage());
+            throw new RehearsalException(
+                    "the stand-ins cannot listen: " + e.getCause().getMessage());
         } catch (Exception e) {
             throw new RehearsalException("the stand-ins broke off: " + e);
         }
     }
 
-    private static List<String> begin(Loop loop, Scenario scenario, long seed, double seconds,
-            int discoveryPort, int firstWorker) throws IOException {
+    private static List<String> begin(
+            Loop loop,
+            Scenario scenario,
+            long seed,
+            double seconds,
+            int discoveryPort,
+            int firstWorker)
+            throws IOException {
         RealTime time = new RealTime(loop);
-        // Somebody else's submissions are unknown to it: what it finds says nothing here, and is not told.
+        // Somebody else's submissions are unknown to it: what it finds says nothing here, and is
+        // not told.
         Auditor auditor = new Auditor(scenario, time, 0);
         World world = new World(scenario, time, new Chance(seed), seconds, auditor);
         List<StandInWorker> workers = new ArrayList<>();
         for (int i = 0; i < world.workers.size(); i++) {
-            workers.add(new StandInWorker(loop, world.workers.get(i), auditor,
-                    local(firstWorker == 0 ? 0 : firstWorker + i)));
+            workers.add(
+                    new StandInWorker(
+                            loop,
+                            world.workers.get(i),
+                            auditor,
+                            local(firstWorker == 0 ? 0 : firstWorker + i)));
         }
-        StandInList list = new StandInList(loop, 0, world.registry, auditor, scenario,
-                n -> workers.get(n).address(), local(discoveryPort), new ListCalls(), () -> true);
-        world.begin(new World.Dispatchers() {
-            @Override
-            public void kill(int dispatcher) {
-                // Not ours.
-            }
+        StandInList list =
+                new StandInList(
+                        loop,
+                        0,
+                        world.registry,
+                        auditor,
+                        scenario,
+                        n -> workers.get(n).address(),
+                        local(discoveryPort),
+                        new ListCalls(),
+                        () -> true);
+        world.begin(
+                new World.Dispatchers() {
+                    @Override
+                    public void kill(int dispatcher) {
+                        // Not ours.
+                    }
 
-            @Override
-            public void end(int dispatcher) {
-                // Not ours.
-            }
+                    @Override
+                    public void end(int dispatcher) {
+                        // Not ours.
+                    }
 
-            @Override
-            public void start(int dispatcher, Scenario.How how) {
-                // Not ours.
-            }
-        });
+                    @Override
+                    public void start(int dispatcher, Scenario.How how) {
+                        // Not ours.
+                    }
+                });
         List<String> lines = new ArrayList<>();
         lines.add("discovery at " + text(list.address()));
         for (int i = 0; i < workers.size(); i++) {
-            lines.add("worker " + world.workers.get(i).name + " at " + text(workers.get(i).address()));
+            lines.add(
+                    "worker "
+                            + world.workers.get(i).name
+                            + " at "
+                            + text(workers.get(i).address()));
         }
         return lines;
     }
--- a/kit/src/main/java/wheelroute/kit/real/StandInWorker.java
+++ b/kit/src/main/java/wheelroute/kit/real/StandInWorker.java
@@ -23,8 +23,10 @@
 final class StandInWorker implements Loop.Peer, WorkerModel.Door {
     /** Work of a job that does not say how much it is. */
     private static final double USUAL_WORK = 0.05;
+
     /** A port that was ours a moment ago is free again soon. */
     private static final double LISTEN_AGAIN = 0.05;
+
     private static final Logger LOG = LoggerFactory.getLogger(StandInWorker.class);
 
     private final Loop loop;
@@ -34,13 +36,15 @@
     private InetSocketAddress address;
     private ServerSocketChannel server;
 
-    StandInWorker(Loop loop, WorkerModel model, Auditor auditor,
-            InetSocketAddress wanted) throws IOException {
+    StandInWorker(Loop loop, WorkerModel model, Auditor auditor, InetSocketAddress wanted)
+            throws IOException {
         this.loop = loop;
         this.model = model;
         this.auditor = auditor;
         server = loop.listen(wanted, this);
-        address = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
+        address =
+                new InetSocketAddress(
+                        InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
         model.door(this);
     }
 
@@ -67,11 +71,13 @@
                 server = loop.listen(address, this);
             }
         } catch (IOException e) {
-            loop.later(LISTEN_AGAIN, () -> {
-                if (worker.isUp()) {
-                    opened(worker);
-                }
-            });
+            loop.later(
+                    LISTEN_AGAIN,
+                    () -> {
+                        if (worker.isUp()) {
+                            opened(worker);
+                        }
+                    });
         }
     }
 
@@ -86,18 +92,27 @@
             LOG.warn("{} did not stop listening: {}", model.name, e.toString());
         }
         // Those with a launch out are ended by the model's own word, the idle ones here.
-        loop.later(0, () -> new HashSet<>(lines).forEach(line -> {
-            if (line.launch == null) {
-                line.end();
-            }
-        }));
+        loop.later(
+                0,
+                () ->
+                        new HashSet<>(lines)
+                                .forEach(
+                                        line -> {
+                                            if (line.launch == null) {
+                                                line.end();
+                                            }
+                                        }));
     }
 
-    /** The dispatcher has closed a connection of which its way keeps that back: it is no copy any more. */
+    /**
+     * The dispatcher has closed a connection of which its way keeps that back: it is no copy any
+     * more.
+     */
     void nearClosed(int port) {
         for (Line line : lines) {
-            if (line.launch != null && line.getEndPoint().getRemoteSocketAddress()
-                    instanceof InetSocketAddress from && from.getPort() == port) {
+            if (line.launch != null
+                    && line.getEndPoint().getRemoteSocketAddress() instanceof InetSocketAddress from
+                    && from.getPort() == port) {
                 auditor.closed(line.launch);
             }
         }
@@ -116,8 +131,10 @@
         @Override
         protected void message(ClientMessage message) {
             if (launch != null || message.id() == null) {
-                out.send("HTTP/1.1 " + (message.id() == null ? "404 Not Found" : "400 Bad Request")
-                        + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+                out.send(
+                        "HTTP/1.1 "
+                                + (message.id() == null ? "404 Not Found" : "400 Bad Request")
+                                + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
                 out.close();
                 return;
             }
@@ -134,8 +151,11 @@
                 out.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             }
             String text = "{\"id\":\"" + id + "\",\"from\":\"" + model.name + "\"," + rest + "}\n";
-            out.send(Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + text
-                    + "\r\n");
+            out.send(
+                    Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length)
+                            + "\r\n"
+                            + text
+                            + "\r\n");
         }
 
         @Override
@@ -155,8 +175,14 @@
             String load = reports ? ",\"load\":{\"x0\":" + freeSlots + "}" : "";
             String header = reports ? "X-Server-Load: x0=" + freeSlots + "\r\n" : "";
             switch (ending) {
-                case DONE -> last("\"state\":\"done\",\"result\":\"" + id + " by " + model.name + "\""
-                        + load);
+                case DONE ->
+                        last(
+                                "\"state\":\"done\",\"result\":\""
+                                        + id
+                                        + " by "
+                                        + model.name
+                                        + "\""
+                                        + load);
                 case RETURNED -> last("\"state\":\"returned\"" + load);
                 case FAILED -> {
                     if (headSent) {
@@ -165,8 +191,11 @@
                         out.send("HTTP/1.1 500 Failed\r\n" + header + "Content-Length: 0\r\n\r\n");
                     }
                 }
-                case TURNED_AWAY -> out.send("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\n" + header
-                        + "Content-Length: 0\r\n\r\n");
+                case TURNED_AWAY ->
+                        out.send(
+                                "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\n"
+                                        + header
+                                        + "Content-Length: 0\r\n\r\n");
                 case BROKEN -> end();
             }
         }
--- a/kit/src/main/java/wheelroute/kit/real/Ways.java
+++ b/kit/src/main/java/wheelroute/kit/real/Ways.java
@@ -35,14 +35,20 @@
     private final Links links = new Links(this::changed);
     private long pieces;
 
-    Ways(Loop loop, Scenario scenario, Chance chance, List<Scenario.WorkerGroup> groups, Hearer hearer) {
+    Ways(
+            Loop loop,
+            Scenario scenario,
+            Chance chance,
+            List<Scenario.WorkerGroup> groups,
+            Hearer hearer) {
         this.loop = loop;
         this.chance = chance;
         this.groups = groups;
         dispatchers = scenario.dispatchers();
         this.hearer = hearer;
-        relayed = scenario.faults().stream().anyMatch(f -> f.kind().isAboutWays()
-                && f.ends() != Scenario.Ends.PEERS);
+        relayed =
+                scenario.faults().stream()
+                        .anyMatch(f -> f.kind().isAboutWays() && f.ends() != Scenario.Ends.PEERS);
     }
 
     boolean areRelayed() {
@@ -99,7 +105,10 @@
                 relay.pairedWith(back);
                 back.pairedWith(relay);
             }
-            book.add(relay.address().getAddress().getHostAddress() + ":" + relay.address().getPort());
+            book.add(
+                    relay.address().getAddress().getHostAddress()
+                            + ":"
+                            + relay.address().getPort());
         }
         return book;
     }
--- a/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
@@ -11,8 +11,7 @@
     private static final String OURS = "/wheelroute/kit/report/";
     private static final String PLOT = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
 
-    private HtmlWriter() {
-    }
+    private HtmlWriter() {}
 
     public static String text(List<Report> reports, String comparison) {
         StringBuilder page = new StringBuilder("<h1>wheelroute rehearsal</h1>\n");
@@ -21,11 +20,24 @@
         }
         for (int i = 0; i < reports.size(); i++) {
             Report report = reports.get(i);
-            page.append("<h2>").append(escaped(report.run().scenario() + ", " + report.run().clock()
-                    + " clock, seed " + report.run().seed() + ", " + report.run().variant()))
-                    .append(report.holds() ? " <span class=\"holds\">holds</span>"
-                            : " <span class=\"fails\">does not hold</span>").append("</h2>\n<pre>")
-                    .append(escaped(TableWriter.text(report))).append("</pre>\n<div id=\"run-").append(i)
+            page.append("<h2>")
+                    .append(
+                            escaped(
+                                    report.run().scenario()
+                                            + ", "
+                                            + report.run().clock()
+                                            + " clock, seed "
+                                            + report.run().seed()
+                                            + ", "
+                                            + report.run().variant()))
+                    .append(
+                            report.holds()
+                                    ? " <span class=\"holds\">holds</span>"
+                                    : " <span class=\"fails\">does not hold</span>")
+                    .append("</h2>\n<pre>")
+                    .append(escaped(TableWriter.text(report)))
+                    .append("</pre>\n<div id=\"run-")
+                    .append(i)
                     .append("\"></div>\n");
         }
         return page("wheelroute rehearsal", page.toString(), JsonWriter.text(reports), "page.js");
@@ -34,11 +46,20 @@
     /** A whole page: the script of ours draws what is in the JSON. */
     public static String page(String title, String body, String json, String script) {
         // Within a script only "</" could end it early.
-        return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>" + title
-                + "</title>\n<style>" + resource(PLOT + "uPlot.min.css") + resource(OURS + "page.css")
-                + "</style></head><body>\n" + body + "<script id=\"data\" type=\"application/json\">"
-                + json.replace("</", "<\\/") + "</script>\n<script>" + resource(PLOT + "uPlot.iife.min.js")
-                + "</script>\n<script>" + resource(OURS + script) + "</script>\n</body></html>\n";
+        return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>"
+                + title
+                + "</title>\n<style>"
+                + resource(PLOT + "uPlot.min.css")
+                + resource(OURS + "page.css")
+                + "</style></head><body>\n"
+                + body
+                + "<script id=\"data\" type=\"application/json\">"
+                + json.replace("</", "<\\/")
+                + "</script>\n<script>"
+                + resource(PLOT + "uPlot.iife.min.js")
+                + "</script>\n<script>"
+                + resource(OURS + script)
+                + "</script>\n</body></html>\n";
     }
 
     public static String escaped(String text) {
--- a/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
@@ -16,16 +16,16 @@
 public final class JsonWriter {
     /** Raised when a reader of the last version would misread the next. */
     private static final int VERSION = 2;
+
     private static final JsonFactory JSON = new JsonFactory();
 
-    private JsonWriter() {
-    }
+    private JsonWriter() {}
 
     public static String text(List<Report> reports) {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(out)) {
-            json.setPrettyPrinter(new DefaultPrettyPrinter().withObjectIndenter(
-                    new DefaultIndenter("  ", "\n")));
+            json.setPrettyPrinter(
+                    new DefaultPrettyPrinter().withObjectIndenter(new DefaultIndenter("  ", "\n")));
             json.writeStartObject();
             json.writeNumberField("version", VERSION);
             json.writeArrayFieldStart("runs");
@@ -130,7 +130,8 @@
         json.writeEndObject();
     }
 
-    private static void rows(JsonGenerator json, String name, List<Report.Row> rows) throws IOException {
+    private static void rows(JsonGenerator json, String name, List<Report.Row> rows)
+            throws IOException {
         json.writeArrayFieldStart(name);
         for (Report.Row row : rows) {
             json.writeStartObject();
@@ -151,7 +152,8 @@
         json.writeEndArray();
     }
 
-    private static void numbers(JsonGenerator json, String name, double[] values) throws IOException {
+    private static void numbers(JsonGenerator json, String name, double[] values)
+            throws IOException {
         json.writeArrayFieldStart(name);
         for (double value : values) {
             if (Double.isFinite(value)) {
--- a/kit/src/main/java/wheelroute/kit/report/Recorder.java
+++ b/kit/src/main/java/wheelroute/kit/report/Recorder.java
@@ -28,7 +28,8 @@
         this(scenario, timeline, seconds, auditor, new Ledger(timeline, false));
     }
 
-    public Recorder(Scenario scenario, Timeline timeline, double seconds, Auditor auditor, Ledger ledger) {
+    public Recorder(
+            Scenario scenario, Timeline timeline, double seconds, Auditor auditor, Ledger ledger) {
         this.timeline = timeline;
         this.auditor = auditor;
         this.ledger = ledger;
@@ -54,11 +55,13 @@
     /** Looks at the queues now and then, until the asks have ended. */
     private void sampleQueues(World world, Clients clients) {
         tally.sample(world);
-        timeline.after(tally.step(), () -> {
-            if (!clients.isOver()) {
-                sampleQueues(world, clients);
-            }
-        });
+        timeline.after(
+                tally.step(),
+                () -> {
+                    if (!clients.isOver()) {
+                        sampleQueues(world, clients);
+                    }
+                });
     }
 
     @Override
--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -12,47 +12,82 @@
 import wheelroute.kit.world.World;
 
 /** One run's result. Nothing in it depends on the machine, where the clock is virtual. */
-public record Report(Run run, Row total, List<Row> offerings, List<Row> tenants, Map<String, Double> figures,
-        List<Verdict> verdicts, Map<Rule, Integer> breachCounts, List<Auditor.Breach> breaches, Series series,
-        List<double[]> distribution, List<Band> bands, Lag lag, List<String> notes, boolean partial) {
+public record Report(
+        Run run,
+        Row total,
+        List<Row> offerings,
+        List<Row> tenants,
+        Map<String, Double> figures,
+        List<Verdict> verdicts,
+        Map<Rule, Integer> breachCounts,
+        List<Auditor.Breach> breaches,
+        Series series,
+        List<double[]> distribution,
+        List<Band> bands,
+        Lag lag,
+        List<String> notes,
+        boolean partial) {
     /** Past this lateness of the machine, in seconds at the 99th percentile, a run says nothing. */
     public static final double MOST_LAG = 0.05;
+
     /** A machine that was once so late may itself be why something came too late. */
     public static final double MOST_LAG_ONCE = 0.1;
 
     /** What was played. */
-    public record Run(String scenario, String title, String clock, String variant, long seed, double seconds,
-            int workers, int dispatchers) {
-    }
+    public record Run(
+            String scenario,
+            String title,
+            String clock,
+            String variant,
+            long seed,
+            double seconds,
+            int workers,
+            int dispatchers) {}
 
     /** Counts of asks; times in seconds, NaN where nothing was fulfilled. */
-    public record Row(String name, long asked, long inTime, long late, long bounced, long scrapped,
-            long unanswered, long left, double service, double p50, double p99, double p999) {
-    }
+    public record Row(
+            String name,
+            long asked,
+            long inTime,
+            long late,
+            long bounced,
+            long scrapped,
+            long unanswered,
+            long left,
+            double service,
+            double p50,
+            double p99,
+            double p999) {}
 
     /** One expectation, and whether it holds. */
     public record Verdict(String figure, double least, double most, double value, boolean holds) {
         public String text() {
-            return figure + (Double.isInfinite(least) ? "" : " at least " + least)
-                    + (Double.isInfinite(most) ? "" : " at most " + most) + ": "
-                    + String.format(Locale.ROOT, "%.4f", value) + (holds ? "" : "  DOES NOT HOLD");
+            return figure
+                    + (Double.isInfinite(least) ? "" : " at least " + least)
+                    + (Double.isInfinite(most) ? "" : " at most " + most)
+                    + ": "
+                    + String.format(Locale.ROOT, "%.4f", value)
+                    + (holds ? "" : "  DOES NOT HOLD");
         }
     }
 
     /** Over time; queues by group of workers. */
-    public record Series(double[] times, double[] asked, double[] launched, double[] service,
-            Map<String, double[]> queues) {
-    }
+    public record Series(
+            double[] times,
+            double[] asked,
+            double[] launched,
+            double[] service,
+            Map<String, double[]> queues) {}
 
     /** A fault's time in the run. */
-    public record Band(String name, double from, double to) {
-    }
+    public record Band(String name, double from, double to) {}
 
     /**
      * How late the machine was, in seconds; zeros on the virtual clock.
      *
      * @param p99 of the stand-ins' own timers
-     * @param waitP99 of each tenth of a second, how long a dispatcher was ready to run and had no core
+     * @param waitP99 of each tenth of a second, how long a dispatcher was ready to run and had no
+     *     core
      */
     public record Lag(double p99, double most, double waitP99, double waitMost) {
         public static final Lag NONE = new Lag(0, 0, 0, 0);
@@ -65,7 +100,8 @@
 
     /** What a run is good for. */
     public enum Judgement {
-        HOLDS, DOES_NOT_HOLD,
+        HOLDS,
+        DOES_NOT_HOLD,
         /** This machine was too busy to say. */
         NOT_JUDGED,
         /** Stopped before its end. */
@@ -73,7 +109,13 @@
     }
 
     /** Puts a run's parts together and judges it. */
-    public static Report of(Run run, Recorder recorder, Auditor auditor, World world, Lag lag, Extra extra,
+    public static Report of(
+            Run run,
+            Recorder recorder,
+            Auditor auditor,
+            World world,
+            Lag lag,
+            Extra extra,
             boolean partial) {
         Tally tally = recorder.tally();
         Row total = tally.total();
@@ -89,24 +131,52 @@
         figures.put(Figures.P50, total.p50());
         figures.put(Figures.P99, total.p99());
         figures.put(Figures.P999, total.p999());
-        tally.offeringRows().forEach(row -> figures.put(Figures.OFFERING + row.name(), row.service()));
+        tally.offeringRows()
+                .forEach(row -> figures.put(Figures.OFFERING + row.name(), row.service()));
         tally.tenantRows().forEach(row -> figures.put(Figures.TENANT + row.name(), row.service()));
         figures.putAll(extra.figures());
         List<Verdict> verdicts = new ArrayList<>();
         for (Scenario.Expectation e : world.scenario.expectations()) {
             double value = figures.getOrDefault(e.figure(), Double.NaN);
-            verdicts.add(new Verdict(e.figure(), e.least(), e.most(), value,
-                    value >= e.least() && value <= e.most()));
+            verdicts.add(
+                    new Verdict(
+                            e.figure(),
+                            e.least(),
+                            e.most(),
+                            value,
+                            value >= e.least() && value <= e.most()));
         }
         Map<Rule, Integer> counts = new LinkedHashMap<>();
         for (Rule rule : Rule.values()) {
             counts.put(rule, auditor.count(rule));
         }
-        List<Band> bands = world.happenings.stream().map(h -> new Band(
-                h.fault().kind().name().toLowerCase(Locale.ROOT).replace('_', '-'), h.from(),
-                        h.to())).toList();
-        return new Report(run, total, tally.offeringRows(), tally.tenantRows(), figures, verdicts, counts,
-                auditor.breaches(), tally.series(world), tally.distribution(), bands, lag, extra.notes(),
+        List<Band> bands =
+                world.happenings.stream()
+                        .map(
+                                h ->
+                                        new Band(
+                                                h.fault()
+                                                        .kind()
+                                                        .name()
+                                                        .toLowerCase(Locale.ROOT)
+                                                        .replace('_', '-'),
+                                                h.from(),
+                                                h.to()))
+                        .toList();
+        return new Report(
+                run,
+                total,
+                tally.offeringRows(),
+                tally.tenantRows(),
+                figures,
+                verdicts,
+                counts,
+                auditor.breaches(),
+                tally.series(world),
+                tally.distribution(),
+                bands,
+                lag,
+                extra.notes(),
                 partial);
     }
 
@@ -119,7 +189,8 @@
             return "dispatchers waited for a core";
         }
         boolean fails = !keepsRules() || !verdicts.stream().allMatch(Verdict::holds);
-        // What happens twice does so on any machine; what comes too late may be the machine's doing.
+        // What happens twice does so on any machine; what comes too late may be the machine's
+        // doing.
         boolean onlyLate = breachCounts.getOrDefault(Rule.NO_EFFECT_TWICE, 0) == 0;
         if (fails && onlyLate && Math.max(lag.most(), lag.waitMost()) > MOST_LAG_ONCE) {
             return "the machine stood still for a moment, and what fails may come of that";
@@ -138,7 +209,8 @@
         if (whyNotJudged() != null) {
             return Judgement.NOT_JUDGED;
         }
-        return keepsRules() && verdicts.stream().allMatch(Verdict::holds) ? Judgement.HOLDS
+        return keepsRules() && verdicts.stream().allMatch(Verdict::holds)
+                ? Judgement.HOLDS
                 : Judgement.DOES_NOT_HOLD;
     }
 
--- a/kit/src/main/java/wheelroute/kit/report/TableWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/TableWriter.java
@@ -11,60 +11,102 @@
 public final class TableWriter {
     private static final double MILLIS = 1e3;
 
-    private TableWriter() {
-    }
+    private TableWriter() {}
 
     public static String text(Report report) {
         StringBuilder out = new StringBuilder();
         Report.Run run = report.run();
-        out.append(String.format(Locale.ROOT, "%s, %s clock, seed %d, %s: %.0f s, %d workers, %d"
-                + " dispatchers%n",
-                run.scenario(), run.clock(), run.seed(), run.variant(), run.seconds(), run.workers(),
-                run.dispatchers()));
+        out.append(
+                String.format(
+                        Locale.ROOT,
+                        "%s, %s clock, seed %d, %s: %.0f s, %d workers, %d" + " dispatchers%n",
+                        run.scenario(),
+                        run.clock(),
+                        run.seed(),
+                        run.variant(),
+                        run.seconds(),
+                        run.workers(),
+                        run.dispatchers()));
         if (!run.title().isEmpty()) {
             out.append(run.title()).append('\n');
         }
         out.append('\n');
         List<String[]> rows = new ArrayList<>();
-        rows.add(new String[] {"", "asked", "in time", "late", "bounced", "scrapped", "unanswered", "left",
-            "service", "p50 ms", "p99 ms", "p99.9 ms"});
+        rows.add(
+                new String[] {
+                    "",
+                    "asked",
+                    "in time",
+                    "late",
+                    "bounced",
+                    "scrapped",
+                    "unanswered",
+                    "left",
+                    "service",
+                    "p50 ms",
+                    "p99 ms",
+                    "p99.9 ms"
+                });
         report.offerings().forEach(row -> rows.add(cells(row)));
         report.tenants().forEach(row -> rows.add(cells(row)));
         rows.add(cells(report.total()));
         out.append(aligned(rows)).append('\n');
-        out.append(String.format(Locale.ROOT, "launches a submission: %.3f%n",
-                report.figures().get("launches_per_submission")));
+        out.append(
+                String.format(
+                        Locale.ROOT,
+                        "launches a submission: %.3f%n",
+                        report.figures().get("launches_per_submission")));
         if (report.lag().p99() > 0) {
-            out.append(String.format(Locale.ROOT, "lateness of this machine: %.1f ms at p99, %.1f ms at"
-                    + " most; dispatchers waited for a core: %.1f and %.1f ms%n",
-                    MILLIS * report.lag().p99(), MILLIS * report.lag().most(),
-                    MILLIS * report.lag().waitP99(), MILLIS * report.lag().waitMost()));
+            out.append(
+                    String.format(
+                            Locale.ROOT,
+                            "lateness of this machine: %.1f ms at p99, %.1f ms at"
+                                    + " most; dispatchers waited for a core: %.1f and %.1f ms%n",
+                            MILLIS * report.lag().p99(),
+                            MILLIS * report.lag().most(),
+                            MILLIS * report.lag().waitP99(),
+                            MILLIS * report.lag().waitMost()));
         }
         report.notes().forEach(note -> out.append(note).append('\n'));
         for (Map.Entry<Rule, Integer> rule : report.breachCounts().entrySet()) {
-            out.append("rule: ").append(rule.getKey().text).append(": ").append(rule.getValue() == 0 ? "kept"
-                    : "BROKEN " + rule.getValue() + " times").append('\n');
+            out.append("rule: ")
+                    .append(rule.getKey().text)
+                    .append(": ")
+                    .append(rule.getValue() == 0 ? "kept" : "BROKEN " + rule.getValue() + " times")
+                    .append('\n');
         }
         for (Auditor.Breach breach : report.breaches()) {
             out.append("  ").append(breach.rule()).append(": ").append(breach.what()).append('\n');
             breach.history().forEach(line -> out.append("      ").append(line).append('\n'));
         }
-        report.verdicts().forEach(verdict -> out.append("expected: ").append(verdict.text()).append('\n'));
-        out.append(switch (report.judgement()) {
-            case HOLDS -> "holds";
-            case DOES_NOT_HOLD -> "DOES NOT HOLD";
-            case NOT_JUDGED -> "NOT JUDGED: " + report.whyNotJudged();
-            case PARTIAL -> "PARTIAL: stopped before its end";
-        }).append('\n');
+        report.verdicts()
+                .forEach(verdict -> out.append("expected: ").append(verdict.text()).append('\n'));
+        out.append(
+                        switch (report.judgement()) {
+                            case HOLDS -> "holds";
+                            case DOES_NOT_HOLD -> "DOES NOT HOLD";
+                            case NOT_JUDGED -> "NOT JUDGED: " + report.whyNotJudged();
+                            case PARTIAL -> "PARTIAL: stopped before its end";
+                        })
+                .append('\n');
         return out.toString();
     }
 
     private static String[] cells(Report.Row row) {
-        return new String[] {row.name(), Long.toString(row.asked()), Long.toString(row.inTime()),
-            Long.toString(row.late()), Long.toString(row.bounced()), Long.toString(row.scrapped()),
-            Long.toString(row.unanswered()), Long.toString(row.left()),
-            String.format(Locale.ROOT, "%.4f", row.service()), millis(row.p50()), millis(row.p99()),
-            millis(row.p999())};
+        return new String[] {
+            row.name(),
+            Long.toString(row.asked()),
+            Long.toString(row.inTime()),
+            Long.toString(row.late()),
+            Long.toString(row.bounced()),
+            Long.toString(row.scrapped()),
+            Long.toString(row.unanswered()),
+            Long.toString(row.left()),
+            String.format(Locale.ROOT, "%.4f", row.service()),
+            millis(row.p50()),
+            millis(row.p99()),
+            millis(row.p999())
+        };
     }
 
     private static String millis(double seconds) {
--- a/kit/src/main/java/wheelroute/kit/report/Tally.java
+++ b/kit/src/main/java/wheelroute/kit/report/Tally.java
@@ -15,8 +15,10 @@
 public final class Tally {
     /** Latencies are kept to a tenth of a percent, up to a day. */
     private static final long MOST_MICROS = 86_400_000_000L;
+
     private static final int DIGITS = 3;
     private static final double MICROS = 1e6;
+
     /** Points of a plot: more cannot be told apart. */
     private static final int MOST_POINTS = 600;
 
@@ -29,10 +31,18 @@
         double valueEarned;
 
         Report.Row row(String name) {
-            return new Report.Row(name, asked, count(Clients.Result.IN_TIME), count(Clients.Result.LATE),
-                    count(Clients.Result.BOUNCED), count(Clients.Result.SCRAPPED),
-                    count(Clients.Result.UNANSWERED), count(Clients.Result.LEFT),
-                    valueAsked > 0 ? valueEarned / valueAsked : 1, percentile(50), percentile(99),
+            return new Report.Row(
+                    name,
+                    asked,
+                    count(Clients.Result.IN_TIME),
+                    count(Clients.Result.LATE),
+                    count(Clients.Result.BOUNCED),
+                    count(Clients.Result.SCRAPPED),
+                    count(Clients.Result.UNANSWERED),
+                    count(Clients.Result.LEFT),
+                    valueAsked > 0 ? valueEarned / valueAsked : 1,
+                    percentile(50),
+                    percentile(99),
                     percentile(99.9));
         }
 
@@ -41,7 +51,8 @@
         }
 
         private double percentile(double part) {
-            return latencies.getTotalCount() == 0 ? Double.NaN
+            return latencies.getTotalCount() == 0
+                    ? Double.NaN
                     : latencies.getValueAtPercentile(part) / MICROS;
         }
     }
@@ -190,8 +201,11 @@
         List<double[]> curve = new ArrayList<>();
         double missing = 1;
         while (missing > 1e-5 && all.latencies.getTotalCount() * missing > 1) {
-            curve.add(new double[] {1 - missing,
-                all.latencies.getValueAtPercentile(100 * (1 - missing)) / MICROS});
+            curve.add(
+                    new double[] {
+                        1 - missing,
+                        all.latencies.getValueAtPercentile(100 * (1 - missing)) / MICROS
+                    });
             missing *= 0.8;
         }
         return curve;
--- a/kit/src/main/java/wheelroute/kit/scale/CapacityPage.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityPage.java
@@ -9,21 +9,25 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A page whose tables stand between marks: worked out again, they must be the same to the letter. */
+/**
+ * A page whose tables stand between marks: worked out again, they must be the same to the letter.
+ */
 public final class CapacityPage {
     private static final Pattern TABLE =
-            Pattern.compile("(<!-- table: ([a-z-]+) -->\\R)(.*?)(<!-- end of table -->)", Pattern.DOTALL);
+            Pattern.compile(
+                    "(<!-- table: ([a-z-]+) -->\\R)(.*?)(<!-- end of table -->)", Pattern.DOTALL);
 
-    private CapacityPage() {
-    }
+    private CapacityPage() {}
 
     /** The page with its tables as they are to be. */
     public static String filled(String page, Map<String, String> tables) throws IOException {
         StringBuilder out = new StringBuilder();
         Matcher found = TABLE.matcher(page);
         while (found.find()) {
-            found.appendReplacement(out, Matcher.quoteReplacement(found.group(1)
-                    + table(tables, found.group(2)) + found.group(4)));
+            found.appendReplacement(
+                    out,
+                    Matcher.quoteReplacement(
+                            found.group(1) + table(tables, found.group(2)) + found.group(4)));
         }
         return found.appendTail(out).toString();
     }
@@ -42,8 +46,15 @@
                 String is = i < said.length ? said[i] : "(no line)";
                 String should = i < worked.length ? worked[i] : "(no line)";
                 if (!is.equals(should)) {
-                    faults.add("table '" + name + "', line " + (i + 1) + ": the page says " + is
-                            + "\n    the slopes say " + should);
+                    faults.add(
+                            "table '"
+                                    + name
+                                    + "', line "
+                                    + (i + 1)
+                                    + ": the page says "
+                                    + is
+                                    + "\n    the slopes say "
+                                    + should);
                 }
             }
         }
--- a/kit/src/main/java/wheelroute/kit/scale/Fit.java
+++ b/kit/src/main/java/wheelroute/kit/scale/Fit.java
@@ -12,24 +12,40 @@
  * @param slopeError the standard error of the slope; so with the intercept's
  * @param residual what the points stand off the line, as a standard deviation, in the unit of y
  */
-public record Fit(String name, String x, String y, List<Point> points, double intercept, double slope,
-        double interceptError, double slopeError, double residual, double r2) {
+public record Fit(
+        String name,
+        String x,
+        String y,
+        List<Point> points,
+        double intercept,
+        double slope,
+        double interceptError,
+        double slopeError,
+        double residual,
+        double r2) {
     /** The least number of sizes that a line is drawn through. */
     public static final int LEAST_POINTS = 4;
 
     /** One size and what it cost. */
-    public record Point(double x, double y) {
-    }
+    public record Point(double x, double y) {}
 
     public static Fit of(String name, String x, String y, List<Point> points) {
         if (points.size() < LEAST_POINTS) {
-            throw new IllegalArgumentException(name + " was measured at " + points.size() + " sizes, not "
-                    + LEAST_POINTS);
+            throw new IllegalArgumentException(
+                    name + " was measured at " + points.size() + " sizes, not " + LEAST_POINTS);
         }
         SimpleRegression line = new SimpleRegression();
         points.forEach(point -> line.addData(point.x(), point.y()));
-        return new Fit(name, x, y, List.copyOf(points), line.getIntercept(), line.getSlope(),
-                line.getInterceptStdErr(), line.getSlopeStdErr(), Math.sqrt(line.getMeanSquareError()),
+        return new Fit(
+                name,
+                x,
+                y,
+                List.copyOf(points),
+                line.getIntercept(),
+                line.getSlope(),
+                line.getInterceptStdErr(),
+                line.getSlopeStdErr(),
+                Math.sqrt(line.getMeanSquareError()),
                 line.getRSquare());
     }
 
--- a/kit/src/main/java/wheelroute/kit/scale/Guard.java
+++ b/kit/src/main/java/wheelroute/kit/scale/Guard.java
@@ -7,14 +7,16 @@
 import wheelroute.kit.real.RehearsalException;
 
 /**
- * Keeps a run within half of the machine's memory and 300 processes, and tells whether others were busy
- * there.
+ * Keeps a run within half of the machine's memory and 300 processes, and tells whether others were
+ * busy there.
  */
 final class Guard {
     static final int MOST_PROCESSES = 300;
     private static final double MOST_MEMORY = 0.5;
+
     /** Of the machine's cores; beyond it what others did may be in what was measured. */
     private static final double MOST_OTHERS = 0.15;
+
     private static final double NANOS = 1e9;
 
     private final Set<RealDaemon> daemons = new HashSet<>();
@@ -23,8 +25,7 @@
     private final double ownBefore = ProcessAccount.own();
     private final long begun = System.nanoTime();
 
-    Guard() throws IOException {
-    }
+    Guard() throws IOException {}
 
     /** Before it is started: what it may take at most, in megabytes, beside all that runs. */
     synchronized void mayStart(double megabytes) throws IOException, RehearsalException {
@@ -33,8 +34,12 @@
         }
         double sum = memory() + megabytes;
         if (sum > mostMemory) {
-            throw new RehearsalException(String.format(Locale.ROOT,
-                    "the run would take %.0f MB, and may take %.0f, half of the machine's", sum, mostMemory));
+            throw new RehearsalException(
+                    String.format(
+                            Locale.ROOT,
+                            "the run would take %.0f MB, and may take %.0f, half of the machine's",
+                            sum,
+                            mostMemory));
         }
     }
 
@@ -71,10 +76,16 @@
     /** Once all processes have ended: why nothing may be concluded, or empty. */
     String whyNotJudged() throws IOException {
         double seconds = (System.nanoTime() - begun) / NANOS;
-        double others = ProcessAccount.machine() - machineBefore - (ProcessAccount.own() - ownBefore);
+        double others =
+                ProcessAccount.machine() - machineBefore - (ProcessAccount.own() - ownBefore);
         double cores = Runtime.getRuntime().availableProcessors();
-        return others <= MOST_OTHERS * seconds * cores ? "" : String.format(Locale.ROOT,
-                "others took %.1f of the machine's %.0f cores, and may take %.1f", others / seconds, cores,
-                MOST_OTHERS * cores);
+        return others <= MOST_OTHERS * seconds * cores
+                ? ""
+                : String.format(
+                        Locale.ROOT,
+                        "others took %.1f of the machine's %.0f cores, and may take %.1f",
+                        others / seconds,
+                        cores,
+                        MOST_OTHERS * cores);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scale/Hollow.java
+++ b/kit/src/main/java/wheelroute/kit/scale/Hollow.java
@@ -14,7 +14,10 @@
 import wheelroute.kit.real.RehearsalException;
 import wheelroute.net.Service;
 
-/** Many dispatchers in this process: the daemon's own service each, with a loop and sockets of its own. */
+/**
+ * Many dispatchers in this process: the daemon's own service each, with a loop and sockets of its
+ * own.
+ */
 final class Hollow implements AutoCloseable {
     private static final int AT_ONCE = 16;
 
@@ -34,13 +37,19 @@
     void growTo(int many, Terms terms) throws IOException, RehearsalException {
         List<Future<Service>> starting = new ArrayList<>();
         for (int i = services.size(); i < many; i++) {
-            Path file = Files.writeString(folder.resolve("hollow-" + i + ".json"), terms.config("h" + i, i
-                    + 1));
-            starting.add(starts.submit(() -> {
-                Service service = new Service(ConfigReader.read(Map.of("LB_CONFIG", file.toString())));
-                service.start();
-                return service;
-            }));
+            Path file =
+                    Files.writeString(
+                            folder.resolve("hollow-" + i + ".json"), terms.config("h" + i, i + 1));
+            starting.add(
+                    starts.submit(
+                            () -> {
+                                Service service =
+                                        new Service(
+                                                ConfigReader.read(
+                                                        Map.of("LB_CONFIG", file.toString())));
+                                service.start();
+                                return service;
+                            }));
         }
         try {
             for (Future<Service> one : starting) {
@@ -50,8 +59,11 @@
             Thread.currentThread().interrupt();
             throw new RehearsalException("the run was interrupted");
         } catch (java.util.concurrent.ExecutionException e) {
-            throw new RehearsalException("a hollow dispatcher did not start: "
-                    + (e.getCause() instanceof ConfigException ? e.getCause().getMessage() : e.getCause()));
+            throw new RehearsalException(
+                    "a hollow dispatcher did not start: "
+                            + (e.getCause() instanceof ConfigException
+                                    ? e.getCause().getMessage()
+                                    : e.getCause()));
         }
     }
 
@@ -60,10 +72,12 @@
         List<Future<?>> ends = new ArrayList<>();
         ExecutorService all = Executors.newCachedThreadPool();
         for (Service service : services) {
-            ends.add(all.submit(() -> {
-                service.drain();
-                return null;
-            }));
+            ends.add(
+                    all.submit(
+                            () -> {
+                                service.drain();
+                                return null;
+                            }));
         }
         for (Future<?> end : ends) {
             try {
--- a/kit/src/main/java/wheelroute/kit/scale/HollowWorkers.java
+++ b/kit/src/main/java/wheelroute/kit/scale/HollowWorkers.java
@@ -14,11 +14,13 @@
 import wheelroute.net.clients.ClientMessage;
 
 /**
- * Any number of workers behind a few addresses: each message is a job that runs for the work that it names.
+ * Any number of workers behind a few addresses: each message is a job that runs for the work that
+ * it names.
  */
 final class HollowWorkers implements Loop.Peer {
     /** More connections than one address has ports for would stand in each other's way. */
     private static final int ADDRESSES = 4;
+
     private static final double USUAL_WORK = 0.02;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -30,9 +32,15 @@
     HollowWorkers(Loop loop) throws IOException {
         this.loop = loop;
         for (int i = 0; i < ADDRESSES; i++) {
-            addresses.add(new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                    loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), this).socket()
-                    .getLocalPort()));
+            addresses.add(
+                    new InetSocketAddress(
+                            InetAddress.getLoopbackAddress(),
+                            loop.listen(
+                                            new InetSocketAddress(
+                                                    InetAddress.getLoopbackAddress(), 0),
+                                            this)
+                                    .socket()
+                                    .getLocalPort()));
         }
     }
 
@@ -66,15 +74,23 @@
         protected void message(ClientMessage message) {
             out.send(HEAD + line(message.id(), "started"));
             running++;
-            job = loop.later(Jobs.read(message, USUAL_WORK).work(), () -> {
-                jobOver();
-                out.send(line(message.id(), "done\",\"result\":\"fine") + "0\r\n\r\n");
-            });
+            job =
+                    loop.later(
+                            Jobs.read(message, USUAL_WORK).work(),
+                            () -> {
+                                jobOver();
+                                out.send(
+                                        line(message.id(), "done\",\"result\":\"fine")
+                                                + "0\r\n\r\n");
+                            });
         }
 
         private static String line(String id, String state) {
             String text = "{\"id\":\"" + id + "\",\"from\":\"w\",\"state\":\"" + state + "\"}\n";
-            return Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + text + "\r\n";
+            return Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length)
+                    + "\r\n"
+                    + text
+                    + "\r\n";
         }
 
         private void jobOver() {
--- a/kit/src/main/java/wheelroute/kit/scale/ListService.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ListService.java
@@ -23,12 +23,13 @@
 import wheelroute.net.clients.ClientMessage;
 
 /**
- * A stand-in list service with a capacity: it works through calls in turn, and its list changes when it is
- * told so. A change is in force at a dispatcher when that asks for what comes after it: the next call of a
- * watch goes out once the decisions have the list. All on one loop.
+ * A stand-in list service with a capacity: it works through calls in turn, and its list changes
+ * when it is told so. A change is in force at a dispatcher when that asks for what comes after it:
+ * the next call of a watch goes out once the decisions have the list. All on one loop.
  */
 final class ListService {
-    private static final Pattern WATCH = Pattern.compile("/v1/servers\\?from=(\\d{1,18})&hold_ms=(\\d{1,6})");
+    private static final Pattern WATCH =
+            Pattern.compile("/v1/servers\\?from=(\\d{1,18})&hold_ms=(\\d{1,6})");
     private static final double MILLIS = 1e3;
     private static final double MICROS = 1e6;
     private static final long MOST_MICROS = 3_600_000_000L;
@@ -37,13 +38,15 @@
 
     /** Who asks: each kind has an address of its own, so that one can be held against the other. */
     enum Caller {
-        REAL, HOLLOW
+        REAL,
+        HOLLOW
     }
 
     /** What one kind of caller has asked since the last look. */
     static final class Account {
         long calls;
         long bytes;
+
         /** Of changes, in microseconds: from the change until it was in force at one caller. */
         final Histogram inForce = new Histogram(MOST_MICROS, 3);
 
@@ -58,8 +61,10 @@
     private double capacity;
     private final IntFunction<InetSocketAddress> addresses;
     private final int workers;
+
     /** The workers that changed with each version, from 1 on; the first is the list's beginning. */
     private final List<int[]> log = new ArrayList<>();
+
     private final List<Double> changedAt = new ArrayList<>();
     private final boolean[] draining;
     private final Set<Line> lines = new HashSet<>();
@@ -93,22 +98,26 @@
 
     private void open() throws IOException {
         for (Caller caller : Caller.values()) {
-            ServerSocketChannel server = loop.listen(at[caller.ordinal()], new Loop.Peer() {
-                @Override
-                public Connection opened(EndPoint endPoint) {
-                    Line line = new Line(endPoint, accounts[caller.ordinal()]);
-                    lines.add(line);
-                    return line;
-                }
-
-                @Override
-                public void failed(Throwable cause) {
-                    // The caller comes again.
-                }
-            });
+            ServerSocketChannel server =
+                    loop.listen(
+                            at[caller.ordinal()],
+                            new Loop.Peer() {
+                                @Override
+                                public Connection opened(EndPoint endPoint) {
+                                    Line line = new Line(endPoint, accounts[caller.ordinal()]);
+                                    lines.add(line);
+                                    return line;
+                                }
+
+                                @Override
+                                public void failed(Throwable cause) {
+                                    // The caller comes again.
+                                }
+                            });
             servers[caller.ordinal()] = server;
-            at[caller.ordinal()] = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                    server.socket().getLocalPort());
+            at[caller.ordinal()] =
+                    new InetSocketAddress(
+                            InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
         }
     }
 
@@ -120,7 +129,10 @@
         return accounts[caller.ordinal()];
     }
 
-    /** So many workers, the next in turn, begin or end to drain with one version; the watches are told. */
+    /**
+     * So many workers, the next in turn, begin or end to drain with one version; the watches are
+     * told.
+     */
     void change(int many) {
         int[] changed = new int[many];
         for (int i = 0; i < many; i++) {
@@ -140,13 +152,15 @@
             loop.unlisten(server);
         }
         new ArrayList<>(lines).forEach(Line::cut);
-        loop.later(away, () -> {
-            try {
-                open();
-            } catch (IOException e) {
-                throw new IllegalStateException("the list service did not come back", e);
-            }
-        });
+        loop.later(
+                away,
+                () -> {
+                    try {
+                        open();
+                    } catch (IOException e) {
+                        throw new IllegalStateException("the list service did not come back", e);
+                    }
+                });
     }
 
     void capacity(double answersPerSecond) {
@@ -172,15 +186,23 @@
 
     private String entry(int worker) {
         InetSocketAddress address = addresses.apply(worker);
-        return String.format(Locale.ROOT, "{\"id\":\"s-%08x\",\"addr\":\"%s:%d\",\"zone\":\"z%d\",\"kind\":"
-                + "\"m%d\",\"cell\":%d,\"state\":\"%s\",\"weight\":1.0,\"started_ms\":0}", worker,
-                address.getAddress().getHostAddress(), address.getPort(), worker % 13, worker % 3,
-                worker % 40, draining[worker] ? "draining" : "ready");
+        return String.format(
+                Locale.ROOT,
+                "{\"id\":\"s-%08x\",\"addr\":\"%s:%d\",\"zone\":\"z%d\",\"kind\":"
+                        + "\"m%d\",\"cell\":%d,\"state\":\"%s\",\"weight\":1.0,\"started_ms\":0}",
+                worker,
+                address.getAddress().getHostAddress(),
+                address.getPort(),
+                worker % 13,
+                worker % 3,
+                worker % 40,
+                draining[worker] ? "draining" : "ready");
     }
 
     private byte[] json(boolean all, Iterable<Integer> which) {
-        StringBuilder json = new StringBuilder("{\"version\":" + version() + ",\"full\":" + all
-                + ",\"servers\":[");
+        StringBuilder json =
+                new StringBuilder(
+                        "{\"version\":" + version() + ",\"full\":" + all + ",\"servers\":[");
         String comma = "";
         for (int worker : which) {
             json.append(comma).append(entry(worker));
@@ -213,8 +235,10 @@
     /** One caller's connection: one call after the other. */
     private final class Line extends ServerLink {
         private final Account account;
+
         /** The newest version that it asked to be told after; -1 before its first call. */
         private long knows = -1;
+
         private long heldFrom = -1;
         private Loop.Timer hold;
         private boolean ended;
@@ -234,8 +258,10 @@
             }
             long from = Math.min(version(), Long.parseLong(watch.group(1)));
             for (long version = knows < 0 ? from + 1 : knows + 1; version <= from; version++) {
-                account.inForce.recordValue(Math.min(MOST_MICROS,
-                        Math.round(MICROS * (loop.now() - changedAt.get((int) version)))));
+                account.inForce.recordValue(
+                        Math.min(
+                                MOST_MICROS,
+                                Math.round(MICROS * (loop.now() - changedAt.get((int) version)))));
             }
             knows = from;
             heldFrom = from;
--- a/kit/src/main/java/wheelroute/kit/scale/ProcessAccount.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ProcessAccount.java
@@ -13,18 +13,25 @@
     private static final Path PROC = Path.of("/proc");
     private static final double NANOS = 1e9;
     private static final double KILO = 1024;
+
     /** The kernel tells times in these, whatever its own clock is. */
     private static final double TICKS = 100;
-    /** Of the fields behind a process's name: its own time, and that of its children that have ended. */
+
+    /**
+     * Of the fields behind a process's name: its own time, and that of its children that have
+     * ended.
+     */
     private static final int OWN_TIME = 11;
+
     private static final int TIMES = 4;
+
     /** User, nice, system, idle, waiting, interrupts, soft interrupts, stolen. */
     private static final int IDLE = 3;
+
     private static final int WAITING = 4;
     private static final int KINDS = 8;
 
-    private ProcessAccount() {
-    }
+    private ProcessAccount() {}
 
     /** Seconds of processor time that each of its threads has had, by their numbers. */
     static Map<String, Double> threads(long pid) throws IOException {
@@ -32,8 +39,12 @@
         try (Stream<Path> tasks = Files.list(PROC.resolve(pid + "/task"))) {
             for (Path task : tasks.toList()) {
                 try {
-                    all.put(task.getFileName().toString(), Long.parseLong(Files.readString(
-                            task.resolve("schedstat")).split(" ")[0]) / NANOS);
+                    all.put(
+                            task.getFileName().toString(),
+                            Long.parseLong(
+                                            Files.readString(task.resolve("schedstat"))
+                                                    .split(" ")[0])
+                                    / NANOS);
                 } catch (IOException e) {
                     // It has ended between the two looks.
                     all.remove(task.getFileName().toString());
--- a/kit/src/main/java/wheelroute/kit/scale/RealDaemon.java
+++ b/kit/src/main/java/wheelroute/kit/scale/RealDaemon.java
@@ -21,8 +21,10 @@
     private static final int UP_SECONDS = 60;
     private static final int END_SECONDS = 10;
     private static final int LOOK_MILLIS = 5;
+
     /** Of its log, for when it ends unasked. */
     private static final int KEPT_LETTERS = 1000;
+
     private static final double NANOS = 1e9;
 
     private final Process process;
@@ -41,11 +43,12 @@
             throws IOException, RehearsalException {
         Path file = Files.writeString(folder.resolve(name + ".json"), config);
         Path log = folder.resolve(name + ".log");
-        ProcessBuilder builder = new ProcessBuilder("bash", "deploy/run.sh").directory(root().toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder("bash", "deploy/run.sh").directory(root().toFile());
         builder.environment().put("LB_CONFIG", file.toString());
         builder.environment().put("TMPDIR", folder.toString());
-        return new RealDaemon(keeper.start(builder.redirectErrorStream(true).redirectOutput(log.toFile())),
-                log);
+        return new RealDaemon(
+                keeper.start(builder.redirectErrorStream(true).redirectOutput(log.toFile())), log);
     }
 
     /** The repository, built: the shipped command is run from there. */
@@ -58,8 +61,9 @@
                 }
             }
         }
-        throw new RehearsalException("there is no built repository around the kit: deploy/run.sh and"
-                + " daemon/target/wheelroute.jar are needed");
+        throw new RehearsalException(
+                "there is no built repository around the kit: deploy/run.sh and"
+                        + " daemon/target/wheelroute.jar are needed");
     }
 
     /** Seconds from its start until it took clients. */
@@ -73,8 +77,10 @@
             }
             Matcher listens = LISTENS.matcher(text());
             if (listens.find()) {
-                address = new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                        Integer.parseInt(listens.group(1)));
+                address =
+                        new InetSocketAddress(
+                                InetAddress.getLoopbackAddress(),
+                                Integer.parseInt(listens.group(1)));
                 return (System.nanoTime() - startedAt) / NANOS;
             }
             pause(LOOK_MILLIS);
--- a/kit/src/main/java/wheelroute/kit/scale/Reckoning.java
+++ b/kit/src/main/java/wheelroute/kit/scale/Reckoning.java
@@ -7,20 +7,28 @@
 import java.util.Map;
 
 /**
- * Works a size out from measured slopes: each figure with its standard error, its bound, and what carries it.
- * A figure fits where it is within its bound by two standard errors, and is over where it is past it by as
- * much.
+ * Works a size out from measured slopes: each figure with its standard error, its bound, and what
+ * carries it. A figure fits where it is within its bound by two standard errors, and is over where
+ * it is past it by as much.
  */
 public final class Reckoning {
     /** Standard errors: of nineteen figures in twenty the true one is no further away. */
     private static final double SURE = 2;
+
     private static final double MILLIS = 1e3;
     private static final double MEGA = 1e6;
-    /** By so many dispatchers each worker is seen at least, where each has a part: none is lost with one. */
+
+    /**
+     * By so many dispatchers each worker is seen at least, where each has a part: none is lost with
+     * one.
+     */
     private static final int FEW_SEE = 2;
+
     private static final int MANY_SEE = 3;
+
     /** From so many dispatchers on a third costs each of them little. */
     private static final double MANY = 100;
+
     /** At rest the list changed so often a second. */
     private static final double MEASURED_CHANGES = 1;
 
@@ -43,8 +51,11 @@
         }
 
         String within(double bound) {
-            return value + SURE * error <= bound ? "fits" : value - SURE * error > bound
-                    ? "over, " + digits(value / bound) + " times" : "not certain";
+            return value + SURE * error <= bound
+                    ? "fits"
+                    : value - SURE * error > bound
+                            ? "over, " + digits(value / bound) + " times"
+                            : "not certain";
         }
 
         String text() {
@@ -101,8 +112,9 @@
     }
 
     private Value rest() {
-        Value changes = slope(slopes.fit(ScaleRun.CHANGES_CPU))
-                .times(size.changesPerSecond() - MEASURED_CHANGES);
+        Value changes =
+                slope(slopes.fit(ScaleRun.CHANGES_CPU))
+                        .times(size.changesPerSecond() - MEASURED_CHANGES);
         return at(slopes.fit(ScaleRun.REST_CPU), size.workers()).plus(changes);
     }
 
@@ -139,86 +151,148 @@
     private String slopesTable() {
         Table table = new Table("line", "against", "measured to", "at 0", "slope", "r²");
         for (Fit fit : slopes.fits().values()) {
-            table.row("`" + fit.name() + "`, " + fit.y(), fit.x(), digits(fit.most()),
+            table.row(
+                    "`" + fit.name() + "`, " + fit.y(),
+                    fit.x(),
+                    digits(fit.most()),
                     digits(fit.intercept()) + " ± " + digits(fit.interceptError()),
-                    digits(fit.slope()) + " ± " + digits(fit.slopeError()), String.format(Locale.ROOT,
-                            "%.3f", fit.r2()));
+                    digits(fit.slope()) + " ± " + digits(fit.slopeError()),
+                    String.format(Locale.ROOT, "%.3f", fit.r2()));
         }
-        return "Measured on " + slopes.machine() + ": " + (slopes.notJudged().isEmpty()
-                ? "quiet enough to be judged." : "NOT JUDGED, " + slopes.notJudged() + ".") + "\n\n"
-                        + table.text();
+        return "Measured on "
+                + slopes.machine()
+                + ": "
+                + (slopes.notJudged().isEmpty()
+                        ? "quiet enough to be judged."
+                        : "NOT JUDGED, " + slopes.notJudged() + ".")
+                + "\n\n"
+                + table.text();
     }
 
     private String dispatcherTable() {
-        Table table = new Table("dispatchers", "launches a second, held", "core at rest", "core at the peak",
-                "of " + digits(size.coreShare()), "MB", "of " + digits(size.memoryMb()),
+        Table table =
+                new Table(
+                        "dispatchers",
+                        "launches a second, held",
+                        "core at rest",
+                        "core at the peak",
+                        "of " + digits(size.coreShare()),
+                        "MB",
+                        "of " + digits(size.memoryMb()),
                         "control, bytes a second",
-                "of " + digits(size.controlBytes()));
+                        "of " + digits(size.controlBytes()));
         for (double n : size.dispatchers()) {
-            table.row(digits(n), digits(size.startsPerSecond() / n) + ", " + digits(size.running() / n),
+            table.row(
+                    digits(n),
+                    digits(size.startsPerSecond() / n) + ", " + digits(size.running() / n),
                     rest().text(),
-                    cpuAtPeak(n).text(), cpuAtPeak(n).within(size.coreShare()), memory(n).text(),
-                    memory(n).within(size.memoryMb()), controlBytes().text(),
+                    cpuAtPeak(n).text(),
+                    cpuAtPeak(n).within(size.coreShare()),
+                    memory(n).text(),
+                    memory(n).within(size.memoryMb()),
+                    controlBytes().text(),
                     controlBytes().within(size.controlBytes()));
         }
         return table.text();
     }
 
     private String machinesTable() {
-        Table table = new Table("dispatchers", "cores in all, at the peak", "GB in all",
-                "machines for the cores",
-                "machines for the memory", "of " + digits(size.machines()));
+        Table table =
+                new Table(
+                        "dispatchers",
+                        "cores in all, at the peak",
+                        "GB in all",
+                        "machines for the cores",
+                        "machines for the memory",
+                        "of " + digits(size.machines()));
         for (double n : size.dispatchers()) {
             Value cores = cpuAtPeak(n).times(n);
             Value memory = memory(n).times(n / MILLIS);
             Value byCores = cores.times(1 / (size.machineCores() * size.coresInUse()));
             Value byMemory = memory.times(MILLIS / size.machineMemoryMb());
             Value most = byCores.value() > byMemory.value() ? byCores : byMemory;
-            table.row(digits(n), cores.text(), memory.text(), byCores.text(), byMemory.text(),
+            table.row(
+                    digits(n),
+                    cores.text(),
+                    memory.text(),
+                    byCores.text(),
+                    byMemory.text(),
                     most.within(size.machines()));
         }
         return table.text();
     }
 
     private String decisionTable() {
-        Table table = new Table("dispatchers", "workers in its part", "seen by", "ms a launch",
-                "of a core, at the peak", "of " + digits(size.coreShare()));
+        Table table =
+                new Table(
+                        "dispatchers",
+                        "workers in its part",
+                        "seen by",
+                        "ms a launch",
+                        "of a core, at the peak",
+                        "of " + digits(size.coreShare()));
         for (double n : size.dispatchers()) {
             int seenBy = n < MANY ? FEW_SEE : MANY_SEE;
             double part = Math.min(size.workers(), Math.ceil(seenBy * size.workers() / n));
             Value each = launch(part);
             Value cpu = each.times(size.startsPerSecond() / n);
-            table.row(digits(n), digits(part), digits(seenBy), each.times(MILLIS).text(), cpu.text(),
+            table.row(
+                    digits(n),
+                    digits(part),
+                    digits(seenBy),
+                    each.times(MILLIS).text(),
+                    cpu.text(),
                     cpu.within(size.coreShare()));
             Value whole = launch(size.workers());
             Value wholeCpu = whole.times(size.startsPerSecond() / n);
-            table.row(digits(n), digits(size.workers()) + " (all)", digits(n), whole.times(MILLIS).text(),
-                    wholeCpu.text(), wholeCpu.within(size.coreShare()));
+            table.row(
+                    digits(n),
+                    digits(size.workers()) + " (all)",
+                    digits(n),
+                    whole.times(MILLIS).text(),
+                    wholeCpu.text(),
+                    wholeCpu.within(size.coreShare()));
         }
         return table.text();
     }
 
     private String listServiceTable() {
-        Table table = new Table("dispatchers", "calls a second", "bytes a second at rest",
-                "whole lists after a mass"
-                + " restart, MB", "after a cut of " + digits(size.cutSeconds()) + " s, MB",
-                "a zone's loss, MB");
+        Table table =
+                new Table(
+                        "dispatchers",
+                        "calls a second",
+                        "bytes a second at rest",
+                        "whole lists after a mass" + " restart, MB",
+                        "after a cut of " + digits(size.cutSeconds()) + " s, MB",
+                        "a zone's loss, MB");
         for (double n : size.dispatchers()) {
             double missed = Math.min(size.workers(), size.cutSeconds() * size.changesPerSecond());
-            table.row(digits(n), at(slopes.fit(ScaleRun.CALLS), n).text(), controlBytes().times(n).text(),
-                    wholeList().times(n / MEGA).text(), entryBytes().times(missed * n / MEGA).text(),
+            table.row(
+                    digits(n),
+                    at(slopes.fit(ScaleRun.CALLS), n).text(),
+                    controlBytes().times(n).text(),
+                    wholeList().times(n / MEGA).text(),
+                    entryBytes().times(missed * n / MEGA).text(),
                     entryBytes().times(size.workers() / size.zones() * n / MEGA).text());
         }
         return table.text();
     }
 
     private String inForceTable() {
-        Table table = new Table("dispatchers", "median, s", "99th percentile, s", "worst, s",
-                "of " + digits(size.inForce()));
+        Table table =
+                new Table(
+                        "dispatchers",
+                        "median, s",
+                        "99th percentile, s",
+                        "worst, s",
+                        "of " + digits(size.inForce()));
         for (double n : size.dispatchers()) {
             Value worst = at(slopes.fit(ScaleRun.IN_FORCE_WORST), n);
-            table.row(digits(n), at(slopes.fit(ScaleRun.IN_FORCE_P50), n).text(),
-                    at(slopes.fit(ScaleRun.IN_FORCE_P99), n).text(), worst.text(),
+            table.row(
+                    digits(n),
+                    at(slopes.fit(ScaleRun.IN_FORCE_P50), n).text(),
+                    at(slopes.fit(ScaleRun.IN_FORCE_P99), n).text(),
+                    worst.text(),
                     worst.within(size.inForce()));
         }
         return table.text();
@@ -227,24 +301,47 @@
     private String failuresTable() {
         double zone = size.workers() / size.zones();
         double ordinary = (2 * size.failuresPerDay() + 3 * size.restartsPerDay()) / 86_400;
-        Table table = new Table("what fails", "changes", "s of processor, a dispatcher", "s until in force");
-        table.row("machines on an ordinary day, each " + "told of twice, restarts three times",
+        Table table =
+                new Table(
+                        "what fails",
+                        "changes",
+                        "s of processor, a dispatcher",
+                        "s until in force");
+        table.row(
+                "machines on an ordinary day, each " + "told of twice, restarts three times",
                 digits(ordinary) + " a second",
                 slope(slopes.fit(ScaleRun.CHANGES_CPU)).times(ordinary).text() + " a second",
-                        "as any change");
-        table.row("a rack or a switch", digits(size.rackWorkers()),
+                "as any change");
+        table.row(
+                "a rack or a switch",
+                digits(size.rackWorkers()),
                 at(slopes.fit(ScaleRun.BATCH_CPU), size.rackWorkers()).text(),
                 at(slopes.fit(ScaleRun.BATCH_IN_FORCE), size.rackWorkers()).text());
-        table.row("a zone, as one answer", digits(zone), at(slopes.fit(ScaleRun.BATCH_CPU), zone).text(),
+        table.row(
+                "a zone, as one answer",
+                digits(zone),
+                at(slopes.fit(ScaleRun.BATCH_CPU), zone).text(),
                 at(slopes.fit(ScaleRun.BATCH_IN_FORCE), zone).text());
-        table.row("a dispatcher's restart: to take clients", "the whole list", "-",
+        table.row(
+                "a dispatcher's restart: to take clients",
+                "the whole list",
+                "-",
                 at(slopes.fit(ScaleRun.READY), size.workers()).text());
-        table.row("... to have the whole list", "the whole list", "-",
+        table.row(
+                "... to have the whole list",
+                "the whole list",
+                "-",
                 at(slopes.fit(ScaleRun.LISTED), size.workers()).text());
-        table.row("the list service's restart under "
-                + digits(slopes.fit(ScaleRun.CALLS).most()) + " dispatchers, from its return", "1", "-",
-                digits(slopes.figure(ScaleRun.RESTART_WORST)) + " (measured once, "
-                + digits(slopes.figure(ScaleRun.RESTART_CALLS)) + " calls)");
+        table.row(
+                "the list service's restart under "
+                        + digits(slopes.fit(ScaleRun.CALLS).most())
+                        + " dispatchers, from its return",
+                "1",
+                "-",
+                digits(slopes.figure(ScaleRun.RESTART_WORST))
+                        + " (measured once, "
+                        + digits(slopes.figure(ScaleRun.RESTART_CALLS))
+                        + " calls)");
         return table.text();
     }
 
@@ -259,9 +356,13 @@
     }
 
     private String peersTable() {
-        // docs/design/peers.md: four datagrams of at most 256 bytes, a member and second, at any size.
-        Table table = new Table("dispatchers", "datagrams a second, in all",
-                "bytes a second, a dispatcher, at most");
+        // docs/design/peers.md: four datagrams of at most 256 bytes, a member and second, at any
+        // size.
+        Table table =
+                new Table(
+                        "dispatchers",
+                        "datagrams a second, in all",
+                        "bytes a second, a dispatcher, at most");
         for (double n : size.dispatchers()) {
             table.row(digits(n), digits(4 * n), digits(2 * 4 * 256));
         }
@@ -270,9 +371,13 @@
 
     private String hollowTable() {
         Table table = new Table("seen from outside", "real", "hollow");
-        table.row("calls for the list a second", digits(slopes.figure(ScaleRun.REAL_CALLS)),
+        table.row(
+                "calls for the list a second",
+                digits(slopes.figure(ScaleRun.REAL_CALLS)),
                 digits(slopes.figure(ScaleRun.HOLLOW_CALLS)));
-        table.row("a change in force, median, s", digits(slopes.figure(ScaleRun.REAL_IN_FORCE)),
+        table.row(
+                "a change in force, median, s",
+                digits(slopes.figure(ScaleRun.REAL_IN_FORCE)),
                 digits(slopes.figure(ScaleRun.HOLLOW_IN_FORCE)));
         return table.text();
     }
--- a/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
@@ -5,14 +5,21 @@
 
 /** One page with all lines and their points; it needs nothing beside itself. */
 public final class ScalePage {
-    private ScalePage() {
-    }
+    private ScalePage() {}
 
     public static String text(Slopes slopes, List<String> verdict) {
-        StringBuilder body = new StringBuilder("<h1>wheelroute scale run</h1>\n<pre>").append(HtmlWriter
-                .escaped(slopes.machine() + "\n" + (slopes.notJudged().isEmpty() ? "judged"
-                : "not judged: " + slopes.notJudged()) + "\n" + String.join("\n",
-                        verdict))).append("</pre>\n");
+        StringBuilder body =
+                new StringBuilder("<h1>wheelroute scale run</h1>\n<pre>")
+                        .append(
+                                HtmlWriter.escaped(
+                                        slopes.machine()
+                                                + "\n"
+                                                + (slopes.notJudged().isEmpty()
+                                                        ? "judged"
+                                                        : "not judged: " + slopes.notJudged())
+                                                + "\n"
+                                                + String.join("\n", verdict)))
+                        .append("</pre>\n");
         for (String name : slopes.fits().keySet()) {
             body.append("<div id=\"").append(name).append("\"></div>\n");
         }
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
@@ -31,13 +31,14 @@
 import wheelroute.net.Loop;
 
 /**
- * Measures what a dispatcher and a list service cost by each of the sizes that grow. Every point has a list
- * service, a process and a load of its own; some points of one series run side by side, as processor time is
- * what is counted.
+ * Measures what a dispatcher and a list service cost by each of the sizes that grow. Every point
+ * has a list service, a process and a load of its own; some points of one series run side by side,
+ * as processor time is what is counted.
  */
 public final class ScaleRun {
     /** Names of the lines and figures, as the page's reckoning asks for them. */
     public static final String REST_CPU = "rest_cpu_by_workers";
+
     public static final String LAUNCH_CPU = "launch_cpu_by_workers";
     public static final String COLD_LAUNCH_CPU = "cold_launch_cpu_by_workers";
     public static final String MEMORY = "memory_by_workers";
@@ -69,36 +70,55 @@
     private static final int SIDE_BY_SIDE = 3;
     private static final int USUAL_WORKERS = 1000;
     private static final double USUAL_CHANGES = 1;
-    /** Launches a second beside each size of the list: the largest leaves no core time for many more. */
+
+    /**
+     * Launches a second beside each size of the list: the largest leaves no core time for many
+     * more.
+     */
     private static final int USUAL_RATE = 10;
+
     private static final double USUAL_WORK = 0.02;
+
     /** A list service that answers this many calls a second is never what is measured. */
     private static final double AMPLE = 100_000;
+
     /**
-     * For the restart under all dispatchers, so many answers a second for each: all of them come back at once,
-     * and each wants another answer with each change, one a second.
+     * For the restart under all dispatchers, so many answers a second for each: all of them come
+     * back at once, and each wants another answer with each change, one a second.
      */
     private static final double RESTART_CAPACITY = 2;
+
     private static final double RESTART_AWAY = 3;
     private static final double RESTART_LIMIT = 30;
     private static final int COLD_LAUNCHES = 500;
-    /** One after the other on each of these: a process that starts is not asked for more than it can do. */
+
+    /**
+     * One after the other on each of these: a process that starts is not asked for more than it can
+     * do.
+     */
     private static final int COLD_CONNECTIONS = 2;
+
     private static final double SHORT_WORK = 0.001;
     private static final double FIRST_LIMIT = 120;
+
     /** Fast enough that what rests costs little beside it. */
     private static final double TENANTS_RATE = 100;
+
     private static final int MEMORY_MB = 128;
     private static final int SOCKETS = 16_000;
     private static final int LOOK_MILLIS = 20;
     private static final double CLIENTS_WAIT = 600;
+
     /** Slow enough for any of the lists that it is tried with. */
     private static final double HELD_RATE = 150;
+
     private static final double HELD_ENOUGH = 0.9;
     private static final long SEED = 7;
+
     /** Kept here, as a logger that nobody holds forgets its level. */
-    private static final List<Logger> QUIET = List.of(Logger.getLogger("wheelroute"),
-            Logger.getLogger("org.eclipse.jetty"));
+    private static final List<Logger> QUIET =
+            List.of(Logger.getLogger("wheelroute"), Logger.getLogger("org.eclipse.jetty"));
+
     private static final double CONNECT = 2;
 
     /**
@@ -106,20 +126,41 @@
      *
      * @param seconds of each figure that is an average over time
      */
-    public record Sizes(double seconds, int[] workers, double[] changes, int[] rates, int[] held,
-            int[] tenants, int[] batches, int batchWorkers, int[] dispatchers) {
+    public record Sizes(
+            double seconds,
+            int[] workers,
+            double[] changes,
+            int[] rates,
+            int[] held,
+            int[] tenants,
+            int[] batches,
+            int batchWorkers,
+            int[] dispatchers) {
         /** In well under a minute. */
         public static Sizes quick() {
-            return new Sizes(1.5, new int[] {100, 1000, 3000, 8000}, new double[] {1, 10, 40, 100},
-                    new int[] {10, 35, 100, 250}, new int[] {50, 200, 500, 1000}, new int[] {0, 50, 200, 440},
-                    new int[] {100, 400, 1000, 2300}, 3000, new int[] {10, 40, 80, 150});
+            return new Sizes(
+                    1.5,
+                    new int[] {100, 1000, 3000, 8000},
+                    new double[] {1, 10, 40, 100},
+                    new int[] {10, 35, 100, 250},
+                    new int[] {50, 200, 500, 1000},
+                    new int[] {0, 50, 200, 440},
+                    new int[] {100, 400, 1000, 2300},
+                    3000,
+                    new int[] {10, 40, 80, 150});
         }
 
         public static Sizes full() {
-            return new Sizes(6, new int[] {100, 1000, 3000, 10_000, 20_000, 30_000},
-                    new double[] {1, 5, 20, 50, 100}, new int[] {10, 35, 100, 250},
-                    new int[] {100, 500, 1500, 3000}, new int[] {0, 50, 150, 300, 440},
-                    new int[] {100, 500, 1150, 2300}, 30_000, new int[] {20, 75, 150, 300});
+            return new Sizes(
+                    6,
+                    new int[] {100, 1000, 3000, 10_000, 20_000, 30_000},
+                    new double[] {1, 5, 20, 50, 100},
+                    new int[] {10, 35, 100, 250},
+                    new int[] {100, 500, 1500, 3000},
+                    new int[] {0, 50, 150, 300, 440},
+                    new int[] {100, 500, 1150, 2300},
+                    30_000,
+                    new int[] {20, 75, 150, 300});
         }
     }
 
@@ -183,7 +224,8 @@
         try {
             List<Future<Void>> running = new ArrayList<>();
             running.add(own.submit(this::byDispatchers));
-            series.forEach(one -> running.add(side.submit(() -> stop.getAsBoolean() ? null : one.call())));
+            series.forEach(
+                    one -> running.add(side.submit(() -> stop.getAsBoolean() ? null : one.call())));
             for (Future<Void> one : running) {
                 await(one);
             }
@@ -194,14 +236,24 @@
         if (stop.getAsBoolean()) {
             throw new RehearsalException("the scale run was stopped");
         }
-        String machine = Runtime.getRuntime().availableProcessors() + " cores, "
-                + Math.round(ProcessAccount.machineMemory()) + " MB, Java "
-                + System.getProperty("java.version");
+        String machine =
+                Runtime.getRuntime().availableProcessors()
+                        + " cores, "
+                        + Math.round(ProcessAccount.machineMemory())
+                        + " MB, Java "
+                        + System.getProperty("java.version");
         Map<String, Fit> fits = new LinkedHashMap<>();
         for (Measure measure : Measure.values()) {
             List<Fit.Point> found = points.getOrDefault(measure.word, List.of());
-            fits.put(measure.word, Fit.of(measure.word, measure.x, measure.y,
-                    found.stream().sorted(Comparator.comparingDouble(Fit.Point::x)).toList()));
+            fits.put(
+                    measure.word,
+                    Fit.of(
+                            measure.word,
+                            measure.x,
+                            measure.y,
+                            found.stream()
+                                    .sorted(Comparator.comparingDouble(Fit.Point::x))
+                                    .toList()));
         }
         return new Slopes(guard.whyNotJudged(), machine, fits, new TreeMap<>(figures));
     }
@@ -269,13 +321,14 @@
 
     private <T> T onLoop(Callable<T> task) throws RehearsalException {
         CompletableFuture<T> done = new CompletableFuture<>();
-        loop.post(() -> {
-            try {
-                done.complete(task.call());
-            } catch (Exception e) {
-                done.completeExceptionally(e);
-            }
-        });
+        loop.post(
+                () -> {
+                    try {
+                        done.complete(task.call());
+                    } catch (Exception e) {
+                        done.completeExceptionally(e);
+                    }
+                });
         return await(done);
     }
 
@@ -304,9 +357,18 @@
             guard.mayStart(MEMORY_MB);
             int number = nextDaemon();
             long begun = System.nanoTime();
-            daemon = RealDaemon.start(folder, "r" + number, new Terms(list.address(ListService.Caller.REAL),
-                    1,
-                    tenants, MEMORY_MB, SOCKETS).config("r" + number, number), keeper);
+            daemon =
+                    RealDaemon.start(
+                            folder,
+                            "r" + number,
+                            new Terms(
+                                            list.address(ListService.Caller.REAL),
+                                            1,
+                                            tenants,
+                                            MEMORY_MB,
+                                            SOCKETS)
+                                    .config("r" + number, number),
+                            keeper);
             guard.started(daemon);
             ready = daemon.awaitReady();
             // It watches: so it has the list.
@@ -314,7 +376,8 @@
             listed = (System.nanoTime() - begun) / (MICROS * MILLIS);
         }
 
-        private void await(Callable<Boolean> condition, String fault) throws RehearsalException, IOException {
+        private void await(Callable<Boolean> condition, String fault)
+                throws RehearsalException, IOException {
             long end = System.nanoTime() + (long) (RESTART_LIMIT * MICROS * MILLIS);
             while (!onLoop(condition)) {
                 guard.look();
@@ -326,17 +389,21 @@
         }
 
         void changes(double perSecond) throws RehearsalException {
-            onLoop(() -> {
-                later(perSecond);
-                return null;
-            });
+            onLoop(
+                    () -> {
+                        later(perSecond);
+                        return null;
+                    });
         }
 
         private void later(double perSecond) {
-            next = loop.later(1 / perSecond, () -> {
-                list.change(1);
-                later(perSecond);
-            });
+            next =
+                    loop.later(
+                            1 / perSecond,
+                            () -> {
+                                list.change(1);
+                                later(perSecond);
+                            });
         }
 
         /** Processor time and bytes of the list in so many seconds, while a load runs or none. */
@@ -352,10 +419,21 @@
             return new double[] {cpu / took, more / took};
         }
 
-        LoadRun.Load load(double rate, int connections, double work, double seconds, int tenants, int most) {
-            return new LoadRun.Load(daemon.address(), Terms.OFFERING, Effect.IDEMPOTENT, rate, connections,
+        LoadRun.Load load(
+                double rate, int connections, double work, double seconds, int tenants, int most) {
+            return new LoadRun.Load(
+                    daemon.address(),
+                    Terms.OFFERING,
+                    Effect.IDEMPOTENT,
+                    rate,
+                    connections,
                     work,
-                    0, CLIENTS_WAIT, seconds, SEED, tenants, most);
+                    0,
+                    CLIENTS_WAIT,
+                    seconds,
+                    SEED,
+                    tenants,
+                    most);
         }
 
         /** Processor time of one of the first launches of the process. */
@@ -364,7 +442,8 @@
         }
 
         /** Processor time of one launch over so many of them; all must have been fulfilled. */
-        double perLaunch(double rate, double seconds, int tenants) throws IOException, RehearsalException {
+        double perLaunch(double rate, double seconds, int tenants)
+                throws IOException, RehearsalException {
             return each(load(rate, 0, USUAL_WORK, seconds, tenants, 0));
         }
 
@@ -372,8 +451,12 @@
             double before = daemon.cpu();
             LoadRun.Result result = LoadRun.play(load, stop);
             if (!stop.getAsBoolean() && result.fulfilled() < result.sent()) {
-                throw new RehearsalException(result.fulfilled() + " of " + result.sent()
-                        + " submissions were fulfilled: " + result.text());
+                throw new RehearsalException(
+                        result.fulfilled()
+                                + " of "
+                                + result.sent()
+                                + " submissions were fulfilled: "
+                                + result.text());
             }
             return (daemon.cpu() - before) / Math.max(1, result.sent());
         }
@@ -382,12 +465,13 @@
         public void close() throws RehearsalException {
             guard.ended(daemon);
             daemon.close();
-            onLoop(() -> {
-                if (next != null) {
-                    next.cancel();
-                }
-                return null;
-            });
+            onLoop(
+                    () -> {
+                        if (next != null) {
+                            next.cancel();
+                        }
+                        return null;
+                    });
         }
     }
 
@@ -408,10 +492,17 @@
             // The load ends a moment after its time; what rests meanwhile is the same as before.
             found(LAUNCH_CPU, size, Math.max(0, each - rest / USUAL_RATE));
             found(MEMORY, size, bench.daemon.memory());
-            tell.accept(String.format(Locale.ROOT,
-                    "%d workers: ready %.2f s, list %.2f s, %.1f MB, at rest %.4f of a core,"
-                    + " %.2f ms a launch", size, bench.ready, bench.listed, bench.daemon.memory(), rest,
-                    each * MILLIS));
+            tell.accept(
+                    String.format(
+                            Locale.ROOT,
+                            "%d workers: ready %.2f s, list %.2f s, %.1f MB, at rest %.4f of a core,"
+                                    + " %.2f ms a launch",
+                            size,
+                            bench.ready,
+                            bench.listed,
+                            bench.daemon.memory(),
+                            rest,
+                            each * MILLIS));
         }
         return null;
     }
@@ -422,9 +513,13 @@
             double[] spent = bench.spent(sizes.seconds);
             found(CHANGES_CPU, perSecond, spent[0]);
             found(CHANGES_BYTES, perSecond, spent[1]);
-            tell.accept(String.format(Locale.ROOT,
-                    "%.0f changes a second: %.4f of a core, %.0f bytes a second", perSecond,
-                    spent[0], spent[1]));
+            tell.accept(
+                    String.format(
+                            Locale.ROOT,
+                            "%.0f changes a second: %.4f of a core, %.0f bytes a second",
+                            perSecond,
+                            spent[0],
+                            spent[1]));
         }
         return null;
     }
@@ -434,8 +529,12 @@
             bench.first(0);
             double each = bench.perLaunch(rate, sizes.seconds, 0);
             found(RATE_CPU, rate, each * rate);
-            tell.accept(String.format(Locale.ROOT, "%d launches a second: %.4f of a core", rate,
-                    each * rate));
+            tell.accept(
+                    String.format(
+                            Locale.ROOT,
+                            "%d launches a second: %.4f of a core",
+                            rate,
+                            each * rate));
         }
         return null;
     }
@@ -445,7 +544,9 @@
             bench.first(tenants);
             double each = bench.perLaunch(TENANTS_RATE, sizes.seconds, tenants);
             found(TENANTS_CPU, tenants, each);
-            tell.accept(String.format(Locale.ROOT, "%d tenants: %.3f ms a launch", tenants, each * MILLIS));
+            tell.accept(
+                    String.format(
+                            Locale.ROOT, "%d tenants: %.3f ms a launch", tenants, each * MILLIS));
         }
         return null;
     }
@@ -457,20 +558,34 @@
             AtomicBoolean over = new AtomicBoolean();
             ExecutorService clients = Executors.newSingleThreadExecutor();
             try {
-                Future<LoadRun.Result> asked = clients.submit(() -> LoadRun.play(
-                        bench.load(HELD_RATE, 0, CLIENTS_WAIT, held / HELD_RATE, 0, 0), () -> over.get()
-                                || stop.getAsBoolean()));
+                Future<LoadRun.Result> asked =
+                        clients.submit(
+                                () ->
+                                        LoadRun.play(
+                                                bench.load(
+                                                        HELD_RATE,
+                                                        0,
+                                                        CLIENTS_WAIT,
+                                                        held / HELD_RATE,
+                                                        0,
+                                                        0),
+                                                () -> over.get() || stop.getAsBoolean()));
                 // By chance a few more come, or less.
                 RealDaemon.pause((long) (held / HELD_RATE * MILLIS));
-                bench.await(() -> bench.workers.running() >= HELD_ENOUGH * held || asked.isDone(),
+                bench.await(
+                        () -> bench.workers.running() >= HELD_ENOUGH * held || asked.isDone(),
                         "fewer than " + held + " launches could be held");
                 double cpu = bench.spent(sizes.seconds)[0];
                 int running = onLoop(bench.workers::running);
                 found(HELD_CPU, running, cpu);
                 found(HELD_MEMORY, running, bench.daemon.memory() - before);
-                tell.accept(String.format(Locale.ROOT, "%d launches held: %.4f of a core, %.1f MB more",
-                        running, cpu,
-                        bench.daemon.memory() - before));
+                tell.accept(
+                        String.format(
+                                Locale.ROOT,
+                                "%d launches held: %.4f of a core, %.1f MB more",
+                                running,
+                                cpu,
+                                bench.daemon.memory() - before));
                 over.set(true);
                 await(asked);
             } finally {
@@ -484,19 +599,29 @@
     /** A zone's loss: so many changes in one answer. */
     private Void byBatch(int many) throws Exception {
         try (Bench bench = new Bench(Math.max(sizes.batchWorkers, many), 0)) {
-            onLoop(() -> {
-                bench.list.account(ListService.Caller.REAL).clear();
-                return null;
-            });
+            onLoop(
+                    () -> {
+                        bench.list.account(ListService.Caller.REAL).clear();
+                        return null;
+                    });
             double before = bench.daemon.cpu();
-            onLoop(() -> {
-                bench.list.change(many);
-                return null;
-            });
+            onLoop(
+                    () -> {
+                        bench.list.change(many);
+                        return null;
+                    });
             bench.await(() -> bench.list.behind() == 0, "a batch of changes was never in force");
             found(BATCH_CPU, many, bench.daemon.cpu() - before);
-            found(BATCH_IN_FORCE, many, onLoop(() ->
-                    bench.list.account(ListService.Caller.REAL).inForce.getMaxValue() / MICROS));
+            found(
+                    BATCH_IN_FORCE,
+                    many,
+                    onLoop(
+                            () ->
+                                    bench.list
+                                                    .account(ListService.Caller.REAL)
+                                                    .inForce
+                                                    .getMaxValue()
+                                            / MICROS));
             tell.accept(many + " changes in one answer");
         }
         return null;
@@ -506,7 +631,8 @@
 
     private Void byDispatchers() throws Exception {
         Bench real = new Bench(USUAL_WORKERS, 0);
-        try (real; Hollow hollow = new Hollow(folder)) {
+        try (real;
+                Hollow hollow = new Hollow(folder)) {
             ListService list = real.list;
             ListService.Account of = list.account(ListService.Caller.HOLLOW);
             ListService.Account ofReal = list.account(ListService.Caller.REAL);
@@ -515,30 +641,36 @@
                 if (stop.getAsBoolean()) {
                     return null;
                 }
-                hollow.growTo(many, new Terms(list.address(ListService.Caller.HOLLOW), many, 0, MEMORY_MB,
-                        128));
-                real.await(() -> list.watching() == many + 1, "hollow dispatchers never had their list");
-                onLoop(() -> {
-                    of.clear();
-                    ofReal.clear();
-                    return null;
-                });
+                hollow.growTo(
+                        many,
+                        new Terms(
+                                list.address(ListService.Caller.HOLLOW), many, 0, MEMORY_MB, 128));
+                real.await(
+                        () -> list.watching() == many + 1,
+                        "hollow dispatchers never had their list");
+                onLoop(
+                        () -> {
+                            of.clear();
+                            ofReal.clear();
+                            return null;
+                        });
                 double seconds = 2 * sizes.seconds;
                 RealDaemon.pause((long) (seconds * MILLIS));
                 guard.look();
-                onLoop(() -> {
-                    found(CALLS, many, of.calls / seconds);
-                    found(LIST_BYTES, many, of.bytes / seconds);
-                    Histogram inForce = of.inForce;
-                    found(IN_FORCE_P50, many, inForce.getValueAtPercentile(50) / MICROS);
-                    found(IN_FORCE_P99, many, inForce.getValueAtPercentile(99) / MICROS);
-                    found(IN_FORCE_WORST, many, inForce.getMaxValue() / MICROS);
-                    figure(HOLLOW_CALLS, of.calls / seconds / many);
-                    figure(REAL_CALLS, ofReal.calls / seconds);
-                    figure(HOLLOW_IN_FORCE, inForce.getValueAtPercentile(50) / MICROS);
-                    figure(REAL_IN_FORCE, ofReal.inForce.getValueAtPercentile(50) / MICROS);
-                    return null;
-                });
+                onLoop(
+                        () -> {
+                            found(CALLS, many, of.calls / seconds);
+                            found(LIST_BYTES, many, of.bytes / seconds);
+                            Histogram inForce = of.inForce;
+                            found(IN_FORCE_P50, many, inForce.getValueAtPercentile(50) / MICROS);
+                            found(IN_FORCE_P99, many, inForce.getValueAtPercentile(99) / MICROS);
+                            found(IN_FORCE_WORST, many, inForce.getMaxValue() / MICROS);
+                            figure(HOLLOW_CALLS, of.calls / seconds / many);
+                            figure(REAL_CALLS, ofReal.calls / seconds);
+                            figure(HOLLOW_IN_FORCE, inForce.getValueAtPercentile(50) / MICROS);
+                            figure(REAL_IN_FORCE, ofReal.inForce.getValueAtPercentile(50) / MICROS);
+                            return null;
+                        });
                 tell.accept(many + " hollow dispatchers");
             }
             restart(real, hollow.size());
@@ -547,20 +679,23 @@
     }
 
     /**
-     * The list service's own restart under all of them, with a capacity that they would overbook together.
+     * The list service's own restart under all of them, with a capacity that they would overbook
+     * together.
      */
     private void restart(Bench real, int many) throws Exception {
         ListService list = real.list;
-        onLoop(() -> {
-            list.capacity(RESTART_CAPACITY * many);
-            list.account(ListService.Caller.HOLLOW).clear();
-            list.restart(RESTART_AWAY);
-            list.change(1);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    list.capacity(RESTART_CAPACITY * many);
+                    list.account(ListService.Caller.HOLLOW).clear();
+                    list.restart(RESTART_AWAY);
+                    list.change(1);
+                    return null;
+                });
         RealDaemon.pause((long) (RESTART_AWAY * MILLIS));
         long back = System.nanoTime();
-        real.await(() -> list.watching() >= many + 1 && list.behind() == 0,
+        real.await(
+                () -> list.watching() >= many + 1 && list.behind() == 0,
                 "not all dispatchers came back after the list service's restart");
         figure(RESTART_WORST, (System.nanoTime() - back) / (MICROS * MILLIS));
         figure(RESTART_CALLS, onLoop(() -> (double) list.account(ListService.Caller.HOLLOW).calls));
--- a/kit/src/main/java/wheelroute/kit/scale/Size.java
+++ b/kit/src/main/java/wheelroute/kit/scale/Size.java
@@ -21,15 +21,49 @@
  * @param rackWorkers workers behind one rack or switch
  * @param coresInUse the part of a machine's cores that is planned with
  */
-public record Size(String name, double workers, double startsPerSecond, double running, double teams,
-        double zones, double changesPerDay, double inForce, List<Double> dispatchers, double coreShare,
-        double memoryMb, double controlBytes, double machines, double machineCores, double machineMemoryMb,
-        double coresInUse, double failuresPerDay, double restartsPerDay, double rackWorkers,
+public record Size(
+        String name,
+        double workers,
+        double startsPerSecond,
+        double running,
+        double teams,
+        double zones,
+        double changesPerDay,
+        double inForce,
+        List<Double> dispatchers,
+        double coreShare,
+        double memoryMb,
+        double controlBytes,
+        double machines,
+        double machineCores,
+        double machineMemoryMb,
+        double coresInUse,
+        double failuresPerDay,
+        double restartsPerDay,
+        double rackWorkers,
         double cutSeconds) {
-    private static final Set<String> KEYS = Set.of("name", "workers", "starts_per_s", "running", "teams",
-            "zones", "changes_per_day", "in_force_s", "dispatchers", "core_share", "memory_mb",
-            "control_bytes_per_s", "machines", "machine_cores", "machine_memory_mb", "cores_in_use",
-            "failures_per_day", "restarts_per_day", "rack_workers", "cut_s");
+    private static final Set<String> KEYS =
+            Set.of(
+                    "name",
+                    "workers",
+                    "starts_per_s",
+                    "running",
+                    "teams",
+                    "zones",
+                    "changes_per_day",
+                    "in_force_s",
+                    "dispatchers",
+                    "core_share",
+                    "memory_mb",
+                    "control_bytes_per_s",
+                    "machines",
+                    "machine_cores",
+                    "machine_memory_mb",
+                    "cores_in_use",
+                    "failures_per_day",
+                    "restarts_per_day",
+                    "rack_workers",
+                    "cut_s");
 
     public static Size read(Path file) throws IOException {
         TomlParseResult toml = Toml.parse(Files.readString(file));
@@ -39,20 +73,33 @@
         Set<String> unknown = new TreeSet<>(toml.keySet());
         unknown.removeAll(KEYS);
         if (!unknown.isEmpty()) {
-            throw new IOException(file + ": '" + unknown.iterator().next() + "' is no key of a size");
+            throw new IOException(
+                    file + ": '" + unknown.iterator().next() + "' is no key of a size");
         }
         String name = toml.getString("name");
         if (name == null) {
             throw new IOException(file + ": 'name' is missing");
         }
-        return new Size(name, number(toml, "workers", file), number(toml, "starts_per_s", file),
-                number(toml, "running", file), number(toml, "teams", file), number(toml, "zones", file),
-                number(toml, "changes_per_day", file), number(toml, "in_force_s", file),
-                dispatchers(toml, file), number(toml, "core_share", file), number(toml, "memory_mb", file),
-                number(toml, "control_bytes_per_s", file), number(toml, "machines", file),
-                number(toml, "machine_cores", file), number(toml, "machine_memory_mb", file),
-                number(toml, "cores_in_use", file), number(toml, "failures_per_day", file),
-                number(toml, "restarts_per_day", file), number(toml, "rack_workers", file),
+        return new Size(
+                name,
+                number(toml, "workers", file),
+                number(toml, "starts_per_s", file),
+                number(toml, "running", file),
+                number(toml, "teams", file),
+                number(toml, "zones", file),
+                number(toml, "changes_per_day", file),
+                number(toml, "in_force_s", file),
+                dispatchers(toml, file),
+                number(toml, "core_share", file),
+                number(toml, "memory_mb", file),
+                number(toml, "control_bytes_per_s", file),
+                number(toml, "machines", file),
+                number(toml, "machine_cores", file),
+                number(toml, "machine_memory_mb", file),
+                number(toml, "cores_in_use", file),
+                number(toml, "failures_per_day", file),
+                number(toml, "restarts_per_day", file),
+                number(toml, "rack_workers", file),
                 number(toml, "cut_s", file));
     }
 
@@ -62,8 +109,12 @@
 
     private static double above(Object value, String key, Path file) throws IOException {
         if (!(value instanceof Number number) || !(number.doubleValue() > 0)) {
-            throw new IOException(file + ": '" + key + "' is " + (value == null ? "missing"
-                    : "no number above 0: " + value));
+            throw new IOException(
+                    file
+                            + ": '"
+                            + key
+                            + "' is "
+                            + (value == null ? "missing" : "no number above 0: " + value));
         }
         return number.doubleValue();
     }
--- a/kit/src/main/java/wheelroute/kit/scale/Slopes.java
+++ b/kit/src/main/java/wheelroute/kit/scale/Slopes.java
@@ -22,7 +22,8 @@
  * @param fits by their names
  * @param figures what was measured once, by name
  */
-public record Slopes(String notJudged, String machine, Map<String, Fit> fits, Map<String, Double> figures) {
+public record Slopes(
+        String notJudged, String machine, Map<String, Fit> fits, Map<String, Double> figures) {
     private static final int VERSION = 1;
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -45,8 +46,8 @@
     public String json() {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(out)) {
-            json.setPrettyPrinter(new DefaultPrettyPrinter().withObjectIndenter(
-                    new DefaultIndenter("  ", "\n")));
+            json.setPrettyPrinter(
+                    new DefaultPrettyPrinter().withObjectIndenter(new DefaultIndenter("  ", "\n")));
             json.writeStartObject();
             json.writeNumberField("version", VERSION);
             json.writeStringField("not_judged", notJudged);
@@ -137,7 +138,9 @@
                         double at = json.getDoubleValue();
                         json.nextToken();
                         points.add(new Fit.Point(at, json.getDoubleValue()));
-                        expect(json.nextToken() == JsonToken.END_ARRAY, "has a point that is no pair");
+                        expect(
+                                json.nextToken() == JsonToken.END_ARRAY,
+                                "has a point that is no pair");
                     }
                 }
                 default -> json.skipChildren();
