--- a/kit/src/main/java/wheelroute/kit/scale/Terms.java
+++ b/kit/src/main/java/wheelroute/kit/scale/Terms.java
@@ -16,16 +16,31 @@
     String config(String name, long seed) {
         StringBuilder rows = new StringBuilder();
         for (int i = 0; i < tenants; i++) {
-            rows.append(i > 0 ? "," : "").append("{\"name\":\"t").append(i).append("\",\"quota_per_s\":")
-                    .append(QUOTA).append('}');
+            rows.append(i > 0 ? "," : "")
+                    .append("{\"name\":\"t")
+                    .append(i)
+                    .append("\",\"quota_per_s\":")
+                    .append(QUOTA)
+                    .append('}');
         }
-        return "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
-                + ConfigReader.text(discovery) + "\",\"seed\":\"" + Long.toHexString(seed)
-                + "\",\"limits\":{\"memory_mb\":" + memoryMb + ",\"sockets\":" + sockets
-                + "},\"settings\":{\"az\":\"z1\",\"balancers\":" + dispatchers
-                        + ",\"permissions\":{\"cancel\":"
-                + "true,\"most_tries\":3},\"family_info\":{\"tells_start\":true},\"tenants\":[" + rows
-                + "],\"request_classes\":[{\"name\":\"" + OFFERING + "\",\"effect\":\"free\",\"on_time_us\":"
+        return "{\"name\":\""
+                + name
+                + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
+                + ConfigReader.text(discovery)
+                + "\",\"seed\":\""
+                + Long.toHexString(seed)
+                + "\",\"limits\":{\"memory_mb\":"
+                + memoryMb
+                + ",\"sockets\":"
+                + sockets
+                + "},\"settings\":{\"az\":\"z1\",\"balancers\":"
+                + dispatchers
+                + ",\"permissions\":{\"cancel\":"
+                + "true,\"most_tries\":3},\"family_info\":{\"tells_start\":true},\"tenants\":["
+                + rows
+                + "],\"request_classes\":[{\"name\":\""
+                + OFFERING
+                + "\",\"effect\":\"free\",\"on_time_us\":"
                 + "100000000,\"hard_limit_us\":3600000000,\"worth\":1}]}}";
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scale/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/scale/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What a size costs: measured by hollow processes beside real ones, and reckoned up to sizes not seen yet.
+ * What a size costs: measured by hollow processes beside real ones, and reckoned up to sizes not
+ * seen yet.
  */
 package wheelroute.kit.scale;
--- a/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
@@ -18,33 +18,52 @@
 public final class DaemonSettings {
     private static final JsonFactory JSON = new JsonFactory();
 
-    private DaemonSettings() {
-    }
+    private DaemonSettings() {}
 
-    /** As path=value pairs; what the scenario and then the variant set under the same paths goes before. */
+    /**
+     * As path=value pairs; what the scenario and then the variant set under the same paths goes
+     * before.
+     */
     public static Map<String, String> pairs(Scenario s, Map<String, String> variant) {
         Scenario.Terms terms = s.terms();
-        SettingsPairs settings = new SettingsPairs().text("az", s.groups().get(0).zone())
-                .number("balancers", s.dispatchers()).number("over_share_worth", terms.overShareValue())
-                .flag("family_info.tells_start", terms.tellsStart())
-                .seconds("family_info.progress_us", terms.progressEvery())
-                .flag("permissions.cancel", terms.mayCancel())
-                .flag("permissions.may_duplicate", terms.mayCopy())
-                .flag("permissions.retry_after", terms.retryAfter())
-                .seconds("permissions.max_retry_after_us", terms.longestRetryAfter())
-                .number("permissions.most_tries", terms.mostLaunches())
-                .seconds("permissions.connect_timeout_us", terms.connectLimit())
-                .number("prices.cross_zone", terms.crossZonePrice());
+        SettingsPairs settings =
+                new SettingsPairs()
+                        .text("az", s.groups().get(0).zone())
+                        .number("balancers", s.dispatchers())
+                        .number("over_share_worth", terms.overShareValue())
+                        .flag("family_info.tells_start", terms.tellsStart())
+                        .seconds("family_info.progress_us", terms.progressEvery())
+                        .flag("permissions.cancel", terms.mayCancel())
+                        .flag("permissions.may_duplicate", terms.mayCopy())
+                        .flag("permissions.retry_after", terms.retryAfter())
+                        .seconds("permissions.max_retry_after_us", terms.longestRetryAfter())
+                        .number("permissions.most_tries", terms.mostLaunches())
+                        .seconds("permissions.connect_timeout_us", terms.connectLimit())
+                        .number("prices.cross_zone", terms.crossZonePrice());
         if (terms.reportLag() >= 0) {
             settings.text("family_info.report_x0", "free_slots");
         }
-        Scenario.WorkerGroup cold = s.groups().stream().filter(g -> g.coldFor() > 0).findFirst()
-                .orElse(s.groups().get(0));
-        settings.number("rules.cold_from", cold.coldShare()).seconds("rules.cold_us", cold.coldFor())
-                .number("rules.tip_multiple", cold.tipMultiple()).seconds("rules.fall_us", cold.tipWindow());
+        Scenario.WorkerGroup cold =
+                s.groups().stream()
+                        .filter(g -> g.coldFor() > 0)
+                        .findFirst()
+                        .orElse(s.groups().get(0));
+        settings.number("rules.cold_from", cold.coldShare())
+                .seconds("rules.cold_us", cold.coldFor())
+                .number("rules.tip_multiple", cold.tipMultiple())
+                .seconds("rules.fall_us", cold.tipWindow());
         for (Scenario.Offering o : s.offerings()) {
-            settings.offering(o.name(), o.effect(), o.group(), o.quoted(), o.stretch(), o.outer(), o.value(),
-                    o.lateValue(), o.window(), false);
+            settings.offering(
+                    o.name(),
+                    o.effect(),
+                    o.group(),
+                    o.quoted(),
+                    o.stretch(),
+                    o.outer(),
+                    o.value(),
+                    o.lateValue(),
+                    o.window(),
+                    false);
         }
         s.tenants().forEach(tenant -> settings.tenant(tenant.name(), tenant.quota()));
         Map<String, String> pairs = new LinkedHashMap<>(settings.pairs());
@@ -54,7 +73,8 @@
     }
 
     /** What one of the dispatchers is told: the same, its zone, and its place among them. */
-    public static Map<String, String> pairsOf(Scenario scenario, int dispatcher, Map<String, String> pairs) {
+    public static Map<String, String> pairsOf(
+            Scenario scenario, int dispatcher, Map<String, String> pairs) {
         Map<String, String> own = new LinkedHashMap<>(pairs);
         own.put("az", scenario.zoneOf(dispatcher));
         own.putIfAbsent("position", Integer.toString(dispatcher));
@@ -70,11 +90,16 @@
     }
 
     /**
-     * A daemon's whole configuration file; peers are the others' addresses for it, and none where it has
-     * none.
+     * A daemon's whole configuration file; peers are the others' addresses for it, and none where
+     * it has none.
      */
-    public static String file(String name, long seed, double memoryMb, int sockets, Map<String,
-            String> pairs, List<String> peers) {
+    public static String file(
+            String name,
+            long seed,
+            double memoryMb,
+            int sockets,
+            Map<String, String> pairs,
+            List<String> peers) {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(out)) {
             json.writeStartObject();
@@ -107,18 +132,22 @@
     @SuppressWarnings("unchecked")
     private static Map<String, Object> tree(Map<String, String> pairs) {
         Map<String, Object> root = new TreeMap<>();
-        pairs.forEach((path, value) -> {
-            if (path.endsWith(".count")) {
-                // What reads the lists counts them.
-                return;
-            }
-            Map<String, Object> at = root;
-            String[] parts = path.split("\\.");
-            for (int i = 0; i < parts.length - 1; i++) {
-                at = (Map<String, Object>) at.computeIfAbsent(parts[i], p -> new TreeMap<String, Object>());
-            }
-            at.put(parts[parts.length - 1], value);
-        });
+        pairs.forEach(
+                (path, value) -> {
+                    if (path.endsWith(".count")) {
+                        // What reads the lists counts them.
+                        return;
+                    }
+                    Map<String, Object> at = root;
+                    String[] parts = path.split("\\.");
+                    for (int i = 0; i < parts.length - 1; i++) {
+                        at =
+                                (Map<String, Object>)
+                                        at.computeIfAbsent(
+                                                parts[i], p -> new TreeMap<String, Object>());
+                    }
+                    at.put(parts[parts.length - 1], value);
+                });
         return root;
     }
 
--- a/kit/src/main/java/wheelroute/kit/scenario/Draw.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Draw.java
@@ -10,36 +10,43 @@
 import wheelroute.kit.world.Chance;
 
 /**
- * Schedules drawn from a seed: which faults, when, how long and whom they meet depends on the seed alone, so
- * that one that fails can be played again, and written down as a scenario.
+ * Schedules drawn from a seed: which faults, when, how long and whom they meet depends on the seed
+ * alone, so that one that fails can be played again, and written down as a scenario.
  */
 public final class Draw {
     /** Shorter than this nobody would notice. */
     static final double SHORTEST = 0.1;
+
     /** Before the first fault all is as usual for so long, and so long after the last one. */
     private static final double QUIET = 0.5;
+
     /** Times and levels have two decimals: a person may read what is written down. */
     private static final double STEPS = 100;
+
     /** Faults drawn have picks of their own, so that taking one out moves none of the others. */
     private static final int FIRST_PICK = 100;
+
     /** The most of its dispatchers or workers that a drawn fault meets. */
     private static final double MOST_SHARE = 0.6;
+
     /** Whatever the share, one of them is met. */
     private static final double LEAST_SHARE = 0.01;
 
-    private static final Set<Scenario.Kind> PLANNED = EnumSet.of(Scenario.Kind.DEPLOY,
-            Scenario.Kind.LATE_REPORTS, Scenario.Kind.LINK_DOUBLE);
+    private static final Set<Scenario.Kind> PLANNED =
+            EnumSet.of(Scenario.Kind.DEPLOY, Scenario.Kind.LATE_REPORTS, Scenario.Kind.LINK_DOUBLE);
+
     /** Ways to peers are harmed by plan: few scenarios have any. */
-    private static final List<Scenario.Ends> ENDS = List.of(Scenario.Ends.WORKERS, Scenario.Ends.LIST,
-            Scenario.Ends.CLIENTS);
+    private static final List<Scenario.Ends> ENDS =
+            List.of(Scenario.Ends.WORKERS, Scenario.Ends.LIST, Scenario.Ends.CLIENTS);
 
-    private Draw() {
-    }
+    private Draw() {}
 
     /** What may be drawn: whatever the clocks can play, less what only makes sense by plan. */
     static List<Scenario.Kind> kinds(boolean processes) {
-        return Arrays.stream(Scenario.Kind.values()).filter(kind -> processes || !kind.needsProcesses())
-                .filter(kind -> !PLANNED.contains(kind)).toList();
+        return Arrays.stream(Scenario.Kind.values())
+                .filter(kind -> processes || !kind.needsProcesses())
+                .filter(kind -> !PLANNED.contains(kind))
+                .toList();
     }
 
     /** All faults of a run with this seed: those that the scenario names, and those drawn. */
@@ -64,20 +71,51 @@
         double most = Math.min(bounds.longest(), scenario.cycle() - 2 * QUIET);
         double length = rounded(SHORTEST + (most - SHORTEST) * random.nextDouble());
         // Half of them strike all at one moment, the others one after another.
-        double within = kind.isAboutDispatchers() && random.nextBoolean()
-                ? rounded(random.nextDouble() * Math.max(0, most - length)) : 0;
-        double at = rounded(QUIET + random.nextDouble()
-                * Math.max(0, scenario.cycle() - 2 * QUIET - length - within));
-        String group = !kind.isAboutDispatchers() || kind.isAboutWays() && random.nextBoolean()
-                ? any(scenario.groups(), random).name() : "";
+        double within =
+                kind.isAboutDispatchers() && random.nextBoolean()
+                        ? rounded(random.nextDouble() * Math.max(0, most - length))
+                        : 0;
+        double at =
+                rounded(
+                        QUIET
+                                + random.nextDouble()
+                                        * Math.max(
+                                                0, scenario.cycle() - 2 * QUIET - length - within));
+        String group =
+                !kind.isAboutDispatchers() || kind.isAboutWays() && random.nextBoolean()
+                        ? any(scenario.groups(), random).name()
+                        : "";
         double share = rounded(LEAST_SHARE + (MOST_SHARE - LEAST_SHARE) * random.nextDouble());
-        Scenario.Ends ends = kind.isAboutWays() && kind != Scenario.Kind.LIST_CUT
-                ? any(ENDS, random) : Scenario.Ends.WORKERS;
-        Scenario.How how = any(kind.hows().stream().filter(h -> h != Scenario.How.OLDER)
-                .filter(h -> h != Scenario.How.CHANGED || !scenario.changed().isEmpty()).toList(), random);
+        Scenario.Ends ends =
+                kind.isAboutWays() && kind != Scenario.Kind.LIST_CUT
+                        ? any(ENDS, random)
+                        : Scenario.Ends.WORKERS;
+        Scenario.How how =
+                any(
+                        kind.hows().stream()
+                                .filter(h -> h != Scenario.How.OLDER)
+                                .filter(
+                                        h ->
+                                                h != Scenario.How.CHANGED
+                                                        || !scenario.changed().isEmpty())
+                                .toList(),
+                        random);
         double spread = kind == Scenario.Kind.LINK_SLOW ? rounded(random.nextDouble() * 0.1) : 0;
-        return new Scenario.Fault(kind, at, length, ends == Scenario.Ends.WORKERS ? group : "", share,
-                level(kind, random), pick, within, ends, "", "", spread, how, 1);
+        return new Scenario.Fault(
+                kind,
+                at,
+                length,
+                ends == Scenario.Ends.WORKERS ? group : "",
+                share,
+                level(kind, random),
+                pick,
+                within,
+                ends,
+                "",
+                "",
+                spread,
+                how,
+                1);
     }
 
     private static double level(Scenario.Kind kind, SplittableRandom random) {
--- a/kit/src/main/java/wheelroute/kit/scenario/Figures.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Figures.java
@@ -4,40 +4,80 @@
 public final class Figures {
     /** Value earned over value asked, from 0 to 1. */
     public static final String SERVICE = "service";
+
     public static final String IN_TIME = "in_time";
     public static final String BOUNCED = "bounced";
     public static final String SCRAPPED = "scrapped";
     public static final String UNANSWERED = "unanswered";
     public static final String BREACHES = "breaches";
+
     /** Launches over submissions. */
     public static final String LAUNCHES = "launches_per_submission";
+
     public static final String P50 = "p50";
     public static final String P99 = "p99";
     public static final String P999 = "p999";
+
     /** Calls to the list service in the second in which there were most, by all dispatchers. */
     public static final String LIST_CALLS = "list_calls_most";
+
     /** Of the operators' figures the part that was not true, or missing. */
     public static final String UNTRUE = "figures_untrue";
+
     /** Of the calls at operators' doors the part that was not answered within a second. */
     public static final String DOORS_LATE = "doors_late";
+
     /** Replacements that were not through in time. */
     public static final String NOT_REPLACED = "not_replaced";
+
     /** Dispatchers that do not hold just those to be there that are, as the asks end. */
     public static final String PEERS_WRONG = "peers_wrong";
+
     /** The service of one offering or tenant: the name follows. */
     public static final String OFFERING = "offering:";
+
     public static final String TENANT = "tenant:";
-    static final String KNOWN = String.join(", ", SERVICE, IN_TIME, BOUNCED, SCRAPPED, UNANSWERED, BREACHES,
-            LAUNCHES, P50, P99, P999, LIST_CALLS, UNTRUE, DOORS_LATE, NOT_REPLACED,
-            PEERS_WRONG, OFFERING + "NAME", TENANT + "NAME");
+    static final String KNOWN =
+            String.join(
+                    ", ",
+                    SERVICE,
+                    IN_TIME,
+                    BOUNCED,
+                    SCRAPPED,
+                    UNANSWERED,
+                    BREACHES,
+                    LAUNCHES,
+                    P50,
+                    P99,
+                    P999,
+                    LIST_CALLS,
+                    UNTRUE,
+                    DOORS_LATE,
+                    NOT_REPLACED,
+                    PEERS_WRONG,
+                    OFFERING + "NAME",
+                    TENANT + "NAME");
 
-    private Figures() {
-    }
+    private Figures() {}
 
     static boolean isKnown(String name) {
         return switch (name) {
-            case SERVICE, IN_TIME, BOUNCED, SCRAPPED, UNANSWERED, BREACHES, LAUNCHES, P50, P99, P999,
-                LIST_CALLS, UNTRUE, DOORS_LATE, NOT_REPLACED, PEERS_WRONG -> true;
+            case SERVICE,
+                    IN_TIME,
+                    BOUNCED,
+                    SCRAPPED,
+                    UNANSWERED,
+                    BREACHES,
+                    LAUNCHES,
+                    P50,
+                    P99,
+                    P999,
+                    LIST_CALLS,
+                    UNTRUE,
+                    DOORS_LATE,
+                    NOT_REPLACED,
+                    PEERS_WRONG ->
+                    true;
             default -> name.startsWith(OFFERING) || name.startsWith(TENANT);
         };
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/Library.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Library.java
@@ -10,14 +10,34 @@
 /** The scenarios that are shipped. */
 public final class Library {
     /** In the order in which they are listed: the first is the one played when none is named. */
-    public static final List<String> NAMES = List.of("closing-prices", "calm", "failures-overlap",
-            "drain-in-burst", "rolling-deploy", "vanish", "overload", "late-list", "dispatcher-restart",
-            "hundred", "many-kill", "many-pause", "many-cut", "replace", "figures", "crowd", "drawn",
-            "peers-crash", "peers-split", "peers-slow", "peers-rejoin", "cold-thirty");
+    public static final List<String> NAMES =
+            List.of(
+                    "closing-prices",
+                    "calm",
+                    "failures-overlap",
+                    "drain-in-burst",
+                    "rolling-deploy",
+                    "vanish",
+                    "overload",
+                    "late-list",
+                    "dispatcher-restart",
+                    "hundred",
+                    "many-kill",
+                    "many-pause",
+                    "many-cut",
+                    "replace",
+                    "figures",
+                    "crowd",
+                    "drawn",
+                    "peers-crash",
+                    "peers-split",
+                    "peers-slow",
+                    "peers-rejoin",
+                    "cold-thirty");
+
     private static final String FOLDER = "/wheelroute/kit/scenarios/";
 
-    private Library() {
-    }
+    private Library() {}
 
     /** By its name, or from a file of the operator's: a path has a dot or a slash. */
     public static Scenario find(String nameOrFile) throws ScenarioException {
@@ -26,8 +46,8 @@
         }
         Path path = Path.of(nameOrFile);
         if (!nameOrFile.contains(".") && !nameOrFile.contains("/") && !Files.exists(path)) {
-            throw new ScenarioException(nameOrFile, List.of("is no file and none of "
-                    + String.join(", ", NAMES)));
+            throw new ScenarioException(
+                    nameOrFile, List.of("is no file and none of " + String.join(", ", NAMES)));
         }
         return ScenarioReader.read(path);
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
@@ -11,16 +11,34 @@
  * @param seconds how long asks come, unless the command line says otherwise
  * @param cycle load and faults begin anew after so long
  * @param clocks the names of the clocks that can play it
- * @param zones of the dispatchers, dealt to them in turn; empty: all stand in the first workers' zone
+ * @param zones of the dispatchers, dealt to them in turn; empty: all stand in the first workers'
+ *     zone
  * @param peers whether dispatchers know each other; real clock only
  * @param drawn faults that chance adds, by the seed alone
  * @param changed settings of processes that are started with another configuration
  */
-public record Scenario(String name, String title, double seconds, double cycle, List<String> clocks,
-        int dispatchers, List<String> zones, boolean peers, Limits limits, List<WorkerGroup> groups,
-        List<Offering> offerings, List<Tenant> tenants, List<LoadPoint> load, Clients clients,
-        Network network, Terms terms, List<Fault> faults, Drawn drawn, List<Expectation> expectations,
-        Map<String, String> overrides, Map<String, String> changed) {
+public record Scenario(
+        String name,
+        String title,
+        double seconds,
+        double cycle,
+        List<String> clocks,
+        int dispatchers,
+        List<String> zones,
+        boolean peers,
+        Limits limits,
+        List<WorkerGroup> groups,
+        List<Offering> offerings,
+        List<Tenant> tenants,
+        List<LoadPoint> load,
+        Clients clients,
+        Network network,
+        Terms terms,
+        List<Fault> faults,
+        Drawn drawn,
+        List<Expectation> expectations,
+        Map<String, String> overrides,
+        Map<String, String> changed) {
     /** No job is smaller: the model's own steps would drown it. */
     public static final double LEAST_WORK = 1e-6;
 
@@ -31,14 +49,25 @@
      * @param memory in the unit of the offerings' memory; infinite for no limit
      * @param coldShare the part of its capacity that a worker just started has
      * @param coldFor how long it takes to warm up
-     * @param tipMultiple a cold worker falls over when, in tipWindow, so many times its capacity comes
-     * @param tipRequest the mean work of the requests for which chance is allowed for, N becoming N + 2 root
-     *        N + 2 of them; 0 where nothing is
+     * @param tipMultiple a cold worker falls over when, in tipWindow, so many times its capacity
+     *     comes
+     * @param tipRequest the mean work of the requests for which chance is allowed for, N becoming N
+     *     + 2 root N + 2 of them; 0 where nothing is
      */
-    public record WorkerGroup(String name, String model, int count, int slots, double speed, String zone,
-            int queue, double memory, double coldShare, double coldFor, double tipMultiple,
-                    double tipWindow, double tipRequest) {
-    }
+    public record WorkerGroup(
+            String name,
+            String model,
+            int count,
+            int slots,
+            double speed,
+            String zone,
+            int queue,
+            double memory,
+            double coldShare,
+            double coldFor,
+            double tipMultiple,
+            double tipWindow,
+            double tipRequest) {}
 
     /**
      * A kind of job.
@@ -48,10 +77,22 @@
      * @param hintError of the hint's logarithm; under 0 for no hint
      * @param outer how long a client waits for the answer
      */
-    public record Offering(String name, Effect effect, Group group, double share, double work, double spread,
-            double hintError, double quoted, double stretch, double outer, double value, double lateValue,
-            double window, int slots, double memory) {
-    }
+    public record Offering(
+            String name,
+            Effect effect,
+            Group group,
+            double share,
+            double work,
+            double spread,
+            double hintError,
+            double quoted,
+            double stretch,
+            double outer,
+            double value,
+            double lateValue,
+            double window,
+            int slots,
+            double memory) {}
 
     /** Quota in asks a second; 0 for none. */
     public record Tenant(String name, double share, double quota) {
@@ -59,30 +100,32 @@
     }
 
     /** The rate of asks runs straight from one point to the next. */
-    public record LoadPoint(double at, double rate) {
-    }
+    public record LoadPoint(double at, double rate) {}
 
     /**
      * What clients do.
      *
      * @param retries more submissions of one ask after the first
      * @param pause before a retry; up to twice that by chance, more where the answer says so
-     * @param leastWait nothing is retried with less than this left: no answer is hoped for in so short a time
+     * @param leastWait nothing is retried with less than this left: no answer is hoped for in so
+     *     short a time
      * @param impatient the part of asks whose client hangs up before its time
      * @param fresh the part of submissions that come on a connection of their own; real clock only
      * @param writes such a one is written in two pieces, so far apart at most
      */
-    public record Clients(int retries, double pause, double leastWait, double impatient, double fresh,
-            double writes) {
-    }
+    public record Clients(
+            int retries,
+            double pause,
+            double leastWait,
+            double impatient,
+            double fresh,
+            double writes) {}
 
     /** What a dispatcher's process may take. */
-    public record Limits(int memoryMb, int sockets) {
-    }
+    public record Limits(int memoryMb, int sockets) {}
 
     /** One way; by chance up to delay + jitter. */
-    public record Network(double delay, double jitter) {
-    }
+    public record Network(double delay, double jitter) {}
 
     /**
      * What the platform tells and allows.
@@ -91,10 +134,20 @@
      * @param reportLag how old a load report is when it is sent; under 0 for no reports
      * @param grace after which nothing may go to a worker that was told draining or gone
      */
-    public record Terms(boolean tellsStart, double progressEvery, boolean mayCancel, boolean mayCopy,
-            int mostLaunches, boolean retryAfter, double longestRetryAfter, double listLag, double reportLag,
-            double grace, double connectLimit, double crossZonePrice, double overShareValue) {
-    }
+    public record Terms(
+            boolean tellsStart,
+            double progressEvery,
+            boolean mayCancel,
+            boolean mayCopy,
+            int mostLaunches,
+            boolean retryAfter,
+            double longestRetryAfter,
+            double listLag,
+            double reportLag,
+            double grace,
+            double connectLimit,
+            double crossZonePrice,
+            double overShareValue) {}
 
     /** What can go wrong. */
     public enum Kind {
@@ -124,7 +177,9 @@
         DISPATCHER_KILL,
         /** A dispatcher is told to end, and back after the length. */
         DISPATCHER_RESTART,
-        /** A dispatcher's process stands still, and goes on after the length as if nothing had been. */
+        /**
+         * A dispatcher's process stands still, and goes on after the length as if nothing had been.
+         */
         DISPATCHER_PAUSE,
         /** Nothing passes between dispatchers and the workers of the group; nobody is told. */
         LINK_CUT,
@@ -138,7 +193,10 @@
         LIST_CUT,
         /** What comes back arrives, what dispatchers send does not. */
         LINK_UNHEARD,
-        /** Of what passes, the part that the level says comes only when it is sent again; datagrams never. */
+        /**
+         * Of what passes, the part that the level says comes only when it is sent again; datagrams
+         * never.
+         */
         LINK_LOSS,
         /** So many bytes a second pass, each way, as the level says. */
         LINK_TRICKLE,
@@ -148,14 +206,22 @@
         DISPATCHER_STARVE,
         /** A second process takes a dispatcher's place; it is to be done within the length. */
         DISPATCHER_REPLACE,
-        /** Strangers connect to dispatchers as clients do, so many a second, and never finish a message. */
+        /**
+         * Strangers connect to dispatchers as clients do, so many a second, and never finish a
+         * message.
+         */
         CROWD;
 
         /** It meets dispatchers, each or with its ways. */
         public boolean isAboutDispatchers() {
             return switch (this) {
-                case DISPATCHER_KILL, DISPATCHER_RESTART, DISPATCHER_PAUSE, DISPATCHER_STARVE,
-                    DISPATCHER_REPLACE, CROWD -> true;
+                case DISPATCHER_KILL,
+                        DISPATCHER_RESTART,
+                        DISPATCHER_PAUSE,
+                        DISPATCHER_STARVE,
+                        DISPATCHER_REPLACE,
+                        CROWD ->
+                        true;
                 default -> isAboutWays();
             };
         }
@@ -163,8 +229,16 @@
         /** It harms ways between processes. */
         public boolean isAboutWays() {
             return switch (this) {
-                case LINK_CUT, LINK_REFUSE, LINK_ONE_WAY, LINK_UNHEARD, LINK_SLOW, LINK_LOSS, LINK_TRICKLE,
-                    LINK_DOUBLE, LIST_CUT -> true;
+                case LINK_CUT,
+                        LINK_REFUSE,
+                        LINK_ONE_WAY,
+                        LINK_UNHEARD,
+                        LINK_SLOW,
+                        LINK_LOSS,
+                        LINK_TRICKLE,
+                        LINK_DOUBLE,
+                        LIST_CUT ->
+                        true;
                 default -> false;
             };
         }
@@ -172,7 +246,8 @@
         /** The model has no bytes, no share of a core, no second process and no strangers. */
         public boolean needsProcesses() {
             return switch (this) {
-                case LINK_TRICKLE, LINK_DOUBLE, DISPATCHER_STARVE, DISPATCHER_REPLACE, CROWD -> true;
+                case LINK_TRICKLE, LINK_DOUBLE, DISPATCHER_STARVE, DISPATCHER_REPLACE, CROWD ->
+                        true;
                 default -> false;
             };
         }
@@ -180,7 +255,8 @@
         /** In which ways it may be done, the usual one first. */
         public List<How> hows() {
             return switch (this) {
-                case DISPATCHER_KILL, DISPATCHER_RESTART -> List.of(How.USUAL, How.CHANGED, How.OLDER);
+                case DISPATCHER_KILL, DISPATCHER_RESTART ->
+                        List.of(How.USUAL, How.CHANGED, How.OLDER);
                 case DISPATCHER_REPLACE -> List.of(How.values());
                 default -> List.of(How.USUAL);
             };
@@ -204,8 +280,12 @@
 
     /** Which of a dispatcher's ways a fault is about. */
     public enum Ends {
-        WORKERS, LIST, CLIENTS,
-        /** The other dispatchers; those that one fault meets together keep their ways to each other. */
+        WORKERS,
+        LIST,
+        CLIENTS,
+        /**
+         * The other dispatchers; those that one fault meets together keep their ways to each other.
+         */
         PEERS
     }
 
@@ -214,17 +294,32 @@
      *
      * @param at from the start of each cycle
      * @param group the name of the workers it meets; empty for all
-     * @param share of those that it meets; which, is chance's choice, the same for all faults of one pick
-     * @param pick faults of the same pick meet the same workers first: so they can lie inside each other
+     * @param share of those that it meets; which, is chance's choice, the same for all faults of
+     *     one pick
+     * @param pick faults of the same pick meet the same workers first: so they can lie inside each
+     *     other
      * @param within each of those it meets is met at a moment of its own, so much later at most
      * @param to which ways of those dispatchers it meets
      * @param zone only workers of this zone; empty for all
      * @param from only dispatchers of this zone; empty for all
-     * @param others the part of the other dispatchers to which ways to peers are met, by their numbers
+     * @param others the part of the other dispatchers to which ways to peers are met, by their
+     *     numbers
      * @param spread of a way's delay: each piece comes later by chance, so much at most
      */
-    public record Fault(Kind kind, double at, double length, String group, double share, double level,
-            int pick, double within, Ends to, String zone, String from, double spread, How how,
+    public record Fault(
+            Kind kind,
+            double at,
+            double length,
+            String group,
+            double share,
+            double level,
+            int pick,
+            double within,
+            Ends to,
+            String zone,
+            String from,
+            double spread,
+            How how,
             double others) {
         /** Workers that it is about, as far as group and zone say. */
         public boolean concerns(WorkerGroup workers) {
@@ -254,8 +349,7 @@
     }
 
     /** What must hold: the figure of that name is at least, or at most, so much. */
-    public record Expectation(String figure, double least, double most) {
-    }
+    public record Expectation(String figure, double least, double most) {}
 
     /** The zone that a dispatcher stands in. */
     public String zoneOf(int dispatcher) {
@@ -264,9 +358,28 @@
 
     /** The same, with other faults and none drawn. */
     public Scenario with(List<Fault> others) {
-        return new Scenario(name, title, seconds, cycle, clocks, dispatchers, zones, peers, limits, groups,
-                offerings, tenants, load, clients, network, terms, List.copyOf(others), Drawn.NONE,
-                expectations, overrides, changed);
+        return new Scenario(
+                name,
+                title,
+                seconds,
+                cycle,
+                clocks,
+                dispatchers,
+                zones,
+                peers,
+                limits,
+                groups,
+                offerings,
+                tenants,
+                load,
+                clients,
+                network,
+                terms,
+                List.copyOf(others),
+                Drawn.NONE,
+                expectations,
+                overrides,
+                changed);
     }
 
     public int workers() {
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioException.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioException.java
@@ -9,8 +9,13 @@
     private final transient List<String> faults;
 
     ScenarioException(String file, List<String> faults) {
-        super(file + ": " + faults.size() + (faults.size() == 1 ? " fault" : " faults") + "\n  "
-                + String.join("\n  ", faults));
+        super(
+                file
+                        + ": "
+                        + faults.size()
+                        + (faults.size() == 1 ? " fault" : " faults")
+                        + "\n  "
+                        + String.join("\n  ", faults));
         this.faults = List.copyOf(faults);
     }
 
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -18,7 +18,10 @@
 import wheelroute.decision.Effect;
 import wheelroute.decision.Group;
 
-/** Reads a scenario and checks it as a whole: all its faults at once, none left for the middle of a run. */
+/**
+ * Reads a scenario and checks it as a whole: all its faults at once, none left for the middle of a
+ * run.
+ */
 public final class ScenarioReader {
     private static final double REQUIRED = Double.NaN;
     private static final double MOST_TIME = 86_400;
@@ -27,19 +30,20 @@
     private static final int MOST_WORKERS = 100_000;
     private static final int MOST_DISPATCHERS = 10_000;
     private static final int MOST_RETRIES = 50;
+
     /** A larger file is none that a person wrote. */
     private static final long MOST_BYTES = 1 << 20;
 
     private final List<TomlFields.Fault> faults = new ArrayList<>();
 
-    private ScenarioReader() {
-    }
+    private ScenarioReader() {}
 
     /** A file of the operator's. */
     public static Scenario read(Path file) throws ScenarioException {
         try {
             if (Files.size(file) > MOST_BYTES) {
-                throw new ScenarioException(file.toString(), List.of("is over " + MOST_BYTES + " bytes"));
+                throw new ScenarioException(
+                        file.toString(), List.of("is over " + MOST_BYTES + " bytes"));
             }
             return read(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
         } catch (IOException | InvalidPathException e) {
@@ -50,15 +54,18 @@
     public static Scenario read(String name, String text) throws ScenarioException {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
-            throw new ScenarioException(name, toml.errors().stream()
-                    .map(e -> "line " + e.position().line() + ": " + e.getMessage()).toList());
+            throw new ScenarioException(
+                    name,
+                    toml.errors().stream()
+                            .map(e -> "line " + e.position().line() + ": " + e.getMessage())
+                            .toList());
         }
         ScenarioReader reader = new ScenarioReader();
         Scenario scenario = reader.scenario(name, new TomlFields(toml, "", reader.faults));
         if (!reader.faults.isEmpty()) {
             reader.faults.sort(Comparator.comparingInt(TomlFields.Fault::line));
-            throw new ScenarioException(name, reader.faults.stream().map(TomlFields.Fault::toString)
-                    .toList());
+            throw new ScenarioException(
+                    name, reader.faults.stream().map(TomlFields.Fault::toString).toList());
         }
         return scenario;
     }
@@ -68,12 +75,16 @@
         TomlFields run = root.table("run");
         double seconds = run.number("seconds", 60, 1, MOST_TIME);
         double cycle = run.number("cycle", seconds, 1, MOST_TIME);
-        List<String> clocks = run.texts("clocks", List.of("virtual", "real"), List.of("virtual", "real"));
+        List<String> clocks =
+                run.texts("clocks", List.of("virtual", "real"), List.of("virtual", "real"));
         int dispatchers = run.whole("dispatchers", 1, 1, MOST_DISPATCHERS);
         List<Scenario.WorkerGroup> groups = new ArrayList<>();
         root.tables("workers").forEach(f -> groups.add(group(f)));
-        List<String> zones = run.texts("zones", List.of(), groups.stream().map(Scenario.WorkerGroup::zone)
-                .distinct().toList());
+        List<String> zones =
+                run.texts(
+                        "zones",
+                        List.of(),
+                        groups.stream().map(Scenario.WorkerGroup::zone).distinct().toList());
         boolean peers = run.flag("peers", false);
         if (peers && clocks.contains("virtual")) {
             run.fault("peers", "need processes: run.clocks must be [\"real\"]");
@@ -110,8 +121,27 @@
         if (groups.stream().mapToInt(Scenario.WorkerGroup::count).sum() > MOST_WORKERS) {
             root.fault("workers", "are more than " + MOST_WORKERS);
         }
-        return new Scenario(name, title, seconds, cycle, clocks, dispatchers, zones, peers, limits, groups,
-                offerings, tenants, load, clients, network, terms, events, drawn, expectations, overrides,
+        return new Scenario(
+                name,
+                title,
+                seconds,
+                cycle,
+                clocks,
+                dispatchers,
+                zones,
+                peers,
+                limits,
+                groups,
+                offerings,
+                tenants,
+                load,
+                clients,
+                network,
+                terms,
+                events,
+                drawn,
+                expectations,
+                overrides,
                 changed);
     }
 
@@ -148,13 +178,21 @@
 
     private static Scenario.WorkerGroup group(TomlFields f) {
         String name = name(f);
-        Scenario.WorkerGroup group = new Scenario.WorkerGroup(name, f.text("model", name),
-                f.whole("count", 1, 1, MOST_WORKERS), f.whole("slots", 1, 1, 1024),
-                f.number("speed", 1, 0.001, 1000), f.text("zone", "a"),
-                f.whole("queue", 100, 0, 1_000_000), f.number("memory", MOST, 0, MOST),
-                f.number("cold_share", 1, 0.01, 1), f.number("cold_for", 0, 0, MOST_TIME),
-                f.number("tip_multiple", 4, 0.1, 1000), f.number("tip_window", 3, 0.1, 60),
-                f.number("tip_request", 0, 0, MOST_TIME));
+        Scenario.WorkerGroup group =
+                new Scenario.WorkerGroup(
+                        name,
+                        f.text("model", name),
+                        f.whole("count", 1, 1, MOST_WORKERS),
+                        f.whole("slots", 1, 1, 1024),
+                        f.number("speed", 1, 0.001, 1000),
+                        f.text("zone", "a"),
+                        f.whole("queue", 100, 0, 1_000_000),
+                        f.number("memory", MOST, 0, MOST),
+                        f.number("cold_share", 1, 0.01, 1),
+                        f.number("cold_for", 0, 0, MOST_TIME),
+                        f.number("tip_multiple", 4, 0.1, 1000),
+                        f.number("tip_window", 3, 0.1, 60),
+                        f.number("tip_request", 0, 0, MOST_TIME));
         f.done();
         return group;
     }
@@ -162,13 +200,23 @@
     private static Scenario.Offering offering(TomlFields f) {
         String name = name(f);
         double quoted = f.number("quoted", REQUIRED, 0.001, MOST_TIME);
-        Scenario.Offering offering = new Scenario.Offering(name, f.oneOf("effect", Effect.IDEMPOTENT,
-                Effect.class), f.oneOf("group", Group.ALL, Group.class), f.number("share", 1, 0, MOST),
-                f.number("work", REQUIRED, Scenario.LEAST_WORK, MOST_TIME), f.number("spread", 0.5, 0, 4),
-                f.number("hint_error", 0.3, -1, 4), quoted, f.number("stretch", 0, 0, 1000),
-                f.number("outer", REQUIRED, 0.01, MOST_TIME), f.number("value", 1, 0.001, MOST),
-                f.number("late_value", 0, 0, 1), f.number("window", 20, 0, MOST_TIME),
-                f.whole("slots", 1, 1, 1024), f.number("memory", 0, 0, MOST));
+        Scenario.Offering offering =
+                new Scenario.Offering(
+                        name,
+                        f.oneOf("effect", Effect.IDEMPOTENT, Effect.class),
+                        f.oneOf("group", Group.ALL, Group.class),
+                        f.number("share", 1, 0, MOST),
+                        f.number("work", REQUIRED, Scenario.LEAST_WORK, MOST_TIME),
+                        f.number("spread", 0.5, 0, 4),
+                        f.number("hint_error", 0.3, -1, 4),
+                        quoted,
+                        f.number("stretch", 0, 0, 1000),
+                        f.number("outer", REQUIRED, 0.01, MOST_TIME),
+                        f.number("value", 1, 0.001, MOST),
+                        f.number("late_value", 0, 0, 1),
+                        f.number("window", 20, 0, MOST_TIME),
+                        f.whole("slots", 1, 1, 1024),
+                        f.number("memory", 0, 0, MOST));
         if (offering.outer() < quoted) {
             f.fault("outer", "is under quoted: no answer could be late");
         }
@@ -177,30 +225,40 @@
     }
 
     private static Scenario.Tenant tenant(TomlFields f) {
-        Scenario.Tenant tenant = new Scenario.Tenant(name(f), f.number("share", 1, 0.000001, MOST),
-                f.number("quota", 0, 0, MOST_RATE));
+        Scenario.Tenant tenant =
+                new Scenario.Tenant(
+                        name(f),
+                        f.number("share", 1, 0.000001, MOST),
+                        f.number("quota", 0, 0, MOST_RATE));
         f.done();
         return tenant;
     }
 
     private static Scenario.LoadPoint point(TomlFields f, double cycle) {
-        Scenario.LoadPoint point = new Scenario.LoadPoint(f.number("at", 0, 0, cycle),
-                f.number("rate", REQUIRED, 0, MOST_RATE));
+        Scenario.LoadPoint point =
+                new Scenario.LoadPoint(
+                        f.number("at", 0, 0, cycle), f.number("rate", REQUIRED, 0, MOST_RATE));
         f.done();
         return point;
     }
 
     private static Scenario.Clients clients(TomlFields f) {
-        Scenario.Clients clients = new Scenario.Clients(f.whole("retries", 0, 0, MOST_RETRIES),
-                f.number("pause", 0.1, 0, 60), f.number("least_wait", 0.25, 0.01, 60), f.number("impatient",
-                        0, 0, 1), f.number("fresh", 0, 0, 1), f.number("writes", 0, 0, 10));
+        Scenario.Clients clients =
+                new Scenario.Clients(
+                        f.whole("retries", 0, 0, MOST_RETRIES),
+                        f.number("pause", 0.1, 0, 60),
+                        f.number("least_wait", 0.25, 0.01, 60),
+                        f.number("impatient", 0, 0, 1),
+                        f.number("fresh", 0, 0, 1),
+                        f.number("writes", 0, 0, 10));
         f.done();
         return clients;
     }
 
     private static Scenario.Limits limits(TomlFields f) {
-        Scenario.Limits limits = new Scenario.Limits(f.whole("memory_mb", 192, 64, 4096),
-                f.whole("sockets", 4096, 96, 65_536));
+        Scenario.Limits limits =
+                new Scenario.Limits(
+                        f.whole("memory_mb", 192, 64, 4096), f.whole("sockets", 4096, 96, 65_536));
         f.done();
         return limits;
     }
@@ -209,48 +267,77 @@
         List<Scenario.Kind> open = Draw.kinds(!clocks.contains("virtual"));
         List<String> words = open.stream().map(TomlFields::word).toList();
         List<String> kinds = f.texts("kinds", words, words);
-        Scenario.Drawn drawn = new Scenario.Drawn(f.whole("faults", 0, 0, 100),
-                f.number("longest", Math.min(4, cycle / 2), Draw.SHORTEST,
-                        Math.max(Draw.SHORTEST, cycle / 2)),
-                open.stream().filter(kind -> kinds.contains(TomlFields.word(kind))).toList());
+        Scenario.Drawn drawn =
+                new Scenario.Drawn(
+                        f.whole("faults", 0, 0, 100),
+                        f.number(
+                                "longest",
+                                Math.min(4, cycle / 2),
+                                Draw.SHORTEST,
+                                Math.max(Draw.SHORTEST, cycle / 2)),
+                        open.stream()
+                                .filter(kind -> kinds.contains(TomlFields.word(kind)))
+                                .toList());
         f.done();
         return drawn.faults() == 0 ? Scenario.Drawn.NONE : drawn;
     }
 
     private static Scenario.Network network(TomlFields f) {
-        Scenario.Network network = new Scenario.Network(f.number("delay", 0.0005, 0, 10),
-                f.number("jitter", 0.0005, 0, 10));
+        Scenario.Network network =
+                new Scenario.Network(
+                        f.number("delay", 0.0005, 0, 10), f.number("jitter", 0.0005, 0, 10));
         f.done();
         return network;
     }
 
     private static Scenario.Terms terms(TomlFields f) {
-        Scenario.Terms terms = new Scenario.Terms(f.flag("tells_start", true),
-                f.number("progress_every", 0, 0, 60), f.flag("may_cancel", true), f.flag("may_copy", true),
-                f.whole("most_launches", 3, 1, 50), f.flag("retry_after", true),
-                f.number("longest_retry_after", 2, 0, 60), f.number("list_lag", 0.2, 0, 60),
-                f.number("report_lag", -1, -1, 60), f.number("grace", 2, 0, 60),
-                f.number("connect_limit", 0.25, 0.01, 10), f.number("cross_zone_price", 0, 0, 100),
-                f.number("over_share_value", 1, 0, 1));
+        Scenario.Terms terms =
+                new Scenario.Terms(
+                        f.flag("tells_start", true),
+                        f.number("progress_every", 0, 0, 60),
+                        f.flag("may_cancel", true),
+                        f.flag("may_copy", true),
+                        f.whole("most_launches", 3, 1, 50),
+                        f.flag("retry_after", true),
+                        f.number("longest_retry_after", 2, 0, 60),
+                        f.number("list_lag", 0.2, 0, 60),
+                        f.number("report_lag", -1, -1, 60),
+                        f.number("grace", 2, 0, 60),
+                        f.number("connect_limit", 0.25, 0.01, 10),
+                        f.number("cross_zone_price", 0, 0, 100),
+                        f.number("over_share_value", 1, 0, 1));
         f.done();
         return terms;
     }
 
-    private static Scenario.Fault fault(TomlFields f, double cycle, List<Scenario.WorkerGroup> groups,
-            List<String> zones, List<String> clocks) {
+    private static Scenario.Fault fault(
+            TomlFields f,
+            double cycle,
+            List<Scenario.WorkerGroup> groups,
+            List<String> zones,
+            List<String> clocks) {
         Scenario.Kind kind = f.oneOf("kind", null, Scenario.Kind.class);
         double[] level = levels(kind);
         String group = f.text("group", "");
         if (!group.isEmpty() && groups.stream().noneMatch(g -> g.name().equals(group))) {
             f.fault("group", "names no group of workers: " + group);
         }
-        Scenario.Fault fault = new Scenario.Fault(kind, f.number("at", REQUIRED, 0, cycle),
-                f.number("for", REQUIRED, 0.01, MOST_TIME), group, f.number("share", 1, 0, 1),
-                f.number("level", level[0], level[1], level[2]), f.whole("pick", 0, 0, 1000),
-                f.number("within", 0, 0, MOST_TIME), f.oneOf("to", Scenario.Ends.WORKERS,
-                        Scenario.Ends.class), f.text("zone", ""), f.text("from", ""),
-                f.number("spread", 0, 0, 60), f.oneOf("how", Scenario.How.USUAL, Scenario.How.class),
-                f.number("others", 1, 0, 1));
+        Scenario.Fault fault =
+                new Scenario.Fault(
+                        kind,
+                        f.number("at", REQUIRED, 0, cycle),
+                        f.number("for", REQUIRED, 0.01, MOST_TIME),
+                        group,
+                        f.number("share", 1, 0, 1),
+                        f.number("level", level[0], level[1], level[2]),
+                        f.whole("pick", 0, 0, 1000),
+                        f.number("within", 0, 0, MOST_TIME),
+                        f.oneOf("to", Scenario.Ends.WORKERS, Scenario.Ends.class),
+                        f.text("zone", ""),
+                        f.text("from", ""),
+                        f.number("spread", 0, 0, 60),
+                        f.oneOf("how", Scenario.How.USUAL, Scenario.How.class),
+                        f.number("others", 1, 0, 1));
         if (fault.until() > cycle) {
             f.fault("for", "goes on past the end of the cycle, " + cycle + " s");
         }
@@ -266,12 +353,18 @@
         if (!fault.zone().isEmpty() && groups.stream().noneMatch(fault::concerns)) {
             f.fault("zone", "names no zone of those workers: " + fault.zone());
         }
-        if (!fault.from().isEmpty() && (!kind.isAboutDispatchers() || !zones.contains(fault.from()))) {
-            f.fault("from", kind.isAboutDispatchers() ? "is none of run.zones: " + fault.from()
-                    : "is for faults of dispatchers only");
+        if (!fault.from().isEmpty()
+                && (!kind.isAboutDispatchers() || !zones.contains(fault.from()))) {
+            f.fault(
+                    "from",
+                    kind.isAboutDispatchers()
+                            ? "is none of run.zones: " + fault.from()
+                            : "is for faults of dispatchers only");
         }
         if (!kind.hows().contains(fault.how())) {
-            f.fault("how", "is no way of " + TomlFields.word(kind) + ": " + TomlFields.word(fault.how()));
+            f.fault(
+                    "how",
+                    "is no way of " + TomlFields.word(kind) + ": " + TomlFields.word(fault.how()));
         }
         if (kind.needsProcesses() && clocks.contains("virtual")) {
             f.fault("kind", "needs processes: run.clocks must be [\"real\"]");
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -11,8 +11,7 @@
 public final class ScenarioWriter {
     private final StringBuilder out = new StringBuilder();
 
-    private ScenarioWriter() {
-    }
+    private ScenarioWriter() {}
 
     public static String text(Scenario s) {
         ScenarioWriter writer = new ScenarioWriter();
@@ -22,35 +21,58 @@
 
     private void write(Scenario s) {
         text("title", s.title());
-        table("run").number("seconds", s.seconds()).number("cycle", s.cycle()).texts("clocks", s.clocks())
-                .number("dispatchers", s.dispatchers()).texts("zones", s.zones())
+        table("run")
+                .number("seconds", s.seconds())
+                .number("cycle", s.cycle())
+                .texts("clocks", s.clocks())
+                .number("dispatchers", s.dispatchers())
+                .texts("zones", s.zones())
                 .flag("peers", s.peers());
-        table("limits").number("memory_mb", s.limits().memoryMb()).number("sockets", s.limits().sockets());
+        table("limits")
+                .number("memory_mb", s.limits().memoryMb())
+                .number("sockets", s.limits().sockets());
         s.groups().forEach(this::write);
         s.offerings().forEach(this::write);
         for (Scenario.Tenant tenant : s.tenants()) {
-            item("tenants").text("name", tenant.name()).number("share", tenant.share())
+            item("tenants")
+                    .text("name", tenant.name())
+                    .number("share", tenant.share())
                     .number("quota", tenant.quota());
         }
         for (Scenario.LoadPoint point : s.load()) {
             item("load").number("at", point.at()).number("rate", point.rate());
         }
         Scenario.Clients c = s.clients();
-        table("clients").number("retries", c.retries()).number("pause", c.pause())
-                .number("least_wait", c.leastWait()).number("impatient", c.impatient())
-                .number("fresh", c.fresh()).number("writes", c.writes());
-        table("network").number("delay", s.network().delay()).number("jitter", s.network().jitter());
+        table("clients")
+                .number("retries", c.retries())
+                .number("pause", c.pause())
+                .number("least_wait", c.leastWait())
+                .number("impatient", c.impatient())
+                .number("fresh", c.fresh())
+                .number("writes", c.writes());
+        table("network")
+                .number("delay", s.network().delay())
+                .number("jitter", s.network().jitter());
         Scenario.Terms t = s.terms();
-        table("terms").flag("tells_start", t.tellsStart()).number("progress_every", t.progressEvery())
-                .flag("may_cancel", t.mayCancel()).flag("may_copy", t.mayCopy())
-                .number("most_launches", t.mostLaunches()).flag("retry_after", t.retryAfter())
-                .number("longest_retry_after", t.longestRetryAfter()).number("list_lag", t.listLag())
-                .number("report_lag", t.reportLag()).number("grace", t.grace())
-                .number("connect_limit", t.connectLimit()).number("cross_zone_price", t.crossZonePrice())
+        table("terms")
+                .flag("tells_start", t.tellsStart())
+                .number("progress_every", t.progressEvery())
+                .flag("may_cancel", t.mayCancel())
+                .flag("may_copy", t.mayCopy())
+                .number("most_launches", t.mostLaunches())
+                .flag("retry_after", t.retryAfter())
+                .number("longest_retry_after", t.longestRetryAfter())
+                .number("list_lag", t.listLag())
+                .number("report_lag", t.reportLag())
+                .number("grace", t.grace())
+                .number("connect_limit", t.connectLimit())
+                .number("cross_zone_price", t.crossZonePrice())
                 .number("over_share_value", t.overShareValue());
         s.faults().forEach(this::write);
         if (s.drawn().faults() > 0) {
-            table("drawn").number("faults", s.drawn().faults()).number("longest", s.drawn().longest())
+            table("drawn")
+                    .number("faults", s.drawn().faults())
+                    .number("longest", s.drawn().longest())
                     .texts("kinds", s.drawn().kinds().stream().map(TomlFields::word).toList());
         }
         map("daemon", s.overrides());
@@ -67,25 +89,47 @@
     }
 
     private void write(Scenario.WorkerGroup g) {
-        item("workers").text("name", g.name()).text("model", g.model()).number("count", g.count())
-                .number("slots", g.slots()).number("speed", g.speed()).text("zone", g.zone())
-                .number("queue", g.queue()).number("memory", g.memory()).number("cold_share", g.coldShare())
-                .number("cold_for", g.coldFor()).number("tip_multiple", g.tipMultiple())
-                .number("tip_window", g.tipWindow()).number("tip_request", g.tipRequest());
+        item("workers")
+                .text("name", g.name())
+                .text("model", g.model())
+                .number("count", g.count())
+                .number("slots", g.slots())
+                .number("speed", g.speed())
+                .text("zone", g.zone())
+                .number("queue", g.queue())
+                .number("memory", g.memory())
+                .number("cold_share", g.coldShare())
+                .number("cold_for", g.coldFor())
+                .number("tip_multiple", g.tipMultiple())
+                .number("tip_window", g.tipWindow())
+                .number("tip_request", g.tipRequest());
     }
 
     private void write(Scenario.Offering o) {
-        item("offerings").text("name", o.name()).text("effect", TomlFields.word(o.effect()))
-                .text("group", TomlFields.word(o.group())).number("share", o.share()).number("work", o.work())
-                .number("spread", o.spread()).number("hint_error", o.hintError())
-                .number("quoted", o.quoted()).number("stretch", o.stretch()).number("outer", o.outer())
-                .number("value", o.value()).number("late_value", o.lateValue()).number("window", o.window())
-                .number("slots", o.slots()).number("memory", o.memory());
+        item("offerings")
+                .text("name", o.name())
+                .text("effect", TomlFields.word(o.effect()))
+                .text("group", TomlFields.word(o.group()))
+                .number("share", o.share())
+                .number("work", o.work())
+                .number("spread", o.spread())
+                .number("hint_error", o.hintError())
+                .number("quoted", o.quoted())
+                .number("stretch", o.stretch())
+                .number("outer", o.outer())
+                .number("value", o.value())
+                .number("late_value", o.lateValue())
+                .number("window", o.window())
+                .number("slots", o.slots())
+                .number("memory", o.memory());
     }
 
     /** What has no meaning for a kind may not stand there. */
     private void write(Scenario.Fault f) {
-        item("faults").text("kind", TomlFields.word(f.kind())).number("at", f.at()).number("for", f.length());
+        item("faults")
+                .text("kind", TomlFields.word(f.kind()))
+                .number("at", f.at())
+                .number("for", f.length());
         if (!f.group().isEmpty()) {
             text("group", f.group());
         }
@@ -130,8 +174,11 @@
 
     private ScenarioWriter number(String key, double value) {
         // Plain decimals: a person may read it, and it is the same number when read again.
-        return key(key, value == Math.rint(value) && Math.abs(value) < Long.MAX_VALUE
-                ? Long.toString((long) value) : new BigDecimal(Double.toString(value)).toPlainString());
+        return key(
+                key,
+                value == Math.rint(value) && Math.abs(value) < Long.MAX_VALUE
+                        ? Long.toString((long) value)
+                        : new BigDecimal(Double.toString(value)).toPlainString());
     }
 
     private ScenarioWriter flag(String key, boolean value) {
@@ -143,8 +190,11 @@
     }
 
     private ScenarioWriter texts(String key, List<String> values) {
-        return key(key, values.stream().map(ScenarioWriter::quoted)
-                .collect(Collectors.joining(", ", "[", "]")));
+        return key(
+                key,
+                values.stream()
+                        .map(ScenarioWriter::quoted)
+                        .collect(Collectors.joining(", ", "[", "]")));
     }
 
     private void map(String name, Map<String, String> values) {
--- a/kit/src/main/java/wheelroute/kit/virtual/Lane.java
+++ b/kit/src/main/java/wheelroute/kit/virtual/Lane.java
@@ -10,8 +10,8 @@
 import wheelroute.kit.world.Timeline;
 
 /**
- * One way of a dispatcher on the virtual clock: messages wait on it while it is cut, as on the relays of the
- * real one, and what was lost when its sender closed never comes.
+ * One way of a dispatcher on the virtual clock: messages wait on it while it is cut, as on the
+ * relays of the real one, and what was lost when its sender closed never comes.
  */
 final class Lane {
     /** What is on a way at one time belongs to a connection, which a refusing way breaks. */
@@ -21,8 +21,7 @@
     }
 
     /** One message; it is lost if its sender has closed before it could pass. */
-    private record Message(Runnable arrival, BooleanSupplier stillWanted) {
-    }
+    private record Message(Runnable arrival, BooleanSupplier stillWanted) {}
 
     private final Timeline timeline;
     private final Set<Line> lines = new HashSet<>();
@@ -67,7 +66,8 @@
         while (!held.isEmpty()) {
             Message first = held.pollFirst();
             if (first.stillWanted().getAsBoolean()) {
-                // As an event of its own: whoever heals the way must not be in the middle of another.
+                // As an event of its own: whoever heals the way must not be in the middle of
+                // another.
                 timeline.after(0, first.arrival());
             }
         }
@@ -82,8 +82,8 @@
         pass(passage.back(), heldBack, arrival, stillWanted);
     }
 
-    private static void pass(boolean open, ArrayDeque<Message> held, Runnable arrival,
-            BooleanSupplier stillWanted) {
+    private static void pass(
+            boolean open, ArrayDeque<Message> held, Runnable arrival, BooleanSupplier stillWanted) {
         if (open) {
             arrival.run();
         } else {
--- a/kit/src/main/java/wheelroute/kit/virtual/VirtualDispatcher.java
+++ b/kit/src/main/java/wheelroute/kit/virtual/VirtualDispatcher.java
@@ -32,19 +32,28 @@
 import wheelroute.kit.world.World;
 
 /**
- * One dispatcher without sockets: what the daemon does around its decisions, event by event, with the ways
- * to and fro as delays. It keeps the daemon's order: a client is answered before the decisions hear why.
+ * One dispatcher without sockets: what the daemon does around its decisions, event by event, with
+ * the ways to and fro as delays. It keeps the daemon's order: a client is answered before the
+ * decisions hear why.
  */
 final class VirtualDispatcher implements Dispatcher {
     /** As the daemon keeps back of what a client says it will wait. */
     private static final double ANSWER_MARGIN = 0.08;
+
     private static final double ANSWER_MARGIN_PART = 0.1;
+
     /** After the signal to end what is left is given up after so long. */
     private static final double DRAIN = 3.5;
-    /** A watch of which nothing is heard counts as failed so long after it began: its hold, and 1.5 s. */
+
+    /**
+     * A watch of which nothing is heard counts as failed so long after it began: its hold, and 1.5
+     * s.
+     */
     private static final double WATCH_SILENT = 6.5;
+
     /** A call for the whole list, which is not held. */
     private static final double CALL_SILENT = 1.5;
+
     private static final double LEFT_FOR = 60;
     private static final BooleanSupplier ALWAYS = () -> true;
 
@@ -65,15 +74,23 @@
     private int life;
     private long messages;
     private final Map<Way, Lane> lanes = new HashMap<>();
-    /** While the process stands still: what would have happened, timers before what came from outside. */
+
+    /**
+     * While the process stands still: what would have happened, timers before what came from
+     * outside.
+     */
     private boolean still;
+
     private final ArrayDeque<Runnable> dueMeanwhile = new ArrayDeque<>();
     private final ArrayDeque<Runnable> cameMeanwhile = new ArrayDeque<>();
+
     /** Sent to us and not read yet, by clients that still wait for it. */
     private final Map<Long, Submitted> unread = new HashMap<>();
+
     private final Set<Long> left = new HashSet<>();
 
-    VirtualDispatcher(int number, World world, Settings settings, Brain.Maker maker, Auditor auditor) {
+    VirtualDispatcher(
+            int number, World world, Settings settings, Brain.Maker maker, Auditor auditor) {
         this.number = number;
         this.world = world;
         this.scenario = world.scenario;
@@ -125,10 +142,12 @@
     /** SIGTERM: nothing new, what is held is answered, then the end. */
     void end() {
         listens = false;
-        later(DRAIN, () -> {
-            new ArrayList<>(open.values()).forEach(Exchange::outOfTime);
-            kill();
-        });
+        later(
+                DRAIN,
+                () -> {
+                    new ArrayList<>(open.values()).forEach(Exchange::outOfTime);
+                    kill();
+                });
     }
 
     /** SIGSTOP and SIGCONT: what would have happened meanwhile happens when it goes on. */
@@ -159,11 +178,13 @@
             if (passage.refuses()) {
                 listLost();
             } else if (shut && before.forth() && before.back()) {
-                later(WATCH_SILENT, () -> {
-                    if (!lane(way).passage().back() || !lane(way).passage().forth()) {
-                        listLost();
-                    }
-                });
+                later(
+                        WATCH_SILENT,
+                        () -> {
+                            if (!lane(way).passage().back() || !lane(way).passage().forth()) {
+                                listLost();
+                            }
+                        });
             }
         }
     }
@@ -175,16 +196,18 @@
     /** A timer of this process; it is gone with it, and late if that stands still. */
     private void later(double delay, Runnable task) {
         int from = life;
-        world.timeline.after(delay, () -> {
-            if (from != life) {
-                return;
-            }
-            if (still) {
-                dueMeanwhile.addLast(task);
-            } else {
-                task.run();
-            }
-        });
+        world.timeline.after(
+                delay,
+                () -> {
+                    if (from != life) {
+                        return;
+                    }
+                    if (still) {
+                        dueMeanwhile.addLast(task);
+                    } else {
+                        task.run();
+                    }
+                });
     }
 
     /** What reaches this process from outside. */
@@ -237,14 +260,19 @@
             travel(() -> clients.refused(submitted));
             return;
         }
-        travel(lane.passage(), () -> lane.back(() -> {
-            if (sentTo != life || !listens) {
-                clients.refused(submitted);
-                return;
-            }
-            unread.put(submitted.key(), submitted);
-            comes(() -> read(submitted));
-        }, () -> !left.contains(submitted.key())));
+        travel(
+                lane.passage(),
+                () ->
+                        lane.back(
+                                () -> {
+                                    if (sentTo != life || !listens) {
+                                        clients.refused(submitted);
+                                        return;
+                                    }
+                                    unread.put(submitted.key(), submitted);
+                                    comes(() -> read(submitted));
+                                },
+                                () -> !left.contains(submitted.key())));
     }
 
     private void read(Submitted submitted) {
@@ -263,13 +291,24 @@
         left.add(submitted.key());
         // An answer may be under way for as long as a process can stand still.
         world.timeline.after(LEFT_FOR, () -> left.remove(submitted.key()));
-        travel(() -> lane(Way.toClients(number)).back(() -> comes(() -> {
-            unread.remove(submitted.key());
-            Exchange exchange = open.get(new Ids.Submission(submitted.key()));
-            if (exchange != null) {
-                turn(exchange::clientGone);
-            }
-        }), ALWAYS));
+        travel(
+                () ->
+                        lane(Way.toClients(number))
+                                .back(
+                                        () ->
+                                                comes(
+                                                        () -> {
+                                                            unread.remove(submitted.key());
+                                                            Exchange exchange =
+                                                                    open.get(
+                                                                            new Ids.Submission(
+                                                                                    submitted
+                                                                                            .key()));
+                                                            if (exchange != null) {
+                                                                turn(exchange::clientGone);
+                                                            }
+                                                        }),
+                                        ALWAYS));
     }
 
     private final class Exchange implements Lane.Line {
@@ -283,11 +322,17 @@
             this.submitted = submitted;
             double margin = Math.min(ANSWER_MARGIN, ANSWER_MARGIN_PART * submitted.timeout());
             Scenario.Offering offering = submitted.ask().offering();
-            submission = new Submission(new Ids.Submission(submitted.key()),
-                    new Ids.Offering(offering.name()),
-                    new Ids.Tenant(submitted.ask().tenant().name()),
-                    world.timeline.now() + submitted.timeout() - margin, submitted.ask().hint(),
-                    offering.slots(), offering.memory(), submitted.attempt() > 0, null);
+            submission =
+                    new Submission(
+                            new Ids.Submission(submitted.key()),
+                            new Ids.Offering(offering.name()),
+                            new Ids.Tenant(submitted.ask().tenant().name()),
+                            world.timeline.now() + submitted.timeout() - margin,
+                            submitted.ask().hint(),
+                            offering.slots(),
+                            offering.memory(),
+                            submitted.attempt() > 0,
+                            null);
         }
 
         void begin() {
@@ -299,12 +344,17 @@
             if (!answered) {
                 answered = true;
                 Lane lane = lane(Way.toClients(number));
-                travel(lane.passage(), () -> lane.forth(() -> {
-                    // Who has left reads nothing more.
-                    if (!left.contains(submitted.key())) {
-                        clients.answered(submitted, answer, retryAfter);
-                    }
-                }, ALWAYS));
+                travel(
+                        lane.passage(),
+                        () ->
+                                lane.forth(
+                                        () -> {
+                                            // Who has left reads nothing more.
+                                            if (!left.contains(submitted.key())) {
+                                                clients.answered(submitted, answer, retryAfter);
+                                            }
+                                        },
+                                        ALWAYS));
                 lane.closed(this);
             }
         }
@@ -332,12 +382,13 @@
             for (Flight flight : new ArrayList<>(launches)) {
                 flight.giveUp(Outcome.TIMED_OUT);
             }
-            turn(() -> {
-                if (!answered) {
-                    answer(Answer.SCRAPPED, 0);
-                }
-                open.remove(submission.id());
-            });
+            turn(
+                    () -> {
+                        if (!answered) {
+                            answer(Answer.SCRAPPED, 0);
+                        }
+                        open.remove(submission.id());
+                    });
         }
 
         void closeIfOver() {
@@ -357,7 +408,10 @@
         private final Lane lane;
         private Launch launch;
         private boolean ended;
-        /** Its connection is closed by us, or broken: nothing more is heard, or reaches the worker. */
+
+        /**
+         * Its connection is closed by us, or broken: nothing more is heard, or reaches the worker.
+         */
         private boolean closed;
 
         Flight(Exchange exchange, int number, WorkerModel worker) {
@@ -367,7 +421,9 @@
             lane = lane(new Way(VirtualDispatcher.this.number, worker.number));
         }
 
-        /** On the way it cannot be taken back; whether the worker is there is seen when it arrives. */
+        /**
+         * On the way it cannot be taken back; whether the worker is there is seen when it arrives.
+         */
         void send() {
             if (lane.passage().refuses()) {
                 travel(() -> hears(() -> end(Outcome.UNCONNECTED, Double.NaN)));
@@ -387,55 +443,69 @@
                 return;
             }
             Scenario.Offering offering = exchange.submitted.ask().offering();
-            launch = new Launch(exchange.submitted.key(), exchange.submitted.ask().work(), offering.slots(),
-                    offering.memory(), this);
+            launch =
+                    new Launch(
+                            exchange.submitted.key(),
+                            exchange.submitted.ask().work(),
+                            offering.slots(),
+                            offering.memory(),
+                            this);
             worker.arrive(launch);
             if (ended) {
                 closeAtWorker();
             }
         }
 
-        /** What the worker says comes back by the same way, and waits on it while nothing passes. */
+        /**
+         * What the worker says comes back by the same way, and waits on it while nothing passes.
+         */
         private void back(Runnable word) {
             travel(lane.passage(), () -> lane.back(() -> hears(word), () -> !closed));
         }
 
         private void hears(Runnable word) {
             if (from == life) {
-                comes(() -> {
-                    if (from == life) {
-                        word.run();
-                    }
-                });
+                comes(
+                        () -> {
+                            if (from == life) {
+                                word.run();
+                            }
+                        });
             }
         }
 
         @Override
         public void started() {
-            back(() -> {
-                if (!ended) {
-                    turn(() -> exchange.held.started(number));
-                }
-            });
+            back(
+                    () -> {
+                        if (!ended) {
+                            turn(() -> exchange.held.started(number));
+                        }
+                    });
         }
 
         @Override
         public void progressed(double share) {
-            back(() -> {
-                if (!ended) {
-                    turn(() -> exchange.held.progressed(number, share));
-                }
-            });
+            back(
+                    () -> {
+                        if (!ended) {
+                            turn(() -> exchange.held.progressed(number, share));
+                        }
+                    });
         }
 
         @Override
         public void ended(Ending ending, double freeSlots) {
-            back(() -> end(switch (ending) {
-                case DONE -> Outcome.ANSWERED;
-                case FAILED -> Outcome.ERRED;
-                case RETURNED, TURNED_AWAY -> Outcome.TURNED_AWAY;
-                case BROKEN -> Outcome.BROKEN_OFF;
-            }, freeSlots));
+            back(
+                    () ->
+                            end(
+                                    switch (ending) {
+                                        case DONE -> Outcome.ANSWERED;
+                                        case FAILED -> Outcome.ERRED;
+                                        case RETURNED, TURNED_AWAY -> Outcome.TURNED_AWAY;
+                                        case BROKEN -> Outcome.BROKEN_OFF;
+                                    },
+                                    freeSlots));
         }
 
         private void end(Outcome outcome, double freeSlots) {
@@ -444,13 +514,15 @@
             }
             ended = true;
             lane.closed(this);
-            turn(() -> {
-                if (outcome == Outcome.ANSWERED) {
-                    exchange.answer(Answer.FULFILLED, 0);
-                }
-                exchange.held.ended(number, outcome, exchange.answered, new LoadReport(freeSlots));
-                exchange.closeIfOver();
-            });
+            turn(
+                    () -> {
+                        if (outcome == Outcome.ANSWERED) {
+                            exchange.answer(Answer.FULFILLED, 0);
+                        }
+                        exchange.held.ended(
+                                number, outcome, exchange.answered, new LoadReport(freeSlots));
+                        exchange.closeIfOver();
+                    });
         }
 
         void calledOff() {
@@ -494,9 +566,14 @@
 
     private Listing listing(Registry.Entry entry) {
         WorkerModel worker = entry.worker();
-        return new Listing(new Ids.Worker(worker.number), new Ids.Model(worker.group.model()), 1,
-                new Ids.Zone(worker.group.zone()), entry.startedAt(),
-                new Ids.Cell(scenario.groups().indexOf(worker.group)), switch (entry.state()) {
+        return new Listing(
+                new Ids.Worker(worker.number),
+                new Ids.Model(worker.group.model()),
+                1,
+                new Ids.Zone(worker.group.zone()),
+                entry.startedAt(),
+                new Ids.Cell(scenario.groups().indexOf(worker.group)),
+                switch (entry.state()) {
                     case READY -> Listing.Readiness.ACTIVE;
                     case DRAINING -> Listing.Readiness.LEAVING;
                     case GONE -> Listing.Readiness.GONE;
@@ -510,8 +587,12 @@
     private void hear(List<Registry.Entry> entries, boolean whole) {
         int to = life;
         Lane lane = lane(Way.toList(number));
-        travel(lane.passage(), () -> lane.back(() -> comes(() -> heard(entries, whole, to)),
-                () -> to == life && watching));
+        travel(
+                lane.passage(),
+                () ->
+                        lane.back(
+                                () -> comes(() -> heard(entries, whole, to)),
+                                () -> to == life && watching));
     }
 
     private void heard(List<Registry.Entry> entries, boolean whole, int to) {
@@ -544,11 +625,15 @@
 
     private void failed(double after) {
         int to = life;
-        world.timeline.after(after, () -> travel(() -> {
-            if (to == life) {
-                comes(() -> turn(brain::listFailed));
-            }
-        }));
+        world.timeline.after(
+                after,
+                () ->
+                        travel(
+                                () -> {
+                                    if (to == life) {
+                                        comes(() -> turn(brain::listFailed));
+                                    }
+                                }));
     }
 
     @Override
@@ -570,8 +655,11 @@
     @Override
     public void launch(Ids.Submission submission, Ids.Worker worker, double limit) {
         Exchange exchange = open.get(submission);
-        Flight flight = new Flight(exchange, exchange.launches.size(),
-                world.workers.get((int) worker.value()));
+        Flight flight =
+                new Flight(
+                        exchange,
+                        exchange.launches.size(),
+                        world.workers.get((int) worker.value()));
         exchange.launches.add(flight);
         flight.send();
     }
--- a/kit/src/main/java/wheelroute/kit/virtual/VirtualRun.java
+++ b/kit/src/main/java/wheelroute/kit/virtual/VirtualRun.java
@@ -22,19 +22,28 @@
 
 /** One run on the virtual clock. */
 public final class VirtualRun {
-    /** After the last ask has ended the world goes on for so long: what comes too late must be seen. */
+    /**
+     * After the last ask has ended the world goes on for so long: what comes too late must be seen.
+     */
     private static final double AFTERWARDS = 2;
+
     /** Ways that cross: a launch and an answer, each there and back. */
     private static final double CROSSINGS = 4;
+
     /** How often a run looks whether it is to stop. */
     private static final int LOOK = 4096;
 
-    private VirtualRun() {
-    }
+    private VirtualRun() {}
 
     /** Plays it to its end, or until it is told to stop. */
-    public static Report play(Scenario written, long seed, double seconds, Map<String, String> variant,
-            String variantName, Function<World, Brain.Maker> maker, BooleanSupplier stop)
+    public static Report play(
+            Scenario written,
+            long seed,
+            double seconds,
+            Map<String, String> variant,
+            String variantName,
+            Function<World, Brain.Maker> maker,
+            BooleanSupplier stop)
             throws ConfigException {
         Scenario scenario = Draw.drawn(written, seed);
         VirtualTime time = new VirtualTime();
@@ -47,9 +56,15 @@
         List<VirtualDispatcher> dispatchers = new ArrayList<>();
         Brain.Maker brains = maker.apply(world);
         for (int i = 0; i < scenario.dispatchers(); i++) {
-            dispatchers.add(new VirtualDispatcher(i, world, DaemonSettings.settings(
-                    chance.key(Chance.Of.BRAIN, i, 0), DaemonSettings.pairsOf(scenario, i, pairs)), brains,
-                    auditor));
+            dispatchers.add(
+                    new VirtualDispatcher(
+                            i,
+                            world,
+                            DaemonSettings.settings(
+                                    chance.key(Chance.Of.BRAIN, i, 0),
+                                    DaemonSettings.pairsOf(scenario, i, pairs)),
+                            brains,
+                            auditor));
         }
         Clients clients = new Clients(scenario, time, chance, seconds, door(dispatchers), recorder);
         dispatchers.forEach(dispatcher -> dispatcher.clients(clients));
@@ -66,9 +81,18 @@
             partial = ++steps % LOOK == 0 && stop.getAsBoolean();
         }
         auditor.finish();
-        Report.Run run = new Report.Run(scenario.name(), scenario.title(), "virtual", variantName, seed,
-                seconds, scenario.workers(), scenario.dispatchers());
-        return Report.of(run, recorder, auditor, world, Report.Lag.NONE, Report.Extra.NONE, partial);
+        Report.Run run =
+                new Report.Run(
+                        scenario.name(),
+                        scenario.title(),
+                        "virtual",
+                        variantName,
+                        seed,
+                        seconds,
+                        scenario.workers(),
+                        scenario.dispatchers());
+        return Report.of(
+                run, recorder, auditor, world, Report.Lag.NONE, Report.Extra.NONE, partial);
     }
 
     private static Clients.Door door(List<VirtualDispatcher> dispatchers) {
@@ -91,8 +115,10 @@
     }
 
     private static World.Dispatchers faults(World world, List<VirtualDispatcher> dispatchers) {
-        Links links = new Links((way, passage) -> dispatchers.get(way.dispatcher()).harmed(way, passage));
-        List<Scenario.WorkerGroup> groups = world.workers.stream().map(worker -> worker.group).toList();
+        Links links =
+                new Links((way, passage) -> dispatchers.get(way.dispatcher()).harmed(way, passage));
+        List<Scenario.WorkerGroup> groups =
+                world.workers.stream().map(worker -> worker.group).toList();
         return new World.Dispatchers() {
             @Override
             public void kill(int dispatcher) {
@@ -116,7 +142,10 @@
 
             @Override
             public void harm(Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
-                links.set(fault, begins, Way.of(fault, dispatcher, targets, dispatchers.size(), groups));
+                links.set(
+                        fault,
+                        begins,
+                        Way.of(fault, dispatcher, targets, dispatchers.size(), groups));
             }
         };
     }
--- a/kit/src/main/java/wheelroute/kit/virtual/VirtualTime.java
+++ b/kit/src/main/java/wheelroute/kit/virtual/VirtualTime.java
@@ -4,18 +4,25 @@
 import wheelroute.kit.world.Timeline;
 
 /**
- * Time that passes only from one task to the next. A run is little but this queue: so it is a heap of four
- * children a node over plain arrays, in which a step looks at neighbours and follows no pointers.
+ * Time that passes only from one task to the next. A run is little but this queue: so it is a heap
+ * of four children a node over plain arrays, in which a step looks at neighbours and follows no
+ * pointers.
  */
 public final class VirtualTime implements Timeline {
-    /** Any moment will do; the decisions must not meet times near 0, where "long ago" cannot be told. */
+    /**
+     * Any moment will do; the decisions must not meet times near 0, where "long ago" cannot be
+     * told.
+     */
     private static final double START = 1e6;
+
     private static final int CHILDREN = 4;
     private static final int FIRST_ROOM = 1024;
 
     private double[] due = new double[FIRST_ROOM];
+
     /** Tasks due together run in the order in which they were asked for. */
     private long[] numbers = new long[FIRST_ROOM];
+
     private Runnable[] tasks = new Runnable[FIRST_ROOM];
     private int size;
     private double now = START;
--- a/kit/src/main/java/wheelroute/kit/world/Ask.java
+++ b/kit/src/main/java/wheelroute/kit/world/Ask.java
@@ -11,8 +11,14 @@
  * @param hint the client's guess at it; NaN for none
  * @param leavesAfter the client hangs up after so long without an answer; infinite if it waits
  */
-public record Ask(int number, double at, Scenario.Offering offering, Scenario.Tenant tenant, double work,
-        double hint, double leavesAfter) {
+public record Ask(
+        int number,
+        double at,
+        Scenario.Offering offering,
+        Scenario.Tenant tenant,
+        double work,
+        double hint,
+        double leavesAfter) {
     /** An answer after this long is late. */
     public double quoted() {
         return offering.quoted() + offering.stretch() * work;
--- a/kit/src/main/java/wheelroute/kit/world/Chance.java
+++ b/kit/src/main/java/wheelroute/kit/world/Chance.java
@@ -3,18 +3,34 @@
 import java.util.SplittableRandom;
 
 /**
- * Chance by name: a draw depends on the seed, on what is drawn and for whom, and on nothing that happened
- * before. So both clocks, and any two builds, are asked the same questions, whatever they did in between.
+ * Chance by name: a draw depends on the seed, on what is drawn and for whom, and on nothing that
+ * happened before. So both clocks, and any two builds, are asked the same questions, whatever they
+ * did in between.
  */
 public final class Chance {
     /** What is drawn. The order is part of what a seed means: new ones go to the end. */
     public enum Of {
-        ARRIVAL, OFFERING, TENANT, WORK, HINT, RETRY, IMPATIENCE, DISPATCHER, FAILURE, NETWORK, FAULT, BRAIN,
-        SCHEDULE, LINK, CROWD, CLIENT
+        ARRIVAL,
+        OFFERING,
+        TENANT,
+        WORK,
+        HINT,
+        RETRY,
+        IMPATIENCE,
+        DISPATCHER,
+        FAILURE,
+        NETWORK,
+        FAULT,
+        BRAIN,
+        SCHEDULE,
+        LINK,
+        CROWD,
+        CLIENT
     }
 
     /** Two odd constants of splitmix64: keys that differ in one bit end far apart. */
     private static final long GOLDEN = 0x9e3779b97f4a7c15L;
+
     private static final long MIX = 0xbf58476d1ce4e5b9L;
 
     private final long seed;
--- a/kit/src/main/java/wheelroute/kit/world/Clients.java
+++ b/kit/src/main/java/wheelroute/kit/world/Clients.java
@@ -6,8 +6,8 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * The clients: they send what traffic says, wait, retry what may be retried, hang up, and remember how it
- * went.
+ * The clients: they send what traffic says, wait, retry what may be retried, hang up, and remember
+ * how it went.
  */
 public final class Clients implements Answers {
     /** Who finds no dispatcher tries the next one after this long. */
@@ -15,7 +15,10 @@
 
     /** How an ask ended for its client. */
     public enum Result {
-        IN_TIME, LATE, BOUNCED, SCRAPPED,
+        IN_TIME,
+        LATE,
+        BOUNCED,
+        SCRAPPED,
         /** No answer came before its time was up, or its connection was lost with no time left. */
         UNANSWERED,
         /** The client hung up before an answer; it counts for nobody. */
@@ -75,7 +78,12 @@
         }
     }
 
-    public Clients(Scenario scenario, Timeline timeline, Chance chance, double seconds, Door door,
+    public Clients(
+            Scenario scenario,
+            Timeline timeline,
+            Chance chance,
+            double seconds,
+            Door door,
             Observer observer) {
         this.scenario = scenario;
         this.timeline = timeline;
@@ -101,17 +109,20 @@
             allSent = true;
             return;
         }
-        timeline.after(Math.max(0, start + ask.at() - timeline.now()), () -> {
-            // Counted from when it was meant to go: a sender that lags must not flatter who answers.
-            State state = new State(ask, start + ask.at());
-            open.put(ask.number(), state);
-            observer.asked(ask);
-            send(state);
-            if (ask.leavesAfter() < ask.offering().outer()) {
-                timeline.after(ask.leavesAfter(), () -> leave(state));
-            }
-            sendNext();
-        });
+        timeline.after(
+                Math.max(0, start + ask.at() - timeline.now()),
+                () -> {
+                    // Counted from when it was meant to go: a sender that lags must not flatter who
+                    // answers.
+                    State state = new State(ask, start + ask.at());
+                    open.put(ask.number(), state);
+                    observer.asked(ask);
+                    send(state);
+                    if (ask.leavesAfter() < ask.offering().outer()) {
+                        timeline.after(ask.leavesAfter(), () -> leave(state));
+                    }
+                    sendNext();
+                });
     }
 
     private void send(State state) {
@@ -122,23 +133,29 @@
             retryOrFinish(state, Result.UNANSWERED, RECONNECT, true);
             return;
         }
-        Submitted submitted = new Submitted(state.ask, state.attempts++, dispatcher, timeline.now(), left);
+        Submitted submitted =
+                new Submitted(state.ask, state.attempts++, dispatcher, timeline.now(), left);
         state.out = submitted;
         observer.sent(submitted);
-        timeline.after(left, () -> {
-            if (state.out == submitted) {
-                state.out = null;
-                observer.gaveUp(submitted, false);
-                door.hangUp(submitted);
-                finish(state, Result.UNANSWERED);
-            }
-        });
+        timeline.after(
+                left,
+                () -> {
+                    if (state.out == submitted) {
+                        state.out = null;
+                        observer.gaveUp(submitted, false);
+                        door.hangUp(submitted);
+                        finish(state, Result.UNANSWERED);
+                    }
+                });
         door.submit(submitted);
     }
 
     private int dispatcherFor(State state) {
         int count = scenario.dispatchers();
-        int first = (int) (chance.once(Chance.Of.DISPATCHER, state.ask.number(), state.attempts) * count);
+        int first =
+                (int)
+                        (chance.once(Chance.Of.DISPATCHER, state.ask.number(), state.attempts)
+                                * count);
         for (int i = 0; i < count; i++) {
             if (door.isOpen((first + i) % count)) {
                 return (first + i) % count;
@@ -170,11 +187,19 @@
         }
         state.out = null;
         switch (answer) {
-            case FULFILLED -> finish(state, timeline.now() - state.firstSent <= state.ask.quoted()
-                    ? Result.IN_TIME : Result.LATE);
+            case FULFILLED ->
+                    finish(
+                            state,
+                            timeline.now() - state.firstSent <= state.ask.quoted()
+                                    ? Result.IN_TIME
+                                    : Result.LATE);
             // What may have run is asked for again only where a repeat does no harm.
-            case SCRAPPED -> retryOrFinish(state, Result.SCRAPPED, 0,
-                    state.ask.offering().effect() == Effect.IDEMPOTENT);
+            case SCRAPPED ->
+                    retryOrFinish(
+                            state,
+                            Result.SCRAPPED,
+                            0,
+                            state.ask.offering().effect() == Effect.IDEMPOTENT);
             case BOUNCED -> retryOrFinish(state, Result.BOUNCED, retryAfter, true);
         }
     }
@@ -199,23 +224,27 @@
         }
         state.out = null;
         observer.cutOff(submitted);
-        retryOrFinish(state, Result.UNANSWERED, 0, state.ask.offering().effect() == Effect.IDEMPOTENT);
+        retryOrFinish(
+                state, Result.UNANSWERED, 0, state.ask.offering().effect() == Effect.IDEMPOTENT);
     }
 
     private void retryOrFinish(State state, Result result, double notBefore, boolean mayRetry) {
         double spread = 1 + chance.once(Chance.Of.RETRY, state.ask.number(), state.attempts);
         double wait = Math.max(notBefore, scenario.clients().pause() * spread);
         double left = state.firstSent + state.ask.offering().outer() - timeline.now() - wait;
-        if (!mayRetry || state.attempts > scenario.clients().retries()
+        if (!mayRetry
+                || state.attempts > scenario.clients().retries()
                 || left < scenario.clients().leastWait()) {
             finish(state, result);
             return;
         }
-        timeline.after(wait, () -> {
-            if (open.get(state.ask.number()) == state) {
-                send(state);
-            }
-        });
+        timeline.after(
+                wait,
+                () -> {
+                    if (open.get(state.ask.number()) == state) {
+                        send(state);
+                    }
+                });
     }
 
     private void finish(State state, Result result) {
--- a/kit/src/main/java/wheelroute/kit/world/Ending.java
+++ b/kit/src/main/java/wheelroute/kit/world/Ending.java
@@ -2,7 +2,8 @@
 
 /** How a worker ends a launch. */
 public enum Ending {
-    DONE, FAILED,
+    DONE,
+    FAILED,
     /** Handed back before it was begun. */
     RETURNED,
     /** Not taken: its queue or its memory is full. */
--- a/kit/src/main/java/wheelroute/kit/world/Launch.java
+++ b/kit/src/main/java/wheelroute/kit/world/Launch.java
@@ -24,6 +24,7 @@
     private Object mark;
     boolean ended;
     boolean dropped;
+
     /** Something it should have been told was not. */
     boolean kept;
 
@@ -36,7 +37,10 @@
         remaining = work;
     }
 
-    /** What its witness remembers of it: a table by launch would cost a look-up at each of its events. */
+    /**
+     * What its witness remembers of it: a table by launch would cost a look-up at each of its
+     * events.
+     */
     public Object mark() {
         return mark;
     }
--- a/kit/src/main/java/wheelroute/kit/world/Registry.java
+++ b/kit/src/main/java/wheelroute/kit/world/Registry.java
@@ -14,20 +14,23 @@
 
     /** A worker's state in the list's eyes. */
     public enum State {
-        READY, DRAINING, GONE
+        READY,
+        DRAINING,
+        GONE
     }
 
     /** One line of the list; startedAt is NaN for long ago. */
-    public record Entry(WorkerModel worker, State state, double startedAt, long version) {
-    }
+    public record Entry(WorkerModel worker, State state, double startedAt, long version) {}
 
     private final Timeline timeline;
     private final double lag;
     private final Map<Integer, Entry> entries = new LinkedHashMap<>();
     private final List<Consumer<Entry>> watchers = new ArrayList<>();
     private final List<Runnable> outages = new ArrayList<>();
+
     /** The number of the last word on each worker that has reached the list. */
     private final Map<Integer, Long> heard = new HashMap<>();
+
     private long words;
     private long version;
     private double extraLag;
@@ -44,15 +47,18 @@
 
     void tell(WorkerModel worker, State state, double startedAt) {
         long word = ++words;
-        timeline.after(lag + extraLag, () -> {
-            // One that is overtaken by a later word, as the lag changes, must not bring the past back.
-            if (word > heard.getOrDefault(worker.number, 0L)) {
-                heard.put(worker.number, word);
-                Entry entry = new Entry(worker, state, startedAt, ++version);
-                entries.put(worker.number, entry);
-                new ArrayList<>(watchers).forEach(watcher -> watcher.accept(entry));
-            }
-        });
+        timeline.after(
+                lag + extraLag,
+                () -> {
+                    // One that is overtaken by a later word, as the lag changes, must not bring the
+                    // past back.
+                    if (word > heard.getOrDefault(worker.number, 0L)) {
+                        heard.put(worker.number, word);
+                        Entry entry = new Entry(worker, state, startedAt, ++version);
+                        entries.put(worker.number, entry);
+                        new ArrayList<>(watchers).forEach(watcher -> watcher.accept(entry));
+                    }
+                });
     }
 
     /** Every change from now on; what was is in {@link #entries}. */
--- a/kit/src/main/java/wheelroute/kit/world/Timeline.java
+++ b/kit/src/main/java/wheelroute/kit/world/Timeline.java
@@ -4,6 +4,9 @@
 public interface Timeline {
     double now();
 
-    /** Once, after so long; tasks that are due together run in the order in which they were asked for. */
+    /**
+     * Once, after so long; tasks that are due together run in the order in which they were asked
+     * for.
+     */
     void after(double delay, Runnable task);
 }
--- a/kit/src/main/java/wheelroute/kit/world/Traffic.java
+++ b/kit/src/main/java/wheelroute/kit/world/Traffic.java
@@ -4,7 +4,9 @@
 import java.util.SplittableRandom;
 import wheelroute.kit.scenario.Scenario;
 
-/** The asks of a run, by the seed alone: a Poisson stream whose rate follows the scenario's load. */
+/**
+ * The asks of a run, by the seed alone: a Poisson stream whose rate follows the scenario's load.
+ */
 public final class Traffic {
     private final Scenario scenario;
     private final Chance chance;
@@ -21,9 +23,13 @@
         this.chance = chance;
         this.seconds = seconds;
         mostRate = scenario.load().stream().mapToDouble(Scenario.LoadPoint::rate).max().orElse(0);
-        offeringShares = summed(scenario.offerings().stream().mapToDouble(Scenario.Offering::share)
-                .toArray());
-        tenantShares = summed(scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray());
+        offeringShares =
+                summed(
+                        scenario.offerings().stream()
+                                .mapToDouble(Scenario.Offering::share)
+                                .toArray());
+        tenantShares =
+                summed(scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray());
     }
 
     /** The next ask, or null when the run's time is over. */
@@ -34,7 +40,8 @@
             if (time >= seconds) {
                 return null;
             }
-            // Thinned: the stream of the highest rate, of which as much is kept as the rate of the moment
+            // Thinned: the stream of the highest rate, of which as much is kept as the rate of the
+            // moment
             // says.
             if (random.nextDouble() * mostRate < rateAt(time)) {
                 return ask(asks++);
@@ -44,15 +51,26 @@
     }
 
     private Ask ask(int number) {
-        Scenario.Offering offering = scenario.offerings().get(
-                index(offeringShares, chance.once(Chance.Of.OFFERING, number, 0)));
-        Scenario.Tenant tenant = scenario.tenants().isEmpty() ? Scenario.Tenant.NONE : scenario.tenants().get(
-                index(tenantShares, chance.once(Chance.Of.TENANT, number, 0)));
-        double work = Math.max(Scenario.LEAST_WORK, offering.work()
-                * Chance.lognormal(chance.of(Chance.Of.WORK, number, 0), offering.spread()));
+        Scenario.Offering offering =
+                scenario.offerings()
+                        .get(index(offeringShares, chance.once(Chance.Of.OFFERING, number, 0)));
+        Scenario.Tenant tenant =
+                scenario.tenants().isEmpty()
+                        ? Scenario.Tenant.NONE
+                        : scenario.tenants()
+                                .get(index(tenantShares, chance.once(Chance.Of.TENANT, number, 0)));
+        double work =
+                Math.max(
+                        Scenario.LEAST_WORK,
+                        offering.work()
+                                * Chance.lognormal(
+                                        chance.of(Chance.Of.WORK, number, 0), offering.spread()));
         double hint = Double.NaN;
         if (offering.hintError() >= 0) {
-            hint = work * Chance.lognormal(chance.of(Chance.Of.HINT, number, 0), offering.hintError());
+            hint =
+                    work
+                            * Chance.lognormal(
+                                    chance.of(Chance.Of.HINT, number, 0), offering.hintError());
         }
         double leaves = Double.POSITIVE_INFINITY;
         SplittableRandom impatience = chance.of(Chance.Of.IMPATIENCE, number, 0);
@@ -69,8 +87,10 @@
         Scenario.LoadPoint before = points.get(0);
         for (Scenario.LoadPoint point : points) {
             if (point.at() > within) {
-                double part = point.at() > before.at()
-                        ? Math.max(0, within - before.at()) / (point.at() - before.at()) : 0;
+                double part =
+                        point.at() > before.at()
+                                ? Math.max(0, within - before.at()) / (point.at() - before.at())
+                                : 0;
                 return before.rate() + part * (point.rate() - before.rate());
             }
             before = point;
--- a/kit/src/main/java/wheelroute/kit/world/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/world/WorkerModel.java
@@ -6,12 +6,13 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * One worker: slots served from one queue in order, at a speed that faults and warmth change. A job runs at
- * the warmth of its start; slow-downs and stalls change the pace of what runs already.
+ * One worker: slots served from one queue in order, at a speed that faults and warmth change. A job
+ * runs at the warmth of its start; slow-downs and stalls change the pace of what runs already.
  */
 public final class WorkerModel {
     /** An error comes at once: so long after the launch. */
     private static final double ERROR_TIME = 0.002;
+
     /** A worker that fell over is back after so long. */
     private static final double FALL = 3;
 
@@ -32,8 +33,10 @@
     private final Witness witness;
     private final ArrayDeque<Launch> waiting = new ArrayDeque<>();
     private final List<Launch> running = new ArrayList<>();
+
     /** Those who were not told something: broken off when the worker can speak again. */
     private final List<Launch> untold = new ArrayList<>();
+
     private final ArrayDeque<double[]> cameCold = new ArrayDeque<>();
     private final ArrayDeque<double[]> freeBefore = new ArrayDeque<>();
     private Door door;
@@ -49,8 +52,15 @@
     private double reportDelay;
     private int lives;
 
-    WorkerModel(int number, String name, Scenario.WorkerGroup group, Timeline timeline, Scenario.Terms terms,
-            Chance chance, Registry registry, Witness witness) {
+    WorkerModel(
+            int number,
+            String name,
+            Scenario.WorkerGroup group,
+            Timeline timeline,
+            Scenario.Terms terms,
+            Chance chance,
+            Registry registry,
+            Witness witness) {
         this.number = number;
         this.name = name;
         this.group = group;
@@ -85,20 +95,24 @@
             end(launch, Ending.BROKEN);
             crash();
             int life = lives;
-            timeline.after(FALL, () -> {
-                if (life == lives) {
-                    start();
-                }
-            });
+            timeline.after(
+                    FALL,
+                    () -> {
+                        if (life == lives) {
+                            start();
+                        }
+                    });
             return;
         }
         if (failing > 0 && chance.once(Chance.Of.FAILURE, launch.submission, number) < failing) {
             int life = lives;
-            timeline.after(ERROR_TIME, () -> {
-                if (life == lives && !launch.ended) {
-                    end(launch, Ending.FAILED);
-                }
-            });
+            timeline.after(
+                    ERROR_TIME,
+                    () -> {
+                        if (life == lives && !launch.ended) {
+                            end(launch, Ending.FAILED);
+                        }
+                    });
             return;
         }
         if (waiting.size() >= group.queue() && !mayBegin(launch)
@@ -111,7 +125,10 @@
         beginNext();
     }
 
-    /** Its connection was closed by the other side: what waits is forgotten, what runs goes on unheard. */
+    /**
+     * Its connection was closed by the other side: what waits is forgotten, what runs goes on
+     * unheard.
+     */
     public void dropped(Launch launch) {
         launch.dropped = true;
         if (!launch.ended && waiting.remove(launch)) {
@@ -124,7 +141,8 @@
     // ---- its work
 
     private boolean mayBegin(Launch launch) {
-        return waiting.isEmpty() && slotsInUse + Math.min(launch.slots, group.slots()) <= group.slots();
+        return waiting.isEmpty()
+                && slotsInUse + Math.min(launch.slots, group.slots()) <= group.slots();
     }
 
     private void beginNext() {
@@ -161,11 +179,13 @@
         double pace = pace();
         int plan = ++launch.plan;
         if (pace > 0) {
-            timeline.after(launch.remaining / pace, () -> {
-                if (plan == launch.plan && !launch.ended) {
-                    finish(launch);
-                }
-            });
+            timeline.after(
+                    launch.remaining / pace,
+                    () -> {
+                        if (plan == launch.plan && !launch.ended) {
+                            finish(launch);
+                        }
+                    });
         }
     }
 
@@ -179,13 +199,19 @@
     }
 
     private void progress(Launch launch, double whole) {
-        timeline.after(terms.progressEvery(), () -> {
-            if (!launch.ended && !launch.dropped) {
-                double left = Math.max(0, launch.remaining - (timeline.now() - launch.since) * pace());
-                speak(launch, () -> launch.reply.progressed(1 - left / whole));
-                progress(launch, whole);
-            }
-        });
+        timeline.after(
+                terms.progressEvery(),
+                () -> {
+                    if (!launch.ended && !launch.dropped) {
+                        double left =
+                                Math.max(
+                                        0,
+                                        launch.remaining
+                                                - (timeline.now() - launch.since) * pace());
+                        speak(launch, () -> launch.reply.progressed(1 - left / whole));
+                        progress(launch, whole);
+                    }
+                });
     }
 
     /** What runs goes on at the new pace. */
@@ -262,7 +288,8 @@
             cameCold.pollFirst();
         }
         double sum = cameCold.stream().mapToDouble(entry -> entry[1]).sum();
-        double most = group.tipMultiple() * warm * group.speed() * group.slots() * group.tipWindow();
+        double most =
+                group.tipMultiple() * warm * group.speed() * group.slots() * group.tipWindow();
         if (group.tipRequest() > 0) {
             most += (2 * Math.sqrt(most / group.tipRequest()) + 2) * group.tipRequest();
         }
--- a/kit/src/main/java/wheelroute/kit/world/World.java
+++ b/kit/src/main/java/wheelroute/kit/world/World.java
@@ -16,7 +16,9 @@
     /** Draws of moments lie far from those of targets, which are numbered from 0. */
     private static final long MOMENT = -1;
 
-    /** Who can end a dispatcher and start it again, and do more to real processes and their ways. */
+    /**
+     * Who can end a dispatcher and start it again, and do more to real processes and their ways.
+     */
     public interface Dispatchers {
         void kill(int dispatcher);
 
@@ -29,7 +31,10 @@
             throw new IllegalStateException("no process stands still here");
         }
 
-        /** The ways of a dispatcher that the fault is about are harmed, or heal; targets are all it meets. */
+        /**
+         * The ways of a dispatcher that the fault is about are harmed, or heal; targets are all it
+         * meets.
+         */
         default void harm(Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
             throw new IllegalStateException("no ways are harmed here");
         }
@@ -51,8 +56,7 @@
     }
 
     /** A fault with its time in the run and those it meets. */
-    public record Happening(Scenario.Fault fault, double from, double to, int[] targets) {
-    }
+    public record Happening(Scenario.Fault fault, double from, double to, int[] targets) {}
 
     public final Scenario scenario;
     public final Timeline timeline;
@@ -60,22 +64,34 @@
     public final Registry registry;
     public final List<WorkerModel> workers = new ArrayList<>();
     public final List<Happening> happenings;
+
     /**
-     * By dispatcher, the faults that keep it down, or still: it is up again when the last of them is over.
+     * By dispatcher, the faults that keep it down, or still: it is up again when the last of them
+     * is over.
      */
     private final Map<Integer, Set<Happening>> downs = new HashMap<>();
+
     private final Map<Integer, Set<Happening>> pauses = new HashMap<>();
     private final Map<Integer, Set<Happening>> hungers = new HashMap<>();
 
-    public World(Scenario scenario, Timeline timeline, Chance chance, double seconds, Witness witness) {
+    public World(
+            Scenario scenario, Timeline timeline, Chance chance, double seconds, Witness witness) {
         this.scenario = scenario;
         this.timeline = timeline;
         this.chance = chance;
         registry = new Registry(timeline, scenario.terms().listLag());
         for (Scenario.WorkerGroup group : scenario.groups()) {
             for (int i = 0; i < group.count(); i++) {
-                WorkerModel worker = new WorkerModel(workers.size(), group.name() + "-" + i, group, timeline,
-                        scenario.terms(), chance, registry, witness);
+                WorkerModel worker =
+                        new WorkerModel(
+                                workers.size(),
+                                group.name() + "-" + i,
+                                group,
+                                timeline,
+                                scenario.terms(),
+                                chance,
+                                registry,
+                                witness);
                 workers.add(worker);
                 registry.add(worker);
             }
@@ -97,8 +113,13 @@
                 } else {
                     // A moment of its own for each, which depends on the seed alone.
                     for (int target : targets) {
-                        double at = from + fault.within() * chance.once(Chance.Of.FAULT,
-                                fault.pick() * 1000L + cycle, MOMENT - target);
+                        double at =
+                                from
+                                        + fault.within()
+                                                * chance.once(
+                                                        Chance.Of.FAULT,
+                                                        fault.pick() * 1000L + cycle,
+                                                        MOMENT - target);
                         all.add(new Happening(fault, at, at + fault.length(), new int[] {target}));
                     }
                 }
@@ -108,7 +129,9 @@
         return all;
     }
 
-    /** The first so many of an order that chance makes anew each cycle, but the same for one pick. */
+    /**
+     * The first so many of an order that chance makes anew each cycle, but the same for one pick.
+     */
     private int[] targets(Scenario.Fault fault, int cycle) {
         List<Integer> open = new ArrayList<>();
         if (fault.kind().isAboutDispatchers()) {
@@ -145,23 +168,50 @@
             case LIST_LATE -> registry.later(begins ? fault.level() : -fault.level());
             case DEPLOY -> deploy(happening);
             case DISPATCHER_KILL, DISPATCHER_RESTART ->
-                each(happening, dispatcher -> down(happening, dispatcher, begins, dispatchers));
+                    each(happening, dispatcher -> down(happening, dispatcher, begins, dispatchers));
             case DISPATCHER_PAUSE ->
-                each(happening, dispatcher -> still(happening, dispatcher, begins, dispatchers));
+                    each(
+                            happening,
+                            dispatcher -> still(happening, dispatcher, begins, dispatchers));
             case DISPATCHER_STARVE ->
-                each(happening, dispatcher -> hungry(happening, dispatcher, begins, dispatchers));
-            case DISPATCHER_REPLACE -> each(happening, dispatcher -> {
-                if (begins) {
-                    dispatchers.replace(dispatcher, fault.how(), fault.length());
-                }
-            });
-            case CROWD -> each(happening, dispatcher -> dispatchers.crowd(dispatcher,
-                    (begins ? 1 : -1) * fault.level() / happening.targets().length));
-            case LINK_CUT, LINK_REFUSE, LINK_ONE_WAY, LINK_UNHEARD, LINK_SLOW, LINK_LOSS, LINK_TRICKLE,
-                LINK_DOUBLE, LIST_CUT -> each(happening, dispatcher -> dispatchers.harm(fault, dispatcher,
-                    happening.targets(), begins));
-            default -> Arrays.stream(happening.targets()).mapToObj(workers::get)
-                    .forEach(worker -> set(worker, fault, begins));
+                    each(
+                            happening,
+                            dispatcher -> hungry(happening, dispatcher, begins, dispatchers));
+            case DISPATCHER_REPLACE ->
+                    each(
+                            happening,
+                            dispatcher -> {
+                                if (begins) {
+                                    dispatchers.replace(dispatcher, fault.how(), fault.length());
+                                }
+                            });
+            case CROWD ->
+                    each(
+                            happening,
+                            dispatcher ->
+                                    dispatchers.crowd(
+                                            dispatcher,
+                                            (begins ? 1 : -1)
+                                                    * fault.level()
+                                                    / happening.targets().length));
+            case LINK_CUT,
+                    LINK_REFUSE,
+                    LINK_ONE_WAY,
+                    LINK_UNHEARD,
+                    LINK_SLOW,
+                    LINK_LOSS,
+                    LINK_TRICKLE,
+                    LINK_DOUBLE,
+                    LIST_CUT ->
+                    each(
+                            happening,
+                            dispatcher ->
+                                    dispatchers.harm(
+                                            fault, dispatcher, happening.targets(), begins));
+            default ->
+                    Arrays.stream(happening.targets())
+                            .mapToObj(workers::get)
+                            .forEach(worker -> set(worker, fault, begins));
         }
     }
 
@@ -173,7 +223,8 @@
         return faults.computeIfAbsent(dispatcher, d -> new LinkedHashSet<>());
     }
 
-    private void down(Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
+    private void down(
+            Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
         Set<Happening> all = of(downs, dispatcher);
         if (begins) {
             boolean first = all.isEmpty();
@@ -191,7 +242,8 @@
         }
     }
 
-    private void still(Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
+    private void still(
+            Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
         Set<Happening> all = of(pauses, dispatcher);
         // One that is down cannot stand still, nor does the next one at its start.
         if (begins && of(downs, dispatcher).isEmpty()) {
@@ -204,14 +256,16 @@
         }
     }
 
-    private void hungry(Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
+    private void hungry(
+            Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
         Set<Happening> all = of(hungers, dispatcher);
         if (begins) {
             all.add(happening);
         } else {
             all.remove(happening);
         }
-        dispatchers.starve(dispatcher, all.stream().mapToDouble(h -> h.fault().level()).min().orElse(1));
+        dispatchers.starve(
+                dispatcher, all.stream().mapToDouble(h -> h.fault().level()).min().orElse(1));
     }
 
     private static void set(WorkerModel worker, Scenario.Fault fault, boolean begins) {
@@ -241,7 +295,10 @@
         }
     }
 
-    /** One group after the other, each of so many workers as the level says, in equal parts of the length. */
+    /**
+     * One group after the other, each of so many workers as the level says, in equal parts of the
+     * length.
+     */
     private void deploy(Happening happening) {
         int atOnce = (int) Math.max(1, Math.round(happening.fault().level()));
         int[] targets = happening.targets();
--- a/kit/src/main/java/wheelroute/kit/world/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/world/package-info.java
@@ -1,2 +1,5 @@
-/** What a dispatcher serves, as a model: workers, list, clients, faults. No I/O, no clock, no thread. */
+/**
+ * What a dispatcher serves, as a model: workers, list, clients, faults. No I/O, no clock, no
+ * thread.
+ */
 package wheelroute.kit.world;
--- a/kit/src/test/java/wheelroute/kit/Small.java
+++ b/kit/src/test/java/wheelroute/kit/Small.java
@@ -7,7 +7,8 @@
 /** Small scenarios to vary. */
 public final class Small {
     /** Two groups of workers in two zones, three offerings, a steady load. */
-    public static final String TEXT = """
+    public static final String TEXT =
+            """
             [run]
             seconds = 5
             cycle = 5
@@ -46,8 +47,7 @@
             rate = 40
             """;
 
-    private Small() {
-    }
+    private Small() {}
 
     public static Scenario scenario(String more) {
         return scenario(more, 1);
@@ -60,7 +60,8 @@
     /** The same, with more of the table of the run. */
     public static Scenario scenario(String more, int dispatchers, String run) {
         try {
-            String text = TEXT.replace("dispatchers = 1", "dispatchers = " + dispatchers + "\n" + run);
+            String text =
+                    TEXT.replace("dispatchers = 1", "dispatchers = " + dispatchers + "\n" + run);
             return ScenarioReader.read("small", text + more);
         } catch (ScenarioException e) {
             throw new IllegalArgumentException(e);
--- a/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
@@ -23,7 +23,8 @@
 import wheelroute.kit.world.World;
 
 /**
- * Dispatchers that break a rule on purpose, each in one way: every one is caught, and an honest one is not.
+ * Dispatchers that break a rule on purpose, each in one way: every one is caught, and an honest one
+ * is not.
  */
 public class AuditorTest {
     private static final double SLACK = 0.01;
@@ -44,8 +45,11 @@
             scenario = Small.scenario(more);
             auditor = new Auditor(scenario, time, SLACK);
             world = new World(scenario, time, new Chance(1), 5, auditor);
-            Scenario.Offering of = scenario.offerings().stream().filter(o -> o.name().equals(offering))
-                    .findFirst().orElseThrow();
+            Scenario.Offering of =
+                    scenario.offerings().stream()
+                            .filter(o -> o.name().equals(offering))
+                            .findFirst()
+                            .orElseThrow();
             Ask ask = new Ask(0, 0, of, Scenario.Tenant.NONE, 0.05, 0.05, Double.POSITIVE_INFINITY);
             submitted = new Submitted(ask, 0, 0, time.now(), of.outer());
             auditor.sent(submitted);
@@ -56,22 +60,28 @@
         }
 
         Launch launch(int worker, double work) {
-            Launch launch = new Launch(submitted.key(), work, 1, 0, new Launch.Reply() {
-                @Override
-                public void started() {
-                    // Of no interest here.
-                }
+            Launch launch =
+                    new Launch(
+                            submitted.key(),
+                            work,
+                            1,
+                            0,
+                            new Launch.Reply() {
+                                @Override
+                                public void started() {
+                                    // Of no interest here.
+                                }
 
-                @Override
-                public void progressed(double share) {
-                    // Of no interest here.
-                }
+                                @Override
+                                public void progressed(double share) {
+                                    // Of no interest here.
+                                }
 
-                @Override
-                public void ended(Ending ending, double freeSlots) {
-                    endings.add(ending);
-                }
-            });
+                                @Override
+                                public void ended(Ending ending, double freeSlots) {
+                                    endings.add(ending);
+                                }
+                            });
             world.workers.get(worker).arrive(launch);
             return launch;
         }
@@ -90,15 +100,16 @@
         }
     }
 
-    private record Rogue(String name, Rule rule, String offering, String more, Consumer<Play> does) {
+    private record Rogue(
+            String name, Rule rule, String offering, String more, Consumer<Play> does) {
         @Override
         public String toString() {
             return name;
         }
     }
 
-    private static Rogue rogue(String name, Rule rule, String offering, String more,
-            Consumer<Play> does) {
+    private static Rogue rogue(
+            String name, Rule rule, String offering, String more, Consumer<Play> does) {
         return new Rogue(name, rule, offering, more, does);
     }
 
@@ -113,60 +124,119 @@
     @DataProvider
     public Object[][] rogues() {
         Rogue[] all = {
-            rogue("answers twice", Rule.ONE_ANSWER, "free", "", p -> {
-                p.answer(Answer.BOUNCED);
-                p.answer(Answer.SCRAPPED);
-            }),
-            rogue("stands still, and launches too late as it goes on", Rule.ONE_ANSWER, "free", "", p -> {
-                p.pass(0.03);
-                p.auditor.dispatcherPaused(0);
-                p.pass(2.3);
-                p.auditor.gaveUp(p.submitted, false);
-                p.auditor.dispatcherWoke(0);
-                p.launch(NEAR);
-            }),
-            rogue("stands still, and forgets what it was told before", Rule.NO_LATE_LAUNCH, "free", "", p -> {
-                p.auditor.told(0, NEAR, Registry.State.DRAINING);
-                p.pass(1.5);
-                p.auditor.dispatcherPaused(0);
-                p.pass(0.7);
-                p.auditor.dispatcherWoke(0);
-                p.launch(NEAR);
-            }),
-            rogue("goes on, and learns nothing", Rule.NO_LATE_LAUNCH, "free", "", p -> {
-                p.auditor.dispatcherPaused(0);
-                p.auditor.told(0, NEAR, Registry.State.DRAINING);
-                p.auditor.dispatcherWoke(0);
-                p.pass(2.2);
-                p.launch(NEAR);
-            }),
-            rogue("never answers", Rule.ONE_ANSWER, "free", "", p -> {
-                p.pass(2.001);
-                p.auditor.gaveUp(p.submitted, false);
-            }),
+            rogue(
+                    "answers twice",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> {
+                        p.answer(Answer.BOUNCED);
+                        p.answer(Answer.SCRAPPED);
+                    }),
+            rogue(
+                    "stands still, and launches too late as it goes on",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> {
+                        p.pass(0.03);
+                        p.auditor.dispatcherPaused(0);
+                        p.pass(2.3);
+                        p.auditor.gaveUp(p.submitted, false);
+                        p.auditor.dispatcherWoke(0);
+                        p.launch(NEAR);
+                    }),
+            rogue(
+                    "stands still, and forgets what it was told before",
+                    Rule.NO_LATE_LAUNCH,
+                    "free",
+                    "",
+                    p -> {
+                        p.auditor.told(0, NEAR, Registry.State.DRAINING);
+                        p.pass(1.5);
+                        p.auditor.dispatcherPaused(0);
+                        p.pass(0.7);
+                        p.auditor.dispatcherWoke(0);
+                        p.launch(NEAR);
+                    }),
+            rogue(
+                    "goes on, and learns nothing",
+                    Rule.NO_LATE_LAUNCH,
+                    "free",
+                    "",
+                    p -> {
+                        p.auditor.dispatcherPaused(0);
+                        p.auditor.told(0, NEAR, Registry.State.DRAINING);
+                        p.auditor.dispatcherWoke(0);
+                        p.pass(2.2);
+                        p.launch(NEAR);
+                    }),
+            rogue(
+                    "never answers",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> {
+                        p.pass(2.001);
+                        p.auditor.gaveUp(p.submitted, false);
+                    }),
             rogue("never answers, and nobody waits", Rule.ONE_ANSWER, "free", "", p -> p.pass(2.1)),
-            rogue("answers late", Rule.ONE_ANSWER, "free", "", p -> {
-                p.pass(2.1);
-                p.answer(Answer.BOUNCED);
-            }),
-            rogue("makes a result up", Rule.ONE_ANSWER, "free", "", p -> p.answer(Answer.FULFILLED)),
-            rogue("drops the connection", Rule.ONE_ANSWER, "free", "", p -> p.auditor.cutOff(p.submitted)),
-            rogue("launches after the answer", Rule.ONE_ANSWER, "free", "", p -> {
-                p.answer(Answer.BOUNCED);
-                p.pass(0.1);
-                p.launch(NEAR);
-            }),
-            rogue("launches after the outer limit", Rule.ONE_ANSWER, "free", "", p -> {
-                p.pass(2.5);
-                p.launch(NEAR);
-            }),
-            rogue("launches for a client that left while it waited", Rule.ONE_ANSWER, "free", "", p -> {
-                p.pass(0.1);
-                p.auditor.gaveUp(p.submitted, true);
-                p.pass(0.32);
-                p.launch(NEAR);
-            }),
-            rogue("stands still, and launches for a client that left meanwhile", Rule.ONE_ANSWER, "free", "",
+            rogue(
+                    "answers late",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> {
+                        p.pass(2.1);
+                        p.answer(Answer.BOUNCED);
+                    }),
+            rogue(
+                    "makes a result up",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> p.answer(Answer.FULFILLED)),
+            rogue(
+                    "drops the connection",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> p.auditor.cutOff(p.submitted)),
+            rogue(
+                    "launches after the answer",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> {
+                        p.answer(Answer.BOUNCED);
+                        p.pass(0.1);
+                        p.launch(NEAR);
+                    }),
+            rogue(
+                    "launches after the outer limit",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> {
+                        p.pass(2.5);
+                        p.launch(NEAR);
+                    }),
+            rogue(
+                    "launches for a client that left while it waited",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> {
+                        p.pass(0.1);
+                        p.auditor.gaveUp(p.submitted, true);
+                        p.pass(0.32);
+                        p.launch(NEAR);
+                    }),
+            rogue(
+                    "stands still, and launches for a client that left meanwhile",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
                     p -> {
                         p.pass(0.1);
                         p.auditor.dispatcherPaused(0);
@@ -175,98 +245,184 @@
                         p.auditor.dispatcherWoke(0);
                         p.launch(NEAR);
                     }),
-            rogue("launches the unrepeatable again", Rule.NO_EFFECT_TWICE, "once", ERRS, p -> {
-                begin(p);
-                p.launch(NEAR);
-                p.pass(0.1);
-                p.launch(FAR);
-            }),
-            rogue("has its effect twice", Rule.NO_EFFECT_TWICE, "once", "", p -> {
-                p.launch(NEAR);
-                p.pass(0.1);
-                p.launch(ALSO_NEAR);
-            }),
-            rogue("bounces what may have run", Rule.NO_EFFECT_TWICE, "once", ERRS, p -> {
-                begin(p);
-                p.launch(NEAR);
-                p.pass(0.1);
-                p.answer(Answer.BOUNCED);
-            }),
-            rogue("bounces what a zone alone would know", Rule.NO_EFFECT_TWICE, "keyed", ERRS, p -> {
-                begin(p);
-                p.launch(NEAR);
-                p.pass(0.1);
-                p.answer(Answer.BOUNCED);
-            }),
-            rogue("repeats outside the group", Rule.NO_EFFECT_TWICE, "keyed", ERRS, p -> {
-                begin(p);
-                p.launch(NEAR);
-                p.pass(0.1);
-                p.launch(FAR);
-            }),
-            rogue("repeats after the window", Rule.NO_EFFECT_TWICE, "keyed", ERRS, p -> {
-                begin(p);
-                p.launch(NEAR);
-                p.pass(1.2);
-                p.launch(ALSO_NEAR);
-            }),
-            rogue("copies where that is forbidden", Rule.NO_EFFECT_TWICE, "free", NO_COPY, p -> {
-                p.launch(NEAR, 1);
-                p.pass(0.1);
-                p.launch(ALSO_NEAR);
-                p.pass(0.1);
-            }),
-            rogue("launches to one told draining", Rule.NO_LATE_LAUNCH, "free", "", p -> {
-                p.auditor.told(0, NEAR, Registry.State.DRAINING);
-                // The grace is 2 s and the outer limit as long: one that waits longer is needed.
-                Submitted later = later(p, 2.1);
-                p.auditor.sent(later);
-                p.world.workers.get(NEAR).arrive(new Launch(later.key(), 0.05, 1, 0, NOBODY));
-            }),
-            rogue("launches to one told gone", Rule.NO_LATE_LAUNCH, "free", "", p -> {
-                p.auditor.told(0, FAR, Registry.State.GONE);
-                Submitted later = later(p, 2.1);
-                p.auditor.sent(later);
-                p.world.workers.get(FAR).arrive(new Launch(later.key(), 0.05, 1, 0, NOBODY));
-            }),
-            rogue("ends, and nobody told it to", Rule.STAYS_UP, "free", "", p -> p.auditor.crashed(0, "")),
-            rogue("drops one when its other process is long gone", Rule.ONE_ANSWER, "free", "", p -> {
-                p.auditor.dispatcherHalved(0, true);
-                p.auditor.dispatcherHalved(0, false);
-                Submitted next = later(p, 0.1);
-                p.auditor.sent(next);
-                p.auditor.cutOff(next);
-            }),
-            rogue("launches later than its slow way explains", Rule.ONE_ANSWER, "free", "", p -> {
-                p.auditor.wayLater(0, NEAR, 1);
-                p.answer(Answer.BOUNCED);
-                p.pass(1.2);
-                p.launch(NEAR);
-            }),
-            rogue("launches late on a way that was slow long ago", Rule.ONE_ANSWER, "free", "", p -> {
-                p.auditor.wayLater(0, NEAR, 0.4);
-                p.auditor.wayLater(0, NEAR, 0);
-                p.pass(1);
-                p.answer(Answer.BOUNCED);
-                p.pass(0.3);
-                p.launch(NEAR);
-            }),
-            rogue("has its effect twice on a harmed way", Rule.NO_EFFECT_TWICE, "once", "", p -> {
-                p.auditor.clientsHarmed(0, true);
-                p.launch(NEAR);
-                p.pass(0.1);
-                p.launch(ALSO_NEAR);
-            }),
-            rogue("keeps silent after its clients' way has healed", Rule.ONE_ANSWER, "free", "", p -> {
-                p.auditor.clientsHarmed(0, true);
-                p.auditor.clientsHarmed(0, false);
-                Submitted next = later(p, 0.1);
-                p.auditor.sent(next);
-                p.pass(2.1);
-                p.auditor.gaveUp(next, false);
-            }),
-            rogue("pushes a cold worker over", Rule.COLD_WORKER, "free",
-                    "[[faults]]\nkind = \"crash\"\nat = 0.1\nfor = 0.1\ngroup = \"near\"\n", p -> {
+            rogue(
+                    "launches the unrepeatable again",
+                    Rule.NO_EFFECT_TWICE,
+                    "once",
+                    ERRS,
+                    p -> {
+                        begin(p);
+                        p.launch(NEAR);
+                        p.pass(0.1);
+                        p.launch(FAR);
+                    }),
+            rogue(
+                    "has its effect twice",
+                    Rule.NO_EFFECT_TWICE,
+                    "once",
+                    "",
+                    p -> {
+                        p.launch(NEAR);
+                        p.pass(0.1);
+                        p.launch(ALSO_NEAR);
+                    }),
+            rogue(
+                    "bounces what may have run",
+                    Rule.NO_EFFECT_TWICE,
+                    "once",
+                    ERRS,
+                    p -> {
+                        begin(p);
+                        p.launch(NEAR);
+                        p.pass(0.1);
+                        p.answer(Answer.BOUNCED);
+                    }),
+            rogue(
+                    "bounces what a zone alone would know",
+                    Rule.NO_EFFECT_TWICE,
+                    "keyed",
+                    ERRS,
+                    p -> {
+                        begin(p);
+                        p.launch(NEAR);
+                        p.pass(0.1);
+                        p.answer(Answer.BOUNCED);
+                    }),
+            rogue(
+                    "repeats outside the group",
+                    Rule.NO_EFFECT_TWICE,
+                    "keyed",
+                    ERRS,
+                    p -> {
+                        begin(p);
+                        p.launch(NEAR);
+                        p.pass(0.1);
+                        p.launch(FAR);
+                    }),
+            rogue(
+                    "repeats after the window",
+                    Rule.NO_EFFECT_TWICE,
+                    "keyed",
+                    ERRS,
+                    p -> {
+                        begin(p);
+                        p.launch(NEAR);
+                        p.pass(1.2);
+                        p.launch(ALSO_NEAR);
+                    }),
+            rogue(
+                    "copies where that is forbidden",
+                    Rule.NO_EFFECT_TWICE,
+                    "free",
+                    NO_COPY,
+                    p -> {
+                        p.launch(NEAR, 1);
+                        p.pass(0.1);
+                        p.launch(ALSO_NEAR);
+                        p.pass(0.1);
+                    }),
+            rogue(
+                    "launches to one told draining",
+                    Rule.NO_LATE_LAUNCH,
+                    "free",
+                    "",
+                    p -> {
+                        p.auditor.told(0, NEAR, Registry.State.DRAINING);
+                        // The grace is 2 s and the outer limit as long: one that waits longer is
+                        // needed.
+                        Submitted later = later(p, 2.1);
+                        p.auditor.sent(later);
+                        p.world
+                                .workers
+                                .get(NEAR)
+                                .arrive(new Launch(later.key(), 0.05, 1, 0, NOBODY));
+                    }),
+            rogue(
+                    "launches to one told gone",
+                    Rule.NO_LATE_LAUNCH,
+                    "free",
+                    "",
+                    p -> {
+                        p.auditor.told(0, FAR, Registry.State.GONE);
+                        Submitted later = later(p, 2.1);
+                        p.auditor.sent(later);
+                        p.world
+                                .workers
+                                .get(FAR)
+                                .arrive(new Launch(later.key(), 0.05, 1, 0, NOBODY));
+                    }),
+            rogue(
+                    "ends, and nobody told it to",
+                    Rule.STAYS_UP,
+                    "free",
+                    "",
+                    p -> p.auditor.crashed(0, "")),
+            rogue(
+                    "drops one when its other process is long gone",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> {
+                        p.auditor.dispatcherHalved(0, true);
+                        p.auditor.dispatcherHalved(0, false);
+                        Submitted next = later(p, 0.1);
+                        p.auditor.sent(next);
+                        p.auditor.cutOff(next);
+                    }),
+            rogue(
+                    "launches later than its slow way explains",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> {
+                        p.auditor.wayLater(0, NEAR, 1);
+                        p.answer(Answer.BOUNCED);
+                        p.pass(1.2);
+                        p.launch(NEAR);
+                    }),
+            rogue(
+                    "launches late on a way that was slow long ago",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> {
+                        p.auditor.wayLater(0, NEAR, 0.4);
+                        p.auditor.wayLater(0, NEAR, 0);
+                        p.pass(1);
+                        p.answer(Answer.BOUNCED);
+                        p.pass(0.3);
+                        p.launch(NEAR);
+                    }),
+            rogue(
+                    "has its effect twice on a harmed way",
+                    Rule.NO_EFFECT_TWICE,
+                    "once",
+                    "",
+                    p -> {
+                        p.auditor.clientsHarmed(0, true);
+                        p.launch(NEAR);
+                        p.pass(0.1);
+                        p.launch(ALSO_NEAR);
+                    }),
+            rogue(
+                    "keeps silent after its clients' way has healed",
+                    Rule.ONE_ANSWER,
+                    "free",
+                    "",
+                    p -> {
+                        p.auditor.clientsHarmed(0, true);
+                        p.auditor.clientsHarmed(0, false);
+                        Submitted next = later(p, 0.1);
+                        p.auditor.sent(next);
+                        p.pass(2.1);
+                        p.auditor.gaveUp(next, false);
+                    }),
+            rogue(
+                    "pushes a cold worker over",
+                    Rule.COLD_WORKER,
+                    "free",
+                    "[[faults]]\nkind = \"crash\"\nat = 0.1\nfor = 0.1\ngroup = \"near\"\n",
+                    p -> {
                         p.world.begin(new Idle());
                         p.pass(0.3);
                         for (int i = 0; i < 40; i++) {
@@ -287,22 +443,23 @@
         return new Submitted(play.submitted.ask(), 1, 0, play.time.now(), 2);
     }
 
-    private static final Launch.Reply NOBODY = new Launch.Reply() {
-        @Override
-        public void started() {
-            // Nobody hears it.
-        }
+    private static final Launch.Reply NOBODY =
+            new Launch.Reply() {
+                @Override
+                public void started() {
+                    // Nobody hears it.
+                }
 
-        @Override
-        public void progressed(double share) {
-            // Nobody hears it.
-        }
+                @Override
+                public void progressed(double share) {
+                    // Nobody hears it.
+                }
 
-        @Override
-        public void ended(Ending ending, double freeSlots) {
-            // Nobody hears it.
-        }
-    };
+                @Override
+                public void ended(Ending ending, double freeSlots) {
+                    // Nobody hears it.
+                }
+            };
 
     /** Dispatchers that no fault is about. */
     private static final class Idle implements World.Dispatchers {
@@ -328,108 +485,209 @@
         rogue.does().accept(play);
         play.auditor.finish();
         assertTrue(play.auditor.count(rogue.rule()) > 0, play.auditor.breaches().toString());
-        Auditor.Breach first = play.auditor.breaches().stream().filter(b -> b.rule() == rogue.rule())
-                .findFirst().orElseThrow();
+        Auditor.Breach first =
+                play.auditor.breaches().stream()
+                        .filter(b -> b.rule() == rogue.rule())
+                        .findFirst()
+                        .orElseThrow();
         // A worker that fell over is no one submission's story; all others are told whole.
-        assertEquals(first.history().isEmpty(), rogue.rule() == Rule.COLD_WORKER
-                || rogue.rule() == Rule.STAYS_UP, first.toString());
+        assertEquals(
+                first.history().isEmpty(),
+                rogue.rule() == Rule.COLD_WORKER || rogue.rule() == Rule.STAYS_UP,
+                first.toString());
     }
 
     @DataProvider
     public Object[][] honest() {
         return new Object[][] {
-            {rogue("answers once, in time", null, "once", "", p -> {
-                p.launch(NEAR);
-                p.pass(0.2);
-                p.answer(Answer.FULFILLED);
-            })},
-            {rogue("goes elsewhere after being turned away", null, "once", "", p -> {
-                for (int i = 0; i < 5; i++) {
-                    p.world.workers.get(FAR).arrive(new Launch(-1, 10, 1, 0, NOBODY));
-                }
-                Launch full = p.launch(NEAR);
-                p.world.workers.get(NEAR).dropped(full);
-            })},
-            {rogue("repeats in the group and the window", null, "keyed", ERRS, p -> {
-                begin(p);
-                p.launch(NEAR);
-                p.pass(0.5);
-                p.launch(ALSO_NEAR);
-                p.pass(0.5);
-                p.answer(Answer.SCRAPPED);
-            })},
-            {rogue("ends the first copy before the second", null, "free", NO_COPY, p -> {
-                Launch first = p.launch(NEAR, 1);
-                p.auditor.closed(first);
-                p.launch(ALSO_NEAR);
-                p.pass(0.2);
-                p.answer(Answer.FULFILLED);
-            })},
-            {rogue("dies with what it holds", null, "free", "", p -> {
-                p.auditor.dispatcherDied(0);
-                p.auditor.cutOff(p.submitted);
-                p.pass(3);
-            })},
-            {rogue("stands still past the limit of what it holds", null, "once", "", p -> {
-                p.auditor.dispatcherPaused(0);
-                p.pass(3);
-                p.auditor.gaveUp(p.submitted, false);
-                p.auditor.dispatcherWoke(0);
-            })},
-            {rogue("launches at a worker that drained while it stood still, before it can know", null, "free",
-                    "", p -> {
-                        p.auditor.dispatcherPaused(0);
-                        p.auditor.told(0, NEAR, Registry.State.DRAINING);
-                        p.pass(1);
-                        p.auditor.dispatcherWoke(0);
-                        p.launch(NEAR);
-                        p.pass(0.2);
-                        p.answer(Answer.FULFILLED);
-                    })},
-            {rogue("gets it late over a harmed way, and launches when nobody waits", null, "free", "",
-                    p -> {
-                        p.auditor.clientsHarmed(0, true);
-                        p.pass(3.5);
-                        p.auditor.gaveUp(p.submitted, false);
-                        p.auditor.clientsHarmed(0, false);
-                        p.auditor.sent(new Submitted(p.submitted.ask(), 1, 1, p.time.now(), 2));
-                        p.launch(NEAR);
-                    })},
-            {rogue("launches on a slow way, and answers in the meantime", null, "free", "", p -> {
-                p.auditor.wayLater(0, NEAR, 1);
-                p.answer(Answer.BOUNCED);
-                p.pass(0.9);
-                p.launch(NEAR);
-            })},
-            {rogue("is stopped in the turn in which it launches", null, "once", "", p -> {
-                p.pass(0.01);
-                p.auditor.dispatcherPaused(0);
-                p.pass(2.5);
-                p.auditor.gaveUp(p.submitted, false);
-                p.auditor.dispatcherWoke(0);
-                p.launch(NEAR);
-            })},
-            {rogue("is handed it as one of its two processes dies", null, "once", "", p -> {
-                p.auditor.dispatcherHalved(0, true);
-                Submitted next = later(p, 0.01);
-                p.auditor.sent(next);
-                p.auditor.dispatcherHalved(0, false);
-                p.auditor.cutOff(next);
-            })},
-            {rogue("has no room for one more connection", null, "free", "", p -> {
-                p.auditor.refused(p.submitted);
-                p.pass(3);
-            })},
-            {rogue("launches in the moment in which its client leaves", null, "free", "", p -> {
-                p.pass(0.1);
-                p.auditor.gaveUp(p.submitted, true);
-                p.pass(0.3);
-                p.launch(NEAR);
-            })},
-            {rogue("is left by its client", null, "free", "", p -> {
-                p.auditor.gaveUp(p.submitted, true);
-                p.pass(3);
-            })},
+            {
+                rogue(
+                        "answers once, in time",
+                        null,
+                        "once",
+                        "",
+                        p -> {
+                            p.launch(NEAR);
+                            p.pass(0.2);
+                            p.answer(Answer.FULFILLED);
+                        })
+            },
+            {
+                rogue(
+                        "goes elsewhere after being turned away",
+                        null,
+                        "once",
+                        "",
+                        p -> {
+                            for (int i = 0; i < 5; i++) {
+                                p.world.workers.get(FAR).arrive(new Launch(-1, 10, 1, 0, NOBODY));
+                            }
+                            Launch full = p.launch(NEAR);
+                            p.world.workers.get(NEAR).dropped(full);
+                        })
+            },
+            {
+                rogue(
+                        "repeats in the group and the window",
+                        null,
+                        "keyed",
+                        ERRS,
+                        p -> {
+                            begin(p);
+                            p.launch(NEAR);
+                            p.pass(0.5);
+                            p.launch(ALSO_NEAR);
+                            p.pass(0.5);
+                            p.answer(Answer.SCRAPPED);
+                        })
+            },
+            {
+                rogue(
+                        "ends the first copy before the second",
+                        null,
+                        "free",
+                        NO_COPY,
+                        p -> {
+                            Launch first = p.launch(NEAR, 1);
+                            p.auditor.closed(first);
+                            p.launch(ALSO_NEAR);
+                            p.pass(0.2);
+                            p.answer(Answer.FULFILLED);
+                        })
+            },
+            {
+                rogue(
+                        "dies with what it holds",
+                        null,
+                        "free",
+                        "",
+                        p -> {
+                            p.auditor.dispatcherDied(0);
+                            p.auditor.cutOff(p.submitted);
+                            p.pass(3);
+                        })
+            },
+            {
+                rogue(
+                        "stands still past the limit of what it holds",
+                        null,
+                        "once",
+                        "",
+                        p -> {
+                            p.auditor.dispatcherPaused(0);
+                            p.pass(3);
+                            p.auditor.gaveUp(p.submitted, false);
+                            p.auditor.dispatcherWoke(0);
+                        })
+            },
+            {
+                rogue(
+                        "launches at a worker that drained while it stood still, before it can know",
+                        null,
+                        "free",
+                        "",
+                        p -> {
+                            p.auditor.dispatcherPaused(0);
+                            p.auditor.told(0, NEAR, Registry.State.DRAINING);
+                            p.pass(1);
+                            p.auditor.dispatcherWoke(0);
+                            p.launch(NEAR);
+                            p.pass(0.2);
+                            p.answer(Answer.FULFILLED);
+                        })
+            },
+            {
+                rogue(
+                        "gets it late over a harmed way, and launches when nobody waits",
+                        null,
+                        "free",
+                        "",
+                        p -> {
+                            p.auditor.clientsHarmed(0, true);
+                            p.pass(3.5);
+                            p.auditor.gaveUp(p.submitted, false);
+                            p.auditor.clientsHarmed(0, false);
+                            p.auditor.sent(new Submitted(p.submitted.ask(), 1, 1, p.time.now(), 2));
+                            p.launch(NEAR);
+                        })
+            },
+            {
+                rogue(
+                        "launches on a slow way, and answers in the meantime",
+                        null,
+                        "free",
+                        "",
+                        p -> {
+                            p.auditor.wayLater(0, NEAR, 1);
+                            p.answer(Answer.BOUNCED);
+                            p.pass(0.9);
+                            p.launch(NEAR);
+                        })
+            },
+            {
+                rogue(
+                        "is stopped in the turn in which it launches",
+                        null,
+                        "once",
+                        "",
+                        p -> {
+                            p.pass(0.01);
+                            p.auditor.dispatcherPaused(0);
+                            p.pass(2.5);
+                            p.auditor.gaveUp(p.submitted, false);
+                            p.auditor.dispatcherWoke(0);
+                            p.launch(NEAR);
+                        })
+            },
+            {
+                rogue(
+                        "is handed it as one of its two processes dies",
+                        null,
+                        "once",
+                        "",
+                        p -> {
+                            p.auditor.dispatcherHalved(0, true);
+                            Submitted next = later(p, 0.01);
+                            p.auditor.sent(next);
+                            p.auditor.dispatcherHalved(0, false);
+                            p.auditor.cutOff(next);
+                        })
+            },
+            {
+                rogue(
+                        "has no room for one more connection",
+                        null,
+                        "free",
+                        "",
+                        p -> {
+                            p.auditor.refused(p.submitted);
+                            p.pass(3);
+                        })
+            },
+            {
+                rogue(
+                        "launches in the moment in which its client leaves",
+                        null,
+                        "free",
+                        "",
+                        p -> {
+                            p.pass(0.1);
+                            p.auditor.gaveUp(p.submitted, true);
+                            p.pass(0.3);
+                            p.launch(NEAR);
+                        })
+            },
+            {
+                rogue(
+                        "is left by its client",
+                        null,
+                        "free",
+                        "",
+                        p -> {
+                            p.auditor.gaveUp(p.submitted, true);
+                            p.pass(3);
+                        })
+            },
         };
     }
 
@@ -439,11 +697,15 @@
         honest.does().accept(play);
         play.auditor.finish();
         // Launches of nobody's are only there to fill a worker.
-        assertFalse(play.auditor.breaches().stream().anyMatch(b -> !b.history().isEmpty()),
+        assertFalse(
+                play.auditor.breaches().stream().anyMatch(b -> !b.history().isEmpty()),
                 play.auditor.breaches().toString());
     }
 
-    /** A bounce promises that a retry does no harm: the auditor holds it to that over all tries of an ask. */
+    /**
+     * A bounce promises that a retry does no harm: the auditor holds it to that over all tries of
+     * an ask.
+     */
     @Test
     public void anEffectThatABounceDeniedIsFoundAtTheRetry() {
         Play play = new Play("once", "");
@@ -453,10 +715,13 @@
         Submitted retry = new Submitted(play.submitted.ask(), 1, 0, play.time.now(), 1);
         play.auditor.sent(retry);
         play.world.workers.get(FAR).arrive(new Launch(retry.key(), 0.05, 1, 0, NOBODY));
-        assertEquals(play.auditor.count(Rule.NO_EFFECT_TWICE), 2, play.auditor.breaches().toString());
+        assertEquals(
+                play.auditor.count(Rule.NO_EFFECT_TWICE), 2, play.auditor.breaches().toString());
     }
 
-    /** A run of any length takes bounded memory: what is over is forgotten, and not blamed for that. */
+    /**
+     * A run of any length takes bounded memory: what is over is forgotten, and not blamed for that.
+     */
     @Test
     public void oldSubmissionsAreForgotten() {
         Play play = new Play("free", "");
@@ -464,7 +729,15 @@
         Recorder recorder = new Recorder(play.scenario, play.time, 5, play.auditor);
         for (int i = 1; i < 50; i++) {
             play.pass(1);
-            Ask ask = new Ask(i, i, play.submitted.ask().offering(), Scenario.Tenant.NONE, 0.05, 0.05, 9);
+            Ask ask =
+                    new Ask(
+                            i,
+                            i,
+                            play.submitted.ask().offering(),
+                            Scenario.Tenant.NONE,
+                            0.05,
+                            0.05,
+                            9);
             Submitted next = new Submitted(ask, 0, 0, play.time.now(), 2);
             recorder.sent(next);
             recorder.answered(next, Answer.BOUNCED);
--- a/kit/src/test/java/wheelroute/kit/audit/LedgerTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/LedgerTest.java
@@ -11,7 +11,9 @@
 import wheelroute.kit.virtual.VirtualTime;
 import wheelroute.kit.world.Answer;
 
-/** Doors that tell what is not so, each in one way: every one is found out, and honest ones are not. */
+/**
+ * Doors that tell what is not so, each in one way: every one is found out, and honest ones are not.
+ */
 public class LedgerTest {
     private static final String OLD = "old";
     private static final String NEW = "new";
@@ -60,83 +62,125 @@
     @DataProvider
     public Object[][] doors() {
         return new Object[][] {
-            row("tells what was seen", true, p -> {
-                p.serve(100, Answer.FULFILLED);
-                p.serve(20, Answer.BOUNCED);
-                p.tell(OLD, p.counted);
-            }),
-            row("counts a tenth too few", false, p -> {
-                p.serve(100, Answer.FULFILLED);
-                p.counted.merge("completed.x", -10L, Long::sum);
-                p.tell(OLD, p.counted);
-            }),
-            row("counts bounces as scraps", false, p -> {
-                p.serve(20, Answer.BOUNCED);
-                p.counted.put("failed.x", p.counted.remove("rejected.x"));
-                p.tell(OLD, p.counted);
-            }),
-            row("leaves one figure out", false, p -> {
-                p.serve(20, Answer.SCRAPPED);
-                p.counted.remove("failed.x");
-                p.tell(OLD, p.counted);
-            }),
-            row("counts launches twice", false, p -> {
-                p.serve(100, Answer.FULFILLED);
-                p.counted.merge("upstream_requests", 100L, Long::sum);
-                p.tell(OLD, p.counted);
-            }),
-            row("forgets what is pending", false, p -> {
-                for (int i = 0; i < 20; i++) {
-                    p.ledger.sent(0);
-                }
-                p.pass(2);
-                p.tell(OLD, p.counted);
-            }),
-            row("is two seconds late", false, p -> {
-                p.serve(100, Answer.FULFILLED);
-                Map<String, Long> old = new HashMap<>(p.counted);
-                p.serve(20, Answer.FULFILLED);
-                p.tell(OLD, old);
-            }),
-            row("counts what left in either way", true, p -> {
-                p.serve(50, Answer.FULFILLED);
-                for (int i = 0; i < 20; i++) {
-                    p.ledger.sent(0);
-                    p.ledger.unheard(0);
-                }
-                p.pass(1);
-                p.counted.merge("completed.x", 12L, Long::sum);
-                p.tell(OLD, p.counted);
-            }),
-            row("goes on from 0 as another process, beside the old one", true, p -> {
-                p.serve(100, Answer.FULFILLED);
-                p.tell(OLD, p.counted);
-                p.ledger.began(0, NEW);
-                Map<String, Long> atOld = new HashMap<>(p.counted);
-                p.serve(20, Answer.FULFILLED);
-                Map<String, Long> atNew = new HashMap<>(Map.of("completed.x", 20L, "upstream_requests", 20L,
-                        "pending", 0L));
-                p.ledger.told(0, OLD, atOld);
-                p.tell(NEW, atNew);
-                p.ledger.ended(0, OLD);
-                p.pass(3);
-                p.tell(NEW, atNew);
-            }),
-            row("goes on from the old one's numbers", false, p -> {
-                p.serve(100, Answer.FULFILLED);
-                p.tell(OLD, p.counted);
-                p.ledger.began(0, NEW);
-                p.ledger.ended(0, OLD);
-                p.pass(3);
-                p.tell(NEW, p.counted);
-            }),
-            row("begins anew after a kill", true, p -> {
-                p.serve(100, Answer.FULFILLED);
-                p.tell(OLD, p.counted);
-                p.ledger.ended(0, OLD);
-                p.ledger.began(0, NEW);
-                p.tell(NEW, Map.of("completed.x", 0L, "upstream_requests", 0L, "pending", 0L));
-            }),
+            row(
+                    "tells what was seen",
+                    true,
+                    p -> {
+                        p.serve(100, Answer.FULFILLED);
+                        p.serve(20, Answer.BOUNCED);
+                        p.tell(OLD, p.counted);
+                    }),
+            row(
+                    "counts a tenth too few",
+                    false,
+                    p -> {
+                        p.serve(100, Answer.FULFILLED);
+                        p.counted.merge("completed.x", -10L, Long::sum);
+                        p.tell(OLD, p.counted);
+                    }),
+            row(
+                    "counts bounces as scraps",
+                    false,
+                    p -> {
+                        p.serve(20, Answer.BOUNCED);
+                        p.counted.put("failed.x", p.counted.remove("rejected.x"));
+                        p.tell(OLD, p.counted);
+                    }),
+            row(
+                    "leaves one figure out",
+                    false,
+                    p -> {
+                        p.serve(20, Answer.SCRAPPED);
+                        p.counted.remove("failed.x");
+                        p.tell(OLD, p.counted);
+                    }),
+            row(
+                    "counts launches twice",
+                    false,
+                    p -> {
+                        p.serve(100, Answer.FULFILLED);
+                        p.counted.merge("upstream_requests", 100L, Long::sum);
+                        p.tell(OLD, p.counted);
+                    }),
+            row(
+                    "forgets what is pending",
+                    false,
+                    p -> {
+                        for (int i = 0; i < 20; i++) {
+                            p.ledger.sent(0);
+                        }
+                        p.pass(2);
+                        p.tell(OLD, p.counted);
+                    }),
+            row(
+                    "is two seconds late",
+                    false,
+                    p -> {
+                        p.serve(100, Answer.FULFILLED);
+                        Map<String, Long> old = new HashMap<>(p.counted);
+                        p.serve(20, Answer.FULFILLED);
+                        p.tell(OLD, old);
+                    }),
+            row(
+                    "counts what left in either way",
+                    true,
+                    p -> {
+                        p.serve(50, Answer.FULFILLED);
+                        for (int i = 0; i < 20; i++) {
+                            p.ledger.sent(0);
+                            p.ledger.unheard(0);
+                        }
+                        p.pass(1);
+                        p.counted.merge("completed.x", 12L, Long::sum);
+                        p.tell(OLD, p.counted);
+                    }),
+            row(
+                    "goes on from 0 as another process, beside the old one",
+                    true,
+                    p -> {
+                        p.serve(100, Answer.FULFILLED);
+                        p.tell(OLD, p.counted);
+                        p.ledger.began(0, NEW);
+                        Map<String, Long> atOld = new HashMap<>(p.counted);
+                        p.serve(20, Answer.FULFILLED);
+                        Map<String, Long> atNew =
+                                new HashMap<>(
+                                        Map.of(
+                                                "completed.x",
+                                                20L,
+                                                "upstream_requests",
+                                                20L,
+                                                "pending",
+                                                0L));
+                        p.ledger.told(0, OLD, atOld);
+                        p.tell(NEW, atNew);
+                        p.ledger.ended(0, OLD);
+                        p.pass(3);
+                        p.tell(NEW, atNew);
+                    }),
+            row(
+                    "goes on from the old one's numbers",
+                    false,
+                    p -> {
+                        p.serve(100, Answer.FULFILLED);
+                        p.tell(OLD, p.counted);
+                        p.ledger.began(0, NEW);
+                        p.ledger.ended(0, OLD);
+                        p.pass(3);
+                        p.tell(NEW, p.counted);
+                    }),
+            row(
+                    "begins anew after a kill",
+                    true,
+                    p -> {
+                        p.serve(100, Answer.FULFILLED);
+                        p.tell(OLD, p.counted);
+                        p.ledger.ended(0, OLD);
+                        p.ledger.began(0, NEW);
+                        p.tell(
+                                NEW,
+                                Map.of("completed.x", 0L, "upstream_requests", 0L, "pending", 0L));
+                    }),
         };
     }
 
--- a/kit/src/test/java/wheelroute/kit/cli/AdminTest.java
+++ b/kit/src/test/java/wheelroute/kit/cli/AdminTest.java
@@ -43,7 +43,9 @@
             thread.start();
             StringWriter said = new StringWriter();
             String wait = answer == MUTE ? "0.2" : "10";
-            assertEquals(run(said, "127.0.0.1:" + door.getLocalPort(), "READY", "--timeout", wait), code,
+            assertEquals(
+                    run(said, "127.0.0.1:" + door.getLocalPort(), "READY", "--timeout", wait),
+                    code,
                     said.toString());
             assertTrue(said.toString().contains(told), said.toString());
             assertEquals(asked.get(), "READY");
@@ -59,8 +61,11 @@
             thread.setDaemon(true);
             thread.start();
             StringWriter said = new StringWriter();
-            assertEquals(CommandLineTest.run(said, "peers", "127.0.0.1:" + door.getLocalPort(), "--timeout",
-                    "10"), Exit.HOLDS, said.toString());
+            assertEquals(
+                    CommandLineTest.run(
+                            said, "peers", "127.0.0.1:" + door.getLocalPort(), "--timeout", "10"),
+                    Exit.HOLDS,
+                    said.toString());
             assertEquals(said.toString(), "n0 0 alive itself\neof\n");
             assertEquals(asked.get(), "PEERS");
         }
@@ -68,8 +73,11 @@
 
     private static void serve(ServerSocket door, String answer, CompletableFuture<String> asked) {
         try (Socket caller = door.accept()) {
-            asked.complete(new BufferedReader(new InputStreamReader(caller.getInputStream(),
-                    StandardCharsets.US_ASCII)).readLine());
+            asked.complete(
+                    new BufferedReader(
+                                    new InputStreamReader(
+                                            caller.getInputStream(), StandardCharsets.US_ASCII))
+                            .readLine());
             if (answer == MUTE) {
                 // Until the other side gives up.
                 caller.getInputStream().read();
--- a/kit/src/test/java/wheelroute/kit/cli/CommandLineTest.java
+++ b/kit/src/test/java/wheelroute/kit/cli/CommandLineTest.java
@@ -34,30 +34,56 @@
             {"rehearse nowhere", Exit.BAD_INPUT, "nowhere: 1 fault"},
             {"rehearse ./nowhere.toml", Exit.BAD_INPUT, "cannot be read"},
             {"rehearse calm calm", Exit.BAD_INPUT, "calm is named twice"},
-            {"rehearse calm --clock sun", Exit.BAD_INPUT, "--clock: sun is none of virtual, real, both"},
-            {"rehearse hundred --clock real", Exit.BAD_INPUT, "hundred cannot be played on the real clock"},
+            {
+                "rehearse calm --clock sun",
+                Exit.BAD_INPUT,
+                "--clock: sun is none of virtual, real, both"
+            },
+            {
+                "rehearse hundred --clock real",
+                Exit.BAD_INPUT,
+                "hundred cannot be played on the real clock"
+            },
             {"rehearse calm --clock real --baselines", Exit.BAD_INPUT, "on the virtual clock only"},
             {"rehearse calm --seed x", Exit.BAD_INPUT, "--seed: x is no whole number"},
             {"rehearse calm --seed 9..2", Exit.BAD_INPUT, "--seed: 9..2 is no range"},
             {"rehearse calm --seconds 0.5", Exit.BAD_INPUT, "--seconds: 0.5 is under 1"},
             {"rehearse calm --cores 0", Exit.BAD_INPUT, "--cores: 0 is under 1"},
-            {"rehearse calm --json /nowhere/at/all.json", Exit.BAD_INPUT,
-                    "lies in a folder that is not there"},
+            {
+                "rehearse calm --json /nowhere/at/all.json",
+                Exit.BAD_INPUT,
+                "lies in a folder that is not there"
+            },
             {"rehearse calm --html /", Exit.BAD_INPUT, "--html: / is a folder"},
             {"rehearse calm --variant as-built", Exit.BAD_INPUT, "as-built is named twice"},
             {"rehearse calm --sead 3", Exit.BAD_USAGE, "Unknown option"},
             {"check /nowhere/at/all", Exit.BAD_INPUT, "/nowhere/at/all is no file"},
             {"load 8081 --offering x --rate 1", Exit.BAD_INPUT, "8081 is no address"},
-            {"load 192.0.2.1:80 --offering x --rate 1", Exit.BAD_INPUT, "is no address of this machine"},
+            {
+                "load 192.0.2.1:80 --offering x --rate 1",
+                Exit.BAD_INPUT,
+                "is no address of this machine"
+            },
             {"load 127.0.0.1:1 --offering x", Exit.BAD_INPUT, "one of them must be above 0"},
-            {"load 127.0.0.1:1 --offering a/b --rate 1", Exit.BAD_INPUT,
-                    "--offering: a/b cannot stand in a path"},
-            {"load 127.0.0.1:1 --offering x --rate 1 --work 0", Exit.BAD_INPUT, "--work: 0.0 is not from"},
+            {
+                "load 127.0.0.1:1 --offering a/b --rate 1",
+                Exit.BAD_INPUT,
+                "--offering: a/b cannot stand in a path"
+            },
+            {
+                "load 127.0.0.1:1 --offering x --rate 1 --work 0",
+                Exit.BAD_INPUT,
+                "--work: 0.0 is not from"
+            },
             {"stand-in nowhere", Exit.BAD_INPUT, "nowhere: 1 fault"},
             {"scale --size /nowhere/at/all", Exit.BAD_INPUT, "--size: /nowhere/at/all is no file"},
             {"scale --quick --full", Exit.BAD_USAGE, "mutually exclusive"},
             {"capacity", Exit.BAD_USAGE, "--check"},
-            {"capacity --check /nowhere --slopes /at/all", Exit.BAD_INPUT, "--slopes: /at/all is no file"},
+            {
+                "capacity --check /nowhere --slopes /at/all",
+                Exit.BAD_INPUT,
+                "--slopes: /at/all is no file"
+            },
             {"", Exit.BAD_USAGE, "Usage"},
             {"dance", Exit.BAD_USAGE, "dance"},
         };
@@ -73,7 +99,8 @@
     @DataProvider
     public Object[][] verdicts() {
         return new Object[][] {
-            {"", Exit.HOLDS}, {"[expect.service]\nleast = 1.01\n", Exit.DOES_NOT_HOLD},
+            {"", Exit.HOLDS},
+            {"[expect.service]\nleast = 1.01\n", Exit.DOES_NOT_HOLD},
             {"[expect.bounced]\nmost = -1\n", Exit.DOES_NOT_HOLD},
         };
     }
@@ -85,11 +112,22 @@
         Path json = folder.resolve("out.json");
         Path html = folder.resolve("out.html");
         Files.writeString(file, Small.TEXT + more);
-        assertEquals(run("rehearse", file.toString(), "--clock", "virtual", "--twice", "--json",
-                json.toString(),
-                "--html", html.toString()), code, said.toString());
+        assertEquals(
+                run(
+                        "rehearse",
+                        file.toString(),
+                        "--clock",
+                        "virtual",
+                        "--twice",
+                        "--json",
+                        json.toString(),
+                        "--html",
+                        html.toString()),
+                code,
+                said.toString());
         assertTrue(said.toString().contains("the same seed twice agree"), said.toString());
-        assertTrue(Files.readString(json).contains("\"scenario\" : \"" + file),
+        assertTrue(
+                Files.readString(json).contains("\"scenario\" : \"" + file),
                 "the report names its scenario");
         assertTrue(Files.readString(html).endsWith("</html>\n"));
         assertEquals(run("check", file.toString()), Exit.HOLDS, said.toString());
--- a/kit/src/test/java/wheelroute/kit/experiment/MatrixTest.java
+++ b/kit/src/test/java/wheelroute/kit/experiment/MatrixTest.java
@@ -16,11 +16,18 @@
 
 /** Several runs: their order, their figures, what is said of them together. */
 public class MatrixTest {
-    private static final Plan PLAN = new Plan(List.of(Small.scenario("")), List.of(1L, 2L, 3L),
-            List.of(Variant.USUAL, Variant.baseline("round-robin")), Plan.Clock.VIRTUAL, 0, true, null);
+    private static final Plan PLAN =
+            new Plan(
+                    List.of(Small.scenario("")),
+                    List.of(1L, 2L, 3L),
+                    List.of(Variant.USUAL, Variant.baseline("round-robin")),
+                    Plan.Clock.VIRTUAL,
+                    0,
+                    true,
+                    null);
 
     private static List<Report> play(int cores) throws Exception {
-        return new Matrix(PLAN, cores, () -> false, text -> { }).play();
+        return new Matrix(PLAN, cores, () -> false, text -> {}).play();
     }
 
     @Test
@@ -37,11 +44,18 @@
     public void differencesArePaired() throws Exception {
         List<Report> reports = play(2);
         double[] p99 = reports.stream().mapToDouble(r -> r.figures().get(Figures.P99)).toArray();
-        Comparison.Cell cell = Comparison.of(reports).stream().filter(c -> c.figure().equals(Figures.P99)
-                && c.variant().equals("round-robin")).findFirst().orElseThrow();
+        Comparison.Cell cell =
+                Comparison.of(reports).stream()
+                        .filter(
+                                c ->
+                                        c.figure().equals(Figures.P99)
+                                                && c.variant().equals("round-robin"))
+                        .findFirst()
+                        .orElseThrow();
         double[] d = {p99[3] - p99[0], p99[4] - p99[1], p99[5] - p99[2]};
         double mean = (d[0] + d[1] + d[2]) / 3;
-        double squares = Math.pow(d[0] - mean, 2) + Math.pow(d[1] - mean, 2) + Math.pow(d[2] - mean, 2);
+        double squares =
+                Math.pow(d[0] - mean, 2) + Math.pow(d[1] - mean, 2) + Math.pow(d[2] - mean, 2);
         assertEquals(cell.difference(), mean, 1e-12);
         assertEquals(cell.differenceError(), Math.sqrt(squares / 2 / 3), 1e-12);
         assertEquals(cell.least(), Math.min(p99[3], Math.min(p99[4], p99[5])));
@@ -58,7 +72,7 @@
 
     @Test
     public void aStoppedMatrixPlaysNoMore() throws Exception {
-        assertEquals(new Matrix(PLAN, 1, () -> true, text -> { }).play().size(), 0);
+        assertEquals(new Matrix(PLAN, 1, () -> true, text -> {}).play().size(), 0);
     }
 
     @DataProvider
@@ -74,7 +88,9 @@
 
     @Test(dataProvider = "faults")
     public void aVariantThatCannotBeUsedIsNamed(String text, String told) {
-        String message = expectThrows(IllegalArgumentException.class, () -> Variant.parse(text)).getMessage();
+        String message =
+                expectThrows(IllegalArgumentException.class, () -> Variant.parse(text))
+                        .getMessage();
         assertTrue(message.contains(told), message);
     }
 
--- a/kit/src/test/java/wheelroute/kit/many/CutDownTest.java
+++ b/kit/src/test/java/wheelroute/kit/many/CutDownTest.java
@@ -15,8 +15,22 @@
     private static List<Scenario.Fault> faults(int count) {
         List<Scenario.Fault> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(new Scenario.Fault(Scenario.Kind.CRASH, i, 3.2, "", 0.6, 1, i, 1, Scenario.Ends.WORKERS,
-                    "", "", 0, Scenario.How.USUAL, 1));
+            all.add(
+                    new Scenario.Fault(
+                            Scenario.Kind.CRASH,
+                            i,
+                            3.2,
+                            "",
+                            0.6,
+                            1,
+                            i,
+                            1,
+                            Scenario.Ends.WORKERS,
+                            "",
+                            "",
+                            0,
+                            Scenario.How.USUAL,
+                            1));
         }
         return all;
     }
@@ -28,7 +42,10 @@
     @DataProvider
     public Object[][] needed() {
         return new Object[][] {
-            {8, List.of(3)}, {8, List.of(0, 7)}, {8, List.of(2, 3, 6)}, {1, List.of(0)},
+            {8, List.of(3)},
+            {8, List.of(0, 7)},
+            {8, List.of(2, 3, 6)},
+            {1, List.of(0)},
             {9, List.of(0, 1, 2, 3, 4, 5, 6, 7, 8)},
         };
     }
@@ -36,21 +53,26 @@
     /** What is left is what it takes, and all of it as small as it may be. */
     @Test(dataProvider = "needed")
     public void onlyWhatItTakesIsLeft(int count, List<Integer> needed) throws Exception {
-        CutDown.Result result = CutDown.of(faults(count), 10_000,
-                some -> picks(some).containsAll(needed));
+        CutDown.Result result =
+                CutDown.of(faults(count), 10_000, some -> picks(some).containsAll(needed));
         assertEquals(picks(result.faults()), needed);
         assertTrue(result.whole());
-        result.faults().forEach(fault -> {
-            assertEquals(fault.length(), 0.2);
-            assertEquals(fault.share(), 0.05);
-            assertEquals(fault.within(), 0.0);
-        });
+        result.faults()
+                .forEach(
+                        fault -> {
+                            assertEquals(fault.length(), 0.2);
+                            assertEquals(fault.share(), 0.05);
+                            assertEquals(fault.within(), 0.0);
+                        });
     }
 
     @Test
     public void whatMustBeLongStaysLong() throws Exception {
-        CutDown.Result result = CutDown.of(faults(4), 10_000, some -> some.stream()
-                .anyMatch(f -> f.pick() == 2 && f.length() > 1));
+        CutDown.Result result =
+                CutDown.of(
+                        faults(4),
+                        10_000,
+                        some -> some.stream().anyMatch(f -> f.pick() == 2 && f.length() > 1));
         assertEquals(picks(result.faults()), List.of(2));
         assertEquals(result.faults().get(0).length(), 1.6);
     }
@@ -59,10 +81,14 @@
     @Test
     public void itStopsAtItsBound() throws Exception {
         int[] plays = {0};
-        CutDown.Result result = CutDown.of(faults(32), 7, some -> {
-            plays[0]++;
-            return picks(some).containsAll(List.of(5, 20));
-        });
+        CutDown.Result result =
+                CutDown.of(
+                        faults(32),
+                        7,
+                        some -> {
+                            plays[0]++;
+                            return picks(some).containsAll(List.of(5, 20));
+                        });
         assertEquals(plays[0], 7);
         assertFalse(result.whole());
         assertTrue(picks(result.faults()).containsAll(List.of(5, 20)));
--- a/kit/src/test/java/wheelroute/kit/many/DatagramRelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/many/DatagramRelayTest.java
@@ -32,39 +32,51 @@
     private DatagramRelay back;
 
     private Datagrams socket(String name) throws Exception {
-        return new Datagrams(loop, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 256,
-                (from, bytes) -> heard.add(name + " " + StandardCharsets.UTF_8.decode(bytes) + " "
-                        + from.getPort()));
+        return new Datagrams(
+                loop,
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                256,
+                (from, bytes) ->
+                        heard.add(
+                                name
+                                        + " "
+                                        + StandardCharsets.UTF_8.decode(bytes)
+                                        + " "
+                                        + from.getPort()));
     }
 
     @BeforeMethod
     public void begin() throws Exception {
         heard.clear();
         startLoop();
-        onLoop(() -> {
-            near = socket("near");
-            far = socket("far");
-            forth = new DatagramRelay(loop, () -> far.address(), () -> chance);
-            back = new DatagramRelay(loop, () -> near.address(), () -> chance);
-            forth.pairedWith(back);
-            back.pairedWith(forth);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    near = socket("near");
+                    far = socket("far");
+                    forth = new DatagramRelay(loop, () -> far.address(), () -> chance);
+                    back = new DatagramRelay(loop, () -> near.address(), () -> chance);
+                    forth.pairedWith(back);
+                    back.pairedWith(forth);
+                    return null;
+                });
     }
 
     private void send(Datagrams from, DatagramRelay way, String text) throws Exception {
-        onLoop(() -> {
-            from.send(way.address(), ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
-            return null;
-        });
+        onLoop(
+                () -> {
+                    from.send(
+                            way.address(), ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+                    return null;
+                });
     }
 
     private void set(Passage nears, Passage fars) throws Exception {
-        onLoop(() -> {
-            forth.set(nears, fars);
-            back.set(fars, nears);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    forth.set(nears, fars);
+                    back.set(fars, nears);
+                    return null;
+                });
     }
 
     /** Whoever is sent to can answer to the address that it comes from. */
@@ -95,8 +107,8 @@
 
     /** What passes is followed by one on an open way: whatever had not come by then is lost. */
     @Test(dataProvider = "harms", timeOut = 4 * PATIENCE)
-    public void whatPassesIsAsManyAsItShouldBe(Passage nears, Passage fars, double draw, int there,
-            int hither) throws Exception {
+    public void whatPassesIsAsManyAsItShouldBe(
+            Passage nears, Passage fars, double draw, int there, int hither) throws Exception {
         chance = draw;
         set(nears, fars);
         long from = System.nanoTime();
@@ -127,13 +139,14 @@
 
     @AfterMethod(alwaysRun = true)
     public void end() throws Exception {
-        onLoop(() -> {
-            near.close();
-            far.close();
-            forth.close();
-            back.close();
-            return null;
-        });
+        onLoop(
+                () -> {
+                    near.close();
+                    far.close();
+                    forth.close();
+                    back.close();
+                    return null;
+                });
         loop.stop();
     }
 }
--- a/kit/src/test/java/wheelroute/kit/many/LinksTest.java
+++ b/kit/src/test/java/wheelroute/kit/many/LinksTest.java
@@ -30,12 +30,16 @@
             {List.of(Harm.UNHEARD, Harm.ONE_WAY), SHUT},
             {List.of(Harm.LOSS, Harm.LOSS), new Passage(false, true, true, 0, 0, 0.4375, FULL, 0)},
             {List.of(Harm.TRICKLE, Harm.LOSS), new Passage(false, true, true, 0, 0, 0.25, 0.25, 0)},
-            {List.of(Harm.REFUSE, Harm.CUT, Harm.SLOW),
-                new Passage(true, false, false, 0.25, 0.5, 0, FULL, 0)},
+            {
+                List.of(Harm.REFUSE, Harm.CUT, Harm.SLOW),
+                new Passage(true, false, false, 0.25, 0.5, 0, FULL, 0)
+            },
         };
     }
 
-    /** Begun in one order, healed in the other: open at the end, and the other ways never touched. */
+    /**
+     * Begun in one order, healed in the other: open at the end, and the other ways never touched.
+     */
     @Test(dataProvider = "harms")
     public void harmsAddUpAndHeal(List<Harm> harms, Passage passage) {
         Links links = new Links((way, now) -> assertEquals(way, ONE));
@@ -62,7 +66,7 @@
 
     @Test
     public void whatIsNotHarmedCannotHeal() {
-        Links links = new Links((way, now) -> { });
+        Links links = new Links((way, now) -> {});
         links.begin(Harm.SLOW, 1, 0, List.of(ONE));
         expectThrows(IllegalStateException.class, () -> links.heal(Harm.CUT, 1, 0, List.of(ONE)));
     }
--- a/kit/src/test/java/wheelroute/kit/many/LoopHarness.java
+++ b/kit/src/test/java/wheelroute/kit/many/LoopHarness.java
@@ -22,13 +22,14 @@
 
     protected <T> T onLoop(Step<T> step) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
-        loop.post(() -> {
-            try {
-                done.complete(step.run());
-            } catch (Exception e) {
-                done.completeExceptionally(e);
-            }
-        });
+        loop.post(
+                () -> {
+                    try {
+                        done.complete(step.run());
+                    } catch (Exception e) {
+                        done.completeExceptionally(e);
+                    }
+                });
         return done.get(PATIENCE, TimeUnit.MILLISECONDS);
     }
 }
