--- a/kit/src/test/java/wheelroute/kit/many/RelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/many/RelayTest.java
@@ -24,18 +24,21 @@
 public class RelayTest extends LoopHarness {
     /** Long enough that what passes would have come: a read that times out is what is asserted. */
     private static final int SILENCE = 300;
-    private static final Passage SHUT = new Passage(false, false, false, 0, 0, 0,
-            Double.POSITIVE_INFINITY, 0);
-    private static final Passage ONE_WAY = new Passage(false, true, false, 0, 0, 0,
-            Double.POSITIVE_INFINITY, 0);
-    private static final Passage REFUSES = new Passage(true, false, false, 0, 0, 0,
-            Double.POSITIVE_INFINITY, 0);
+
+    private static final Passage SHUT =
+            new Passage(false, false, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
+    private static final Passage ONE_WAY =
+            new Passage(false, true, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
+    private static final Passage REFUSES =
+            new Passage(true, false, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
 
     private final List<AutoCloseable> open = new ArrayList<>();
     private Relay relay;
     private ServerSocket far;
+
     /** Of this case alone: threads of the last one may still be at their end. */
     private AtomicLong heard;
+
     private volatile double chance = 1;
 
     @BeforeMethod
@@ -45,29 +48,38 @@
         startLoop();
         far = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         open.add(far);
-        Thread echo = new Thread(() -> {
-            while (!far.isClosed()) {
-                try {
-                    Socket socket = far.accept();
-                    open.add(socket);
-                    Thread each = new Thread(() -> echo(socket, counted));
-                    each.setDaemon(true);
-                    each.start();
-                } catch (IOException e) {
-                    return;
-                }
-            }
-        });
+        Thread echo =
+                new Thread(
+                        () -> {
+                            while (!far.isClosed()) {
+                                try {
+                                    Socket socket = far.accept();
+                                    open.add(socket);
+                                    Thread each = new Thread(() -> echo(socket, counted));
+                                    each.setDaemon(true);
+                                    each.start();
+                                } catch (IOException e) {
+                                    return;
+                                }
+                            }
+                        });
         echo.setDaemon(true);
         echo.start();
-        relay = onLoop(() -> new Relay(loop, () -> (InetSocketAddress) far.getLocalSocketAddress(), true,
-                () -> chance));
+        relay =
+                onLoop(
+                        () ->
+                                new Relay(
+                                        loop,
+                                        () -> (InetSocketAddress) far.getLocalSocketAddress(),
+                                        true,
+                                        () -> chance));
     }
 
     private static void echo(Socket socket, AtomicLong counted) {
         try (socket) {
             byte[] bytes = new byte[8192];
-            for (int got = socket.getInputStream().read(bytes); got >= 0;
+            for (int got = socket.getInputStream().read(bytes);
+                    got >= 0;
                     got = socket.getInputStream().read(bytes)) {
                 counted.addAndGet(got);
                 socket.getOutputStream().write(bytes, 0, got);
@@ -80,10 +92,11 @@
     }
 
     private void set(Passage passage) throws Exception {
-        onLoop(() -> {
-            relay.set(passage);
-            return null;
-        });
+        onLoop(
+                () -> {
+                    relay.set(passage);
+                    return null;
+                });
     }
 
     private Socket connect() throws IOException {
@@ -128,11 +141,13 @@
         Socket socket = connect();
         assertEchoes(socket, "before");
         set(REFUSES);
-        expectThrows(IOException.class, () -> {
-            if (socket.getInputStream().read() < 0) {
-                throw new IOException("an end, where a reset or an end may come");
-            }
-        });
+        expectThrows(
+                IOException.class,
+                () -> {
+                    if (socket.getInputStream().read() < 0) {
+                        throw new IOException("an end, where a reset or an end may come");
+                    }
+                });
         expectThrows(IOException.class, this::connect);
         set(Passage.OPEN);
         assertEchoes(connect(), "after");
@@ -148,7 +163,9 @@
         assertTrue(System.nanoTime() - from >= 200_000_000L, "came too soon");
     }
 
-    /** More than is held for one direction: the sender waits, and nothing is lost or out of order. */
+    /**
+     * More than is held for one direction: the sender waits, and nothing is lost or out of order.
+     */
     @Test(timeOut = 4 * PATIENCE)
     public void muchMorePassesThanIsHeld() throws Exception {
         Socket socket = connect();
@@ -156,19 +173,23 @@
         for (int i = 0; i < all.length; i++) {
             all[i] = (byte) (i * 31 + i / 977);
         }
-        Thread writer = new Thread(() -> {
-            try {
-                socket.getOutputStream().write(all);
-                socket.shutdownOutput();
-            } catch (IOException e) {
-                // The reader finds out.
-                return;
-            }
-        });
+        Thread writer =
+                new Thread(
+                        () -> {
+                            try {
+                                socket.getOutputStream().write(all);
+                                socket.shutdownOutput();
+                            } catch (IOException e) {
+                                // The reader finds out.
+                                return;
+                            }
+                        });
         writer.setDaemon(true);
         writer.start();
         InputStream in = socket.getInputStream();
-        assertTrue(Arrays.equals(in.readNBytes(all.length), all), "what came back is not what was sent");
+        assertTrue(
+                Arrays.equals(in.readNBytes(all.length), all),
+                "what came back is not what was sent");
         assertEquals(in.read(), -1, "and then its end");
     }
 
@@ -194,11 +215,13 @@
     public void aFarEndThatIsNotThereShowsAsAnEnd() throws Exception {
         far.close();
         Socket socket = connect();
-        expectThrows(IOException.class, () -> {
-            if (socket.getInputStream().read() < 0) {
-                throw new IOException("an end, where a reset or an end may come");
-            }
-        });
+        expectThrows(
+                IOException.class,
+                () -> {
+                    if (socket.getInputStream().read() < 0) {
+                        throw new IOException("an end, where a reset or an end may come");
+                    }
+                });
     }
 
     @AfterMethod(alwaysRun = true)
--- a/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
@@ -8,7 +8,9 @@
 import org.testng.annotations.Test;
 import wheelroute.peers.Codec;
 
-/** Who is there, on the virtual clock: every datagram through the codec, and whatever can befall it. */
+/**
+ * Who is there, on the virtual clock: every datagram through the codec, and whatever can befall it.
+ */
 public class PeerModelTest {
     private static final int SEEDS = 3;
     private static final double PATIENCE = 120;
@@ -26,12 +28,16 @@
     @DataProvider
     public Object[][] sizes() {
         return new Object[][] {
-            // members, seconds for all to hold a dead one dead, to agree again after halves, bytes a second
+            // members, seconds for all to hold a dead one dead, to agree again after halves, bytes
+            // a second
             {3, 6, 5, 400}, {10, 8, 6, 400}, {40, 14, 12, 500}, {100, 18, 20, 700},
         };
     }
 
-    /** Times grow no faster than the logarithm of the size, and what it costs a member hardly at all. */
+    /**
+     * Times grow no faster than the logarithm of the size, and what it costs a member hardly at
+     * all.
+     */
     @Test(dataProvider = "sizes")
     public void deathsAndCutsAreKnownInTime(int count, double dead, double healed, double bytes) {
         PeerModel model = joined(count, count, true);
@@ -62,15 +68,25 @@
         model.network(0.25, 0.2, 0.05);
         model.countFromHere();
         model.pass(120);
-        assertTrue(model.wrongVerdicts() <= 1, model.wrongVerdicts() + " wrong verdicts in 40 minutes");
+        assertTrue(
+                model.wrongVerdicts() <= 1,
+                model.wrongVerdicts() + " wrong verdicts in 40 minutes");
         model.network(0, 0, 0);
         assertFalse(Double.isNaN(model.passUntil(model::isAgreed, PATIENCE)));
     }
 
     @DataProvider
     public Object[][] hard() {
-        return new Object[][] {{"seeds"}, {"one way"}, {"all but one"}, {"thirds"}, {"flapping"}, {"clock"},
-            {"stop"}, {"leave"}};
+        return new Object[][] {
+            {"seeds"},
+            {"one way"},
+            {"all but one"},
+            {"thirds"},
+            {"flapping"},
+            {"clock"},
+            {"stop"},
+            {"leave"}
+        };
     }
 
     /** Each ends with all in agreement, some time after it is over. */
@@ -93,8 +109,10 @@
             case "one way" -> {
                 model.cut((from, to) -> from == 4);
                 model.pass(20);
-                assertFalse(model.members.get(0).membership().of(PeerModel.id(4)).state()
-                        == wheelroute.peers.Sighting.State.ALIVE, "whom nobody hears is not there");
+                assertFalse(
+                        model.members.get(0).membership().of(PeerModel.id(4)).state()
+                                == wheelroute.peers.Sighting.State.ALIVE,
+                        "whom nobody hears is not there");
             }
             case "all but one" -> {
                 model.cut((from, to) -> from == 4 && to == 5 || from == 5 && to == 4);
@@ -154,6 +172,7 @@
                 wrong[doubts ? 0 : 1] += model.wrongVerdicts();
             }
         }
-        assertTrue(wrong[0] * 2 <= wrong[1], wrong[0] + " wrong with doubt, " + wrong[1] + " without");
+        assertTrue(
+                wrong[0] * 2 <= wrong[1], wrong[0] + " wrong with doubt, " + wrong[1] + " without");
     }
 }
--- a/kit/src/test/java/wheelroute/kit/real/Judged.java
+++ b/kit/src/test/java/wheelroute/kit/real/Judged.java
@@ -6,19 +6,30 @@
 import wheelroute.kit.report.TableWriter;
 import wheelroute.kit.scenario.Scenario;
 
-/** Plays for tests that assert on rules and figures: what the machine was too busy to judge is no verdict. */
+/**
+ * Plays for tests that assert on rules and figures: what the machine was too busy to judge is no
+ * verdict.
+ */
 final class Judged {
     private static final int TRIES = 3;
 
-    private Judged() {
-    }
+    private Judged() {}
 
     /** The first play that can be judged; without one the test is skipped, and says why. */
     static Report play(Scenario scenario, long seed, double seconds) throws Exception {
         Report report = null;
         for (int i = 0; i < TRIES; i++) {
-            report = RealRun.play(scenario, seed, seconds, Map.of(), "as-built", null, null, () -> false,
-                    text -> { });
+            report =
+                    RealRun.play(
+                            scenario,
+                            seed,
+                            seconds,
+                            Map.of(),
+                            "as-built",
+                            null,
+                            null,
+                            () -> false,
+                            text -> {});
             if (report.whyNotJudged() == null) {
                 return report;
             }
--- a/kit/src/test/java/wheelroute/kit/real/KeeperTest.java
+++ b/kit/src/test/java/wheelroute/kit/real/KeeperTest.java
@@ -28,7 +28,10 @@
         return keeper.start(new ProcessBuilder("sleep", "600"));
     }
 
-    /** The letter that the kernel has for its state, once it is the one expected or patience is over. */
+    /**
+     * The letter that the kernel has for its state, once it is the one expected or patience is
+     * over.
+     */
     private static char state(Process process, char expected) throws Exception {
         Path stat = Path.of("/proc/" + process.pid() + "/stat");
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE);
@@ -64,7 +67,8 @@
         assertTrue(other.waitFor(PATIENCE, TimeUnit.SECONDS));
         keeper.close();
         assertTrue(kept.waitFor(PATIENCE, TimeUnit.SECONDS), "it outlived its keeper");
-        // One that is late, as its starter was killed in the middle of starting it, does not even begin.
+        // One that is late, as its starter was killed in the middle of starting it, does not even
+        // begin.
         rig = keeper.start(new ProcessBuilder("sleep", "600"));
         assertTrue(rig.waitFor(PATIENCE, TimeUnit.SECONDS), "it began after its keeper had gone");
         assertEquals(rig.exitValue(), 1);
@@ -73,9 +77,20 @@
     /** The rig itself is killed, which it cannot see coming: nothing it started is left. */
     @Test
     public void noDaemonOutlivesAKilledRig() throws Exception {
-        rig = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "wheelroute.kit.cli.Wheelroute", "rehearse", "calm",
-                "--clock", "real", "--seconds", "60").redirectErrorStream(true).start();
+        rig =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "wheelroute.kit.cli.Wheelroute",
+                                "rehearse",
+                                "calm",
+                                "--clock",
+                                "real",
+                                "--seconds",
+                                "60")
+                        .redirectErrorStream(true)
+                        .start();
         List<ProcessHandle> started = List.of();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE);
         while (started.stream().noneMatch(KeeperTest::isDaemon) && System.nanoTime() < end) {
--- a/kit/src/test/java/wheelroute/kit/real/RealRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/real/RealRunTest.java
@@ -26,17 +26,33 @@
     public Object[][] troubles() {
         return new Object[][] {
             {"none", ""},
-            {"a burst of errors", "[[faults]]\nkind = \"burst\"\nat = 1\nfor = 2\ngroup = \"far\"\nlevel ="
-                    + " 0.5\n"},
-            {"a crash, and back cold", "[[faults]]\nkind = \"crash\"\nat = 1\nfor = 2\ngroup ="
-                    + " \"near\"\nshare = 0.5\n"},
-            {"a drain", "[[faults]]\nkind = \"drain\"\nat = 0.5\nfor = 3\ngroup = \"near\"\nshare = 0.5\n"},
-            {"a machine cut off", "[[faults]]\nkind = \"vanish\"\nat = 1\nfor = 2\ngroup = \"near\"\nshare"
-                    + " = 0.5\n"},
+            {
+                "a burst of errors",
+                "[[faults]]\nkind = \"burst\"\nat = 1\nfor = 2\ngroup = \"far\"\nlevel =" + " 0.5\n"
+            },
+            {
+                "a crash, and back cold",
+                "[[faults]]\nkind = \"crash\"\nat = 1\nfor = 2\ngroup ="
+                        + " \"near\"\nshare = 0.5\n"
+            },
+            {
+                "a drain",
+                "[[faults]]\nkind = \"drain\"\nat = 0.5\nfor = 3\ngroup = \"near\"\nshare = 0.5\n"
+            },
+            {
+                "a machine cut off",
+                "[[faults]]\nkind = \"vanish\"\nat = 1\nfor = 2\ngroup = \"near\"\nshare"
+                        + " = 0.5\n"
+            },
             {"discovery down", "[[faults]]\nkind = \"list-down\"\nat = 1\nfor = 2\n"},
-            {"a dispatcher killed", "[[faults]]\nkind = \"dispatcher-kill\"\nat = 1\nfor = 1\nshare = 0.5\n"},
-            {"a dispatcher told to end", "[[faults]]\nkind = \"dispatcher-restart\"\nat = 1\nfor ="
-                    + " 2\nshare = 0.5\n"},
+            {
+                "a dispatcher killed",
+                "[[faults]]\nkind = \"dispatcher-kill\"\nat = 1\nfor = 1\nshare = 0.5\n"
+            },
+            {
+                "a dispatcher told to end",
+                "[[faults]]\nkind = \"dispatcher-restart\"\nat = 1\nfor =" + " 2\nshare = 0.5\n"
+            },
             {"clients that hang up", "[clients]\nimpatient = 0.5\nretries = 1\n"},
         };
     }
@@ -44,26 +60,43 @@
     /** Every ask ends in one way, and no rule breaks, whatever goes wrong. */
     @Test(dataProvider = "troubles")
     public void theDaemonKeepsTheRulesAmidTrouble(String trouble, String more) throws Exception {
-        // With two, nobody has to wait for a start: what one just started reads late, it cannot answer in
+        // With two, nobody has to wait for a start: what one just started reads late, it cannot
+        // answer in
         // time.
         int dispatchers = more.contains("dispatcher-") ? 2 : 1;
         Report report = play(Small.scenario(more, dispatchers), 4);
         Report.Row all = report.total();
-        assertEquals(all.inTime() + all.late() + all.bounced() + all.scrapped() + all.unanswered()
-                + all.left(),
-                all.asked(), trouble);
+        assertEquals(
+                all.inTime()
+                        + all.late()
+                        + all.bounced()
+                        + all.scrapped()
+                        + all.unanswered()
+                        + all.left(),
+                all.asked(),
+                trouble);
         assertTrue(all.asked() > 120, TableWriter.text(report));
         assertTrue(report.keepsRules(), TableWriter.text(report));
         assertTrue(all.inTime() > all.asked() / 4, TableWriter.text(report));
     }
 
-    /** The two clocks ask the same and serve alike: a model that drifts from the sockets is found here. */
+    /**
+     * The two clocks ask the same and serve alike: a model that drifts from the sockets is found
+     * here.
+     */
     @Test
     public void theClocksAgree() throws Exception {
         Scenario scenario = Small.scenario("");
         Report real = play(scenario, 4);
-        Report virtual = VirtualRun.play(scenario, 3, 4, Map.of(), "as-built",
-                w -> Brains.maker(Brains.MODULE, w), () -> false);
+        Report virtual =
+                VirtualRun.play(
+                        scenario,
+                        3,
+                        4,
+                        Map.of(),
+                        "as-built",
+                        w -> Brains.maker(Brains.MODULE, w),
+                        () -> false);
         assertEquals(real.total().asked(), virtual.total().asked());
         assertEquals(real.total().service(), virtual.total().service(), 0.03);
     }
@@ -71,9 +104,20 @@
     @Test
     public void aDaemonThatDoesNotStartIsTold() throws Exception {
         Path jar = Files.createTempFile("none", ".jar");
-        RehearsalException e = expectThrows(RehearsalException.class, () -> RealRun.play(Small.scenario(""),
-                3, 5,
-                Map.of(), "x", jar, null, () -> false, text -> { }));
+        RehearsalException e =
+                expectThrows(
+                        RehearsalException.class,
+                        () ->
+                                RealRun.play(
+                                        Small.scenario(""),
+                                        3,
+                                        5,
+                                        Map.of(),
+                                        "x",
+                                        jar,
+                                        null,
+                                        () -> false,
+                                        text -> {}));
         assertTrue(e.getMessage().contains("n0 did not start"), e.getMessage());
         Files.delete(jar);
     }
--- a/kit/src/test/java/wheelroute/kit/real/StartsTest.java
+++ b/kit/src/test/java/wheelroute/kit/real/StartsTest.java
@@ -19,12 +19,15 @@
 import org.testng.annotations.Test;
 
 /**
- * Processes that start together by the shipped script, while discovery is down: how soon they take clients.
+ * Processes that start together by the shipped script, while discovery is down: how soon they take
+ * clients.
  */
 public class StartsTest {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
+
     /** Nine in ten of those that start together are to be ready within this. */
     private static final double IN_TIME = 10;
+
     private static final double NINE_IN_TEN = 0.9;
     private static final double GIVEN_UP = 60;
 
@@ -36,7 +39,10 @@
         };
     }
 
-    /** Discovery refuses all the while: what is remembered has to do, and nobody waits for an answer. */
+    /**
+     * Discovery refuses all the while: what is remembered has to do, and nobody waits for an
+     * answer.
+     */
     @Test(dataProvider = "starts", timeOut = 120_000)
     public void nineInTenAreReadyInTime(int processes, int workers, int memory) throws Exception {
         Path directory = Files.createTempDirectory("starts");
@@ -46,21 +52,29 @@
             String known = known(workers);
             for (int i = 0; i < processes; i++) {
                 logs.add(directory.resolve("log" + i));
-                Files.writeString(directory.resolve("config" + i), config(i, processes, memory, known));
+                Files.writeString(
+                        directory.resolve("config" + i), config(i, processes, memory, known));
             }
             long begun = System.nanoTime();
             for (int i = 0; i < processes; i++) {
-                ProcessBuilder builder = new ProcessBuilder("bash", "deploy/run.sh").directory(ROOT.toFile());
+                ProcessBuilder builder =
+                        new ProcessBuilder("bash", "deploy/run.sh").directory(ROOT.toFile());
                 builder.environment().put("LB_CONFIG", directory.resolve("config" + i).toString());
                 builder.environment().put("TMPDIR", directory.toString());
-                started.add(builder.redirectErrorStream(true).redirectOutput(logs.get(i).toFile()).start());
+                started.add(
+                        builder.redirectErrorStream(true)
+                                .redirectOutput(logs.get(i).toFile())
+                                .start());
             }
             double[] ready = new double[processes];
             double now = 0;
             while (IntStream.range(0, processes).anyMatch(i -> ready[i] == 0) && now < GIVEN_UP) {
                 now = (System.nanoTime() - begun) / (double) TimeUnit.SECONDS.toNanos(1);
                 for (int i = 0; i < processes; i++) {
-                    ready[i] = ready[i] == 0 && text(logs.get(i)).contains("listens on") ? now : ready[i];
+                    ready[i] =
+                            ready[i] == 0 && text(logs.get(i)).contains("listens on")
+                                    ? now
+                                    : ready[i];
                 }
                 LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(20));
             }
@@ -95,21 +109,42 @@
     private static String known(int workers) {
         StringBuilder out = new StringBuilder("{\"version\":3,\"full\":true,\"servers\":[");
         for (int i = 0; i < workers; i++) {
-            String place = String.format(Locale.ROOT, "127.%d.%d.%d:9001", 1 + i / 62_500, i / 250 % 250,
-                    1 + i % 250);
-            out.append(i > 0 ? "," : "").append(String.format(Locale.ROOT, "{\"id\":\"s-%08x\",\"addr\":"
-                    + "\"%s\",\"zone\":\"z%d\",\"kind\":\"m%d\",\"cell\":%d,\"state\":\"ready\","
-                    + "\"weight\":1.0,\"started_ms\":0}", i, place, i % 13, i % 3, i % 40));
+            String place =
+                    String.format(
+                            Locale.ROOT,
+                            "127.%d.%d.%d:9001",
+                            1 + i / 62_500,
+                            i / 250 % 250,
+                            1 + i % 250);
+            out.append(i > 0 ? "," : "")
+                    .append(
+                            String.format(
+                                    Locale.ROOT,
+                                    "{\"id\":\"s-%08x\",\"addr\":"
+                                            + "\"%s\",\"zone\":\"z%d\",\"kind\":\"m%d\",\"cell\":%d,\"state\":\"ready\","
+                                            + "\"weight\":1.0,\"started_ms\":0}",
+                                    i,
+                                    place,
+                                    i % 13,
+                                    i % 3,
+                                    i % 40));
         }
         return out.append("]}").toString();
     }
 
     private static String config(int number, int all, int memory, String known) throws IOException {
-        return "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
+        return "{\"name\":\"n"
+                + number
+                + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
                 + closedPort()
-                + "\",\"known\":" + known + ",\"settings\":{\"az\":\"z1\",\"balancers\":" + all
+                + "\",\"known\":"
+                + known
+                + ",\"settings\":{\"az\":\"z1\",\"balancers\":"
+                + all
                 + ",\"request_classes\":[{\"name\":\"job\",\"effect\":\"free\",\"on_time_us\":500000,"
-                + "\"hard_limit_us\":5000000,\"worth\":1}]},\"limits\":{\"memory_mb\":" + memory + "}}";
+                + "\"hard_limit_us\":5000000,\"worth\":1}]},\"limits\":{\"memory_mb\":"
+                + memory
+                + "}}";
     }
 
     private static int closedPort() throws IOException {
--- a/kit/src/test/java/wheelroute/kit/scale/CapacityPageTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/CapacityPageTest.java
@@ -15,7 +15,8 @@
 
 /** A size worked out by hand, and a page that has to say what the slopes do. */
 public class CapacityPageTest {
-    private static final String SIZE = """
+    private static final String SIZE =
+            """
             name = "small"
             workers = 1000
             starts_per_s = 100
@@ -42,23 +43,48 @@
     private static Slopes slopes() {
         Map<String, Fit> fits = new LinkedHashMap<>();
         Object[][] lines = {
-            {ScaleRun.REST_CPU, 0.001, 0.000001}, {ScaleRun.LAUNCH_CPU, 0.001, 0.000002},
-            {ScaleRun.COLD_LAUNCH_CPU, 0.001, 0.0}, {ScaleRun.MEMORY, 40.0, 0.01}, {ScaleRun.READY, 0.3, 0.0},
-            {ScaleRun.LISTED, 0.4, 0.0}, {ScaleRun.WHOLE_BYTES, 0.0, 100.0}, {ScaleRun.CHANGES_CPU, 0.0,
-                    0.002},
-            {ScaleRun.CHANGES_BYTES, 0.0, 200.0}, {ScaleRun.RATE_CPU, 0.0, 0.0},
-            {ScaleRun.HELD_CPU, 0.0, 0.00001}, {ScaleRun.HELD_MEMORY, 0.0, 0.05},
-            {ScaleRun.TENANTS_CPU, 0.0, 0.00001}, {ScaleRun.BATCH_CPU, 0.0, 0.0001},
-            {ScaleRun.BATCH_IN_FORCE, 0.0, 0.0001}, {ScaleRun.CALLS, 0.0, 1.0},
-            {ScaleRun.LIST_BYTES, 0.0, 200.0}, {ScaleRun.IN_FORCE_P50, 0.0, 0.0},
-            {ScaleRun.IN_FORCE_P99, 0.0, 0.0}, {ScaleRun.IN_FORCE_WORST, 0.0, 0.0}};
+            {ScaleRun.REST_CPU, 0.001, 0.000001},
+            {ScaleRun.LAUNCH_CPU, 0.001, 0.000002},
+            {ScaleRun.COLD_LAUNCH_CPU, 0.001, 0.0},
+            {ScaleRun.MEMORY, 40.0, 0.01},
+            {ScaleRun.READY, 0.3, 0.0},
+            {ScaleRun.LISTED, 0.4, 0.0},
+            {ScaleRun.WHOLE_BYTES, 0.0, 100.0},
+            {ScaleRun.CHANGES_CPU, 0.0, 0.002},
+            {ScaleRun.CHANGES_BYTES, 0.0, 200.0},
+            {ScaleRun.RATE_CPU, 0.0, 0.0},
+            {ScaleRun.HELD_CPU, 0.0, 0.00001},
+            {ScaleRun.HELD_MEMORY, 0.0, 0.05},
+            {ScaleRun.TENANTS_CPU, 0.0, 0.00001},
+            {ScaleRun.BATCH_CPU, 0.0, 0.0001},
+            {ScaleRun.BATCH_IN_FORCE, 0.0, 0.0001},
+            {ScaleRun.CALLS, 0.0, 1.0},
+            {ScaleRun.LIST_BYTES, 0.0, 200.0},
+            {ScaleRun.IN_FORCE_P50, 0.0, 0.0},
+            {ScaleRun.IN_FORCE_P99, 0.0, 0.0},
+            {ScaleRun.IN_FORCE_WORST, 0.0, 0.0}
+        };
         for (Object[] line : lines) {
             Fit fit = FitTest.line((double) line[1], (double) line[2], 0, 1, 10, 20, 30, 40);
             fits.put((String) line[0], Fit.of((String) line[0], "x", "y", fit.points()));
         }
-        return new Slopes("", "a head", fits, Map.of(ScaleRun.RESTART_WORST, 1.0, ScaleRun.RESTART_CALLS, 9.0,
-                ScaleRun.REAL_CALLS, 1.0, ScaleRun.HOLLOW_CALLS, 1.0, ScaleRun.REAL_IN_FORCE, 1.0,
-                ScaleRun.HOLLOW_IN_FORCE, 1.0));
+        return new Slopes(
+                "",
+                "a head",
+                fits,
+                Map.of(
+                        ScaleRun.RESTART_WORST,
+                        1.0,
+                        ScaleRun.RESTART_CALLS,
+                        9.0,
+                        ScaleRun.REAL_CALLS,
+                        1.0,
+                        ScaleRun.HOLLOW_CALLS,
+                        1.0,
+                        ScaleRun.REAL_IN_FORCE,
+                        1.0,
+                        ScaleRun.HOLLOW_IN_FORCE,
+                        1.0));
     }
 
     /** The page that this repository ships says what the slopes and the size that it ships do. */
@@ -67,8 +93,11 @@
         Path docs = Path.of("..", "docs");
         Slopes slopes = Slopes.read(Files.readString(docs.resolve("capacity/slopes.json")));
         Size size = Size.read(docs.resolve("capacity/size.toml"));
-        assertEquals(CapacityPage.faults(Files.readString(docs.resolve("CAPACITY.md")),
-                new Reckoning(slopes, size).tables()), List.of());
+        assertEquals(
+                CapacityPage.faults(
+                        Files.readString(docs.resolve("CAPACITY.md")),
+                        new Reckoning(slopes, size).tables()),
+                List.of());
     }
 
     private static Size size() throws IOException {
@@ -109,7 +138,8 @@
         Path file = Files.createTempFile("size", ".toml");
         Files.writeString(file, SIZE.replace("core_share = 0.1", "core_share = 0.0175"));
         List<String> over = new Reckoning(slopes(), Size.read(file)).verdict();
-        assertEquals(over, List.of("processor time at the peak with 10 dispatchers: over, 2.00 times"));
+        assertEquals(
+                over, List.of("processor time at the peak with 10 dispatchers: over, 2.00 times"));
     }
 
     @DataProvider
@@ -119,7 +149,11 @@
             {"workers = 1000", "workers = \"many\"", "'workers' is no number above 0: many"},
             {"workers = 1000", "workers = 0", "'workers' is no number above 0: 0"},
             {"dispatchers = [10]", "dispatchers = []", "'dispatchers' is no list"},
-            {"dispatchers = [10]", "dispatchers = [10, -1]", "'dispatchers' is no number above 0: -1"},
+            {
+                "dispatchers = [10]",
+                "dispatchers = [10, -1]",
+                "'dispatchers' is no number above 0: -1"
+            },
             {"name = \"small\"", "", "'name' is missing"},
             {"zones = 4", "zones = 4\nshards = 3", "'shards' is no key"},
             {"zones = 4", "zones = = 4", "line 6"},
@@ -127,13 +161,17 @@
     }
 
     @Test(dataProvider = "faultySizes")
-    public void aFaultySizeNamesItsPlace(String is, String becomes, String words) throws IOException {
-        Path file = Files.writeString(Files.createTempFile("size", ".toml"), SIZE.replace(is, becomes));
+    public void aFaultySizeNamesItsPlace(String is, String becomes, String words)
+            throws IOException {
+        Path file =
+                Files.writeString(Files.createTempFile("size", ".toml"), SIZE.replace(is, becomes));
         String message = expectThrows(IOException.class, () -> Size.read(file)).getMessage();
         assertTrue(message.contains(words) && message.contains(file.toString()), message);
     }
 
-    /** Kept and read again they are the same, and a slope that was changed by hand is drawn anew. */
+    /**
+     * Kept and read again they are the same, and a slope that was changed by hand is drawn anew.
+     */
     @Test
     public void slopesSurviveTheirFile() throws IOException {
         String json = slopes().json();
@@ -141,17 +179,30 @@
         String changed = json.replace("\"slope\" : 0.002", "\"slope\" : 0.003");
         assertTrue(!changed.equals(json), json);
         assertEquals(Slopes.read(changed), slopes());
-        assertTrue(expectThrows(IOException.class, () -> Slopes.read("{\"version\":9}")).getMessage()
-                .contains("another version"));
-        assertTrue(expectThrows(IOException.class, () -> Slopes.read("{\"fits\":[{\"name\":\"a\",\"points\":"
-                + "[[1,2]]}]}")).getMessage().contains("a was measured at 1 sizes"));
+        assertTrue(
+                expectThrows(IOException.class, () -> Slopes.read("{\"version\":9}"))
+                        .getMessage()
+                        .contains("another version"));
+        assertTrue(
+                expectThrows(
+                                IOException.class,
+                                () ->
+                                        Slopes.read(
+                                                "{\"fits\":[{\"name\":\"a\",\"points\":"
+                                                        + "[[1,2]]}]}"))
+                        .getMessage()
+                        .contains("a was measured at 1 sizes"));
     }
 
     @Test
     public void aPageSaysWhatTheSlopesDo() throws IOException {
         StringBuilder empty = new StringBuilder("# Page\n");
-        tables().keySet().forEach(name -> empty.append("<!-- table: ").append(name)
-                .append(" -->\n<!-- end of table -->\n"));
+        tables().keySet()
+                .forEach(
+                        name ->
+                                empty.append("<!-- table: ")
+                                        .append(name)
+                                        .append(" -->\n<!-- end of table -->\n"));
         String page = CapacityPage.filled(empty.toString(), tables());
         assertEquals(CapacityPage.faults(page, tables()), List.of());
         // Any digit of any table.
@@ -160,15 +211,19 @@
             if (Character.isDigit(page.charAt(i))) {
                 char other = page.charAt(i) == '9' ? '1' : '9';
                 String changed = page.substring(0, i) + other + page.substring(i + 1);
-                assertEquals(CapacityPage.faults(changed, tables()).size(), 1, changed.substring(i - 20, i
-                        + 20));
+                assertEquals(
+                        CapacityPage.faults(changed, tables()).size(),
+                        1,
+                        changed.substring(i - 20, i + 20));
                 found++;
             }
         }
         assertTrue(found > 100, found + " digits");
         String without = page.replace("<!-- table: peers -->", "<!-- table: nothing -->");
-        assertTrue(expectThrows(IOException.class, () -> CapacityPage.faults(without, tables())).getMessage()
-                .contains("'nothing'"));
+        assertTrue(
+                expectThrows(IOException.class, () -> CapacityPage.faults(without, tables()))
+                        .getMessage()
+                        .contains("'nothing'"));
         String line = page.replaceAll("(?m)^\\| a zone.*\\R", "");
         assertTrue(CapacityPage.faults(line, tables()).size() > 1);
         assertEquals(CapacityPage.faults("", tables()).size(), tables().size());
--- a/kit/src/test/java/wheelroute/kit/scale/FitTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/FitTest.java
@@ -24,7 +24,8 @@
     }
 
     /**
-     * Of a thousand noisy measurements the truth, far outside, lies within two errors about 19 times in 20.
+     * Of a thousand noisy measurements the truth, far outside, lies within two errors about 19
+     * times in 20.
      */
     @Test
     public void theErrorHoldsWhereNothingWasMeasured() {
@@ -39,8 +40,9 @@
 
     @Test
     public void threeSizesAreTooFew() {
-        String message = expectThrows(IllegalArgumentException.class, () -> line(3, 0.5, 0, 1, 10, 20, 30))
-                .getMessage();
+        String message =
+                expectThrows(IllegalArgumentException.class, () -> line(3, 0.5, 0, 1, 10, 20, 30))
+                        .getMessage();
         assertTrue(message.contains("at 3 sizes, not 4"), message);
     }
 
@@ -48,7 +50,10 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<Fit.Point> points = new ArrayList<>();
         for (double size : sizes) {
-            points.add(new Fit.Point(size, intercept + slope * size + noise * (2 * random.nextDouble() - 1)));
+            points.add(
+                    new Fit.Point(
+                            size,
+                            intercept + slope * size + noise * (2 * random.nextDouble() - 1)));
         }
         return Fit.of("line", "x", "y", points);
     }
--- a/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
@@ -13,9 +13,17 @@
 
 /** The whole run at sizes that take seconds, with processes and sockets as in the large one. */
 public class ScaleRunTest {
-    private static final ScaleRun.Sizes SMALL = new ScaleRun.Sizes(0.8, new int[] {10, 20, 40, 80},
-            new double[] {5, 10, 20, 40}, new int[] {20, 40, 60, 80}, new int[] {10, 20, 30, 40},
-            new int[] {0, 5, 10, 20}, new int[] {10, 50, 100, 200}, 400, new int[] {2, 4, 6, 8});
+    private static final ScaleRun.Sizes SMALL =
+            new ScaleRun.Sizes(
+                    0.8,
+                    new int[] {10, 20, 40, 80},
+                    new double[] {5, 10, 20, 40},
+                    new int[] {20, 40, 60, 80},
+                    new int[] {10, 20, 30, 40},
+                    new int[] {0, 5, 10, 20},
+                    new int[] {10, 50, 100, 200},
+                    400,
+                    new int[] {2, 4, 6, 8});
 
     @Test(timeOut = 180_000)
     public void measuresEachLineAtItsSizes() throws Exception {
@@ -24,9 +32,12 @@
         slopes.fits().forEach((name, fit) -> assertEquals(fit.points().size(), 4, name));
         // An entry of the list has so many bytes, whoever asks.
         assertEquals(slopes.fit(ScaleRun.WHOLE_BYTES).slope(), 123, 3);
-        assertTrue(slopes.fit(ScaleRun.BATCH_IN_FORCE).points().stream().allMatch(p -> p.y() > 0), "no time");
+        assertTrue(
+                slopes.fit(ScaleRun.BATCH_IN_FORCE).points().stream().allMatch(p -> p.y() > 0),
+                "no time");
         assertTrue(slopes.fit(ScaleRun.MEMORY).at(50) > 20, "no process takes so little");
-        assertTrue(slopes.fit(ScaleRun.LAUNCH_CPU).points().stream().anyMatch(p -> p.y() > 0),
+        assertTrue(
+                slopes.fit(ScaleRun.LAUNCH_CPU).points().stream().anyMatch(p -> p.y() > 0),
                 "no launch costs");
         // Each asks after each change, real or hollow, one a second here.
         assertTrue(slopes.figure(ScaleRun.HOLLOW_CALLS) > 0, "a hollow one never asked");
@@ -34,14 +45,28 @@
         assertTrue(slopes.figure(ScaleRun.RESTART_CALLS) >= 8, "not all came back");
         assertTrue(slopes.figure(ScaleRun.RESTART_WORST) <= 4.8 + 0.5, "they came back late");
         assertTrue(told.size() >= 20, told.toString());
-        assertEquals(ProcessHandle.current().descendants().filter(ProcessHandle::isAlive)
-                .filter(p -> p.info().commandLine().orElse("").contains("wheelroute.jar serve")).count(), 0);
+        assertEquals(
+                ProcessHandle.current()
+                        .descendants()
+                        .filter(ProcessHandle::isAlive)
+                        .filter(
+                                p ->
+                                        p.info()
+                                                .commandLine()
+                                                .orElse("")
+                                                .contains("wheelroute.jar serve"))
+                        .count(),
+                0);
     }
 
     @Test(timeOut = 60_000)
     public void isStoppedEarly() {
-        assertTrue(expectThrows(RehearsalException.class, () -> ScaleRun.play(SMALL, () -> true, text -> { }))
-                .getMessage().contains("stopped"));
+        assertTrue(
+                expectThrows(
+                                RehearsalException.class,
+                                () -> ScaleRun.play(SMALL, () -> true, text -> {}))
+                        .getMessage()
+                        .contains("stopped"));
     }
 
     /** Half of the machine's memory, whatever is asked for. */
@@ -49,8 +74,11 @@
     public void nothingIsStartedPastItsBounds() throws IOException, RehearsalException {
         Guard guard = new Guard();
         guard.mayStart(1);
-        String message = expectThrows(RehearsalException.class,
-                () -> guard.mayStart(ProcessAccount.machineMemory())).getMessage();
+        String message =
+                expectThrows(
+                                RehearsalException.class,
+                                () -> guard.mayStart(ProcessAccount.machineMemory()))
+                        .getMessage();
         assertTrue(message.contains("half of the machine's"), message);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/scenario/DrawTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/DrawTest.java
@@ -29,7 +29,8 @@
     }
 
     /**
-     * Whatever is drawn lies inside the cycle, can be played, and would be taken from a person's file too.
+     * Whatever is drawn lies inside the cycle, can be played, and would be taken from a person's
+     * file too.
      */
     @Test
     public void whatIsDrawnIsSoundAndComesBackFromItsFile() throws Exception {
@@ -46,7 +47,10 @@
                 kinds.add(fault.kind());
                 ends.add(fault.ends());
             }
-            assertEquals(new HashSet<>(drawn.faults().stream().map(Scenario.Fault::pick).toList()).size(), 7);
+            assertEquals(
+                    new HashSet<>(drawn.faults().stream().map(Scenario.Fault::pick).toList())
+                            .size(),
+                    7);
         }
         assertEquals(kinds, EnumSet.copyOf(Draw.kinds(true)));
         assertEquals(ends, EnumSet.complementOf(EnumSet.of(Scenario.Ends.PEERS)));
@@ -56,34 +60,44 @@
     public void theVirtualClockIsSparedWhatItCannotPlay() {
         Scenario scenario = Small.scenario(DRAWN, 3);
         for (int seed = 0; seed < 100; seed++) {
-            assertTrue(Draw.drawn(scenario, seed).faults().stream()
-                    .noneMatch(f -> f.kind().needsProcesses()), "seed " + seed);
+            assertTrue(
+                    Draw.drawn(scenario, seed).faults().stream()
+                            .noneMatch(f -> f.kind().needsProcesses()),
+                    "seed " + seed);
         }
     }
 
     @Test
     public void onlyTheKindsNamedAreDrawn() {
         Scenario scenario = real("[drawn]\nfaults = 20\nkinds = [\"crash\", \"list-cut\"]\n");
-        assertEquals(EnumSet.copyOf(Draw.drawn(scenario, 1).faults().stream().map(Scenario.Fault::kind)
-                .toList()), EnumSet.of(Scenario.Kind.CRASH, Scenario.Kind.LIST_CUT));
+        assertEquals(
+                EnumSet.copyOf(
+                        Draw.drawn(scenario, 1).faults().stream()
+                                .map(Scenario.Fault::kind)
+                                .toList()),
+                EnumSet.of(Scenario.Kind.CRASH, Scenario.Kind.LIST_CUT));
     }
 
     @DataProvider
     public Object[][] scenarios() {
-        return java.util.stream.Stream.concat(Library.NAMES.stream(), List.of(
-                "[clients]\nfresh = 0.25\nwrites = 0.5\n[limits]\nmemory_mb = 96\nsockets = 512\n"
-                + "[changed]\n\"permissions.most_tries\" = \"4\"\n[expect.\"offering:free\"]\nleast = 0.1\n"
-                + "[[faults]]\nkind = \"link-slow\"\nat = 1\nfor = 1\nto = \"clients\"\nspread = 0.0125\n"
-                + "[[faults]]\nkind = \"dispatcher-replace\"\nat = 1\nfor = 1\nhow = \"old-killed\"\n"
-                + "[[faults]]\nkind = \"link-cut\"\nat = 1\nfor = 1\nzone = \"b\"\nwithin = 0.5\n"
-                + "[[faults]]\nkind = \"link-double\"\nat = 1\nfor = 1\nto = \"peers\"\nothers = 0.5\n")
-                .stream())
-                .map(name -> new Object[] {name}).toArray(Object[][]::new);
+        return java.util.stream.Stream.concat(
+                        Library.NAMES.stream(),
+                        List.of(
+                                "[clients]\nfresh = 0.25\nwrites = 0.5\n[limits]\nmemory_mb = 96\nsockets = 512\n"
+                                        + "[changed]\n\"permissions.most_tries\" = \"4\"\n[expect.\"offering:free\"]\nleast = 0.1\n"
+                                        + "[[faults]]\nkind = \"link-slow\"\nat = 1\nfor = 1\nto = \"clients\"\nspread = 0.0125\n"
+                                        + "[[faults]]\nkind = \"dispatcher-replace\"\nat = 1\nfor = 1\nhow = \"old-killed\"\n"
+                                        + "[[faults]]\nkind = \"link-cut\"\nat = 1\nfor = 1\nzone = \"b\"\nwithin = 0.5\n"
+                                        + "[[faults]]\nkind = \"link-double\"\nat = 1\nfor = 1\nto = \"peers\"\nothers = 0.5\n")
+                                .stream())
+                .map(name -> new Object[] {name})
+                .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "scenarios")
     public void whatIsWrittenIsReadAsTheSame(String nameOrText) throws Exception {
-        Scenario scenario = Library.NAMES.contains(nameOrText) ? Library.find(nameOrText) : real(nameOrText);
+        Scenario scenario =
+                Library.NAMES.contains(nameOrText) ? Library.find(nameOrText) : real(nameOrText);
         assertEquals(ScenarioReader.read(scenario.name(), ScenarioWriter.text(scenario)), scenario);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/virtual/VirtualRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/virtual/VirtualRunTest.java
@@ -28,9 +28,10 @@
     private static final int SCHEDULES = 60;
     private static final int THIRTIES = 50;
 
-    private static Report play(Scenario scenario, long seed, double seconds, String brain) throws Exception {
-        return VirtualRun.play(scenario, seed, seconds, Map.of(), brain, w -> Brains.maker(brain, w),
-                () -> false);
+    private static Report play(Scenario scenario, long seed, double seconds, String brain)
+            throws Exception {
+        return VirtualRun.play(
+                scenario, seed, seconds, Map.of(), brain, w -> Brains.maker(brain, w), () -> false);
     }
 
     @DataProvider
@@ -55,7 +56,10 @@
         assertTrue(report.holds(), TableWriter.text(report));
     }
 
-    /** What thirty dispatchers send a cold worker, each by what it sees alone, does not push it over. */
+    /**
+     * What thirty dispatchers send a cold worker, each by what it sees alone, does not push it
+     * over.
+     */
     @Test
     public void thirtyDispatchersPushNoColdWorkerOver() throws Exception {
         Scenario scenario = Library.find("cold-thirty");
@@ -75,21 +79,32 @@
             assertTrue(report.keepsRules(), TableWriter.text(report));
             if (!brain.equals(Brains.MODULE) && !brain.equals(Brains.SEEING)) {
                 double service = report.figures().get(Figures.SERVICE);
-                assertTrue(service < module - 0.1, brain + " serves " + service + " beside " + module);
+                assertTrue(
+                        service < module - 0.1, brain + " serves " + service + " beside " + module);
             }
         }
     }
 
-    /** What a real process would do as it stands still or loses its ways, on this clock: drawn schedules. */
+    /**
+     * What a real process would do as it stands still or loses its ways, on this clock: drawn
+     * schedules.
+     */
     @Test
     public void drawnSchedulesKeepTheRules() throws Exception {
-        Scenario scenario = Small.scenario("[drawn]\nfaults = 5\nlongest = 2\n[clients]\nretries = 2\n", 4);
+        Scenario scenario =
+                Small.scenario("[drawn]\nfaults = 5\nlongest = 2\n[clients]\nretries = 2\n", 4);
         for (int seed = 0; seed < SCHEDULES; seed++) {
             Report report = play(scenario, seed, 5, Brains.MODULE);
             Report.Row all = report.total();
             assertTrue(report.keepsRules(), seed + ": " + TableWriter.text(report));
-            assertEquals(all.inTime() + all.late() + all.bounced() + all.scrapped() + all.unanswered()
-                    + all.left(), all.asked());
+            assertEquals(
+                    all.inTime()
+                            + all.late()
+                            + all.bounced()
+                            + all.scrapped()
+                            + all.unanswered()
+                            + all.left(),
+                    all.asked());
         }
     }
 
@@ -101,7 +116,9 @@
         assertNotEquals(JsonWriter.text(List.of(play(scenario, 6, 12, Brains.MODULE))), once);
     }
 
-    /** What is asked depends on the seed alone: else variants could not be compared pair by pair. */
+    /**
+     * What is asked depends on the seed alone: else variants could not be compared pair by pair.
+     */
     @Test
     public void allVariantsAreAskedTheSame() throws Exception {
         Scenario scenario = Library.find("failures-overlap");
@@ -116,15 +133,24 @@
 
     @Test
     public void everyAskEndsInOneWay() throws Exception {
-        Scenario scenario = Small.scenario("[clients]\nimpatient = 0.3\nretries = 2\n"
-                + "[[faults]]\nkind = \"dispatcher-kill\"\nat = 1\nfor = 1\n"
-                + "[[faults]]\nkind = \"list-down\"\nat = 1.5\nfor = 2\n");
+        Scenario scenario =
+                Small.scenario(
+                        "[clients]\nimpatient = 0.3\nretries = 2\n"
+                                + "[[faults]]\nkind = \"dispatcher-kill\"\nat = 1\nfor = 1\n"
+                                + "[[faults]]\nkind = \"list-down\"\nat = 1.5\nfor = 2\n");
         Report report = play(scenario, 1, 5, Brains.MODULE);
         Report.Row all = report.total();
-        assertEquals(all.inTime() + all.late() + all.bounced() + all.scrapped() + all.unanswered()
-                + all.left(),
+        assertEquals(
+                all.inTime()
+                        + all.late()
+                        + all.bounced()
+                        + all.scrapped()
+                        + all.unanswered()
+                        + all.left(),
                 all.asked());
-        assertTrue(all.asked() > 150 && all.asked() < 250, all.asked() + " asked at 40 a second for 5 s");
+        assertTrue(
+                all.asked() > 150 && all.asked() < 250,
+                all.asked() + " asked at 40 a second for 5 s");
         assertTrue(all.left() > 0, "nobody hung up");
         assertTrue(report.keepsRules(), TableWriter.text(report));
     }
@@ -132,15 +158,24 @@
     /** An expectation that cannot be met is said to fail, and the page and the table say so too. */
     @Test
     public void whatDoesNotHoldIsSaid() throws Exception {
-        Report report = play(Small.scenario("[expect.service]\nleast = 1.01\n[expect.p99]\nmost = 10\n"), 1,
-                5,
-                Brains.MODULE);
+        Report report =
+                play(
+                        Small.scenario("[expect.service]\nleast = 1.01\n[expect.p99]\nmost = 10\n"),
+                        1,
+                        5,
+                        Brains.MODULE);
         assertTrue(!report.holds());
         assertEquals(report.verdicts().stream().filter(Report.Verdict::holds).count(), 1);
-        assertTrue(TableWriter.text(report).contains("service at least 1.01"), TableWriter.text(report));
+        assertTrue(
+                TableWriter.text(report).contains("service at least 1.01"),
+                TableWriter.text(report));
         String page = HtmlWriter.text(List.of(report), "a < b");
-        assertTrue(page.contains("does not hold") && page.contains("a &lt; b") && page.contains("uPlot"));
-        assertTrue(!page.contains("src=\"http") && !page.contains("href=\"http"),
+        assertTrue(
+                page.contains("does not hold")
+                        && page.contains("a &lt; b")
+                        && page.contains("uPlot"));
+        assertTrue(
+                !page.contains("src=\"http") && !page.contains("href=\"http"),
                 "it needs something beside it");
     }
 
@@ -148,8 +183,15 @@
     public void aStoppedRunIsMarked() throws Exception {
         Scenario scenario = Library.find("calm");
         int[] looks = {0};
-        Report report = VirtualRun.play(scenario, 1, 60, Map.of(), "x", w -> Brains.maker("random", w),
-                () -> ++looks[0] > 2);
+        Report report =
+                VirtualRun.play(
+                        scenario,
+                        1,
+                        60,
+                        Map.of(),
+                        "x",
+                        w -> Brains.maker("random", w),
+                        () -> ++looks[0] > 2);
         assertTrue(report.partial() && !report.holds());
         assertTrue(TableWriter.text(report).contains("PARTIAL"));
     }
@@ -166,11 +208,18 @@
             {new Report.Lag(0, 0, 0, 0), Rule.ONE_ANSWER, Report.Judgement.DOES_NOT_HOLD},
             {new Report.Lag(0, once, 0, 0), Rule.ONE_ANSWER, Report.Judgement.NOT_JUDGED},
             {new Report.Lag(0, 0, 0, once), Rule.COLD_WORKER, Report.Judgement.NOT_JUDGED},
-            {new Report.Lag(0, once, 0, once), Rule.NO_EFFECT_TWICE, Report.Judgement.DOES_NOT_HOLD},
+            {
+                new Report.Lag(0, once, 0, once),
+                Rule.NO_EFFECT_TWICE,
+                Report.Judgement.DOES_NOT_HOLD
+            },
         };
     }
 
-    /** What a machine that lags measures is no service of the dispatcher's, but an effect twice is one. */
+    /**
+     * What a machine that lags measures is no service of the dispatcher's, but an effect twice is
+     * one.
+     */
     @Test(dataProvider = "lags")
     public void aRunOnASlowMachineIsNotJudged(Report.Lag lag, Rule broken, Report.Judgement judged)
             throws Exception {
@@ -180,10 +229,25 @@
         if (broken != null) {
             counts.put(broken, 1);
         }
-        Report late = new Report(r.run(), r.total(), r.offerings(), r.tenants(), r.figures(), r.verdicts(),
-                counts, r.breaches(), r.series(), r.distribution(), r.bands(),
-                lag, r.notes(), false);
+        Report late =
+                new Report(
+                        r.run(),
+                        r.total(),
+                        r.offerings(),
+                        r.tenants(),
+                        r.figures(),
+                        r.verdicts(),
+                        counts,
+                        r.breaches(),
+                        r.series(),
+                        r.distribution(),
+                        r.bands(),
+                        lag,
+                        r.notes(),
+                        false);
         assertEquals(late.judgement(), judged, TableWriter.text(late));
-        assertEquals(TableWriter.text(late).contains("NOT JUDGED"), judged == Report.Judgement.NOT_JUDGED);
+        assertEquals(
+                TableWriter.text(late).contains("NOT JUDGED"),
+                judged == Report.Judgement.NOT_JUDGED);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/world/WorkerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/world/WorkerModelTest.java
@@ -36,26 +36,41 @@
 
     private Launch send(WorkerModel worker, String name, double work, int slots, double memory) {
         double sentAt = time.now();
-        Launch launch = new Launch(name.hashCode(), work, slots, memory, new Launch.Reply() {
-            private void note(String what) {
-                said.add(name + " " + what + String.format(Locale.ROOT, " %.2f", time.now() - sentAt));
-            }
-
-            @Override
-            public void started() {
-                note("started");
-            }
-
-            @Override
-            public void progressed(double share) {
-                note(String.format(Locale.ROOT, "at %.2f", share));
-            }
-
-            @Override
-            public void ended(Ending ending, double freeSlots) {
-                note(ending + (Double.isNaN(freeSlots) ? "" : " free " + (int) freeSlots));
-            }
-        });
+        Launch launch =
+                new Launch(
+                        name.hashCode(),
+                        work,
+                        slots,
+                        memory,
+                        new Launch.Reply() {
+                            private void note(String what) {
+                                said.add(
+                                        name
+                                                + " "
+                                                + what
+                                                + String.format(
+                                                        Locale.ROOT, " %.2f", time.now() - sentAt));
+                            }
+
+                            @Override
+                            public void started() {
+                                note("started");
+                            }
+
+                            @Override
+                            public void progressed(double share) {
+                                note(String.format(Locale.ROOT, "at %.2f", share));
+                            }
+
+                            @Override
+                            public void ended(Ending ending, double freeSlots) {
+                                note(
+                                        ending
+                                                + (Double.isNaN(freeSlots)
+                                                        ? ""
+                                                        : " free " + (int) freeSlots));
+                            }
+                        });
         worker.arrive(launch);
         return launch;
     }
@@ -71,7 +86,8 @@
     @DataProvider
     public Object[][] tips() {
         return new Object[][] {
-            // mean work of a request, work that comes at a moment, whether it stands: 4 x 0.2 x 2 slots x 3 s
+            // mean work of a request, work that comes at a moment, whether it stands: 4 x 0.2 x 2
+            // slots x 3 s
             {"0", 4.7, true}, {"0", 4.9, false},
             // 9.6 requests, and 2 root 9.6 + 2 more of them by chance
             {"0.5", 8.8, true}, {"0.5", 9.0, false},
@@ -81,8 +97,13 @@
     @Test(dataProvider = "tips")
     public void aColdWorkerFallsWhereThePageSays(String request, double work, boolean stands)
             throws Exception {
-        WorkerModel w = worker(ScenarioReader.read("small", Small.TEXT.replace("cold_for = 10",
-                "cold_for = 10\ntip_request = " + request)));
+        WorkerModel w =
+                worker(
+                        ScenarioReader.read(
+                                "small",
+                                Small.TEXT.replace(
+                                        "cold_for = 10",
+                                        "cold_for = 10\ntip_request = " + request)));
         w.crash();
         w.start();
         send(w, "a", work / 2);
@@ -97,105 +118,198 @@
     @DataProvider
     public Object[][] deeds() {
         return new Object[][] {
-            {"two slots, one queue, in order", "", (Deed) (t, w) -> {
-                t.send(w, "a", 0.4);
-                t.send(w, "b", 0.2);
-                t.send(w, "c", 0.1);
-            }, "a started 0.00, b started 0.00, b DONE 0.20, c started 0.20, c DONE 0.30, a DONE 0.40"},
-            {"a full queue turns away", "", (Deed) (t, w) -> {
-                for (String name : List.of("a", "b", "c", "d", "e", "f")) {
-                    t.send(w, name, 9);
-                }
-            }, "a started 0.00, b started 0.00, f TURNED_AWAY 0.00"},
-            {"a wide job waits for its slots", "", (Deed) (t, w) -> {
-                t.send(w, "a", 0.1);
-                t.send(w, "b", 0.1, 2, 0);
-            }, "a started 0.00, a DONE 0.10, b started 0.10, b DONE 0.20"},
-            {"a stall holds what runs and what waits", "", (Deed) (t, w) -> {
-                t.send(w, "a", 0.25);
-                t.pass(0.1);
-                w.stalled(true);
-                t.send(w, "b", 0.1);
-                t.pass(1);
-                w.stalled(false);
-            }, "a started 0.00, b started 1.00, b DONE 1.10, a DONE 1.25"},
-            {"a slow neighbour stretches what is left", "", (Deed) (t, w) -> {
-                t.send(w, "a", 0.2);
-                t.pass(0.1);
-                w.slowed(0.5);
-            }, "a started 0.00, a DONE 0.30"},
-            {"errors come at once", "", (Deed) (t, w) -> {
-                w.failing(1);
-                t.send(w, "a", 5);
-            }, "a FAILED 0.00"},
-            {"silence, and then a break", "", (Deed) (t, w) -> {
-                w.silent(true);
-                t.send(w, "a", 0.1);
-                t.pass(0.5);
-                w.silent(false);
-                t.send(w, "b", 0.1);
-            }, "a BROKEN 0.50, b started 0.00, b DONE 0.10"},
-            {"a cut hides what came before and during it", "", (Deed) (t, w) -> {
-                t.send(w, "a", 0.1);
-                w.cut(true);
-                t.send(w, "b", 0.1);
-                t.pass(1);
-                w.cut(false);
-            }, "a started 0.00, b BROKEN 1.00, a BROKEN 1.00"},
-            {"faults of two kinds overlap", "", (Deed) (t, w) -> {
-                w.silent(true);
-                w.stalled(true);
-                t.send(w, "a", 0.1);
-                t.pass(0.3);
-                w.silent(false);
-                t.pass(0.2);
-                w.stalled(false);
-            }, "a started 0.50, a DONE 0.60"},
-            {"a crash breaks all, and nothing comes after it", "", (Deed) (t, w) -> {
-                t.send(w, "a", 0.1);
-                t.send(w, "b", 0.1);
-                t.send(w, "c", 0.1);
-                w.crash();
-                assertTrue(!w.isUp());
-                t.pass(1);
-                w.start();
-            }, "a started 0.00, b started 0.00, a BROKEN 0.00, b BROKEN 0.00, c BROKEN 0.00"},
-            {"cold, a job takes longer", "", (Deed) (t, w) -> {
-                w.crash();
-                w.start();
-                t.send(w, "a", 0.1);
-            }, "a started 0.00, a DONE 0.50"},
-            {"too much while cold pushes it over", "", (Deed) (t, w) -> {
-                w.crash();
-                w.start();
-                t.send(w, "a", 4.7);
-                t.send(w, "b", 0.2);
-                assertTrue(!w.isUp());
-            }, "a started 0.00, b BROKEN 0.00, a BROKEN 0.00"},
-            {"progress is told as it is made", "[terms]\nprogress_every = 0.1\n", (Deed) (t, w) ->
-                    t.send(w, "a", 0.25),
-                "a started 0.00, a at 0.40 0.10, a at 0.80 0.20, a DONE 0.25"},
-            {"what waits is forgotten when its connection ends", "", (Deed) (t, w) -> {
-                t.send(w, "a", 0.2);
-                t.send(w, "b", 0.2);
-                Launch c = t.send(w, "c", 9);
-                t.send(w, "d", 0.1);
-                w.dropped(c);
-            }, "a started 0.00, b started 0.00, a DONE 0.20, d started 0.20, b DONE 0.20, d DONE 0.30"},
-            {"reports are as old as they say", "[terms]\nreport_lag = 0.15\n", (Deed) (t, w) -> {
-                t.send(w, "a", 0.1);
-                t.pass(0.1);
-                t.send(w, "b", 0.1);
-                t.pass(0.15);
-                t.send(w, "c", 0.1);
-            }, "a started 0.00, a DONE free 2 0.10, b started 0.00, b DONE free 1 0.10, c started 0.00, "
-                + "c DONE free 2 0.10"},
-            {"late reports are older", "[terms]\nreport_lag = 0\n", (Deed) (t, w) -> {
-                t.send(w, "a", 0.5);
-                t.send(w, "b", 0.1);
-                t.pass(0.1);
-                w.reportsLater(5);
-            }, "a started 0.00, b started 0.00, b DONE free 1 0.10, a DONE free 2 0.50"},
+            {
+                "two slots, one queue, in order",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            t.send(w, "a", 0.4);
+                            t.send(w, "b", 0.2);
+                            t.send(w, "c", 0.1);
+                        },
+                "a started 0.00, b started 0.00, b DONE 0.20, c started 0.20, c DONE 0.30, a DONE 0.40"
+            },
+            {
+                "a full queue turns away",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            for (String name : List.of("a", "b", "c", "d", "e", "f")) {
+                                t.send(w, name, 9);
+                            }
+                        },
+                "a started 0.00, b started 0.00, f TURNED_AWAY 0.00"
+            },
+            {
+                "a wide job waits for its slots",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            t.send(w, "a", 0.1);
+                            t.send(w, "b", 0.1, 2, 0);
+                        },
+                "a started 0.00, a DONE 0.10, b started 0.10, b DONE 0.20"
+            },
+            {
+                "a stall holds what runs and what waits",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            t.send(w, "a", 0.25);
+                            t.pass(0.1);
+                            w.stalled(true);
+                            t.send(w, "b", 0.1);
+                            t.pass(1);
+                            w.stalled(false);
+                        },
+                "a started 0.00, b started 1.00, b DONE 1.10, a DONE 1.25"
+            },
+            {
+                "a slow neighbour stretches what is left",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            t.send(w, "a", 0.2);
+                            t.pass(0.1);
+                            w.slowed(0.5);
+                        },
+                "a started 0.00, a DONE 0.30"
+            },
+            {
+                "errors come at once",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            w.failing(1);
+                            t.send(w, "a", 5);
+                        },
+                "a FAILED 0.00"
+            },
+            {
+                "silence, and then a break",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            w.silent(true);
+                            t.send(w, "a", 0.1);
+                            t.pass(0.5);
+                            w.silent(false);
+                            t.send(w, "b", 0.1);
+                        },
+                "a BROKEN 0.50, b started 0.00, b DONE 0.10"
+            },
+            {
+                "a cut hides what came before and during it",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            t.send(w, "a", 0.1);
+                            w.cut(true);
+                            t.send(w, "b", 0.1);
+                            t.pass(1);
+                            w.cut(false);
+                        },
+                "a started 0.00, b BROKEN 1.00, a BROKEN 1.00"
+            },
+            {
+                "faults of two kinds overlap",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            w.silent(true);
+                            w.stalled(true);
+                            t.send(w, "a", 0.1);
+                            t.pass(0.3);
+                            w.silent(false);
+                            t.pass(0.2);
+                            w.stalled(false);
+                        },
+                "a started 0.50, a DONE 0.60"
+            },
+            {
+                "a crash breaks all, and nothing comes after it",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            t.send(w, "a", 0.1);
+                            t.send(w, "b", 0.1);
+                            t.send(w, "c", 0.1);
+                            w.crash();
+                            assertTrue(!w.isUp());
+                            t.pass(1);
+                            w.start();
+                        },
+                "a started 0.00, b started 0.00, a BROKEN 0.00, b BROKEN 0.00, c BROKEN 0.00"
+            },
+            {
+                "cold, a job takes longer",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            w.crash();
+                            w.start();
+                            t.send(w, "a", 0.1);
+                        },
+                "a started 0.00, a DONE 0.50"
+            },
+            {
+                "too much while cold pushes it over",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            w.crash();
+                            w.start();
+                            t.send(w, "a", 4.7);
+                            t.send(w, "b", 0.2);
+                            assertTrue(!w.isUp());
+                        },
+                "a started 0.00, b BROKEN 0.00, a BROKEN 0.00"
+            },
+            {
+                "progress is told as it is made",
+                "[terms]\nprogress_every = 0.1\n",
+                (Deed) (t, w) -> t.send(w, "a", 0.25),
+                "a started 0.00, a at 0.40 0.10, a at 0.80 0.20, a DONE 0.25"
+            },
+            {
+                "what waits is forgotten when its connection ends",
+                "",
+                (Deed)
+                        (t, w) -> {
+                            t.send(w, "a", 0.2);
+                            t.send(w, "b", 0.2);
+                            Launch c = t.send(w, "c", 9);
+                            t.send(w, "d", 0.1);
+                            w.dropped(c);
+                        },
+                "a started 0.00, b started 0.00, a DONE 0.20, d started 0.20, b DONE 0.20, d DONE 0.30"
+            },
+            {
+                "reports are as old as they say",
+                "[terms]\nreport_lag = 0.15\n",
+                (Deed)
+                        (t, w) -> {
+                            t.send(w, "a", 0.1);
+                            t.pass(0.1);
+                            t.send(w, "b", 0.1);
+                            t.pass(0.15);
+                            t.send(w, "c", 0.1);
+                        },
+                "a started 0.00, a DONE free 2 0.10, b started 0.00, b DONE free 1 0.10, c started 0.00, "
+                        + "c DONE free 2 0.10"
+            },
+            {
+                "late reports are older",
+                "[terms]\nreport_lag = 0\n",
+                (Deed)
+                        (t, w) -> {
+                            t.send(w, "a", 0.5);
+                            t.send(w, "b", 0.1);
+                            t.pass(0.1);
+                            w.reportsLater(5);
+                        },
+                "a started 0.00, b started 0.00, b DONE free 1 0.10, a DONE free 2 0.50"
+            },
         };
     }
 
@@ -222,7 +336,9 @@
         assertTrue(worker.isUp() && worker.warmth(time.now()) < 1, "it came back warm");
     }
 
-    /** The list speaks later than the worker acts, and never brings an older life back over a newer. */
+    /**
+     * The list speaks later than the worker acts, and never brings an older life back over a newer.
+     */
     @Test
     public void theListLags() {
         time = new VirtualTime();
@@ -230,8 +346,13 @@
         World world = new World(scenario, time, new Chance(1), 5, new Auditor(scenario, time, 0));
         List<String> heard = new ArrayList<>();
         double from = time.now();
-        world.registry.watch(entry -> heard.add(entry.worker().name + " " + entry.state()
-                + String.format(Locale.ROOT, " %.1f", time.now() - from)));
+        world.registry.watch(
+                entry ->
+                        heard.add(
+                                entry.worker().name
+                                        + " "
+                                        + entry.state()
+                                        + String.format(Locale.ROOT, " %.1f", time.now() - from)));
         WorkerModel worker = world.workers.get(0);
         worker.crash();
         pass(0.5);
@@ -241,7 +362,8 @@
         pass(0.1);
         worker.crash();
         pass(5);
-        // The start's word takes 3 s, the second crash's 1 s: the later life's end is told first and stays.
+        // The start's word takes 3 s, the second crash's 1 s: the later life's end is told first
+        // and stays.
         assertEquals(heard, List.of("near-0 GONE 1.0", "near-0 GONE 1.6"));
     }
 }
