--- a/daemon/src/main/java/wheelroute/config/TomlFields.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFields.java
@@ -107,11 +107,11 @@
             }
             return usual == null ? "" : usual;
         }
-        if (!(value instanceof String)) {
+        if (!(value instanceof String string)) {
             fault(key, "is not a text: " + value);
             return "";
         }
-        return (String) value;
+        return string;
     }
 
     public boolean flag(String key, boolean usual) {
@@ -159,11 +159,11 @@
             return usual;
         }
         List<String> texts = new ArrayList<>();
-        if (!(value instanceof TomlArray)) {
+        if (!(value instanceof TomlArray tomlArray)) {
             fault(key, "is not a list");
             return usual;
         }
-        for (Object item : ((TomlArray) value).toList()) {
+        for (Object item : tomlArray.toList()) {
             if (item instanceof String text && allowed.test(text)) {
                 texts.add(text);
             } else {
@@ -190,11 +190,11 @@
         if (value == null) {
             return tables;
         }
-        if (!(value instanceof TomlArray)) {
+        if (!(value instanceof TomlArray array)) {
             fault(key, "is not a list of tables");
             return tables;
         }
-        TomlArray array = (TomlArray) value;
+
         for (int i = 0; i < array.size(); i++) {
             if (array.get(i) instanceof TomlTable item) {
                 tables.add(new TomlFields(item, path + key + "[" + i + "].", faults));
--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -428,8 +428,8 @@
 
         /** Rule 2, and the limits on copies and launches: whether one more launch anywhere can be right. */
         private boolean mayLaunch() {
-            if (done || streaming || unusable || erred && errorsFollow()
-                    || launches.size() >= settings.mostLaunches() || out > 0 && !settings.mayCopy()
+            if (done || streaming || unusable || (erred && errorsFollow())
+                    || launches.size() >= settings.mostLaunches() || (out > 0 && !settings.mayCopy())
                     || now > submission.outerLimit() - LAST_CALL) {
                 return false;
             }
@@ -453,7 +453,7 @@
 
         /** Rule 2: a bounce tells the client that a retry does no harm. */
         private boolean mayBounce() {
-            return !mayHaveRun() || row.of.harmlessAgain() && !unusable;
+            return !mayHaveRun() || (row.of.harmlessAgain() && !unusable);
         }
 
         /** Sends it to the cheapest worker, or gives it up at once if nothing is left to wait for. */
@@ -483,7 +483,7 @@
             double borne = row.borne(work, work / w.speed());
             // What it waited in its line filled no worker's queue, but its time is gone all the same.
             return wait > part * Math.min(borne, shared) * fair
-                    || line != null && now - takenAt + wait > borne;
+                    || (line != null && now - takenAt + wait > borne);
         }
 
         /** Guards against a tenant far past its share crowding out others: it bears less, they bear all. */
@@ -549,8 +549,8 @@
             if (settings.mayCopy()) {
                 place();
             } else if (settings.mayCancel() && (row.of.effect() == Effect.IDEMPOTENT
-                    || row.of.effect() == Effect.DEDUPLICATED && launch.worker.heardAt > launch.heardAt
-                    && cheapest(this, w -> true) != null)) {
+                    || (row.of.effect() == Effect.DEDUPLICATED && launch.worker.heardAt > launch.heardAt
+                    && cheapest(this, w -> true) != null))) {
                 launch.calledOff = true;
                 dispatcher.cancel(submission.id(), launch.number);
             }
@@ -671,7 +671,7 @@
                 boolean overfull = w.out.size() > w.slots() * (OVERFULL * perSlot + OVERFULL_SPARE);
                 boolean open = h.mayGoTo(w) && w.mayTakeCold(h.work * h.slots) && now >= w.fullUntil
                         && (resort > 0 || !overfull) && (resort > 1 || w.takesTrial(h)
-                        || second != null && w.servesSome(h))
+                        || (second != null && w.servesSome(h)))
                         && (second == null || second.test(w));
                 w.cost = open ? w.admittanceCost(h, kappa) : Double.POSITIVE_INFINITY;
                 least = Math.min(least, w.cost);
@@ -958,7 +958,7 @@
 
         /** Probation: one launch at a time, after a pause, and only of what may be tried again. */
         boolean takesTrial(Handle h) {
-            return !probation || now >= trialAt && out.isEmpty() && h.row.of.effect() != Effect.UNREPEATABLE;
+            return !probation || (now >= trialAt && out.isEmpty() && h.row.of.effect() != Effect.UNREPEATABLE);
         }
 
         /** Guards against bounces beside a worker that errs now and then, while the others are full. */
--- a/daemon/src/main/java/wheelroute/decision/Settings.java
+++ b/daemon/src/main/java/wheelroute/decision/Settings.java
@@ -104,7 +104,7 @@
         /** Also once it may have run: a repeat anywhere does no harm. */
         boolean harmlessAgain() {
             return effect == Effect.IDEMPOTENT
-                    || effect == Effect.DEDUPLICATED && group == Group.ALL;
+                    || (effect == Effect.DEDUPLICATED && group == Group.ALL);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/Exchange.java
@@ -107,7 +107,7 @@
     void launch(Ids.Worker worker) {
         Launch launch = new Launch(launches.size());
         launches.add(launch);
-        if (exchanges.hasEnded() || !beginning && clientLeft()) {
+        if (exchanges.hasEnded() || (!beginning && clientLeft())) {
             launch.ended(End.ENDED_UNSENT, Launches.NO_RESULT, Double.NaN);
         } else {
             exchanges.counters().count(Counters.Kind.LAUNCHED);
--- a/daemon/src/main/java/wheelroute/net/Exchanges.java
+++ b/daemon/src/main/java/wheelroute/net/Exchanges.java
@@ -179,7 +179,7 @@
                     HttpStatus.BAD_REQUEST_400, "this offering needs an Idempotency-Key");
         }
         if (openIds.contains(message.id())
-                || handover != null && handover.isOpenElsewhere(message.id())) {
+                || (handover != null && handover.isOpenElsewhere(message.id()))) {
             // Workers know jobs by it: a second would be told the first one's end, or spoil its
             // connection.
             throw new BadMessage(HttpStatus.CONFLICT_409, "a submission with this id is open");
@@ -433,7 +433,7 @@
      * is unlikely to end here.
      */
     private boolean mustComeBack(ClientMessage message, Settings.Offering offering) {
-        if (!servesOn() && !(draining && isSucceeded()) || ended) {
+        if ((!servesOn() && !(draining && isSucceeded())) || ended) {
             return false;
         }
         double stretch =
--- a/daemon/src/main/java/wheelroute/net/admin/Door.java
+++ b/daemon/src/main/java/wheelroute/net/admin/Door.java
@@ -61,17 +61,19 @@
     }
 
     String answer(String call) {
-        switch (call) {
-            case "READY":
-                String reason = operators.whyNotReady();
-                return reason == null ? "ok ready\n" : "fail " + reason + "\n";
-            case "STATS":
-                return Figures.of(operators.counters(), operators.gauges()) + "eof\n";
-            case "PEERS":
-                String peers = operators.peers();
-                return peers == null ? "fail this dispatcher knows no others\n" : peers + "eof\n";
-            default:
-                return "fail unknown call: READY, STATS or PEERS\n";
-        }
+        return switch (call) {
+            case "READY" -> readiness(operators.whyNotReady());
+            case "STATS" -> Figures.of(operators.counters(), operators.gauges()) + "eof\n";
+            case "PEERS" -> members(operators.peers());
+            default -> "fail unknown call: READY, STATS or PEERS\n";
+        };
+    }
+
+    private static String readiness(String reason) {
+        return reason == null ? "ok ready\n" : "fail " + reason + "\n";
+    }
+
+    private static String members(String peers) {
+        return peers == null ? "fail this dispatcher knows no others\n" : peers + "eof\n";
     }
 }
--- a/daemon/src/main/java/wheelroute/net/handover/Handover.java
+++ b/daemon/src/main/java/wheelroute/net/handover/Handover.java
@@ -310,7 +310,7 @@
 
     private void greet(Neighbour neighbour, String word, String about) throws IOException {
         // Two names may make one file's name; an older version does not say its own.
-        if (!word.equals(GREETING) || !about.isEmpty() && !about.equals(name)) {
+        if (!word.equals(GREETING) || (!about.isEmpty() && !about.equals(name))) {
             throw new IOException("not a process of this dispatcher");
         }
         neighbour.greeted = true;
--- a/daemon/src/main/java/wheelroute/peers/Codec.java
+++ b/daemon/src/main/java/wheelroute/peers/Codec.java
@@ -135,7 +135,7 @@
         Sighting target = null;
         if (kind.hasTarget()) {
             int has = in.get();
-            if (has != 0 && has != 1 || has == 0 && kind == Message.Kind.ASK) {
+            if ((has != 0 && has != 1) || (has == 0 && kind == Message.Kind.ASK)) {
                 throw new MalformedException("its target");
             }
             target = has == 1 ? sighting(in) : null;
--- a/daemon/src/main/java/wheelroute/peers/Sighting.java
+++ b/daemon/src/main/java/wheelroute/peers/Sighting.java
@@ -23,7 +23,7 @@
 
     /** Whether this is news to who knows the other. */
     boolean outweighs(Sighting known) {
-        return life > known.life || life == known.life && state.compareTo(known.state) > 0;
+        return life > known.life || (life == known.life && state.compareTo(known.state) > 0);
     }
 
     Sighting with(State other, PeerId who) {
--- a/daemon/src/test/java/wheelroute/StartScriptTest.java
+++ b/daemon/src/test/java/wheelroute/StartScriptTest.java
@@ -1,5 +1,6 @@
 package wheelroute;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
@@ -107,7 +108,7 @@
         builder.environment().put("PATH", dir.toString());
         builder.environment().putAll(variables);
         Process process = builder.redirectErrorStream(true).start();
-        String text = new String(process.getInputStream().readAllBytes());
+        String text = new String(process.getInputStream().readAllBytes(), UTF_8);
         return new Result(process.waitFor(), text);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/LeaversTest.java
+++ b/daemon/src/test/java/wheelroute/net/LeaversTest.java
@@ -9,6 +9,7 @@
 import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -17,6 +18,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.locks.LockSupport;
+import java.util.stream.Stream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.config.Config;
@@ -183,12 +185,18 @@
             loop = new HeldLoop(clock, 0.5);
             service = new Service(config, loop);
             service.start();
-            while (Files.list(meeting).noneMatch(file -> file.toString().endsWith(".sock"))) {
+            while (!hasSocket(meeting)) {
                 LockSupport.parkNanos(1_000_000);
             }
         }
     }
 
+    private static boolean hasSocket(Path meeting) throws IOException {
+        try (Stream<Path> files = Files.list(meeting)) {
+            return files.anyMatch(file -> file.toString().endsWith(".sock"));
+        }
+    }
+
     private void end(Wait wait) throws Exception {
         if (wait == Wait.LINE_IN_A_HANDOVER) {
             Service next = new Service(config);
--- a/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
+++ b/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
@@ -159,7 +159,7 @@
                 loop.settle();
             }
         }
-        assertTrue(loop.bytesRead.get() < crowd * 200_000, "all of it was read");
+        assertTrue(loop.bytesRead.get() < crowd * 200_000L, "all of it was read");
         assertEquals(status(ask(connect(), HEALTH)), 200);
         assertEquals(metric("submissions_open"), crowd);
     }
--- a/daemon/src/test/java/wheelroute/net/OperatingTest.java
+++ b/daemon/src/test/java/wheelroute/net/OperatingTest.java
@@ -1,5 +1,6 @@
 package wheelroute.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
@@ -72,7 +73,7 @@
             assertEquals(call("READY\n"), "ok ready\n");
         }
         socket.shutdownOutput();
-        assertEquals(new String(socket.getInputStream().readAllBytes()), "ok ready\n");
+        assertEquals(new String(socket.getInputStream().readAllBytes(), UTF_8), "ok ready\n");
     }
 
     /**
--- a/daemon/src/test/java/wheelroute/net/StepClock.java
+++ b/daemon/src/test/java/wheelroute/net/StepClock.java
@@ -19,6 +19,7 @@
     }
 
     /** To be followed by a wake of the loop, which waits by the system's time. */
+    @SuppressWarnings("NonAtomicVolatileUpdate") // The test's thread alone writes it.
     void step(double seconds) {
         stoppedAt += seconds;
     }
--- a/daemon/src/test/java/wheelroute/peers/SharesTest.java
+++ b/daemon/src/test/java/wheelroute/peers/SharesTest.java
@@ -56,14 +56,14 @@
                             count,
                             life,
                             other -> lies ? random.nextBoolean() : up[other] && !isCut(i, other),
-                            (to, kind, number, lease) -> send(i, life, to, kind, number, lease));
+                            (to, kind, number, lease) -> send(i, to, kind, number, lease));
         }
 
         boolean isCut(int one, int other) {
             return cutAt >= 0 && one < cutAt != other < cutAt;
         }
 
-        void send(int from, long life, int to, Message.Kind kind, int number, Message.Lease lease) {
+        void send(int from, int to, Message.Kind kind, int number, Message.Lease lease) {
             if (isCut(from, to) || random.nextDouble() < loss) {
                 return;
             }
@@ -76,13 +76,7 @@
                         switch (kind) {
                             case LEASE_ASK -> {
                                 if (votes[to].ask(now, lease.share(), by, lease.life(), number)) {
-                                    send(
-                                            to,
-                                            lives[to],
-                                            from,
-                                            Message.Kind.LEASE_GRANT,
-                                            number,
-                                            lease);
+                                    send(to, from, Message.Kind.LEASE_GRANT, number, lease);
                                 }
                             }
                             case LEASE_GRANT -> shares[to].granted(now, number, lease, by);
--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -58,8 +58,8 @@
     /** What the ways to and fro, and the machine's own lateness, may add to any time. */
     private final double slack;
 
-    private final Map<Long, Record> records = new HashMap<>();
-    private final ArrayDeque<Record> aging = new ArrayDeque<>();
+    private final Map<Long, RequestRecord> records = new HashMap<>();
+    private final ArrayDeque<RequestRecord> aging = new ArrayDeque<>();
 
     /** By dispatcher and worker: since when it is told draining or gone. */
     private final Map<Long, Double> toldLeaving = new HashMap<>();
@@ -94,13 +94,13 @@
 
     /** One launch as its worker saw it. */
     private static final class Seen {
-        final Record of;
+        final RequestRecord of;
         final WorkerModel worker;
         final double arrivedAt;
         boolean over;
         boolean neverRan;
 
-        Seen(Record of, WorkerModel worker, double arrivedAt) {
+        Seen(RequestRecord of, WorkerModel worker, double arrivedAt) {
             this.of = of;
             this.worker = worker;
             this.arrivedAt = arrivedAt;
@@ -108,7 +108,7 @@
     }
 
     /** One submission. */
-    private static final class Record {
+    private static final class RequestRecord {
         final Submitted submitted;
         final List<Seen> launches = new ArrayList<>(2);
         final List<Event> events = new ArrayList<>();
@@ -134,7 +134,7 @@
 
         boolean done;
 
-        Record(Submitted submitted) {
+        RequestRecord(Submitted submitted) {
             this.submitted = submitted;
         }
 
@@ -166,7 +166,7 @@
     // ---- from the clients
 
     public void sent(Submitted submitted) {
-        Record record = new Record(submitted);
+        RequestRecord record = new RequestRecord(submitted);
         record.note(timeline.now(), "sent to dispatcher", submitted.dispatcher());
         record.untimed = unheard.contains(submitted.dispatcher());
         record.excused =
@@ -181,7 +181,7 @@
     }
 
     public void answered(Submitted submitted, Answer answer) {
-        Record record = records.get(submitted.key());
+        RequestRecord record = records.get(submitted.key());
         if (record == null) {
             breach(Rule.ONE_ANSWER, "an answer to a submission long over", null);
             return;
@@ -209,7 +209,7 @@
      * The client stopped waiting: its own wish is no fault of the dispatcher, its time being up is.
      */
     public void gaveUp(Submitted submitted, boolean ownWish) {
-        Record record = records.get(submitted.key());
+        RequestRecord record = records.get(submitted.key());
         if (record == null) {
             return;
         }
@@ -225,7 +225,7 @@
 
     /** Its connection ended without an answer: allowed only to a dispatcher that died. */
     public void cutOff(Submitted submitted) {
-        Record record = records.get(submitted.key());
+        RequestRecord record = records.get(submitted.key());
         if (record == null) {
             return;
         }
@@ -238,7 +238,7 @@
 
     /** Its connection never came up: no dispatcher has taken it, so none owes an answer. */
     public void refused(Submitted submitted) {
-        Record record = records.get(submitted.key());
+        RequestRecord record = records.get(submitted.key());
         if (record != null) {
             record.note(timeline.now(), "connection refused", -1);
             record.given = true;
@@ -276,7 +276,7 @@
     }
 
     private void excuse(int dispatcher) {
-        for (Record record : records.values()) {
+        for (RequestRecord record : records.values()) {
             if (record.submitted.dispatcher() == dispatcher && record.answer == null) {
                 record.excused = true;
             }
@@ -305,7 +305,7 @@
 
     /** Null for one that is not remembered. */
     public Submitted submitted(long key) {
-        Record record = records.get(key);
+        RequestRecord record = records.get(key);
         return record == null ? null : record.submitted;
     }
 
@@ -365,7 +365,7 @@
 
     @Override
     public void arrived(Launch launch, WorkerModel worker) {
-        Record record = records.get(launch.submission);
+        RequestRecord record = records.get(launch.submission);
         double now = timeline.now();
         if (record == null) {
             breach(Rule.ONE_ANSWER, "a launch of a submission long over, at " + worker.name, null);
@@ -407,7 +407,7 @@
     }
 
     /** Whether an earlier launch allows this one. */
-    private void checkAgain(Record record, Seen earlier, Seen seen, double slack) {
+    private void checkAgain(RequestRecord record, Seen earlier, Seen seen, double slack) {
         Scenario.Offering offering = record.submitted.ask().offering();
         if (!scenario.terms().mayCopy() && !earlier.over) {
             // The end of the earlier connection may be seen a moment later than the new launch.
@@ -443,10 +443,10 @@
         };
     }
 
-    private static boolean mayBounce(Record record) {
+    private static boolean mayBounce(RequestRecord record) {
         Scenario.Offering offering = record.submitted.ask().offering();
         if (offering.effect() == Effect.IDEMPOTENT
-                || offering.effect() == Effect.DEDUPLICATED && offering.group() == Group.ALL) {
+                || (offering.effect() == Effect.DEDUPLICATED && offering.group() == Group.ALL)) {
             return true;
         }
         return record.launches.stream().allMatch(launch -> launch.neverRan);
@@ -507,7 +507,7 @@
     private void forgetOld() {
         double now = timeline.now();
         while (!aging.isEmpty()) {
-            Record oldest = aging.peekFirst();
+            RequestRecord oldest = aging.peekFirst();
             Submitted submitted = oldest.submitted;
             // One whose time its dispatcher could not know may go on for as long again.
             double outer = submitted.ask().offering().outer() * (oldest.untimed ? 2 : 1);
@@ -522,7 +522,7 @@
 
     /** At the end of the run: what is still unanswered, though its time is up. */
     public void finish() {
-        for (Record record : aging) {
+        for (RequestRecord record : aging) {
             Submitted submitted = record.submitted;
             boolean due = timeline.now() > submitted.sentAt() + submitted.timeout() + slack;
             if (record.answer == null && !record.given && !record.excused && due) {
@@ -531,14 +531,14 @@
         }
     }
 
-    private void breach(Rule rule, String what, Record record) {
+    private void breach(Rule rule, String what, RequestRecord record) {
         counts.merge(rule, 1, Integer::sum);
         if (breaches.size() < MOST_TOLD) {
             breaches.add(new Breach(rule, what, record == null ? List.of() : history(record)));
         }
     }
 
-    private List<String> history(Record record) {
+    private List<String> history(RequestRecord record) {
         List<String> lines = new ArrayList<>();
         Submitted s = record.submitted;
         lines.add(
--- a/kit/src/main/java/wheelroute/kit/brain/Baseline.java
+++ b/kit/src/main/java/wheelroute/kit/brain/Baseline.java
@@ -148,8 +148,8 @@
             done = true;
             boolean harmless =
                     offering.effect() == Effect.IDEMPOTENT
-                            || offering.effect() == Effect.DEDUPLICATED
-                                    && offering.group() == Group.ALL
+                            || (offering.effect() == Effect.DEDUPLICATED
+                                    && offering.group() == Group.ALL)
                             || launches.stream().noneMatch(Sent::mayHaveRun);
             if (harmless) {
                 dispatcher.bounce(submission.id(), 0);
@@ -162,7 +162,7 @@
             boolean again = launches.stream().anyMatch(Sent::mayHaveRun);
             if (launches.size() >= settings.mostLaunches()
                     || now > submission.outerLimit() - LAST_CALL
-                    || again && offering.effect() == Effect.UNREPEATABLE) {
+                    || (again && offering.effect() == Effect.UNREPEATABLE)) {
                 return List.of();
             }
             List<Listing> all = new ArrayList<>(listed.values());
--- a/kit/src/main/java/wheelroute/kit/brain/Brains.java
+++ b/kit/src/main/java/wheelroute/kit/brain/Brains.java
@@ -131,7 +131,8 @@
                         - offering.outer()
                         + offering.quoted()
                         + offering.stretch() * work;
-        return done > submission.outerLimit() || offering.lateValue() < WORTH_IT && done > quotedAt
+        return done > submission.outerLimit()
+                        || (offering.lateValue() < WORTH_IT && done > quotedAt)
                 ? null
                 : best;
     }
--- a/kit/src/main/java/wheelroute/kit/cli/Admin.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Admin.java
@@ -59,7 +59,7 @@
         String answer = answer(door, address, call, timeout);
         String last = answer.substring(answer.lastIndexOf('\n', answer.length() - 2) + 1).strip();
         boolean says = answer.startsWith("ok") || answer.startsWith("fail");
-        if (!answer.endsWith("\n") || !says && !last.equals("eof")) {
+        if (!answer.endsWith("\n") || (!says && !last.equals("eof"))) {
             throw new Fault(
                     address + " gives no whole answer: no operators' door, or one that broke off");
         }
--- a/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
@@ -139,7 +139,7 @@
         }
         List<Scenario> scenarios = scenarios();
         List<Variant> all = variants();
-        if (seconds < 0 || seconds > 0 && seconds < 1) {
+        if (seconds < 0 || (seconds > 0 && seconds < 1)) {
             throw new Fault("--seconds: " + seconds + " is under 1");
         }
         if (older != null && !Files.isRegularFile(older)) {
--- a/kit/src/main/java/wheelroute/kit/cli/Scale.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Scale.java
@@ -24,6 +24,8 @@
 final class Scale implements Callable<Integer> {
     /** One of the two. */
     static final class Kind {
+        // Read by nobody: it only names the default.
+        @SuppressWarnings("UnusedVariable")
         @Option(names = "--quick", description = "small sizes, under a minute (the default)")
         private boolean quick;
 
--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -272,7 +272,7 @@
         boolean[] there = {false};
         time.after(seconds, () -> there[0] = true);
         while (!there[0] && time.step()) {
-            continue;
+            // Each step moves the virtual clock on.
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/real/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/real/LoadRun.java
@@ -130,7 +130,7 @@
     }
 
     private boolean isOver() {
-        return (loop.now() >= start + load.seconds() || load.most() > 0 && sent >= load.most())
+        return (loop.now() >= start + load.seconds() || (load.most() > 0 && sent >= load.most()))
                 && open.isEmpty();
     }
 
--- a/kit/src/main/java/wheelroute/kit/real/Ways.java
+++ b/kit/src/main/java/wheelroute/kit/real/Ways.java
@@ -124,7 +124,7 @@
     private void changed(Way way, Passage passage) {
         hearer.changes(way, passage);
         if (way.isToPeer()) {
-            Way back = Way.toPeer(way.peer(), way.dispatcher());
+            Way back = Way.toPeer(/* dispatcher= */ way.peer(), /* peer= */ way.dispatcher());
             if (datagrams.containsKey(way)) {
                 datagrams.get(way).set(passage, links.passage(back));
                 datagrams.get(back).set(links.passage(back), passage);
--- a/kit/src/main/java/wheelroute/kit/scenario/Draw.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Draw.java
@@ -82,7 +82,7 @@
                                         * Math.max(
                                                 0, scenario.cycle() - 2 * QUIET - length - within));
         String group =
-                !kind.isAboutDispatchers() || kind.isAboutWays() && random.nextBoolean()
+                !kind.isAboutDispatchers() || (kind.isAboutWays() && random.nextBoolean())
                         ? any(scenario.groups(), random).name()
                         : "";
         double share = rounded(LEAST_SHARE + (MOST_SHARE - LEAST_SHARE) * random.nextDouble());
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -206,7 +206,8 @@
 
     private static String quoted(String text) {
         StringBuilder quoted = new StringBuilder("\"");
-        for (char c : text.toCharArray()) {
+        for (int i = 0; i < text.length(); i++) {
+            char c = text.charAt(i);
             if (c == '"' || c == '\\') {
                 quoted.append('\\').append(c);
             } else if (c < ' ' || c == 0x7f) {
--- a/kit/src/main/java/wheelroute/kit/virtual/VirtualDispatcher.java
+++ b/kit/src/main/java/wheelroute/kit/virtual/VirtualDispatcher.java
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import wheelroute.decision.Dispatcher;
 import wheelroute.decision.Ids;
@@ -55,7 +54,6 @@
     private static final double CALL_SILENT = 1.5;
 
     private static final double LEFT_FOR = 60;
-    private static final BooleanSupplier ALWAYS = () -> true;
 
     private final int number;
     private final World world;
@@ -308,7 +306,7 @@
                                                                 turn(exchange::clientGone);
                                                             }
                                                         }),
-                                        ALWAYS));
+                                        () -> true));
     }
 
     private final class Exchange implements Lane.Line {
@@ -354,7 +352,7 @@
                                                 clients.answered(submitted, answer, retryAfter);
                                             }
                                         },
-                                        ALWAYS));
+                                        () -> true));
                 lane.closed(this);
             }
         }
@@ -552,7 +550,7 @@
             lane.closed(this);
             if (launch != null) {
                 auditor.closed(launch);
-                travel(() -> lane.forth(this::closeAtWorker, ALWAYS));
+                travel(() -> lane.forth(this::closeAtWorker, () -> true));
             }
         }
 
--- a/kit/src/main/java/wheelroute/kit/virtual/VirtualTime.java
+++ b/kit/src/main/java/wheelroute/kit/virtual/VirtualTime.java
@@ -95,7 +95,7 @@
     }
 
     private static boolean before(double at, long number, double otherAt, long otherNumber) {
-        return at < otherAt || at == otherAt && number < otherNumber;
+        return at < otherAt || (at == otherAt && number < otherNumber);
     }
 
     private void move(int from, int to) {
--- a/kit/src/main/java/wheelroute/kit/world/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/world/WorkerModel.java
@@ -115,7 +115,7 @@
                     });
             return;
         }
-        if (waiting.size() >= group.queue() && !mayBegin(launch)
+        if ((waiting.size() >= group.queue() && !mayBegin(launch))
                 || memoryInUse + launch.memory > group.memory()) {
             end(launch, Ending.TURNED_AWAY);
             return;
@@ -229,7 +229,7 @@
 
     private void end(Launch launch, Ending ending) {
         launch.ended = true;
-        boolean heard = ending == Ending.BROKEN || silences == 0 && cuts == 0;
+        boolean heard = ending == Ending.BROKEN || (silences == 0 && cuts == 0);
         witness.ended(launch, this, ending, heard && !launch.dropped);
         double free = reportedFree();
         speak(launch, () -> launch.reply.ended(ending, free));
--- a/kit/src/main/java/wheelroute/kit/world/World.java
+++ b/kit/src/main/java/wheelroute/kit/world/World.java
@@ -306,7 +306,8 @@
         double step = happening.fault().length() / steps;
         for (int i = 0; i < targets.length; i++) {
             WorkerModel worker = workers.get(targets[i]);
-            double at = i / atOnce * step;
+            int round = i / atOnce;
+            double at = round * step;
             timeline.after(at, worker::drain);
             timeline.after(at + step, worker::start);
         }
--- a/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
@@ -95,7 +95,7 @@
             boolean[] there = {false};
             time.after(seconds, () -> there[0] = true);
             while (!there[0] && time.step()) {
-                continue;
+                // Each step moves the virtual clock on.
             }
         }
     }
--- a/kit/src/test/java/wheelroute/kit/audit/LedgerTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/LedgerTest.java
@@ -33,7 +33,7 @@
             boolean[] there = {false};
             time.after(seconds, () -> there[0] = true);
             while (!there[0] && time.step()) {
-                continue;
+                // Each step moves the virtual clock on.
             }
         }
 
--- a/kit/src/test/java/wheelroute/kit/many/DatagramRelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/many/DatagramRelayTest.java
@@ -132,7 +132,9 @@
         set(Passage.OPEN, Passage.OPEN);
         send(this.near, forth, "last");
         send(this.far, back, "last");
-        assertTrue(heard.take().contains(" last ") && heard.take().contains(" last "), "more came");
+        for (int end = 0; end < 2; end++) {
+            assertTrue(heard.take().contains(" last "), "more came");
+        }
         assertEquals(far, there);
         assertEquals(near, hither);
     }
--- a/kit/src/test/java/wheelroute/kit/many/RelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/many/RelayTest.java
@@ -1,5 +1,6 @@
 package wheelroute.kit.many;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
@@ -107,8 +108,8 @@
     }
 
     private static void assertEchoes(Socket socket, String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes());
-        assertEquals(new String(socket.getInputStream().readNBytes(text.length())), text);
+        socket.getOutputStream().write(text.getBytes(UTF_8));
+        assertEquals(new String(socket.getInputStream().readNBytes(text.length()), UTF_8), text);
     }
 
     @DataProvider
@@ -126,14 +127,14 @@
         Socket socket = connect();
         assertEchoes(socket, "before");
         set(passage);
-        socket.getOutputStream().write("first ".getBytes());
-        socket.getOutputStream().write("second".getBytes());
+        socket.getOutputStream().write("first ".getBytes(UTF_8));
+        socket.getOutputStream().write("second".getBytes(UTF_8));
         socket.setSoTimeout(SILENCE);
         expectThrows(SocketTimeoutException.class, () -> socket.getInputStream().read());
         assertEquals(heard.get(), hears ? 18 : 6);
         set(Passage.OPEN);
         socket.setSoTimeout(PATIENCE);
-        assertEquals(new String(socket.getInputStream().readNBytes(12)), "first second");
+        assertEquals(new String(socket.getInputStream().readNBytes(12), UTF_8), "first second");
     }
 
     @Test(timeOut = 2 * PATIENCE)
@@ -199,15 +200,15 @@
         Socket socket = connect();
         assertEchoes(socket, "before");
         set(SHUT);
-        socket.getOutputStream().write("lost".getBytes());
+        socket.getOutputStream().write("lost".getBytes(UTF_8));
         socket.close();
         Socket other = connect();
-        other.getOutputStream().write("held".getBytes());
+        other.getOutputStream().write("held".getBytes(UTF_8));
         other.setSoTimeout(SILENCE);
         expectThrows(SocketTimeoutException.class, () -> other.getInputStream().read());
         set(Passage.OPEN);
         other.setSoTimeout(PATIENCE);
-        assertEquals(new String(other.getInputStream().readNBytes(4)), "held");
+        assertEquals(new String(other.getInputStream().readNBytes(4), UTF_8), "held");
         assertEquals(heard.get(), 10);
     }
 
--- a/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
@@ -115,7 +115,7 @@
                         "whom nobody hears is not there");
             }
             case "all but one" -> {
-                model.cut((from, to) -> from == 4 && to == 5 || from == 5 && to == 4);
+                model.cut((from, to) -> (from == 4 && to == 5) || (from == 5 && to == 4));
                 model.countFromHere();
                 model.pass(30);
                 assertEquals(model.wrongVerdicts(), 0, "others could tell them of each other");
--- a/kit/src/test/java/wheelroute/kit/world/WorkerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/world/WorkerModelTest.java
@@ -79,7 +79,7 @@
         boolean[] there = {false};
         time.after(seconds, () -> there[0] = true);
         while (!there[0] && time.step()) {
-            continue;
+            // Each step moves the virtual clock on.
         }
     }
 
