--- a/daemon/src/main/java/wheelroute/JsonLines.java
+++ b/daemon/src/main/java/wheelroute/JsonLogFormatter.java
@@ -10,7 +10,7 @@
 import java.util.logging.LogRecord;
 
 /** One JSON object an entry, for whoever gathers logs: time in UTC, level, who says it, what. */
-public final class JsonLines extends Formatter {
+public final class JsonLogFormatter extends Formatter {
     private static final JsonFactory JSON = new JsonFactory();
 
     @Override
--- a/daemon/src/main/java/wheelroute/Main.java
+++ b/daemon/src/main/java/wheelroute/Main.java
@@ -46,7 +46,7 @@
             if (args[i].equals("--log-format")
                     && i + 1 < args.length
                     && (args[i + 1].equals("text") || args[i + 1].equals("json"))) {
-                System.setProperty(LastingLogs.FORMAT, args[++i]);
+                System.setProperty(PersistentLogManager.FORMAT, args[++i]);
             } else if (i == args.length - 1 && !args[i].startsWith("-")) {
                 environment = new HashMap<>(environment);
                 environment.put("LB_CONFIG", args[i]);
@@ -70,12 +70,12 @@
     private static void serve(Map<String, String> environment) {
         // Before the first logger: the usual manager drops its handlers once the process is told to
         // end.
-        System.setProperty("java.util.logging.manager", LastingLogs.class.getName());
+        System.setProperty("java.util.logging.manager", PersistentLogManager.class.getName());
         try {
             Service service = new Service(ConfigReader.read(environment));
             // Before it is ready: by default either signal would end the process, with what it had
             // taken.
-            Hangup.onSignal(() -> service.reload(() -> ConfigReader.reread(environment)));
+            ReloadSignal.onSignal(() -> service.reload(() -> ConfigReader.reread(environment)));
             Thread end = new Thread(() -> end(service), "end");
             Runtime.getRuntime().addShutdownHook(end);
             start(service, end);
--- a/daemon/src/main/java/wheelroute/LastingLogs.java
+++ b/daemon/src/main/java/wheelroute/PersistentLogManager.java
@@ -6,7 +6,7 @@
  * Keeps its handlers when the process is told to end: what is logged while it drains must not be
  * lost.
  */
-public final class LastingLogs extends LogManager {
+public final class PersistentLogManager extends LogManager {
     /** The system property that names how entries are written; text where it is not set. */
     static final String FORMAT = "wheelroute.log-format";
 
@@ -23,7 +23,7 @@
             return super.getProperty(name);
         }
         return "json".equals(System.getProperty(FORMAT))
-                ? JsonLines.class.getName()
-                : LogLines.class.getName();
+                ? JsonLogFormatter.class.getName()
+                : TextLogFormatter.class.getName();
     }
 }
--- a/daemon/src/main/java/wheelroute/Hangup.java
+++ b/daemon/src/main/java/wheelroute/ReloadSignal.java
@@ -7,8 +7,8 @@
  * class that the compiler warns of wherever it is named; so it is asked for by name, once, at the
  * start.
  */
-final class Hangup {
-    private Hangup() {}
+final class ReloadSignal {
+    private ReloadSignal() {}
 
     /** The task runs on a thread of the runtime's, once for each signal. */
     static void onSignal(Runnable task) throws ReflectiveOperationException {
@@ -16,7 +16,7 @@
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
         Object relay =
                 Proxy.newProxyInstance(
-                        Hangup.class.getClassLoader(),
+                        ReloadSignal.class.getClassLoader(),
                         new Class<?>[] {handler},
                         (proxy, method, arguments) -> {
                             task.run();
--- a/daemon/src/main/java/wheelroute/LogLines.java
+++ b/daemon/src/main/java/wheelroute/TextLogFormatter.java
@@ -10,7 +10,7 @@
  * One line an entry, in UTC. The runtime's own formatter reads a whole locale first, at every
  * start.
  */
-public final class LogLines extends Formatter {
+public final class TextLogFormatter extends Formatter {
     private static final long DAY_MILLIS = 86_400_000;
     private static final int HOUR_MILLIS = 3_600_000;
     private static final int MINUTE_MILLIS = 60_000;
--- a/daemon/src/main/java/wheelroute/adapter/Adapter.java
+++ b/daemon/src/main/java/wheelroute/adapter/Adapter.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 import wheelroute.config.ConfigException;
 import wheelroute.config.SettingsReader;
+import wheelroute.decision.Endpoint;
 import wheelroute.decision.Ids;
-import wheelroute.decision.Listing;
 import wheelroute.decision.LoadReport;
 import wheelroute.decision.Outcome;
 import wheelroute.decision.Policy;
+import wheelroute.decision.Request;
 import wheelroute.decision.Settings;
-import wheelroute.decision.Submission;
-import wheelroute.list.Backoff;
+import wheelroute.discovery.Backoff;
 
 /**
  * Reads batches of events, hands each to its instance's policy, and answers with what they decide.
@@ -41,8 +41,8 @@
         /** Null where the list comes unasked. */
         Backoff backoff;
 
-        final Map<Long, Policy.Handle> handles = new HashMap<>();
-        final Map<String, Ids.Offering> offerings = new HashMap<>();
+        final Map<Long, Policy.RequestHandle> handles = new HashMap<>();
+        final Map<String, Ids.RequestClass> offerings = new HashMap<>();
         final Map<String, Ids.Tenant> tenants = new HashMap<>();
 
         Instance(long number) {
@@ -124,24 +124,24 @@
         }
         current.handles.clear();
         current.policy = new Policy(settings, reply.forInstance(current.number));
-        current.policy.at(now);
-        current.backoff = settings.listMustBeAsked() ? new Backoff(seed) : null;
+        current.policy.advanceTo(now);
+        current.backoff = settings.watchesEndpoints() ? new Backoff(seed) : null;
     }
 
     private void event(String message) throws IOException, WireException {
         if (current == null || current.policy == null) {
             throw line.error("'" + message + "' for an instance that was not configured");
         }
-        current.policy.at(now);
+        current.policy.advanceTo(now);
         switch (message) {
             case "ORDER" -> order();
             case "FINISHED" -> finished();
             case "UPDATE_OF" -> news();
             case "BELL" -> {
                 if (line.rest().equals(ReplyWriter.LIST_TOKEN)) {
-                    reply.forInstance(current.number).watchList();
+                    reply.forInstance(current.number).watchEndpoints();
                 } else {
-                    current.policy.woken();
+                    current.policy.onWakeup();
                 }
             }
             case "SYNC" -> list();
@@ -168,10 +168,10 @@
         long bits = line.wholeOr("bitmap", 0);
         double hint = line.hasMore() ? line.numberOr("weight_hint_us", -1) / MICROS : -1;
         boolean valid = (bits & HINT_IS_VALID) != 0 && hint >= 0;
-        Submission submission =
-                new Submission(
-                        new Ids.Submission(id),
-                        current.offerings.computeIfAbsent(kind, Ids.Offering::new),
+        Request submission =
+                new Request(
+                        new Ids.Request(id),
+                        current.offerings.computeIfAbsent(kind, Ids.RequestClass::new),
                         current.tenants.computeIfAbsent(org, Ids.Tenant::new),
                         outerLimit,
                         valid ? hint : Double.NaN,
@@ -179,15 +179,15 @@
                         memory,
                         (bits & IS_REPEATED) != 0,
                         key == null ? null : new Ids.Key(key));
-        Policy.Handle handle = current.policy.take(submission);
+        Policy.RequestHandle handle = current.policy.accept(submission);
         if (handle == null) {
             throw line.error("the settings have no class '" + kind + "'");
         }
         keep(id, handle);
     }
 
-    private void keep(long id, Policy.Handle handle) {
-        if (handle.isOver()) {
+    private void keep(long id, Policy.RequestHandle handle) {
+        if (handle.isComplete()) {
             current.handles.remove(id);
         } else {
             current.handles.put(id, handle);
@@ -203,9 +203,9 @@
         boolean ended = line.wholeOr("no_more", 0) != 0;
         line.skip("note");
         LoadReport report = report();
-        Policy.Handle handle = current.handles.get(id);
+        Policy.RequestHandle handle = current.handles.get(id);
         if (handle != null) {
-            handle.ended(launch, outcome(code), ended, report);
+            handle.onEnded(launch, outcome(code), ended, report);
             keep(id, handle);
         }
     }
@@ -216,11 +216,11 @@
         line.whole("worker");
         long topic = line.whole("topic");
         double value = line.numberOr("value", 0);
-        Policy.Handle handle = current.handles.get(id);
+        Policy.RequestHandle handle = current.handles.get(id);
         if (handle != null && topic == NOTE_STARTED) {
-            handle.started(launch);
+            handle.onStarted(launch);
         } else if (handle != null && topic == NOTE_PROGRESS) {
-            handle.progressed(launch, value);
+            handle.onProgress(launch, value);
         }
     }
 
@@ -229,17 +229,17 @@
         int launch = (int) line.whole("round_no");
         line.whole("worker");
         line.skip("elapsed_us");
-        Policy.Handle handle = current.handles.get(id);
+        Policy.RequestHandle handle = current.handles.get(id);
         if (handle != null) {
-            handle.streaming(launch);
+            handle.onStreaming(launch);
         }
     }
 
     private void gone() throws WireException {
         long id = line.whole("job");
-        Policy.Handle handle = current.handles.get(id);
+        Policy.RequestHandle handle = current.handles.get(id);
         if (handle != null) {
-            handle.gone();
+            handle.onClientGone();
             keep(id, handle);
         }
     }
@@ -259,14 +259,14 @@
 
     private static Outcome outcome(int code) {
         return switch (code) {
-            case OK -> Outcome.ANSWERED;
-            case 502 -> Outcome.ERRED;
-            case 429 -> Outcome.TURNED_AWAY;
+            case OK -> Outcome.SUCCEEDED;
+            case 502 -> Outcome.FAILED;
+            case 429 -> Outcome.REJECTED;
             case 408 -> Outcome.TIMED_OUT;
-            case 521 -> Outcome.UNCONNECTED;
-            case 520 -> Outcome.BROKEN_OFF;
+            case 521 -> Outcome.CONNECT_FAILED;
+            case 520 -> Outcome.CONNECTION_LOST;
             case 444 -> Outcome.CANCELLED;
-            case 409 -> Outcome.NEVER_SENT;
+            case 409 -> Outcome.NOT_SENT;
             default -> Outcome.UNKNOWN;
         };
     }
@@ -274,7 +274,7 @@
     private LoadReport report() throws WireException {
         String pairs = line.hasMore() ? line.textOrAbsent("stats") : null;
         if (pairs == null) {
-            return LoadReport.NOTHING;
+            return LoadReport.NONE;
         }
         double free = Double.NaN;
         for (int from = 0; from < pairs.length(); ) {
@@ -314,11 +314,12 @@
         if (form.equals("X")) {
             if (current.backoff != null) {
                 // How long the call took is not told here: it failed as soon as it could.
-                reply.wakeAfter(current.number, current.backoff.failed(0), ReplyWriter.LIST_TOKEN);
+                reply.wakeAfter(
+                        current.number, current.backoff.nextDelay(0), ReplyWriter.LIST_TOKEN);
             }
             return;
         }
-        List<Listing> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             if (!line.next() || line.isBlank() || !line.text("message").equals("ROW")) {
                 throw line.error("the list has " + count + " entries, a ROW is missing");
@@ -330,26 +331,26 @@
         }
         if (current.backoff != null && !form.equals("C")) {
             // A remembered list answers no call of ours.
-            current.backoff.answered();
+            current.backoff.reset();
         }
-        current.policy.listed(entries, whole);
+        current.policy.onEndpoints(entries, whole);
     }
 
-    private Listing row() throws WireException {
+    private Endpoint row() throws WireException {
         Ids.Model model = new Ids.Model(line.text("hw"));
         double size = line.numberOr("power_hint", 1);
         Ids.Zone zone = new Ids.Zone(line.text("region_part"));
         long started = line.wholeOr("boot_time_us", 0);
         Ids.Worker worker = new Ids.Worker(line.whole("worker"));
         Ids.Cell cell = new Ids.Cell(line.wholeOr("cohort", 0));
-        Listing.Readiness readiness =
+        Endpoint.State readiness =
                 switch (line.text("readiness")) {
-                    case "active" -> Listing.Readiness.ACTIVE;
-                    case "leaving" -> Listing.Readiness.LEAVING;
-                    case "left" -> Listing.Readiness.GONE;
+                    case "active" -> Endpoint.State.READY;
+                    case "leaving" -> Endpoint.State.DRAINING;
+                    case "left" -> Endpoint.State.REMOVED;
                     default -> throw line.error("unknown readiness");
                 };
-        return new Listing(
+        return new Endpoint(
                 worker,
                 model,
                 size,
--- a/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
+++ b/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
@@ -4,7 +4,7 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import wheelroute.decision.Dispatcher;
+import wheelroute.decision.ActionHandler;
 import wheelroute.decision.Ids;
 
 /** One reply, gathered in a buffer: the actions of each instance under its own SOURCE line. */
@@ -35,37 +35,37 @@
     }
 
     /** The actions of one instance. */
-    Dispatcher forInstance(long instance) {
-        return new Dispatcher() {
+    ActionHandler forInstance(long instance) {
+        return new ActionHandler() {
             @Override
-            public void launch(Ids.Submission submission, Ids.Worker worker, double limit) {
+            public void startAttempt(Ids.Request submission, Ids.Worker worker, double limit) {
                 from(instance).word("TRY").number(submission.value()).number(worker.value());
                 number(micros(limit)).end();
             }
 
             @Override
-            public void bounce(Ids.Submission submission, double retryAfter) {
+            public void reject(Ids.Request submission, double retryAfter) {
                 from(instance).word("OVERLOAD_REPLY").number(submission.value());
                 number(micros(retryAfter)).end();
             }
 
             @Override
-            public void scrap(Ids.Submission submission) {
+            public void fail(Ids.Request submission) {
                 from(instance).word("SURRENDER").number(submission.value()).end();
             }
 
             @Override
-            public void cancel(Ids.Submission submission, int launch) {
+            public void cancelAttempt(Ids.Request submission, int launch) {
                 from(instance).word("CALL_OFF").number(submission.value()).number(launch).end();
             }
 
             @Override
-            public void wake(double delay) {
+            public void scheduleWakeup(double delay) {
                 wakeAfter(instance, delay, WAKE_TOKEN);
             }
 
             @Override
-            public void watchList() {
+            public void watchEndpoints() {
                 from(instance).word("WATCH").number(1).end();
             }
         };
--- a/daemon/src/main/java/wheelroute/config/Config.java
+++ b/daemon/src/main/java/wheelroute/config/Config.java
@@ -36,7 +36,7 @@
         double idleLimit,
         double longestOuterLimit,
         boolean listIsPushed,
-        Peering peers) {
+        PeeringConfig peers) {
     /** The keys by which another configuration differs in what is used only at the start. */
     public List<String> waitingForRestart(Config other) {
         List<String> keys = new ArrayList<>();
--- a/daemon/src/main/java/wheelroute/config/ConfigReader.java
+++ b/daemon/src/main/java/wheelroute/config/ConfigReader.java
@@ -84,7 +84,7 @@
                 if (name.equals("known")) {
                     known = copied(parser);
                 } else {
-                    JsonPairs.flatten(parser, name, file);
+                    JsonFlattener.flatten(parser, name, file);
                 }
             }
             if (parser.nextToken() != null) {
@@ -131,13 +131,13 @@
         pairs.put("membership_mode", "ask");
         SettingsReader reader = new SettingsReader(pairs);
         Settings settings = reader.settings(seed());
-        if (settings.offerings().isEmpty()) {
+        if (settings.requestClasses().isEmpty()) {
             throw new ConfigException("settings.request_classes", "names no offering");
         }
         double longest = 0;
         Set<String> names = new HashSet<>();
-        for (int i = 0; i < settings.offerings().size(); i++) {
-            String name = settings.offerings().get(i).id().name();
+        for (int i = 0; i < settings.requestClasses().size(); i++) {
+            String name = settings.requestClasses().get(i).id().name();
             if (name.isEmpty() || !names.add(name)) {
                 throw new ConfigException(
                         "settings.request_classes." + i + ".name",
@@ -179,7 +179,7 @@
      * Off unless it is asked for by name: a platform that tells addresses of peers does not ask for
      * it yet.
      */
-    private Peering peering(Settings settings) throws ConfigException {
+    private PeeringConfig peering(Settings settings) throws ConfigException {
         if (file.getOrDefault("peering.listen", "").isEmpty()) {
             return null;
         }
@@ -205,7 +205,7 @@
                     "name",
                     "is longer than " + PeerId.MOST_BYTES + " plain characters, which peers need");
         }
-        return new Peering(
+        return new PeeringConfig(
                 file.getOrDefault("peering.cluster", ""),
                 address("", "peering.listen"),
                 List.copyOf(addresses),
--- a/daemon/src/main/java/wheelroute/config/JsonPairs.java
+++ b/daemon/src/main/java/wheelroute/config/JsonFlattener.java
@@ -10,8 +10,8 @@
  * plain values is joined with commas, a list of objects has its length under .count and its items
  * under .0, .1 and so on.
  */
-final class JsonPairs {
-    private JsonPairs() {}
+final class JsonFlattener {
+    private JsonFlattener() {}
 
     /** Adds what the value holds on which the parser stands; its own path is the prefix. */
     static void flatten(JsonParser parser, String path, Map<String, String> into)
--- a/daemon/src/main/java/wheelroute/config/Peering.java
+++ b/daemon/src/main/java/wheelroute/config/PeeringConfig.java
@@ -11,5 +11,5 @@
  * @param addresses where each is reached, in the order of their numbers, its own among them
  * @param number its own
  */
-public record Peering(
+public record PeeringConfig(
         String cluster, InetSocketAddress listen, List<InetSocketAddress> addresses, int number) {}
--- a/daemon/src/main/java/wheelroute/config/SettingsReader.java
+++ b/daemon/src/main/java/wheelroute/config/SettingsReader.java
@@ -4,8 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 import wheelroute.decision.Ids;
 import wheelroute.decision.Settings;
 
@@ -62,8 +62,8 @@
                 rest());
     }
 
-    private List<Settings.Offering> offerings() throws ConfigException {
-        List<Settings.Offering> rows = new ArrayList<>();
+    private List<Settings.RequestClass> offerings() throws ConfigException {
+        List<Settings.RequestClass> rows = new ArrayList<>();
         int count = (int) number(CLASSES + "count", 0);
         String[] stretches = text("family_info.class_stretch", "").split(",");
         String[] models = text("family_info.class_kind", "").split(",");
@@ -71,8 +71,8 @@
             String row = CLASSES + i + ".";
             String model = i < models.length ? models[i] : "";
             rows.add(
-                    new Settings.Offering(
-                            new Ids.Offering(text(row + "name", "")),
+                    new Settings.RequestClass(
+                            new Ids.RequestClass(text(row + "name", "")),
                             effect(row),
                             group(row),
                             seconds(row + "on_time_us", 0),
@@ -108,20 +108,20 @@
         return parse("family_info.class_stretch", stretches[i]);
     }
 
-    private Effect effect(String row) {
+    private Idempotency effect(String row) {
         return switch (text(row + "effect", "")) {
-            case "free" -> Effect.IDEMPOTENT;
-            case "guarded" -> Effect.DEDUPLICATED;
+            case "free" -> Idempotency.IDEMPOTENT;
+            case "guarded" -> Idempotency.IDEMPOTENT_BY_KEY;
             // Anything else, also a kind yet to come, gets the strictest reading.
-            default -> Effect.UNREPEATABLE;
+            default -> Idempotency.NON_IDEMPOTENT;
         };
     }
 
-    private Group group(String row) {
+    private IdempotencyScope group(String row) {
         return switch (text(row + "group", "")) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            default -> Group.CELL;
+            case "all" -> IdempotencyScope.ALL;
+            case "zone" -> IdempotencyScope.ZONE;
+            default -> IdempotencyScope.CELL;
         };
     }
 
--- a/daemon/src/main/java/wheelroute/config/TomlFields.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFields.java
@@ -4,17 +4,25 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
 import org.tomlj.Toml;
 import org.tomlj.TomlArray;
 import org.tomlj.TomlPosition;
 import org.tomlj.TomlTable;
+import wheelroute.decision.Idempotency;
 
 /**
  * One table of a file, read key by key; every fault is noted with its line, and reading goes on.
  */
 public final class TomlFields {
+    /** Constants that a configuration file knows by another name than their own. */
+    private static final Map<Enum<?>, String> CONFIGURED_NAMES =
+            Map.of(
+                    Idempotency.IDEMPOTENT_BY_KEY, "deduplicated",
+                    Idempotency.NON_IDEMPOTENT, "unrepeatable");
+
     private final TomlTable table;
     private final String path;
     private final List<Fault> faults;
@@ -140,7 +148,10 @@
     }
 
     public static String word(Enum<?> constant) {
-        return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        String configured = CONFIGURED_NAMES.get(constant);
+        return configured != null
+                ? configured
+                : constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     public List<String> texts(String key, List<String> usual, List<String> allowed) {
--- a/daemon/src/main/java/wheelroute/config/TomlFile.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFile.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 
 /**
  * An operator's own file: house words, seconds, comments. It becomes the same pairs as the
@@ -73,8 +73,8 @@
         put("limits.memory_mb", limits.number("memory_mb", 192, 32, 1 << 20));
         put("limits.sockets", limits.number("sockets", 1024, 64, 1 << 20));
         limits.done();
-        SettingsPairs settings =
-                new SettingsPairs()
+        WireSettingsWriter settings =
+                new WireSettingsWriter()
                         .text("az", root.text("zone", ""))
                         .number("balancers", root.whole("dispatchers", 1, 1, 1_000_000))
                         .number("position", root.whole("position", -1, -1, 1_000_000));
@@ -83,8 +83,8 @@
         for (TomlFields f : root.tables("offerings")) {
             settings.offering(
                     f.text("name", null),
-                    f.oneOf("effect", Effect.UNREPEATABLE, Effect.class),
-                    f.oneOf("group", Group.CELL, Group.class),
+                    f.oneOf("effect", Idempotency.NON_IDEMPOTENT, Idempotency.class),
+                    f.oneOf("group", IdempotencyScope.CELL, IdempotencyScope.class),
                     f.number("quoted", REQUIRED, 0, MOST_TIME),
                     f.number("stretch", 0, 0, 1000),
                     f.number("outer", 30, 0.001, MOST_TIME),
@@ -115,7 +115,7 @@
         f.done();
     }
 
-    private static void terms(TomlFields f, SettingsPairs settings) {
+    private static void terms(TomlFields f, WireSettingsWriter settings) {
         settings.flag("family_info.tells_start", f.flag("tells_start", true))
                 .seconds("family_info.progress_us", f.number("progress_every", 0, 0, 60))
                 .flag("permissions.cancel", f.flag("may_cancel", true))
@@ -139,7 +139,7 @@
         f.done();
     }
 
-    private static void cold(TomlFields f, SettingsPairs settings) {
+    private static void cold(TomlFields f, WireSettingsWriter settings) {
         settings.number("rules.cold_from", f.number("share", 1, 0.001, 1))
                 .seconds("rules.cold_us", f.number("for", 0, 0, MOST_TIME))
                 .number("rules.tip_multiple", f.number("tip_multiple", 1, 0.001, 1000))
--- a/daemon/src/main/java/wheelroute/config/SettingsPairs.java
+++ b/daemon/src/main/java/wheelroute/config/WireSettingsWriter.java
@@ -3,14 +3,14 @@
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 
 /**
  * Settings in our own words and seconds, written as the path=value pairs that {@link
  * SettingsReader} reads: for those who do not come with the platform's JSON.
  */
-public final class SettingsPairs {
+public final class WireSettingsWriter {
     private static final double MICROS = 1e6;
 
     private final Map<String, String> pairs = new LinkedHashMap<>();
@@ -21,30 +21,30 @@
         return pairs;
     }
 
-    public SettingsPairs text(String path, String value) {
+    public WireSettingsWriter text(String path, String value) {
         pairs.put(path, value);
         return this;
     }
 
-    public SettingsPairs flag(String path, boolean value) {
+    public WireSettingsWriter flag(String path, boolean value) {
         return text(path, Boolean.toString(value));
     }
 
-    public SettingsPairs number(String path, double value) {
+    public WireSettingsWriter number(String path, double value) {
         return text(
                 path,
                 value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value));
     }
 
-    public SettingsPairs seconds(String path, double value) {
+    public WireSettingsWriter seconds(String path, double value) {
         return text(path, Long.toString(Math.round(value * MICROS)));
     }
 
     /** One row of the table of offerings. */
-    public SettingsPairs offering(
+    public WireSettingsWriter offering(
             String name,
-            Effect effect,
-            Group group,
+            Idempotency effect,
+            IdempotencyScope group,
             double quoted,
             double stretch,
             double outer,
@@ -58,8 +58,8 @@
                         row + "effect",
                         switch (effect) {
                             case IDEMPOTENT -> "free";
-                            case DEDUPLICATED -> "guarded";
-                            case UNREPEATABLE -> "once";
+                            case IDEMPOTENT_BY_KEY -> "guarded";
+                            case NON_IDEMPOTENT -> "once";
                         })
                 .text(row + "group", group.name().toLowerCase(Locale.ROOT))
                 .seconds(row + "on_time_us", quoted)
@@ -73,7 +73,7 @@
     }
 
     /** Quota in asks a second; 0 for none. */
-    public SettingsPairs tenant(String name, double quota) {
+    public WireSettingsWriter tenant(String name, double quota) {
         String row = "tenants." + tenants++ + ".";
         return text(row + "name", name)
                 .number(row + "quota_per_s", quota)
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/decision/CostEstimates.java
@@ -0,0 +1,87 @@
+package wheelroute.decision;
+
+/**
+ * What one offering's hints were worth lately, against the work that the same jobs turned out to
+ * be.
+ */
+final class CostEstimates {
+    /** Well-hinted jobs that hints are taken to have behind them. */
+    private static final double PRIOR_SAMPLES = 4;
+
+    private static final double DEFAULT_WORK = 1;
+
+    /** Logarithms of hints, and of the work that the same jobs turned out to be. */
+    private final SampleWindow logPairs;
+
+    private final SampleWindow estimates;
+    private double slope = 1;
+    private double meanLogEstimate;
+    private double scale = 1;
+
+    CostEstimates(int most) {
+        logPairs = new SampleWindow(most);
+        estimates = new SampleWindow(most);
+    }
+
+    double meanWork() {
+        return estimates.meanOfFirst(DEFAULT_WORK);
+    }
+
+    /**
+     * The hint, drawn to its offering's middle as far as hints lately misled; their mean if none.
+     */
+    double workFor(double estimate) {
+        if (!(estimate > 0)) {
+            // Also against a hint of nothing, by which a crossing's price would have no end.
+            return meanWork();
+        }
+        estimates.add(0, estimate, 0);
+        return slope < 1
+                ? scale * Math.exp(slope * (Math.log(estimate) - meanLogEstimate))
+                : estimate;
+    }
+
+    void record(double estimate, double work) {
+        if (estimate > 0) {
+            logPairs.add(0, Math.log(estimate), Math.log(work));
+            fit();
+        }
+    }
+
+    /** As {@link SampleWindow#export}; samples of hints have no age. */
+    double[] export() {
+        return logPairs.export(0);
+    }
+
+    void restore(double[] samples) {
+        logPairs.restore(0, samples);
+        if (logPairs.size() > 0) {
+            fit();
+        }
+    }
+
+    /**
+     * Guards against rough hints taken at their word: work's slope on hint tells how far to trust.
+     */
+    private void fit() {
+        double count = logPairs.size();
+        meanLogEstimate = logPairs.sumOfFirst() / count;
+        double meanLogWork = logPairs.sumOfSecond() / count;
+        double covariance = PRIOR_SAMPLES;
+        double variance = PRIOR_SAMPLES;
+        for (int i = 0; i < count; i++) {
+            covariance +=
+                    (logPairs.first(i) - meanLogEstimate) * (logPairs.second(i) - meanLogWork);
+            variance +=
+                    (logPairs.first(i) - meanLogEstimate) * (logPairs.first(i) - meanLogEstimate);
+        }
+        slope = Math.max(0, Math.min(1, covariance / variance));
+        double shrunkSum = 0;
+        double plainSum = 0;
+        for (int i = 0; i < count; i++) {
+            shrunkSum += Math.exp(slope * (logPairs.first(i) - meanLogEstimate));
+            plainSum += Math.exp(logPairs.first(i));
+        }
+        scale = plainSum / shrunkSum;
+    }
+}
--- a/daemon/src/main/java/wheelroute/decision/Listing.java
+++ b/daemon/src/main/java/wheelroute/decision/Endpoint.java
@@ -3,21 +3,21 @@
 /**
  * One worker as the list names it.
  *
- * @param size how much it can do beside the others; no unit
+ * @param weight how much it can do beside the others; no unit
  * @param startedAt when its process last started, in seconds; NaN when long past
  */
-public record Listing(
+public record Endpoint(
         Ids.Worker worker,
         Ids.Model model,
-        double size,
+        double weight,
         Ids.Zone zone,
         double startedAt,
         Ids.Cell cell,
-        Readiness readiness) {
+        State state) {
     /** Whether the worker takes new launches. */
-    public enum Readiness {
-        ACTIVE,
-        LEAVING,
-        GONE
+    public enum State {
+        READY,
+        DRAINING,
+        REMOVED
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/Effect.java
+++ b/daemon/src/main/java/wheelroute/decision/Idempotency.java
@@ -1,11 +1,11 @@
 package wheelroute.decision;
 
 /** What a repeat of a submission would do. */
-public enum Effect {
+public enum Idempotency {
     /** It may run again. */
     IDEMPOTENT,
     /** It carries a mark by which the workers of its group know a repeat, for a while. */
-    DEDUPLICATED,
+    IDEMPOTENT_BY_KEY,
     /** It must never run twice. */
-    UNREPEATABLE
+    NON_IDEMPOTENT
 }
--- a/daemon/src/main/java/wheelroute/decision/Group.java
+++ b/daemon/src/main/java/wheelroute/decision/IdempotencyScope.java
@@ -1,13 +1,13 @@
 package wheelroute.decision;
 
 /** The workers that know each other's repeats of a deduplicated submission. */
-public enum Group {
+public enum IdempotencyScope {
     ALL,
     ZONE,
     CELL;
 
     /** Whether one of the two workers knows the other's repeats. */
-    boolean joins(Listing a, Listing b) {
+    boolean covers(Endpoint a, Endpoint b) {
         return switch (this) {
             case ALL -> true;
             case ZONE -> a.zone().equals(b.zone());
--- a/daemon/src/main/java/wheelroute/decision/Ids.java
+++ b/daemon/src/main/java/wheelroute/decision/Ids.java
@@ -9,10 +9,10 @@
 public final class Ids {
     private Ids() {}
 
-    public record Submission(long value) {
+    public record Request(long value) {
         @Override
         public boolean equals(Object other) {
-            return other instanceof Submission that && value == that.value;
+            return other instanceof Request that && value == that.value;
         }
 
         @Override
@@ -33,10 +33,10 @@
         }
     }
 
-    public record Offering(String name) {
+    public record RequestClass(String name) {
         @Override
         public boolean equals(Object other) {
-            return other instanceof Offering that && name.equals(that.name);
+            return other instanceof RequestClass that && name.equals(that.name);
         }
 
         @Override
--- a/daemon/src/main/java/wheelroute/decision/Outcome.java
+++ b/daemon/src/main/java/wheelroute/decision/Outcome.java
@@ -2,21 +2,21 @@
 
 /** How a launch ended, and whether its effect may have happened. */
 public enum Outcome {
-    ANSWERED(true),
-    ERRED(true),
-    TURNED_AWAY(false),
+    SUCCEEDED(true),
+    FAILED(true),
+    REJECTED(false),
     TIMED_OUT(true),
-    UNCONNECTED(false),
-    BROKEN_OFF(true),
+    CONNECT_FAILED(false),
+    CONNECTION_LOST(true),
     CANCELLED(true),
-    NEVER_SENT(false),
+    NOT_SENT(false),
     /** It may have run, but the break tells of an old connection and not of its worker. */
-    STALE(true),
+    STALE_CONNECTION(true),
     /**
      * The worker finds fault with the submission: nothing is known of the worker, and none would
      * take it.
      */
-    UNUSABLE(true),
+    INVALID_REQUEST(true),
     /** An outcome that this version has no name for: the careful reading is that it ran. */
     UNKNOWN(true);
 
@@ -33,8 +33,8 @@
     /** Nobody has said that it ended. */
     public boolean mayStillRun() {
         return switch (this) {
-            case TIMED_OUT, BROKEN_OFF, CANCELLED, STALE, UNKNOWN -> true;
-            case ANSWERED, ERRED, TURNED_AWAY, UNCONNECTED, NEVER_SENT, UNUSABLE -> false;
+            case TIMED_OUT, CONNECTION_LOST, CANCELLED, STALE_CONNECTION, UNKNOWN -> true;
+            case SUCCEEDED, FAILED, REJECTED, CONNECT_FAILED, NOT_SENT, INVALID_REQUEST -> false;
         };
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -12,13 +12,13 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 import java.util.zip.CRC32;
-import wheelroute.limits.ColdBudget;
+import wheelroute.limits.SlowStartBudget;
 
 /**
  * All decisions of one dispatcher: where each submission goes, and what is done when that goes wrong.
  *
- * <p>{@link #at} gives the time before each event; {@link #take} accepts a submission and gives a
- * {@link Handle}, on which all that happens to it later is a call. It acts through {@link Dispatcher} only.
+ * <p>{@link #advanceTo} gives the time before each event; {@link #accept} accepts a submission and gives a
+ * {@link RequestHandle}, on which all that happens to it later is a call. It acts through {@link ActionHandler} only.
  * One thread, no clock, no I/O: the same events give the same actions.
  *
  * <p>The mechanism is the first policy iteration rule of Hyytiä and Aalto, "To Split or not to Split",
@@ -94,30 +94,30 @@
     private static final double FETCH_TOLL = 3;
 
     private final Settings settings;
-    private final Dispatcher dispatcher;
-    private final Map<Ids.Offering, Row> rows = new HashMap<>();
+    private final ActionHandler dispatcher;
+    private final Map<Ids.RequestClass, RequestClassState> rows = new HashMap<>();
     /** Every worker still named or holding a launch of ours, in the order of their ids. */
     private final Map<Ids.Worker, Worker> workers =
             new TreeMap<>(Comparator.comparingLong(Ids.Worker::value));
-    private final Map<Ids.Model, OfModel> models = new HashMap<>();
+    private final Map<Ids.Model, ModelStatistics> models = new HashMap<>();
     /** Those that the list calls active, in the same order. */
     private final List<Worker> fleet = new ArrayList<>();
-    private final Map<Ids.Tenant, Samples> uses = new HashMap<>();
+    private final Map<Ids.Tenant, SampleWindow> uses = new HashMap<>();
     /** Keys whose submissions run in turn, in the order in which they came to be held. */
-    private final Map<Ids.Key, Line> lines = new LinkedHashMap<>();
-    private final Homes<Worker> homes = new Homes<>(w -> w.listing);
-    private final Fetches fetches = new Fetches();
+    private final Map<Ids.Key, KeyQueue> lines = new LinkedHashMap<>();
+    private final KeyAffinity<Worker> homes = new KeyAffinity<>(w -> w.listing);
+    private final CacheMissCost fetches = new CacheMissCost();
     /** Launches after an error elsewhere: 1 for those that erred too. */
-    private final Samples secondTries = new Samples(KEPT);
-    private final Samples arrivals = new Samples(KEPT_ARRIVALS);
+    private final SampleWindow secondTries = new SampleWindow(KEPT);
+    private final SampleWindow arrivals = new SampleWindow(KEPT_ARRIVALS);
     /** The work of submissions over all the slots that each takes: what a worker's capacity is counted in. */
-    private final Samples loads = new Samples(KEPT_ARRIVALS);
-    private final ColdBudget.Terms coldTerms;
+    private final SampleWindow loads = new SampleWindow(KEPT_ARRIVALS);
+    private final SlowStartBudget.Limits coldTerms;
     private final CRC32 crc = new CRC32();
     private long draws;
     private double now;
     /** One for all models where starts are not told: waits guessed from answers would show their speeds. */
-    private final Samples roughWaits = new Samples(KEPT_ARRIVALS);
+    private final SampleWindow roughWaits = new SampleWindow(KEPT_ARRIVALS);
     private double copiesLeft;
     private double firstTakenAt = Double.POSITIVE_INFINITY;
     /** Worked out once for each choice. */
@@ -130,40 +130,40 @@
     /** Workers with launches of ours out. */
     private final List<Worker> holding = new ArrayList<>();
     private int processes = 1;
-    private Parts parts;
+    private DispatcherShares parts;
     private boolean awake;
     private double sweepAt;
 
-    public Policy(Settings settings, Dispatcher dispatcher) {
+    public Policy(Settings settings, ActionHandler dispatcher) {
         this.settings = settings;
         this.dispatcher = dispatcher;
-        parts = Parts.even(settings);
-        coldTerms = new ColdBudget.Terms(Math.max(1, settings.dispatchers()), settings.position(),
-                settings.tipMultiple(), settings.tipWindow());
-        for (Settings.Offering offering : settings.offerings()) {
-            rows.put(offering.id(), new Row(offering));
+        parts = DispatcherShares.even(settings);
+        coldTerms = new SlowStartBudget.Limits(Math.max(1, settings.dispatchers()), settings.position(),
+                settings.overloadMultiple(), settings.overloadWindow());
+        for (Settings.RequestClass offering : settings.requestClasses()) {
+            rows.put(offering.id(), new RequestClassState(offering));
         }
-        if (settings.listMustBeAsked()) {
-            dispatcher.watchList();
+        if (settings.watchesEndpoints()) {
+            dispatcher.watchEndpoints();
         }
     }
 
     // ---- events of no one submission
 
     /** The time, in seconds, of the events that follow. */
-    public void at(double time) {
+    public void advanceTo(double time) {
         now = time;
     }
 
-    public void woken() {
-        for (Line line : new ArrayList<>(lines.values())) {
+    public void onWakeup() {
+        for (KeyQueue line : new ArrayList<>(lines.values())) {
             line.advance();
         }
         if (now < sweepAt) {
             return;
         }
         awake = false;
-        models.values().forEach(model -> model.stillWaiting = 0);
+        models.values().forEach(model -> model.overdueWait = 0);
         for (Worker w : new ArrayList<>(holding)) {
             w.noteRunning();
             lookForSilence(w);
@@ -177,24 +177,24 @@
         if (!awake && (!holding.isEmpty() || !lines.isEmpty())) {
             awake = true;
             sweepAt = now + SWEEP / 2;
-            dispatcher.wake(SWEEP);
+            dispatcher.scheduleWakeup(SWEEP);
         }
     }
 
     /** The list's news: whole lists drop who is not in them. */
-    public void listed(List<Listing> entries, boolean whole) {
+    public void onEndpoints(List<Endpoint> entries, boolean whole) {
         if (whole) {
             workers.values().forEach(w -> w.named = false);
         }
         List<Worker> lost = new ArrayList<>();
-        for (Listing entry : entries) {
+        for (Endpoint entry : entries) {
             Worker w = workers.computeIfAbsent(entry.worker(), Worker::new);
             if (w.take(entry)) {
                 lost.add(w);
             }
         }
         fleet.clear();
-        models.values().forEach(model -> model.carriers = 0);
+        models.values().forEach(model -> model.warmWorkers = 0);
         for (Worker w : workers.values()) {
             if (whole && !w.named) {
                 w.unlist();
@@ -204,55 +204,55 @@
                 fleet.add(w);
             }
             w.carrier = w.ready && w.warmth(now) >= 1;
-            w.model.carriers += w.carrier ? 1 : 0;
+            w.model.warmWorkers += w.carrier ? 1 : 0;
         }
-        homes.fleet(fleet);
+        homes.setFleet(fleet);
         lost.forEach(w -> rescueAll(w, !w.unlisted, launch -> true));
         workers.values().removeIf(w -> !w.ready && w.out.isEmpty());
     }
 
     /** What is shared by all is divided in another way than evenly from here on. */
-    public void sharedIn(Parts division) {
+    public void setShares(DispatcherShares division) {
         parts = division;
     }
 
     /** So many processes are this one dispatcher: each has its part of the traffic, and of what is shared. */
-    public void sharedBy(int count) {
+    public void setProcessCount(int count) {
         processes = Math.max(1, count);
     }
 
     /** For a process that is to go on where this one is. */
-    public Learned learned() {
-        Learned learned = new Learned(new HashMap<>(), new HashMap<>(), new HashMap<>());
-        workers.values().forEach(w -> learned.workers().put(w.id, w.seen.told(now)));
-        models.forEach((id, model) -> learned.models().put(id, model.told(now)));
-        rows.forEach((id, row) -> learned.hints().put(id, row.hints.told()));
+    public LearnedState exportState() {
+        LearnedState learned = new LearnedState(new HashMap<>(), new HashMap<>(), new HashMap<>());
+        workers.values().forEach(w -> learned.workers().put(w.id, w.seen.export(now)));
+        models.forEach((id, model) -> learned.models().put(id, model.export(now)));
+        rows.forEach((id, row) -> learned.estimates().put(id, row.hints.export()));
         return learned;
     }
 
     /** What another process had learned: before anything is taken, and after the list. */
-    public void learn(Learned learned) {
+    public void importState(LearnedState learned) {
         learned.workers().forEach((id, told) -> {
             Worker w = workers.get(id);
             if (w != null) {
-                w.seen.take(now, told);
+                w.seen.restore(now, told);
                 w.probation = w.failsOften();
             }
         });
         learned.models().forEach((id, told) -> {
             if (models.containsKey(id)) {
-                models.get(id).take(now, told, settings.tellsStart());
+                models.get(id).restore(now, told, settings.reportsStart());
             }
         });
-        learned.hints().forEach((id, told) -> {
+        learned.estimates().forEach((id, told) -> {
             if (rows.containsKey(id)) {
-                rows.get(id).hints.take(told);
+                rows.get(id).hints.restore(told);
             }
         });
     }
 
     /** Listed workers avoided now: they drain, rest after a launch that came back, or are on probation. */
-    public int avoided() {
+    public int avoidedEndpoints() {
         return (int) workers.values().stream().filter(w -> w.named
                 && (!w.ready || w.probation || now < w.fullUntil)).count();
     }
@@ -260,19 +260,19 @@
     // ---- submissions
 
     /** Takes a submission; null when the settings have no such offering. */
-    public Handle take(Submission submission) {
-        Row row = rows.get(submission.offering());
+    public RequestHandle accept(Request submission) {
+        RequestClassState row = rows.get(submission.requestClass());
         if (row == null) {
             return null;
         }
-        Handle handle = new Handle(submission, row);
+        RequestHandle handle = new RequestHandle(submission, row);
         firstTakenAt = Math.min(firstTakenAt, now);
-        if (!submission.repeated()) {
+        if (!submission.clientRetry()) {
             // Guards against a retry storm: what is bounced asks again at once, and is no load and no use.
             arrivals.add(now, handle.work, row.value);
             loads.add(now, handle.work * handle.slots, 0);
             if (settings.quotas().getOrDefault(submission.tenant(), 0.0) > 0) {
-                uses.computeIfAbsent(submission.tenant(), t -> new Samples(KEPT_ARRIVALS)).add(now, 1, 0);
+                uses.computeIfAbsent(submission.tenant(), t -> new SampleWindow(KEPT_ARRIVALS)).add(now, 1, 0);
             }
         }
         copiesLeft = Math.min(MOST_COPIES, copiesLeft + COPIES_EARNED);
@@ -287,16 +287,16 @@
     }
 
     /** One submission, from its taking until its last launch has ended. */
-    public final class Handle {
-        private final Submission submission;
-        private final Row row;
+    public final class RequestHandle {
+        private final Request submission;
+        private final RequestClassState row;
         private final double work;
         private final double slots;
         private final double takenAt = now;
-        private final Homes<Worker>.OfKey homes;
+        private final KeyAffinity<Worker>.Placement homes;
         /** Null where it waits for no others of its key. */
-        private final Line line;
-        private final List<Launch> launches = new ArrayList<>(2);
+        private final KeyQueue line;
+        private final List<Attempt> launches = new ArrayList<>(2);
         /** Until when its key rests once it is over: a launch of it may still be running. */
         private double restsUntil = Double.NEGATIVE_INFINITY;
         private int out;
@@ -305,43 +305,43 @@
         private boolean unusable;
         private boolean erred;
 
-        private Handle(Submission submission, Row row) {
+        private RequestHandle(Request submission, RequestClassState row) {
             this.submission = submission;
             this.row = row;
-            this.work = row.hints.workOf(submission.hint());
+            this.work = row.hints.workFor(submission.estimatedWork());
             this.slots = Math.max(1, submission.slots());
-            this.homes = submission.key() == null ? null : Policy.this.homes.of(submission.key());
-            this.line = row.of.inTurn() && submission.key() != null
-                    ? lines.computeIfAbsent(submission.key(), Line::new) : null;
+            this.homes = submission.key() == null ? null : Policy.this.homes.forKey(submission.key());
+            this.line = row.of.ordered() && submission.key() != null
+                    ? lines.computeIfAbsent(submission.key(), KeyQueue::new) : null;
         }
 
         /** Nothing more will happen to it. */
-        public boolean isOver() {
+        public boolean isComplete() {
             return done && out == 0;
         }
 
         /** The client left, or its answer is known to it already. */
-        public void gone() {
+        public void onClientGone() {
             done = true;
             callOff();
             leaveLine();
         }
 
         /** The outer limit has come, or no more time is left: what waits for its turn is told so. */
-        public void outOfTime() {
+        public void onDeadline() {
             if (!done && out == 0) {
                 giveUp(0);
             }
         }
 
-        public void started(int number) {
-            Launch launch = launch(number);
+        public void onStarted(int number) {
+            Attempt launch = launch(number);
             if (launch != null && launch.isOut()) {
                 began(launch, now);
             }
         }
 
-        private void began(Launch launch, double at) {
+        private void began(Attempt launch, double at) {
             launch.startedAt = at;
             launch.worker.heard();
             launch.worker.overtook(launch);
@@ -351,20 +351,20 @@
         }
 
         /** Where starts are not told the first note tells one; each note tells how long the job will run. */
-        public void progressed(int number, double share) {
-            Launch launch = launch(number);
+        public void onProgress(int number, double share) {
+            Attempt launch = launch(number);
             if (launch != null && launch.isOut() && share > 0) {
                 launch.worker.heard();
                 launch.heardAt = now;
                 if (!launch.hasStarted()) {
-                    began(launch, Math.max(launch.sentAt, now - settings.progressEvery()));
+                    began(launch, Math.max(launch.sentAt, now - settings.progressInterval()));
                 }
                 launch.runFor = (now - launch.startedAt) / Math.min(1, share);
             }
         }
 
-        public void streaming(int number) {
-            Launch launch = launch(number);
+        public void onStreaming(int number) {
+            Attempt launch = launch(number);
             if (launch != null) {
                 streaming = true;
                 launch.worker.heard();
@@ -372,8 +372,8 @@
         }
 
         /** A launch ended; over when the submission itself ended with it or before it. */
-        public void ended(int number, Outcome outcome, boolean over, LoadReport report) {
-            Launch launch = launch(number);
+        public void onEnded(int number, Outcome outcome, boolean over, LoadReport report) {
+            Attempt launch = launch(number);
             if (launch == null || !launch.isOut()) {
                 return;
             }
@@ -386,13 +386,13 @@
             }
             launch.worker.reported(report);
             launch.worker.learn(launch, outcome);
-            unusable |= outcome == Outcome.UNUSABLE;
-            if (erred && (outcome == Outcome.ERRED || outcome == Outcome.ANSWERED)) {
-                secondTries.add(now, outcome == Outcome.ERRED ? 1 : 0, 0);
+            unusable |= outcome == Outcome.INVALID_REQUEST;
+            if (erred && (outcome == Outcome.FAILED || outcome == Outcome.SUCCEEDED)) {
+                secondTries.add(now, outcome == Outcome.FAILED ? 1 : 0, 0);
             }
-            erred |= outcome == Outcome.ERRED;
-            restsUntil = outcome.mayStillRun() ? now + settings.keyRest() : restsUntil;
-            if (over || outcome == Outcome.ANSWERED) {
+            erred |= outcome == Outcome.FAILED;
+            restsUntil = outcome.mayStillRun() ? now + settings.keyQuietPeriod() : restsUntil;
+            if (over || outcome == Outcome.SUCCEEDED) {
                 done = true;
                 callOff();
             } else if (!done) {
@@ -402,13 +402,13 @@
         }
 
         private void leaveLine() {
-            if (line != null && isOver() && line.held.remove(this)) {
+            if (line != null && isComplete() && line.held.remove(this)) {
                 line.restsUntil = Math.max(line.restsUntil, restsUntil);
                 line.advance();
             }
         }
 
-        private Launch launch(int number) {
+        private Attempt launch(int number) {
             return number >= 0 && number < launches.size() ? launches.get(number) : null;
         }
 
@@ -417,34 +417,34 @@
             for (int i = 0; i < launches.size() && settings.mayCancel(); i++) {
                 if (launches.get(i).isOut() && !launches.get(i).calledOff) {
                     launches.get(i).calledOff = true;
-                    dispatcher.cancel(submission.id(), i);
+                    dispatcher.cancelAttempt(submission.id(), i);
                 }
             }
         }
 
         private boolean mayHaveRun() {
-            return launches.stream().anyMatch(Launch::mayHaveRun);
+            return launches.stream().anyMatch(Attempt::mayHaveRun);
         }
 
         /** Rule 2, and the limits on copies and launches: whether one more launch anywhere can be right. */
         private boolean mayLaunch() {
             if (done || streaming || unusable || (erred && errorsFollow())
-                    || launches.size() >= settings.mostLaunches() || (out > 0 && !settings.mayCopy())
-                    || now > submission.outerLimit() - LAST_CALL) {
+                    || launches.size() >= settings.maxAttempts() || (out > 0 && !settings.mayHedge())
+                    || now > submission.deadline() - LAST_CALL) {
                 return false;
             }
-            return row.of.effect() != Effect.UNREPEATABLE || !mayHaveRun();
+            return row.of.idempotency() != Idempotency.NON_IDEMPOTENT || !mayHaveRun();
         }
 
         /** Rule 2 for deduplicated submissions: only where, and while, the repeat is known as one. */
         private boolean mayGoTo(Worker w) {
             for (int i = 0; i < launches.size(); i++) {
-                Launch launch = launches.get(i);
-                if (launch.worker == w && (launch.isOut() || launch.outcome == Outcome.TURNED_AWAY)) {
+                Attempt launch = launches.get(i);
+                if (launch.worker == w && (launch.isOut() || launch.outcome == Outcome.REJECTED)) {
                     return false;
                 }
-                if (row.of.effect() == Effect.DEDUPLICATED && launch.mayHaveRun() && (now > launch.sentAt
-                        + row.of.window() - TRANSIT || !row.of.group().joins(launch.place, w.listing))) {
+                if (row.of.idempotency() == Idempotency.IDEMPOTENT_BY_KEY && launch.mayHaveRun() && (now > launch.sentAt
+                        + row.of.idempotencyWindow() - TRANSIT || !row.of.idempotencyScope().covers(launch.place, w.listing))) {
                     return false;
                 }
             }
@@ -453,7 +453,7 @@
 
         /** Rule 2: a bounce tells the client that a retry does no harm. */
         private boolean mayBounce() {
-            return !mayHaveRun() || (row.of.harmlessAgain() && !unusable);
+            return !mayHaveRun() || (row.of.isSafeToRetryAnywhere() && !unusable);
         }
 
         /** Sends it to the cheapest worker, or gives it up at once if nothing is left to wait for. */
@@ -462,7 +462,7 @@
             Worker choice = best;
             if (best != null && out == 0 && mayBounce()) {
                 // What the least patient offering bears, a unit of value: none may fill queues past it.
-                double shared = rows.values().stream().mapToDouble(Row::patience).min().orElse(0)
+                double shared = rows.values().stream().mapToDouble(RequestClassState::patience).min().orElse(0)
                         * Math.sqrt(row.value);
                 double fair = fairness();
                 if (isHopeless(best, 1, shared, fair)) {
@@ -478,7 +478,7 @@
         }
 
         private boolean isHopeless(Worker w, double part, double shared, double fair) {
-            double wait = w.ownWaitNow + w.unseen(FRESH, w.model.freshNow) + fetches.time(w.home);
+            double wait = w.ownWaitNow + w.unseen(FRESH, w.model.recentExternalWait) + fetches.expectedSeconds(w.home);
             // Waiting is what a bounce spares: that a job looks too long is only a rough hint's word.
             double borne = row.borne(work, work / w.speed());
             // What it waited in its line filled no worker's queue, but its time is gone all the same.
@@ -490,17 +490,17 @@
         private double fairness() {
             double use = uses.containsKey(submission.tenant()) ? use(submission.tenant()) : 0;
             double least = uses.keySet().stream().mapToDouble(Policy.this::use).min().orElse(use);
-            return use > 1 ? Math.max(Math.sqrt(settings.overShareValue()), least / use) : 1;
+            return use > 1 ? Math.max(Math.sqrt(settings.overQuotaValue()), least / use) : 1;
         }
 
         private void launchAt(Worker w) {
-            Launch launch = new Launch(this, launches.size(), w, now);
+            Attempt launch = new Attempt(this, launches.size(), w, now);
             launch.ownWait = w.ownWaitNow;
             launch.expectedWait = w.waitNow;
             launch.home = w.home;
             w.launched++;
             if (homes != null) {
-                homes.sentTo(w, w.launched);
+                homes.recordAttempt(w, w.launched);
             }
             launches.add(launch);
             out++;
@@ -510,18 +510,18 @@
                 holding.add(w);
                 stayAwake();
             }
-            w.cold.sent(now, work * slots);
-            dispatcher.launch(submission.id(), w.id, 0);
+            w.cold.recordSent(now, work * slots);
+            dispatcher.startAttempt(submission.id(), w.id, 0);
         }
 
         /** Rule 1: the one final answer, as soon as nothing is out and nothing more may be tried. */
         private void giveUp(double after) {
             done = true;
             if (mayBounce()) {
-                dispatcher.bounce(submission.id(), settings.clientsHearRetryAfter()
-                        ? Math.min(settings.longestRetryAfter(), after) : 0);
+                dispatcher.reject(submission.id(), settings.sendsRetryAfter()
+                        ? Math.min(settings.maxRetryAfter(), after) : 0);
             } else {
-                dispatcher.scrap(submission.id());
+                dispatcher.fail(submission.id());
             }
             leaveLine();
         }
@@ -529,7 +529,7 @@
         /** How long until its launches have ended, as far as is known. */
         private double remaining() {
             double longest = 0;
-            for (Launch launch : launches) {
+            for (Attempt launch : launches) {
                 if (launch.isOut()) {
                     double ahead = launch.hasStarted() ? 0 : launch.sentAt + launch.expectedWait - now;
                     longest = Math.max(longest, Math.max(0, ahead)
@@ -540,19 +540,19 @@
         }
 
         /** A launch that its worker has lost or keeps silent about: again elsewhere, where that may be. */
-        private boolean rescue(Launch launch) {
+        private boolean rescue(Attempt launch) {
             if (launch.rescued || done || streaming) {
                 return false;
             }
             launch.rescued = true;
             int before = launches.size();
-            if (settings.mayCopy()) {
+            if (settings.mayHedge()) {
                 place();
-            } else if (settings.mayCancel() && (row.of.effect() == Effect.IDEMPOTENT
-                    || (row.of.effect() == Effect.DEDUPLICATED && launch.worker.heardAt > launch.heardAt
+            } else if (settings.mayCancel() && (row.of.idempotency() == Idempotency.IDEMPOTENT
+                    || (row.of.idempotency() == Idempotency.IDEMPOTENT_BY_KEY && launch.worker.heardAt > launch.heardAt
                     && cheapest(this, w -> true) != null))) {
                 launch.calledOff = true;
-                dispatcher.cancel(submission.id(), launch.number);
+                dispatcher.cancelAttempt(submission.id(), launch.number);
             }
             return launches.size() > before || launch.calledOff;
         }
@@ -561,14 +561,14 @@
     // ---- what runs in turn
 
     /** The submissions of one key, in the order of their taking: one at a time, whatever its offering. */
-    private final class Line {
+    private final class KeyQueue {
         final Ids.Key key;
-        final ArrayDeque<Handle> held = new ArrayDeque<>();
+        final ArrayDeque<RequestHandle> held = new ArrayDeque<>();
         double restsUntil = Double.NEGATIVE_INFINITY;
         private double wakesAt;
         private boolean advancing;
 
-        Line(Ids.Key key) {
+        KeyQueue(Ids.Key key) {
             this.key = key;
         }
 
@@ -590,7 +590,7 @@
                 lines.remove(key);
             } else if (!held.isEmpty() && now < restsUntil && wakesAt != restsUntil) {
                 wakesAt = restsUntil;
-                dispatcher.wake(restsUntil - now);
+                dispatcher.scheduleWakeup(restsUntil - now);
             }
         }
 
@@ -600,21 +600,21 @@
          */
         private void giveUpLate() {
             double free = Math.max(now, restsUntil);
-            List<Handle> kept = new ArrayList<>();
-            for (Handle h : new ArrayList<>(held)) {
+            List<RequestHandle> kept = new ArrayList<>();
+            for (RequestHandle h : new ArrayList<>(held)) {
                 if (!h.launches.isEmpty()) {
                     free += h.remaining();
                     continue;
                 }
                 double run = h.work / usualSpeed;
                 double excess = free - h.takenAt - h.row.borne(h.work, run);
-                boolean late = now + 2 * SWEEP > h.submission.outerLimit()
+                boolean late = now + 2 * SWEEP > h.submission.deadline()
                         && (h != held.peekFirst() || now < restsUntil);
-                List<Handle> lesser = kept.stream().filter(k -> k.row.value < h.row.value)
+                List<RequestHandle> lesser = kept.stream().filter(k -> k.row.value < h.row.value)
                         .sorted(Comparator.comparingDouble(k -> k.row.value)).toList();
                 late |= excess > lesser.stream().mapToDouble(k -> k.work / usualSpeed).sum();
                 for (int i = 0; !late && excess > 0 && i < lesser.size(); i++) {
-                    Handle least = lesser.get(i);
+                    RequestHandle least = lesser.get(i);
                     kept.remove(least);
                     excess -= least.work / usualSpeed;
                     free -= least.work / usualSpeed;
@@ -633,29 +633,29 @@
     // ---- the ordinary path
 
     /** The worker of least admittance cost, ties by chance, or null; a second choice must meet its test. */
-    private Worker cheapest(Handle h, Predicate<Worker> second) {
+    private Worker cheapest(RequestHandle h, Predicate<Worker> second) {
         meanWork = arrivals.meanOfFirst(STANDARD);
         meanValue = arrivals.meanOfSecond();
         meanWorth = arrivals.meanOfProduct();
         // Guards against a hundred near idle dispatchers that forget a model's waits between two launches.
         double stretch = Math.max(1, Math.min(MOST_STRETCH,
                 ENOUGH_LAUNCHES / (MEMORY * arrivals.rate(now))));
-        models.values().forEach(model -> model.figure(now, stretch * MEMORY, stretch * FRESH));
+        models.values().forEach(model -> model.updateWaits(now, stretch * MEMORY, stretch * FRESH));
         double capacity = 0;
         double slotsInAll = 0;
-        fetches.figure(meanWork);
+        fetches.update(meanWork);
         for (Worker w : fleet) {
             w.figure(h.slots);
-            w.home = h.homes == null ? Homes.KEPT_HERE : Homes.RANKED;
+            w.home = h.homes == null ? KeyAffinity.CACHED : KeyAffinity.PREFERRED_COUNT;
             capacity += w.speedNow * w.slots();
             slotsInAll += w.slots();
         }
         if (h.homes != null) {
             int home = 0;
-            for (Worker w : h.homes.ranked(h.row.of.model())) {
+            for (Worker w : h.homes.preferred(h.row.of.model())) {
                 w.home = home++;
             }
-            h.homes.sent(w -> w.launched, w -> w.home = Homes.KEPT_HERE);
+            h.homes.forEachRecent(w -> w.launched, w -> w.home = KeyAffinity.CACHED);
         }
         usualSpeed = slotsInAll > 0 ? capacity / slotsInAll : STANDARD;
         double perSlot = launchesOut / Math.max(1, slotsInAll);
@@ -727,14 +727,14 @@
 
     /** Guards against a hung or vanished worker, which looks merely busy. */
     private void lookForSilence(Worker w) {
-        Launch oldest = w.out.get(0);
+        Attempt oldest = w.out.get(0);
         // What others wait is the measure: in a jam every start is late and no worker silent.
         double unheard = now - Math.max(w.heardAt, oldest.sentAt);
         // Else the most of all waits is not asked for at every worker and sweep.
-        double expected = unheard <= SILENCE ? 0 : Math.max(oldest.expectedWait, w.model.waits.mostOfFirst());
-        if (oldest.hasStarted() || !settings.tellsStart()) {
+        double expected = unheard <= SILENCE ? 0 : Math.max(oldest.expectedWait, w.model.waits.maxOfFirst());
+        if (oldest.hasStarted() || !settings.reportsStart()) {
             double run = oldest.handle.work / w.speed();
-            expected += settings.progressEvery() > 0 ? settings.progressEvery() : SILENCE_FACTOR * run;
+            expected += settings.progressInterval() > 0 ? settings.progressInterval() : SILENCE_FACTOR * run;
         }
         if (unheard > SILENCE + SILENCE_FACTOR * expected) {
             if (!w.silent) {
@@ -743,20 +743,20 @@
                 w.probation = true;
             }
             rescueAll(w, false, launch -> true);
-        } else if (settings.progressEvery() > 0) {
+        } else if (settings.progressInterval() > 0) {
             // Guards against a connection that falls silent beside others that go on.
             rescueAll(w, false, launch -> now - launch.heardAt > SILENCE + SILENCE_FACTOR * nextWord(launch));
         }
     }
 
     /** How long until a launch that runs tells of it: by its progress, or its end. */
-    private double nextWord(Launch launch) {
+    private double nextWord(Attempt launch) {
         double run = launch.handle.work / launch.worker.speed();
-        return launch.hasStarted() ? settings.progressEvery() : Math.min(settings.progressEvery(), run);
+        return launch.hasStarted() ? settings.progressInterval() : Math.min(settings.progressInterval(), run);
     }
 
-    private void rescueAll(Worker w, boolean lost, Predicate<Launch> which) {
-        for (Launch launch : new ArrayList<>(w.out)) {
+    private void rescueAll(Worker w, boolean lost, Predicate<Attempt> which) {
+        for (Attempt launch : new ArrayList<>(w.out)) {
             if ((lost || copiesLeft >= 1) && which.test(launch) && launch.handle.rescue(launch)) {
                 copiesLeft -= lost ? 0 : 1;
             }
@@ -768,16 +768,16 @@
     /** A worker as this dispatcher knows it: what the list says, and its own record. */
     private final class Worker {
         final Ids.Worker id;
-        Listing listing;
-        OfModel model;
+        Endpoint listing;
+        ModelStatistics model;
         boolean ready;
         boolean named;
         private boolean near;
         /** Missing from the list, which is no proof that it is gone: one failure settles it. */
         boolean unlisted;
-        final List<Launch> out = new ArrayList<>();
-        final OfWorker seen = new OfWorker(KEPT);
-        final ColdBudget cold = new ColdBudget(coldTerms);
+        final List<Attempt> out = new ArrayList<>();
+        final WorkerStatistics seen = new WorkerStatistics(KEPT);
+        final SlowStartBudget cold = new SlowStartBudget(coldTerms);
         double heardAt = Double.NEGATIVE_INFINITY;
         double fullUntil = Double.NEGATIVE_INFINITY;
         double answeredAt = Double.NEGATIVE_INFINITY;
@@ -791,7 +791,7 @@
         double cost;
         int launched;
         /** Which home of the key it is for the submission now placed. */
-        int home = Homes.KEPT_HERE;
+        int home = KeyAffinity.CACHED;
         private double[] slotFreeAt = new double[1];
         private double speedNow;
         private double ownWaitNow;
@@ -803,22 +803,22 @@
         }
 
         /** Takes its entry in the list; true when what is out there is lost. */
-        boolean take(Listing entry) {
+        boolean take(Endpoint entry) {
             boolean again = listing != null && entry.startedAt() > 0
                     && !(entry.startedAt() <= listing.startedAt());
             listing = entry;
             near = entry.zone().equals(settings.zone());
-            model = models.computeIfAbsent(entry.model(), m -> new OfModel(new Samples(KEPT_ARRIVALS),
-                    settings.tellsStart() ? new Samples(KEPT_ARRIVALS) : roughWaits,
-                    settings.tellsStart() ? MODEL_PRIOR : WAIT_PRIOR));
+            model = models.computeIfAbsent(entry.model(), m -> new ModelStatistics(new SampleWindow(KEPT_ARRIVALS),
+                    settings.reportsStart() ? new SampleWindow(KEPT_ARRIVALS) : roughWaits,
+                    settings.reportsStart() ? MODEL_PRIOR : WAIT_PRIOR));
             // Not the same for all that start in one moment.
-            cold.started(entry.startedAt(), draw(Math.round(entry.startedAt() * MILLIS),
+            cold.onWorkerStarted(entry.startedAt(), draw(Math.round(entry.startedAt() * MILLIS),
                     entry.cell().value()));
             named = true;
-            if (entry.readiness() == Listing.Readiness.GONE) {
+            if (entry.state() == Endpoint.State.REMOVED) {
                 unlist();
             } else {
-                ready = entry.readiness() == Listing.Readiness.ACTIVE;
+                ready = entry.state() == Endpoint.State.READY;
                 unlisted = false;
             }
             if (again) {
@@ -827,12 +827,12 @@
                 probation = false;
                 silent = false;
             }
-            return again || entry.readiness() == Listing.Readiness.GONE;
+            return again || entry.state() == Endpoint.State.REMOVED;
         }
 
         /** Where only a drain binds a list may be wrong about who is gone: such a worker is on trial. */
         void unlist() {
-            ready &= settings.goneIsAdvice();
+            ready &= settings.removalIsAdvisory();
             if (ready && !unlisted) {
                 unlisted = true;
                 probation = true;
@@ -855,7 +855,7 @@
         /** Guards against a start that overtakes the end before it: counted at once, slots only ever grow. */
         void noteRunning() {
             int running = 0;
-            for (Launch launch : out) {
+            for (Attempt launch : out) {
                 running += launch.hasStarted() && now - launch.startedAt > SETTLED
                         ? (int) launch.handle.slots : 0;
             }
@@ -866,27 +866,27 @@
         void noteWaiting() {
             // A silent worker's launches tell of the worker, not of its model.
             for (int i = 0; i < out.size() && !silent; i++) {
-                model.stillWaiting += out.get(i).hasStarted() ? 0
-                        : Math.max(0, overdue(out.get(i)) - model.unseenNow);
+                model.overdueWait += out.get(i).hasStarted() ? 0
+                        : Math.max(0, overdue(out.get(i)) - model.externalWait);
             }
         }
 
         /** Workers begin in the order of the sends: what was sent before one that began has begun too. */
-        void overtook(Launch launch) {
-            for (Launch other : out) {
+        void overtook(Attempt launch) {
+            for (Attempt other : out) {
                 other.heardAt = other.sentAt <= launch.sentAt ? Math.min(other.heardAt, now) : other.heardAt;
             }
         }
 
         /** What the end of a launch tells of its worker. */
-        void learn(Launch launch, Outcome outcome) {
+        void learn(Attempt launch, Outcome outcome) {
             switch (outcome) {
-                case ANSWERED -> {
+                case SUCCEEDED -> {
                     heard();
                     answeredAt = now;
                     overtook(launch);
                     if (carrier) {
-                        model.answered(now, launch.handle.work * launch.handle.slots);
+                        model.recordCompletedWork(now, launch.handle.work * launch.handle.slots);
                     }
                     double from = launch.hasStarted() ? launch.startedAt : launch.sentAt;
                     if (!launch.hasStarted()) {
@@ -895,9 +895,9 @@
                         model.waits.add(now, now - launch.sentAt, unexplained);
                     }
                     if (launch.hasStarted() || launch.ownWait == 0) {
-                        double run = Math.max(now - from, settings.round());
-                        if (launch.home != Homes.KEPT_HERE) {
-                            fetches.learn(now, launch.home, launch.handle.work,
+                        double run = Math.max(now - from, settings.timeResolution());
+                        if (launch.home != KeyAffinity.CACHED) {
+                            fetches.record(now, launch.home, launch.handle.work,
                                     run - launch.handle.work / speed());
                         } else {
                             // As if warm: speed() scales by warmth, and coldness must not count twice.
@@ -905,8 +905,8 @@
                             if (warmth(from) >= 1) {
                                 // Guards against a release that makes its whole model look slow.
                                 model.runs.add(now, launch.handle.work, run);
-                                model.fit();
-                                launch.handle.row.hints.learn(launch.handle.submission.hint(),
+                                model.refitSpeed();
+                                launch.handle.row.hints.record(launch.handle.submission.estimatedWork(),
                                         run * speed());
                             }
                         }
@@ -917,22 +917,22 @@
                         pause = FIRST_PAUSE;
                     }
                 }
-                case TURNED_AWAY -> {
+                case REJECTED -> {
                     heard();
                     fullUntil = now + FULL_PAUSE;
                 }
-                case ERRED -> {
+                case FAILED -> {
                     heard();
                     if (!errorsFollow()) {
                         failed();
                     }
                 }
-                case UNCONNECTED -> {
+                case CONNECT_FAILED -> {
                     // Dead, cut off or out of connections: none of them passes within a moment.
                     fullUntil = now + FULL_PAUSE;
                     failed();
                 }
-                case BROKEN_OFF, UNKNOWN -> failed();
+                case CONNECTION_LOST, UNKNOWN -> failed();
                 default -> {
                 }
             }
@@ -957,14 +957,14 @@
         }
 
         /** Probation: one launch at a time, after a pause, and only of what may be tried again. */
-        boolean takesTrial(Handle h) {
-            return !probation || (now >= trialAt && out.isEmpty() && h.row.of.effect() != Effect.UNREPEATABLE);
+        boolean takesTrial(RequestHandle h) {
+            return !probation || (now >= trialAt && out.isEmpty() && h.row.of.idempotency() != Idempotency.NON_IDEMPOTENT);
         }
 
         /** Guards against bounces beside a worker that errs now and then, while the others are full. */
-        boolean servesSome(Handle h) {
+        boolean servesSome(RequestHandle h) {
             return !silent && now - answeredAt < FRESH && out.size() < slots()
-                    && h.row.of.harmlessAgain();
+                    && h.row.of.isSafeToRetryAnywhere();
         }
 
         int slots() {
@@ -974,35 +974,35 @@
         /** Learned speed; a worker new to us begins at the others' and nears its own record. */
         double speed() {
             double prior = PRIOR_JOBS * meanWork;
-            seen.runs.fade(now, MEMORY);
-            return warmth(now) * (prior * model.speed + seen.runs.fadedFirst())
-                    / (prior + seen.runs.fadedSecond());
+            seen.runs.computeDecayedSums(now, MEMORY);
+            return warmth(now) * (prior * model.speed + seen.runs.decayedFirst())
+                    / (prior + seen.runs.decayedSecond());
         }
 
         /** The part of its capacity a worker has at least: it warms up no slower than evenly. */
         double warmth(double time) {
             double age = time - listing.startedAt();
-            if (!(age < settings.coldFor())) {
+            if (!(age < settings.slowStartDuration())) {
                 return 1;
             }
-            return settings.coldShare() + (1 - settings.coldShare()) * Math.max(0, age) / settings.coldFor();
+            return settings.slowStartShare() + (1 - settings.slowStartShare()) * Math.max(0, age) / settings.slowStartDuration();
         }
 
         /** Rule 4: our share of what a cold worker may be sent within any window. */
         boolean mayTakeCold(double work) {
-            double warm = warmth(now - settings.tipWindow());
+            double warm = warmth(now - settings.overloadWindow());
             if (warm >= 1) {
                 return true;
             }
             // It has the slots seen busy, and carries what all of its model do: for us and for the others.
-            double able = Math.max(model.speed * slots(), senders() * model.carries(now, firstTakenAt));
-            double capacity = warm * able * settings.tipWindow() / processes;
-            return cold.holds(now, work, capacity, loads.meanOfFirst(STANDARD), parts);
+            double able = Math.max(model.speed * slots(), senders() * model.workRatePerWorker(now, firstTakenAt));
+            double capacity = warm * able * settings.overloadWindow() / processes;
+            return cold.allows(now, work, capacity, loads.meanOfFirst(STANDARD), parts);
         }
 
         /** Works out the waits and the backlog once, for the costs and the launch that follow. */
         void figure(double need) {
-            double unseen = unseen(MEMORY, model.unseenNow);
+            double unseen = unseen(MEMORY, model.externalWait);
             speedNow = speed();
             ownWaitNow = out.isEmpty() ? 0 : ownWait(need);
             waitNow = ownWaitNow + unseen;
@@ -1053,8 +1053,8 @@
             // A cold worker is spared, so it has no queue, however long its model's are. A warm one has, or
             // all would take to those that have just become so.
             double prior = warmth(now) < 1 ? 0 : WAIT_PRIOR * usual;
-            seen.waits.fade(now, memory);
-            double mean = (prior + seen.waits.fadedFirst()) / (WAIT_PRIOR + seen.waits.fadedWeight());
+            seen.waits.computeDecayedSums(now, memory);
+            double mean = (prior + seen.waits.decayedFirst()) / (WAIT_PRIOR + seen.waits.decayedWeight());
             return Math.max(0, Math.max(mean, overdue()));
         }
 
@@ -1069,23 +1069,23 @@
         }
 
         /** How far a launch that has not started is past the first word due of it; under 0 before. */
-        private double overdue(Launch launch) {
-            return launch.unexplained(now) - settings.begunAfter();
+        private double overdue(Attempt launch) {
+            return launch.unexplained(now) - settings.startNoticeDelay();
         }
 
         /** Equation 3 of the paper for one worker, and the prices that the settings put on the choice. */
-        double admittanceCost(Handle h, double kappa) {
-            double run = h.work / speedNow + FETCH_TOLL * fetches.time(home);
+        double admittanceCost(RequestHandle h, double kappa) {
+            double run = h.work / speedNow + FETCH_TOLL * fetches.expectedSeconds(home);
             double ownKappa = kappa * speedNow * slots();
             double added = run * h.slots / slots();
             double value = h.row.value;
             double fine = ownKappa * (2 * backlogNow * added + added * added);
-            double quoted = h.row.of.quotedFor(h.work);
+            double quoted = h.row.of.latencyObjectiveFor(h.work);
             // A price in mean worth, put in the cost's own coin: a late answer loses this one's worth.
             double crossing = near ? 0
                     : settings.crossZonePrice() * meanWorth * quoted / h.work
                     / Math.max(LEAST_LOSS, 1 - h.row.of.lateValue());
-            double fetchPrice = fetches.part(home) * settings.fetchPrice() * meanWorth * quoted / h.work
+            double fetchPrice = fetches.missProbability(home) * settings.cacheMissPrice() * meanWorth * quoted / h.work
                     / Math.max(LEAST_LOSS, 1 - h.row.of.lateValue());
             double risk = seen.failures.countSince(now - FAILURE_MEMORY) / (double) KEPT;
             double slack = Math.max(0, quoted - run);
@@ -1098,12 +1098,12 @@
     // ---- what is kept
 
     /** One launch, from its sending to its end. */
-    private static final class Launch {
-        final Handle handle;
+    private static final class Attempt {
+        final RequestHandle handle;
         final int number;
         final Worker worker;
         /** The list's entry at the send: the cell and zone that a repeat must share. */
-        final Listing place;
+        final Endpoint place;
         final double sentAt;
         double startedAt = -1;
         /** When it last was heard of, or must have begun, as what was sent after it had; else never. */
@@ -1117,7 +1117,7 @@
         boolean calledOff;
         boolean rescued;
 
-        Launch(Handle handle, int number, Worker worker, double sentAt) {
+        Attempt(RequestHandle handle, int number, Worker worker, double sentAt) {
             this.handle = handle;
             this.number = number;
             this.worker = worker;
@@ -1150,24 +1150,24 @@
     }
 
     /** A row of the table of offerings: its settings, and what its hints were worth lately. */
-    private static final class Row {
-        final Settings.Offering of;
+    private static final class RequestClassState {
+        final Settings.RequestClass of;
         final double value;
-        final Hints hints = new Hints(KEPT_ARRIVALS);
+        final CostEstimates hints = new CostEstimates(KEPT_ARRIVALS);
 
-        Row(Settings.Offering of) {
+        RequestClassState(Settings.RequestClass of) {
             this.of = of;
-            value = of.value() > 0 ? of.value() : 1;
+            value = of.priorityWeight() > 0 ? of.priorityWeight() : 1;
         }
 
         /** Guards against patient offerings filling an overload's queues, where the others then starve. */
         double patience() {
-            double work = hints.mean();
+            double work = hints.meanWork();
             return borne(work, work) / Math.sqrt(value);
         }
 
         double borne(double work, double run) {
-            return Math.max(of.quotedFor(work) - run, WORTH_WAITING * of.quotedFor(work));
+            return Math.max(of.latencyObjectiveFor(work) - run, WORTH_WAITING * of.latencyObjectiveFor(work));
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/list/package-info.java
+++ b/daemon/src/main/java/wheelroute/discovery/package-info.java
@@ -1,2 +1,2 @@
 /** When discovery is asked again. Decides; no I/O, no clock. */
-package wheelroute.list;
+package wheelroute.discovery;
--- a/daemon/src/main/java/wheelroute/limits/ColdBudget.java
+++ b/daemon/src/main/java/wheelroute/limits/SlowStartBudget.java
@@ -8,9 +8,9 @@
  * window, N being what the settings allow it then; the rule is broken if over two thirds of them
  * came from dispatchers that had been told of its start.
  *
- * <p><b>The bound.</b> Let B be {@link #USE} of what the settings allow in a window, by the
- * worker's capacity at that window's beginning, where it is least. Those told of the start send, in
- * any window:
+ * <p><b>The bound.</b> Let B be {@link #BUDGET_FRACTION} of what the settings allow in a window, by
+ * the worker's capacity at that window's beginning, where it is least. Those told of the start
+ * send, in any window:
  *
  * <ul>
  *   <li>divided evenly, D dispatchers B/D each: B. No share rounds up: work is counted and not
@@ -38,26 +38,26 @@
  * later than what was sent by the network's jitter. The 2 root N + 2 are for these, and no part of
  * them is given out.
  */
-public final class ColdBudget {
+public final class SlowStartBudget {
     /**
      * Under two thirds, at which a fall counts as ours; hints are rough and the worker's size is a
      * guess.
      */
-    private static final double USE = 0.65;
+    private static final double BUDGET_FRACTION = 0.65;
 
     /**
      * A part is to hold so many requests of mean work: in a smaller one most of the work finds no
      * place.
      */
-    private static final double FITS = 1;
+    private static final double MIN_REQUESTS_PER_SHARE = 1;
 
     /** The parts of others are used where a dispatcher is not there and its part is held here. */
-    public interface Held {
+    public interface Shares {
         /** How much of that dispatcher's part may be used here, from 0 to 1. */
-        double of(int dispatcher);
+        double ofDispatcher(int dispatcher);
 
         /** How much of all parts together. */
-        double whole();
+        double total();
     }
 
     /**
@@ -67,35 +67,35 @@
      * @param position this one's place among them; under 0 where that is not told
      * @param multiple so many times its capacity within the window push a worker over
      */
-    public record Terms(int dispatchers, int position, double multiple, double window) {}
+    public record Limits(int dispatchers, int position, double multiple, double window) {}
 
-    private final Terms terms;
-    private final ArrayDeque<double[]> sent = new ArrayDeque<>();
+    private final Limits limits;
+    private final ArrayDeque<double[]> sentWork = new ArrayDeque<>();
     private double startedAt = Double.NaN;
     private long firstTurn;
 
-    public ColdBudget(Terms terms) {
-        this.terms = terms;
+    public SlowStartBudget(Limits limits) {
+        this.limits = limits;
     }
 
     /**
      * When the worker started, by the list, and whose turn is first: all dispatchers must draw the
      * same.
      */
-    public void started(double at, double draw) {
-        startedAt = at;
-        firstTurn = (long) (draw * terms.dispatchers);
+    public void onWorkerStarted(double time, double draw) {
+        startedAt = time;
+        firstTurn = (long) (draw * limits.dispatchers);
     }
 
     /**
      * A launch goes to the worker: also before its start is told, as that may be the start's
      * window.
      */
-    public void sent(double now, double work) {
-        while (!sent.isEmpty() && sent.peekFirst()[0] <= now - terms.window) {
-            sent.pollFirst();
+    public void recordSent(double now, double work) {
+        while (!sentWork.isEmpty() && sentWork.peekFirst()[0] <= now - limits.window) {
+            sentWork.pollFirst();
         }
-        sent.addLast(new double[] {now, work});
+        sentWork.addLast(new double[] {now, work});
     }
 
     /**
@@ -104,35 +104,42 @@
      * @param capacity work in a window at the warmth of its beginning, for this process
      * @param meanWork of a request
      */
-    public boolean holds(double now, double work, double capacity, double meanWork, Held held) {
+    public boolean allows(
+            double now, double work, double capacity, double meanWork, Shares shares) {
         double sum = work;
-        for (double[] entry : sent) {
-            sum += entry[0] > now - terms.window && !(entry[0] < startedAt) ? entry[1] : 0;
+        for (double[] entry : sentWork) {
+            sum += entry[0] > now - limits.window && !(entry[0] < startedAt) ? entry[1] : 0;
         }
-        double budget = USE * terms.multiple * capacity;
-        return sum <= budget * part(now, budget, meanWork, held);
+        double budget = BUDGET_FRACTION * limits.multiple * capacity;
+        return sum <= budget * share(now, budget, meanWork, shares);
     }
 
-    private double part(double now, double budget, double meanWork, Held held) {
-        int group = group(budget, meanWork);
+    private double share(double now, double budget, double meanWork, Shares shares) {
+        int group = groupSize(budget, meanWork);
         // Guards against shares that no job fits into, by which many dispatchers shut a fleet out.
-        if (terms.position < 0
-                || terms.dispatchers <= terms.multiple
-                || group + 1 >= terms.dispatchers) {
-            return held.whole();
+        if (limits.position < 0
+                || limits.dispatchers <= limits.multiple
+                || group + 1 >= limits.dispatchers) {
+            return shares.total();
         }
-        long turn = (long) (Math.max(0, now - startedAt) / terms.window);
-        double parts = 0;
+        long turn = (long) (Math.max(0, now - startedAt) / limits.window);
+        double sum = 0;
         for (int i = 0; i < group; i++) {
-            parts += held.of((int) Math.floorMod(firstTurn + turn - i, (long) terms.dispatchers));
+            sum +=
+                    shares.ofDispatcher(
+                            (int) Math.floorMod(firstTurn + turn - i, (long) limits.dispatchers));
         }
-        return parts / (group + 1);
+        return sum / (group + 1);
     }
 
     /**
      * So many have their turn together: as many as the budget leaves a part that requests fit into.
      */
-    private int group(double budget, double meanWork) {
-        return (int) Math.max(1, Math.min(terms.dispatchers, budget / (FITS * meanWork)) - 1);
+    private int groupSize(double budget, double meanWork) {
+        return (int)
+                Math.max(
+                        1,
+                        Math.min(limits.dispatchers, budget / (MIN_REQUESTS_PER_SHARE * meanWork))
+                                - 1);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/Counters.java
+++ b/daemon/src/main/java/wheelroute/net/Counters.java
@@ -2,7 +2,6 @@
 
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import wheelroute.decision.Ids;
 
@@ -12,73 +11,79 @@
  */
 public final class Counters {
     /** One row a figure: its name, and a label where several figures share the name. */
-    public enum Kind {
-        TAKEN("submissions_taken_total", ""),
-        NOT_TAKEN("messages_not_taken_total", ""),
-        LAUNCHED("launches_total", ""),
-        WRITTEN("launches_written_total", ""),
-        CLIENT_GONE("clients_gone_total", ""),
-        CLIENTS_OPENED("connections_total", "peer=\"client\""),
-        WORKERS_OPENED("connections_total", "peer=\"worker\""),
-        LIST_CALLS("list_calls_total", ""),
-        LIST_FAILURES("list_failures_total", "");
+    public enum Counter {
+        REQUESTS_ACCEPTED("submissions_taken_total", ""),
+        REQUESTS_NOT_ACCEPTED("messages_not_taken_total", ""),
+        ATTEMPTS("launches_total", ""),
+        ATTEMPTS_WRITTEN("launches_written_total", ""),
+        CLIENTS_GONE("clients_gone_total", ""),
+        CLIENT_CONNECTIONS("connections_total", "peer=\"client\""),
+        WORKER_CONNECTIONS("connections_total", "peer=\"worker\""),
+        DISCOVERY_CALLS("list_calls_total", ""),
+        DISCOVERY_FAILURES("list_failures_total", "");
 
         private final String name;
         private final String label;
 
-        Kind(String name, String label) {
+        Counter(String name, String label) {
             this.name = name;
             this.label = label;
         }
     }
 
     /** The final answers, counted by offering. */
-    public enum Answer {
-        FULFILLED,
-        BOUNCED,
-        SCRAPPED;
+    public enum FinalAnswer {
+        SUCCEEDED("fulfilled"),
+        REJECTED("bounced"),
+        FAILED("scrapped");
+
+        private final String metricLabel;
+
+        FinalAnswer(String metricLabel) {
+            this.metricLabel = metricLabel;
+        }
 
         private String label() {
-            return "kind=\"" + name().toLowerCase(Locale.ROOT) + "\"";
+            return "kind=\"" + metricLabel + "\"";
         }
     }
 
     private static final String PREFIX = "wheelroute_";
 
-    private final long[] kinds = new long[Kind.values().length];
-    private final long[] ends = new long[End.values().length];
+    private final long[] kinds = new long[Counter.values().length];
+    private final long[] ends = new long[AttemptResult.values().length];
 
     /**
      * A row from the start on for each offering: a figure that is missing is no 0 to who reads
      * them.
      */
-    private final Map<Ids.Offering, long[]> answers = new LinkedHashMap<>();
+    private final Map<Ids.RequestClass, long[]> answers = new LinkedHashMap<>();
 
-    public Counters(List<Ids.Offering> offerings) {
-        offerings.forEach(offering -> answers.put(offering, new long[Answer.values().length]));
+    public Counters(List<Ids.RequestClass> offerings) {
+        offerings.forEach(offering -> answers.put(offering, new long[FinalAnswer.values().length]));
     }
 
-    public void count(Kind kind) {
+    public void count(Counter kind) {
         kinds[kind.ordinal()]++;
     }
 
-    public void count(End end) {
+    public void count(AttemptResult end) {
         ends[end.ordinal()]++;
     }
 
-    public void count(Ids.Offering offering, Answer answer) {
+    public void count(Ids.RequestClass offering, FinalAnswer answer) {
         answers.get(offering)[answer.ordinal()]++;
     }
 
-    public long value(Kind kind) {
+    public long value(Counter kind) {
         return kinds[kind.ordinal()];
     }
 
-    public Iterable<Ids.Offering> offerings() {
+    public Iterable<Ids.RequestClass> offerings() {
         return answers.keySet();
     }
 
-    public long value(Ids.Offering offering, Answer answer) {
+    public long value(Ids.RequestClass offering, FinalAnswer answer) {
         return answers.get(offering)[answer.ordinal()];
     }
 
@@ -86,7 +91,7 @@
     public String text(Gauges now) {
         StringBuilder out = new StringBuilder();
         String last = "";
-        for (Kind kind : Kind.values()) {
+        for (Counter kind : Counter.values()) {
             if (!kind.name.equals(last)) {
                 type(out, kind.name, "counter");
                 last = kind.name;
@@ -94,7 +99,7 @@
             line(out, kind.name, kind.label, kinds[kind.ordinal()]);
         }
         type(out, "answers_total", "counter");
-        for (Answer answer : Answer.values()) {
+        for (FinalAnswer answer : FinalAnswer.values()) {
             line(
                     out,
                     "answers_total",
@@ -104,7 +109,7 @@
         type(out, "offering_answers_total", "counter");
         answers.forEach(
                 (offering, row) -> {
-                    for (Answer answer : Answer.values()) {
+                    for (FinalAnswer answer : FinalAnswer.values()) {
                         line(
                                 out,
                                 "offering_answers_total",
@@ -113,11 +118,11 @@
                     }
                 });
         type(out, "launch_ends_total", "counter");
-        for (End end : End.values()) {
+        for (AttemptResult end : AttemptResult.values()) {
             line(
                     out,
                     "launch_ends_total",
-                    "end=\"" + end.name().toLowerCase(Locale.ROOT) + "\"",
+                    "end=\"" + end.metricLabel() + "\"",
                     ends[end.ordinal()]);
         }
         gauge(out, "submissions_open", now.open());
--- a/daemon/src/main/java/wheelroute/net/Datagrams.java
+++ b/daemon/src/main/java/wheelroute/net/DatagramSocket.java
@@ -15,31 +15,32 @@
  * A socket for datagrams on a loop: each that comes is handed on whole, each that is sent may be
  * lost.
  */
-public final class Datagrams implements Loop.Peer {
+public final class DatagramSocket implements EventLoop.ChannelHandler {
     /** Hears of each that comes; the bytes are gone after this. */
-    public interface Hearer {
-        void came(InetSocketAddress from, ByteBuffer bytes);
+    public interface Listener {
+        void onDatagram(InetSocketAddress from, ByteBuffer bytes);
     }
 
     /** Reads in a row: a sender at full speed must leave the others their turns. */
     private static final int MOST_READS = 32;
 
-    private static final Logger LOG = LoggerFactory.getLogger(Datagrams.class);
+    private static final Logger LOG = LoggerFactory.getLogger(DatagramSocket.class);
 
-    private final Loop loop;
-    private final Hearer hearer;
+    private final EventLoop loop;
+    private final Listener hearer;
     private final ByteBuffer buffer;
     private final DatagramChannel channel;
     private Reader reader;
 
     /** Longer ones than the size are cut off by the system, and so no message. */
-    public Datagrams(Loop loop, InetSocketAddress address, int size, Hearer hearer)
+    public DatagramSocket(EventLoop loop, InetSocketAddress address, int size, Listener hearer)
             throws IOException {
         this(loop, address, false, size, hearer);
     }
 
     /** The same; shared, another process may hear some of what comes there. */
-    public Datagrams(Loop loop, InetSocketAddress address, boolean shared, int size, Hearer hearer)
+    public DatagramSocket(
+            EventLoop loop, InetSocketAddress address, boolean shared, int size, Listener hearer)
             throws IOException {
         this.loop = loop;
         this.hearer = hearer;
@@ -68,13 +69,13 @@
     }
 
     @Override
-    public Connection opened(EndPoint endPoint) {
+    public Connection onOpened(EndPoint endPoint) {
         reader = new Reader((DatagramChannelEndPoint) endPoint);
         return reader;
     }
 
     @Override
-    public void failed(Throwable cause) {
+    public void onFailed(Throwable cause) {
         LOG.warn("datagrams cannot be read: {}", cause.toString());
     }
 
@@ -101,7 +102,7 @@
                     if (!(channel.receive(buffer) instanceof InetSocketAddress from)) {
                         break;
                     }
-                    hearer.came(from, buffer.flip());
+                    hearer.onDatagram(from, buffer.flip());
                 }
             } catch (IOException e) {
                 // The system tells here that an earlier one could not be delivered: it was lost.
--- a/daemon/src/main/java/wheelroute/net/Loop.java
+++ b/daemon/src/main/java/wheelroute/net/EventLoop.java
@@ -39,7 +39,7 @@
  * selector's own thread, so that nothing above needs a lock and the order of events is the order in
  * which they came.
  */
-public class Loop {
+public class EventLoop {
     /**
      * The largest read at once: most messages come in one, and a client may have one such read
      * ahead.
@@ -83,13 +83,13 @@
     private static final double ROUND = 0.001;
 
     private static final double MILLIS = 1e3;
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
     /** What a channel is for: it makes the connection, or hears that there will be none. */
-    public interface Peer {
-        Connection opened(EndPoint endPoint);
+    public interface ChannelHandler {
+        Connection onOpened(EndPoint endPoint);
 
-        void failed(Throwable cause);
+        void onFailed(Throwable cause);
     }
 
     /** A timer; it may be taken back. */
@@ -114,13 +114,13 @@
     }
 
     private final Clock clock;
-    private final Manager manager;
+    private final LoopSelectorManager manager;
     private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(
                     Comparator.comparingDouble((Timer t) -> t.due)
                             .thenComparingLong(t -> t.number));
-    private final Map<SocketAddress, Peer> listeners = new HashMap<>();
+    private final Map<SocketAddress, ChannelHandler> listeners = new HashMap<>();
     private final ByteBuffer readBuffer = BufferUtil.allocateDirect(READ_BUFFER);
     private final ByteBuffer lookBuffer = BufferUtil.allocate(LOOK_BUFFER);
 
@@ -143,11 +143,11 @@
     private Thread thread;
     private volatile Selector selector;
 
-    public Loop(Clock clock, double connectLimit) {
+    public EventLoop(Clock clock, double connectLimit) {
         this.clock = clock;
         passAt = clock.now();
         Arrays.fill(unseenSince, Double.POSITIVE_INFINITY);
-        manager = new Manager();
+        manager = new LoopSelectorManager();
         manager.setConnectTimeout((long) (connectLimit * MILLIS));
     }
 
@@ -173,7 +173,7 @@
     }
 
     /** From the loop's thread only, as all that follows. */
-    public Timer later(double delay, Runnable task) {
+    public Timer schedule(double delay, Runnable task) {
         Timer timer = new Timer(now() + delay, ++lastTimer, task);
         timers.add(timer);
         return timer;
@@ -215,7 +215,7 @@
     }
 
     /** Never fails at once: whoever connects may be in the middle of a decision. */
-    public void connect(SocketAddress address, Peer peer) {
+    public void connect(SocketAddress address, ChannelHandler peer) {
         SocketChannel channel = null;
         try {
             boolean local = address instanceof UnixDomainSocketAddress;
@@ -232,7 +232,7 @@
             }
         } catch (IOException | RuntimeException e) {
             close(channel);
-            post(() -> peer.failed(e));
+            post(() -> peer.onFailed(e));
         }
     }
 
@@ -250,13 +250,14 @@
      * Accepts connections for this peer until {@link #unlisten} is called. One loop may listen on
      * many addresses, each for a peer of its own.
      */
-    public ServerSocketChannel listen(InetSocketAddress address, Peer peer) throws IOException {
+    public ServerSocketChannel listen(InetSocketAddress address, ChannelHandler peer)
+            throws IOException {
         return listen(address, peer, false);
     }
 
     /** The same; shared, another process may listen there too, if it wants so as well. */
-    public ServerSocketChannel listen(InetSocketAddress address, Peer peer, boolean shared)
-            throws IOException {
+    public ServerSocketChannel listen(
+            InetSocketAddress address, ChannelHandler peer, boolean shared) throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         // A restart follows within moments of the last end, under the same address.
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -268,7 +269,7 @@
     }
 
     /** The same on a Unix socket, whose file must not be there yet. */
-    public ServerSocketChannel listen(UnixDomainSocketAddress address, Peer peer)
+    public ServerSocketChannel listen(UnixDomainSocketAddress address, ChannelHandler peer)
             throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
         try {
@@ -280,7 +281,7 @@
         return server;
     }
 
-    private void accept(ServerSocketChannel server, Peer peer) throws IOException {
+    private void accept(ServerSocketChannel server, ChannelHandler peer) throws IOException {
         server.configureBlocking(false);
         listeners.put(server.getLocalAddress(), peer);
         manager.acceptor(server);
@@ -290,7 +291,7 @@
      * A socket for datagrams at this address; its peer's connection reads them. Shared, another
      * process may have one there too, and each hears a part of what comes.
      */
-    public DatagramChannel datagrams(InetSocketAddress address, Peer peer, boolean shared)
+    public DatagramChannel datagrams(InetSocketAddress address, ChannelHandler peer, boolean shared)
             throws IOException {
         DatagramChannel channel = DatagramChannel.open(StandardProtocolFamily.INET);
         try {
@@ -322,13 +323,13 @@
      */
     public void unlistenEmptied(ServerSocketChannel server) {
         server.keyFor(selector).cancel();
-        later(ROUND, () -> emptyAndClose(server));
+        schedule(ROUND, () -> emptyAndClose(server));
     }
 
     private void emptyAndClose(ServerSocketChannel server) {
         if (server.isRegistered()) {
             // The round has not been yet: what closes now would be closed only after it.
-            later(ROUND, () -> emptyAndClose(server));
+            schedule(ROUND, () -> emptyAndClose(server));
         } else {
             try {
                 for (int i = 0; i < MOST_ACCEPTS; i++) {
@@ -339,7 +340,7 @@
                     }
                     manager.accepted(next);
                 }
-                later(ROUND, () -> emptyAndClose(server));
+                schedule(ROUND, () -> emptyAndClose(server));
             } catch (IOException e) {
                 LOG.warn("a listening socket did not close", e);
             }
@@ -352,8 +353,8 @@
         return new SocketChannelEndPoint(channel, s, key, timers);
     }
 
-    private Peer peerAt(SocketAddress accepted) {
-        Peer peer = listeners.get(accepted);
+    private ChannelHandler peerAt(SocketAddress accepted) {
+        ChannelHandler peer = listeners.get(accepted);
         // Listening on all addresses, it accepts on one of them.
         return peer != null || !(accepted instanceof InetSocketAddress local)
                 ? peer
@@ -434,16 +435,16 @@
     }
 
     /** Jetty's timers, for idle connections and connects, kept with ours. */
-    private final class Timers extends AbstractLifeCycle implements Scheduler {
+    private final class LoopScheduler extends AbstractLifeCycle implements Scheduler {
         @Override
         public Task schedule(Runnable task, long delay, TimeUnit unit) {
-            return later(unit.toNanos(delay) / (MILLIS * MILLIS * MILLIS), task);
+            return EventLoop.this.schedule(unit.toNanos(delay) / (MILLIS * MILLIS * MILLIS), task);
         }
     }
 
-    private final class Manager extends SelectorManager {
-        Manager() {
-            super(Loop.this::execute, new Timers(), 1);
+    private final class LoopSelectorManager extends SelectorManager {
+        LoopSelectorManager() {
+            super(EventLoop.this::execute, new LoopScheduler(), 1);
         }
 
         @Override
@@ -483,7 +484,7 @@
             if (local instanceof InetSocketAddress) {
                 ((SocketChannel) channel).setOption(StandardSocketOptions.TCP_NODELAY, true);
             }
-            Peer peer = peerAt(local);
+            ChannelHandler peer = peerAt(local);
             if (peer == null) {
                 // Accepted in the moment in which its listening ended.
                 close(channel);
@@ -502,12 +503,12 @@
 
         @Override
         public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object peer) {
-            return ((Peer) peer).opened(endPoint);
+            return ((ChannelHandler) peer).onOpened(endPoint);
         }
 
         @Override
         protected void connectionFailed(SelectableChannel channel, Throwable cause, Object peer) {
-            post(() -> ((Peer) peer).failed(cause));
+            post(() -> ((ChannelHandler) peer).onFailed(cause));
         }
     }
 
--- a/daemon/src/main/java/wheelroute/net/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/Exchange.java
@@ -5,26 +5,26 @@
 import wheelroute.decision.Ids;
 import wheelroute.decision.LoadReport;
 import wheelroute.decision.Policy;
-import wheelroute.decision.Submission;
-import wheelroute.net.clients.ClientAnswer;
-import wheelroute.net.clients.ClientMessage;
-import wheelroute.net.clients.Submitters;
-import wheelroute.net.workers.Flight;
-import wheelroute.net.workers.LaunchMessage;
-import wheelroute.net.workers.Launches;
+import wheelroute.decision.Request;
+import wheelroute.net.clients.ClientRequest;
+import wheelroute.net.clients.ClientResponse;
+import wheelroute.net.clients.RequestHandler;
+import wheelroute.net.workers.AttemptListener;
+import wheelroute.net.workers.AttemptRequest;
+import wheelroute.net.workers.InFlightAttempt;
 
 /**
  * One submission: its handle, its launches and its single final answer. Client and worker side meet
  * here.
  */
-final class Exchange implements Submitters.Taken {
-    private final Exchanges exchanges;
-    private final Submission submission;
-    private final LaunchMessage message;
-    private final Submitters.Answers client;
-    private final List<Launch> launches = new ArrayList<>(2);
-    private final Loop.Timer limit;
-    private Policy.Handle handle;
+final class Exchange implements RequestHandler.AcceptedRequest {
+    private final RequestDispatcher exchanges;
+    private final Request submission;
+    private final AttemptRequest message;
+    private final RequestHandler.ResponseSender client;
+    private final List<ExchangeAttempt> launches = new ArrayList<>(2);
+    private final EventLoop.Timer limit;
+    private Policy.RequestHandle handle;
 
     /** It has just been taken: that its client is there was seen a moment ago. */
     private boolean beginning;
@@ -32,87 +32,89 @@
     private boolean answered;
 
     Exchange(
-            Exchanges exchanges,
-            Loop loop,
-            Submission submission,
-            ClientMessage message,
-            Submitters.Answers client,
+            RequestDispatcher exchanges,
+            EventLoop loop,
+            Request submission,
+            ClientRequest message,
+            RequestHandler.ResponseSender client,
             boolean onceOnly) {
         this.exchanges = exchanges;
         this.submission = submission;
         this.client = client;
         this.message =
-                new LaunchMessage(
+                new AttemptRequest(
                         message.method(),
                         message.target(),
                         message.id(),
-                        message.mark(),
+                        message.idempotencyKey(),
                         message.routeKey(),
                         message.body(),
                         onceOnly);
-        limit = loop.later(submission.outerLimit() - loop.now(), this::outOfTime);
+        limit = loop.schedule(submission.deadline() - loop.now(), this::outOfTime);
     }
 
     /** Decides where it goes. */
     void begin(Policy policy) {
         beginning = true;
-        handle = policy.take(submission);
+        handle = policy.accept(submission);
         beginning = false;
     }
 
     /** One launch, from its number to its end. */
-    private final class Launch implements Launches {
+    private final class ExchangeAttempt implements AttemptListener {
         private final int number;
-        private Flight flight;
+        private InFlightAttempt flight;
 
-        Launch(int number) {
+        ExchangeAttempt(int number) {
             this.number = number;
         }
 
-        void giveUp(End end) {
+        void giveUp(AttemptResult end) {
             if (flight != null) {
                 flight.giveUp(end);
             }
         }
 
         @Override
-        public boolean isWanted() {
+        public boolean isStillWanted() {
             return !answered && !clientLeft();
         }
 
         @Override
-        public void started() {
-            exchanges.turn(() -> handle.started(number));
+        public void onStarted() {
+            exchanges.turn(() -> handle.onStarted(number));
         }
 
         @Override
-        public void progressed(double share) {
-            exchanges.turn(() -> handle.progressed(number, share));
+        public void onProgress(double share) {
+            exchanges.turn(() -> handle.onProgress(number, share));
         }
 
         @Override
-        public void ended(End end, byte[] result, double freeSlots) {
+        public void onEnded(AttemptResult end, byte[] result, double freeSlots) {
             exchanges.counters().count(end);
             exchanges.turn(
                     () -> {
-                        if (end == End.DONE && !answered) {
-                            answer(Counters.Answer.FULFILLED, ClientAnswer.fulfilled(result));
+                        if (end == AttemptResult.SUCCEEDED && !answered) {
+                            answer(
+                                    Counters.FinalAnswer.SUCCEEDED,
+                                    ClientResponse.fulfilled(result));
                         }
-                        handle.ended(number, end.outcome(), answered, new LoadReport(freeSlots));
+                        handle.onEnded(number, end.outcome(), answered, new LoadReport(freeSlots));
                         closeIfOver();
                     });
         }
     }
 
     void launch(Ids.Worker worker) {
-        Launch launch = new Launch(launches.size());
+        ExchangeAttempt launch = new ExchangeAttempt(launches.size());
         launches.add(launch);
         if (exchanges.hasEnded() || (!beginning && clientLeft())) {
-            launch.ended(End.ENDED_UNSENT, Launches.NO_RESULT, Double.NaN);
+            launch.onEnded(AttemptResult.NOT_SENT, AttemptListener.NO_RESULT, Double.NaN);
         } else {
-            exchanges.counters().count(Counters.Kind.LAUNCHED);
+            exchanges.counters().count(Counters.Counter.ATTEMPTS);
             launch.flight =
-                    exchanges.workers().send(worker, message, submission.outerLimit(), launch);
+                    exchanges.workers().send(worker, message, submission.deadline(), launch);
         }
     }
 
@@ -121,22 +123,22 @@
      * end or for a connection, the client's end may lie unread behind what was read first.
      */
     private boolean clientLeft() {
-        boolean left = client.hasLeft();
+        boolean left = client.hasClientLeft();
         if (left) {
-            clientGone();
+            onClientGone();
         }
         return left;
     }
 
     void cancel(int number) {
-        launches.get(number).giveUp(End.CALLED_OFF);
+        launches.get(number).giveUp(AttemptResult.CANCELLED);
     }
 
-    void answer(Counters.Answer kind, ClientAnswer answer) {
+    void answer(Counters.FinalAnswer kind, ClientResponse answer) {
         if (!answered) {
             over();
-            exchanges.counters().count(submission.offering(), kind);
-            client.answer(answer);
+            exchanges.counters().count(submission.requestClass(), kind);
+            client.send(answer);
         }
     }
 
@@ -147,34 +149,34 @@
         // It may be another submission's event that answers this one: one that waits for its turn
         // has none.
         exchanges.turn(this::closeIfOver);
-        for (Launch launch : launches) {
+        for (ExchangeAttempt launch : launches) {
             if (launch.flight != null && !launch.flight.isWritten()) {
-                launch.giveUp(End.CALLED_OFF);
+                launch.giveUp(AttemptResult.CANCELLED);
             }
         }
     }
 
     @Override
-    public void clientGone() {
+    public void onClientGone() {
         exchanges.turn(
                 () -> {
                     if (!answered) {
                         over();
-                        exchanges.counters().count(Counters.Kind.CLIENT_GONE);
-                        handle.gone();
+                        exchanges.counters().count(Counters.Counter.CLIENTS_GONE);
+                        handle.onClientGone();
                     }
                 });
     }
 
     /** Ends what is still out; the decisions then say what the client is told. */
     void outOfTime() {
-        for (Launch launch : new ArrayList<>(launches)) {
-            launch.giveUp(End.TIMED_OUT);
+        for (ExchangeAttempt launch : new ArrayList<>(launches)) {
+            launch.giveUp(AttemptResult.TIMED_OUT);
         }
         exchanges.turn(
                 () -> {
                     if (!answered) {
-                        handle.outOfTime();
+                        handle.onDeadline();
                     }
                 });
         // A turn of its own: a fault in the decisions must not take the answer with it.
@@ -183,14 +185,14 @@
                     if (!answered) {
                         // Only such a fault leaves it open here; nothing is promised about the
                         // effect.
-                        answer(Counters.Answer.SCRAPPED, ClientAnswer.scrapped());
+                        answer(Counters.FinalAnswer.FAILED, ClientResponse.scrapped());
                     }
                     exchanges.remove(submission.id(), message.id());
                 });
     }
 
     private void closeIfOver() {
-        if (answered && handle.isOver()) {
+        if (answered && handle.isComplete()) {
             limit.cancel();
             exchanges.remove(submission.id(), message.id());
         }
--- a/daemon/src/main/java/wheelroute/net/Exchanges.java
+++ b/daemon/src/main/java/wheelroute/net/RequestDispatcher.java
@@ -11,30 +11,34 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wheelroute.decision.Dispatcher;
-import wheelroute.decision.Effect;
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.DispatcherShares;
+import wheelroute.decision.Endpoint;
+import wheelroute.decision.Idempotency;
 import wheelroute.decision.Ids;
-import wheelroute.decision.Learned;
-import wheelroute.decision.Listing;
-import wheelroute.decision.Parts;
+import wheelroute.decision.LearnedState;
 import wheelroute.decision.Policy;
+import wheelroute.decision.Request;
 import wheelroute.decision.Settings;
-import wheelroute.decision.Submission;
-import wheelroute.net.clients.BadMessage;
-import wheelroute.net.clients.ClientAnswer;
-import wheelroute.net.clients.ClientMessage;
-import wheelroute.net.clients.Clients;
-import wheelroute.net.clients.Submitters;
+import wheelroute.net.clients.BadRequestException;
+import wheelroute.net.clients.ClientRequest;
+import wheelroute.net.clients.ClientResponse;
+import wheelroute.net.clients.ClientServer;
+import wheelroute.net.clients.RequestHandler;
+import wheelroute.net.discovery.EndpointList;
+import wheelroute.net.discovery.EndpointWatch;
 import wheelroute.net.handover.Handover;
-import wheelroute.net.handover.LearnedText;
-import wheelroute.net.list.ListWatch;
-import wheelroute.net.list.WorkerList;
-import wheelroute.net.workers.Workers;
+import wheelroute.net.handover.LearnedStateCodec;
+import wheelroute.net.workers.WorkerConnectionPools;
 
 /**
  * Drives the decisions: every event is one turn, and what a turn brings about waits for the next.
  */
-final class Exchanges implements Dispatcher, Submitters, ListWatch.Hearer, Handover.Knowledge {
+final class RequestDispatcher
+        implements ActionHandler,
+                RequestHandler,
+                EndpointWatch.Listener,
+                Handover.TransferableState {
     /**
      * Kept back of what a client says it will wait, but no more than that part of it: on a busy
      * core the message may have lain unread for tens of milliseconds, and the answer must still
@@ -60,11 +64,11 @@
      */
     private static final double RESTART = 2;
 
-    private static final Logger LOG = LoggerFactory.getLogger(Exchanges.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Counters counters;
-    private final Workers workers;
+    private final WorkerConnectionPools workers;
     private final Settings settings;
 
     /** Guards against a client that would have its place held for ever. */
@@ -72,15 +76,15 @@
 
     private final Policy policy;
     private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
-    private final Map<Ids.Submission, Exchange> open = new HashMap<>();
+    private final Map<Ids.Request, Exchange> open = new HashMap<>();
     private final Map<String, Member> members = new HashMap<>();
 
     /** The ids under which clients know the open ones. */
     private final Set<String> openIds = new HashSet<>();
 
-    private final Map<String, Settings.Offering> offerings = new HashMap<>();
+    private final Map<String, Settings.RequestClass> offerings = new HashMap<>();
     private final Map<String, Ids.Tenant> tenants = new HashMap<>();
-    private ListWatch watch;
+    private EndpointWatch watch;
 
     /** Taken, and neither answered nor left by their clients. */
     private int pending;
@@ -91,20 +95,20 @@
     private boolean ended;
     private long lastSubmission;
     private long lastWorker;
-    private Clients clients;
+    private ClientServer clients;
 
     /** Null where no process can take another's place. */
     private Handover handover;
 
-    private long version = ListWatch.NOTHING;
+    private long version = EndpointWatch.NOTHING;
 
     /** A worker on the list: its entry there, and the name that the decisions have for it. */
-    private record Member(Ids.Worker worker, WorkerList.Entry entry) {}
+    private record Member(Ids.Worker worker, EndpointList.Entry entry) {}
 
-    Exchanges(
-            Loop loop,
+    RequestDispatcher(
+            EventLoop loop,
             Counters counters,
-            Workers workers,
+            WorkerConnectionPools workers,
             Settings settings,
             double longestOuterLimit) {
         this.loop = loop;
@@ -112,12 +116,12 @@
         this.workers = workers;
         this.settings = settings;
         this.longestOuterLimit = longestOuterLimit;
-        for (Settings.Offering offering : settings.offerings()) {
+        for (Settings.RequestClass offering : settings.requestClasses()) {
             offerings.put(offering.id().name(), offering);
         }
         settings.quotas().keySet().forEach(tenant -> tenants.put(tenant.name(), tenant));
         policy = new Policy(settings, this);
-        policy.at(loop.now());
+        policy.advanceTo(loop.now());
     }
 
     /**
@@ -132,7 +136,7 @@
         deciding = true;
         try {
             for (Runnable next = turns.poll(); next != null; next = turns.poll()) {
-                policy.at(loop.now());
+                policy.advanceTo(loop.now());
                 run(next);
             }
         } finally {
@@ -153,11 +157,11 @@
         return counters;
     }
 
-    Workers workers() {
+    WorkerConnectionPools workers() {
         return workers;
     }
 
-    void remove(Ids.Submission id, String clientsId) {
+    void remove(Ids.Request id, String clientsId) {
         if (open.remove(id) != null) {
             openIds.remove(clientsId);
             if (handover != null) {
@@ -169,41 +173,44 @@
     // ---- from the clients
 
     @Override
-    public Taken take(ClientMessage message, double cameAt, Answers answers) throws BadMessage {
-        Settings.Offering offering = offerings.get(message.offering());
+    public AcceptedRequest accept(ClientRequest message, double cameAt, ResponseSender answers)
+            throws BadRequestException {
+        Settings.RequestClass offering = offerings.get(message.requestClass());
         if (offering == null) {
-            throw new BadMessage(HttpStatus.NOT_FOUND_404, "no such offering");
+            throw new BadRequestException(HttpStatus.NOT_FOUND_404, "no such offering");
         }
-        if (offering.effect() == Effect.DEDUPLICATED && message.mark() == null) {
-            throw new BadMessage(
+        if (offering.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                && message.idempotencyKey() == null) {
+            throw new BadRequestException(
                     HttpStatus.BAD_REQUEST_400, "this offering needs an Idempotency-Key");
         }
         if (openIds.contains(message.id())
                 || (handover != null && handover.isOpenElsewhere(message.id()))) {
             // Workers know jobs by it: a second would be told the first one's end, or spoil its
             // connection.
-            throw new BadMessage(HttpStatus.CONFLICT_409, "a submission with this id is open");
+            throw new BadRequestException(
+                    HttpStatus.CONFLICT_409, "a submission with this id is open");
         }
         double margin = Math.min(ANSWER_MARGIN, ANSWER_MARGIN_PART * message.timeout());
         double limit = cameAt + Math.min(message.timeout(), longestOuterLimit) - margin;
         if (limit <= loop.now() || mustComeBack(message, offering)) {
-            turnedAway(message);
-            answers.answer(ClientAnswer.bounced(adviceFor(0)));
+            onRejected(message);
+            answers.send(ClientResponse.bounced(adviceFor(0)));
             return () -> {};
         }
         // Tenants without a share need no name of their own: a client must not fill memory with
         // names.
         Ids.Tenant tenant = tenants.getOrDefault(message.tenant(), new Ids.Tenant(""));
-        Submission submission =
-                new Submission(
-                        new Ids.Submission(++lastSubmission),
+        Request submission =
+                new Request(
+                        new Ids.Request(++lastSubmission),
                         offering.id(),
                         tenant,
                         limit,
-                        message.hint(),
+                        message.estimatedWork(),
                         message.slots(),
                         message.memory(),
-                        message.repeated(),
+                        message.clientRetry(),
                         message.routeKey() == null ? null : new Ids.Key(message.routeKey()));
         Exchange exchange =
                 new Exchange(
@@ -212,13 +219,13 @@
                         submission,
                         message,
                         answers,
-                        offering.effect() != Effect.IDEMPOTENT);
+                        offering.idempotency() != Idempotency.IDEMPOTENT);
         open.put(submission.id(), exchange);
         openIds.add(message.id());
         if (handover != null) {
             handover.opened(message.id());
         }
-        counters.count(Counters.Kind.TAKEN);
+        counters.count(Counters.Counter.REQUESTS_ACCEPTED);
         pending++;
         turn(() -> exchange.begin(policy));
         return exchange;
@@ -235,72 +242,72 @@
     }
 
     Gauges gauges() {
-        policy.at(loop.now());
+        policy.advanceTo(loop.now());
         return new Gauges(
                 open.size(),
                 pending,
                 clients.open(),
                 workers.open(),
                 members.size(),
-                policy.avoided());
+                policy.avoidedEndpoints());
     }
 
     @Override
-    public void turnedAway(ClientMessage message) {
-        counters.count(Counters.Kind.NOT_TAKEN);
-        Settings.Offering offering = offerings.get(message.offering());
+    public void onRejected(ClientRequest message) {
+        counters.count(Counters.Counter.REQUESTS_NOT_ACCEPTED);
+        Settings.RequestClass offering = offerings.get(message.requestClass());
         if (offering != null) {
-            counters.count(offering.id(), Counters.Answer.BOUNCED);
+            counters.count(offering.id(), Counters.FinalAnswer.REJECTED);
         }
     }
 
     // ---- from discovery
 
     /** The watch from now on: what another one may still bring counts for nothing. */
-    void watch(ListWatch newWatch) {
+    void watch(EndpointWatch newWatch) {
         if (watch != null) {
             watch.stop();
         }
         watch = newWatch;
     }
 
-    void clients(Clients newClients) {
+    void clients(ClientServer newClients) {
         clients = newClients;
     }
 
     @Override
-    public void listed(WorkerList list) {
-        List<Listing> entries = new ArrayList<>();
+    public void onEndpoints(EndpointList list) {
+        List<Endpoint> entries = new ArrayList<>();
         Map<String, Ids.Worker> lost = new HashMap<>();
         List<Ids.Worker> draining = new ArrayList<>();
-        if (list.whole()) {
+        if (list.complete()) {
             members.forEach((name, member) -> lost.put(name, member.worker));
         }
         version = list.version();
-        for (WorkerList.Entry entry : list.entries()) {
+        for (EndpointList.Entry entry : list.entries()) {
             Member known = members.get(entry.id());
             Ids.Worker worker = known != null ? known.worker : new Ids.Worker(++lastWorker);
             members.put(entry.id(), new Member(worker, entry));
-            if (entry.readiness() == Listing.Readiness.GONE) {
+            if (entry.state() == Endpoint.State.REMOVED) {
                 lost.put(entry.id(), worker);
             } else {
                 lost.remove(entry.id());
                 workers.listed(worker, entry.address(), entry.startedAt());
-                if (entry.readiness() == Listing.Readiness.LEAVING) {
+                if (entry.state() == Endpoint.State.DRAINING) {
                     draining.add(worker);
                 }
             }
             entries.add(
-                    new Listing(
+                    new Endpoint(
                             worker,
-                            new Ids.Model(entry.kind()),
+                            new Ids.Model(entry.model()),
                             entry.weight(),
                             new Ids.Zone(entry.zone()),
                             entry.startedAt(),
                             new Ids.Cell(entry.cell()),
-                            entry.readiness()));
+                            entry.state()));
         }
-        turn(() -> policy.listed(entries, list.whole()));
+        turn(() -> policy.onEndpoints(entries, list.complete()));
         workers.settle(draining);
         lost.forEach(
                 (name, worker) -> {
@@ -323,10 +330,10 @@
     }
 
     @Override
-    public String list() {
-        return version == ListWatch.NOTHING
+    public String exportEndpoints() {
+        return version == EndpointWatch.NOTHING
                 ? null
-                : new WorkerList(
+                : new EndpointList(
                                 version,
                                 true,
                                 members.values().stream().map(Member::entry).toList())
@@ -335,73 +342,75 @@
 
     /** Discovery's own word may have come in the meantime, and is the newer one. */
     @Override
-    public void listTold(byte[] list) throws IOException {
-        WorkerList told = WorkerList.decode(list);
+    public void importEndpoints(byte[] list) throws IOException {
+        EndpointList told = EndpointList.decode(list);
         if (told.version() > version) {
-            listed(told);
+            onEndpoints(told);
         }
     }
 
     @Override
-    public String learned() {
-        policy.at(loop.now());
+    public String exportLearnedState() {
+        policy.advanceTo(loop.now());
         Map<Ids.Worker, String> names = new HashMap<>();
         members.forEach((name, member) -> names.put(member.worker, name));
-        return LearnedText.encode(policy.learned(), names::get);
+        return LearnedStateCodec.encode(policy.exportState(), names::get);
     }
 
     @Override
-    public void learnedTold(byte[] learned) throws IOException {
-        Learned told =
-                LearnedText.decode(
+    public void importLearnedState(byte[] learned) throws IOException {
+        LearnedState told =
+                LearnedStateCodec.decode(
                         learned,
                         name -> members.containsKey(name) ? members.get(name).worker : null);
-        turn(() -> policy.learn(told));
+        turn(() -> policy.importState(told));
     }
 
     @Override
-    public Iterable<String> openIds() {
+    public Iterable<String> openRequestIds() {
         return new ArrayList<>(openIds);
     }
 
-    void sharedIn(Parts division) {
-        policy.sharedIn(division);
+    void sharedIn(DispatcherShares division) {
+        policy.setShares(division);
     }
 
     void sharedBy(int processes) {
-        turn(() -> policy.sharedBy(processes));
+        turn(() -> policy.setProcessCount(processes));
     }
 
     // ---- from the decisions
 
     @Override
-    public void launch(Ids.Submission submission, Ids.Worker worker, double limit) {
+    public void startAttempt(Ids.Request submission, Ids.Worker worker, double limit) {
         open.get(submission).launch(worker);
     }
 
     @Override
-    public void bounce(Ids.Submission submission, double retryAfter) {
+    public void reject(Ids.Request submission, double retryAfter) {
         open.get(submission)
-                .answer(Counters.Answer.BOUNCED, ClientAnswer.bounced(adviceFor(retryAfter)));
+                .answer(
+                        Counters.FinalAnswer.REJECTED,
+                        ClientResponse.bounced(adviceFor(retryAfter)));
     }
 
     @Override
-    public void scrap(Ids.Submission submission) {
-        open.get(submission).answer(Counters.Answer.SCRAPPED, ClientAnswer.scrapped());
+    public void fail(Ids.Request submission) {
+        open.get(submission).answer(Counters.FinalAnswer.FAILED, ClientResponse.scrapped());
     }
 
     @Override
-    public void cancel(Ids.Submission submission, int launch) {
+    public void cancelAttempt(Ids.Request submission, int launch) {
         open.get(submission).cancel(launch);
     }
 
     @Override
-    public void wake(double delay) {
-        loop.later(delay, () -> turn(policy::woken));
+    public void scheduleWakeup(double delay) {
+        loop.schedule(delay, () -> turn(policy::onWakeup));
     }
 
     @Override
-    public void watchList() {
+    public void watchEndpoints() {
         // The first comes while the policy is being made, before there is a watch.
         loop.post(() -> watch.watch());
     }
@@ -423,7 +432,7 @@
     }
 
     @Override
-    public boolean closesConnections() {
+    public boolean closesAfterResponse() {
         return draining && (!servesOn() || ended);
     }
 
@@ -432,13 +441,18 @@
      * process that has taken this one's place: the hint is rough and there may be a queue, but it
      * is unlikely to end here.
      */
-    private boolean mustComeBack(ClientMessage message, Settings.Offering offering) {
+    private boolean mustComeBack(ClientRequest message, Settings.RequestClass offering) {
         if ((!servesOn() && !(draining && isSucceeded())) || ended) {
             return false;
         }
         double stretch =
-                offering.effect() == Effect.IDEMPOTENT ? DRAIN_STRETCH : DRAIN_STRETCH_ONCE;
-        double run = Double.isNaN(message.hint()) ? Double.POSITIVE_INFINITY : message.hint();
+                offering.idempotency() == Idempotency.IDEMPOTENT
+                        ? DRAIN_STRETCH
+                        : DRAIN_STRETCH_ONCE;
+        double run =
+                Double.isNaN(message.estimatedWork())
+                        ? Double.POSITIVE_INFINITY
+                        : message.estimatedWork();
         return loop.now() + stretch * run + DRAIN_WAIT > drainEnd;
     }
 
@@ -447,10 +461,10 @@
      * up.
      */
     private double adviceFor(double retryAfter) {
-        if (!servesOn() || !settings.clientsHearRetryAfter()) {
+        if (!servesOn() || !settings.sendsRetryAfter()) {
             return retryAfter;
         }
-        return Math.min(settings.longestRetryAfter(), drainEnd + RESTART - loop.now());
+        return Math.min(settings.maxRetryAfter(), drainEnd + RESTART - loop.now());
     }
 
     int unanswered() {
--- a/daemon/src/main/java/wheelroute/net/AnswerParser.java
+++ b/daemon/src/main/java/wheelroute/net/ResponseParser.java
@@ -12,7 +12,7 @@
  * The answers on a connection of ours, in whatever pieces they come: status, fields, the body's
  * pieces.
  */
-public final class AnswerParser extends MessageReader implements HttpParser.ResponseHandler {
+public final class ResponseParser extends MessageReader implements HttpParser.ResponseHandler {
     /** What is told of an answer. Any of them may refuse it. */
     public interface Reader {
         void head(int status, Map<String, String> fields) throws IOException;
@@ -37,7 +37,7 @@
     private int status;
     private IOException fault;
 
-    public AnswerParser(Reader reader) {
+    public ResponseParser(Reader reader) {
         this.reader = reader;
     }
 
--- a/daemon/src/main/java/wheelroute/net/Service.java
+++ b/daemon/src/main/java/wheelroute/net/Service.java
@@ -11,17 +11,17 @@
 import wheelroute.config.Config;
 import wheelroute.config.ConfigException;
 import wheelroute.decision.Settings;
-import wheelroute.net.admin.Door;
-import wheelroute.net.admin.Operators;
-import wheelroute.net.clients.Clients;
+import wheelroute.net.admin.AdminServer;
+import wheelroute.net.admin.ServiceStatus;
+import wheelroute.net.clients.ClientServer;
+import wheelroute.net.discovery.EndpointList;
+import wheelroute.net.discovery.EndpointWatch;
 import wheelroute.net.handover.Handover;
-import wheelroute.net.list.ListWatch;
-import wheelroute.net.list.WorkerList;
-import wheelroute.net.peers.Peers;
-import wheelroute.net.workers.Workers;
+import wheelroute.net.peers.MembershipService;
+import wheelroute.net.workers.WorkerConnectionPools;
 
 /** One dispatcher on sockets: its parts put together, started, and brought to an end. */
-public final class Service implements Operators {
+public final class Service implements ServiceStatus {
     /**
      * Descriptors of the runtime: its archives, the selector, the listening socket, discovery; and
      * slack.
@@ -52,20 +52,20 @@
 
     private final Config config;
     private InetSocketAddress discovery;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Counters counters;
-    private final Workers workers;
+    private final WorkerConnectionPools workers;
     private final CompletableFuture<Void> listening = new CompletableFuture<>();
     private final CountDownLatch drained = new CountDownLatch(1);
-    private Exchanges exchanges;
-    private Clients clients;
-    private Door door;
+    private RequestDispatcher exchanges;
+    private ClientServer clients;
+    private AdminServer door;
 
     /** Null where no process can take another's place. */
     private Handover handover;
 
     /** Null where this dispatcher knows no others. */
-    private Peers peers;
+    private MembershipService peers;
 
     private boolean listensToClients;
 
@@ -73,18 +73,20 @@
     private volatile String lastFigures;
 
     public Service(Config config) {
-        this(config, new Loop(new Clock(), config.connectLimit()));
+        this(config, new EventLoop(new Clock(), config.connectLimit()));
     }
 
     /** With a loop of the caller's, which may hold back what a test wants to come late. */
-    Service(Config config, Loop loop) {
+    Service(Config config, EventLoop loop) {
         this.config = config;
         this.loop = loop;
         discovery = config.discovery();
         counters =
                 new Counters(
-                        config.settings().offerings().stream().map(Settings.Offering::id).toList());
-        workers = new Workers(loop, counters, part(WORKERS_PART), config.idleLimit());
+                        config.settings().requestClasses().stream()
+                                .map(Settings.RequestClass::id)
+                                .toList());
+        workers = new WorkerConnectionPools(loop, counters, part(WORKERS_PART), config.idleLimit());
         // Ahead of all else that may be posted: a signal can come before the start is through.
         loop.post(this::assembleFirst);
     }
@@ -102,11 +104,11 @@
     }
 
     /** A step of the start: the first that fails ends it. */
-    private interface Step {
+    private interface StartStep {
         void run() throws ConfigException;
     }
 
-    private void starting(Step step) {
+    private void starting(StartStep step) {
         try {
             step.run();
         } catch (ConfigException | RuntimeException e) {
@@ -129,23 +131,24 @@
 
     private void assemble() throws ConfigException {
         exchanges =
-                new Exchanges(
+                new RequestDispatcher(
                         loop, counters, workers, config.settings(), config.longestOuterLimit());
-        long version = ListWatch.NOTHING;
+        long version = EndpointWatch.NOTHING;
         if (config.known() != null) {
-            WorkerList known = known();
+            EndpointList known = known();
             version = known.version();
-            exchanges.listed(known);
+            exchanges.onEndpoints(known);
         }
-        exchanges.watch(new ListWatch(loop, discovery, counters, exchanges, version, manner()));
-        clients = new Clients(loop, exchanges, counters, part(CLIENTS_PART));
+        exchanges.watch(new EndpointWatch(loop, discovery, counters, exchanges, version, manner()));
+        clients = new ClientServer(loop, exchanges, counters, part(CLIENTS_PART));
         exchanges.clients(clients);
         if (config.admin() != null) {
             openDoor();
         }
         if (config.meeting() != null) {
             String name = config.name() + " " + config.listen();
-            handover = new Handover(loop, config.meeting(), name, exchanges, new Others());
+            handover =
+                    new Handover(loop, config.meeting(), name, exchanges, new HandoverListener());
             exchanges.handover(handover);
         }
         if (config.peers() != null) {
@@ -153,14 +156,14 @@
         }
     }
 
-    private ListWatch.Manner manner() {
-        return new ListWatch.Manner(config.settings().seed(), config.listIsPushed());
+    private EndpointWatch.WatchOptions manner() {
+        return new EndpointWatch.WatchOptions(config.settings().seed(), config.listIsPushed());
     }
 
     private void joinPeers() throws ConfigException {
         try {
             peers =
-                    new Peers(
+                    new MembershipService(
                             loop,
                             config.peers(),
                             config.name(),
@@ -203,7 +206,7 @@
     }
 
     private void openDoor() throws ConfigException {
-        door = new Door(loop, this);
+        door = new AdminServer(loop, this);
         try {
             door.listen(config.admin());
         } catch (IOException e) {
@@ -212,16 +215,17 @@
         LOG.info("operators call {}:{}", config.admin().getHostString(), door.port());
     }
 
-    private WorkerList known() throws ConfigException {
+    private EndpointList known() throws ConfigException {
         try {
-            return WorkerList.decode(config.known());
+            return EndpointList.decode(config.known());
         } catch (IOException e) {
             throw new ConfigException("known", "is no list of workers: " + e.getMessage());
         }
     }
 
     private int part(double part) {
-        int forOperators = config.admin() == null ? 0 : Door.DESCRIPTORS + Handover.DESCRIPTORS;
+        int forOperators =
+                config.admin() == null ? 0 : AdminServer.DESCRIPTORS + Handover.DESCRIPTORS;
         return (int) (part * (config.sockets() - OWN_SOCKETS - forOperators));
     }
 
@@ -235,7 +239,7 @@
     }
 
     @Override
-    public String whyNotReady() {
+    public String notReadyReason() {
         return exchanges.isDraining() ? "draining" : listensToClients ? null : "starting";
     }
 
@@ -250,7 +254,7 @@
     }
 
     @Override
-    public String peers() {
+    public String membersText() {
         return peers == null ? null : peers.text();
     }
 
@@ -278,8 +282,9 @@
         }
         discovery = fresh.discovery();
         LOG.info("read again: discovery is {} now", discovery);
-        ListWatch next =
-                new ListWatch(loop, discovery, counters, exchanges, ListWatch.NOTHING, manner());
+        EndpointWatch next =
+                new EndpointWatch(
+                        loop, discovery, counters, exchanges, EndpointWatch.NOTHING, manner());
         exchanges.watch(next);
         next.hurry();
     }
@@ -308,7 +313,7 @@
         double end = loop.now() + Math.min(LONGEST_DRAIN, config.longestOuterLimit()) + SPARE;
         exchanges.drain(end);
         // Where another one listens already, new connections are better off with it at once.
-        loop.later(
+        loop.schedule(
                 exchanges.isSucceeded() ? 0 : STILL_LISTENING,
                 () -> {
                     clients.stopListening();
@@ -319,7 +324,7 @@
     private void look(double end) {
         if (loop.now() >= end) {
             exchanges.giveUpAll();
-            loop.later(
+            loop.schedule(
                     LAST_BYTES,
                     () -> {
                         clients.lastLook();
@@ -327,7 +332,7 @@
                     });
         } else if (isQuiet()) {
             // What is handed over while the last bytes leave is answered too.
-            loop.later(
+            loop.schedule(
                     LAST_BYTES,
                     () -> {
                         if (isQuiet()) {
@@ -340,13 +345,13 @@
                         }
                     });
         } else {
-            loop.later(LOOK, () -> look(end));
+            loop.schedule(LOOK, () -> look(end));
         }
     }
 
     /** Nothing is unanswered, and nobody is about to hand over more. */
     private boolean isQuiet() {
-        boolean mustWaitForClients = !exchanges.closesConnections() || exchanges.isSucceeded();
+        boolean mustWaitForClients = !exchanges.closesAfterResponse() || exchanges.isSucceeded();
         return exchanges.unanswered() == 0
                 && !clients.expects()
                 && (!mustWaitForClients || clients.open() == 0);
@@ -364,14 +369,14 @@
     }
 
     /** What follows from the other processes of this dispatcher. */
-    private final class Others implements Handover.Hearer {
+    private final class HandoverListener implements Handover.Listener {
         @Override
-        public void told() {
+        public void onStateTransferred() {
             starting(Service.this::listen);
         }
 
         @Override
-        public void placesChanged() {
+        public void onProcessesChanged() {
             exchanges.sharedBy(handover.processes());
             workers.sharedBy(handover.processes());
             clients.sharedBy(handover.processes());
--- a/daemon/src/main/java/wheelroute/net/Link.java
+++ b/daemon/src/main/java/wheelroute/net/StreamConnection.java
@@ -6,15 +6,15 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /** A connection of any kind of peer: it reads whatever comes, from its opening on. */
-public abstract class Link extends AbstractConnection {
+public abstract class StreamConnection extends AbstractConnection {
     /**
      * Reads in a row on one connection: a sender at full speed must leave the others their turns.
      */
     private static final int MOST_READS = 4;
 
-    protected final Loop loop;
+    protected final EventLoop loop;
 
-    protected Link(EndPoint endPoint, Loop loop) {
+    protected StreamConnection(EndPoint endPoint, EventLoop loop) {
         // What is to run on a connection's behalf runs on the loop's thread, where its events come
         // from.
         super(endPoint, Runnable::run);
@@ -30,23 +30,23 @@
     }
 
     /** False to let what comes wait. */
-    protected boolean wantsMore() {
+    protected boolean canRead() {
         return true;
     }
 
     /** The bytes are gone after this. */
-    protected abstract void received(ByteBuffer in) throws IOException;
+    protected abstract void onBytes(ByteBuffer in) throws IOException;
 
     /** The other side has ended its sending. */
-    protected abstract void atEnd() throws IOException;
+    protected abstract void onEndOfStream() throws IOException;
 
     /** The connection broke, or one of the two above threw. */
-    protected abstract void broke(Throwable cause);
+    protected abstract void onFailure(Throwable cause);
 
     @Override
     public void onFillable() {
         try {
-            for (int reads = 0; getEndPoint().isOpen() && wantsMore(); reads++) {
+            for (int reads = 0; getEndPoint().isOpen() && canRead(); reads++) {
                 if (reads == MOST_READS) {
                     fillInterested();
                     return;
@@ -54,22 +54,22 @@
                 ByteBuffer in = loop.readBuffer();
                 int got = getEndPoint().fill(in);
                 if (got > 0) {
-                    received(in);
+                    onBytes(in);
                 } else if (got == 0) {
                     fillInterested();
                     return;
                 } else {
-                    atEnd();
+                    onEndOfStream();
                     return;
                 }
             }
         } catch (IOException | RuntimeException e) {
-            broke(e);
+            onFailure(e);
         }
     }
 
     @Override
     public void onFillInterestedFailed(Throwable cause) {
-        broke(cause);
+        onFailure(cause);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/admin/Call.java
+++ b/daemon/src/main/java/wheelroute/net/admin/AdminConnection.java
@@ -5,12 +5,12 @@
 import java.nio.charset.StandardCharsets;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
+import wheelroute.net.EventLoop;
 import wheelroute.net.LineBuffer;
-import wheelroute.net.Link;
-import wheelroute.net.Loop;
+import wheelroute.net.StreamConnection;
 
 /** One caller: a line comes, an answer goes, the connection ends. */
-final class Call extends Link {
+final class AdminConnection extends StreamConnection {
     /** Longer than any call that there is. */
     private static final int MOST_LINE = 64;
 
@@ -20,25 +20,25 @@
      */
     private static final double PATIENCE = 2;
 
-    private final Door door;
+    private final AdminServer door;
     private final LineBuffer lines = new LineBuffer(MOST_LINE);
-    private Loop.Timer patience;
+    private EventLoop.Timer patience;
     private boolean answered;
 
-    Call(EndPoint endPoint, Loop loop, Door door) {
+    AdminConnection(EndPoint endPoint, EventLoop loop, AdminServer door) {
         super(endPoint, loop);
         this.door = door;
     }
 
     @Override
     public void onOpen() {
-        door.opened(this);
-        patience = loop.later(PATIENCE, this::close);
+        door.onOpened(this);
+        patience = loop.schedule(PATIENCE, this::close);
         super.onOpen();
     }
 
     @Override
-    protected void received(ByteBuffer in) {
+    protected void onBytes(ByteBuffer in) {
         if (answered) {
             return;
         }
@@ -58,7 +58,7 @@
 
     /** The end of a caller's sending ends its line too. */
     @Override
-    protected void atEnd() {
+    protected void onEndOfStream() {
         if (answered || lines.isEmpty()) {
             close();
         } else {
@@ -67,14 +67,14 @@
     }
 
     @Override
-    protected void broke(Throwable cause) {
+    protected void onFailure(Throwable cause) {
         close();
     }
 
     private void answer(String text) {
         answered = true;
         patience.cancel();
-        patience = loop.later(PATIENCE, this::close);
+        patience = loop.schedule(PATIENCE, this::close);
         // Half closed, so that what a caller sends on cannot take the answer back with a reset.
         Callback written =
                 Callback.from(
--- a/daemon/src/main/java/wheelroute/net/admin/Door.java
+++ b/daemon/src/main/java/wheelroute/net/admin/AdminServer.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /** The operators' address and the few callers on it: the oldest makes room for one too many. */
-public final class Door implements Loop.Peer {
+public final class AdminServer implements EventLoop.ChannelHandler {
     /**
      * Callers at one time: scripts and a person or two; what they hold is taken from nobody else.
      */
@@ -19,12 +19,12 @@
     /** The callers', the listening socket's and one for a caller who waits to be let in. */
     public static final int DESCRIPTORS = MOST_CALLERS + 2;
 
-    private final Loop loop;
-    private final Operators operators;
-    private final Set<Call> callers = new LinkedHashSet<>();
+    private final EventLoop loop;
+    private final ServiceStatus operators;
+    private final Set<AdminConnection> callers = new LinkedHashSet<>();
     private ServerSocketChannel server;
 
-    public Door(Loop loop, Operators operators) {
+    public AdminServer(EventLoop loop, ServiceStatus operators) {
         this.loop = loop;
         this.operators = operators;
     }
@@ -39,32 +39,32 @@
     }
 
     @Override
-    public Connection opened(EndPoint endPoint) {
-        return new Call(endPoint, loop, this);
+    public Connection onOpened(EndPoint endPoint) {
+        return new AdminConnection(endPoint, loop, this);
     }
 
     @Override
-    public void failed(Throwable cause) {
+    public void onFailed(Throwable cause) {
         // A caller whose connection broke at once had asked nothing yet.
     }
 
     /** The first of them has had the longest time to say what it wants. */
-    void opened(Call call) {
+    void onOpened(AdminConnection call) {
         if (callers.size() >= MOST_CALLERS) {
             callers.iterator().next().close();
         }
         callers.add(call);
     }
 
-    void closed(Call call) {
+    void closed(AdminConnection call) {
         callers.remove(call);
     }
 
     String answer(String call) {
         return switch (call) {
-            case "READY" -> readiness(operators.whyNotReady());
-            case "STATS" -> Figures.of(operators.counters(), operators.gauges()) + "eof\n";
-            case "PEERS" -> members(operators.peers());
+            case "READY" -> readiness(operators.notReadyReason());
+            case "STATS" -> StatsText.of(operators.counters(), operators.gauges()) + "eof\n";
+            case "PEERS" -> members(operators.membersText());
             default -> "fail unknown call: READY, STATS or PEERS\n";
         };
     }
--- a/daemon/src/main/java/wheelroute/net/admin/Operators.java
+++ b/daemon/src/main/java/wheelroute/net/admin/ServiceStatus.java
@@ -4,14 +4,14 @@
 import wheelroute.net.Gauges;
 
 /** What the door may ask. */
-public interface Operators {
+public interface ServiceStatus {
     /** Null while this process takes clients; else why it does not. */
-    String whyNotReady();
+    String notReadyReason();
 
     Counters counters();
 
     Gauges gauges();
 
     /** A line for each dispatcher that is known; null where none is to be. */
-    String peers();
+    String membersText();
 }
--- a/daemon/src/main/java/wheelroute/net/admin/Figures.java
+++ b/daemon/src/main/java/wheelroute/net/admin/StatsText.java
@@ -5,35 +5,35 @@
 import wheelroute.net.Gauges;
 
 /** The figures in the platform's names, a line each, in statsd's form. */
-final class Figures {
+final class StatsText {
     private static final String PREFIX = "app.";
 
     private final StringBuilder out = new StringBuilder();
 
-    private Figures() {}
+    private StatsText() {}
 
     static String of(Counters counters, Gauges now) {
-        Figures figures = new Figures();
-        for (Ids.Offering offering : counters.offerings()) {
-            for (Counters.Answer answer : Counters.Answer.values()) {
+        StatsText figures = new StatsText();
+        for (Ids.RequestClass offering : counters.offerings()) {
+            for (Counters.FinalAnswer answer : Counters.FinalAnswer.values()) {
                 figures.line(
                         name(answer) + "." + plain(offering.name()),
                         counters.value(offering, answer),
                         'c');
             }
         }
-        figures.line("upstream_requests", counters.value(Counters.Kind.WRITTEN), 'c');
+        figures.line("upstream_requests", counters.value(Counters.Counter.ATTEMPTS_WRITTEN), 'c');
         figures.line("pending", now.pending(), 'g');
         figures.line("members", now.listed(), 'g');
         figures.line("members_unavailable", now.avoided(), 'g');
         return figures.out.toString();
     }
 
-    private static String name(Counters.Answer answer) {
+    private static String name(Counters.FinalAnswer answer) {
         return switch (answer) {
-            case FULFILLED -> "completed";
-            case BOUNCED -> "rejected";
-            case SCRAPPED -> "failed";
+            case SUCCEEDED -> "completed";
+            case REJECTED -> "rejected";
+            case FAILED -> "failed";
         };
     }
 
--- a/daemon/src/main/java/wheelroute/net/clients/BadMessage.java
+++ b/daemon/src/main/java/wheelroute/net/clients/BadRequestException.java
@@ -1,11 +1,11 @@
 package wheelroute.net.clients;
 
 /** What came is not a message that can be taken; the status says why. */
-public final class BadMessage extends Exception {
+public final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int status;
 
-    public BadMessage(int status, String fault) {
+    public BadRequestException(int status, String fault) {
         super(fault);
         this.status = status;
     }
--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -6,12 +6,12 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
-import wheelroute.limits.Places;
-import wheelroute.net.Link;
-import wheelroute.net.Loop;
+import wheelroute.limits.ConnectionLimit;
+import wheelroute.net.EventLoop;
+import wheelroute.net.StreamConnection;
 
 /** One client's connection: one submission at a time, the next once it is answered. */
-final class ClientConnection extends Link implements Submitters.Answers {
+final class ClientConnection extends StreamConnection implements RequestHandler.ResponseSender {
     /**
      * How long a closing connection swallows what still comes: a reset would take the answer with
      * it.
@@ -29,32 +29,32 @@
      */
     private static final double LAST_LOOK = 0.2;
 
-    private final Clients clients;
-    private final ClientDecoder decoder;
-    private Submitters.Taken taken;
+    private final ClientServer clients;
+    private final ClientRequestDecoder decoder;
+    private RequestHandler.AcceptedRequest taken;
     private boolean waiting;
     private boolean unanswered;
     private boolean lastMessage;
     private boolean begun;
     private boolean hasSpoken;
     private boolean hasSubmitted;
-    private Loop.Timer patience;
+    private EventLoop.Timer patience;
     private boolean lingering;
     private boolean turnedAway;
 
     /** What came before its turn. */
-    private final Ahead ahead;
+    private final PipelinedInput ahead;
 
-    ClientConnection(EndPoint endPoint, Loop loop, Clients clients) {
+    ClientConnection(EndPoint endPoint, EventLoop loop, ClientServer clients) {
         super(endPoint, loop);
         this.clients = clients;
-        decoder = new ClientDecoder(clients.room());
-        ahead = new Ahead(clients.roomAhead());
+        decoder = new ClientRequestDecoder(clients.room());
+        ahead = new PipelinedInput(clients.roomAhead());
     }
 
     @Override
     public void onOpen() {
-        turnedAway = !clients.opened(this);
+        turnedAway = !clients.onOpened(this);
         super.onOpen();
         waitForMessage();
     }
@@ -64,13 +64,14 @@
      */
     private void waitForMessage() {
         patience =
-                loop.later(PATIENCE, () -> patience = loop.later(LAST_LOOK, this::outOfPatience));
+                loop.schedule(
+                        PATIENCE, () -> patience = loop.schedule(LAST_LOOK, this::outOfPatience));
     }
 
     private void outOfPatience() {
         if (begun) {
             refuse(
-                    new BadMessage(
+                    new BadRequestException(
                             HttpStatus.REQUEST_TIMEOUT_408, "the message has not come in time"));
         } else {
             close();
@@ -78,14 +79,14 @@
     }
 
     @Override
-    protected boolean wantsMore() {
+    protected boolean canRead() {
         // Who waits for no answer is read in any case: others' bytes ahead must not keep its
         // message out.
         return !waiting || !ahead.isFull();
     }
 
     @Override
-    protected void received(ByteBuffer in) {
+    protected void onBytes(ByteBuffer in) {
         if (!lingering) {
             read(in);
         }
@@ -93,12 +94,12 @@
 
     /** A client that ends its sending has gone away, as one has whose connection broke. */
     @Override
-    protected void atEnd() {
+    protected void onEndOfStream() {
         ended();
     }
 
     @Override
-    protected void broke(Throwable cause) {
+    protected void onFailure(Throwable cause) {
         ended();
     }
 
@@ -112,9 +113,9 @@
                 waitForMessage();
             }
             begun = true;
-            ClientMessage message = decoder.decode(in);
+            ClientRequest message = decoder.decode(in);
             if (message == null) {
-                clients.is(this, Places.Stage.BEGUN);
+                clients.is(this, ConnectionLimit.Stage.READING);
                 return;
             }
             patience.cancel();
@@ -127,7 +128,7 @@
                 ahead.add(in, cameAt);
             }
             handle(message, cameAt);
-        } catch (BadMessage e) {
+        } catch (BadRequestException e) {
             refuse(e);
         }
     }
@@ -136,23 +137,23 @@
      * What cannot be read: where the next message begins is not known either, so this is the last
      * answer.
      */
-    private void refuse(BadMessage e) {
+    private void refuse(BadRequestException e) {
         patience.cancel();
         clients.notTaken();
-        clients.is(this, Places.Stage.HELD);
+        clients.is(this, ConnectionLimit.Stage.IN_FLIGHT);
         lastMessage = true;
         waiting = true;
-        answer(ClientAnswer.of(e.status(), e.getMessage()));
+        send(ClientResponse.of(e.status(), e.getMessage()));
     }
 
-    private void handle(ClientMessage message, double cameAt) {
-        clients.is(this, Places.Stage.HELD);
+    private void handle(ClientRequest message, double cameAt) {
+        clients.is(this, ConnectionLimit.Stage.IN_FLIGHT);
         if (message.method().equals("GET")) {
-            answer(
+            send(
                     switch (message.path()) {
                         case "/healthz" -> clients.health();
-                        case "/metrics" -> ClientAnswer.fulfilled(clients.metrics());
-                        default -> ClientAnswer.of(HttpStatus.NOT_FOUND_404, "no such page");
+                        case "/metrics" -> ClientResponse.fulfilled(clients.metrics());
+                        default -> ClientResponse.of(HttpStatus.NOT_FOUND_404, "no such page");
                     });
             return;
         }
@@ -160,20 +161,20 @@
             // Nothing is taken; the client may try another dispatcher at once.
             clients.turnedAway(message);
             lastMessage = true;
-            answer(ClientAnswer.bounced(0));
+            send(ClientResponse.bounced(0));
         } else {
             submit(message, cameAt);
         }
     }
 
-    private void submit(ClientMessage message, double cameAt) {
+    private void submit(ClientRequest message, double cameAt) {
         unanswered = true;
         try {
             if (!message.method().equals("POST")) {
-                throw new BadMessage(HttpStatus.NOT_FOUND_404, "submissions come by POST");
+                throw new BadRequestException(HttpStatus.NOT_FOUND_404, "submissions come by POST");
             }
             if (message.id() == null || message.id().isEmpty() || !(message.timeout() > 0)) {
-                throw new BadMessage(
+                throw new BadRequestException(
                         HttpStatus.BAD_REQUEST_400, "X-Request-ID or X-Timeout is missing");
             }
             if (sawEnd()) {
@@ -181,16 +182,16 @@
                 ended();
                 return;
             }
-            Submitters.Taken now = clients.take(message, cameAt, this);
+            RequestHandler.AcceptedRequest now = clients.take(message, cameAt, this);
             hasSubmitted = true;
             if (unanswered) {
                 // Else it was answered as it was taken, and there is nobody to tell that the client
                 // left.
                 taken = now;
             }
-        } catch (BadMessage e) {
+        } catch (BadRequestException e) {
             clients.notTaken();
-            answer(ClientAnswer.of(e.status(), e.getMessage()));
+            send(ClientResponse.of(e.status(), e.getMessage()));
         }
     }
 
@@ -201,7 +202,7 @@
     private boolean sawEnd() {
         try {
             int got = 1;
-            while (got > 0 && wantsMore()) {
+            while (got > 0 && canRead()) {
                 got = peek();
             }
             return got < 0;
@@ -211,7 +212,7 @@
     }
 
     @Override
-    public boolean hasLeft() {
+    public boolean hasClientLeft() {
         boolean left = !getEndPoint().isOpen() || sawEnd();
         if (left) {
             loop.post(this::ended);
@@ -220,7 +221,7 @@
     }
 
     @Override
-    public void answer(ClientAnswer answer) {
+    public void send(ClientResponse answer) {
         taken = null;
         unanswered = false;
         decoder.release();
@@ -243,24 +244,28 @@
             linger();
             return;
         }
-        clients.is(this, hasSubmitted ? Places.Stage.KNOWN : Places.Stage.VISITOR);
+        clients.is(
+                this,
+                hasSubmitted
+                        ? ConnectionLimit.Stage.IDLE_CLIENT
+                        : ConnectionLimit.Stage.IDLE_VISITOR);
         if (!ahead.isEmpty()) {
             read(ahead.kept());
             if (ahead.isEmpty()) {
                 ahead.release();
             }
         }
-        if (wantsMore() && getEndPoint().isOpen() && !isFillInterested()) {
+        if (canRead() && getEndPoint().isOpen() && !isFillInterested()) {
             fillInterested();
         }
     }
 
     private void linger() {
         lingering = true;
-        clients.is(this, Places.Stage.LEAVING);
+        clients.is(this, ConnectionLimit.Stage.CLOSING);
         ahead.release();
         getEndPoint().shutdownOutput();
-        loop.later(LINGER, this::close);
+        loop.schedule(LINGER, this::close);
         if (!isFillInterested() && getEndPoint().isOpen()) {
             fillInterested();
         }
@@ -331,16 +336,16 @@
         lingering = true;
         Callback written =
                 Callback.from(() -> loop.post(this::close), cause -> loop.post(this::close));
-        getEndPoint().write(written, ClientAnswer.bounced(0).encode(true));
+        getEndPoint().write(written, ClientResponse.bounced(0).encode(true));
     }
 
     private void ended() {
-        Submitters.Taken left = taken;
+        RequestHandler.AcceptedRequest left = taken;
         taken = null;
         waiting = false;
         close();
         if (left != null) {
-            left.clientGone();
+            left.onClientGone();
         }
     }
 
--- a/daemon/src/main/java/wheelroute/net/clients/ClientMessage.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientRequest.java
@@ -8,20 +8,20 @@
  *
  * @param target path and query, as they came
  * @param timeout how long the client waits from its send; NaN when not told
- * @param hint work on a standard core; NaN when not told
+ * @param estimatedWork work on a standard core; NaN when not told
  */
-public record ClientMessage(
+public record ClientRequest(
         String method,
         String target,
         String id,
-        String mark,
+        String idempotencyKey,
         String routeKey,
         String tenant,
         double timeout,
-        double hint,
+        double estimatedWork,
         double slots,
         double memory,
-        boolean repeated,
+        boolean clientRetry,
         boolean keepsOpen,
         byte[] body) {
     private static final int HEX = 16;
@@ -32,7 +32,7 @@
     }
 
     /** The first part of the path. */
-    public String offering() {
+    public String requestClass() {
         String path = path();
         int slash = path.indexOf('/', 1);
         String first =
--- a/daemon/src/main/java/wheelroute/net/clients/ClientDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientRequestDecoder.java
@@ -15,7 +15,7 @@
 import wheelroute.net.MessageReader;
 
 /** Decodes one client connection's bytes, in whatever pieces they come. */
-public final class ClientDecoder extends MessageReader implements HttpParser.RequestHandler {
+public final class ClientRequestDecoder extends MessageReader implements HttpParser.RequestHandler {
     /** The protocol's limit on bodies. */
     static final int MOST_BODY = 64 * 1024;
 
@@ -71,7 +71,7 @@
     private static final char NO_CHARACTER = '\ufffd';
 
     private final HttpParser parser = lean(new HttpParser(this, MOST_HEAD, READING));
-    private final Room room;
+    private final MemoryQuota room;
     private byte[] body = NO_BODY;
     private int filled;
     private int roomTaken;
@@ -81,9 +81,9 @@
     /** A field that came more than once and may not; null for none. */
     private String repeated;
 
-    private BadMessage fault;
+    private BadRequestException fault;
 
-    public ClientDecoder(Room room) {
+    public ClientRequestDecoder(MemoryQuota room) {
         this.room = room;
     }
 
@@ -98,7 +98,7 @@
     /**
      * The next message, or null when more bytes are wanted; what follows it stays in the buffer.
      */
-    public ClientMessage decode(ByteBuffer in) throws BadMessage {
+    public ClientRequest decode(ByteBuffer in) throws BadRequestException {
         while (!isComplete() && fault == null && in.hasRemaining()) {
             try {
                 parser.parseNext(in);
@@ -114,12 +114,12 @@
         if (!takeComplete()) {
             return null;
         }
-        ClientMessage message = message();
+        ClientRequest message = message();
         parser.reset();
         return message;
     }
 
-    private ClientMessage message() throws BadMessage {
+    private ClientRequest message() throws BadRequestException {
         if (!TARGET.matcher(target).matches()) {
             throw bad("the target is no path with a query");
         }
@@ -129,7 +129,7 @@
         String tenant = fields.get("x-tenant-id");
         Map<String, String> attrs = attrs();
         tenant = named(tenant == null ? attrs.getOrDefault("tenant", "") : tenant);
-        return new ClientMessage(
+        return new ClientRequest(
                 method,
                 target,
                 fields.get("x-request-id"),
@@ -152,7 +152,7 @@
         return name.indexOf(NO_CHARACTER) < 0 ? name : field;
     }
 
-    private Map<String, String> attrs() throws BadMessage {
+    private Map<String, String> attrs() throws BadRequestException {
         Map<String, String> attrs = new HashMap<>();
         String text = fields.getOrDefault("x-attrs", "");
         for (String pair : text.isEmpty() ? new String[0] : text.split(",")) {
@@ -165,7 +165,8 @@
         return attrs;
     }
 
-    private static double number(String name, String text, double absent) throws BadMessage {
+    private static double number(String name, String text, double absent)
+            throws BadRequestException {
         if (text == null) {
             return absent;
         }
@@ -175,15 +176,15 @@
         return Double.parseDouble(text);
     }
 
-    private void word(String name) throws BadMessage {
+    private void word(String name) throws BadRequestException {
         String value = fields.get(name);
         if (value != null && !WORD.matcher(value).matches()) {
             throw bad(name + " cannot go on as it is");
         }
     }
 
-    private static BadMessage bad(String fault) {
-        return new BadMessage(HttpStatus.BAD_REQUEST_400, fault);
+    private static BadRequestException bad(String fault) {
+        return new BadRequestException(HttpStatus.BAD_REQUEST_400, fault);
     }
 
     @Override
@@ -210,15 +211,18 @@
                 && (!coding.equalsIgnoreCase("chunked") || fields.containsKey("content-length"))) {
             fault = bad("the body's end cannot be told for certain");
         } else if (fields.containsKey("expect")) {
-            fault = new BadMessage(HttpStatus.EXPECTATION_FAILED_417, "the body must come unasked");
+            fault =
+                    new BadRequestException(
+                            HttpStatus.EXPECTATION_FAILED_417, "the body must come unasked");
         } else if (parser.getContentLength() > MOST_BODY) {
             fault = tooLarge();
         }
         return fault != null;
     }
 
-    private static BadMessage tooLarge() {
-        return new BadMessage(HttpStatus.PAYLOAD_TOO_LARGE_413, "the body is over " + MOST_BODY);
+    private static BadRequestException tooLarge() {
+        return new BadRequestException(
+                HttpStatus.PAYLOAD_TOO_LARGE_413, "the body is over " + MOST_BODY);
     }
 
     /**
@@ -228,7 +232,9 @@
         if (length > MOST_BODY) {
             fault = tooLarge();
         } else if (!room.take((int) length - roomTaken)) {
-            fault = new BadMessage(HttpStatus.SERVICE_UNAVAILABLE_503, "no room for the body now");
+            fault =
+                    new BadRequestException(
+                            HttpStatus.SERVICE_UNAVAILABLE_503, "no room for the body now");
         } else {
             roomTaken = (int) length;
             body = Arrays.copyOf(body, roomTaken);
@@ -263,7 +269,7 @@
                         || cause.getCode() == HttpStatus.PAYLOAD_TOO_LARGE_413;
         boolean longTarget = cause.getCode() == HttpStatus.URI_TOO_LONG_414;
         fault =
-                new BadMessage(
+                new BadRequestException(
                         known
                                 ? cause.getCode()
                                 : longTarget
--- a/daemon/src/main/java/wheelroute/net/clients/ClientAnswer.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
@@ -6,24 +6,25 @@
 import wheelroute.net.HttpText;
 
 /** What a client is answered; a retryAfter of 0 gives no advice. */
-public record ClientAnswer(int status, double retryAfter, byte[] body) {
+public record ClientResponse(int status, double retryAfter, byte[] body) {
     private static final double MILLIS = 1e3;
 
-    public static ClientAnswer fulfilled(byte[] result) {
-        return new ClientAnswer(HttpStatus.OK_200, 0, result);
+    public static ClientResponse fulfilled(byte[] result) {
+        return new ClientResponse(HttpStatus.OK_200, 0, result);
     }
 
-    public static ClientAnswer bounced(double retryAfter) {
-        return new ClientAnswer(
+    public static ClientResponse bounced(double retryAfter) {
+        return new ClientResponse(
                 HttpStatus.SERVICE_UNAVAILABLE_503, retryAfter, text("bounced: a retry is safe\n"));
     }
 
-    public static ClientAnswer scrapped() {
-        return new ClientAnswer(HttpStatus.BAD_GATEWAY_502, 0, text("scrapped: it may have run\n"));
+    public static ClientResponse scrapped() {
+        return new ClientResponse(
+                HttpStatus.BAD_GATEWAY_502, 0, text("scrapped: it may have run\n"));
     }
 
-    public static ClientAnswer of(int status, String words) {
-        return new ClientAnswer(status, 0, text(words + "\n"));
+    public static ClientResponse of(int status, String words) {
+        return new ClientResponse(status, 0, text(words + "\n"));
     }
 
     private static byte[] text(String words) {
--- a/daemon/src/main/java/wheelroute/net/clients/Clients.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
@@ -8,15 +8,15 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.limits.Places;
+import wheelroute.limits.ConnectionLimit;
 import wheelroute.net.Counters;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /**
  * The client side: the listening socket and the connections accepted on it, of which there is a
  * bound.
  */
-public final class Clients implements Loop.Peer {
+public final class ClientServer implements EventLoop.ChannelHandler {
     /**
      * Beyond the bound this part of it more is told to go away, each in a moment; the rest is
      * closed.
@@ -41,25 +41,27 @@
     /**
      * And no more than this, however large the heap: sixteen who send as much as is kept of one.
      */
-    private static final long MOST_AHEAD = 16L * Ahead.MOST;
+    private static final long MOST_AHEAD = 16L * PipelinedInput.MOST;
 
-    private final Loop loop;
-    private final Submitters submitters;
+    private final EventLoop loop;
+    private final RequestHandler submitters;
     private final Counters counters;
     private final int mostAlone;
-    private final Places<ClientConnection> places;
-    private final Room room = new Room((long) (HELD_PART * Runtime.getRuntime().maxMemory()));
-    private final Room roomAhead =
-            new Room(Math.min(MOST_AHEAD, (long) (AHEAD_PART * Runtime.getRuntime().maxMemory())));
+    private final ConnectionLimit<ClientConnection> places;
+    private final MemoryQuota room =
+            new MemoryQuota((long) (HELD_PART * Runtime.getRuntime().maxMemory()));
+    private final MemoryQuota roomAhead =
+            new MemoryQuota(
+                    Math.min(MOST_AHEAD, (long) (AHEAD_PART * Runtime.getRuntime().maxMemory())));
     private ServerSocketChannel server;
     private boolean isListening;
 
-    public Clients(Loop loop, Submitters submitters, Counters counters, int most) {
+    public ClientServer(EventLoop loop, RequestHandler submitters, Counters counters, int most) {
         this.loop = loop;
         this.submitters = submitters;
         this.counters = counters;
         mostAlone = most;
-        places = new Places<>(most);
+        places = new ConnectionLimit<>(most);
     }
 
     /**
@@ -75,18 +77,18 @@
      * that comes next would be too many by far, and be closed unheard.
      */
     public void sharedBy(int processes) {
-        places.most(mostAlone / processes);
-        int before = places.taken() + 1;
-        while (places.isOver() && places.taken() < before) {
-            before = places.taken();
-            places.makesRoom(loop.now(), ClientConnection::hasUnread)
+        places.limit(mostAlone / processes);
+        int before = places.count() + 1;
+        while (places.isOverLimit() && places.count() < before) {
+            before = places.count();
+            places.connectionToEvict(loop.now(), ClientConnection::hasUnread)
                     .ifPresent(ClientConnection::makeRoom);
         }
     }
 
-    /** A client may be about to hand over a message: see {@link Places#expects}. */
+    /** A client may be about to hand over a message: see {@link ConnectionLimit#expectsRequest}. */
     public boolean expects() {
-        return places.expects(loop.now());
+        return places.expectsRequest(loop.now());
     }
 
     /** The port is the system's choice when the configuration names 0. */
@@ -95,69 +97,70 @@
     }
 
     @Override
-    public Connection opened(EndPoint endPoint) {
+    public Connection onOpened(EndPoint endPoint) {
         endPoint.setIdleTimeout(IDLE_MILLIS);
         return new ClientConnection(endPoint, loop, this);
     }
 
     @Override
-    public void failed(Throwable cause) {
+    public void onFailed(Throwable cause) {
         // An accepted connection that broke at once: nothing was taken on it.
     }
 
     /** False when it is one too many, and none that is done, idle or silent can make room. */
-    boolean opened(ClientConnection connection) {
-        counters.count(Counters.Kind.CLIENTS_OPENED);
-        places.makesRoom(loop.now(), ClientConnection::hasUnread)
+    boolean onOpened(ClientConnection connection) {
+        counters.count(Counters.Counter.CLIENT_CONNECTIONS);
+        places.connectionToEvict(loop.now(), ClientConnection::hasUnread)
                 .ifPresent(ClientConnection::makeRoom);
-        places.is(connection, Places.Stage.UNKNOWN, loop.now());
-        if (places.taken() > places.most() + 1 + TURNED_AWAY_PART * places.most()) {
+        places.update(connection, ConnectionLimit.Stage.NEW, loop.now());
+        if (places.count() > places.limit() + 1 + TURNED_AWAY_PART * places.limit()) {
             connection.close();
         }
-        return places.taken() <= places.most();
+        return places.count() <= places.limit();
     }
 
-    void is(ClientConnection connection, Places.Stage stage) {
-        places.is(connection, stage, loop.now());
+    void is(ClientConnection connection, ConnectionLimit.Stage stage) {
+        places.update(connection, stage, loop.now());
     }
 
-    Room room() {
+    MemoryQuota room() {
         return room;
     }
 
-    Room roomAhead() {
+    MemoryQuota roomAhead() {
         return roomAhead;
     }
 
     void closed(ClientConnection connection) {
-        places.closed(connection);
+        places.remove(connection);
     }
 
     public int open() {
-        return places.taken();
+        return places.count();
     }
 
-    void turnedAway(ClientMessage message) {
-        submitters.turnedAway(message);
+    void turnedAway(ClientRequest message) {
+        submitters.onRejected(message);
     }
 
     void notTaken() {
-        counters.count(Counters.Kind.NOT_TAKEN);
+        counters.count(Counters.Counter.REQUESTS_NOT_ACCEPTED);
     }
 
-    Submitters.Taken take(ClientMessage message, double cameAt, Submitters.Answers answers)
-            throws BadMessage {
-        return submitters.take(message, cameAt, answers);
+    RequestHandler.AcceptedRequest take(
+            ClientRequest message, double cameAt, RequestHandler.ResponseSender answers)
+            throws BadRequestException {
+        return submitters.accept(message, cameAt, answers);
     }
 
     boolean closesConnections() {
-        return submitters.closesConnections();
+        return submitters.closesAfterResponse();
     }
 
-    ClientAnswer health() {
+    ClientResponse health() {
         return submitters.isDraining()
-                ? ClientAnswer.of(HttpStatus.SERVICE_UNAVAILABLE_503, "draining")
-                : ClientAnswer.of(HttpStatus.OK_200, "ok");
+                ? ClientResponse.of(HttpStatus.SERVICE_UNAVAILABLE_503, "draining")
+                : ClientResponse.of(HttpStatus.OK_200, "ok");
     }
 
     byte[] metrics() {
@@ -170,8 +173,8 @@
      * more.
      */
     public void lastLook() {
-        for (Places.Stage stage : Places.Stage.values()) {
-            places.at(stage).forEach(ClientConnection::lastLook);
+        for (ConnectionLimit.Stage stage : ConnectionLimit.Stage.values()) {
+            places.connectionsIn(stage).forEach(ClientConnection::lastLook);
         }
     }
 
@@ -186,8 +189,9 @@
         if (!closesConnections()) {
             return;
         }
-        for (Places.Stage stage : List.of(Places.Stage.VISITOR, Places.Stage.KNOWN)) {
-            places.at(stage).forEach(ClientConnection::closeIfIdle);
+        for (ConnectionLimit.Stage stage :
+                List.of(ConnectionLimit.Stage.IDLE_VISITOR, ConnectionLimit.Stage.IDLE_CLIENT)) {
+            places.connectionsIn(stage).forEach(ClientConnection::closeIfIdle);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/Room.java
+++ b/daemon/src/main/java/wheelroute/net/clients/MemoryQuota.java
@@ -4,11 +4,11 @@
  * A bound on the bytes of bodies held at one time: how many clients send them is not ours to
  * choose.
  */
-public final class Room {
+public final class MemoryQuota {
     private final long most;
     private long held;
 
-    public Room(long most) {
+    public MemoryQuota(long most) {
         this.most = most;
     }
 
--- a/daemon/src/main/java/wheelroute/net/clients/Ahead.java
+++ b/daemon/src/main/java/wheelroute/net/clients/PipelinedInput.java
@@ -8,7 +8,7 @@
  * seen behind it: a client that leaves while its submission waits leaves more than one unread
  * message at times.
  */
-final class Ahead {
+final class PipelinedInput {
     /** What comes closer together than this has one time, the first. */
     private static final double TOGETHER = 0.05;
 
@@ -26,19 +26,19 @@
     private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
 
     /** Of all connections together. */
-    private final Room room;
+    private final MemoryQuota room;
 
     private ByteBuffer kept = NOTHING;
 
     /** Of all that came ahead, from the first byte on. */
     private long added;
 
-    private final ArrayDeque<Came> times = new ArrayDeque<>();
+    private final ArrayDeque<Arrival> times = new ArrayDeque<>();
 
     /** What came up to this byte came then. */
-    private record Came(long end, double at) {}
+    private record Arrival(long end, double at) {}
 
-    Ahead(Room room) {
+    PipelinedInput(MemoryQuota room) {
         this.room = room;
     }
 
@@ -54,12 +54,12 @@
     /** Keeps all of it, also what one read brings over the bounds. */
     void add(ByteBuffer in, double cameAt) {
         added += in.remaining();
-        Came last = times.peekLast();
+        Arrival last = times.peekLast();
         boolean joins = last != null && (cameAt - last.at < TOGETHER || times.size() >= MOST_TIMES);
         if (joins) {
             times.removeLast();
         }
-        times.addLast(new Came(added, joins ? last.at : cameAt));
+        times.addLast(new Arrival(added, joins ? last.at : cameAt));
         int needed = kept.remaining() + in.remaining();
         if (kept.capacity() - kept.position() < needed) {
             ByteBuffer larger = ByteBuffer.allocate(Math.max(needed, Math.min(MOST, 2 * needed)));
--- a/daemon/src/main/java/wheelroute/net/clients/Submitters.java
+++ b/daemon/src/main/java/wheelroute/net/clients/RequestHandler.java
@@ -1,19 +1,19 @@
 package wheelroute.net.clients;
 
 /** What the client side hands over to, and may ask. */
-public interface Submitters {
+public interface RequestHandler {
     /** One submission as its client's connection sees it. */
-    interface Taken {
+    interface AcceptedRequest {
         /** The client closed its connection. */
-        void clientGone();
+        void onClientGone();
     }
 
     /** Where the one final answer goes. */
-    interface Answers {
-        void answer(ClientAnswer answer);
+    interface ResponseSender {
+        void send(ClientResponse answer);
 
         /** Looks whether the client has left and it was not told yet; if so, that follows. */
-        boolean hasLeft();
+        boolean hasClientLeft();
     }
 
     /**
@@ -22,15 +22,16 @@
      * @param cameAt the earliest time at which its last byte may have come, from which its timeout
      *     counts
      */
-    Taken take(ClientMessage message, double cameAt, Answers answers) throws BadMessage;
+    AcceptedRequest accept(ClientRequest message, double cameAt, ResponseSender answers)
+            throws BadRequestException;
 
     /** A whole message that is told to come back, for want of a place, and not taken. */
-    void turnedAway(ClientMessage message);
+    void onRejected(ClientRequest message);
 
     boolean isDraining();
 
     /** Whether an answer is the last on its connection, as the process is about to end. */
-    boolean closesConnections();
+    boolean closesAfterResponse();
 
     String metrics();
 }
--- a/daemon/src/main/java/wheelroute/net/list/WorkerList.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/EndpointList.java
@@ -1,4 +1,4 @@
-package wheelroute.net.list;
+package wheelroute.net.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -10,10 +10,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import wheelroute.config.ConfigReader;
-import wheelroute.decision.Listing;
+import wheelroute.decision.Endpoint;
 
 /** Discovery's list or the changes of it, decoded. */
-public record WorkerList(long version, boolean whole, List<Entry> entries) {
+public record EndpointList(long version, boolean complete, List<Entry> entries) {
     private static final JsonFactory JSON = new JsonFactory();
     private static final double MILLIS = 1e3;
 
@@ -22,13 +22,13 @@
             String id,
             InetSocketAddress address,
             String zone,
-            String kind,
+            String model,
             long cell,
-            Listing.Readiness readiness,
+            Endpoint.State state,
             double weight,
             double startedAt) {}
 
-    public static WorkerList decode(byte[] json) throws IOException {
+    public static EndpointList decode(byte[] json) throws IOException {
         long version = -1;
         boolean whole = false;
         List<Entry> entries = null;
@@ -52,7 +52,7 @@
             }
         }
         expect(version >= 0 && entries != null, "'version' or 'servers' is missing");
-        return new WorkerList(version, whole, entries);
+        return new EndpointList(version, whole, entries);
     }
 
     /** In the form in which discovery sends it. */
@@ -61,18 +61,17 @@
         try (JsonGenerator json = JSON.createGenerator(out)) {
             json.writeStartObject();
             json.writeNumberField("version", version);
-            json.writeBooleanField("full", whole);
+            json.writeBooleanField("full", complete);
             json.writeArrayFieldStart("servers");
             for (Entry entry : entries) {
                 json.writeStartObject();
                 json.writeStringField("id", entry.id());
                 json.writeStringField("addr", ConfigReader.text(entry.address()));
                 json.writeStringField("zone", entry.zone());
-                json.writeStringField("kind", entry.kind());
+                json.writeStringField("kind", entry.model());
                 json.writeNumberField("cell", entry.cell());
                 json.writeStringField(
-                        "state",
-                        entry.readiness() == Listing.Readiness.ACTIVE ? "ready" : "draining");
+                        "state", entry.state() == Endpoint.State.READY ? "ready" : "draining");
                 json.writeNumberField("weight", entry.weight());
                 json.writeNumberField(
                         "started_ms",
@@ -96,7 +95,7 @@
         String zone = "";
         String kind = "";
         long cell = 0;
-        Listing.Readiness readiness = null;
+        Endpoint.State readiness = null;
         double weight = 1;
         double started = 0;
         while (parser.nextToken() != JsonToken.END_OBJECT) {
@@ -108,7 +107,7 @@
                 case "zone" -> zone = parser.getText();
                 case "kind" -> kind = parser.getText();
                 case "cell" -> cell = parser.getLongValue();
-                case "state" -> readiness = readiness(parser.getText());
+                case "state" -> readiness = stateFrom(parser.getText());
                 case "weight" -> weight = parser.getDoubleValue();
                 case "started_ms" -> started = parser.getDoubleValue() / MILLIS;
                 default -> parser.skipChildren();
@@ -117,7 +116,7 @@
         expect(
                 id != null
                         && readiness != null
-                        && (address != null || readiness == Listing.Readiness.GONE),
+                        && (address != null || readiness == Endpoint.State.REMOVED),
                 "a worker lacks its id, state or address");
         return new Entry(
                 id,
@@ -131,11 +130,11 @@
     }
 
     /** A state that this version has no name for is one in which nothing new should come. */
-    private static Listing.Readiness readiness(String state) {
+    private static Endpoint.State stateFrom(String state) {
         return switch (state) {
-            case "ready" -> Listing.Readiness.ACTIVE;
-            case "gone" -> Listing.Readiness.GONE;
-            default -> Listing.Readiness.LEAVING;
+            case "ready" -> Endpoint.State.READY;
+            case "gone" -> Endpoint.State.REMOVED;
+            default -> Endpoint.State.DRAINING;
         };
     }
 
