--- a/daemon/src/main/java/wheelroute/net/list/ListWatch.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/EndpointWatch.java
@@ -1,4 +1,4 @@
-package wheelroute.net.list;
+package wheelroute.net.discovery;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -13,18 +13,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wheelroute.config.ConfigReader;
-import wheelroute.list.Backoff;
-import wheelroute.net.AnswerParser;
+import wheelroute.discovery.Backoff;
 import wheelroute.net.Counters;
+import wheelroute.net.EventLoop;
 import wheelroute.net.HttpText;
-import wheelroute.net.Link;
-import wheelroute.net.Loop;
+import wheelroute.net.ResponseParser;
+import wheelroute.net.StreamConnection;
 
 /** The watch on discovery: one call always open, the next made as soon as one is answered. */
-public final class ListWatch {
+public final class EndpointWatch {
     /** What the watch brings. */
-    public interface Hearer {
-        void listed(WorkerList list);
+    public interface Listener {
+        void onEndpoints(EndpointList list);
     }
 
     /**
@@ -76,19 +76,19 @@
     private static final double HURRIED_SILENCE = 1.2;
 
     private static final double HURRIED_PAUSE = 0.2;
-    private static final Logger LOG = LoggerFactory.getLogger(ListWatch.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final InetSocketAddress address;
     private final Counters counters;
-    private final Hearer hearer;
+    private final Listener hearer;
     private long version;
     private boolean wantsWhole;
-    private Call call;
-    private Loop.Timer silence;
+    private WatchCall call;
+    private EventLoop.Timer silence;
     private double hurryUntil = Double.NEGATIVE_INFINITY;
     private boolean stopped;
-    private final Manner manner;
+    private final WatchOptions manner;
 
     /** In bytes; the heap follows what the process may take. */
     private final long mostList =
@@ -107,18 +107,18 @@
      * How it is to be asked.
      *
      * @param seed for the spread of its calls
-     * @param pushed it is an agent of this dispatcher's own, whose news count as told whether or
-     *     not they were asked for: then no failure is waited out
+     * @param listIsPushed it is an agent of this dispatcher's own, whose news count as told whether
+     *     or not they were asked for: then no failure is waited out
      */
-    public record Manner(long seed, boolean pushed) {}
+    public record WatchOptions(long seed, boolean listIsPushed) {}
 
-    public ListWatch(
-            Loop loop,
+    public EndpointWatch(
+            EventLoop loop,
             InetSocketAddress address,
             Counters counters,
-            Hearer hearer,
+            Listener hearer,
             long version,
-            Manner manner) {
+            WatchOptions manner) {
         this.loop = loop;
         this.address = address;
         this.counters = counters;
@@ -133,7 +133,7 @@
     /** Begins to watch, unless it is under way. */
     public void watch() {
         if (call == null && !stopped) {
-            call = new Call();
+            call = new WatchCall();
             loop.connect(address, call);
             waitFor(patience());
         }
@@ -154,7 +154,7 @@
     }
 
     private void drop() {
-        Call last = call;
+        WatchCall last = call;
         call = null;
         silence.cancel();
         last.close();
@@ -166,21 +166,21 @@
 
     /** How long a call that holds nothing may take, with its connection's coming up. */
     private double patience() {
-        return isInHurry() ? HURRIED_SILENCE : Backoff.PATIENCE;
+        return isInHurry() ? HURRIED_SILENCE : Backoff.CALL_TIMEOUT;
     }
 
     private void waitFor(double limit) {
         if (silence != null) {
             silence.cancel();
         }
-        Call current = call;
-        silence = loop.later(limit, () -> silent(current));
+        WatchCall current = call;
+        silence = loop.schedule(limit, () -> silent(current));
     }
 
     /**
      * The watch is broken, and has to be opened anew before what it did not tell counts as told.
      */
-    private void silent(Call which) {
+    private void silent(WatchCall which) {
         if (isFailed(which, "silence")) {
             if (which.hold == 0) {
                 // It is not the one watch: discovery may have more to do than it can, and needs a
@@ -193,22 +193,22 @@
         }
     }
 
-    private void failed(Call which, String why) {
+    private void failed(WatchCall which, String why) {
         if (isFailed(which, why)) {
             failed(which);
         }
     }
 
-    private void failed(Call which) {
-        double pause = backoff.failed(loop.now() - which.askedAt);
-        loop.later(isInHurry() || manner.pushed ? HURRIED_PAUSE : pause, this::watch);
+    private void failed(WatchCall which) {
+        double pause = backoff.nextDelay(loop.now() - which.askedAt);
+        loop.schedule(isInHurry() || manner.listIsPushed ? HURRIED_PAUSE : pause, this::watch);
     }
 
     /**
      * A watch that worked ended without a word: what it would have told next should not wait for a
      * pause.
      */
-    private void broken(Call which, String why) {
+    private void broken(WatchCall which, String why) {
         if (isFailed(which, why)) {
             if (which.worked) {
                 watch();
@@ -218,12 +218,12 @@
         }
     }
 
-    private boolean isFailed(Call which, String why) {
+    private boolean isFailed(WatchCall which, String why) {
         if (call == null || which != call) {
             return false;
         }
         LOG.info("a call for the list failed: {}", why);
-        counters.count(Counters.Kind.LIST_FAILURES);
+        counters.count(Counters.Counter.DISCOVERY_FAILURES);
         recovering = true;
         drop();
         return true;
@@ -240,8 +240,8 @@
 
     /** Takes an answer; true when it told something. */
     private boolean take(byte[] json) throws IOException {
-        WorkerList list = WorkerList.decode(json);
-        if (!list.whole()) {
+        EndpointList list = EndpointList.decode(json);
+        if (!list.complete()) {
             if (wantsWhole) {
                 throw new IOException("changes where the whole list was asked for");
             }
@@ -255,13 +255,13 @@
         version = list.version();
         wantsWhole = false;
         hurryUntil = Double.NEGATIVE_INFINITY;
-        hearer.listed(list);
-        return list.whole() || !list.entries().isEmpty();
+        hearer.onEndpoints(list);
+        return list.complete() || !list.entries().isEmpty();
     }
 
     /** One connection to discovery, and the calls made on it. */
-    private final class Call implements Loop.Peer, AnswerParser.Reader {
-        private final AnswerParser parser = new AnswerParser(this);
+    private final class WatchCall implements EventLoop.ChannelHandler, ResponseParser.Reader {
+        private final ResponseParser parser = new ResponseParser(this);
         private final ByteArrayOutputStream body = new ByteArrayOutputStream();
         private EndPoint endPoint;
 
@@ -278,14 +278,14 @@
         private double wholeBy = Double.NaN;
 
         @Override
-        public Connection opened(EndPoint opened) {
+        public Connection onOpened(EndPoint opened) {
             endPoint = opened;
-            return new CallLink(opened);
+            return new WatchConnection(opened);
         }
 
         @Override
-        public void failed(Throwable cause) {
-            ListWatch.this.failed(this, "no connection");
+        public void onFailed(Throwable cause) {
+            EndpointWatch.this.failed(this, "no connection");
         }
 
         private void close() {
@@ -299,7 +299,7 @@
                 close();
                 return;
             }
-            counters.count(Counters.Kind.LIST_CALLS);
+            counters.count(Counters.Counter.DISCOVERY_CALLS);
             askedAt = asked ? loop.now() : askedAt;
             asked = true;
             wholeBy = Double.NaN;
@@ -310,7 +310,7 @@
                             + (wantsWhole ? "" : "?from=" + version + "&hold_ms=" + holdMillis);
             waitFor(holdMillis == 0 ? askedAt + patience() - loop.now() : hold + SILENCE);
             endPoint.write(
-                    Callback.from(() -> {}, cause -> loop.post(() -> failed(cause))),
+                    Callback.from(() -> {}, cause -> loop.post(() -> onFailed(cause))),
                     new HttpText("GET " + target + " HTTP/1.1")
                             .field("Host", ConfigReader.text(address))
                             .noBody());
@@ -353,13 +353,13 @@
             boolean told = take(body.toByteArray());
             worked = true;
             recovering = false;
-            backoff.answered();
+            backoff.reset();
             boolean early = loop.now() - askedAt < HOLD_MILLIS / MILLIS / 2;
             if (!told && early) {
                 // Guards against a discovery that does not hold: calls without a pause would be all
                 // it does.
                 silence.cancel();
-                loop.later(EARLY_PAUSE, () -> next(keepsOpen));
+                loop.schedule(EARLY_PAUSE, () -> next(keepsOpen));
             } else {
                 next(keepsOpen);
             }
@@ -385,9 +385,9 @@
         }
 
         /** The connection as the loop sees it. */
-        private final class CallLink extends Link {
-            CallLink(EndPoint endPoint) {
-                super(endPoint, ListWatch.this.loop);
+        private final class WatchConnection extends StreamConnection {
+            WatchConnection(EndPoint endPoint) {
+                super(endPoint, EndpointWatch.this.loop);
             }
 
             @Override
@@ -397,30 +397,30 @@
             }
 
             @Override
-            protected boolean wantsMore() {
-                return call == Call.this;
+            protected boolean canRead() {
+                return call == WatchCall.this;
             }
 
             @Override
-            protected void received(ByteBuffer in) throws IOException {
+            protected void onBytes(ByteBuffer in) throws IOException {
                 goesOn();
                 parser.parse(in);
             }
 
             @Override
-            protected void atEnd() {
+            protected void onEndOfStream() {
                 String why = "the connection ended";
                 try {
                     parser.atEnd();
                 } catch (IOException e) {
                     why = e.getMessage();
                 }
-                ListWatch.this.broken(Call.this, why);
+                EndpointWatch.this.broken(WatchCall.this, why);
             }
 
             @Override
-            protected void broke(Throwable cause) {
-                ListWatch.this.failed(Call.this, cause.toString());
+            protected void onFailure(Throwable cause) {
+                EndpointWatch.this.failed(WatchCall.this, cause.toString());
             }
         }
     }
--- a/daemon/src/main/java/wheelroute/net/handover/Handover.java
+++ b/daemon/src/main/java/wheelroute/net/handover/Handover.java
@@ -18,35 +18,35 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /**
  * This process among the others of the same dispatcher: the one whose place it takes, and the one
  * that takes its own. They meet on a Unix socket in a directory that they share;
  * docs/design/handover.md has the words.
  */
-public final class Handover implements Neighbour.Hearer {
+public final class Handover implements NeighborProcess.Listener {
     /** What this process knows, to be told to the next, and what it is told by the one before. */
-    public interface Knowledge {
+    public interface TransferableState {
         /** The list as last told, in discovery's form; null for none. */
-        String list();
+        String exportEndpoints();
 
-        String learned();
+        String exportLearnedState();
 
-        Iterable<String> openIds();
+        Iterable<String> openRequestIds();
 
-        void listTold(byte[] list) throws IOException;
+        void importEndpoints(byte[] list) throws IOException;
 
-        void learnedTold(byte[] learned) throws IOException;
+        void importLearnedState(byte[] learned) throws IOException;
     }
 
     /** What follows for this process. */
-    public interface Hearer {
+    public interface Listener {
         /** All is told that will be told: clients may be listened to. */
-        void told();
+        void onStateTransferred();
 
         /** Others have come, spoken or gone: see {@link #processes} and {@link #hasSuccessor}. */
-        void placesChanged();
+        void onProcessesChanged();
     }
 
     /** The listening socket, a neighbour on either side, and one that is being greeted. */
@@ -67,13 +67,14 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Handover.class);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Path path;
     private final String name;
-    private final Knowledge knowledge;
-    private final Hearer hearer;
-    private final Places places = new Places();
-    private final Map<Places.Side, Neighbour> neighbours = new EnumMap<>(Places.Side.class);
+    private final TransferableState knowledge;
+    private final Listener hearer;
+    private final ProcessChain places = new ProcessChain();
+    private final Map<ProcessChain.Role, NeighborProcess> neighbours =
+            new EnumMap<>(ProcessChain.Role.class);
     private ServerSocketChannel server;
     private boolean waiting;
     private boolean serving;
@@ -85,7 +86,12 @@
      * Of one dispatcher, by its name and its clients' address, in a directory that its processes
      * share.
      */
-    public Handover(Loop loop, Path directory, String name, Knowledge knowledge, Hearer hearer) {
+    public Handover(
+            EventLoop loop,
+            Path directory,
+            String name,
+            TransferableState knowledge,
+            Listener hearer) {
         this.loop = loop;
         this.knowledge = knowledge;
         this.hearer = hearer;
@@ -98,8 +104,8 @@
     }
 
     /**
-     * Asks a predecessor for what it knows, if there is one; {@link Hearer#told} follows in any
-     * case.
+     * Asks a predecessor for what it knows, if there is one; {@link Listener#onStateTransferred}
+     * follows in any case.
      */
     public void begin() {
         waiting = true;
@@ -110,40 +116,44 @@
         }
         loop.connect(
                 UnixDomainSocketAddress.of(path),
-                new Loop.Peer() {
+                new EventLoop.ChannelHandler() {
                     @Override
-                    public Connection opened(EndPoint endPoint) {
-                        Neighbour neighbour =
-                                new Neighbour(endPoint, loop, Places.Side.BEFORE, Handover.this);
-                        neighbours.put(Places.Side.BEFORE, neighbour);
+                    public Connection onOpened(EndPoint endPoint) {
+                        NeighborProcess neighbour =
+                                new NeighborProcess(
+                                        endPoint,
+                                        loop,
+                                        ProcessChain.Role.PREDECESSOR,
+                                        Handover.this);
+                        neighbours.put(ProcessChain.Role.PREDECESSOR, neighbour);
                         return neighbour;
                     }
 
                     @Override
-                    public void failed(Throwable cause) {
+                    public void onFailed(Throwable cause) {
                         // Nobody there, or what a dead process left.
                         told();
                     }
                 });
-        loop.later(PATIENCE, this::told);
+        loop.schedule(PATIENCE, this::told);
     }
 
     private void told() {
         if (waiting) {
             waiting = false;
-            hearer.told();
+            hearer.onStateTransferred();
         }
     }
 
     /** This process takes clients: its predecessor may end, and its own successor may find it. */
     public void serving() {
         serving = true;
-        Neighbour predecessor = neighbours.get(Places.Side.BEFORE);
+        NeighborProcess predecessor = neighbours.get(ProcessChain.Role.PREDECESSOR);
         if (predecessor != null) {
             predecessor.say("serving", "");
         }
         // After the clients that wait: a process that is to take our place comes later.
-        loop.later(SOON, this::announceFirst);
+        loop.schedule(SOON, this::announceFirst);
     }
 
     private void announceFirst() {
@@ -170,15 +180,18 @@
             server =
                     loop.listen(
                             UnixDomainSocketAddress.of(own),
-                            new Loop.Peer() {
+                            new EventLoop.ChannelHandler() {
                                 @Override
-                                public Connection opened(EndPoint endPoint) {
-                                    return new Neighbour(
-                                            endPoint, loop, Places.Side.AFTER, Handover.this);
+                                public Connection onOpened(EndPoint endPoint) {
+                                    return new NeighborProcess(
+                                            endPoint,
+                                            loop,
+                                            ProcessChain.Role.SUCCESSOR,
+                                            Handover.this);
                                 }
 
                                 @Override
-                                public void failed(Throwable cause) {
+                                public void onFailed(Throwable cause) {
                                     // Whoever it was has gone: it will begin without us.
                                 }
                             });
@@ -243,7 +256,7 @@
     }
 
     public boolean isOpenElsewhere(String id) {
-        for (Neighbour neighbour : neighbours.values()) {
+        for (NeighborProcess neighbour : neighbours.values()) {
             if (neighbour.openIds.contains(id)) {
                 return true;
             }
@@ -260,28 +273,28 @@
     }
 
     private void sayToAll(String word, String about) {
-        for (Neighbour neighbour : neighbours.values()) {
+        for (NeighborProcess neighbour : neighbours.values()) {
             neighbour.say(word, about);
         }
     }
 
     @Override
-    public void opened(Neighbour neighbour) {
+    public void opened(NeighborProcess neighbour) {
         neighbour.say(GREETING, name);
-        loop.later(
+        loop.schedule(
                 PATIENCE,
                 () -> {
                     if (!neighbour.greeted) {
                         neighbour.close();
                     }
                 });
-        if (neighbour.side == Places.Side.BEFORE) {
-            knowledge.openIds().forEach(id -> neighbour.say("open", id));
+        if (neighbour.side == ProcessChain.Role.PREDECESSOR) {
+            knowledge.openRequestIds().forEach(id -> neighbour.say("open", id));
         }
     }
 
     @Override
-    public void said(Neighbour neighbour, String word, String about) throws IOException {
+    public void said(NeighborProcess neighbour, String word, String about) throws IOException {
         if (!neighbour.greeted) {
             greet(neighbour, word, about);
             return;
@@ -294,13 +307,13 @@
                 changed();
             }
             case "serving" -> {
-                if (neighbour.side == Places.Side.AFTER) {
+                if (neighbour.side == ProcessChain.Role.SUCCESSOR) {
                     places.serves();
                     changed();
                 }
             }
             case "list", "learned", "told" -> {
-                if (neighbour.side == Places.Side.BEFORE) {
+                if (neighbour.side == ProcessChain.Role.PREDECESSOR) {
                     predecessorTells(word, about);
                 }
             }
@@ -308,13 +321,13 @@
         }
     }
 
-    private void greet(Neighbour neighbour, String word, String about) throws IOException {
+    private void greet(NeighborProcess neighbour, String word, String about) throws IOException {
         // Two names may make one file's name; an older version does not say its own.
         if (!word.equals(GREETING) || (!about.isEmpty() && !about.equals(name))) {
             throw new IOException("not a process of this dispatcher");
         }
         neighbour.greeted = true;
-        if (neighbour.side == Places.Side.AFTER) {
+        if (neighbour.side == ProcessChain.Role.SUCCESSOR) {
             succeededBy(neighbour);
         }
         places.came(neighbour.side);
@@ -322,18 +335,18 @@
     }
 
     /** Tells the one that is to take our place all that is known; the newest of several counts. */
-    private void succeededBy(Neighbour neighbour) {
-        Neighbour older = neighbours.get(Places.Side.AFTER);
+    private void succeededBy(NeighborProcess neighbour) {
+        NeighborProcess older = neighbours.get(ProcessChain.Role.SUCCESSOR);
         if (older != null) {
             older.close();
         }
-        neighbours.put(Places.Side.AFTER, neighbour);
-        String list = knowledge.list();
+        neighbours.put(ProcessChain.Role.SUCCESSOR, neighbour);
+        String list = knowledge.exportEndpoints();
         if (list != null) {
             neighbour.say("list", list);
         }
-        neighbour.say("learned", knowledge.learned());
-        knowledge.openIds().forEach(id -> neighbour.say("open", id));
+        neighbour.say("learned", knowledge.exportLearnedState());
+        knowledge.openRequestIds().forEach(id -> neighbour.say("open", id));
         neighbour.say("told", "");
         LOG.info("another process is about to take this one's place");
     }
@@ -346,8 +359,8 @@
         byte[] text = about.getBytes(StandardCharsets.UTF_8);
         try {
             switch (word) {
-                case "list" -> knowledge.listTold(text);
-                case "learned" -> knowledge.learnedTold(text);
+                case "list" -> knowledge.importEndpoints(text);
+                case "learned" -> knowledge.importLearnedState(text);
                 default -> told();
             }
         } catch (IOException e) {
@@ -366,9 +379,10 @@
     }
 
     @Override
-    public void left(Neighbour neighbour) {
+    public void left(NeighborProcess neighbour) {
         if (neighbours.remove(neighbour.side, neighbour)) {
-            boolean wasLast = neighbour.side == Places.Side.AFTER && places.endsAfterNext();
+            boolean wasLast =
+                    neighbour.side == ProcessChain.Role.SUCCESSOR && places.endsAfterNext();
             places.left(neighbour.side);
             changed();
             if (wasLast && serving) {
@@ -381,6 +395,6 @@
 
     private void changed() {
         neighbours.forEach((side, neighbour) -> neighbour.tellBehind(places.behind(side)));
-        hearer.placesChanged();
+        hearer.onProcessesChanged();
     }
 }
--- a/daemon/src/main/java/wheelroute/net/handover/LearnedText.java
+++ b/daemon/src/main/java/wheelroute/net/handover/LearnedStateCodec.java
@@ -12,24 +12,25 @@
 import java.util.Map;
 import java.util.function.Function;
 import wheelroute.decision.Ids;
-import wheelroute.decision.Learned;
+import wheelroute.decision.LearnedState;
 
 /** What was learned, as one line of JSON, under the list's names of workers. */
-public final class LearnedText {
+public final class LearnedStateCodec {
     private static final JsonFactory JSON = new JsonFactory();
 
     /** Three figures a sample, and no measurement keeps more samples than this. */
     private static final int MOST_FIGURES = 3 * 64;
 
-    private LearnedText() {}
+    private LearnedStateCodec() {}
 
     /** Workers that have no name any more are left out. */
-    public static String encode(Learned learned, Function<Ids.Worker, String> names) {
+    public static String encode(LearnedState learned, Function<Ids.Worker, String> names) {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(out)) {
             json.writeStartObject();
             json.writeObjectFieldStart("workers");
-            for (Map.Entry<Ids.Worker, Learned.OfWorker> worker : learned.workers().entrySet()) {
+            for (Map.Entry<Ids.Worker, LearnedState.WorkerSamples> worker :
+                    learned.workers().entrySet()) {
                 String name = names.apply(worker.getKey());
                 if (name != null) {
                     json.writeObjectFieldStart(name);
@@ -41,7 +42,8 @@
             }
             json.writeEndObject();
             json.writeObjectFieldStart("models");
-            for (Map.Entry<Ids.Model, Learned.OfModel> model : learned.models().entrySet()) {
+            for (Map.Entry<Ids.Model, LearnedState.ModelSamples> model :
+                    learned.models().entrySet()) {
                 json.writeObjectFieldStart(model.getKey().name());
                 json.writeNumberField("slots", model.getValue().slots());
                 figures(json, "runs", model.getValue().runs());
@@ -50,7 +52,7 @@
             }
             json.writeEndObject();
             json.writeObjectFieldStart("hints");
-            for (Map.Entry<Ids.Offering, double[]> offering : learned.hints().entrySet()) {
+            for (Map.Entry<Ids.RequestClass, double[]> offering : learned.estimates().entrySet()) {
                 figures(json, offering.getKey().name(), offering.getValue());
             }
             json.writeEndObject();
@@ -68,9 +70,9 @@
     }
 
     /** Workers that are not on the list by now are left out; any fault makes all of it unusable. */
-    public static Learned decode(byte[] text, Function<String, Ids.Worker> names)
+    public static LearnedState decode(byte[] text, Function<String, Ids.Worker> names)
             throws IOException {
-        Learned learned = new Learned(new HashMap<>(), new HashMap<>(), new HashMap<>());
+        LearnedState learned = new LearnedState(new HashMap<>(), new HashMap<>(), new HashMap<>());
         try (JsonParser json = JSON.createParser(text)) {
             expect(json.nextToken() == JsonToken.START_OBJECT);
             while (json.nextToken() == JsonToken.FIELD_NAME) {
@@ -82,7 +84,8 @@
                     switch (part) {
                         case "workers" -> worker(json, names.apply(name), learned);
                         case "models" -> model(json, new Ids.Model(name), learned);
-                        case "hints" -> learned.hints().put(new Ids.Offering(name), figures(json));
+                        case "hints" ->
+                                learned.estimates().put(new Ids.RequestClass(name), figures(json));
                         default -> json.skipChildren();
                     }
                 }
@@ -91,7 +94,7 @@
         return learned;
     }
 
-    private static void worker(JsonParser json, Ids.Worker worker, Learned learned)
+    private static void worker(JsonParser json, Ids.Worker worker, LearnedState learned)
             throws IOException {
         Map<String, double[]> figures = new HashMap<>();
         fields(json, figures);
@@ -99,21 +102,21 @@
             learned.workers()
                     .put(
                             worker,
-                            new Learned.OfWorker(
+                            new LearnedState.WorkerSamples(
                                     positive(figures.get("runs")),
                                     known(figures.get("waits")),
                                     known(figures.get("failures"))));
         }
     }
 
-    private static void model(JsonParser json, Ids.Model model, Learned learned)
+    private static void model(JsonParser json, Ids.Model model, LearnedState learned)
             throws IOException {
         Map<String, double[]> figures = new HashMap<>();
         int slots = fields(json, figures);
         learned.models()
                 .put(
                         model,
-                        new Learned.OfModel(
+                        new LearnedState.ModelSamples(
                                 slots, positive(figures.get("runs")), known(figures.get("waits"))));
     }
 
--- a/daemon/src/main/java/wheelroute/net/handover/Neighbour.java
+++ b/daemon/src/main/java/wheelroute/net/handover/NeighborProcess.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
+import wheelroute.net.EventLoop;
 import wheelroute.net.LineBuffer;
-import wheelroute.net.Link;
-import wheelroute.net.Loop;
+import wheelroute.net.StreamConnection;
 
 /** The connection to one other process of this dispatcher: lines both ways. */
-final class Neighbour extends Link {
+final class NeighborProcess extends StreamConnection {
     /** As long as the longest list. */
     private static final int MOST_LINE = 1 << 20;
 
@@ -21,21 +21,21 @@
     private static final int MOST_UNSENT = 2 * MOST_LINE;
 
     /** Who hears it. */
-    interface Hearer {
-        void opened(Neighbour neighbour);
+    interface Listener {
+        void opened(NeighborProcess neighbour);
 
-        void said(Neighbour neighbour, String word, String about) throws IOException;
+        void said(NeighborProcess neighbour, String word, String about) throws IOException;
 
-        void left(Neighbour neighbour);
+        void left(NeighborProcess neighbour);
     }
 
-    final Places.Side side;
+    final ProcessChain.Role side;
 
     /** The clients' ids that are open there. */
     final Set<String> openIds = new HashSet<>();
 
     boolean greeted;
-    private final Hearer hearer;
+    private final Listener hearer;
     private final LineBuffer lines = new LineBuffer(MOST_LINE);
     private final ArrayDeque<ByteBuffer> unsent = new ArrayDeque<>();
     private long unsentBytes;
@@ -45,7 +45,7 @@
     /** Who has been told nothing takes it for none. */
     private int toldBehind;
 
-    Neighbour(EndPoint endPoint, Loop loop, Places.Side side, Hearer hearer) {
+    NeighborProcess(EndPoint endPoint, EventLoop loop, ProcessChain.Role side, Listener hearer) {
         super(endPoint, loop);
         this.side = side;
         this.hearer = hearer;
@@ -98,7 +98,7 @@
     }
 
     @Override
-    protected void received(ByteBuffer in) throws IOException {
+    protected void onBytes(ByteBuffer in) throws IOException {
         for (byte[] line = lines.next(in); line != null && !left; line = lines.next(in)) {
             String text = new String(line, StandardCharsets.UTF_8);
             int space = text.indexOf(' ');
@@ -110,12 +110,12 @@
     }
 
     @Override
-    protected void atEnd() {
+    protected void onEndOfStream() {
         close();
     }
 
     @Override
-    protected void broke(Throwable cause) {
+    protected void onFailure(Throwable cause) {
         close();
     }
 
--- a/daemon/src/main/java/wheelroute/net/peers/Peers.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
@@ -9,40 +9,40 @@
 import java.util.zip.CRC32;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wheelroute.config.Peering;
-import wheelroute.decision.Parts;
-import wheelroute.net.Datagrams;
-import wheelroute.net.Loop;
-import wheelroute.peers.Codec;
+import wheelroute.config.PeeringConfig;
+import wheelroute.decision.DispatcherShares;
+import wheelroute.net.DatagramSocket;
+import wheelroute.net.EventLoop;
 import wheelroute.peers.Lease;
-import wheelroute.peers.MalformedException;
+import wheelroute.peers.LeaseVoter;
+import wheelroute.peers.MalformedMessageException;
+import wheelroute.peers.MemberAddress;
+import wheelroute.peers.MemberUpdate;
 import wheelroute.peers.Membership;
 import wheelroute.peers.Message;
+import wheelroute.peers.MessageCodec;
 import wheelroute.peers.PeerId;
-import wheelroute.peers.Place;
-import wheelroute.peers.Shares;
-import wheelroute.peers.Sighting;
-import wheelroute.peers.Votes;
+import wheelroute.peers.QuotaLeases;
 
 /**
  * The other dispatchers of this installation, by datagrams. They are known by their numbers; where
  * each number is reached is this dispatcher's own list, as one that others tell may not be where it
  * is for us.
  */
-public final class Peers implements Parts {
-    private static final Logger LOG = LoggerFactory.getLogger(Peers.class);
+public final class MembershipService implements DispatcherShares {
+    private static final Logger LOG = LoggerFactory.getLogger(MembershipService.class);
 
-    private final Loop loop;
-    private final Peering peering;
+    private final EventLoop loop;
+    private final PeeringConfig peering;
     private final PeerId name;
     private final long life;
     private final Membership membership;
-    private final Shares shares;
+    private final QuotaLeases shares;
     private final int cluster;
     private final boolean shared;
-    private Votes votes;
-    private Datagrams socket;
-    private Loop.Timer wake;
+    private LeaseVoter votes;
+    private DatagramSocket socket;
+    private EventLoop.Timer wake;
     private double wakeAt = Double.POSITIVE_INFINITY;
     private boolean silent;
     private boolean left;
@@ -55,7 +55,8 @@
      * @param shared another process may take this one's place, and then hears peers at the same
      *     address
      */
-    public Peers(Loop loop, Peering peering, String dispatcher, long seed, boolean shared)
+    public MembershipService(
+            EventLoop loop, PeeringConfig peering, String dispatcher, long seed, boolean shared)
             throws IOException {
         this.loop = loop;
         this.peering = peering;
@@ -63,19 +64,25 @@
         name = new PeerId(dispatcher);
         life = System.currentTimeMillis();
         cluster = cluster(peering.cluster());
-        Place own = new Place(0, peering.number());
-        List<Place> places =
+        MemberAddress own = new MemberAddress(0, peering.number());
+        List<MemberAddress> places =
                 java.util.stream.IntStream.range(0, peering.addresses().size())
-                        .mapToObj(n -> new Place(0, n))
+                        .mapToObj(n -> new MemberAddress(0, n))
                         .toList();
-        membership = new Membership(cluster, name, own, life, places, seed, true, new Outside());
-        shares = new Shares(peering.number(), places.size(), life, this::isThere, this::sendLease);
+        membership =
+                new Membership(
+                        cluster, name, own, life, places, seed, true, new MembershipTransport());
+        shares =
+                new QuotaLeases(
+                        peering.number(), places.size(), life, this::isThere, this::sendLease);
         open();
     }
 
     private void open() throws IOException {
-        votes = new Votes(loop.now());
-        socket = new Datagrams(loop, peering.listen(), shared, Codec.MOST_BYTES + 1, this::came);
+        votes = new LeaseVoter(loop.now());
+        socket =
+                new DatagramSocket(
+                        loop, peering.listen(), shared, MessageCodec.MOST_BYTES + 1, this::came);
     }
 
     private static int cluster(String name) {
@@ -137,19 +144,19 @@
 
     private void askForShares() {
         if (!silent) {
-            loop.later(Math.min(Lease.USED, shares.woken(loop.now())), this::askForShares);
+            loop.schedule(Math.min(Lease.USED, shares.woken(loop.now())), this::askForShares);
         }
     }
 
     // ---- what the decisions ask
 
     @Override
-    public double of(int number) {
+    public double ofDispatcher(int number) {
         return silent ? 0 : shares.of(number, loop.now());
     }
 
     @Override
-    public double whole() {
+    public double total() {
         return silent ? 0 : shares.whole(loop.now());
     }
 
@@ -160,31 +167,32 @@
                 || membership.others().stream()
                         .anyMatch(
                                 one ->
-                                        one.place().port() == number
-                                                && one.state() == Sighting.State.ALIVE);
+                                        one.address().port() == number
+                                                && one.state() == MemberUpdate.State.ALIVE);
     }
 
-    private InetSocketAddress address(Place place) {
+    private InetSocketAddress address(MemberAddress place) {
         return place.host() == 0 && place.port() < peering.addresses().size()
                 ? peering.addresses().get(place.port())
                 : null;
     }
 
-    private void send(Place to, Message message) {
+    private void send(MemberAddress to, Message message) {
         InetSocketAddress address = address(to);
         if (address != null && !silent) {
-            socket.send(address, Codec.encode(message));
+            socket.send(address, MessageCodec.encode(message));
         }
     }
 
-    private void sendLease(int dispatcher, Message.Kind kind, int number, Message.Lease lease) {
+    private void sendLease(
+            int dispatcher, Message.Kind kind, int number, Message.LeaseTerms lease) {
         Message message =
                 new Message(kind, cluster, membership.self(), number, 0, null, lease, List.of());
         if (dispatcher == peering.number()) {
             // Its own word it gives itself, in a turn of its own as if it had come.
             loop.post(() -> lease(message));
         } else {
-            send(new Place(0, dispatcher), message);
+            send(new MemberAddress(0, dispatcher), message);
         }
     }
 
@@ -193,15 +201,15 @@
             return;
         }
         try {
-            Message message = Codec.decode(bytes);
-            if (message.cluster() != cluster || address(message.from().place()) == null) {
+            Message message = MessageCodec.decode(bytes);
+            if (message.cluster() != cluster || address(message.from().address()) == null) {
                 foreign++;
                 return;
             }
             membership.at(loop.now());
-            membership.received(message.from().place(), message);
+            membership.received(message.from().address(), message);
             lease(message);
-        } catch (MalformedException e) {
+        } catch (MalformedMessageException e) {
             malformed++;
             LOG.debug("no datagram of ours from {}: {}", from, e.getMessage());
         }
@@ -213,10 +221,10 @@
         }
         double now = loop.now();
         PeerId by = message.from().id();
-        Message.Lease lease = message.lease();
+        Message.LeaseTerms lease = message.lease();
         switch (message.kind()) {
-            case LEASE_ASK -> {
-                if (votes.ask(now, lease.share(), by, lease.life(), message.number())) {
+            case LEASE_REQUEST -> {
+                if (votes.ask(now, lease.share(), by, lease.incarnation(), message.number())) {
                     Message word =
                             new Message(
                                     Message.Kind.LEASE_GRANT,
@@ -230,19 +238,19 @@
                     if (by.equals(name)) {
                         loop.post(() -> lease(word));
                     } else {
-                        send(message.from().place(), word);
+                        send(message.from().address(), word);
                     }
                 }
             }
             case LEASE_GRANT -> shares.granted(now, message.number(), lease, by);
-            default -> votes.back(lease.share(), by, lease.life(), message.number());
+            default -> votes.back(lease.share(), by, lease.incarnation(), message.number());
         }
     }
 
-    private final class Outside implements Membership.Outside {
+    private final class MembershipTransport implements Membership.Transport {
         @Override
-        public void send(Place to, Message message) {
-            Peers.this.send(to, message);
+        public void send(MemberAddress to, Message message) {
+            MembershipService.this.send(to, message);
         }
 
         @Override
@@ -256,7 +264,7 @@
             }
             wakeAt = at;
             wake =
-                    loop.later(
+                    loop.schedule(
                             delay,
                             () -> {
                                 wakeAt = Double.POSITIVE_INFINITY;
@@ -266,18 +274,18 @@
         }
 
         @Override
-        public void changed(Sighting now, Sighting.State before, String why) {
+        public void changed(MemberUpdate now, MemberUpdate.State before, String why) {
             LOG.info(
                     "{} (number {}) is {}{}, {}",
                     now.id(),
-                    now.place().port(),
+                    now.address().port(),
                     word(now.state()),
                     before == null ? "" : ", was " + word(before),
                     why);
         }
     }
 
-    private static String word(Sighting.State state) {
+    private static String word(MemberUpdate.State state) {
         return state.name().toLowerCase(Locale.ROOT);
     }
 
@@ -290,10 +298,10 @@
         membership.at(loop.now());
         StringBuilder out = new StringBuilder();
         out.append(name).append(' ').append(peering.number()).append(" alive itself\n");
-        for (Sighting one : membership.others()) {
+        for (MemberUpdate one : membership.others()) {
             out.append(one.id())
                     .append(' ')
-                    .append(one.place().port())
+                    .append(one.address().port())
                     .append(' ')
                     .append(word(one.state()))
                     .append(String.format(Locale.ROOT, " %.1f s%n", membership.since(one.id())));
@@ -303,7 +311,7 @@
                         Locale.ROOT,
                         "share %.4f of the whole, holding %s; doubt %d; datagrams not"
                                 + " ours %d, malformed %d%n",
-                        whole(),
+                        total(),
                         shares.held(loop.now()),
                         membership.doubt(),
                         foreign,
--- a/daemon/src/main/java/wheelroute/net/workers/Launches.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptListener.java
@@ -1,18 +1,18 @@
 package wheelroute.net.workers;
 
-import wheelroute.net.End;
+import wheelroute.net.AttemptResult;
 
 /** What one launch tells whoever made it; exactly one end. */
-public interface Launches {
+public interface AttemptListener {
     byte[] NO_RESULT = {};
 
     /** Whether it should still go out, asked after it has waited for a connection. */
-    boolean isWanted();
+    boolean isStillWanted();
 
-    void started();
+    void onStarted();
 
-    void progressed(double share);
+    void onProgress(double share);
 
     /** The result is empty but for a DONE; NaN for no report of free slots. */
-    void ended(End end, byte[] result, double freeSlots);
+    void onEnded(AttemptResult end, byte[] result, double freeSlots);
 }
--- a/daemon/src/main/java/wheelroute/net/workers/LaunchMessage.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
@@ -7,23 +7,23 @@
 /**
  * What goes to a worker: the client's message, and how long its answer is waited for, in seconds.
  *
- * @param mark by which a deduplicated submission is known; null for the others
- * @param onceOnly a second run might do harm, so that what is heard of it has to be of it for
+ * @param idempotencyKey by which a deduplicated submission is known; null for the others
+ * @param atMostOnce a second run might do harm, so that what is heard of it has to be of it for
  *     certain
  */
-public record LaunchMessage(
+public record AttemptRequest(
         String method,
         String target,
         String id,
-        String mark,
+        String idempotencyKey,
         String routeKey,
         byte[] body,
-        boolean onceOnly) {
+        boolean atMostOnce) {
     public ByteBuffer[] encode(String host, double limit) {
         return new HttpText(method + " " + target + " HTTP/1.1")
                 .field("Host", host)
                 .field("X-Request-ID", id)
-                .field("Idempotency-Key", mark)
+                .field("Idempotency-Key", idempotencyKey)
                 .field("X-Route-Key", routeKey)
                 .field("X-Timeout", String.format(Locale.ROOT, "%.3f", limit))
                 .body(body);
--- a/daemon/src/main/java/wheelroute/net/workers/LaunchDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
@@ -5,19 +5,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import org.eclipse.jetty.http.HttpStatus;
-import wheelroute.net.AnswerParser;
-import wheelroute.net.End;
+import wheelroute.net.AttemptResult;
 import wheelroute.net.LineBuffer;
+import wheelroute.net.ResponseParser;
 
 /** Decodes what a worker answers to one launch after the other on a connection. */
-final class LaunchDecoder implements AnswerParser.Reader {
+final class AttemptResponseDecoder implements ResponseParser.Reader {
     /** What a launch is told by its decoder. */
-    interface Hearer {
+    interface Listener {
         void started();
 
         void progressed(double share);
 
-        void ended(End end, byte[] result, double freeSlots);
+        void ended(AttemptResult end, byte[] result, double freeSlots);
 
         /** The last byte of the answer has come. */
         void complete(boolean keepsOpen);
@@ -26,14 +26,14 @@
     /** The protocol's limit on bodies, of which a line is a part. */
     private static final int MOST_LINE = 64 * 1024;
 
-    private final AnswerParser parser = new AnswerParser(this);
+    private final ResponseParser parser = new ResponseParser(this);
     private final LineBuffer lines = new LineBuffer(MOST_LINE);
-    private final Hearer hearer;
+    private final Listener hearer;
     private String id;
     private boolean inLines;
     private boolean over = true;
 
-    LaunchDecoder(Hearer hearer) {
+    AttemptResponseDecoder(Listener hearer) {
         this.hearer = hearer;
     }
 
@@ -69,13 +69,18 @@
                     (status == HttpStatus.SERVICE_UNAVAILABLE_503
                                     || status == HttpStatus.GATEWAY_TIMEOUT_504)
                             && "1".equals(fields.get("x-not-processed"));
-            End end =
+            AttemptResult end =
                     notBegun
-                            ? End.TURNED_AWAY
+                            ? AttemptResult.REJECTED
                             : status == HttpStatus.INTERNAL_SERVER_ERROR_500
-                                    ? End.FAILED
-                                    : blamesTheMessage(status) ? End.UNUSABLE : End.ODD_STATUS;
-            finish(end, Launches.NO_RESULT, WorkerNote.freeSlots(fields.get("x-server-load")));
+                                    ? AttemptResult.FAILED
+                                    : blamesTheMessage(status)
+                                            ? AttemptResult.INVALID_REQUEST
+                                            : AttemptResult.UNEXPECTED_STATUS;
+            finish(
+                    end,
+                    AttemptListener.NO_RESULT,
+                    WorkerStatusLine.freeSlots(fields.get("x-server-load")));
         }
     }
 
@@ -100,7 +105,7 @@
         if (over || new String(bytes, StandardCharsets.UTF_8).isBlank()) {
             return;
         }
-        WorkerNote note = WorkerNote.decode(bytes);
+        WorkerStatusLine note = WorkerStatusLine.decode(bytes);
         if (!note.id().equals(id)) {
             throw new IOException("a line of another launch");
         }
@@ -111,18 +116,20 @@
                 if (note.result() == null) {
                     throw new IOException("done without a result");
                 }
-                finish(End.DONE, note.result(), note.freeSlots());
+                finish(AttemptResult.SUCCEEDED, note.result(), note.freeSlots());
             }
-            case FAILED -> finish(End.FAILED, Launches.NO_RESULT, note.freeSlots());
-            case RETURNED -> finish(End.RETURNED, Launches.NO_RESULT, note.freeSlots());
-            case LOST -> finish(End.LOST, Launches.NO_RESULT, note.freeSlots());
+            case FAILED ->
+                    finish(AttemptResult.FAILED, AttemptListener.NO_RESULT, note.freeSlots());
+            case RETURNED ->
+                    finish(AttemptResult.HANDED_BACK, AttemptListener.NO_RESULT, note.freeSlots());
+            case LOST -> finish(AttemptResult.KILLED, AttemptListener.NO_RESULT, note.freeSlots());
             case UNKNOWN -> {
                 // A state that came after this version: the launch still has its last line to come.
             }
         }
     }
 
-    private void finish(End end, byte[] result, double freeSlots) {
+    private void finish(AttemptResult end, byte[] result, double freeSlots) {
         over = true;
         hearer.ended(end, result, freeSlots);
     }
--- a/daemon/src/main/java/wheelroute/net/workers/Flight.java
+++ b/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
@@ -1,19 +1,23 @@
 package wheelroute.net.workers;
 
+import wheelroute.net.AttemptResult;
 import wheelroute.net.Counters;
-import wheelroute.net.End;
 
 /** One launch on its way: connecting, written, ended. */
-public final class Flight {
-    final LaunchMessage message;
+public final class InFlightAttempt {
+    final AttemptRequest message;
     final double outerLimit;
-    private final Launches launches;
+    private final AttemptListener launches;
     private final Counters counters;
     private WorkerConnection on;
     private boolean written;
     private boolean ended;
 
-    Flight(LaunchMessage message, double outerLimit, Launches launches, Counters counters) {
+    InFlightAttempt(
+            AttemptRequest message,
+            double outerLimit,
+            AttemptListener launches,
+            Counters counters) {
         this.message = message;
         this.outerLimit = outerLimit;
         this.launches = launches;
@@ -32,10 +36,10 @@
     /** It has waited for a connection: the client, or its time, may have gone meanwhile. */
     boolean mayGo(double now) {
         if (!ended && now >= outerLimit) {
-            giveUp(End.TIMED_OUT);
+            giveUp(AttemptResult.TIMED_OUT);
         }
         // The answer may end it, too.
-        return !ended && launches.isWanted() && !ended;
+        return !ended && launches.isStillWanted() && !ended;
     }
 
     void boarded(WorkerConnection connection) {
@@ -44,43 +48,44 @@
 
     void written() {
         written = true;
-        counters.count(Counters.Kind.WRITTEN);
+        counters.count(Counters.Counter.ATTEMPTS_WRITTEN);
     }
 
     void started() {
         if (!ended) {
-            launches.started();
+            launches.onStarted();
         }
     }
 
     void progressed(double share) {
         if (!ended) {
-            launches.progressed(share);
+            launches.onProgress(share);
         }
     }
 
-    void end(End end, byte[] result, double freeSlots) {
+    void end(AttemptResult end, byte[] result, double freeSlots) {
         if (!ended) {
             ended = true;
-            launches.ended(end, result, freeSlots);
+            launches.onEnded(end, result, freeSlots);
         }
     }
 
-    void end(End end) {
-        end(end, Launches.NO_RESULT, Double.NaN);
+    void end(AttemptResult end) {
+        end(end, AttemptListener.NO_RESULT, Double.NaN);
     }
 
     /**
      * Gives it up: its connection is closed before the end is told, so that no copy can overlap it.
      */
-    public void giveUp(End end) {
+    public void giveUp(AttemptResult end) {
         if (!ended) {
             // Ended already for the connection, whose close would else be taken for a break.
             ended = true;
             if (on != null) {
                 on.close();
             }
-            launches.ended(written ? end : End.ENDED_UNSENT, Launches.NO_RESULT, Double.NaN);
+            launches.onEnded(
+                    written ? end : AttemptResult.NOT_SENT, AttemptListener.NO_RESULT, Double.NaN);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.TimeoutException;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
-import wheelroute.net.End;
-import wheelroute.net.Link;
-import wheelroute.net.Loop;
+import wheelroute.net.AttemptResult;
+import wheelroute.net.EventLoop;
+import wheelroute.net.StreamConnection;
 
 /** One connection to a worker: one launch at a time, idle in between. */
-final class WorkerConnection extends Link implements LaunchDecoder.Hearer {
+final class WorkerConnection extends StreamConnection implements AttemptResponseDecoder.Listener {
     /**
      * For the last chunk after a last line: past it the connection is no use, and there may be many
      * such.
@@ -25,10 +25,10 @@
      */
     private static final double REST = 0.1;
 
-    private final Station station;
-    private final LaunchDecoder decoder = new LaunchDecoder(this);
-    private Flight flight;
-    private Loop.Timer tail;
+    private final WorkerConnectionPool station;
+    private final AttemptResponseDecoder decoder = new AttemptResponseDecoder(this);
+    private InFlightAttempt flight;
+    private EventLoop.Timer tail;
 
     /** It has served a launch before, and nothing has come for the next one yet. */
     private boolean kept;
@@ -42,12 +42,12 @@
     /** An answer's last byte is still to come, or it will not be used again. */
     private boolean busy;
 
-    WorkerConnection(EndPoint endPoint, Loop loop, Station station) {
+    WorkerConnection(EndPoint endPoint, EventLoop loop, WorkerConnectionPool station) {
         super(endPoint, loop);
         this.station = station;
     }
 
-    void send(Flight next) {
+    void send(InFlightAttempt next) {
         flight = next;
         busy = true;
         unheard = kept;
@@ -57,13 +57,15 @@
         double limit = next.outerLimit - loop.now();
         if (limit <= 0) {
             // The process may have stood still since this was decided.
-            next.giveUp(End.TIMED_OUT);
+            next.giveUp(AttemptResult.TIMED_OUT);
             return;
         }
         decoder.expect(next.message.id());
         getEndPoint()
                 .write(
-                        Callback.from(next::written, cause -> broke(End.BROKE_UNSENT)),
+                        Callback.from(
+                                next::written,
+                                cause -> onFailure(AttemptResult.BROKEN_BEFORE_SENT)),
                         next.message.encode(station.host(), limit));
     }
 
@@ -85,7 +87,7 @@
     }
 
     @Override
-    protected void received(ByteBuffer in) {
+    protected void onBytes(ByteBuffer in) {
         unheard = false;
         if (flight == null) {
             // It answers twice, or says something of its own, which would be taken for the next
@@ -96,28 +98,31 @@
         try {
             decoder.decode(in);
         } catch (IOException | RuntimeException e) {
-            broke(End.NONSENSE);
+            onFailure(AttemptResult.PROTOCOL_ERROR);
         }
     }
 
     @Override
-    protected void atEnd() throws IOException {
+    protected void onEndOfStream() throws IOException {
         decoder.atEnd();
-        broke(End.BROKE);
+        onFailure(AttemptResult.CONNECTION_LOST);
     }
 
     @Override
-    protected void broke(Throwable cause) {
-        broke(End.BROKE);
+    protected void onFailure(Throwable cause) {
+        onFailure(AttemptResult.CONNECTION_LOST);
     }
 
     /** Before the last byte is written nothing can have run, however the connection ends. */
-    private void broke(End end) {
+    private void onFailure(AttemptResult end) {
         close();
         if (flight != null) {
             // Workers end connections when they like: as failures these would put all on probation.
-            End told = unheard && end == End.BROKE ? End.STALE : end;
-            flight.end(flight.isWritten() ? told : End.BROKE_UNSENT);
+            AttemptResult told =
+                    unheard && end == AttemptResult.CONNECTION_LOST
+                            ? AttemptResult.STALE_CONNECTION
+                            : end;
+            flight.end(flight.isWritten() ? told : AttemptResult.BROKEN_BEFORE_SENT);
         }
     }
 
@@ -132,8 +137,8 @@
     }
 
     @Override
-    public void ended(End end, byte[] result, double freeSlots) {
-        tail = loop.later(TAIL, this::close);
+    public void ended(AttemptResult end, byte[] result, double freeSlots) {
+        tail = loop.schedule(TAIL, this::close);
         if (doubtful && !decoder.namesItsLaunch()) {
             // It may be told of the one before, and this one run: ended first, it is no copy beside
             // the next.
--- a/daemon/src/main/java/wheelroute/net/workers/Station.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPool.java
@@ -11,13 +11,13 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.config.ConfigReader;
-import wheelroute.net.End;
-import wheelroute.net.Loop;
+import wheelroute.net.AttemptResult;
+import wheelroute.net.EventLoop;
 
 /** One worker's address and our connections to it. */
-final class Station {
-    private final Loop loop;
-    private final Workers workers;
+final class WorkerConnectionPool {
+    private final EventLoop loop;
+    private final WorkerConnectionPools workers;
     private final InetSocketAddress address;
     private final double startedAt;
     private final Set<WorkerConnection> open = new HashSet<>();
@@ -26,11 +26,15 @@
     private final ArrayDeque<WorkerConnection> idle = new ArrayDeque<>();
 
     /** Those that wait for a connection. */
-    private final Set<Flight> boarding = new LinkedHashSet<>();
+    private final Set<InFlightAttempt> boarding = new LinkedHashSet<>();
 
     private boolean left;
 
-    Station(Loop loop, Workers workers, InetSocketAddress address, double startedAt) {
+    WorkerConnectionPool(
+            EventLoop loop,
+            WorkerConnectionPools workers,
+            InetSocketAddress address,
+            double startedAt) {
         this.loop = loop;
         this.workers = workers;
         this.address = address;
@@ -45,16 +49,16 @@
         return ConfigReader.text(address);
     }
 
-    void send(Flight flight) {
-        WorkerConnection kept = kept(flight.message.onceOnly());
+    void send(InFlightAttempt flight) {
+        WorkerConnection kept = kept(flight.message.atMostOnce());
         if (kept != null) {
             kept.send(flight);
         } else if (workers.mayOpen()) {
             workers.opening();
             boarding.add(flight);
-            loop.connect(address, new Boarding(flight));
+            loop.connect(address, new ConnectHandler(flight));
         } else {
-            flight.end(End.NO_ROOM);
+            flight.end(AttemptResult.NO_DESCRIPTOR);
         }
     }
 
@@ -88,17 +92,18 @@
     }
 
     /** A connection that is being made for one launch. */
-    private final class Boarding implements Loop.Peer {
-        private final Flight flight;
+    private final class ConnectHandler implements EventLoop.ChannelHandler {
+        private final InFlightAttempt flight;
 
-        Boarding(Flight flight) {
+        ConnectHandler(InFlightAttempt flight) {
             this.flight = flight;
         }
 
         @Override
-        public Connection opened(EndPoint endPoint) {
+        public Connection onOpened(EndPoint endPoint) {
             endPoint.setIdleTimeout(workers.idleMillis());
-            WorkerConnection connection = new WorkerConnection(endPoint, loop, Station.this);
+            WorkerConnection connection =
+                    new WorkerConnection(endPoint, loop, WorkerConnectionPool.this);
             open.add(connection);
             loop.post(
                     () -> {
@@ -114,10 +119,13 @@
         }
 
         @Override
-        public void failed(Throwable cause) {
+        public void onFailed(Throwable cause) {
             workers.closed();
             boarding.remove(flight);
-            flight.end(cause instanceof SocketTimeoutException ? End.NEVER_UP : End.REFUSED);
+            flight.end(
+                    cause instanceof SocketTimeoutException
+                            ? AttemptResult.CONNECT_TIMEOUT
+                            : AttemptResult.CONNECTION_REFUSED);
         }
     }
 
@@ -158,8 +166,8 @@
      * on anew. The grace after the list's word may be less than what a connection takes to come up.
      */
     void withdraw() {
-        for (Flight flight : new ArrayList<>(boarding)) {
-            flight.giveUp(End.ENDED_UNSENT);
+        for (InFlightAttempt flight : new ArrayList<>(boarding)) {
+            flight.giveUp(AttemptResult.NOT_SENT);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/Workers.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPools.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Map;
 import wheelroute.decision.Ids;
+import wheelroute.net.AttemptResult;
 import wheelroute.net.Counters;
-import wheelroute.net.End;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /**
  * The worker side: an address for each worker on the list, and a bound on the connections to all of
  * them.
  */
-public final class Workers {
+public final class WorkerConnectionPools {
     /**
      * A connection is dropped at this part of the worker's own limit: what crosses that may have
      * run.
@@ -23,19 +23,19 @@
 
     private static final double MILLIS = 1e3;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Counters counters;
     private final int mostAlone;
     private int most;
     private final long idleMillis;
-    private final Map<Ids.Worker, Station> stations = new HashMap<>();
+    private final Map<Ids.Worker, WorkerConnectionPool> stations = new HashMap<>();
 
     /** Those of workers that were listed as started anew, or elsewhere, since the last settling. */
-    private final List<Station> replaced = new ArrayList<>();
+    private final List<WorkerConnectionPool> replaced = new ArrayList<>();
 
     private int open;
 
-    public Workers(Loop loop, Counters counters, int most, double idleLimit) {
+    public WorkerConnectionPools(EventLoop loop, Counters counters, int most, double idleLimit) {
         this.loop = loop;
         this.counters = counters;
         mostAlone = most;
@@ -54,9 +54,9 @@
      * A worker as listed, NaN for one up long since; connections from before a restart are left.
      */
     public void listed(Ids.Worker worker, InetSocketAddress address, double startedAt) {
-        Station station = stations.get(worker);
+        WorkerConnectionPool station = stations.get(worker);
         if (station == null || !station.isStill(address, startedAt)) {
-            stations.put(worker, new Station(loop, this, address, startedAt));
+            stations.put(worker, new WorkerConnectionPool(loop, this, address, startedAt));
             if (station != null) {
                 replaced.add(station);
             }
@@ -69,29 +69,32 @@
      */
     public void settle(Iterable<Ids.Worker> draining) {
         for (Ids.Worker worker : draining) {
-            Station station = stations.get(worker);
+            WorkerConnectionPool station = stations.get(worker);
             if (station != null) {
                 station.withdraw();
             }
         }
-        new ArrayList<>(replaced).forEach(Station::leave);
+        new ArrayList<>(replaced).forEach(WorkerConnectionPool::leave);
         replaced.clear();
     }
 
     public void gone(Ids.Worker worker) {
-        Station station = stations.remove(worker);
+        WorkerConnectionPool station = stations.remove(worker);
         if (station != null) {
             station.leave();
         }
     }
 
     /** Sends a launch; its end may be told before this returns. */
-    public Flight send(
-            Ids.Worker worker, LaunchMessage message, double outerLimit, Launches launches) {
-        Flight flight = new Flight(message, outerLimit, launches, counters);
-        Station station = stations.get(worker);
+    public InFlightAttempt send(
+            Ids.Worker worker,
+            AttemptRequest message,
+            double outerLimit,
+            AttemptListener launches) {
+        InFlightAttempt flight = new InFlightAttempt(message, outerLimit, launches, counters);
+        WorkerConnectionPool station = stations.get(worker);
         if (station == null) {
-            flight.end(End.REFUSED);
+            flight.end(AttemptResult.CONNECTION_REFUSED);
         } else {
             station.send(flight);
         }
@@ -99,12 +102,13 @@
     }
 
     boolean mayOpen() {
-        return open < most || stations.values().stream().anyMatch(Station::closeOldestIdle);
+        return open < most
+                || stations.values().stream().anyMatch(WorkerConnectionPool::closeOldestIdle);
     }
 
     void opening() {
         open++;
-        counters.count(Counters.Kind.WORKERS_OPENED);
+        counters.count(Counters.Counter.WORKER_CONNECTIONS);
     }
 
     void closed() {
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerNote.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerStatusLine.java
@@ -15,7 +15,7 @@
  * @param result what goes to the client; null when not told
  * @param freeSlots from a load report; NaN when not told
  */
-record WorkerNote(String id, State state, double share, byte[] result, double freeSlots) {
+record WorkerStatusLine(String id, State state, double share, byte[] result, double freeSlots) {
     enum State {
         STARTED,
         RUNNING,
@@ -29,7 +29,7 @@
     private static final JsonFactory JSON = new JsonFactory();
     private static final String FREE_SLOTS = "x0";
 
-    static WorkerNote decode(byte[] line) throws IOException {
+    static WorkerStatusLine decode(byte[] line) throws IOException {
         String id = null;
         State state = State.UNKNOWN;
         double share = 0;
@@ -58,7 +58,7 @@
         if (id == null) {
             throw new IOException("a line has no id");
         }
-        return new WorkerNote(id, state, share, result, freeSlots);
+        return new WorkerStatusLine(id, state, share, result, freeSlots);
     }
 
     private static State state(String word) {
--- a/daemon/src/main/java/wheelroute/peers/Votes.java
+++ b/daemon/src/main/java/wheelroute/peers/LeaseVoter.java
@@ -7,7 +7,7 @@
  * What this dispatcher has promised as one of those who are asked about a share: that nobody else
  * gets its word on it before the promise has surely run out for whoever has it.
  */
-public class Votes {
+public class LeaseVoter {
     /** Number: of the round in which it was last asked for. */
     record Promise(PeerId holder, long life, int number, double until) {}
 
@@ -18,12 +18,12 @@
     private double speaksFrom;
 
     /** From this process's start on. */
-    public Votes(double now) {
+    public LeaseVoter(double now) {
         this(now, Lease.PROMISED, Lease.PROMISED);
     }
 
     /** With times of its own, for who shows that these matter. */
-    Votes(double now, double promised, double silentFor) {
+    LeaseVoter(double now, double promised, double silentFor) {
         this.promised = promised;
         speaksFrom = now + silentFor;
     }
@@ -77,7 +77,7 @@
     }
 
     /** For who goes on from here in several ways. */
-    void copyTo(Votes other) {
+    void copyTo(LeaseVoter other) {
         other.promises.putAll(promises);
         other.speaksFrom = speaksFrom;
     }
--- a/daemon/src/main/java/wheelroute/peers/MalformedException.java
+++ b/daemon/src/main/java/wheelroute/peers/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package wheelroute.peers;
 
 /** Bytes that are no datagram of ours. */
-public final class MalformedException extends Exception {
+public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    MalformedException(String why) {
+    MalformedMessageException(String why) {
         // A flood of them must not cost a stack trace each.
         super(why, null, false, false);
     }
--- a/daemon/src/main/java/wheelroute/peers/Place.java
+++ b/daemon/src/main/java/wheelroute/peers/MemberAddress.java
@@ -1,7 +1,7 @@
 package wheelroute.peers;
 
 /** An IPv4 address and a port. */
-public record Place(int host, int port) {
+public record MemberAddress(int host, int port) {
     private static final int BYTE = 0xff;
 
     @Override
--- a/daemon/src/main/java/wheelroute/peers/Membership.java
+++ b/daemon/src/main/java/wheelroute/peers/Membership.java
@@ -22,8 +22,8 @@
  */
 public final class Membership {
     /** What it does, and who hears of it. */
-    public interface Outside {
-        void send(Place to, Message message);
+    public interface Transport {
+        void send(MemberAddress to, Message message);
 
         /** To be called after so long, at {@link #woken}; earlier and more often does no harm. */
         void wake(double delay);
@@ -31,7 +31,7 @@
         /**
          * Of another dispatcher something new is known; before is null for one that was unknown.
          */
-        void changed(Sighting now, Sighting.State before, String why);
+        void changed(MemberUpdate now, MemberUpdate.State before, String why);
     }
 
     /** One probe each; so every one of n dispatchers is probed once in each of these on average. */
@@ -78,43 +78,43 @@
     private static final int MOST_PAGES = 2 * MOST_KNOWN;
 
     private final int cluster;
-    private final List<Place> seeds;
-    private final Outside outside;
+    private final List<MemberAddress> seeds;
+    private final Transport outside;
     private final long seed;
     private final boolean doubts;
-    private Sighting self;
+    private MemberUpdate self;
     private double now;
     private double lastAt = Double.NaN;
     private long draws;
     private int doubt;
     private int lastNumber;
     private boolean running;
-    private final Map<PeerId, Known> known = new TreeMap<>();
+    private final Map<PeerId, MemberRecord> known = new TreeMap<>();
 
     /**
      * All that are there but ourselves; in the order of the round, which is made anew each time.
      */
-    private final List<Known> round = new ArrayList<>();
+    private final List<MemberRecord> round = new ArrayList<>();
 
     private int nextInRound;
-    private final Set<Known> suspects = new LinkedHashSet<>();
+    private final Set<MemberRecord> suspects = new LinkedHashSet<>();
     private int there;
     private int digest;
-    private final Map<PeerId, News> news = new LinkedHashMap<>();
+    private final Map<PeerId, GossipEntry> news = new LinkedHashMap<>();
     private Probe probe;
     private double nextProbe = Double.POSITIVE_INFINITY;
 
     /** Probes made for others, by our own number. */
-    private final Map<Integer, Relayed> relayed = new HashMap<>();
+    private final Map<Integer, IndirectProbe> relayed = new HashMap<>();
 
-    private Paging paging;
+    private ListSync paging;
     private double compareAt;
     private boolean differed;
     private boolean passesOn = true;
 
     /** Another dispatcher. */
-    private static final class Known {
-        Sighting sighting;
+    private static final class MemberRecord {
+        MemberUpdate sighting;
         double since;
 
         /** While it is suspected. */
@@ -122,24 +122,24 @@
 
         final List<Integer> words = new ArrayList<>();
 
-        Known(Sighting sighting) {
+        MemberRecord(MemberUpdate sighting) {
             this.sighting = sighting;
         }
     }
 
     /** Something to be passed on, and how often it has been. */
-    private static final class News {
-        final Sighting sighting;
+    private static final class GossipEntry {
+        final MemberUpdate sighting;
         int sent;
 
-        News(Sighting sighting) {
+        GossipEntry(MemberUpdate sighting) {
             this.sighting = sighting;
         }
     }
 
     /** Our own probe of this round. */
     private static final class Probe {
-        final Known of;
+        final MemberRecord of;
         final int number;
         final double answerBy;
         final double endsAt;
@@ -148,7 +148,7 @@
         boolean indirect;
         boolean answered;
 
-        Probe(Known of, int number, double answerBy, double endsAt) {
+        Probe(MemberRecord of, int number, double answerBy, double endsAt) {
             this.of = of;
             this.number = number;
             this.answerBy = answerBy;
@@ -157,17 +157,17 @@
     }
 
     /** A probe for somebody else. */
-    private record Relayed(
-            Place asker, int number, double refuseAt, double until, boolean refused) {}
+    private record IndirectProbe(
+            MemberAddress asker, int number, double refuseAt, double until, boolean refused) {}
 
     /** A list being read from somebody, page by page. */
-    private static final class Paging {
-        final Place from;
+    private static final class ListSync {
+        final MemberAddress from;
         int number;
         int pages;
         double until;
 
-        Paging(Place from) {
+        ListSync(MemberAddress from) {
             this.from = from;
         }
     }
@@ -181,42 +181,42 @@
     public Membership(
             int cluster,
             PeerId id,
-            Place place,
+            MemberAddress place,
             long life,
-            List<Place> seeds,
+            List<MemberAddress> seeds,
             long seed,
             boolean doubts,
-            Outside outside) {
+            Transport outside) {
         this.doubts = doubts;
         this.cluster = cluster;
         this.seeds = List.copyOf(seeds);
         this.outside = outside;
         this.seed = seed;
-        self = new Sighting(id, place, life, Sighting.State.ALIVE, 0);
+        self = new MemberUpdate(id, place, life, MemberUpdate.State.ALIVE, 0);
         there = 1;
         digest = mark(self);
     }
 
     // ---- what is known
 
-    public Sighting self() {
+    public MemberUpdate self() {
         return self;
     }
 
     /** Of this dispatcher; null for one that is unknown. */
-    public Sighting of(PeerId id) {
-        Known one = known.get(id);
+    public MemberUpdate of(PeerId id) {
+        MemberRecord one = known.get(id);
         return id.equals(self.id()) ? self : one == null ? null : one.sighting;
     }
 
     /** How long it has been so; 0 for ourselves. */
     public double since(PeerId id) {
-        Known one = known.get(id);
+        MemberRecord one = known.get(id);
         return one == null ? 0 : now - one.since;
     }
 
     /** The others, also those that are not there any more, by their names. */
-    public Collection<Sighting> others() {
+    public Collection<MemberUpdate> others() {
         return known.values().stream().map(one -> one.sighting).toList();
     }
 
@@ -269,11 +269,11 @@
             return;
         }
         running = false;
-        self = self.with(Sighting.State.LEFT, self.id());
+        self = self.withState(MemberUpdate.State.LEFT, self.id());
         int told = (int) Math.ceil(REPEATS * logarithm());
         shuffled(round).stream()
                 .limit(told)
-                .forEach(one -> send(Message.Kind.ACK, 0, one.sighting.place()));
+                .forEach(one -> send(Message.Kind.ACK, 0, one.sighting.address()));
     }
 
     /**
@@ -283,28 +283,28 @@
         running = false;
     }
 
-    public void received(Place from, Message message) {
+    public void received(MemberAddress from, Message message) {
         if (!running || message.cluster() != cluster) {
             return;
         }
         boolean itself = message.from().id().equals(self.id());
         if (itself
-                && message.from().life() == self.life()
-                && message.from().place().equals(self.place())) {
+                && message.from().incarnation() == self.incarnation()
+                && message.from().address().equals(self.address())) {
             // Our own words, come back some strange way.
             return;
         }
-        Sighting.State before = state(message.from().id());
+        MemberUpdate.State before = state(message.from().id());
         heard(message.from(), message.from().id());
         // What comes by pages others read by pages too: passed on, it would keep the latest news
         // waiting.
-        passesOn = message.kind() != Message.Kind.PAGE;
-        message.news().forEach(sighting -> heard(sighting, message.from().id()));
+        passesOn = message.kind() != Message.Kind.SYNC_PAGE;
+        message.updates().forEach(sighting -> heard(sighting, message.from().id()));
         passesOn = true;
         if (itself) {
             return;
         }
-        if (before != null && !before.isThere()) {
+        if (before != null && !before.isAlive()) {
             // It may not know yet what is said of it, and contradicts as soon as it does.
             tellOf(known.get(message.from().id()));
         }
@@ -313,7 +313,7 @@
         step();
     }
 
-    private void handle(Place from, Message message) {
+    private void handle(MemberAddress from, Message message) {
         switch (message.kind()) {
             case PING -> send(Message.Kind.ACK, message.number(), from);
             case ACK -> answered(message.number());
@@ -322,15 +322,16 @@
                     probe.refusals++;
                 }
             }
-            case ASK -> {
+            case PING_REQUEST -> {
                 int number = ++lastNumber;
                 relayed.put(
                         number,
-                        new Relayed(from, message.number(), now + ANSWER, now + 4 * ROUND, false));
-                send(Message.Kind.PING, number, message.target().place());
+                        new IndirectProbe(
+                                from, message.number(), now + ANSWER, now + 4 * ROUND, false));
+                send(Message.Kind.PING, number, message.target().address());
             }
-            case PAGE_ASK -> sendPage(from, message);
-            case PAGE -> paged(message);
+            case SYNC_REQUEST -> sendPage(from, message);
+            case SYNC_PAGE -> paged(message);
             default -> {
                 // Of shares: not ours.
             }
@@ -364,10 +365,10 @@
         if (probe != null) {
             next = Math.min(next, probe.answered || probe.indirect ? probe.endsAt : probe.answerBy);
         }
-        for (Known one : suspects) {
+        for (MemberRecord one : suspects) {
             next = Math.min(next, suspicionEnd(one));
         }
-        for (Relayed one : relayed.values()) {
+        for (IndirectProbe one : relayed.values()) {
             next = Math.min(next, one.refused ? one.until : one.refuseAt);
         }
         return next;
@@ -381,23 +382,23 @@
             return;
         }
         if (nextInRound >= round.size()) {
-            List<Known> order = shuffled(round);
+            List<MemberRecord> order = shuffled(round);
             round.clear();
             round.addAll(order);
             nextInRound = 0;
         }
-        Known of = round.get(nextInRound++);
+        MemberRecord of = round.get(nextInRound++);
         double scale = 1 + doubt;
-        if (of.sighting.state() == Sighting.State.SUSPECT) {
+        if (of.sighting.state() == MemberUpdate.State.SUSPECT) {
             // It hears first of all what is said of it.
             tellOf(of);
         }
         probe = new Probe(of, ++lastNumber, now + ANSWER * scale, now + ROUND * scale);
-        send(Message.Kind.PING, probe.number, of.sighting.place());
+        send(Message.Kind.PING, probe.number, of.sighting.address());
     }
 
     private void answered(int number) {
-        Relayed forOther = relayed.remove(number);
+        IndirectProbe forOther = relayed.remove(number);
         if (forOther != null) {
             send(Message.Kind.ACK, forOther.number, forOther.asker);
         }
@@ -409,14 +410,19 @@
 
     private void askOthers() {
         probe.indirect = true;
-        List<Known> helpers = shuffled(round);
+        List<MemberRecord> helpers = shuffled(round);
         helpers.remove(probe.of);
-        for (Known helper : helpers.subList(0, Math.min(ASKED, helpers.size()))) {
+        for (MemberRecord helper : helpers.subList(0, Math.min(ASKED, helpers.size()))) {
             probe.asked++;
-            send(Message.Kind.ASK, probe.number, helper.sighting.place(), probe.of.sighting, null);
+            send(
+                    Message.Kind.PING_REQUEST,
+                    probe.number,
+                    helper.sighting.address(),
+                    probe.of.sighting,
+                    null);
         }
         // It may also just have been the one datagram that was lost.
-        send(Message.Kind.PING, probe.number, probe.of.sighting.place());
+        send(Message.Kind.PING, probe.number, probe.of.sighting.address());
     }
 
     private void endProbe() {
@@ -428,21 +434,21 @@
         // Who was asked and does not even refuse: it may well be ourselves whom nobody reaches.
         int silent = last.asked - last.refusals;
         doubt(last.asked == 0 ? 1 : silent);
-        Sighting of = last.of.sighting;
-        if (of.state().isThere()) {
-            heard(of.with(Sighting.State.SUSPECT, self.id()), self.id());
+        MemberUpdate of = last.of.sighting;
+        if (of.state().isAlive()) {
+            heard(of.withState(MemberUpdate.State.SUSPECT, self.id()), self.id());
         }
     }
 
     private void refuseRelayed() {
-        for (Map.Entry<Integer, Relayed> entry : new ArrayList<>(relayed.entrySet())) {
-            Relayed one = entry.getValue();
+        for (Map.Entry<Integer, IndirectProbe> entry : new ArrayList<>(relayed.entrySet())) {
+            IndirectProbe one = entry.getValue();
             if (now >= one.until) {
                 relayed.remove(entry.getKey());
             } else if (now >= one.refuseAt && !one.refused) {
                 relayed.put(
                         entry.getKey(),
-                        new Relayed(one.asker, one.number, one.refuseAt, one.until, true));
+                        new IndirectProbe(one.asker, one.number, one.refuseAt, one.until, true));
                 send(Message.Kind.NACK, one.number, one.asker);
             }
         }
@@ -450,18 +456,18 @@
 
     /** Seeds that are not there, and the dead: after a cut has healed somebody has to begin. */
     private void tryAgain() {
-        List<Place> places = new ArrayList<>();
-        for (Place place : seeds) {
-            if (!place.equals(self.place())
-                    && round.stream().noneMatch(one -> one.sighting.place().equals(place))) {
+        List<MemberAddress> places = new ArrayList<>();
+        for (MemberAddress place : seeds) {
+            if (!place.equals(self.address())
+                    && round.stream().noneMatch(one -> one.sighting.address().equals(place))) {
                 places.add(place);
             }
         }
-        for (Known one : new ArrayList<>(known.values())) {
-            if (one.sighting.state() == Sighting.State.DEAD) {
-                places.add(one.sighting.place());
+        for (MemberRecord one : new ArrayList<>(known.values())) {
+            if (one.sighting.state() == MemberUpdate.State.DEAD) {
+                places.add(one.sighting.address());
             }
-            if (!one.sighting.state().isThere() && now - one.since > FORGET) {
+            if (!one.sighting.state().isAlive() && now - one.since > FORGET) {
                 known.remove(one.sighting.id());
             }
         }
@@ -478,45 +484,53 @@
 
     // ---- what is said
 
-    private Sighting.State state(PeerId id) {
-        Known one = known.get(id);
+    private MemberUpdate.State state(PeerId id) {
+        MemberRecord one = known.get(id);
         return one == null ? null : one.sighting.state();
     }
 
-    private void heard(Sighting said, PeerId by) {
+    private void heard(MemberUpdate said, PeerId by) {
         if (said.id().equals(self.id())) {
             ofOurselves(said);
             return;
         }
-        Known one = known.get(said.id());
+        MemberRecord one = known.get(said.id());
         if (one == null) {
-            if (known.size() < MOST_KNOWN && said.state() != Sighting.State.LEFT) {
-                one = new Known(said);
+            if (known.size() < MOST_KNOWN && said.state() != MemberUpdate.State.LEFT) {
+                one = new MemberRecord(said);
                 known.put(said.id(), one);
                 change(one, said, null, by);
             }
             return;
         }
-        Sighting before = one.sighting;
-        if (said.outweighs(before)) {
+        MemberUpdate before = one.sighting;
+        if (said.supersedes(before)) {
             change(one, said, before, by);
-        } else if (said.state() == Sighting.State.SUSPECT
-                && said.life() == before.life()
-                && before.state() == Sighting.State.SUSPECT
-                && !one.words.contains(said.by())
+        } else if (said.state() == MemberUpdate.State.SUSPECT
+                && said.incarnation() == before.incarnation()
+                && before.state() == MemberUpdate.State.SUSPECT
+                && !one.words.contains(said.suspectedBy())
                 && one.words.size() < WORDS) {
-            one.words.add(said.by());
+            one.words.add(said.suspectedBy());
             spread(said);
         }
     }
 
     /** What is said of us is either old, or wrong: we raise our life past it. */
-    private void ofOurselves(Sighting said) {
-        boolean doubted = said.state() != Sighting.State.ALIVE && said.life() >= self.life();
-        boolean older = said.life() > self.life();
+    private void ofOurselves(MemberUpdate said) {
+        boolean doubted =
+                said.state() != MemberUpdate.State.ALIVE
+                        && said.incarnation() >= self.incarnation();
+        boolean older = said.incarnation() > self.incarnation();
         if (doubted || older) {
             digest ^= mark(self);
-            self = new Sighting(self.id(), self.place(), said.life() + 1, Sighting.State.ALIVE, 0);
+            self =
+                    new MemberUpdate(
+                            self.id(),
+                            self.address(),
+                            said.incarnation() + 1,
+                            MemberUpdate.State.ALIVE,
+                            0);
             digest ^= mark(self);
             if (doubted) {
                 doubt(1);
@@ -525,11 +539,11 @@
         }
     }
 
-    private void change(Known one, Sighting said, Sighting before, PeerId by) {
-        Sighting.State last = before == null ? null : before.state();
+    private void change(MemberRecord one, MemberUpdate said, MemberUpdate before, PeerId by) {
+        MemberUpdate.State last = before == null ? null : before.state();
         one.sighting = said;
-        boolean was = last != null && last.isThere();
-        boolean is = said.state().isThere();
+        boolean was = last != null && last.isAlive();
+        boolean is = said.state().isAlive();
         if (was != is) {
             if (is) {
                 // At a place by chance, so that not all probe the newest one first.
@@ -549,9 +563,9 @@
         }
         one.words.clear();
         suspects.remove(one);
-        if (said.state() == Sighting.State.SUSPECT) {
+        if (said.state() == MemberUpdate.State.SUSPECT) {
             one.suspectedAt = now;
-            one.words.add(said.by());
+            one.words.add(said.suspectedBy());
             suspects.add(one);
         }
         // Of all that are there, whatever their order.
@@ -571,7 +585,7 @@
         return Math.max(1, Math.log10(there + 1.0) * 1.5);
     }
 
-    private double suspicionEnd(Known one) {
+    private double suspicionEnd(MemberRecord one) {
         double least = LEAST_SUSPICION * logarithm() * ROUND;
         double most = MOST_SUSPICION * least;
         int others = Math.min(WORDS, there - 2);
@@ -580,46 +594,51 @@
     }
 
     private void endSuspicions() {
-        for (Known one : new ArrayList<>(suspects)) {
+        for (MemberRecord one : new ArrayList<>(suspects)) {
             if (now >= suspicionEnd(one)) {
-                heard(one.sighting.with(Sighting.State.DEAD, self.id()), self.id());
+                heard(one.sighting.withState(MemberUpdate.State.DEAD, self.id()), self.id());
             }
         }
     }
 
     // ---- passing it on
 
-    private void spread(Sighting sighting) {
+    private void spread(MemberUpdate sighting) {
         news.remove(sighting.id());
         if (passesOn || sighting.id().equals(self.id())) {
-            news.put(sighting.id(), new News(sighting));
+            news.put(sighting.id(), new GossipEntry(sighting));
         }
     }
 
     /** First in the next datagram. */
-    private void tellOf(Known one) {
-        News again = news.computeIfAbsent(one.sighting.id(), id -> new News(one.sighting));
+    private void tellOf(MemberRecord one) {
+        GossipEntry again =
+                news.computeIfAbsent(one.sighting.id(), id -> new GossipEntry(one.sighting));
         again.sent = Math.min(again.sent, -1);
     }
 
-    private void send(Message.Kind kind, int number, Place to) {
+    private void send(Message.Kind kind, int number, MemberAddress to) {
         send(kind, number, to, null, null);
     }
 
     /** With these sightings only, or with the latest news where they are null. */
     private void send(
-            Message.Kind kind, int number, Place to, Sighting target, List<Sighting> only) {
+            Message.Kind kind,
+            int number,
+            MemberAddress to,
+            MemberUpdate target,
+            List<MemberUpdate> only) {
         Message bare = new Message(kind, cluster, self, number, digest, target, null, List.of());
         if (only != null) {
             outside.send(to, bare.with(only));
             return;
         }
-        List<News> order = new ArrayList<>(news.values());
+        List<GossipEntry> order = new ArrayList<>(news.values());
         order.sort(Comparator.comparingInt(one -> one.sent));
-        List<Sighting> all = order.stream().map(one -> one.sighting).toList();
-        int fitting = Codec.fitting(bare, all);
+        List<MemberUpdate> all = order.stream().map(one -> one.sighting).toList();
+        int fitting = MessageCodec.fitting(bare, all);
         int most = (int) Math.ceil(REPEATS * logarithm());
-        for (News one : order.subList(0, fitting)) {
+        for (GossipEntry one : order.subList(0, fitting)) {
             if (++one.sent >= most) {
                 news.remove(one.sighting.id());
             }
@@ -629,10 +648,10 @@
 
     // ---- lists that differ
 
-    private static int mark(Sighting one) {
+    private static int mark(MemberUpdate one) {
         CRC32 crc = new CRC32();
         crc.update(
-                (one.id().name() + " " + one.life() + " " + one.state().isThere())
+                (one.id().name() + " " + one.incarnation() + " " + one.state().isAlive())
                         .getBytes(StandardCharsets.UTF_8));
         return (int) crc.getValue();
     }
@@ -641,7 +660,7 @@
         if (message.digest() == digest
                 || paging != null
                 || now < compareAt
-                || !message.from().state().isThere()) {
+                || !message.from().state().isAlive()) {
             return;
         }
         // Not at once: what makes the difference may be on its way. But a joiner knows that it
@@ -655,18 +674,18 @@
             return;
         }
         differed = false;
-        paging = new Paging(message.from().place());
+        paging = new ListSync(message.from().address());
         askPage(null);
     }
 
-    private void askPage(Sighting after) {
+    private void askPage(MemberUpdate after) {
         paging.number = ++lastNumber;
         paging.until = now + ROUND;
-        send(Message.Kind.PAGE_ASK, paging.number, paging.from, after, List.of());
+        send(Message.Kind.SYNC_REQUEST, paging.number, paging.from, after, List.of());
     }
 
-    private void sendPage(Place to, Message message) {
-        List<Sighting> rest =
+    private void sendPage(MemberAddress to, Message message) {
+        List<MemberUpdate> rest =
                 known.values().stream()
                         .map(one -> one.sighting)
                         .filter(
@@ -676,7 +695,7 @@
                         .toList();
         Message bare =
                 new Message(
-                        Message.Kind.PAGE,
+                        Message.Kind.SYNC_PAGE,
                         cluster,
                         self,
                         message.number(),
@@ -684,10 +703,10 @@
                         rest.isEmpty() ? null : longest(rest),
                         null,
                         List.of());
-        int fitting = Codec.fitting(bare, rest);
+        int fitting = MessageCodec.fitting(bare, rest);
         boolean last = fitting == rest.size();
         send(
-                Message.Kind.PAGE,
+                Message.Kind.SYNC_PAGE,
                 message.number(),
                 to,
                 last ? null : rest.get(fitting - 1),
@@ -695,7 +714,7 @@
     }
 
     /** Whichever is named as the last of a page has room there. */
-    private static Sighting longest(List<Sighting> all) {
+    private static MemberUpdate longest(List<MemberUpdate> all) {
         return all.stream()
                 .max(Comparator.comparingInt(one -> one.id().name().length()))
                 .orElseThrow();
--- a/daemon/src/main/java/wheelroute/peers/Message.java
+++ b/daemon/src/main/java/wheelroute/peers/Message.java
@@ -11,17 +11,17 @@
  * @param digest of the list of those who are there, as the sender has it
  * @param target whom the message is about, or where a page begins; null where the kind has none
  * @param lease what is asked or granted; null where the kind has none
- * @param news what the sender has heard lately
+ * @param updates what the sender has heard lately
  */
 public record Message(
         Kind kind,
         int cluster,
-        Sighting from,
+        MemberUpdate from,
         int number,
         int digest,
-        Sighting target,
-        Lease lease,
-        List<Sighting> news) {
+        MemberUpdate target,
+        LeaseTerms lease,
+        List<MemberUpdate> updates) {
     /** What it is for. */
     public enum Kind {
         /** Are you there? */
@@ -29,31 +29,31 @@
         /** I am; or, whom you asked me about is. */
         ACK,
         /** Ask the target for me: it does not answer me. */
-        ASK,
+        PING_REQUEST,
         /** I have asked, and have no answer either: so at least I am there. */
         NACK,
         /** Tell me of those whose names follow the target's. */
-        PAGE_ASK,
+        SYNC_REQUEST,
         /** These are the next; the target is the last of them, or nobody if there are no more. */
-        PAGE,
+        SYNC_PAGE,
         /** May I use this share for a while? */
-        LEASE_ASK,
+        LEASE_REQUEST,
         /** As far as I am asked, you may. */
         LEASE_GRANT,
         /** I have stopped using it. */
-        LEASE_BACK;
+        LEASE_RELEASE;
 
         boolean hasTarget() {
-            return this == ASK || this == PAGE_ASK || this == PAGE;
+            return this == PING_REQUEST || this == SYNC_REQUEST || this == SYNC_PAGE;
         }
 
         boolean hasLease() {
-            return this == LEASE_ASK || this == LEASE_GRANT || this == LEASE_BACK;
+            return this == LEASE_REQUEST || this == LEASE_GRANT || this == LEASE_RELEASE;
         }
     }
 
     /** The same with other news. */
-    Message with(List<Sighting> others) {
+    Message with(List<MemberUpdate> others) {
         return new Message(kind, cluster, from, number, digest, target, lease, others);
     }
 
@@ -61,7 +61,7 @@
      * One share of what all dispatchers use together.
      *
      * @param share its number
-     * @param life of the process that is to hold it: another start is another holder
+     * @param incarnation of the process that is to hold it: another start is another holder
      */
-    public record Lease(int share, long life) {}
+    public record LeaseTerms(int share, long incarnation) {}
 }
--- a/daemon/src/main/java/wheelroute/peers/Shares.java
+++ b/daemon/src/main/java/wheelroute/peers/QuotaLeases.java
@@ -11,14 +11,14 @@
  * while it is not there, by the next one that is. A lease rests on the words of most of five,
  * always the same ones for a share, so that no two can hold it, whoever believes whom to be there.
  */
-public final class Shares {
+public final class QuotaLeases {
     /** The datagrams it needs. */
-    public interface Outside {
-        void send(int dispatcher, Message.Kind kind, int number, Message.Lease lease);
+    public interface Transport {
+        void send(int dispatcher, Message.Kind kind, int number, Message.LeaseTerms lease);
     }
 
     /** Who is believed to be there: it decides who asks, never who gets. */
-    public interface Belief {
+    public interface LivenessView {
         boolean isThere(int dispatcher);
     }
 
@@ -37,8 +37,8 @@
     private final int own;
     private final int dispatchers;
     private final long life;
-    private final Belief belief;
-    private final Outside outside;
+    private final LivenessView belief;
+    private final Transport outside;
     private final Map<Integer, Lease> leases = new HashMap<>();
     private double nextRound = Double.NEGATIVE_INFINITY;
     private int lastNumber;
@@ -48,7 +48,8 @@
      *
      * @param life of this process: another start is another holder
      */
-    public Shares(int own, int dispatchers, long life, Belief belief, Outside outside) {
+    public QuotaLeases(
+            int own, int dispatchers, long life, LivenessView belief, Transport outside) {
         this.own = own;
         this.dispatchers = dispatchers;
         this.life = life;
@@ -110,9 +111,9 @@
                 member ->
                         outside.send(
                                 member,
-                                Message.Kind.LEASE_ASK,
+                                Message.Kind.LEASE_REQUEST,
                                 number,
-                                new Message.Lease(share, life)));
+                                new Message.LeaseTerms(share, life)));
     }
 
     private void giveBack(int share) {
@@ -125,16 +126,16 @@
                             member ->
                                     outside.send(
                                             member,
-                                            Message.Kind.LEASE_BACK,
+                                            Message.Kind.LEASE_RELEASE,
                                             number,
-                                            new Message.Lease(share, life)));
+                                            new Message.LeaseTerms(share, life)));
         }
     }
 
     /** One of those asked has given its word. */
-    public void granted(double now, int number, Message.Lease lease, PeerId by) {
+    public void granted(double now, int number, Message.LeaseTerms lease, PeerId by) {
         Lease of = leases.get(lease.share());
-        if (of != null && lease.life() == life) {
+        if (of != null && lease.incarnation() == life) {
             of.granted(now, number, by);
         }
     }
--- a/daemon/src/test/java/wheelroute/ChoiceTest.java
+++ b/daemon/src/test/java/wheelroute/ChoiceTest.java
@@ -10,17 +10,17 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
-import wheelroute.decision.Listing.Readiness;
+import wheelroute.decision.Endpoint.State;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 import wheelroute.decision.LoadReport;
 import wheelroute.decision.Outcome;
 import wheelroute.decision.Policy;
 
 /** The ordinary path, and the judgement of workers. */
 public class ChoiceTest {
-    private static World world() {
-        return World.of(Effect.IDEMPOTENT, Group.CELL).list(2);
+    private static SimulatedWorld world() {
+        return SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(2);
     }
 
     @DataProvider
@@ -38,20 +38,20 @@
     @Test(dataProvider = "costs")
     public void picksTheLeastAdmittanceCost(
             double speed1, double speed2, double ahead, long choice) {
-        World w = world();
+        SimulatedWorld w = world();
         for (int i = 0; i < 40; i++) {
             double hint = 0.2;
             w.did.clear();
-            Policy.Handle handle = w.take(hint);
+            Policy.RequestHandle handle = w.take(hint);
             double speed = w.lastWorker() == 1 ? speed1 : speed2;
-            handle.started(0);
+            handle.onStarted(0);
             w.pass(hint / speed);
-            w.end(handle, 0, Outcome.ANSWERED);
+            w.end(handle, 0, Outcome.SUCCEEDED);
         }
         if (ahead > 0) {
-            w.change(2, Double.NaN, Readiness.LEAVING);
+            w.change(2, Double.NaN, State.DRAINING);
             w.take(ahead);
-            w.change(2, Double.NaN, Readiness.ACTIVE);
+            w.change(2, Double.NaN, State.READY);
         }
         w.take(0.2);
         assertEquals(w.lastWorker(), choice);
@@ -60,8 +60,8 @@
     @Test
     public void nearTiesAreDrawnAndTheSameEventsGiveTheSameDraws() {
         Set<Long> chosen = new HashSet<>();
-        World a = world();
-        World b = world();
+        SimulatedWorld a = world();
+        SimulatedWorld b = world();
         for (int i = 0; i < 40; i++) {
             long byA = a.serve(0.1, 0.1);
             chosen.add(byA);
@@ -76,31 +76,31 @@
      */
     @Test
     public void errorsThatFollowASubmissionAreNoWorkersFault() {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(4);
+        SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(4);
         long launchesLate = 0;
         for (int i = 0; i < 60; i++) {
             w.did.clear();
-            Policy.Handle handle = w.pass(0.05).take(0.1);
+            Policy.RequestHandle handle = w.pass(0.05).take(0.1);
             boolean bad = i % 2 == 1;
-            for (int launch = 0; !handle.isOver(); launch++) {
-                w.pass(0.02).end(handle, launch, bad ? Outcome.ERRED : Outcome.ANSWERED);
+            for (int launch = 0; !handle.isComplete(); launch++) {
+                w.pass(0.02).end(handle, launch, bad ? Outcome.FAILED : Outcome.SUCCEEDED);
             }
             launchesLate += i >= 40 && bad ? w.count("launch") : 0;
         }
         assertEquals(launchesLate, 10, "one launch for each that fails anywhere");
-        assertEquals(w.policy.avoided(), 0);
+        assertEquals(w.policy.avoidedEndpoints(), 0);
     }
 
     /** Its evidence ages: a worker that fails by itself afterwards is found out as ever. */
     @Test
     public void aWorkersOwnErrorsAreStillItsFault() {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(4);
-        w.launchesToBad(10, 0.1, worker -> true, Outcome.ERRED);
+        SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(4);
+        w.launchesToBad(10, 0.1, worker -> true, Outcome.FAILED);
         w.pass(11);
         for (int i = 0; i < 12; i++) {
             w.serve(0.1, 0.1);
         }
-        assertTrue(w.launchesToBad(30, 0.1, worker -> worker == 1, Outcome.ERRED) <= 4);
+        assertTrue(w.launchesToBad(30, 0.1, worker -> worker == 1, Outcome.FAILED) <= 4);
     }
 
     /** Two dispatchers that never spoke send a key to one worker, and another when that is busy. */
@@ -109,15 +109,17 @@
         Set<Long> homes = new HashSet<>();
         for (int i = 0; i < 12; i++) {
             String key = "key" + i;
-            World a = World.of(Effect.IDEMPOTENT, Group.CELL).list(3);
-            World b = World.of(Effect.IDEMPOTENT, Group.CELL).list(3);
+            SimulatedWorld a =
+                    SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(3);
+            SimulatedWorld b =
+                    SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(3);
             b.serve(0.1, 0.1);
-            a.take("job", "t", 0.5, a.now + World.LIMIT, key);
-            b.take("job", "t", 0.5, b.now + World.LIMIT, key);
+            a.take("job", "t", 0.5, a.now + SimulatedWorld.LIMIT, key);
+            b.take("job", "t", 0.5, b.now + SimulatedWorld.LIMIT, key);
             final long home = a.lastWorker();
             assertEquals(b.lastWorker(), home);
             homes.add(home);
-            a.take("job", "t", 0.5, a.now + World.LIMIT, key);
+            a.take("job", "t", 0.5, a.now + SimulatedWorld.LIMIT, key);
             assertNotEquals(a.lastWorker(), home, "a queue costs more than a fetch");
         }
         assertTrue(homes.size() > 1, homes.toString());
@@ -136,16 +138,16 @@
      */
     @Test(dataProvider = "fetchTimes")
     public void whatAFetchTakesIsLearned(double fetch, int least, int most) {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(3);
+        SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(3);
         Set<String> kept = new HashSet<>();
         for (int i = 0; i < 200; i++) {
-            List<Policy.Handle> handles = new ArrayList<>();
+            List<Policy.RequestHandle> handles = new ArrayList<>();
             List<Double> runs = new ArrayList<>();
             for (int job = 0; job < 3; job++) {
                 String key = "key" + (3 * i + job) % 10;
                 w.did.clear();
-                handles.add(w.take("job", "t", 0.1, w.now + World.LIMIT, key));
-                handles.get(job).started(0);
+                handles.add(w.take("job", "t", 0.1, w.now + SimulatedWorld.LIMIT, key));
+                handles.get(job).onStarted(0);
                 boolean fetched = kept.add(key + " " + w.lastWorker()) || job == 2;
                 runs.add((w.lastWorker() == 2 ? 0.05 : 0.1) + (fetched ? fetch : 0));
             }
@@ -155,7 +157,7 @@
                 passed = until;
                 for (int job = 0; job < 3; job++) {
                     if (runs.get(job) == until) {
-                        w.end(handles.get(job), 0, Outcome.ANSWERED);
+                        w.end(handles.get(job), 0, Outcome.SUCCEEDED);
                     }
                 }
             }
@@ -163,10 +165,11 @@
         int fastest = 0;
         for (int i = 10; i < 30; i++) {
             w.did.clear();
-            Policy.Handle handle = w.take("job", "t", 0.1, w.now + World.LIMIT, "key" + i);
+            Policy.RequestHandle handle =
+                    w.take("job", "t", 0.1, w.now + SimulatedWorld.LIMIT, "key" + i);
             fastest += w.lastWorker() == 2 ? 1 : 0;
             w.end(handle, 0, Outcome.CANCELLED);
-            handle.gone();
+            handle.onClientGone();
         }
         assertTrue(fastest >= least && fastest <= most, "went to the fastest: " + fastest);
     }
@@ -178,27 +181,27 @@
 
     @Test(dataProvider = "oddHints")
     public void oddHintsGetOneAnswer(double hint) {
-        World w = world();
-        Policy.Handle handle = w.take(hint);
+        SimulatedWorld w = world();
+        Policy.RequestHandle handle = w.take(hint);
         assertEquals(w.count("launch") + w.count("bounce"), 1);
-        if (!handle.isOver()) {
-            w.end(handle, 0, Outcome.ANSWERED);
+        if (!handle.isComplete()) {
+            w.end(handle, 0, Outcome.SUCCEEDED);
         }
-        assertTrue(handle.isOver());
+        assertTrue(handle.isComplete());
         w.serve(0.1, 0.1);
     }
 
     /** Guards against a worker that errs at once, sheds its work, and so looks cheapest. */
     @Test
     public void aWorkerThatErrsFastIsPutOnProbation() {
-        int toBad = world().launchesToBad(100, 0.1, worker -> worker == 1, Outcome.ERRED);
+        int toBad = world().launchesToBad(100, 0.1, worker -> worker == 1, Outcome.FAILED);
         assertTrue(toBad < 12, "launches to the failing worker: " + toBad);
     }
 
     /** Guards against a hung worker, which starts nothing and looks merely busy. */
     @Test
     public void aSilentWorkerIsLeftAndItsLaunchRescued() {
-        World w = world().earnCopies();
+        SimulatedWorld w = world().earnCopies();
         w.take(0.1);
         final long silent = w.lastWorker();
         w.watch(20);
@@ -215,10 +218,10 @@
         // by a time,
         // in tenths of a second, at which its worker as a whole is not silent yet.
         return new Object[][] {
-            {Effect.IDEMPOTENT, 0, 24, 1},
-            {Effect.IDEMPOTENT, 9, 80, 0},
-            {Effect.DEDUPLICATED, 0, 24, 1},
-            {Effect.UNREPEATABLE, 0, 24, 0}
+            {Idempotency.IDEMPOTENT, 0, 24, 1},
+            {Idempotency.IDEMPOTENT, 9, 80, 0},
+            {Idempotency.IDEMPOTENT_BY_KEY, 0, 24, 1},
+            {Idempotency.NON_IDEMPOTENT, 0, 24, 0}
         };
     }
 
@@ -228,32 +231,33 @@
      */
     @Test(dataProvider = "words")
     public void aSilentLaunchIsRescuedBesideOthersThatGoOn(
-            Effect effect, int words, int tenths, int cancels) {
-        World.Given given = new World.Given();
+            Idempotency effect, int words, int tenths, int cancels) {
+        SimulatedWorld.Given given = new SimulatedWorld.Given();
         given.effect = effect;
         given.mayCopy = false;
         given.tellsStart = false;
         given.progressEvery = 1;
-        World w = new World(given).list(2);
+        SimulatedWorld w = new SimulatedWorld(given).list(2);
         // Two at a time, so that the others need not wait for the one.
-        List<Policy.Handle> two = List.of(w.take(1.2), w.take(1.2), w.take(1.2), w.take(1.2));
+        List<Policy.RequestHandle> two =
+                List.of(w.take(1.2), w.take(1.2), w.take(1.2), w.take(1.2));
         w.pass(1.1);
-        two.forEach(handle -> handle.progressed(0, 0.9));
-        w.pass(0.1).policy.woken();
-        two.forEach(handle -> w.end(handle, 0, Outcome.ANSWERED));
+        two.forEach(handle -> handle.onProgress(0, 0.9));
+        w.pass(0.1).policy.onWakeup();
+        two.forEach(handle -> w.end(handle, 0, Outcome.SUCCEEDED));
         // The first is the faster one, so that the others go there beside the one.
         for (int i = 0; i < 60; i++) {
-            Policy.Handle handle = w.take(0.1);
-            w.pass(w.lastWorker() == 1 ? 0.1 : 0.5).end(handle, 0, Outcome.ANSWERED);
+            Policy.RequestHandle handle = w.take(0.1);
+            w.pass(w.lastWorker() == 1 ? 0.1 : 0.5).end(handle, 0, Outcome.SUCCEEDED);
         }
         w.did.clear();
-        Policy.Handle silent = w.take(0.4);
+        Policy.RequestHandle silent = w.take(0.4);
         for (int i = 0; i < tenths; i++) {
-            Policy.Handle other = w.take(0.1);
-            w.pass(0.1).end(other, 0, Outcome.ANSWERED);
-            w.policy.woken();
+            Policy.RequestHandle other = w.take(0.1);
+            w.pass(0.1).end(other, 0, Outcome.SUCCEEDED);
+            w.policy.onWakeup();
             if (i % 10 == 9 && i / 10 < words) {
-                silent.progressed(0, 0.01 * (i + 1));
+                silent.onProgress(0, 0.01 * (i + 1));
             }
         }
         assertEquals(w.count("cancel"), cancels, w.did.toString());
@@ -274,17 +278,18 @@
     public void onlyAColdWorkerHasNoQueueYet(double age, boolean always) {
         int chosen = 0;
         for (int learned = 10; learned < 30; learned++) {
-            World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(1);
+            SimulatedWorld w =
+                    SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
             for (int i = 0; i < learned; i++) {
-                Policy.Handle handle = w.take(0.1);
+                Policy.RequestHandle handle = w.take(0.1);
                 // It waited less lately than is usual: a warm one beside it must not look better
                 // still.
                 w.pass(i < learned - 8 ? 0.8 : 0.3);
-                handle.started(0);
+                handle.onStarted(0);
                 w.pass(0.1);
-                w.end(handle, 0, Outcome.ANSWERED);
+                w.end(handle, 0, Outcome.SUCCEEDED);
             }
-            w.change(2, w.now - age, Readiness.ACTIVE).take(0.1);
+            w.change(2, w.now - age, State.READY).take(0.1);
             chosen += w.lastWorker() == 2 ? 1 : 0;
         }
         assertTrue(always ? chosen == 20 : chosen < 20, "chosen " + chosen + " times of 20");
@@ -296,13 +301,13 @@
      */
     @Test
     public void aLaunchWithoutProgressTellsOfAQueue() {
-        World.Given given = new World.Given();
+        SimulatedWorld.Given given = new SimulatedWorld.Given();
         given.tellsStart = false;
         given.progressEvery = 1;
-        World w = new World(given).list(1);
-        Policy.Handle first = w.take(0.1);
+        SimulatedWorld w = new SimulatedWorld(given).list(1);
+        Policy.RequestHandle first = w.take(0.1);
         w.pass(0.1);
-        first.ended(0, Outcome.ANSWERED, true, new LoadReport(3));
+        first.onEnded(0, Outcome.SUCCEEDED, true, new LoadReport(3));
         w.take(0.1);
         w.watch(15).take(0.1);
         assertEquals(w.count("bounce"), 0, "it may have run for as long as no progress is told");
@@ -313,7 +318,7 @@
     /** Guards against copies that feed a jam: silence everywhere must not copy everything. */
     @Test
     public void copiesForSilenceAreRationed() {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(4);
+        SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(4);
         for (int i = 0; i < 20; i++) {
             w.take(0.1);
         }
@@ -324,20 +329,20 @@
 
     @Test
     public void whatARestartedWorkerHeldIsLaunchedElsewhere() {
-        World w = world();
+        SimulatedWorld w = world();
         w.take(0.1);
         final long restarted = w.lastWorker();
-        w.pass(0.3).change(restarted, w.now - 0.1, Readiness.ACTIVE);
+        w.pass(0.3).change(restarted, w.now - 0.1, State.READY);
         assertEquals(w.count("launch"), 2);
         assertNotEquals(w.lastWorker(), restarted);
     }
 
     @Test
     public void aFullWorkerIsLeftAloneForAWhile() {
-        World w = world();
-        Policy.Handle handle = w.take(0.1);
+        SimulatedWorld w = world();
+        Policy.RequestHandle handle = w.take(0.1);
         final long full = w.lastWorker();
-        w.end(handle, 0, Outcome.TURNED_AWAY);
+        w.end(handle, 0, Outcome.REJECTED);
         assertNotEquals(w.lastWorker(), full);
         assertNotEquals(w.serve(0.1, 0.05), full);
     }
@@ -348,7 +353,8 @@
      */
     @Test
     public void overloadIsBouncedEarly() {
-        World w = World.of(Effect.UNREPEATABLE, Group.CELL).list(2);
+        SimulatedWorld w =
+                SimulatedWorld.of(Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL).list(2);
         for (int i = 0; i < 50; i++) {
             w.take(0.5);
         }
@@ -369,16 +375,16 @@
     /** Guards against a start that overtakes an end: slots counted then only ever grow. */
     @Test(dataProvider = "overlaps")
     public void onlySettledStartsCountAsSlots(double overlap, int launches) {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(1);
-        Policy.Handle first = w.take(1);
-        Policy.Handle second = w.take(1);
-        first.started(0);
+        SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
+        Policy.RequestHandle first = w.take(1);
+        Policy.RequestHandle second = w.take(1);
+        first.onStarted(0);
         w.pass(1);
-        second.started(0);
-        w.pass(overlap).policy.woken();
-        w.end(first, 0, Outcome.ANSWERED);
+        second.onStarted(0);
+        w.pass(overlap).policy.onWakeup();
+        w.end(first, 0, Outcome.SUCCEEDED);
         w.pass(1 - overlap);
-        w.end(second, 0, Outcome.ANSWERED);
+        w.end(second, 0, Outcome.SUCCEEDED);
         w.pass(60).fill(1);
         assertEquals(w.count("launch"), launches, w.did.toString());
     }
@@ -395,12 +401,12 @@
     /** Guards against rough hints taken at their word. */
     @Test(dataProvider = "hintsAndRuns")
     public void hintsCountAsFarAsRunsFollowThem(boolean follow, String next) {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(1);
+        SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
         for (int i = 0; i < 60; i++) {
             double hint = i % 2 == 0 ? 0.05 : 1.0;
             w.serve(hint, follow ? hint : 0.5);
         }
-        w.take(9).started(0);
+        w.take(9).onStarted(0);
         w.take(0.05);
         assertTrue(w.last().startsWith(next), w.did.toString());
     }
@@ -408,11 +414,11 @@
     /** Guards against bouncing for good on waits seen long ago. */
     @Test
     public void oldWaitsFade() {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(1);
-        Policy.Handle handle = w.take(0.1, w.now + 100);
+        SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
+        Policy.RequestHandle handle = w.take(0.1, w.now + 100);
         w.pass(20);
-        handle.started(0);
-        w.end(handle, 0, Outcome.ANSWERED);
+        handle.onStarted(0);
+        w.end(handle, 0, Outcome.SUCCEEDED);
         w.take(0.1);
         assertTrue(w.last().startsWith("bounce"), w.did.toString());
         w.pass(30).take(0.1);
@@ -425,15 +431,15 @@
      */
     @Test
     public void failuresLockOutMoreThanHalf() {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(4);
-        int dead = w.launchesToBad(100, 0.01, worker -> worker > 1, Outcome.UNCONNECTED);
+        SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(4);
+        int dead = w.launchesToBad(100, 0.01, worker -> worker > 1, Outcome.CONNECT_FAILED);
         assertTrue(dead < 20, "launches to unreachable workers: " + dead);
     }
 
     /** Guards against a patient offering that fills the queues in which another starves. */
     @Test
     public void patientOfferingsStopAtTheImpatientOnesBound() {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(1);
+        SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
         w.serve(0.5, 0.5);
         w.did.clear();
         for (int i = 0; i < 30; i++) {
@@ -450,15 +456,15 @@
     /** Guards against a tenant far past its share that crowds out the others under overload. */
     @Test(dataProvider = "tenants")
     public void aTenantFarPastItsShareBearsShorterWaits(String tenant, String next) {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(1);
+        SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
         for (int i = 0; i < 200; i++) {
-            Policy.Handle handle =
-                    w.take("job", i % 10 == 0 ? "t" : "greedy", 0.05, w.now + World.LIMIT);
-            handle.started(0);
-            w.pass(0.05).end(handle, 0, Outcome.ANSWERED);
+            Policy.RequestHandle handle =
+                    w.take("job", i % 10 == 0 ? "t" : "greedy", 0.05, w.now + SimulatedWorld.LIMIT);
+            handle.onStarted(0);
+            w.pass(0.05).end(handle, 0, Outcome.SUCCEEDED);
         }
-        w.take(0.5).started(0);
-        w.take("job", tenant, 0.05, w.now + World.LIMIT);
+        w.take(0.5).onStarted(0);
+        w.take("job", tenant, 0.05, w.now + SimulatedWorld.LIMIT);
         assertTrue(w.last().startsWith(next), w.last());
     }
 
@@ -468,15 +474,15 @@
      */
     @Test
     public void aModelLearnsFromWarmRunsOnly() {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(1);
+        SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
         for (int i = 0; i < 5; i++) {
             w.serve(0.2, 0.2);
         }
-        w.change(1, Double.NaN, Readiness.LEAVING).change(2, w.now, Readiness.ACTIVE);
+        w.change(1, Double.NaN, State.DRAINING).change(2, w.now, State.READY);
         for (int i = 0; i < 9; i++) {
             w.serve(0.2, 0.8);
         }
-        w.pass(60).change(2, Double.NaN, Readiness.GONE).change(3, Double.NaN, Readiness.ACTIVE);
+        w.pass(60).change(2, Double.NaN, State.REMOVED).change(3, Double.NaN, State.READY);
         w.fill(0.5);
         assertTrue(
                 w.count("launch") >= 3, "a new worker starts at the speed of warm ones: " + w.did);
@@ -488,15 +494,14 @@
      */
     @Test
     public void anIdleWorkerIsTakenBeforeABounce() {
-        World w = world();
+        SimulatedWorld w = world();
         for (long slow = 1; slow <= 2; slow++) {
-            w.change(slow, Double.NaN, Readiness.LEAVING)
-                    .change(3 - slow, Double.NaN, Readiness.ACTIVE);
+            w.change(slow, Double.NaN, State.DRAINING).change(3 - slow, Double.NaN, State.READY);
             for (int i = 0; i < 8; i++) {
                 w.serve(0.1, slow == 1 ? 0.8 : 0.025);
             }
         }
-        w.change(2, Double.NaN, Readiness.ACTIVE).fill(1);
+        w.change(2, Double.NaN, State.READY).fill(1);
         assertTrue(w.did.stream().anyMatch(s -> s.endsWith(" 2")), w.did.toString());
     }
 
@@ -506,17 +511,19 @@
      */
     @Test
     public void coldRunsCountTheirColdnessOnce() {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).change(2, Double.NaN, Readiness.ACTIVE);
+        SimulatedWorld w =
+                SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL)
+                        .change(2, Double.NaN, State.READY);
         for (int i = 0; i < 8; i++) {
             w.serve(0.1, 0.1 / 0.42);
         }
         double start = w.now - 8;
-        w.change(2, Double.NaN, Readiness.LEAVING).change(1, start, Readiness.ACTIVE);
+        w.change(2, Double.NaN, State.DRAINING).change(1, start, State.READY);
         for (int i = 0; i < 8; i++) {
             // What it can do at this point of its ramp of 20 s: a run takes so much longer.
             assertEquals(w.serve(0.1, 0.1 / (0.25 + 0.75 * (w.now - start) / 20)), 1);
         }
-        w.change(2, Double.NaN, Readiness.ACTIVE).take(0.1);
+        w.change(2, Double.NaN, State.READY).take(0.1);
         assertEquals(w.lastWorker(), 1, w.did.toString());
     }
 
@@ -525,12 +532,12 @@
      */
     @Test
     public void launchesStillWaitingCount() {
-        World w = world();
-        Policy.Handle slow = w.take(0.1);
+        SimulatedWorld w = world();
+        Policy.RequestHandle slow = w.take(0.1);
         w.pass(3);
         // Such waits have been seen, long ago: the next one is no silence yet.
-        slow.started(0);
-        w.end(slow, 0, Outcome.ANSWERED);
+        slow.onStarted(0);
+        w.end(slow, 0, Outcome.SUCCEEDED);
         w.pass(100).take(0.1);
         assertTrue(w.last().startsWith("launch"), w.did.toString());
         w.watch(15).take(0.1);
@@ -540,7 +547,8 @@
     /** Guards against a crossing without end to its price: a hint of nothing is no hint. */
     @Test
     public void aHintOfNothingMayCross() {
-        World w = new World(new World.Given()).change(4, Double.NaN, Readiness.ACTIVE);
+        SimulatedWorld w =
+                new SimulatedWorld(new SimulatedWorld.Given()).change(4, Double.NaN, State.READY);
         w.take(0);
         assertEquals(w.lastWorker(), 4);
     }
@@ -550,13 +558,13 @@
         return new Object[][] {
             // effect, group, seconds since its last answer, launches it gets while the other worker
             // fills up
-            {Effect.IDEMPOTENT, Group.CELL, 0.0, 1L},
-            {Effect.DEDUPLICATED, Group.ALL, 0.0, 1L},
+            {Idempotency.IDEMPOTENT, IdempotencyScope.CELL, 0.0, 1L},
+            {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.ALL, 0.0, 1L},
             // An error there would bind these to their group, or end them.
-            {Effect.DEDUPLICATED, Group.ZONE, 0.0, 0L},
-            {Effect.DEDUPLICATED, Group.CELL, 0.0, 0L},
-            {Effect.UNREPEATABLE, Group.ALL, 0.0, 0L},
-            {Effect.IDEMPOTENT, Group.ALL, 2.0, 0L},
+            {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.ZONE, 0.0, 0L},
+            {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.CELL, 0.0, 0L},
+            {Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, 0.0, 0L},
+            {Idempotency.IDEMPOTENT, IdempotencyScope.ALL, 2.0, 0L},
         };
     }
 
@@ -566,19 +574,20 @@
      */
     @Test(dataProvider = "servesSome")
     public void oneThatServesSomeComesBeforeABounce(
-            Effect effect, Group group, double ago, long launches) {
-        World w = World.of(effect, group).list(2).change(2, Double.NaN, Readiness.LEAVING);
+            Idempotency effect, IdempotencyScope group, double ago, long launches) {
+        SimulatedWorld w =
+                SimulatedWorld.of(effect, group).list(2).change(2, Double.NaN, State.DRAINING);
         // On probation, with a pause that outlasts this case; every other launch is answered.
         for (int i = 0; i < 5; i++) {
-            for (Outcome outcome : new Outcome[] {Outcome.ERRED, Outcome.ANSWERED}) {
-                Policy.Handle handle = w.take(0.1);
+            for (Outcome outcome : new Outcome[] {Outcome.FAILED, Outcome.SUCCEEDED}) {
+                Policy.RequestHandle handle = w.take(0.1);
                 w.pass(0.02);
-                for (int launch = 0; !handle.isOver(); launch++) {
-                    w.end(handle, launch, launch == 0 ? outcome : Outcome.ANSWERED);
+                for (int launch = 0; !handle.isComplete(); launch++) {
+                    w.end(handle, launch, launch == 0 ? outcome : Outcome.SUCCEEDED);
                 }
             }
         }
-        w.change(2, Double.NaN, Readiness.ACTIVE).pass(ago).fill(1);
+        w.change(2, Double.NaN, State.READY).pass(ago).fill(1);
         assertEquals(
                 w.did.stream()
                         .filter(did -> did.startsWith("launch") && did.endsWith(" 1"))
@@ -593,17 +602,19 @@
      */
     @Test
     public void goesOnWithWhatAnotherLearned() {
-        World old = World.of(Effect.IDEMPOTENT, Group.ALL).list(2);
+        SimulatedWorld old =
+                SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).list(2);
         for (int i = 0; i < 40; i++) {
             old.did.clear();
-            Policy.Handle handle = old.take(0.2);
+            Policy.RequestHandle handle = old.take(0.2);
             boolean slow = old.lastWorker() == 1;
-            handle.started(0);
+            handle.onStarted(0);
             old.pass(slow ? 1 : 0.2);
-            old.end(handle, 0, Outcome.ANSWERED);
+            old.end(handle, 0, Outcome.SUCCEEDED);
         }
-        World knows = World.of(Effect.IDEMPOTENT, Group.ALL).list(2).pass(5);
-        knows.policy.learn(old.policy.learned());
+        SimulatedWorld knows =
+                SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).list(2).pass(5);
+        knows.policy.importState(old.policy.exportState());
         long slowByOne = 0;
         for (int i = 0; i < 10; i++) {
             slowByOne += knows.pass(2).serve(0.2, 0.2) == 1 ? 1 : 0;
@@ -614,11 +625,13 @@
     /** Failures go along: a worker on probation at the old process is no fresh one to the new. */
     @Test
     public void goesOnWithAnothersDoubts() {
-        World old = World.of(Effect.IDEMPOTENT, Group.ALL).list(2);
-        old.launchesToBad(3, 0.2, worker -> true, Outcome.ERRED);
-        assertEquals(old.policy.avoided(), 2);
-        World next = World.of(Effect.IDEMPOTENT, Group.ALL).list(2);
-        next.policy.learn(old.policy.learned());
-        assertEquals(next.policy.avoided(), 2);
+        SimulatedWorld old =
+                SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).list(2);
+        old.launchesToBad(3, 0.2, worker -> true, Outcome.FAILED);
+        assertEquals(old.policy.avoidedEndpoints(), 2);
+        SimulatedWorld next =
+                SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).list(2);
+        next.policy.importState(old.policy.exportState());
+        assertEquals(next.policy.avoidedEndpoints(), 2);
     }
 }
--- a/daemon/src/test/java/wheelroute/ConfigTest.java
+++ b/daemon/src/test/java/wheelroute/ConfigTest.java
@@ -17,13 +17,13 @@
 import wheelroute.config.Config;
 import wheelroute.config.ConfigException;
 import wheelroute.config.ConfigReader;
-import wheelroute.config.Peering;
+import wheelroute.config.PeeringConfig;
 import wheelroute.config.SettingsReader;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 import wheelroute.decision.Ids;
 import wheelroute.decision.Settings;
-import wheelroute.net.list.WorkerList;
+import wheelroute.net.discovery.EndpointList;
 
 /** What a dispatcher is told at its start, read from the environment and its file. */
 public class ConfigTest {
@@ -75,13 +75,17 @@
         assertEquals(config.longestOuterLimit(), 20.0);
         assertEquals(config.settings().seed(), 0x8c1f30d27a5be964L);
         assertEquals(config.settings().zone(), new Ids.Zone("west"));
-        assertEquals(config.settings().progressEvery(), 1.0);
-        assertTrue(config.settings().listMustBeAsked());
+        assertEquals(config.settings().progressInterval(), 1.0);
+        assertTrue(config.settings().watchesEndpoints());
         assertTrue(config.settings().mayCancel());
-        assertEquals(config.settings().offerings().get(0).stretch(), 1.75);
-        assertEquals(config.settings().offerings().get(1).effect(), Effect.DEDUPLICATED);
-        assertEquals(config.settings().offerings().get(1).group(), Group.CELL);
-        assertEquals(config.settings().offerings().get(1).model(), new Ids.Model("slow"));
+        assertEquals(config.settings().requestClasses().get(0).objectivePerWork(), 1.75);
+        assertEquals(
+                config.settings().requestClasses().get(1).idempotency(),
+                Idempotency.IDEMPOTENT_BY_KEY);
+        assertEquals(
+                config.settings().requestClasses().get(1).idempotencyScope(),
+                IdempotencyScope.CELL);
+        assertEquals(config.settings().requestClasses().get(1).model(), new Ids.Model("slow"));
         assertEquals(config.settings().quotas(), Map.of(new Ids.Tenant("t"), 28.0));
         assertEquals(
                 new String(config.known(), StandardCharsets.UTF_8),
@@ -105,7 +109,8 @@
                                 Map.of())
                         .peers(),
                 null);
-        Peering peers = read(two.replace("'settings'", PEERING + "'settings'"), Map.of()).peers();
+        PeeringConfig peers =
+                read(two.replace("'settings'", PEERING + "'settings'"), Map.of()).peers();
         assertEquals(peers.number(), 1);
         assertEquals(peers.cluster(), "x");
         assertEquals(peers.addresses().get(1).getPort(), 8);
@@ -177,9 +182,9 @@
                                             .replace("'name':'t'", "'name':'" + name + "'"),
                                     Map.of())
                             .settings();
-            assertEquals(settings.offerings().get(0).id().name(), name);
+            assertEquals(settings.requestClasses().get(0).id().name(), name);
             assertEquals(settings.quotas().keySet().iterator().next().name(), name);
-            assertEquals(settings.offerings().size(), 2);
+            assertEquals(settings.requestClasses().size(), 2);
         }
     }
 
@@ -311,22 +316,25 @@
         assertEquals(config.idleLimit(), 60.0);
         assertEquals(config.longestOuterLimit(), 20.0);
         assertEquals(config.settings().zone(), new Ids.Zone("west"));
-        assertEquals(config.settings().offerings().get(0).effect(), Effect.IDEMPOTENT);
-        assertEquals(config.settings().offerings().get(0).quoted(), 0.2);
-        assertEquals(config.settings().offerings().get(1).group(), Group.ZONE);
-        assertEquals(config.settings().offerings().get(1).window(), 30.0);
+        assertEquals(
+                config.settings().requestClasses().get(0).idempotency(), Idempotency.IDEMPOTENT);
+        assertEquals(config.settings().requestClasses().get(0).latencyObjective(), 0.2);
+        assertEquals(
+                config.settings().requestClasses().get(1).idempotencyScope(),
+                IdempotencyScope.ZONE);
+        assertEquals(config.settings().requestClasses().get(1).idempotencyWindow(), 30.0);
         assertEquals(config.settings().quotas(), Map.of(new Ids.Tenant("t"), 28.0));
-        assertTrue(config.settings().listMustBeAsked());
-        assertFalse(config.settings().goneIsAdvice());
+        assertTrue(config.settings().watchesEndpoints());
+        assertFalse(config.settings().removalIsAdvisory());
         Config ordered =
                 readToml(
                         TOML.replace("[terms]", "[terms]\nkey_rest = 0.2\ngone_is_advice = true")
                                 .replace("window = 30", "window = 30\nin_turn = true"));
-        assertTrue(ordered.settings().goneIsAdvice());
-        assertEquals(ordered.settings().keyRest(), 0.2);
-        assertFalse(ordered.settings().offerings().get(0).inTurn());
-        assertTrue(ordered.settings().offerings().get(1).inTurn());
-        assertEquals(WorkerList.decode(config.known()).entries().get(0).id(), "w1");
+        assertTrue(ordered.settings().removalIsAdvisory());
+        assertEquals(ordered.settings().keyQuietPeriod(), 0.2);
+        assertFalse(ordered.settings().requestClasses().get(0).ordered());
+        assertTrue(ordered.settings().requestClasses().get(1).ordered());
+        assertEquals(EndpointList.decode(config.known()).entries().get(0).id(), "w1");
     }
 
     @DataProvider
--- a/daemon/src/test/java/wheelroute/DescriptorsTest.java
+++ b/daemon/src/test/java/wheelroute/DescriptorsTest.java
@@ -95,12 +95,12 @@
     private int worker(BlockingQueue<Integer> heard) throws IOException {
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         open.add(server);
-        Life.start(
+        ProcessLifetime.start(
                 () -> {
                     while (true) {
                         Socket socket = server.accept();
                         open.add(socket);
-                        Life.start(
+                        ProcessLifetime.start(
                                 () -> {
                                     while (true) {
                                         String id =
@@ -225,12 +225,12 @@
         server.setReuseAddress(true);
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
         AtomicInteger answers = new AtomicInteger();
-        Life.start(
+        ProcessLifetime.start(
                 () -> {
                     while (true) {
                         Socket socket = server.accept();
                         open.add(socket);
-                        Life.start(
+                        ProcessLifetime.start(
                                 () -> {
                                     while (true) {
                                         calls.add(head(socket.getInputStream()));
--- a/daemon/src/test/java/wheelroute/IdsTest.java
+++ b/daemon/src/test/java/wheelroute/IdsTest.java
@@ -12,10 +12,14 @@
     @DataProvider
     public Object[][] kinds() {
         return new Object[][] {
-            {new Ids.Submission(1L << 40), new Ids.Submission(1L << 40), new Ids.Submission(1)},
+            {new Ids.Request(1L << 40), new Ids.Request(1L << 40), new Ids.Request(1)},
             {new Ids.Worker(3), new Ids.Worker(3), new Ids.Worker(4)},
             {new Ids.Cell(3), new Ids.Cell(3), new Ids.Cell(4)},
-            {new Ids.Offering("a"), new Ids.Offering(new String("a")), new Ids.Offering("b")},
+            {
+                new Ids.RequestClass("a"),
+                new Ids.RequestClass(new String("a")),
+                new Ids.RequestClass("b")
+            },
             {new Ids.Tenant("a"), new Ids.Tenant(new String("a")), new Ids.Tenant("b")},
             {new Ids.Zone("a"), new Ids.Zone(new String("a")), new Ids.Zone("b")},
             {new Ids.Model("a"), new Ids.Model(new String("a")), new Ids.Model("b")},
--- a/daemon/src/test/java/wheelroute/OrderTest.java
+++ b/daemon/src/test/java/wheelroute/OrderTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 import wheelroute.decision.Outcome;
 import wheelroute.decision.Policy;
 
@@ -20,25 +20,25 @@
  */
 public class OrderTest {
     private static final double QUOTED = 1;
-    private World.Given given;
+    private SimulatedWorld.Given given;
 
     @BeforeMethod
     public void plainSettings() {
-        given = new World.Given();
+        given = new SimulatedWorld.Given();
         given.inTurn = true;
-        given.effect = Effect.UNREPEATABLE;
+        given.effect = Idempotency.NON_IDEMPOTENT;
     }
 
-    private World world() {
-        return new World(given).list(4);
+    private SimulatedWorld world() {
+        return new SimulatedWorld(given).list(4);
     }
 
-    private static Policy.Handle take(World w, String key) {
+    private static Policy.RequestHandle take(SimulatedWorld w, String key) {
         return take(w, "job", key);
     }
 
-    private static Policy.Handle take(World w, String offering, String key) {
-        return w.take(offering, "t", 0.1, w.now + World.LIMIT, key);
+    private static Policy.RequestHandle take(SimulatedWorld w, String offering, String key) {
+        return w.take(offering, "t", 0.1, w.now + SimulatedWorld.LIMIT, key);
     }
 
     @DataProvider
@@ -57,7 +57,7 @@
     @Test(dataProvider = "neighbours")
     public void whoWaitsForWhom(String offering, String key, boolean inTurn, boolean atOnce) {
         given.inTurn = inTurn;
-        World w = world();
+        SimulatedWorld w = world();
         take(w, "a");
         take(w, offering, key);
         assertEquals(w.count("launch"), atOnce ? 2 : 1);
@@ -67,56 +67,56 @@
     public Object[][] ends() {
         return new Object[][] {
             // how the first one's only launch ended, how long the key rests after it
-            {Outcome.ANSWERED, 0.0},
-            {Outcome.ERRED, 0.0},
-            {Outcome.UNUSABLE, 0.0},
+            {Outcome.SUCCEEDED, 0.0},
+            {Outcome.FAILED, 0.0},
+            {Outcome.INVALID_REQUEST, 0.0},
             {Outcome.TIMED_OUT, 0.2},
-            {Outcome.BROKEN_OFF, 0.2},
+            {Outcome.CONNECTION_LOST, 0.2},
             {Outcome.CANCELLED, 0.2},
-            {Outcome.STALE, 0.2},
+            {Outcome.STALE_CONNECTION, 0.2},
             {Outcome.UNKNOWN, 0.2},
         };
     }
 
     @Test(dataProvider = "ends")
     public void theNextGoesWhenTheFirstIsOverAndItsKeyHasRested(Outcome outcome, double rest) {
-        World w = world();
-        Policy.Handle first = take(w, "a");
+        SimulatedWorld w = world();
+        Policy.RequestHandle first = take(w, "a");
         take(w, "a");
         w.pass(0.1).end(first, 0, outcome);
-        assertTrue(first.isOver());
+        assertTrue(first.isComplete());
         assertEquals(w.count("launch"), rest > 0 ? 1 : 2, w.did.toString());
-        w.pass(0.19).policy.woken();
+        w.pass(0.19).policy.onWakeup();
         assertEquals(w.count("launch"), rest > 0 ? 1 : 2, w.did.toString());
-        w.pass(0.02).policy.woken();
+        w.pass(0.02).policy.onWakeup();
         assertEquals(w.count("launch"), 2, w.did.toString());
     }
 
     /** A rest also holds for one that is taken while it lasts, and nothing else has to wake it. */
     @Test
     public void aRestIsKeptByWhoComesIntoItAndEndsByItself() {
-        World w = world();
-        Policy.Handle first = take(w, "a");
-        w.end(first, 0, Outcome.BROKEN_OFF);
+        SimulatedWorld w = world();
+        Policy.RequestHandle first = take(w, "a");
+        w.end(first, 0, Outcome.CONNECTION_LOST);
         w.pass(0.05);
         take(w, "a");
         assertEquals(w.count("launch"), 1);
         assertEquals(w.wakes.get(w.wakes.size() - 1), w.now + 0.15, 1e-9);
-        w.pass(0.15 + 1e-6).policy.woken();
+        w.pass(0.15 + 1e-6).policy.onWakeup();
         assertEquals(w.count("launch"), 2);
     }
 
     /** However many rests there are, each has one wake: they must not call for one another. */
     @Test
     public void wakesDoNotMultiply() {
-        World w = world();
+        SimulatedWorld w = world();
         for (int i = 0; i < 10; i++) {
-            w.end(take(w, "key" + i), 0, Outcome.BROKEN_OFF);
+            w.end(take(w, "key" + i), 0, Outcome.CONNECTION_LOST);
             take(w, "key" + i);
         }
         w.wakes.clear();
         for (int i = 0; i < 19; i++) {
-            w.pass(0.01).policy.woken();
+            w.pass(0.01).policy.onWakeup();
         }
         assertTrue(w.wakes.size() <= 4, w.wakes.toString());
     }
@@ -124,43 +124,43 @@
     /** The one whose turn it is may be tried again and copied as ever. */
     @Test
     public void theFirstGoesOnWithoutARest() {
-        given.effect = Effect.IDEMPOTENT;
-        World w = world();
-        Policy.Handle first = take(w, "a");
+        given.effect = Idempotency.IDEMPOTENT;
+        SimulatedWorld w = world();
+        Policy.RequestHandle first = take(w, "a");
         take(w, "a");
-        w.end(first, 0, Outcome.BROKEN_OFF);
+        w.end(first, 0, Outcome.CONNECTION_LOST);
         assertEquals(w.count("launch 1 "), 2, w.did.toString());
-        w.end(first, 1, Outcome.ANSWERED);
-        w.pass(0.19).policy.woken();
+        w.end(first, 1, Outcome.SUCCEEDED);
+        w.pass(0.19).policy.onWakeup();
         assertEquals(w.count("launch 2 "), 0, "the break of its first launch still counts");
-        w.pass(0.02).policy.woken();
+        w.pass(0.02).policy.onWakeup();
         assertEquals(w.count("launch 2 "), 1);
     }
 
     /** A client that leaves is done with, but its key is not free before its launch has ended. */
     @Test
     public void aClientThatLeavesGivesUpItsPlace() {
-        World w = world();
-        Policy.Handle first = take(w, "a");
-        Policy.Handle second = take(w, "a");
+        SimulatedWorld w = world();
+        Policy.RequestHandle first = take(w, "a");
+        Policy.RequestHandle second = take(w, "a");
         take(w, "a");
-        second.gone();
-        assertTrue(second.isOver());
-        first.gone();
+        second.onClientGone();
+        assertTrue(second.isComplete());
+        first.onClientGone();
         assertEquals(w.last(), "cancel 1 0");
-        w.pass(0.1).policy.woken();
+        w.pass(0.1).policy.onWakeup();
         assertEquals(w.count("launch"), 1);
         w.end(first, 0, Outcome.CANCELLED);
-        w.pass(0.21).policy.woken();
+        w.pass(0.21).policy.onWakeup();
         assertEquals(w.last().substring(0, 8), "launch 3", w.did.toString());
     }
 
     /** A line longer than the quoted time lasts: the last ones hear at once, and when to come. */
     @Test
     public void whoCannotBeInTimeIsToldAtOnce() {
-        World w = world();
+        SimulatedWorld w = world();
         for (int i = 0; i < 30; i++) {
-            w.take("job", "t", 0.2, w.now + World.LIMIT, "a");
+            w.take("job", "t", 0.2, w.now + SimulatedWorld.LIMIT, "a");
         }
         long told = w.count("bounce");
         assertTrue(told >= 20, "told " + told);
@@ -176,12 +176,12 @@
     @Test
     public void whatIsWorthLessGivesWay() {
         given.patientValue = 0.1;
-        World w = world();
-        w.take("job", "t", 0.5, w.now + World.LIMIT, "a");
-        Policy.Handle lesser = w.take("patient", "t", 3, w.now + World.LIMIT, "a");
-        Policy.Handle more = w.take("job", "t", 0.1, w.now + World.LIMIT, "a");
-        assertTrue(lesser.isOver());
-        assertFalse(more.isOver());
+        SimulatedWorld w = world();
+        w.take("job", "t", 0.5, w.now + SimulatedWorld.LIMIT, "a");
+        Policy.RequestHandle lesser = w.take("patient", "t", 3, w.now + SimulatedWorld.LIMIT, "a");
+        Policy.RequestHandle more = w.take("job", "t", 0.1, w.now + SimulatedWorld.LIMIT, "a");
+        assertTrue(lesser.isComplete());
+        assertFalse(more.isComplete());
         assertEquals(w.did.get(w.did.size() - 1), "bounce 2");
     }
 
@@ -193,30 +193,30 @@
     /** The head never reports: whoever waits is answered before its own outer limit, once. */
     @Test(dataProvider = "limits")
     public void whoWaitsIsAnsweredBeforeItsLimit(double limit) {
-        World w = world();
+        SimulatedWorld w = world();
         take(w, "a");
         double end = w.now + limit;
-        Policy.Handle waits = w.take("job", "t", 0.1, end, "a");
-        while (!waits.isOver() && w.now < end) {
-            w.pass(0.1).policy.woken();
+        Policy.RequestHandle waits = w.take("job", "t", 0.1, end, "a");
+        while (!waits.isComplete() && w.now < end) {
+            w.pass(0.1).policy.onWakeup();
         }
-        assertTrue(waits.isOver() && w.now < end, "answered by " + w.now + " of " + end);
-        waits.outOfTime();
-        waits.gone();
+        assertTrue(waits.isComplete() && w.now < end, "answered by " + w.now + " of " + end);
+        waits.onDeadline();
+        waits.onClientGone();
         assertEquals(w.count("bounce"), 1, w.did.toString());
     }
 
     /** A driver whose timer is late tells it so itself; its place is free at once. */
     @Test
     public void theDriverMayEndWhatWaits() {
-        World w = world();
-        Policy.Handle first = take(w, "a");
-        Policy.Handle second = take(w, "a");
+        SimulatedWorld w = world();
+        Policy.RequestHandle first = take(w, "a");
+        Policy.RequestHandle second = take(w, "a");
         take(w, "a");
-        second.outOfTime();
-        first.outOfTime();
+        second.onDeadline();
+        first.onDeadline();
         assertEquals(w.count("bounce"), 1, "the first has a launch out, whose end comes");
-        w.end(first, 0, Outcome.ANSWERED);
+        w.end(first, 0, Outcome.SUCCEEDED);
         assertEquals(w.last().substring(0, 8), "launch 3");
     }
 
@@ -225,9 +225,9 @@
     public void randomHistoriesKeepTheRule() {
         for (int seed = 0; seed < 20; seed++) {
             Random random = new Random(seed);
-            given.effect = Effect.values()[seed % 3];
-            World w = world();
-            List<Policy.Handle> handles = new ArrayList<>();
+            given.effect = Idempotency.values()[seed % 3];
+            SimulatedWorld w = world();
+            List<Policy.RequestHandle> handles = new ArrayList<>();
             List<Integer> keys = new ArrayList<>();
             List<List<Integer>> out = new ArrayList<>();
             double[] rest = new double[3];
@@ -242,7 +242,7 @@
                 } else if (!handles.isEmpty() && !out.get(pick).isEmpty()) {
                     Outcome outcome =
                             random.nextInt(3) > 0
-                                    ? Outcome.ANSWERED
+                                    ? Outcome.SUCCEEDED
                                     : Outcome.values()[random.nextInt(Outcome.values().length)];
                     int number = out.get(pick).remove(0);
                     if (outcome.mayStillRun()) {
@@ -251,7 +251,7 @@
                     }
                     w.end(handles.get(pick), number, outcome);
                 } else {
-                    w.policy.woken();
+                    w.policy.onWakeup();
                 }
                 for (; seen < w.did.size(); seen++) {
                     String[] words = w.did.get(seen).split(" ");
@@ -269,7 +269,7 @@
                         for (int other = 0; other < id; other++) {
                             assertTrue(
                                     !keys.get(other).equals(keys.get(id))
-                                            || handles.get(other).isOver(),
+                                            || handles.get(other).isComplete(),
                                     "seed " + seed + ": " + id + " before " + other + " was over");
                         }
                         assertTrue(
--- a/daemon/src/test/java/wheelroute/Life.java
+++ b/daemon/src/test/java/wheelroute/ProcessLifetime.java
@@ -4,10 +4,10 @@
  * What a stand-in of a test does on a thread of its own, until its peer has gone or the case is
  * over.
  */
-public interface Life {
+public interface ProcessLifetime {
     void run() throws Exception;
 
-    static void start(Life life) {
+    static void start(ProcessLifetime life) {
         Thread thread =
                 new Thread(
                         () -> {
--- a/daemon/src/test/java/wheelroute/RulesTest.java
+++ b/daemon/src/test/java/wheelroute/RulesTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
-import wheelroute.decision.Listing.Readiness;
+import wheelroute.decision.Endpoint.State;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 import wheelroute.decision.Outcome;
 import wheelroute.decision.Policy;
 
@@ -20,42 +20,50 @@
     public Object[][] afterOneOutcome() {
         return new Object[][] {
             // effect, group, outcome, what follows while other workers are there
-            {Effect.IDEMPOTENT, Group.CELL, Outcome.ERRED, "launch"},
-            {Effect.IDEMPOTENT, Group.CELL, Outcome.BROKEN_OFF, "launch"},
-            {Effect.IDEMPOTENT, Group.CELL, Outcome.TURNED_AWAY, "launch"},
-            {Effect.IDEMPOTENT, Group.CELL, Outcome.ANSWERED, "launch"},
-            {Effect.IDEMPOTENT, Group.CELL, Outcome.UNUSABLE, "scrap"},
-            {Effect.DEDUPLICATED, Group.ALL, Outcome.UNUSABLE, "scrap"},
-            {Effect.DEDUPLICATED, Group.CELL, Outcome.ERRED, "launch"},
-            {Effect.DEDUPLICATED, Group.ALL, Outcome.UNKNOWN, "launch"},
-            {Effect.UNREPEATABLE, Group.CELL, Outcome.TURNED_AWAY, "launch"},
-            {Effect.UNREPEATABLE, Group.CELL, Outcome.UNCONNECTED, "launch"},
-            {Effect.UNREPEATABLE, Group.CELL, Outcome.NEVER_SENT, "launch"},
-            {Effect.UNREPEATABLE, Group.CELL, Outcome.ERRED, "scrap"},
-            {Effect.UNREPEATABLE, Group.CELL, Outcome.TIMED_OUT, "scrap"},
-            {Effect.UNREPEATABLE, Group.CELL, Outcome.BROKEN_OFF, "scrap"},
-            {Effect.UNREPEATABLE, Group.CELL, Outcome.CANCELLED, "scrap"},
-            {Effect.UNREPEATABLE, Group.CELL, Outcome.STALE, "scrap"},
-            {Effect.DEDUPLICATED, Group.CELL, Outcome.STALE, "launch"},
-            {Effect.UNREPEATABLE, Group.CELL, Outcome.UNKNOWN, "scrap"},
+            {Idempotency.IDEMPOTENT, IdempotencyScope.CELL, Outcome.FAILED, "launch"},
+            {Idempotency.IDEMPOTENT, IdempotencyScope.CELL, Outcome.CONNECTION_LOST, "launch"},
+            {Idempotency.IDEMPOTENT, IdempotencyScope.CELL, Outcome.REJECTED, "launch"},
+            {Idempotency.IDEMPOTENT, IdempotencyScope.CELL, Outcome.SUCCEEDED, "launch"},
+            {Idempotency.IDEMPOTENT, IdempotencyScope.CELL, Outcome.INVALID_REQUEST, "scrap"},
+            {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.ALL, Outcome.INVALID_REQUEST, "scrap"},
+            {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.CELL, Outcome.FAILED, "launch"},
+            {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.ALL, Outcome.UNKNOWN, "launch"},
+            {Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL, Outcome.REJECTED, "launch"},
+            {Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL, Outcome.CONNECT_FAILED, "launch"},
+            {Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL, Outcome.NOT_SENT, "launch"},
+            {Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL, Outcome.FAILED, "scrap"},
+            {Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL, Outcome.TIMED_OUT, "scrap"},
+            {Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL, Outcome.CONNECTION_LOST, "scrap"},
+            {Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL, Outcome.CANCELLED, "scrap"},
+            {Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL, Outcome.STALE_CONNECTION, "scrap"},
+            {
+                Idempotency.IDEMPOTENT_BY_KEY,
+                IdempotencyScope.CELL,
+                Outcome.STALE_CONNECTION,
+                "launch"
+            },
+            {Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL, Outcome.UNKNOWN, "scrap"},
         };
     }
 
     @Test(dataProvider = "afterOneOutcome")
-    public void whatFollowsAnOutcome(Effect effect, Group group, Outcome outcome, String expected) {
-        World w = World.of(effect, group).list(4);
-        Policy.Handle handle = w.take(0.1);
+    public void whatFollowsAnOutcome(
+            Idempotency effect, IdempotencyScope group, Outcome outcome, String expected) {
+        SimulatedWorld w = SimulatedWorld.of(effect, group).list(4);
+        Policy.RequestHandle handle = w.take(0.1);
         w.pass(0.1).end(handle, 0, outcome);
         assertTrue(w.last().startsWith(expected), w.did.toString());
-        int launches = outcome == Outcome.ANSWERED || expected.equals("scrap") ? 1 : 2;
+        int launches = outcome == Outcome.SUCCEEDED || expected.equals("scrap") ? 1 : 2;
         assertEquals(w.count("launch"), launches, w.did.toString());
-        assertEquals(handle.isOver(), launches == 1);
+        assertEquals(handle.isComplete(), launches == 1);
     }
 
     @DataProvider
     public Object[][] blames() {
         return new Object[][] {
-            {Outcome.ERRED, true}, {Outcome.UNUSABLE, false}, {Outcome.STALE, false}
+            {Outcome.FAILED, true},
+            {Outcome.INVALID_REQUEST, false},
+            {Outcome.STALE_CONNECTION, false}
         };
     }
 
@@ -64,7 +72,7 @@
      */
     @Test(dataProvider = "blames")
     public void onlyAWorkersOwnFaultIsHeldAgainstIt(Outcome outcome, boolean blamed) {
-        World w = new World(new World.Given()).list(2);
+        SimulatedWorld w = new SimulatedWorld(new SimulatedWorld.Given()).list(2);
         assertEquals(w.launchesToBad(12, 0.1, worker -> worker == 1, outcome) <= 3, blamed);
     }
 
@@ -73,11 +81,11 @@
         return new Object[][] {
             // group, seconds from the send to the error, second outcome, final word, launches in
             // all
-            {Group.CELL, 0.1, Outcome.ERRED, "scrap", 3},
-            {Group.ZONE, 0.1, Outcome.ERRED, "scrap", 4},
-            {Group.ALL, 0.1, Outcome.ERRED, "bounce", 6},
-            {Group.CELL, 4.6, Outcome.ERRED, "scrap", 1},
-            {Group.ALL, 4.6, Outcome.ERRED, "bounce", 1},
+            {IdempotencyScope.CELL, 0.1, Outcome.FAILED, "scrap", 3},
+            {IdempotencyScope.ZONE, 0.1, Outcome.FAILED, "scrap", 4},
+            {IdempotencyScope.ALL, 0.1, Outcome.FAILED, "bounce", 6},
+            {IdempotencyScope.CELL, 4.6, Outcome.FAILED, "scrap", 1},
+            {IdempotencyScope.ALL, 4.6, Outcome.FAILED, "bounce", 1},
         };
     }
 
@@ -87,22 +95,22 @@
      */
     @Test(dataProvider = "repeats")
     public void repeatsStayInTheirGroupAndWindow(
-            Group group, double after, Outcome outcome, String end, int most) {
-        World.Given given = new World.Given();
-        given.effect = Effect.DEDUPLICATED;
+            IdempotencyScope group, double after, Outcome outcome, String end, int most) {
+        SimulatedWorld.Given given = new SimulatedWorld.Given();
+        given.effect = Idempotency.IDEMPOTENT_BY_KEY;
         given.group = group;
         given.window = 5;
-        World w = new World(given).list(4);
-        Policy.Handle handle = w.take(0.1);
+        SimulatedWorld w = new SimulatedWorld(given).list(4);
+        Policy.RequestHandle handle = w.take(0.1);
         final long first = w.lastWorker();
         w.pass(after);
         int launch = 0;
-        while (!handle.isOver()) {
+        while (!handle.isComplete()) {
             w.end(handle, launch++, outcome);
-            if (group == Group.CELL && w.lastWorker() > 0) {
+            if (group == IdempotencyScope.CELL && w.lastWorker() > 0) {
                 assertEquals(w.lastWorker() < 3, first < 3, "a repeat left its cell");
             }
-            if (group == Group.ZONE && w.lastWorker() > 0) {
+            if (group == IdempotencyScope.ZONE && w.lastWorker() > 0) {
                 assertEquals(w.lastWorker() == 4, first == 4, "a repeat left its zone");
             }
         }
@@ -126,50 +134,54 @@
     @Test(dataProvider = "deadEnds")
     public void givesOneAnswerAtOnceAndNothingAfter(
             int listed, double left, int allowed, int made) {
-        World.Given given = new World.Given();
+        SimulatedWorld.Given given = new SimulatedWorld.Given();
         given.mostLaunches = allowed;
-        World w = new World(given).list(listed);
-        Policy.Handle handle = w.take(0.1, w.now + left);
-        for (int i = 0; !handle.isOver(); i++) {
-            w.end(handle, i, Outcome.TURNED_AWAY);
+        SimulatedWorld w = new SimulatedWorld(given).list(listed);
+        Policy.RequestHandle handle = w.take(0.1, w.now + left);
+        for (int i = 0; !handle.isComplete(); i++) {
+            w.end(handle, i, Outcome.REJECTED);
         }
         assertEquals(w.count("launch"), made);
         assertEquals(w.count("bounce"), 1);
-        handle.gone();
-        w.end(handle, 0, Outcome.ERRED);
+        handle.onClientGone();
+        w.end(handle, 0, Outcome.FAILED);
         assertEquals(w.count(""), made + 1, w.did.toString());
     }
 
     @Test
     public void theOuterLimitEndsItWithOneAnswer() {
-        World w = World.of(Effect.UNREPEATABLE, Group.CELL).list(4);
-        Policy.Handle handle = w.take(0.1);
-        w.pass(World.LIMIT).end(handle, 0, Outcome.TIMED_OUT);
+        SimulatedWorld w =
+                SimulatedWorld.of(Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL).list(4);
+        Policy.RequestHandle handle = w.take(0.1);
+        w.pass(SimulatedWorld.LIMIT).end(handle, 0, Outcome.TIMED_OUT);
         assertEquals(w.count("scrap"), 1);
-        assertTrue(handle.isOver());
+        assertTrue(handle.isComplete());
     }
 
     @Test
     public void aStartedStreamIsLeftAlone() {
-        World.Given given = new World.Given();
-        World w = new World(given).list(4);
-        Policy.Handle handle = w.take(0.1);
-        handle.streaming(0);
+        SimulatedWorld.Given given = new SimulatedWorld.Given();
+        SimulatedWorld w = new SimulatedWorld(given).list(4);
+        Policy.RequestHandle handle = w.take(0.1);
+        handle.onStreaming(0);
         for (int i = 0; i < 50; i++) {
-            w.pass(0.5).policy.woken();
+            w.pass(0.5).policy.onWakeup();
         }
         assertEquals(w.count("launch"), 1);
-        assertFalse(handle.isOver());
+        assertFalse(handle.isComplete());
     }
 
     @DataProvider
     public Object[][] listNews() {
-        return new Object[][] {{Readiness.LEAVING}, {Readiness.GONE}};
+        return new Object[][] {{State.DRAINING}, {State.REMOVED}};
     }
 
     @Test(dataProvider = "listNews")
-    public void nothingGoesToAWorkerThatDrainsOrIsGone(Readiness readiness) {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(2).change(1, Double.NaN, readiness);
+    public void nothingGoesToAWorkerThatDrainsOrIsGone(State readiness) {
+        SimulatedWorld w =
+                SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL)
+                        .list(2)
+                        .change(1, Double.NaN, readiness);
         for (int i = 0; i < 20; i++) {
             w.take(0.01);
             assertEquals(w.lastWorker(), 2);
@@ -178,7 +190,8 @@
 
     @Test
     public void aWholeListDropsWhoIsNotInIt() {
-        World w = World.of(Effect.IDEMPOTENT, Group.CELL).list(4).list(1);
+        SimulatedWorld w =
+                SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(4).list(1);
         w.take(0.1);
         assertEquals(w.lastWorker(), 1);
         w.list(0).take(0.1);
@@ -187,10 +200,10 @@
 
     @Test
     public void theListIsAskedForWhereItMustBe() {
-        World.Given given = new World.Given();
-        assertEquals(new World(given).count("watch"), 0);
+        SimulatedWorld.Given given = new SimulatedWorld.Given();
+        assertEquals(new SimulatedWorld(given).count("watch"), 0);
         given.mustAsk = true;
-        assertEquals(new World(given).count("watch"), 1);
+        assertEquals(new SimulatedWorld(given).count("watch"), 1);
     }
 
     @DataProvider
@@ -210,18 +223,18 @@
     @Test(dataProvider = "coldBudgets")
     public void aColdWorkerGetsNoMoreThanOurShare(
             int dispatchers, int processes, double age, double work, double most) {
-        World.Given given = new World.Given();
+        SimulatedWorld.Given given = new SimulatedWorld.Given();
         given.dispatchers = dispatchers;
-        World w = new World(given);
-        w.policy.sharedBy(processes);
-        w.change(1, w.now - age, Readiness.ACTIVE);
+        SimulatedWorld w = new SimulatedWorld(given);
+        w.policy.setProcessCount(processes);
+        w.change(1, w.now - age, State.READY);
         double sent = 0;
         for (int i = 0; i < 100; i++) {
-            Policy.Handle handle = w.take(work);
+            Policy.RequestHandle handle = w.take(work);
             if (w.lastWorker() == 1) {
                 sent += work;
                 // Turned away at once: refused work counts against the budget too.
-                w.end(handle, 0, Outcome.TURNED_AWAY);
+                w.end(handle, 0, Outcome.REJECTED);
             }
             w.pass(0.02);
         }
@@ -245,22 +258,22 @@
      */
     @Test(dataProvider = "carried")
     public void aColdWorkerIsTakenToCarryWhatOthersOfItsModelDo(int answers, int least, int most) {
-        World.Given given = new World.Given();
+        SimulatedWorld.Given given = new SimulatedWorld.Given();
         given.dispatchers = 10;
-        World w = new World(given).list(2);
+        SimulatedWorld w = new SimulatedWorld(given).list(2);
         for (int i = 0; i < answers; i++) {
             w.serve(0.3, 0.3);
         }
-        w.change(2, Double.NaN, Readiness.GONE).change(1, w.now - 0.1, Readiness.ACTIVE);
+        w.change(2, Double.NaN, State.REMOVED).change(1, w.now - 0.1, State.READY);
         double sent = 0;
         for (int i = 0; i < 100; i++) {
             w.did.clear();
-            Policy.Handle handle = w.take(0.02);
+            Policy.RequestHandle handle = w.take(0.02);
             if (w.lastWorker() == 1) {
                 sent += 0.02;
                 // Its client leaves, so that neither a queue nor a rest of the worker's stands in
                 // the way.
-                handle.gone();
+                handle.onClientGone();
                 w.end(handle, 0, Outcome.CANCELLED);
             }
             w.pass(0.02);
@@ -276,21 +289,21 @@
      */
     @Test
     public void manyDispatchersTakeTurnsAtAColdWorker() {
-        List<World> all = new ArrayList<>();
+        List<SimulatedWorld> all = new ArrayList<>();
         for (int i = 0; i < 14; i++) {
-            World.Given given = new World.Given();
+            SimulatedWorld.Given given = new SimulatedWorld.Given();
             given.dispatchers = 14;
             given.position = i;
-            all.add(new World(given).change(1, World.START - 0.1, Readiness.ACTIVE));
+            all.add(new SimulatedWorld(given).change(1, SimulatedWorld.START - 0.1, State.READY));
         }
         List<double[]> sent = new ArrayList<>();
         for (double age = 0.1; age < 19; age += 0.1) {
-            for (World w : all) {
+            for (SimulatedWorld w : all) {
                 w.did.clear();
-                Policy.Handle handle = w.take(0.5);
+                Policy.RequestHandle handle = w.take(0.5);
                 if (w.lastWorker() == 1) {
                     sent.add(new double[] {age, 0.5});
-                    w.end(handle, 0, Outcome.TURNED_AWAY);
+                    w.end(handle, 0, Outcome.REJECTED);
                 }
                 w.pass(0.1);
             }
@@ -313,11 +326,11 @@
         return new Object[][] {
             // whether only a drain binds, what the list says of worker 1 in turn, whether it may be
             // sent to
-            {false, List.of(Readiness.GONE), false},
-            {true, List.of(Readiness.GONE), true},
-            {true, List.of(Readiness.LEAVING), false},
-            {true, List.of(Readiness.LEAVING, Readiness.GONE), false},
-            {true, List.of(Readiness.LEAVING, Readiness.ACTIVE, Readiness.GONE), true},
+            {false, List.of(State.REMOVED), false},
+            {true, List.of(State.REMOVED), true},
+            {true, List.of(State.DRAINING), false},
+            {true, List.of(State.DRAINING, State.REMOVED), false},
+            {true, List.of(State.DRAINING, State.READY, State.REMOVED), true},
             {false, List.of(), false},
             {true, List.of(), true},
         };
@@ -326,32 +339,32 @@
     /** Rule 3 where only a drain binds; no entry at all stands for a whole list without it. */
     @Test(dataProvider = "leavings")
     public void whoIsGoneMayBeSentToWhereOnlyADrainBinds(
-            boolean advice, List<Readiness> told, boolean may) {
-        World.Given given = new World.Given();
+            boolean advice, List<State> told, boolean may) {
+        SimulatedWorld.Given given = new SimulatedWorld.Given();
         given.goneIsAdvice = advice;
-        World w = new World(given).list(1);
+        SimulatedWorld w = new SimulatedWorld(given).list(1);
         if (told.isEmpty()) {
-            w.policy.listed(List.of(), true);
+            w.policy.onEndpoints(List.of(), true);
         }
         told.forEach(readiness -> w.change(1, Double.NaN, readiness));
-        Policy.Handle handle = w.pass(1).take(0.1);
+        Policy.RequestHandle handle = w.pass(1).take(0.1);
         assertEquals(w.count("launch"), may ? 1 : 0, w.did.toString());
         if (may) {
             // The first failure settles it.
-            w.end(handle, 0, Outcome.UNCONNECTED);
+            w.end(handle, 0, Outcome.CONNECT_FAILED);
             w.pass(5).take(0.1);
             assertEquals(w.count("launch"), 1, w.did.toString());
-            w.change(1, Double.NaN, Readiness.ACTIVE).pass(5).take(0.1);
+            w.change(1, Double.NaN, State.READY).pass(5).take(0.1);
             assertEquals(w.count("launch"), 2, w.did.toString());
         }
     }
 
     @Test
     public void noSecondCopyWhereForbidden() {
-        World.Given given = new World.Given();
+        SimulatedWorld.Given given = new SimulatedWorld.Given();
         given.mayCopy = false;
-        World w = new World(given).list(4).earnCopies();
-        Policy.Handle handle = w.take(0.1);
+        SimulatedWorld w = new SimulatedWorld(given).list(4).earnCopies();
+        Policy.RequestHandle handle = w.take(0.1);
         w.watch(40);
         assertEquals(w.count("launch"), 1);
         assertEquals(w.count("cancel"), 1, "the silent launch is called off first");
--- a/daemon/src/test/java/wheelroute/World.java
+++ b/daemon/src/test/java/wheelroute/SimulatedWorld.java
@@ -6,27 +6,27 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongPredicate;
-import wheelroute.decision.Dispatcher;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.Endpoint;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 import wheelroute.decision.Ids;
-import wheelroute.decision.Listing;
 import wheelroute.decision.LoadReport;
 import wheelroute.decision.Outcome;
 import wheelroute.decision.Policy;
+import wheelroute.decision.Request;
 import wheelroute.decision.Settings;
-import wheelroute.decision.Submission;
 
 /** One policy, what it did so far, and short ways to tell it what happens. */
-public final class World implements Dispatcher {
+public final class SimulatedWorld implements ActionHandler {
     static final double START = 100;
     static final double LIMIT = 10;
     private static final int MOST_TO_FILL = 40;
 
     /** The settings a case may vary, with plain values to start from. */
     public static final class Given {
-        public Effect effect = Effect.IDEMPOTENT;
-        Group group = Group.CELL;
+        public Idempotency effect = Idempotency.IDEMPOTENT;
+        IdempotencyScope group = IdempotencyScope.CELL;
         double window = 20;
         public boolean mayCopy = true;
         public boolean mustAsk;
@@ -49,8 +49,8 @@
                     position,
                     0.005,
                     List.of(
-                            new Settings.Offering(
-                                    new Ids.Offering("job"),
+                            new Settings.RequestClass(
+                                    new Ids.RequestClass("job"),
                                     effect,
                                     group,
                                     1,
@@ -60,8 +60,8 @@
                                     window,
                                     null,
                                     inTurn),
-                            new Settings.Offering(
-                                    new Ids.Offering("patient"),
+                            new Settings.RequestClass(
+                                    new Ids.RequestClass("patient"),
                                     effect,
                                     group,
                                     8,
@@ -105,9 +105,9 @@
     double now = START;
     private long lastId;
 
-    World(Given given) {
+    SimulatedWorld(Given given) {
         policy = new Policy(given.settings(), this);
-        policy.at(now);
+        policy.advanceTo(now);
     }
 
     /** A message's buffers as one text. */
@@ -119,16 +119,16 @@
         return text.toString();
     }
 
-    static World of(Effect effect, Group group) {
+    static SimulatedWorld of(Idempotency effect, IdempotencyScope group) {
         Given given = new Given();
         given.effect = effect;
         given.group = group;
-        return new World(given);
+        return new SimulatedWorld(given);
     }
 
-    static Listing worker(
-            long id, long cell, String zone, double startedAt, Listing.Readiness readiness) {
-        return new Listing(
+    static Endpoint worker(
+            long id, long cell, String zone, double startedAt, Endpoint.State readiness) {
+        return new Endpoint(
                 new Ids.Worker(id),
                 new Ids.Model("m"),
                 1,
@@ -142,62 +142,64 @@
      * Workers 1 and 2 share a cell; 3 shares their zone; 4 is elsewhere. The first so many are
      * listed.
      */
-    World list(int count) {
-        List<Listing> all =
+    SimulatedWorld list(int count) {
+        List<Endpoint> all =
                 List.of(
                         active(1, 1, "here"),
                         active(2, 1, "here"),
                         active(3, 2, "here"),
                         active(4, 3, "there"));
-        policy.listed(all.subList(0, count), true);
+        policy.onEndpoints(all.subList(0, count), true);
         return this;
     }
 
-    private static Listing active(long id, long cell, String zone) {
-        return worker(id, cell, zone, Double.NaN, Listing.Readiness.ACTIVE);
+    private static Endpoint active(long id, long cell, String zone) {
+        return worker(id, cell, zone, Double.NaN, Endpoint.State.READY);
     }
 
-    World change(long id, double startedAt, Listing.Readiness readiness) {
+    SimulatedWorld change(long id, double startedAt, Endpoint.State readiness) {
         String zone = id == 4 ? "there" : "here";
-        policy.listed(List.of(worker(id, id < 3 ? 1 : id - 1, zone, startedAt, readiness)), false);
+        policy.onEndpoints(
+                List.of(worker(id, id < 3 ? 1 : id - 1, zone, startedAt, readiness)), false);
         return this;
     }
 
-    World pass(double seconds) {
+    SimulatedWorld pass(double seconds) {
         now += seconds;
-        policy.at(now);
+        policy.advanceTo(now);
         return this;
     }
 
     /** Passes with a wake every tenth of a second. */
-    World watch(int wakes) {
+    SimulatedWorld watch(int wakes) {
         for (int i = 0; i < wakes; i++) {
-            pass(0.1).policy.woken();
+            pass(0.1).policy.onWakeup();
         }
         return this;
     }
 
-    Policy.Handle take(double hint) {
+    Policy.RequestHandle take(double hint) {
         return take(hint, now + LIMIT);
     }
 
-    Policy.Handle take(double hint, double outerLimit) {
+    Policy.RequestHandle take(double hint, double outerLimit) {
         return take("job", hint, outerLimit);
     }
 
-    Policy.Handle take(String offering, double hint, double outerLimit) {
+    Policy.RequestHandle take(String offering, double hint, double outerLimit) {
         return take(offering, "t", hint, outerLimit);
     }
 
-    Policy.Handle take(String offering, String tenant, double hint, double outerLimit) {
+    Policy.RequestHandle take(String offering, String tenant, double hint, double outerLimit) {
         return take(offering, tenant, hint, outerLimit, null);
     }
 
-    Policy.Handle take(String offering, String tenant, double hint, double outerLimit, String key) {
-        return policy.take(
-                new Submission(
-                        new Ids.Submission(++lastId),
-                        new Ids.Offering(offering),
+    Policy.RequestHandle take(
+            String offering, String tenant, double hint, double outerLimit, String key) {
+        return policy.accept(
+                new Request(
+                        new Ids.Request(++lastId),
+                        new Ids.RequestClass(offering),
                         new Ids.Tenant(tenant),
                         outerLimit,
                         hint,
@@ -207,23 +209,23 @@
                         key == null ? null : new Ids.Key(key)));
     }
 
-    void end(Policy.Handle handle, int launch, Outcome outcome) {
-        handle.ended(launch, outcome, outcome == Outcome.ANSWERED, LoadReport.NOTHING);
+    void end(Policy.RequestHandle handle, int launch, Outcome outcome) {
+        handle.onEnded(launch, outcome, outcome == Outcome.SUCCEEDED, LoadReport.NONE);
     }
 
     /** Runs one submission to its answer: taken, started at once, answered after so long. */
     long serve(double hint, double run) {
         did.clear();
-        Policy.Handle handle = take(hint);
+        Policy.RequestHandle handle = take(hint);
         final long worker = lastWorker();
-        handle.started(0);
+        handle.onStarted(0);
         pass(run);
-        end(handle, 0, Outcome.ANSWERED);
+        end(handle, 0, Outcome.SUCCEEDED);
         return worker;
     }
 
     /** Serves enough to have earned a copy or two; what was done is forgotten. */
-    World earnCopies() {
+    SimulatedWorld earnCopies() {
         for (int i = 0; i < MOST_TO_FILL; i++) {
             serve(0.1, 0.1);
         }
@@ -243,11 +245,11 @@
     int launchesToBad(int submissions, double hint, LongPredicate isBad, Outcome outcome) {
         int toBad = 0;
         for (int i = 0; i < submissions; i++) {
-            Policy.Handle handle = take(hint);
-            for (int launch = 0; !handle.isOver(); launch++) {
+            Policy.RequestHandle handle = take(hint);
+            for (int launch = 0; !handle.isComplete(); launch++) {
                 boolean bad = isBad.test(lastWorker());
                 toBad += bad ? 1 : 0;
-                pass(0.02).end(handle, launch, bad ? outcome : Outcome.ANSWERED);
+                pass(0.02).end(handle, launch, bad ? outcome : Outcome.SUCCEEDED);
             }
         }
         return toBad;
@@ -270,34 +272,34 @@
     }
 
     @Override
-    public void launch(Ids.Submission submission, Ids.Worker worker, double limit) {
+    public void startAttempt(Ids.Request submission, Ids.Worker worker, double limit) {
         did.add("launch " + submission.value() + " " + worker.value());
     }
 
     @Override
-    public void bounce(Ids.Submission submission, double retryAfter) {
+    public void reject(Ids.Request submission, double retryAfter) {
         did.add("bounce " + submission.value());
         advised = retryAfter;
     }
 
     @Override
-    public void scrap(Ids.Submission submission) {
+    public void fail(Ids.Request submission) {
         did.add("scrap " + submission.value());
     }
 
     @Override
-    public void cancel(Ids.Submission submission, int launch) {
+    public void cancelAttempt(Ids.Request submission, int launch) {
         did.add("cancel " + submission.value() + " " + launch);
     }
 
     @Override
-    public void wake(double delay) {
+    public void scheduleWakeup(double delay) {
         // The cases call woken themselves.
         wakes.add(now + delay);
     }
 
     @Override
-    public void watchList() {
+    public void watchEndpoints() {
         did.add("watch");
     }
 }
--- a/daemon/src/test/java/wheelroute/LogLinesTest.java
+++ b/daemon/src/test/java/wheelroute/TextLogFormatterTest.java
@@ -9,16 +9,17 @@
 import org.testng.annotations.Test;
 
 /** What an operator reads in the log. */
-public class LogLinesTest {
+public class TextLogFormatterTest {
     @Test
     public void tellsWhenAndWhere() {
         LogRecord entry = new LogRecord(Level.WARNING, "it stays");
         entry.setLoggerName("a.B");
         entry.setInstant(Instant.parse("2026-02-28T03:04:05.006Z"));
         assertEquals(
-                new LogLines().format(entry), "2026-02-28 03:04:05.006Z WARNING a.B: it stays\n");
+                new TextLogFormatter().format(entry),
+                "2026-02-28 03:04:05.006Z WARNING a.B: it stays\n");
         entry.setThrown(new IllegalStateException("why"));
-        assertTrue(new LogLines().format(entry).contains("IllegalStateException: why"));
+        assertTrue(new TextLogFormatter().format(entry).contains("IllegalStateException: why"));
     }
 
     /**
@@ -31,12 +32,12 @@
         entry.setLoggerName("a.B");
         entry.setInstant(Instant.parse("2026-02-28T03:04:05.006Z"));
         assertEquals(
-                new JsonLines().format(entry),
+                new JsonLogFormatter().format(entry),
                 "{\"time\":\"2026-02-28T03:04:05.006Z\",\"level\":\"INFO\","
                         + "\"logger\":\"a.B\",\"message\":\"it says \\\"a\\\"\\nand more\"}\n");
         entry.setThrown(new IllegalStateException("why"));
         assertTrue(
-                new JsonLines()
+                new JsonLogFormatter()
                         .format(entry)
                         .contains("\"trace\":\"java.lang.IllegalStateException:" + " why"));
     }
--- a/daemon/src/test/java/wheelroute/decision/HomesTest.java
+++ b/daemon/src/test/java/wheelroute/decision/KeyAffinityTest.java
@@ -13,31 +13,31 @@
 import org.testng.annotations.Test;
 
 /** Keys' homes, and what a fetch is learned to take. */
-public class HomesTest {
+public class KeyAffinityTest {
     private static final int KEYS = 400;
 
-    private static Listing worker(long id, String model, double size) {
-        return new Listing(
+    private static Endpoint worker(long id, String model, double size) {
+        return new Endpoint(
                 new Ids.Worker(id),
                 new Ids.Model(model),
                 size,
                 new Ids.Zone("z"),
                 Double.NaN,
                 new Ids.Cell(0),
-                Listing.Readiness.ACTIVE);
+                Endpoint.State.READY);
     }
 
-    private static List<Listing> fleet(int count) {
-        List<Listing> fleet = new ArrayList<>();
+    private static List<Endpoint> fleet(int count) {
+        List<Endpoint> fleet = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             fleet.add(worker(1000 + 7L * i, i % 2 == 0 ? "even" : "odd", 1));
         }
         return fleet;
     }
 
-    private static Homes<Listing> homes(List<Listing> fleet) {
-        Homes<Listing> homes = new Homes<>(w -> w);
-        homes.fleet(fleet);
+    private static KeyAffinity<Endpoint> homes(List<Endpoint> fleet) {
+        KeyAffinity<Endpoint> homes = new KeyAffinity<>(w -> w);
+        homes.setFleet(fleet);
         return homes;
     }
 
@@ -48,31 +48,33 @@
     /** Nobody tells anybody: the order in which workers came to be known must not matter. */
     @Test
     public void allDispatchersReckonTheSameHomes() {
-        List<Listing> fleet = fleet(20);
-        List<Listing> shuffled = new ArrayList<>(fleet);
+        List<Endpoint> fleet = fleet(20);
+        List<Endpoint> shuffled = new ArrayList<>(fleet);
         Collections.shuffle(shuffled, new Random(3));
-        Homes<Listing> a = homes(fleet);
-        Homes<Listing> b = homes(shuffled);
+        KeyAffinity<Endpoint> a = homes(fleet);
+        KeyAffinity<Endpoint> b = homes(shuffled);
         for (int i = 0; i < KEYS; i++) {
-            assertEquals(a.of(key(i)).ranked(null), b.of(key(i)).ranked(null));
-            assertEquals(Set.copyOf(a.of(key(i)).ranked(null)).size(), Homes.RANKED);
+            assertEquals(a.forKey(key(i)).preferred(null), b.forKey(key(i)).preferred(null));
+            assertEquals(
+                    Set.copyOf(a.forKey(key(i)).preferred(null)).size(),
+                    KeyAffinity.PREFERRED_COUNT);
         }
     }
 
     /** A worker that leaves moves only the keys that it was home to. */
     @Test
     public void aLossMovesOnlyItsOwnKeys() {
-        List<Listing> fleet = fleet(20);
-        Homes<Listing> homes = homes(fleet);
-        List<Listing> before = new ArrayList<>();
+        List<Endpoint> fleet = fleet(20);
+        KeyAffinity<Endpoint> homes = homes(fleet);
+        List<Endpoint> before = new ArrayList<>();
         for (int i = 0; i < KEYS; i++) {
-            before.add(homes.of(key(i)).ranked(null).get(0));
+            before.add(homes.forKey(key(i)).preferred(null).get(0));
         }
-        Listing lost = fleet.get(4);
-        homes.fleet(fleet.stream().filter(w -> w != lost).toList());
+        Endpoint lost = fleet.get(4);
+        homes.setFleet(fleet.stream().filter(w -> w != lost).toList());
         int moved = 0;
         for (int i = 0; i < KEYS; i++) {
-            Listing now = homes.of(key(i)).ranked(null).get(0);
+            Endpoint now = homes.forKey(key(i)).preferred(null).get(0);
             assertTrue(now == before.get(i) || before.get(i) == lost, "key " + i);
             moved += now != before.get(i) ? 1 : 0;
         }
@@ -81,13 +83,13 @@
 
     @Test
     public void aModelsJobsHaveHomesAmongItsWorkers() {
-        Homes<Listing> homes = homes(fleet(20));
+        KeyAffinity<Endpoint> homes = homes(fleet(20));
         for (int i = 0; i < KEYS; i++) {
             assertTrue(
-                    homes.of(key(i)).ranked(new Ids.Model("odd")).stream()
+                    homes.forKey(key(i)).preferred(new Ids.Model("odd")).stream()
                             .allMatch(w -> w.model().name().equals("odd")));
         }
-        assertEquals(homes.of(key(0)).ranked(new Ids.Model("none")), List.of());
+        assertEquals(homes.forKey(key(0)).preferred(new Ids.Model("none")), List.of());
     }
 
     @DataProvider
@@ -103,14 +105,14 @@
 
     @Test(dataProvider = "sizes")
     public void aLargerWorkerIsHomeToMore(double size, int least, int most) {
-        List<Listing> fleet = fleet(9);
-        Listing odd = worker(5, "odd", Double.isNaN(size) ? 0 : size);
+        List<Endpoint> fleet = fleet(9);
+        Endpoint odd = worker(5, "odd", Double.isNaN(size) ? 0 : size);
         fleet.add(odd);
-        Homes<Listing> homes = homes(fleet);
+        KeyAffinity<Endpoint> homes = homes(fleet);
         int home = 0;
-        Set<Listing> all = new HashSet<>();
+        Set<Endpoint> all = new HashSet<>();
         for (int i = 0; i < KEYS; i++) {
-            Listing first = homes.of(key(i)).ranked(null).get(0);
+            Endpoint first = homes.forKey(key(i)).preferred(null).get(0);
             all.add(first);
             home += first == odd ? 1 : 0;
         }
@@ -121,14 +123,14 @@
     /** It is remembered until other keys must have taken its room there. */
     @Test
     public void whereItWentIsForgottenAfterOtherLaunches() {
-        Homes<Listing> homes = homes(fleet(3));
-        Homes<Listing>.OfKey key = homes.of(key(1));
-        Listing there = fleet(3).get(1);
-        key.sentTo(there, 10);
+        KeyAffinity<Endpoint> homes = homes(fleet(3));
+        KeyAffinity<Endpoint>.Placement key = homes.forKey(key(1));
+        Endpoint there = fleet(3).get(1);
+        key.recordAttempt(there, 10);
         for (int launched = 10; launched < 20; launched++) {
-            Set<Listing> lately = new HashSet<>();
+            Set<Endpoint> lately = new HashSet<>();
             int now = launched;
-            key.sent(w -> now, lately::add);
+            key.forEachRecent(w -> now, lately::add);
             assertEquals(lately.contains(there), launched < 18, "after " + (launched - 10));
         }
     }
@@ -136,13 +138,13 @@
     /** One is a key more than is remembered; none of them may take memory for ever. */
     @Test
     public void keysThatComeOnceAreForgotten() {
-        Homes<Listing> homes = homes(fleet(3));
-        Homes<Listing>.OfKey first = homes.of(key(0));
-        assertTrue(homes.of(key(0)) == first);
+        KeyAffinity<Endpoint> homes = homes(fleet(3));
+        KeyAffinity<Endpoint>.Placement first = homes.forKey(key(0));
+        assertTrue(homes.forKey(key(0)) == first);
         for (int i = 1; i < 3000; i++) {
-            homes.of(key(i));
+            homes.forKey(key(i));
         }
-        assertTrue(homes.of(key(0)) != first);
+        assertTrue(homes.forKey(key(0)) != first);
     }
 
     @DataProvider
@@ -160,17 +162,21 @@
     /** Jobs of very different size: the long ones' noise must not hide what the short ones show. */
     @Test(dataProvider = "fetches")
     public void aFetchIsLearnedFromRuns(double longer, double least, double most) {
-        Fetches fetches = new Fetches();
+        CacheMissCost fetches = new CacheMissCost();
         Random random = new Random(5);
-        fetches.figure(1);
+        fetches.update(1);
         for (int i = 0; i < 60; i++) {
             double work = i % 2 == 0 ? 0.05 : 8;
-            fetches.learn(i, Homes.RANKED, work, longer + work * (random.nextDouble() - 0.5));
+            fetches.record(
+                    i,
+                    KeyAffinity.PREFERRED_COUNT,
+                    work,
+                    longer + work * (random.nextDouble() - 0.5));
         }
-        fetches.figure(1);
-        double time = fetches.time(Homes.RANKED);
+        fetches.update(1);
+        double time = fetches.expectedSeconds(KeyAffinity.PREFERRED_COUNT);
         assertTrue(time >= least && time <= most, "learned " + time);
-        assertEquals(fetches.time(Homes.KEPT_HERE), 0.0);
-        assertEquals(fetches.part(Homes.RANKED), time > 0 ? 1.0 : 0.0);
+        assertEquals(fetches.expectedSeconds(KeyAffinity.CACHED), 0.0);
+        assertEquals(fetches.missProbability(KeyAffinity.PREFERRED_COUNT), time > 0 ? 1.0 : 0.0);
     }
 }
--- a/daemon/src/test/java/wheelroute/list/BackoffTest.java
+++ b/daemon/src/test/java/wheelroute/discovery/BackoffTest.java
@@ -1,4 +1,4 @@
-package wheelroute.list;
+package wheelroute.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -17,7 +17,7 @@
     public Object[][] failures() {
         return new Object[][] {
             // how long a failed call took: refused, a handshake given up, a stopped answer, silence
-            {0.0}, {0.25}, {1.0}, {Backoff.PATIENCE},
+            {0.0}, {0.25}, {1.0}, {Backoff.CALL_TIMEOUT},
         };
     }
 
@@ -28,7 +28,7 @@
         for (long seed = 0; seed < DRAWS; seed++) {
             Backoff backoff = new Backoff(seed);
             for (int i = 0; i < FAILURES; i++) {
-                worst = Math.max(worst, took + backoff.failed(took) + Backoff.PATIENCE);
+                worst = Math.max(worst, took + backoff.nextDelay(took) + Backoff.CALL_TIMEOUT);
             }
         }
         assertTrue(worst <= 4.8, "the answer after " + worst);
@@ -40,7 +40,7 @@
     public void aCallThatTookLongIsFollowedByTheLeastPause() {
         Backoff backoff = new Backoff(1);
         for (int i = 0; i < DRAWS; i++) {
-            double pause = backoff.failed(100);
+            double pause = backoff.nextDelay(100);
             assertTrue(pause >= 0.1 && pause <= 0.2, "" + pause);
         }
     }
@@ -52,13 +52,13 @@
         double[] pauses = new double[4];
         for (int round = 0; round < 2; round++) {
             for (int i = 0; i < pauses.length; i++) {
-                pauses[i] = backoff.failed(0);
+                pauses[i] = backoff.nextDelay(0);
             }
             assertTrue(pauses[0] >= 0.5 && pauses[0] < 1, Arrays.toString(pauses));
             assertTrue(pauses[1] >= 1 && pauses[1] < 2, Arrays.toString(pauses));
             assertTrue(pauses[2] >= 1.5 && pauses[2] < 3, Arrays.toString(pauses));
             assertTrue(pauses[3] >= 1.5 && pauses[3] < 3, Arrays.toString(pauses));
-            backoff.answered();
+            backoff.reset();
         }
     }
 
@@ -67,7 +67,7 @@
         return new Object[][] {
             // dispatchers, how long each failing call takes, answers a second that discovery can
             // give
-            {100, 0.0, 45}, {300, 0.0, 135}, {300, Backoff.PATIENCE, 200}, {300, 0.25, 140},
+            {100, 0.0, 45}, {300, 0.0, 135}, {300, Backoff.CALL_TIMEOUT, 200}, {300, 0.25, 140},
         };
     }
 
@@ -83,7 +83,7 @@
         Backoff[] all = new Backoff[dispatchers];
         for (int i = 0; i < dispatchers; i++) {
             all[i] = new Backoff(1000 + i);
-            calls.add(new double[] {all[i].failed(0), i});
+            calls.add(new double[] {all[i].nextDelay(0), i});
         }
         double freeAt = returns;
         double last = 0;
@@ -92,14 +92,20 @@
         while (!calls.isEmpty()) {
             double[] call = calls.poll();
             if (call[0] < returns) {
-                calls.add(new double[] {call[0] + took + all[(int) call[1]].failed(took), call[1]});
+                calls.add(
+                        new double[] {
+                            call[0] + took + all[(int) call[1]].nextDelay(took), call[1]
+                        });
                 continue;
             }
             asked++;
             freeAt = Math.max(freeAt, call[0]) + 1 / answersASecond;
-            if (freeAt - call[0] > Backoff.PATIENCE) {
-                double at = call[0] + Backoff.PATIENCE;
-                calls.add(new double[] {at + all[(int) call[1]].failed(Backoff.PATIENCE), call[1]});
+            if (freeAt - call[0] > Backoff.CALL_TIMEOUT) {
+                double at = call[0] + Backoff.CALL_TIMEOUT;
+                calls.add(
+                        new double[] {
+                            at + all[(int) call[1]].nextDelay(Backoff.CALL_TIMEOUT), call[1]
+                        });
             } else {
                 answered++;
                 last = Math.max(last, freeAt);
@@ -122,7 +128,7 @@
             Backoff backoff = new Backoff(1000 + i);
             double at = 0;
             while (at < 14) {
-                at += backoff.failed(0);
+                at += backoff.nextDelay(0);
             }
             tenths[(int) ((at - 14) * 10)]++;
         }
--- a/daemon/src/test/java/wheelroute/limits/PlacesTest.java
+++ b/daemon/src/test/java/wheelroute/limits/ConnectionLimitTest.java
@@ -7,26 +7,26 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.limits.Places.Stage;
+import wheelroute.limits.ConnectionLimit.Stage;
 
 /**
  * Four places: who makes room for a fifth. Each row tells what came, as "name stage time", in its
  * order.
  */
-public class PlacesTest {
+public class ConnectionLimitTest {
     private static final int MOST = 4;
     private static final double NOW = 10;
     private final Set<String> unread = new HashSet<>();
 
-    private Places<String> places(String came) {
-        Places<String> places = new Places<>(MOST);
+    private ConnectionLimit<String> places(String came) {
+        ConnectionLimit<String> places = new ConnectionLimit<>(MOST);
         unread.clear();
         for (String event : came.split(", ")) {
             String[] words = event.split(" ");
             if (words[1].equals("gone")) {
-                places.closed(words[0]);
+                places.remove(words[0]);
             } else {
-                places.is(
+                places.update(
                         words[0],
                         Stage.valueOf(words[1].toUpperCase(java.util.Locale.ROOT)),
                         Double.parseDouble(words[2]));
@@ -60,9 +60,9 @@
 
     @Test(dataProvider = "crowds")
     public void roomIsMadeByWhoHasTheLeastClaim(String came, String unreadOf, String who) {
-        Places<String> places = places(came);
+        ConnectionLimit<String> places = places(came);
         unread.addAll(List.of(unreadOf.split(" ")));
-        assertEquals(places.makesRoom(NOW, unread::contains).orElse(""), who);
+        assertEquals(places.connectionToEvict(NOW, unread::contains).orElse(""), who);
     }
 
     /**
@@ -71,20 +71,20 @@
      */
     @Test
     public void whoMovesOnAsItIsReadKeepsItsPlace() {
-        Places<String> places = places("a unknown 1, b unknown 2, c unknown 3, d held 1");
+        ConnectionLimit<String> places = places("a unknown 1, b unknown 2, c unknown 3, d held 1");
         assertEquals(
-                places.makesRoom(
+                places.connectionToEvict(
                                 NOW,
                                 name -> {
                                     if (name.equals("a")) {
-                                        places.is("a", Stage.HELD, NOW);
-                                        places.closed("b");
+                                        places.update("a", Stage.IN_FLIGHT, NOW);
+                                        places.remove("b");
                                     }
                                     return name.equals("a");
                                 })
                         .orElse(""),
                 "c");
-        assertEquals(places.taken(), 3);
+        assertEquals(places.count(), 3);
     }
 
     @DataProvider
@@ -106,15 +106,15 @@
      */
     @Test(dataProvider = "expecting")
     public void aMessageUnderWayIsExpected(String came, boolean expects) {
-        assertEquals(places(came).expects(NOW), expects);
+        assertEquals(places(came).expectsRequest(NOW), expects);
     }
 
     /** Half of the places are another process's from here on: who comes now needs one made. */
     @Test
     public void fewerPlacesAreFullSooner() {
-        Places<String> places = places("a known 1, b held 1");
-        assertEquals(places.makesRoom(NOW, name -> false).orElse(""), "");
-        places.most(2);
-        assertEquals(places.makesRoom(NOW, name -> false).orElse(""), "a");
+        ConnectionLimit<String> places = places("a known 1, b held 1");
+        assertEquals(places.connectionToEvict(NOW, name -> false).orElse(""), "");
+        places.limit(2);
+        assertEquals(places.connectionToEvict(NOW, name -> false).orElse(""), "a");
     }
 }
