--- a/daemon/src/test/java/wheelroute/limits/ColdBudgetTest.java
+++ b/daemon/src/test/java/wheelroute/limits/SlowStartBudgetTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.Test;
 
 /** What all dispatchers together send a cold worker, each asking for as much as it gets. */
-public class ColdBudgetTest {
+public class SlowStartBudgetTest {
     private static final double MULTIPLE = 3;
     private static final double WINDOW = 2;
     private static final double USE = 0.65;
@@ -19,15 +19,15 @@
     private static final int STEPS = 1500;
     private static final double STEP = 0.02;
 
-    private static ColdBudget.Held alone(int position, int dispatchers) {
-        return new ColdBudget.Held() {
+    private static SlowStartBudget.Shares alone(int position, int dispatchers) {
+        return new SlowStartBudget.Shares() {
             @Override
-            public double of(int dispatcher) {
+            public double ofDispatcher(int dispatcher) {
                 return dispatcher == position ? 1 : 0;
             }
 
             @Override
-            public double whole() {
+            public double total() {
                 return 1.0 / dispatchers;
             }
         };
@@ -44,13 +44,13 @@
             double[] mean,
             double draw,
             long seed) {
-        List<ColdBudget> all = new ArrayList<>();
+        List<SlowStartBudget> all = new ArrayList<>();
         for (int i = 0; i < dispatchers * processes; i++) {
-            ColdBudget budget =
-                    new ColdBudget(
-                            new ColdBudget.Terms(
+            SlowStartBudget budget =
+                    new SlowStartBudget(
+                            new SlowStartBudget.Limits(
                                     dispatchers, placed ? i / processes : -1, MULTIPLE, WINDOW));
-            budget.started(START, draw);
+            budget.onWorkerStarted(START, draw);
             all.add(budget);
         }
         SplittableRandom random = new SplittableRandom(seed);
@@ -65,13 +65,13 @@
                 double work = -Math.log(1 - random.nextDouble());
                 int kind = i / processes % capacity.length;
                 if (all.get(i)
-                        .holds(
+                        .allows(
                                 now,
                                 work,
                                 capacity[kind] / processes,
                                 mean[kind],
                                 alone(i / processes, dispatchers))) {
-                    all.get(i).sent(now, work);
+                    all.get(i).recordSent(now, work);
                     window.addLast(new double[] {now, work});
                     sum += work;
                     total += work;
@@ -159,10 +159,11 @@
      */
     @Test(dataProvider = "before")
     public void whatWentBeforeTheStartWasToldCounts(double at, boolean counts) {
-        ColdBudget budget = new ColdBudget(new ColdBudget.Terms(1, 0, MULTIPLE, WINDOW));
-        budget.sent(START + at, 4);
-        budget.started(START, 0);
-        assertEquals(budget.holds(START + 1, 1, 4 / USE / MULTIPLE, 1, alone(0, 1)), !counts);
-        assertTrue(budget.holds(START + 1 + WINDOW, 1, 4 / USE / MULTIPLE, 1, alone(0, 1)));
+        SlowStartBudget budget =
+                new SlowStartBudget(new SlowStartBudget.Limits(1, 0, MULTIPLE, WINDOW));
+        budget.recordSent(START + at, 4);
+        budget.onWorkerStarted(START, 0);
+        assertEquals(budget.allows(START + 1, 1, 4 / USE / MULTIPLE, 1, alone(0, 1)), !counts);
+        assertTrue(budget.allows(START + 1 + WINDOW, 1, 4 / USE / MULTIPLE, 1, alone(0, 1)));
     }
 }
--- a/daemon/src/test/java/wheelroute/net/DiscoveryReturnTest.java
+++ b/daemon/src/test/java/wheelroute/net/DiscoveryReturnTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.locks.LockSupport;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 
 /**
  * Discovery is away for a while, in each way in which it can be, and its news come in time at its
@@ -30,8 +30,8 @@
     private static final String HALF =
             "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":6,";
 
-    private static final Counters.Kind CALLS = Counters.Kind.LIST_CALLS;
-    private static final Counters.Kind FAILURES = Counters.Kind.LIST_FAILURES;
+    private static final Counters.Counter CALLS = Counters.Counter.DISCOVERY_CALLS;
+    private static final Counters.Counter FAILURES = Counters.Counter.DISCOVERY_FAILURES;
 
     private int refused;
     private long version = 5;
@@ -76,7 +76,7 @@
         clock.stop();
         InetSocketAddress worker = workers.listen();
         answerOnce(known(worker));
-        serve(Effect.IDEMPOTENT, 1024, known(worker));
+        serve(Idempotency.IDEMPOTENT, 1024, known(worker));
         while (figure(CALLS) < 2) {
             LockSupport.parkNanos(100_000);
         }
@@ -88,7 +88,7 @@
                 step();
             }
             // Goes on until the worst moment for a return.
-            Counters.Kind moment = when == Returns.AFTER_A_FAILURE ? FAILURES : CALLS;
+            Counters.Counter moment = when == Returns.AFTER_A_FAILURE ? FAILURES : CALLS;
             for (long before = figure(moment); figure(moment) == before; ) {
                 step();
             }
@@ -122,7 +122,7 @@
         loop.settle();
     }
 
-    private long figure(Counters.Kind kind) {
+    private long figure(Counters.Counter kind) {
         return service.counters().value(kind);
     }
 
--- a/daemon/src/test/java/wheelroute/net/HeldLoop.java
+++ b/daemon/src/test/java/wheelroute/net/HeldEventLoop.java
@@ -24,7 +24,7 @@
  * A loop that lets a test say in which order things happen: what would come at any time waits until
  * told.
  */
-final class HeldLoop extends Loop {
+final class HeldEventLoop extends EventLoop {
     /** The connections that wait to be made, in their order. */
     final BlockingQueue<SocketAddress> connecting = new LinkedBlockingQueue<>();
 
@@ -37,7 +37,7 @@
 
     private final StepClock clock;
 
-    HeldLoop(StepClock clock, double connectLimit) {
+    HeldEventLoop(StepClock clock, double connectLimit) {
         super(clock, connectLimit);
         this.clock = clock;
     }
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void connect(SocketAddress address, Peer peer) {
+    public void connect(SocketAddress address, ChannelHandler peer) {
         if (held.contains(address)) {
             connects.add(() -> super.connect(address, peer));
             connecting.add(address);
--- a/daemon/src/test/java/wheelroute/net/LeaversTest.java
+++ b/daemon/src/test/java/wheelroute/net/LeaversTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.config.Config;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 
 /**
  * A client leaves while its submission waits for an attempt, and none begins for it, by whatever
@@ -158,7 +158,7 @@
         mayCopy = wait == Wait.COPY;
         boolean again = wait == Wait.SECOND || wait == Wait.COPY;
         serve(
-                again ? Effect.IDEMPOTENT : Effect.UNREPEATABLE,
+                again ? Idempotency.IDEMPOTENT : Idempotency.NON_IDEMPOTENT,
                 wait == Wait.PLACE ? FEW : 1024,
                 known(addresses.toArray(new InetSocketAddress[0])),
                 2);
@@ -182,7 +182,7 @@
                             longest,
                             false,
                             null);
-            loop = new HeldLoop(clock, 0.5);
+            loop = new HeldEventLoop(clock, 0.5);
             service = new Service(config, loop);
             service.start();
             while (!hasSocket(meeting)) {
@@ -209,7 +209,7 @@
             while (!begun.isDone()) {
                 loop.post(
                         () -> {
-                            if (service.whyNotReady() != null) {
+                            if (service.notReadyReason() != null) {
                                 begun.complete(null);
                             }
                         });
@@ -282,14 +282,17 @@
             loop.goOn();
         } else {
             long expected = wait == Wait.TURN || wait == Wait.PLACE ? 0 : 1;
-            while (service.counters().value(Counters.Kind.CLIENT_GONE) < expected
-                    || service.counters().value(Counters.Kind.NOT_TAKEN) < 1 - expected) {
+            while (service.counters().value(Counters.Counter.CLIENTS_GONE) < expected
+                    || service.counters().value(Counters.Counter.REQUESTS_NOT_ACCEPTED)
+                            < 1 - expected) {
                 assertEquals(workers.messages.get(), before, "an attempt for nobody");
                 LockSupport.parkNanos(1_000_000);
             }
             awaitOpen(0);
             assertEquals(
-                    service.counters().value(Counters.Kind.WRITTEN), before, "written for nobody");
+                    service.counters().value(Counters.Counter.ATTEMPTS_WRITTEN),
+                    before,
+                    "written for nobody");
             assertEquals(workers.messages.get(), before);
         }
     }
--- a/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
+++ b/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
@@ -21,12 +21,12 @@
 import java.util.concurrent.locks.LockSupport;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 import wheelroute.decision.Ids;
-import wheelroute.decision.Submission;
-import wheelroute.net.clients.ClientAnswer;
-import wheelroute.net.clients.ClientMessage;
-import wheelroute.net.clients.Submitters;
+import wheelroute.decision.Request;
+import wheelroute.net.clients.ClientRequest;
+import wheelroute.net.clients.ClientResponse;
+import wheelroute.net.clients.RequestHandler;
 
 /**
  * Two events that cross, each put into the order that does harm: docs/narrow-moments.md tells of
@@ -90,7 +90,7 @@
     @Test(dataProvider = "leavings", timeOut = PATIENCE)
     public void aClientThatSentMoreAndLeftIsSeen(int more, Leaving how) throws Exception {
         longest = 60;
-        serve(Effect.IDEMPOTENT);
+        serve(Idempotency.IDEMPOTENT);
         Socket client = connect();
         send(client, post(60.0) + "x".repeat(more));
         workers.next();
@@ -117,7 +117,7 @@
     @Test(timeOut = PATIENCE)
     public void whatComesAheadIsAnsweredInItsTurn() throws Exception {
         workers.answers.add(DONE);
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         Socket client = connect();
         int pages = 10_000;
         start(() -> send(client, HEALTH.repeat(pages) + job(88)));
@@ -141,7 +141,7 @@
             // One for each, so that none is bounced.
             at[i] = workers.listen();
         }
-        serve(Effect.IDEMPOTENT, 1024, known(at));
+        serve(Idempotency.IDEMPOTENT, 1024, known(at));
         for (int i = 0; i < crowd; i++) {
             Socket one = connect();
             send(one, job(100 + i).replace("10.0", "60.0"));
@@ -170,7 +170,7 @@
         ServerSocket worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         open.add(worker);
         InetSocketAddress address = (InetSocketAddress) worker.getLocalSocketAddress();
-        serve(Effect.IDEMPOTENT, 1024, known(address, workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(address, workers.listen()));
         worker.setSoTimeout(50);
         // Which of the two is chosen is chance; the other one stays silent.
         Socket client = null;
@@ -212,11 +212,11 @@
                 "{\"version\":6,\"full\":true,\"servers\":[{\"id\":\"wOTHER\",\"addr\":"
                         + "\"127.0.0.1:OTHER\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,\"state\":\"ready\"}]}";
         return new Object[][] {
-            {Effect.IDEMPOTENT, entry.replace("STATE", "draining")},
-            {Effect.UNREPEATABLE, entry.replace("STATE", "draining")},
-            {Effect.UNREPEATABLE, entry.replace("STATE", "gone")},
-            {Effect.UNREPEATABLE, whole},
-            {Effect.DEDUPLICATED, entry.replace("STATE", "draining")},
+            {Idempotency.IDEMPOTENT, entry.replace("STATE", "draining")},
+            {Idempotency.NON_IDEMPOTENT, entry.replace("STATE", "draining")},
+            {Idempotency.NON_IDEMPOTENT, entry.replace("STATE", "gone")},
+            {Idempotency.NON_IDEMPOTENT, whole},
+            {Idempotency.IDEMPOTENT_BY_KEY, entry.replace("STATE", "draining")},
         };
     }
 
@@ -225,7 +225,7 @@
      * elsewhere.
      */
     @Test(dataProvider = "listings", timeOut = PATIENCE)
-    public void aLaunchThatWaitsForItsConnectionHearsOfADrain(Effect effect, String list)
+    public void aLaunchThatWaitsForItsConnectionHearsOfADrain(Idempotency effect, String list)
             throws Exception {
         Stub[] stubs = {new Stub(), new Stub()};
         InetSocketAddress[] at = {stubs[0].listen(), stubs[1].listen()};
@@ -256,7 +256,7 @@
         Stub worker = new Stub();
         InetSocketAddress at = worker.listen();
         worker.answers.add(DONE);
-        serve(Effect.UNREPEATABLE, 1024, known(at));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(at));
         discovery.next();
         loop.holdConnects(Set.of(at));
         Socket client = connect();
@@ -276,7 +276,7 @@
     @Test(timeOut = PATIENCE)
     public void aLateConnectionCarriesNothingForAClientThatLeftUnseen() throws Exception {
         InetSocketAddress at = workers.listen();
-        serve(Effect.IDEMPOTENT, 1024, known(at));
+        serve(Idempotency.IDEMPOTENT, 1024, known(at));
         loop.holdConnects(Set.of(at));
         Socket client = connect();
         unheardAfter(client, HEALTH);
@@ -299,7 +299,7 @@
     public void whatMustNotRunTwiceWaitsForNoOthersAnswer() throws Exception {
         clock.stop();
         workers.answers.add(DONE);
-        serve(Effect.UNREPEATABLE, 1024, known(workers.listen()));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen()));
         Socket first = connect();
         assertEquals(status(ask(first, post(10))), 200);
         Socket late = workers.last;
@@ -321,7 +321,7 @@
     public void aRestedConnectionIsUsedAgain() throws Exception {
         clock.stop();
         workers.answers.addAll(List.of(DONE, DONE, DONE));
-        serve(Effect.UNREPEATABLE, 1024, known(workers.listen()));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(status(ask(connect(), post(10))), 200);
         loop.step(WHILE);
         assertEquals(status(ask(connect(), post(10))), 200);
@@ -338,7 +338,7 @@
     public void aBadAnswerOnAnUnrestedConnectionEndsIt() throws Exception {
         clock.stop();
         workers.answers.add(DONE);
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(status(ask(connect(), post(10))), 200);
         workers.heard.clear();
         Socket second = connect();
@@ -366,7 +366,7 @@
         // It is not to expire.
         clock.stop();
         workers.answers.addAll(List.of(DONE, DONE));
-        serve(Effect.UNREPEATABLE, 1024, known(workers.listen()));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(status(ask(connect(), post(10))), 200);
         workers.say(stray);
         assertEquals(
@@ -389,7 +389,7 @@
     @Test(timeOut = PATIENCE)
     public void aSilentWatchIsOpenedAnewAtOnce() throws Exception {
         clock.stop();
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(discovery.next(), HELD_CALL);
         loop.step(4.8);
         // No time passes here: a pause would not end.
@@ -405,7 +405,7 @@
     @Test(timeOut = PATIENCE)
     public void aDiscoveryThatStaysSilentIsLeftInPeace() throws Exception {
         clock.stop();
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         for (int i = 0; i < 100; i++) {
             loop.step(0.2);
             // A round trip, in which a call that is due goes out.
@@ -422,7 +422,7 @@
     public void aBrokenWatchIsOpenedAnewAtOnce() throws Exception {
         clock.stop();
         discovery.answers.addAll(List.of(http(NOTHING_NEW.replace("false", "true")), BREAK));
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(discovery.next(), HELD_CALL);
         assertEquals(discovery.next(), HELD_CALL);
         // The one after the break: no time has passed, and none is to pass before what is known
@@ -435,7 +435,7 @@
     public void anAnswerThatStopsInItsMiddleIsGivenUp() throws Exception {
         clock.stop();
         discovery.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":6,\"fu");
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(discovery.next(), HELD_CALL);
         // Its first part is read before the time goes on.
         metric("list_calls_total");
@@ -451,7 +451,7 @@
         for (int i = 0; i < 10; i++) {
             discovery.answers.add("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
         }
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         for (int i = 0; i < 10; i++) {
             assertEquals(soon(discovery), i == 0 ? HELD_CALL : SHORT_CALL);
             await("list_failures_total", i + 1);
@@ -492,7 +492,7 @@
         clock.stop();
         longest = 60;
         workers.answers.addAll(List.of(DONE, DONE));
-        serve(Effect.UNREPEATABLE, 2600, known(workers.listen()));
+        serve(Idempotency.NON_IDEMPOTENT, 2600, known(workers.listen()));
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < count && kept; i++) {
             clients.add(connect());
@@ -534,7 +534,7 @@
             // One for each, as who seems to have been silent is avoided for a while.
             at[i] = workers.listen();
         }
-        serve(Effect.UNREPEATABLE, 1024, known(at));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(at));
         int launched = 0;
         for (int looks = 1; looks <= MOST_LOOKS; looks++) {
             Socket client = connect();
@@ -573,7 +573,7 @@
         clock.stop();
         longest = 60;
         // The one that is silent for so long is not chosen again.
-        serve(Effect.UNREPEATABLE, 1024, known(workers.listen(), workers.listen()));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         Socket client = connect();
         send(client, job(88));
         workers.next();
@@ -603,7 +603,7 @@
     public void whatComesInTheLastMomentIsAnswered() throws Exception {
         clock.stop();
         workers.answers.addAll(List.of(DONE, DONE));
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()), 2);
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()), 2);
         Socket silent = new Socket();
         open.add(silent);
         silent.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -617,7 +617,7 @@
         awaitDraining();
         send(silent, post(10));
         // Until the end, or until it was seen; then the worker has all the time that it needs.
-        while (service.counters().value(Counters.Kind.LAUNCHED) == 0 && !ended.isDone()) {
+        while (service.counters().value(Counters.Counter.ATTEMPTS) == 0 && !ended.isDone()) {
             loop.step(0.02);
         }
         assertEquals(status(read(silent.getInputStream())), 200);
@@ -632,17 +632,17 @@
     @Test(timeOut = PATIENCE)
     public void aFaultOfTheDecisionsTakesNoAnswerWithIt() throws Exception {
         wantsFaults = true;
-        serve(Effect.IDEMPOTENT);
-        Exchanges exchanges =
-                new Exchanges(
+        serve(Idempotency.IDEMPOTENT);
+        RequestDispatcher exchanges =
+                new RequestDispatcher(
                         loop,
-                        new Counters(List.of(new Ids.Offering("job"))),
+                        new Counters(List.of(new Ids.RequestClass("job"))),
                         null,
                         config.settings(),
                         2);
         CompletableFuture<Integer> status = new CompletableFuture<>();
-        ClientMessage message =
-                new ClientMessage(
+        ClientRequest message =
+                new ClientRequest(
                         "POST",
                         "/job/x",
                         "77",
@@ -656,10 +656,10 @@
                         false,
                         true,
                         new byte[0]);
-        Submission submission =
-                new Submission(
-                        new Ids.Submission(1),
-                        new Ids.Offering("job"),
+        Request submission =
+                new Request(
+                        new Ids.Request(1),
+                        new Ids.RequestClass("job"),
                         new Ids.Tenant(""),
                         loop.now() + 2,
                         1,
@@ -675,14 +675,14 @@
                                     loop,
                                     submission,
                                     message,
-                                    new Submitters.Answers() {
+                                    new RequestHandler.ResponseSender() {
                                         @Override
-                                        public void answer(ClientAnswer answer) {
+                                        public void send(ClientResponse answer) {
                                             status.complete(answer.status());
                                         }
 
                                         @Override
-                                        public boolean hasLeft() {
+                                        public boolean hasClientLeft() {
                                             return false;
                                         }
                                     },
--- a/daemon/src/test/java/wheelroute/net/OperatingTest.java
+++ b/daemon/src/test/java/wheelroute/net/OperatingTest.java
@@ -16,10 +16,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.World;
+import wheelroute.SimulatedWorld;
 import wheelroute.config.Config;
 import wheelroute.config.ConfigException;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 
 /**
  * What staff do with a dispatcher in service: the calls at its door, and the figures they read
@@ -58,14 +58,14 @@
 
     @Test(dataProvider = "calls", timeOut = PATIENCE)
     public void answersOneLine(String text, String answer) throws Exception {
-        serve(Effect.IDEMPOTENT);
+        serve(Idempotency.IDEMPOTENT);
         assertEquals(call(text), answer);
     }
 
     /** A caller's end of sending ends its line; one byte at a time makes a line too. */
     @Test(timeOut = PATIENCE)
     public void takesALineInPieces() throws Exception {
-        serve(Effect.IDEMPOTENT);
+        serve(Idempotency.IDEMPOTENT);
         Socket socket = caller();
         socket.setTcpNoDelay(true);
         for (byte piece : "READY".getBytes(StandardCharsets.UTF_8)) {
@@ -82,7 +82,7 @@
      */
     @Test(timeOut = PATIENCE)
     public void letsSilentCallersGo() throws Exception {
-        serve(Effect.IDEMPOTENT, DONE);
+        serve(Idempotency.IDEMPOTENT, DONE);
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             silent.add(caller());
@@ -100,7 +100,7 @@
     public void figuresAreWhatPeersSaw() throws Exception {
         // Served; turned away and served; broken off and served; still at work.
         workers.answers.addAll(List.of(DONE, TURNED_AWAY, DONE, BREAK, DONE, TAKEN));
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         assertEquals(
                 figures(),
                 Map.of(
@@ -168,7 +168,7 @@
     /** One that comes too many is told to come back, and hears it counted. */
     @Test(timeOut = PATIENCE)
     public void countsWhatItTurnsAwayUntaken() throws Exception {
-        serve(Effect.IDEMPOTENT, 72, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 72, known(workers.listen()));
         for (int i = 0; i < 9; i++) {
             assertEquals(status(ask(connect(), HEALTH + "POST /jo")), 200);
         }
@@ -192,7 +192,7 @@
                         1024,
                         Double.NaN,
                         null,
-                        new World.Given().settings(),
+                        new SimulatedWorld.Given().settings(),
                         0.5,
                         10,
                         2,
--- a/daemon/src/test/java/wheelroute/net/OrderedServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/OrderedServiceTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 
 /**
  * Submissions of one key on sockets: who waits, who goes on, and what those are told who wait in
@@ -47,7 +47,7 @@
     @Test(timeOut = PATIENCE)
     public void theNextGoesWhenTheFirstIsOver() throws Exception {
         workers.answers.addAll(List.of(TAKEN, DONE, DONE));
-        serve(Effect.UNREPEATABLE, 1024, known(workers.listen(), workers.listen()));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         Socket first = send(job(11, "a", 9));
         assertEquals(nextId(), "11");
         Socket second = send(job(12, "a", 9));
@@ -67,7 +67,7 @@
     @Test(timeOut = PATIENCE)
     public void whoWaitsInVainIsBouncedInTime() throws Exception {
         workers.answers.addAll(List.of(TAKEN));
-        serve(Effect.UNREPEATABLE, 1024, known(workers.listen(), workers.listen()));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         send(job(11, "a", 9));
         assertEquals(nextId(), "11");
         long asked = System.nanoTime();
@@ -83,7 +83,7 @@
     public void whoWaitsIsAnsweredAtTheEnd() throws Exception {
         longest = 2;
         workers.answers.addAll(List.of(TAKEN));
-        serve(Effect.UNREPEATABLE, 1024, known(workers.listen(), workers.listen()));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         Socket first = send(job(11, "a", 9));
         assertEquals(nextId(), "11");
         Socket second = send(job(12, "a", 9));
--- a/daemon/src/test/java/wheelroute/net/ReplacementTest.java
+++ b/daemon/src/test/java/wheelroute/net/ReplacementTest.java
@@ -27,7 +27,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.config.Config;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 
 /** One process of a dispatcher takes another's place, on real sockets and in one directory. */
 public class ReplacementTest extends ServiceHarness {
@@ -81,7 +81,7 @@
     /**
      * The harness's own listens where the system likes; one on a known address is put in its place.
      */
-    private void serveKnown(Effect effect, String... answers) throws Exception {
+    private void serveKnown(Idempotency effect, String... answers) throws Exception {
         Path wanted = meeting;
         meeting = null;
         serve(effect, answers);
@@ -113,7 +113,8 @@
      */
     @Test(timeOut = PATIENCE)
     public void nobodyIsTurnedBack() throws Exception {
-        serveKnown(Effect.IDEMPOTENT, Collections.nCopies(5 * MANY, DONE).toArray(new String[0]));
+        serveKnown(
+                Idempotency.IDEMPOTENT, Collections.nCopies(5 * MANY, DONE).toArray(new String[0]));
         List<Socket> silent = new ArrayList<>();
         List<Socket> begun = new ArrayList<>();
         List<Socket> kept = new ArrayList<>();
@@ -164,7 +165,7 @@
     @Test(timeOut = PATIENCE)
     public void roomIsMadeAtOnceForTwo() throws Exception {
         sockets = 72;
-        serveKnown(Effect.IDEMPOTENT, Collections.nCopies(10, DONE).toArray(new String[0]));
+        serveKnown(Idempotency.IDEMPOTENT, Collections.nCopies(10, DONE).toArray(new String[0]));
         List<Socket> kept = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             kept.add(connect());
@@ -180,7 +181,7 @@
     /** What is in work at the old process is answered there, and its id is taken at both. */
     @Test(timeOut = PATIENCE)
     public void workGoesOnWhereItBegan() throws Exception {
-        serveKnown(Effect.UNREPEATABLE, TAKEN, DONE, DONE, DONE, DONE);
+        serveKnown(Idempotency.NON_IDEMPOTENT, TAKEN, DONE, DONE, DONE, DONE);
         Socket waiting = connect();
         waiting.getOutputStream().write(job(0).getBytes(StandardCharsets.UTF_8));
         workers.next();
@@ -205,7 +206,7 @@
     /** Both are one dispatcher to the limits, and each is alone again once the other has gone. */
     @Test(timeOut = PATIENCE)
     public void aChainOfReplacements() throws Exception {
-        serveKnown(Effect.IDEMPOTENT, Collections.nCopies(MANY, DONE).toArray(new String[0]));
+        serveKnown(Idempotency.IDEMPOTENT, Collections.nCopies(MANY, DONE).toArray(new String[0]));
         for (int i = 0; i < 4; i++) {
             Object key = keyOf(onlyFile());
             Service next = another(meeting, port);
@@ -231,7 +232,7 @@
     /** Another dispatcher's socket stands where its own would: nothing is taken over from there. */
     @Test(timeOut = PATIENCE)
     public void nothingIsTakenOverFromAnotherDispatcher() throws Exception {
-        serveKnown(Effect.IDEMPOTENT);
+        serveKnown(Idempotency.IDEMPOTENT);
         Path file = onlyFile();
         service.drain();
         try (ServerSocketChannel other = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
@@ -258,7 +259,7 @@
      */
     @Test(timeOut = PATIENCE)
     public void aStartThatFailsChangesNothing() throws Exception {
-        serveKnown(Effect.IDEMPOTENT, DONE, DONE, DONE);
+        serveKnown(Idempotency.IDEMPOTENT, DONE, DONE, DONE);
         Path file = onlyFile();
         try (SocketChannel dying = SocketChannel.open(UnixDomainSocketAddress.of(file))) {
             dying.write(
@@ -318,7 +319,7 @@
     /** Whatever lies in the directory, a start needs no predecessor, and a lie is seen through. */
     @Test(dataProvider = "leftovers", timeOut = PATIENCE)
     public void startsWhateverItFinds(String what) throws Exception {
-        serveKnown(Effect.IDEMPOTENT, DONE, DONE);
+        serveKnown(Idempotency.IDEMPOTENT, DONE, DONE);
         Path file = onlyFile();
         service.drain();
         assertFalse(Files.exists(file));
@@ -347,7 +348,7 @@
     /** A name that cannot be had leaves nothing under the one that was to be put there. */
     @Test(timeOut = PATIENCE)
     public void leavesNoFileBehindWhereItCannotBeFound() throws Exception {
-        serveKnown(Effect.IDEMPOTENT);
+        serveKnown(Idempotency.IDEMPOTENT);
         Path file = onlyFile();
         service.drain();
         Files.createDirectory(file);
@@ -370,7 +371,7 @@
     /** The file that others find is for this user only. */
     @Test(timeOut = PATIENCE)
     public void itsFileIsPrivate() throws Exception {
-        serveKnown(Effect.IDEMPOTENT);
+        serveKnown(Idempotency.IDEMPOTENT);
         String rights = PosixFilePermissions.toString(Files.getPosixFilePermissions(onlyFile()));
         assertEquals(rights, "rw-------");
         assertTrue(onlyFile().getFileName().toString().matches("wheelroute-[0-9a-f]{8}\\.sock"));
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -33,10 +33,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.testng.annotations.AfterMethod;
-import wheelroute.Life;
-import wheelroute.World;
+import wheelroute.ProcessLifetime;
+import wheelroute.SimulatedWorld;
 import wheelroute.config.Config;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 import wheelroute.decision.Settings;
 
 /** A dispatcher on loopback sockets, among clients, workers and a discovery that do as told. */
@@ -96,7 +96,7 @@
     protected boolean mayCopy;
     protected boolean pushed;
     protected StepClock clock = new StepClock();
-    protected HeldLoop loop;
+    protected HeldEventLoop loop;
     protected Path meeting;
     protected Config config;
     protected Service service;
@@ -188,8 +188,8 @@
         return spread ? hold.replaceFirst("hold_ms=HELD") : call;
     }
 
-    protected static void start(Life life) {
-        Life.start(life);
+    protected static void start(ProcessLifetime life) {
+        ProcessLifetime.start(life);
     }
 
     /** One message: its head, and as much body as that says. */
@@ -236,13 +236,13 @@
         return "{\"version\":5,\"full\":true,\"servers\":[" + out + "]}";
     }
 
-    protected void serve(Effect effect, int sockets, String known) throws Exception {
+    protected void serve(Idempotency effect, int sockets, String known) throws Exception {
         serve(effect, sockets, known, 1);
     }
 
-    protected void serve(Effect effect, int sockets, String known, int dispatchers)
+    protected void serve(Idempotency effect, int sockets, String known, int dispatchers)
             throws Exception {
-        World.Given given = new World.Given();
+        SimulatedWorld.Given given = new SimulatedWorld.Given();
         given.dispatchers = dispatchers;
         given.effect = effect;
         given.mustAsk = true;
@@ -266,7 +266,7 @@
                         longest,
                         pushed,
                         null);
-        loop = new HeldLoop(clock, 0.5);
+        loop = new HeldEventLoop(clock, 0.5);
         service = new Service(config, loop);
         service.start();
         port = service.port();
@@ -290,7 +290,7 @@
                 null);
     }
 
-    protected void serve(Effect effect, String... answers) throws Exception {
+    protected void serve(Idempotency effect, String... answers) throws Exception {
         workers.answers.addAll(List.of(answers));
         serve(effect, 1024, known(workers.listen(), workers.listen()));
     }
@@ -429,7 +429,7 @@
         assertEquals(figure(figures, "submissions_open"), 0, figures);
         assertEquals(figure(figures, "submissions_pending"), 0, figures);
         long ends = 0;
-        for (End end : End.values()) {
+        for (AttemptResult end : AttemptResult.values()) {
             ends +=
                     figure(
                             figures,
--- a/daemon/src/test/java/wheelroute/net/ServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceTest.java
@@ -16,10 +16,10 @@
 import java.util.concurrent.locks.LockSupport;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.World;
+import wheelroute.SimulatedWorld;
 import wheelroute.config.Config;
 import wheelroute.config.ConfigException;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 
 /** The whole dispatcher on sockets, event by event. */
 public class ServiceTest extends ServiceHarness {
@@ -30,31 +30,36 @@
         return new Object[][] {
             // what a repeat would do, the answers to its launches, the client's status, launches in
             // all
-            {Effect.UNREPEATABLE, List.of(DONE), 200, 1},
-            {Effect.UNREPEATABLE, List.of(TURNED_AWAY, DONE), 200, 2},
-            {Effect.UNREPEATABLE, List.of(HEAD + line("returned") + "0\r\n\r\n", DONE), 200, 2},
-            {Effect.UNREPEATABLE, List.of(BREAK, DONE), 502, 1},
+            {Idempotency.NON_IDEMPOTENT, List.of(DONE), 200, 1},
+            {Idempotency.NON_IDEMPOTENT, List.of(TURNED_AWAY, DONE), 200, 2},
             {
-                Effect.IDEMPOTENT,
+                Idempotency.NON_IDEMPOTENT,
+                List.of(HEAD + line("returned") + "0\r\n\r\n", DONE),
+                200,
+                2
+            },
+            {Idempotency.NON_IDEMPOTENT, List.of(BREAK, DONE), 502, 1},
+            {
+                Idempotency.IDEMPOTENT,
                 List.of("HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n", DONE),
                 502,
                 1
             },
-            {Effect.UNREPEATABLE, List.of(BREAK_LATE, DONE), 502, 1},
-            {Effect.UNREPEATABLE, List.of(plain, DONE), 502, 1},
-            {Effect.UNREPEATABLE, List.of(HEAD + line("lost") + "0\r\n\r\n", DONE), 502, 1},
-            {Effect.UNREPEATABLE, List.of(TURNED_AWAY, TURNED_AWAY), 503, 2},
-            {Effect.IDEMPOTENT, List.of(BREAK, DONE), 200, 2},
-            {Effect.IDEMPOTENT, List.of(BREAK_LATE, DONE), 200, 2},
-            {Effect.IDEMPOTENT, List.of("nonsense\r\n\r\n", DONE), 200, 2},
-            {Effect.IDEMPOTENT, List.of(otherId, DONE), 200, 2},
-            {Effect.IDEMPOTENT, List.of(HEAD + STARTED + "0\r\n\r\n", DONE), 200, 2},
+            {Idempotency.NON_IDEMPOTENT, List.of(BREAK_LATE, DONE), 502, 1},
+            {Idempotency.NON_IDEMPOTENT, List.of(plain, DONE), 502, 1},
+            {Idempotency.NON_IDEMPOTENT, List.of(HEAD + line("lost") + "0\r\n\r\n", DONE), 502, 1},
+            {Idempotency.NON_IDEMPOTENT, List.of(TURNED_AWAY, TURNED_AWAY), 503, 2},
+            {Idempotency.IDEMPOTENT, List.of(BREAK, DONE), 200, 2},
+            {Idempotency.IDEMPOTENT, List.of(BREAK_LATE, DONE), 200, 2},
+            {Idempotency.IDEMPOTENT, List.of("nonsense\r\n\r\n", DONE), 200, 2},
+            {Idempotency.IDEMPOTENT, List.of(otherId, DONE), 200, 2},
+            {Idempotency.IDEMPOTENT, List.of(HEAD + STARTED + "0\r\n\r\n", DONE), 200, 2},
         };
     }
 
     @Test(dataProvider = "lives", timeOut = PATIENCE)
     public void answersOnceByWhatWorkersSaid(
-            Effect effect, List<String> answers, int status, int launches) throws Exception {
+            Idempotency effect, List<String> answers, int status, int launches) throws Exception {
         serve(effect, answers.toArray(new String[0]));
         String answer = ask(connect(), post(10));
         assertEquals(status(answer), status, answer);
@@ -73,7 +78,7 @@
     @Test(timeOut = PATIENCE)
     public void anOpenIdIsRefused() throws Exception {
         workers.answers.addAll(List.of(TAKEN, DONE));
-        serve(Effect.IDEMPOTENT);
+        serve(Idempotency.IDEMPOTENT);
         Socket first = connect();
         first.getOutputStream().write(post(1.5).getBytes(StandardCharsets.UTF_8));
         workers.next();
@@ -88,7 +93,7 @@
     /** Guards against jobs that no worker could know again. */
     @Test(timeOut = PATIENCE)
     public void whatIsDeduplicatedNeedsItsKey() throws Exception {
-        serve(Effect.DEDUPLICATED, DONE);
+        serve(Idempotency.IDEMPOTENT_BY_KEY, DONE);
         assertEquals(status(ask(connect(), post(10).replace("Idempotency-Key", "X-Other"))), 400);
         assertEquals(status(ask(connect(), post(10))), 200);
         assertEquals(workers.messages.get(), 1);
@@ -103,7 +108,7 @@
         InetSocketAddress refusing = (InetSocketAddress) dead.getLocalSocketAddress();
         dead.close();
         workers.answers.addAll(List.of(DONE, DONE, DONE, DONE, DONE, DONE));
-        serve(Effect.UNREPEATABLE, 1024, known(refusing, workers.listen()));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(refusing, workers.listen()));
         // Which of two equals is chosen first is chance: six go wrong all the same with one chance
         // in 64.
         for (int i = 0; i < 6; i++) {
@@ -115,7 +120,7 @@
     @Test(timeOut = PATIENCE)
     public void aBreakOfAKeptConnectionIsStale() throws Exception {
         workers.answers.addAll(List.of(DONE, BREAK, DONE));
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(status(ask(connect(), post(10))), 200);
         assertEquals(status(ask(connect(), post(10))), 200);
         assertEquals(metric("launch_ends_total{end=\"stale\"}"), 1);
@@ -124,12 +129,12 @@
 
     @DataProvider
     public Object[][] silences() {
-        return new Object[][] {{Effect.IDEMPOTENT, 503}, {Effect.UNREPEATABLE, 502}};
+        return new Object[][] {{Idempotency.IDEMPOTENT, 503}, {Idempotency.NON_IDEMPOTENT, 502}};
     }
 
     /** Rule 1, and rule 2 in what the answer promises; the launch's connection ends with it. */
     @Test(dataProvider = "silences", timeOut = PATIENCE)
-    public void answersBeforeTheOuterLimit(Effect effect, int status) throws Exception {
+    public void answersBeforeTheOuterLimit(Idempotency effect, int status) throws Exception {
         serve(effect);
         long before = System.nanoTime();
         String answer = ask(connect(), post(0.3));
@@ -146,14 +151,14 @@
      */
     @Test(timeOut = PATIENCE)
     public void aClientsPatienceHasABound() throws Exception {
-        serve(Effect.IDEMPOTENT);
+        serve(Idempotency.IDEMPOTENT);
         assertEquals(status(ask(connect(), post(99_999_999))), 503);
     }
 
     /** Guards against work for nobody: a client that leaves takes its launch with it. */
     @Test(timeOut = PATIENCE)
     public void aClientThatLeavesEndsItsLaunch() throws Exception {
-        serve(Effect.IDEMPOTENT);
+        serve(Idempotency.IDEMPOTENT);
         Socket client = connect();
         client.getOutputStream().write(post(10).getBytes(StandardCharsets.UTF_8));
         workers.next();
@@ -169,7 +174,7 @@
     @Test(timeOut = PATIENCE)
     public void keepsConnections() throws Exception {
         workers.answers.addAll(List.of(DONE, DONE, DONE));
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         Socket client = connect();
         String two = ask(client, post(10) + post(10)) + read(client.getInputStream());
         assertEquals(two.split("fine", -1).length, 3, two);
@@ -183,7 +188,7 @@
     @Test(timeOut = PATIENCE)
     public void anUnreadTailBarsReuse() throws Exception {
         workers.answers.addAll(List.of(DONE.substring(0, DONE.length() - 5), DONE));
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(status(ask(connect(), post(10))), 200);
         assertEquals(status(ask(connect(), post(10))), 200);
         assertEquals(workers.connections.get(), 2);
@@ -211,7 +216,7 @@
 
     @Test(dataProvider = "strangers", timeOut = PATIENCE)
     public void takesOnlySubmissions(String message, int status) throws Exception {
-        serve(Effect.IDEMPOTENT, DONE);
+        serve(Idempotency.IDEMPOTENT, DONE);
         assertEquals(status(ask(connect(), message)), status);
         assertEquals(metric("submissions_taken_total"), 0);
         assertEquals(status(ask(connect(), post(10))), 200);
@@ -222,7 +227,7 @@
      */
     @Test(timeOut = PATIENCE)
     public void turnsAwayWhenFull() throws Exception {
-        serve(Effect.IDEMPOTENT, 58, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 58, known(workers.listen()));
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(connect());
@@ -245,7 +250,7 @@
     @Test(timeOut = PATIENCE)
     public void slowSendersMakeRoomAndAreTold() throws Exception {
         workers.answers.add(DONE);
-        serve(Effect.IDEMPOTENT, 58, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 58, known(workers.listen()));
         List<Socket> slow = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             slow.add(connect());
@@ -267,7 +272,7 @@
     @Test(timeOut = PATIENCE)
     public void slowSendersMakeRoomInTime() throws Exception {
         workers.answers.add(DONE);
-        serve(Effect.IDEMPOTENT, 58, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 58, known(workers.listen()));
         for (int i = 0; i < 9; i++) {
             assertEquals(status(ask(connect(), HEALTH + "POST /jo")), 200);
         }
@@ -286,7 +291,7 @@
      */
     @Test(timeOut = PATIENCE)
     public void silenceAndEndlessMessagesEndInTime() throws Exception {
-        serve(Effect.IDEMPOTENT, DONE);
+        serve(Idempotency.IDEMPOTENT, DONE);
         Socket kept = connect();
         assertEquals(status(ask(kept, HEALTH)), 200);
         long before = System.nanoTime();
@@ -308,7 +313,7 @@
     @Test(timeOut = PATIENCE)
     public void visitorsMakeRoomBeforeSubmitters() throws Exception {
         workers.answers.addAll(List.of(DONE, DONE, DONE));
-        serve(Effect.IDEMPOTENT, 58, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 58, known(workers.listen()));
         Socket submitter = connect();
         assertEquals(status(ask(submitter, post(10))), 200);
         Socket visitor = connect();
@@ -328,7 +333,7 @@
     @Test(timeOut = PATIENCE)
     public void aCrowdOfStrangersPushesNobodyOut() throws Exception {
         workers.answers.addAll(List.of(DONE, DONE));
-        serve(Effect.IDEMPOTENT, 58, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 58, known(workers.listen()));
         Socket kept = connect();
         assertEquals(status(ask(kept, post(10))), 200);
         for (int i = 0; i < 40; i++) {
@@ -343,7 +348,7 @@
     @Test(timeOut = PATIENCE)
     public void servesWhatCameAheadOfItsTurn() throws Exception {
         workers.answers.addAll(List.of(DONE, DONE, DONE, DONE, DONE));
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         Socket client = connect();
         String large =
                 post(10).replace(
@@ -385,7 +390,7 @@
     @Test(dataProvider = "lists", timeOut = PATIENCE)
     public void goesOnWatching(String answer, String call) throws Exception {
         discovery.answers.add(answer);
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(discovery.next(), "GET /v1/servers?from=5&hold_ms=HELD HTTP/1.1");
         assertEquals(discovery.next(), "GET " + call + " HTTP/1.1");
     }
@@ -404,7 +409,7 @@
                         http("{\"version\":1,\"full\":false," + "\"servers\":[]}"),
                         nothing));
         long before = System.nanoTime();
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         for (int i = 0; i < 4; i++) {
             assertTrue(discovery.next().contains("?from=5"));
         }
@@ -420,7 +425,7 @@
     @Test(timeOut = PATIENCE)
     public void asksTheNewDiscoveryAtOnce() throws Exception {
         workers.answers.addAll(List.of(DONE, DONE));
-        serve(Effect.IDEMPOTENT, 1024, "{\"version\":5,\"full\":true,\"servers\":[]}");
+        serve(Idempotency.IDEMPOTENT, 1024, "{\"version\":5,\"full\":true,\"servers\":[]}");
         discovery.next();
         Stub other = new Stub();
         Config moved = config(other.listen());
@@ -451,7 +456,7 @@
     public void launchesByTheListAlone() throws Exception {
         workers.answers.add(DONE);
         discovery.answers.add(http(known(workers.listen())));
-        serve(Effect.IDEMPOTENT, 1024, "{\"version\":0,\"full\":true,\"servers\":[]}");
+        serve(Idempotency.IDEMPOTENT, 1024, "{\"version\":0,\"full\":true,\"servers\":[]}");
         discovery.next();
         discovery.next();
         assertEquals(status(ask(connect(), post(10))), 200);
@@ -477,7 +482,7 @@
                         64,
                         Double.NaN,
                         known.getBytes(StandardCharsets.UTF_8),
-                        new World.Given().settings(),
+                        new SimulatedWorld.Given().settings(),
                         0.5,
                         10,
                         2,
@@ -496,7 +501,7 @@
     public void servesOnWhileItDrainsAlone() throws Exception {
         longest = 10;
         workers.answers.addAll(List.of(DONE, DONE, TAKEN, TAKEN, TAKEN));
-        serve(Effect.IDEMPOTENT, 1024, known(workers.listen()));
+        serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         Socket kept = connect();
         assertEquals(status(ask(kept, post(10))), 200);
         Socket other = connect();
@@ -539,7 +544,7 @@
     @Test(timeOut = PATIENCE)
     public void slowWritersAreServedBeforeItEnds() throws Exception {
         workers.answers.add(DONE);
-        serve(Effect.UNREPEATABLE, 1024, known(workers.listen()), 2);
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen()), 2);
         Socket slow = connect();
         byte[] message = post(10).getBytes(StandardCharsets.UTF_8);
         int half = message.length / 2;
@@ -562,7 +567,7 @@
     @Test(timeOut = PATIENCE)
     public void answersAllBeforeItEnds() throws Exception {
         workers.answers.addAll(List.of(HEAD + STARTED + STARTED));
-        serve(Effect.UNREPEATABLE, 1024, known(workers.listen()), 2);
+        serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen()), 2);
         Socket waiting = connect();
         waiting.getOutputStream().write(post(10).getBytes(StandardCharsets.UTF_8));
         workers.next();
--- a/daemon/src/test/java/wheelroute/net/LinkTest.java
+++ b/daemon/src/test/java/wheelroute/net/StreamConnectionTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 /** One connection's reads, beside the others that wait for theirs. */
-public class LinkTest {
+public class StreamConnectionTest {
     /** Guards against one sender at full speed that keeps the thread from all others. */
     @Test
     public void leavesTheOthersTheirTurns() {
@@ -20,22 +20,22 @@
                         return 1;
                     }
                 };
-        Link link =
-                new Link(endless, new Loop(new Clock(), 1)) {
+        StreamConnection link =
+                new StreamConnection(endless, new EventLoop(new Clock(), 1)) {
                     @Override
-                    protected void received(ByteBuffer in) {
+                    protected void onBytes(ByteBuffer in) {
                         if (reads[0] > 100) {
                             throw new IllegalStateException("it never ends");
                         }
                     }
 
                     @Override
-                    protected void atEnd() {
+                    protected void onEndOfStream() {
                         // Such a sender has none.
                     }
 
                     @Override
-                    protected void broke(Throwable cause) {
+                    protected void onFailure(Throwable cause) {
                         reads[0] = -1;
                     }
                 };
--- a/daemon/src/test/java/wheelroute/net/clients/ClientDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
@@ -14,12 +14,12 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.World;
-import wheelroute.net.AnswerParser;
-import wheelroute.net.workers.LaunchMessage;
+import wheelroute.SimulatedWorld;
+import wheelroute.net.ResponseParser;
+import wheelroute.net.workers.AttemptRequest;
 
 /** Clients' messages in all the shapes that a network or a stranger may give them. */
-public class ClientDecoderTest {
+public class ClientRequestDecoderTest {
     private static final long ROOM = 100_000;
     private static final String FIELDS =
             "Host: app.svc\r\nX-Request-ID: 9b1f\r\nx-route-key: 7f3a\r\n"
@@ -46,22 +46,22 @@
     }
 
     @Test(dataProvider = "forms")
-    public void decodesHoweverItIsSplit(String text) throws BadMessage {
+    public void decodesHoweverItIsSplit(String text) throws BadRequestException {
         for (int cut = 1; cut < text.length(); cut++) {
-            ClientDecoder decoder = new ClientDecoder(new Room(ROOM));
+            ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(ROOM));
             assertNull(decoder.decode(bytes(text.substring(0, cut))), "cut at " + cut);
-            ClientMessage message = decoder.decode(bytes(text.substring(cut)));
+            ClientRequest message = decoder.decode(bytes(text.substring(cut)));
             assertEquals(message.target(), "/render/a%20b?q=1&r");
-            assertEquals(message.offering(), "render");
+            assertEquals(message.requestClass(), "render");
             assertEquals(message.id(), "9b1f");
-            assertEquals(message.mark(), "5c0f");
+            assertEquals(message.idempotencyKey(), "5c0f");
             assertEquals(message.routeKey(), "7f3a");
             assertEquals(message.tenant(), "t");
             assertEquals(message.timeout(), 0.48);
-            assertEquals(message.hint(), 0.012);
+            assertEquals(message.estimatedWork(), 0.012);
             assertEquals(message.slots(), 2.0);
             assertEquals(message.memory(), 1.5);
-            assertTrue(message.repeated() && message.keepsOpen());
+            assertTrue(message.clientRetry() && message.keepsOpen());
             assertEquals(new String(message.body(), StandardCharsets.UTF_8), "hello");
         }
     }
@@ -75,21 +75,21 @@
         int connections = 100;
         // Two on each: what a parser learns from one message it uses for the next.
         ByteBuffer[] messages = new ByteBuffer[4 * connections];
-        ClientDecoder[] decoders = new ClientDecoder[connections];
-        AnswerParser[] parsers = new AnswerParser[connections];
+        ClientRequestDecoder[] decoders = new ClientRequestDecoder[connections];
+        ResponseParser[] parsers = new ResponseParser[connections];
         Arrays.setAll(messages, i -> bytes(i % 4 < 2 ? POST : ANSWER));
         // The classes are there before it is counted.
-        new ClientDecoder(new Room(ROOM)).decode(bytes(POST));
-        new AnswerParser(new Unread()).parse(bytes(ANSWER));
-        Room room = new Room(ROOM);
+        new ClientRequestDecoder(new MemoryQuota(ROOM)).decode(bytes(POST));
+        new ResponseParser(new Unread()).parse(bytes(ANSWER));
+        MemoryQuota room = new MemoryQuota(ROOM);
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long thread = Thread.currentThread().getId();
         long before = threads.getThreadAllocatedBytes(thread);
         for (int i = 0; i < connections; i++) {
-            decoders[i] = new ClientDecoder(room);
+            decoders[i] = new ClientRequestDecoder(room);
             decoders[i].decode(messages[4 * i]);
             decoders[i].decode(messages[4 * i + 1]);
-            parsers[i] = new AnswerParser(new Unread());
+            parsers[i] = new ResponseParser(new Unread());
             parsers[i].parse(messages[4 * i + 2]);
             parsers[i].parse(messages[4 * i + 3]);
         }
@@ -99,7 +99,7 @@
                 each + " bytes for a client's and a worker's connection");
     }
 
-    private static final class Unread implements AnswerParser.Reader {
+    private static final class Unread implements ResponseParser.Reader {
         @Override
         public void head(int status, Map<String, String> fields) {
             assertEquals(status, 200);
@@ -118,19 +118,19 @@
 
     /** Guards against what one message left behind showing up in the next. */
     @Test
-    public void decodesOneAfterTheOther() throws BadMessage {
-        ClientDecoder decoder = new ClientDecoder(new Room(ROOM));
+    public void decodesOneAfterTheOther() throws BadRequestException {
+        ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(ROOM));
         ByteBuffer two =
                 bytes(POST + "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         decoder.decode(two);
-        ClientMessage second = decoder.decode(two);
+        ClientRequest second = decoder.decode(two);
         assertEquals(second.method() + second.path(), "GET/healthz");
         assertNull(second.id());
         assertEquals(
                 decoder.decode(bytes("GET / HTTP/1.1\r\nHost: a\r\nX-Attrs:\r\n\r\n")).slots(),
                 1.0);
-        assertTrue(Double.isNaN(second.timeout()) && Double.isNaN(second.hint()));
-        assertFalse(second.repeated() || second.keepsOpen());
+        assertTrue(Double.isNaN(second.timeout()) && Double.isNaN(second.estimatedWork()));
+        assertFalse(second.clientRetry() || second.keepsOpen());
         assertEquals(second.body().length, 0);
     }
 
@@ -150,20 +150,20 @@
 
     /** An offering's name may hold what a path must escape, a tenant's what is no ASCII. */
     @Test(dataProvider = "names")
-    public void readsNames(String inPath, String name) throws BadMessage {
-        ClientMessage message =
-                new ClientDecoder(new Room(ROOM))
+    public void readsNames(String inPath, String name) throws BadRequestException {
+        ClientRequest message =
+                new ClientRequestDecoder(new MemoryQuota(ROOM))
                         .decode(
                                 bytes(
                                         POST.replace("/render/", "/" + inPath + "/")
                                                 .replace(
                                                         "X-Tenant-Id: t", "X-Tenant-Id: " + name)));
-        assertEquals(message.offering(), name);
+        assertEquals(message.requestClass(), name);
         assertEquals(message.tenant(), name);
         // To the worker it goes as it came, byte for byte.
         String sent =
-                World.text(
-                        new LaunchMessage(
+                SimulatedWorld.text(
+                        new AttemptRequest(
                                         message.method(),
                                         message.target(),
                                         message.id(),
@@ -229,11 +229,13 @@
      * thread's.
      */
     @Test
-    public void readsTargetsAsLongAsAHead() throws BadMessage {
+    public void readsTargetsAsLongAsAHead() throws BadRequestException {
         for (String part : new String[] {"a".repeat(7500), "%41".repeat(2500)}) {
             String target = "/render/" + part;
             String head = "POST " + target + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
-            assertEquals(new ClientDecoder(new Room(ROOM)).decode(bytes(head)).target(), target);
+            assertEquals(
+                    new ClientRequestDecoder(new MemoryQuota(ROOM)).decode(bytes(head)).target(),
+                    target);
         }
     }
 
@@ -241,9 +243,10 @@
     public void refusesWithTheRightStatus(String text, int status) {
         assertEquals(
                 expectThrows(
-                                BadMessage.class,
+                                BadRequestException.class,
                                 () -> {
-                                    ClientDecoder decoder = new ClientDecoder(new Room(ROOM));
+                                    ClientRequestDecoder decoder =
+                                            new ClientRequestDecoder(new MemoryQuota(ROOM));
                                     ByteBuffer in = bytes(text);
                                     while (in.hasRemaining()) {
                                         ByteBuffer piece =
@@ -260,19 +263,21 @@
 
     /** Guards against many large bodies at once, which ended the process for want of memory. */
     @Test(dataProvider = "forms")
-    public void holdsNoMoreThanThereIsRoomFor(String text) throws BadMessage {
-        Room room = new Room(9);
-        ClientDecoder first = new ClientDecoder(room);
-        ClientDecoder second = new ClientDecoder(room);
+    public void holdsNoMoreThanThereIsRoomFor(String text) throws BadRequestException {
+        MemoryQuota room = new MemoryQuota(9);
+        ClientRequestDecoder first = new ClientRequestDecoder(room);
+        ClientRequestDecoder second = new ClientRequestDecoder(room);
         first.decode(bytes(text));
         assertEquals(
-                expectThrows(BadMessage.class, () -> second.decode(bytes(text))).status(), 503);
+                expectThrows(BadRequestException.class, () -> second.decode(bytes(text))).status(),
+                503);
         second.release();
         first.release();
         String stalled = POST.replace("Content-Length: 5", "Content-Length: 60000");
         assertNull(
-                new ClientDecoder(room).decode(bytes(stalled.substring(0, stalled.length() - 3))));
-        ClientDecoder third = new ClientDecoder(room);
+                new ClientRequestDecoder(room)
+                        .decode(bytes(stalled.substring(0, stalled.length() - 3))));
+        ClientRequestDecoder third = new ClientRequestDecoder(room);
         assertEquals(third.decode(bytes(text)).body().length, 5);
         third.release();
         assertTrue(room.take(7));
@@ -282,24 +287,24 @@
     public Object[][] answers() {
         return new Object[][] {
             {
-                ClientAnswer.fulfilled("ok".getBytes(StandardCharsets.UTF_8)),
+                ClientResponse.fulfilled("ok".getBytes(StandardCharsets.UTF_8)),
                 false,
                 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
             },
             {
-                ClientAnswer.bounced(0.0401),
+                ClientResponse.bounced(0.0401),
                 true,
                 "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.041\r\n"
                         + "Connection: close\r\nContent-Length: 25\r\n\r\nbounced: a retry is safe\n"
             },
             {
-                ClientAnswer.bounced(0),
+                ClientResponse.bounced(0),
                 false,
                 "HTTP/1.1 503 Service Unavailable\r\n"
                         + "Content-Length: 25\r\n\r\nbounced: a retry is safe\n"
             },
             {
-                ClientAnswer.scrapped(),
+                ClientResponse.scrapped(),
                 false,
                 "HTTP/1.1 502 Bad Gateway\r\n"
                         + "Content-Length: 26\r\n\r\nscrapped: it may have run\n"
@@ -308,7 +313,7 @@
     }
 
     @Test(dataProvider = "answers")
-    public void encodesAnswers(ClientAnswer answer, boolean last, String expected) {
-        assertEquals(World.text(answer.encode(last)), expected);
+    public void encodesAnswers(ClientResponse answer, boolean last, String expected) {
+        assertEquals(SimulatedWorld.text(answer.encode(last)), expected);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/list/WorkerListTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/EndpointListTest.java
@@ -1,4 +1,4 @@
-package wheelroute.net.list;
+package wheelroute.net.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
@@ -8,27 +8,27 @@
 import java.nio.charset.StandardCharsets;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.decision.Listing;
+import wheelroute.decision.Endpoint;
 
 /** Discovery's answers, and what is none. */
-public class WorkerListTest {
+public class EndpointListTest {
     private static final String ENTRY =
             "{'id':'s-5b','addr':'127.1.0.18:8081','zone':'a','kind':'m2',"
                     + "'cell':3,'state':'ready','weight':1.5,'started_ms':1500,'new':[{}]}";
     private static final String LIST =
             "{'version':41,'full':true,'later':{'a':[1]}," + "'servers':[" + ENTRY + "]}";
 
-    private static WorkerList decode(String json) throws IOException {
-        return WorkerList.decode(json.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
+    private static EndpointList decode(String json) throws IOException {
+        return EndpointList.decode(json.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     public void decodesAnEntry() throws IOException {
-        WorkerList list = decode(LIST);
-        assertTrue(list.whole());
+        EndpointList list = decode(LIST);
+        assertTrue(list.complete());
         assertEquals(list.version(), 41);
-        WorkerList.Entry entry = list.entries().get(0);
-        assertEquals(entry.id() + entry.zone() + entry.kind() + entry.cell(), "s-5bam23");
+        EndpointList.Entry entry = list.entries().get(0);
+        assertEquals(entry.id() + entry.zone() + entry.model() + entry.cell(), "s-5bam23");
         assertEquals(entry.address().getPort(), 8081);
         assertEquals(entry.weight(), 1.5);
         assertEquals(entry.startedAt(), 1.5);
@@ -37,14 +37,14 @@
     @DataProvider
     public Object[][] states() {
         return new Object[][] {
-            {"ready", Listing.Readiness.ACTIVE}, {"draining", Listing.Readiness.LEAVING},
-            {"gone", Listing.Readiness.GONE}, {"resting", Listing.Readiness.LEAVING},
+            {"ready", Endpoint.State.READY}, {"draining", Endpoint.State.DRAINING},
+            {"gone", Endpoint.State.REMOVED}, {"resting", Endpoint.State.DRAINING},
         };
     }
 
     @Test(dataProvider = "states")
-    public void decodesStates(String state, Listing.Readiness readiness) throws IOException {
-        assertEquals(decode(LIST.replace("ready", state)).entries().get(0).readiness(), readiness);
+    public void decodesStates(String state, Endpoint.State readiness) throws IOException {
+        assertEquals(decode(LIST.replace("ready", state)).entries().get(0).state(), readiness);
         assertTrue(Double.isNaN(decode(LIST.replace("1500", "0")).entries().get(0).startedAt()));
     }
 
--- a/daemon/src/test/java/wheelroute/net/handover/LearnedTextTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/LearnedStateCodecTest.java
@@ -9,24 +9,26 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.decision.Ids;
-import wheelroute.decision.Learned;
+import wheelroute.decision.LearnedState;
 
-public class LearnedTextTest {
+public class LearnedStateCodecTest {
     private static final double[] SAMPLES = {0.5, 2, 3, 0.25, 1, 1};
 
-    private static Learned learned() {
-        return new Learned(
+    private static LearnedState learned() {
+        return new LearnedState(
                 Map.of(
                         new Ids.Worker(1),
-                        new Learned.OfWorker(SAMPLES, new double[0], SAMPLES),
+                        new LearnedState.WorkerSamples(SAMPLES, new double[0], SAMPLES),
                         new Ids.Worker(2),
-                        new Learned.OfWorker(SAMPLES, SAMPLES, SAMPLES)),
-                Map.of(new Ids.Model("m \"2\""), new Learned.OfModel(3, SAMPLES, SAMPLES)),
-                Map.of(new Ids.Offering("job"), SAMPLES));
+                        new LearnedState.WorkerSamples(SAMPLES, SAMPLES, SAMPLES)),
+                Map.of(
+                        new Ids.Model("m \"2\""),
+                        new LearnedState.ModelSamples(3, SAMPLES, SAMPLES)),
+                Map.of(new Ids.RequestClass("job"), SAMPLES));
     }
 
-    private static Learned decode(String text) throws IOException {
-        return LearnedText.decode(
+    private static LearnedState decode(String text) throws IOException {
+        return LearnedStateCodec.decode(
                 text.getBytes(StandardCharsets.UTF_8),
                 name -> name.equals("one") ? new Ids.Worker(7) : null);
     }
@@ -34,14 +36,15 @@
     /** Under the list's names, as the other process has its own; who is on no list is left out. */
     @Test
     public void goesFromOneToTheOther() throws IOException {
-        String text = LearnedText.encode(learned(), worker -> worker.value() == 1 ? "one" : null);
-        Learned read = decode(text);
+        String text =
+                LearnedStateCodec.encode(learned(), worker -> worker.value() == 1 ? "one" : null);
+        LearnedState read = decode(text);
         assertEquals(read.workers().keySet().toString(), "[Worker[value=7]]");
         assertEquals(read.workers().get(new Ids.Worker(7)).runs(), SAMPLES);
         assertEquals(read.workers().get(new Ids.Worker(7)).waits(), new double[0]);
         assertEquals(read.models().get(new Ids.Model("m \"2\"")).slots(), 3);
         assertEquals(read.models().get(new Ids.Model("m \"2\"")).waits(), SAMPLES);
-        assertEquals(read.hints().get(new Ids.Offering("job")), SAMPLES);
+        assertEquals(read.estimates().get(new Ids.RequestClass("job")), SAMPLES);
         assertEquals(text.indexOf('\n'), -1);
     }
 
--- a/daemon/src/test/java/wheelroute/net/handover/PlacesTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/ProcessChainTest.java
@@ -4,9 +4,9 @@
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.net.handover.Places.Side;
+import wheelroute.net.handover.ProcessChain.Role;
 
-public class PlacesTest {
+public class ProcessChainTest {
     @DataProvider
     public Object[][] histories() {
         return new Object[][] {
@@ -35,9 +35,9 @@
     @Test(dataProvider = "histories")
     public void countsWhoIsThere(
             String history, int processes, int before, int after, boolean succeeded) {
-        Places places = new Places();
+        ProcessChain places = new ProcessChain();
         for (String event : history.isEmpty() ? new String[0] : history.split(" ")) {
-            Side side = event.startsWith("before") ? Side.BEFORE : Side.AFTER;
+            Role side = event.startsWith("before") ? Role.PREDECESSOR : Role.SUCCESSOR;
             if (event.equals("serves")) {
                 places.serves();
             } else if (event.endsWith("+")) {
@@ -49,8 +49,8 @@
             }
         }
         assertEquals(places.processes(), processes);
-        assertEquals(places.behind(Side.BEFORE), before);
-        assertEquals(places.behind(Side.AFTER), after);
+        assertEquals(places.behind(Role.PREDECESSOR), before);
+        assertEquals(places.behind(Role.SUCCESSOR), after);
         assertEquals(places.hasSuccessor(), succeeded);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/workers/LaunchDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
@@ -9,11 +9,11 @@
 import java.util.EnumSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.World;
-import wheelroute.net.End;
+import wheelroute.SimulatedWorld;
+import wheelroute.net.AttemptResult;
 
 /** Workers' answers in all the shapes that a network or a faulty worker may give them. */
-public class LaunchDecoderTest implements LaunchDecoder.Hearer {
+public class AttemptResponseDecoderTest implements AttemptResponseDecoder.Listener {
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String STARTED = "{'id':'9b','from':'s-0','state':'started'}\n";
     private static final String RUNNING =
@@ -83,7 +83,7 @@
         byte[] bytes = text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
         for (int cut = 0; cut < bytes.length; cut++) {
             heard.setLength(0);
-            LaunchDecoder decoder = new LaunchDecoder(this);
+            AttemptResponseDecoder decoder = new AttemptResponseDecoder(this);
             decoder.expect("9b");
             decoder.decode(ByteBuffer.wrap(bytes, 0, cut));
             decoder.decode(ByteBuffer.wrap(bytes, cut, bytes.length - cut));
@@ -116,7 +116,7 @@
      */
     @Test(dataProvider = "nonsense")
     public void refusesWhatIsNotAnAnswer(String text) {
-        LaunchDecoder decoder = new LaunchDecoder(this);
+        AttemptResponseDecoder decoder = new AttemptResponseDecoder(this);
         decoder.expect("9b");
         assertThrows(
                 IOException.class,
@@ -129,7 +129,7 @@
     /** Bytes left behind an answer belong to nobody: the connection must not be used again. */
     @Test
     public void aTailBarsReuse() throws IOException {
-        LaunchDecoder decoder = new LaunchDecoder(this);
+        AttemptResponseDecoder decoder = new AttemptResponseDecoder(this);
         decoder.expect("9b");
         heard.setLength(0);
         decoder.decode(
@@ -143,8 +143,8 @@
      */
     @Test
     public void onlyProvenEndsNeverRan() {
-        EnumSet<End> never = EnumSet.noneOf(End.class);
-        for (End end : End.values()) {
+        EnumSet<AttemptResult> never = EnumSet.noneOf(AttemptResult.class);
+        for (AttemptResult end : AttemptResult.values()) {
             if (!end.outcome().mayHaveRun()) {
                 never.add(end);
             }
@@ -152,22 +152,22 @@
         assertEquals(
                 never,
                 EnumSet.of(
-                        End.RETURNED,
-                        End.TURNED_AWAY,
-                        End.REFUSED,
-                        End.NEVER_UP,
-                        End.NO_ROOM,
-                        End.BROKE_UNSENT,
-                        End.ENDED_UNSENT));
+                        AttemptResult.HANDED_BACK,
+                        AttemptResult.REJECTED,
+                        AttemptResult.CONNECTION_REFUSED,
+                        AttemptResult.CONNECT_TIMEOUT,
+                        AttemptResult.NO_DESCRIPTOR,
+                        AttemptResult.BROKEN_BEFORE_SENT,
+                        AttemptResult.NOT_SENT));
     }
 
     @Test
     public void encodesWhatTheClientSent() {
-        LaunchMessage message =
-                new LaunchMessage(
+        AttemptRequest message =
+                new AttemptRequest(
                         "POST", "/a%20b?q", "9b", null, "7f", new byte[] {'h', 'i'}, false);
         assertEquals(
-                World.text(message.encode("127.0.0.1:80", 0.4567)),
+                SimulatedWorld.text(message.encode("127.0.0.1:80", 0.4567)),
                 "POST /a%20b?q HTTP/1.1\r\nHost: 127.0.0.1:80\r\nX-Request-ID: 9b\r\nX-Route-Key: 7f\r\n"
                         + "X-Timeout: 0.457\r\nContent-Length: 2\r\n\r\nhi");
     }
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void ended(End end, byte[] result, double freeSlots) {
+    public void ended(AttemptResult end, byte[] result, double freeSlots) {
         heard.append(end)
                 .append('[')
                 .append(new String(result, StandardCharsets.UTF_8))
--- a/daemon/src/test/java/wheelroute/net/workers/FlightTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import wheelroute.net.AttemptResult;
 import wheelroute.net.Counters;
-import wheelroute.net.End;
 
-public class FlightTest {
+public class InFlightAttemptTest {
     private static final double LIMIT = 100;
 
     @DataProvider
@@ -18,8 +18,8 @@
         // ends.
         return new Object[][] {
             {LIMIT - 0.001, true, true, List.of()},
-            {LIMIT, true, false, List.of(End.ENDED_UNSENT)},
-            {LIMIT + 4, true, false, List.of(End.ENDED_UNSENT)},
+            {LIMIT, true, false, List.of(AttemptResult.NOT_SENT)},
+            {LIMIT + 4, true, false, List.of(AttemptResult.NOT_SENT)},
             {LIMIT - 1, false, false, List.of()},
         };
     }
@@ -29,34 +29,35 @@
      */
     @Test(dataProvider = "moments")
     public void nothingGoesOutPastItsLimit(
-            double now, boolean wanted, boolean goes, List<End> expected) {
-        List<End> ends = new ArrayList<>();
-        Launches launches =
-                new Launches() {
+            double now, boolean wanted, boolean goes, List<AttemptResult> expected) {
+        List<AttemptResult> ends = new ArrayList<>();
+        AttemptListener launches =
+                new AttemptListener() {
                     @Override
-                    public boolean isWanted() {
+                    public boolean isStillWanted() {
                         return wanted;
                     }
 
                     @Override
-                    public void started() {
+                    public void onStarted() {
                         throw new AssertionError("it has not gone");
                     }
 
                     @Override
-                    public void progressed(double share) {
+                    public void onProgress(double share) {
                         throw new AssertionError("it has not gone");
                     }
 
                     @Override
-                    public void ended(End end, byte[] result, double freeSlots) {
+                    public void onEnded(AttemptResult end, byte[] result, double freeSlots) {
                         ends.add(end);
                     }
                 };
-        LaunchMessage message =
-                new LaunchMessage("POST", "/job/x", "77", null, null, new byte[0], true);
+        AttemptRequest message =
+                new AttemptRequest("POST", "/job/x", "77", null, null, new byte[0], true);
         assertEquals(
-                new Flight(message, LIMIT, launches, new Counters(List.of())).mayGo(now), goes);
+                new InFlightAttempt(message, LIMIT, launches, new Counters(List.of())).mayGo(now),
+                goes);
         assertEquals(ends, expected);
     }
 }
--- a/daemon/src/test/java/wheelroute/peers/LeaseCheckTest.java
+++ b/daemon/src/test/java/wheelroute/peers/LeaseModelCheckTest.java
@@ -22,7 +22,7 @@
  * stated depth, datagrams coming late, again or never. At no moment do two use the share; and with
  * any one guard taken out, they do.
  */
-public class LeaseCheckTest {
+public class LeaseModelCheckTest {
     private static final int MEMBERS = 3;
     private static final int HOLDERS = 2;
 
@@ -73,7 +73,7 @@
         final double[] rates;
         final PeerId[] names;
         double time;
-        final Votes[] votes = new Votes[MEMBERS];
+        final LeaseVoter[] votes = new LeaseVoter[MEMBERS];
         final Lease[] leases = new Lease[HOLDERS];
         final long[] lives = new long[MEMBERS];
         final int[] numbers = new int[HOLDERS];
@@ -116,10 +116,10 @@
             story.addAll(of.story);
         }
 
-        private Votes votes(double now) {
+        private LeaseVoter votes(double now) {
             double promised = without == Guard.MARGIN_FOR_RATES ? USED : PROMISED;
             double silent = without == Guard.SILENT_AFTER_START ? 0 : promised;
-            return new Votes(now, promised, silent) {
+            return new LeaseVoter(now, promised, silent) {
                 @Override
                 boolean isSame(Promise last, PeerId holder, long life) {
                     return without == Guard.KEEPS_ITS_WORD
@@ -171,8 +171,8 @@
         }
 
         /** Votes are copied where they change: most steps leave them as they are. */
-        private Votes own(int member) {
-            Votes copy = votes(-100 * USED);
+        private LeaseVoter own(int member) {
+            LeaseVoter copy = votes(-100 * USED);
             votes[member].copyTo(copy);
             votes[member] = copy;
             return copy;
--- a/daemon/src/test/java/wheelroute/peers/CodecTest.java
+++ b/daemon/src/test/java/wheelroute/peers/MessageCodecTest.java
@@ -18,22 +18,22 @@
  * Datagrams: what goes out comes back the same, and whatever comes in, nothing but a message or a
  * no does.
  */
-public class CodecTest {
+public class MessageCodecTest {
     private static final long SEED = 1;
     private static final int TRIES = 3_000;
     private static final int CHECKSUM = 4;
     private static final int KINDS = Message.Kind.values().length;
-    private static final Sighting SELF = sighting(0, 3);
+    private static final MemberUpdate SELF = sighting(0, 3);
 
     private static QuickTheory fixed() {
         return qt().withFixedSeed(SEED).withExamples(TRIES).withShrinkCycles(0);
     }
 
-    private static Sighting sighting(int number, int nameLength) {
-        Sighting.State[] states = Sighting.State.values();
-        return new Sighting(
+    private static MemberUpdate sighting(int number, int nameLength) {
+        MemberUpdate.State[] states = MemberUpdate.State.values();
+        return new MemberUpdate(
                 new PeerId("n".repeat(nameLength) + number % 7),
-                new Place(0x7f000001, number & 0xffff),
+                new MemberAddress(0x7f000001, number & 0xffff),
                 (long) number << 20,
                 states[number % states.length],
                 number * 31);
@@ -41,11 +41,11 @@
 
     private static Message message(int kindAt, int number, int names) {
         Message.Kind kind = Message.Kind.values()[kindAt];
-        List<Sighting> news = new ArrayList<>();
+        List<MemberUpdate> news = new ArrayList<>();
         for (int i = 0; i < names; i++) {
             news.add(sighting(number + i, 1 + (number + i) % (PeerId.MOST_BYTES - 1)));
         }
-        boolean endOfPages = kind != Message.Kind.ASK && number % 2 == 0;
+        boolean endOfPages = kind != Message.Kind.PING_REQUEST && number % 2 == 0;
         return new Message(
                 kind,
                 5,
@@ -53,7 +53,7 @@
                 number,
                 -number,
                 kind.hasTarget() && !endOfPages ? sighting(number, PeerId.MOST_BYTES - 1) : null,
-                kind.hasLease() ? new Message.Lease(number, number * 7L) : null,
+                kind.hasLease() ? new Message.LeaseTerms(number, number * 7L) : null,
                 news);
     }
 
@@ -69,14 +69,15 @@
                 .checkAssert(
                         (kind, number, names) -> {
                             Message sent = message(kind, number, names);
-                            ByteBuffer bytes = Codec.encode(sent);
-                            assertEquals(bytes.remaining() <= Codec.MOST_BYTES, true);
-                            int fitting = Codec.fitting(sent.with(List.of()), sent.news());
+                            ByteBuffer bytes = MessageCodec.encode(sent);
+                            assertEquals(bytes.remaining() <= MessageCodec.MOST_BYTES, true);
+                            int fitting =
+                                    MessageCodec.fitting(sent.with(List.of()), sent.updates());
                             try {
                                 assertEquals(
-                                        Codec.decode(bytes),
-                                        sent.with(sent.news().subList(0, fitting)));
-                            } catch (MalformedException e) {
+                                        MessageCodec.decode(bytes),
+                                        sent.with(sent.updates().subList(0, fitting)));
+                            } catch (MalformedMessageException e) {
                                 throw new AssertionError(e);
                             }
                         });
@@ -84,8 +85,8 @@
 
     private static void reads(byte[] bytes) {
         try {
-            Codec.decode(ByteBuffer.wrap(bytes));
-        } catch (MalformedException e) {
+            MessageCodec.decode(ByteBuffer.wrap(bytes));
+        } catch (MalformedMessageException e) {
             assertEquals(e.getStackTrace().length, 0, "a flood of these must cost little");
         }
     }
@@ -118,7 +119,7 @@
                         integers().between(0, 5))
                 .checkAssert(
                         (kind, at, value, cut) -> {
-                            ByteBuffer out = Codec.encode(message(kind, 1000 + at, 3));
+                            ByteBuffer out = MessageCodec.encode(message(kind, 1000 + at, 3));
                             byte[] bytes = new byte[Math.max(CHECKSUM, out.remaining() - cut)];
                             out.get(bytes);
                             bytes[at % bytes.length] = value.byteValue();
@@ -138,8 +139,8 @@
 
     @DataProvider
     public Object[][] refused() {
-        byte[] true_ = Codec.encode(message(0, 7, 1)).array();
-        int size = Codec.encode(message(0, 7, 1)).remaining();
+        byte[] true_ = MessageCodec.encode(message(0, 7, 1)).array();
+        int size = MessageCodec.encode(message(0, 7, 1)).remaining();
         return new Object[][] {
             // which byte, its value, what is told
             {0, 0, "mark", true_, size},
@@ -157,10 +158,10 @@
     public void whatIsRefusedIsNamed(int at, int value, String told, byte[] bytes, int size) {
         byte[] changed = java.util.Arrays.copyOf(bytes, size);
         changed[at] = (byte) value;
-        MalformedException e =
+        MalformedMessageException e =
                 expectThrows(
-                        MalformedException.class,
-                        () -> Codec.decode(ByteBuffer.wrap(sealed(changed))));
+                        MalformedMessageException.class,
+                        () -> MessageCodec.decode(ByteBuffer.wrap(sealed(changed))));
         assertEquals(e.getMessage().contains(told), true, e.getMessage());
     }
 }
--- a/daemon/src/test/java/wheelroute/peers/SharesTest.java
+++ b/daemon/src/test/java/wheelroute/peers/QuotaLeasesTest.java
@@ -12,15 +12,15 @@
 import org.testng.annotations.Test;
 
 /** Shares among several dispatchers, whose datagrams and beliefs the case makes. */
-public class SharesTest {
+public class QuotaLeasesTest {
     private static final double STEP = 0.05;
     private static final double EXACT = 1e-9;
 
     /** All of them, in one time; a datagram takes a step, or as the case says. */
     private static final class All {
         final int count;
-        final Shares[] shares;
-        final Votes[] votes;
+        final QuotaLeases[] shares;
+        final LeaseVoter[] votes;
         final long[] lives;
         final boolean[] up;
         final Set<Integer> still = new HashSet<>();
@@ -37,8 +37,8 @@
 
         All(int count) {
             this.count = count;
-            shares = new Shares[count];
-            votes = new Votes[count];
+            shares = new QuotaLeases[count];
+            votes = new LeaseVoter[count];
             lives = new long[count];
             up = new boolean[count];
             for (int i = 0; i < count; i++) {
@@ -49,9 +49,9 @@
         void start(int i) {
             up[i] = true;
             long life = ++lives[i];
-            votes[i] = new Votes(now);
+            votes[i] = new LeaseVoter(now);
             shares[i] =
-                    new Shares(
+                    new QuotaLeases(
                             i,
                             count,
                             life,
@@ -63,7 +63,7 @@
             return cutAt >= 0 && one < cutAt != other < cutAt;
         }
 
-        void send(int from, int to, Message.Kind kind, int number, Message.Lease lease) {
+        void send(int from, int to, Message.Kind kind, int number, Message.LeaseTerms lease) {
             if (isCut(from, to) || random.nextDouble() < loss) {
                 return;
             }
@@ -74,13 +74,15 @@
                         }
                         PeerId by = new PeerId("n" + from);
                         switch (kind) {
-                            case LEASE_ASK -> {
-                                if (votes[to].ask(now, lease.share(), by, lease.life(), number)) {
+                            case LEASE_REQUEST -> {
+                                if (votes[to].ask(
+                                        now, lease.share(), by, lease.incarnation(), number)) {
                                     send(to, from, Message.Kind.LEASE_GRANT, number, lease);
                                 }
                             }
                             case LEASE_GRANT -> shares[to].granted(now, number, lease, by);
-                            default -> votes[to].back(lease.share(), by, lease.life(), number);
+                            default ->
+                                    votes[to].back(lease.share(), by, lease.incarnation(), number);
                         }
                     });
         }
@@ -141,9 +143,9 @@
         all.pass(SETTLED);
         all.up[4] = false;
         all.pass(SETTLED);
-        assertEquals(all.inUse(), 1 - Shares.FLOOR / 10, EXACT);
+        assertEquals(all.inUse(), 1 - QuotaLeases.FLOOR / 10, EXACT);
         assertEquals(all.shares[5].held(all.now), List.of(4, 5));
-        assertEquals(all.shares[5].of(4, all.now), 1 - Shares.FLOOR, EXACT);
+        assertEquals(all.shares[5].of(4, all.now), 1 - QuotaLeases.FLOOR, EXACT);
         all.start(4);
         all.pass(SETTLED);
         assertEquals(all.inUse(), 1, EXACT);
@@ -160,7 +162,7 @@
         all.pass(SETTLED);
         all.cutAt = 1;
         all.pass(Lease.USED + STEP);
-        assertEquals(all.shares[0].whole(all.now), Shares.FLOOR / 10, EXACT);
+        assertEquals(all.shares[0].whole(all.now), QuotaLeases.FLOOR / 10, EXACT);
         all.pass(SETTLED);
         assertEquals(all.inUse(), 1, EXACT);
         all.cutAt = 5;
@@ -178,7 +180,7 @@
         all.still.add(2);
         all.pass(Lease.USED + STEP);
         all.still.remove(2);
-        assertEquals(all.shares[2].of(2, all.now), Shares.FLOOR, EXACT);
+        assertEquals(all.shares[2].of(2, all.now), QuotaLeases.FLOOR, EXACT);
     }
 
     @Test
--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -9,8 +9,9 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
+import wheelroute.config.TomlFields;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.world.Answer;
 import wheelroute.kit.world.Ending;
@@ -422,10 +423,10 @@
                         }
                     });
         }
-        if (earlier.neverRan || offering.effect() == Effect.IDEMPOTENT) {
+        if (earlier.neverRan || offering.effect() == Idempotency.IDEMPOTENT) {
             return;
         }
-        if (offering.effect() == Effect.UNREPEATABLE) {
+        if (offering.effect() == Idempotency.NON_IDEMPOTENT) {
             breach(Rule.NO_EFFECT_TWICE, "launched again, though it may have run", record);
         } else if (!sameGroup(offering.group(), earlier.worker, seen.worker)) {
             breach(Rule.NO_EFFECT_TWICE, "a repeat outside its group", record);
@@ -435,7 +436,7 @@
     }
 
     /** A group of the scenario is a cell. */
-    private static boolean sameGroup(Group group, WorkerModel one, WorkerModel other) {
+    private static boolean sameGroup(IdempotencyScope group, WorkerModel one, WorkerModel other) {
         return switch (group) {
             case ALL -> true;
             case ZONE -> one.group.zone().equals(other.group.zone());
@@ -445,8 +446,9 @@
 
     private static boolean mayBounce(RequestRecord record) {
         Scenario.Offering offering = record.submitted.ask().offering();
-        if (offering.effect() == Effect.IDEMPOTENT
-                || (offering.effect() == Effect.DEDUPLICATED && offering.group() == Group.ALL)) {
+        if (offering.effect() == Idempotency.IDEMPOTENT
+                || (offering.effect() == Idempotency.IDEMPOTENT_BY_KEY
+                        && offering.group() == IdempotencyScope.ALL)) {
             return true;
         }
         return record.launches.stream().allMatch(launch -> launch.neverRan);
@@ -461,7 +463,7 @@
         seen.of.note(timeline.now(), "began at", worker.number);
         // Also over several submissions of one ask: a bounce promises that a retry does no harm.
         Scenario.Offering offering = seen.of.submitted.ask().offering();
-        if (offering.effect() == Effect.UNREPEATABLE) {
+        if (offering.effect() == Idempotency.NON_IDEMPOTENT) {
             Set<Integer> places =
                     effects.computeIfAbsent(seen.of.submitted.ask().number(), n -> new HashSet<>());
             if (!places.isEmpty()) {
@@ -549,7 +551,7 @@
                         + ", "
                         + s.ask().offering().name()
                         + " ("
-                        + s.ask().offering().effect().name().toLowerCase(Locale.ROOT)
+                        + TomlFields.word(s.ask().offering().effect())
                         + "), waits "
                         + seconds(s.timeout())
                         + " s");
--- a/kit/src/main/java/wheelroute/kit/brain/Baseline.java
+++ b/kit/src/main/java/wheelroute/kit/brain/Baseline.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import wheelroute.decision.Dispatcher;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.Endpoint;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 import wheelroute.decision.Ids;
-import wheelroute.decision.Listing;
 import wheelroute.decision.LoadReport;
 import wheelroute.decision.Outcome;
+import wheelroute.decision.Request;
 import wheelroute.decision.Settings;
-import wheelroute.decision.Submission;
 
 /**
  * Textbook dispatching that keeps the first three rules: a choice among the active workers, again
@@ -35,29 +35,29 @@
     public interface Choice {
         /** One of the workers, of which there is at least one; null where none is worth it. */
         Ids.Worker choose(
-                List<Listing> open,
-                Submission submission,
+                List<Endpoint> open,
+                Request submission,
                 Map<Ids.Worker, Integer> out,
                 SplittableRandom random);
     }
 
     private final Settings settings;
-    private final Dispatcher dispatcher;
+    private final ActionHandler dispatcher;
     private final Choice choice;
     private final SplittableRandom random;
-    private final Map<Ids.Worker, Listing> listed = new LinkedHashMap<>();
+    private final Map<Ids.Worker, Endpoint> listed = new LinkedHashMap<>();
     private final Map<Ids.Worker, Integer> out = new HashMap<>();
-    private final Map<Ids.Offering, Settings.Offering> offerings = new HashMap<>();
+    private final Map<Ids.RequestClass, Settings.RequestClass> offerings = new HashMap<>();
     private double now;
     private boolean askAgain;
 
-    public Baseline(Settings settings, Dispatcher dispatcher, Choice choice) {
+    public Baseline(Settings settings, ActionHandler dispatcher, Choice choice) {
         this.settings = settings;
         this.dispatcher = dispatcher;
         this.choice = choice;
         random = new SplittableRandom(settings.seed());
-        settings.offerings().forEach(offering -> offerings.put(offering.id(), offering));
-        dispatcher.watchList();
+        settings.requestClasses().forEach(offering -> offerings.put(offering.id(), offering));
+        dispatcher.watchEndpoints();
     }
 
     @Override
@@ -69,23 +69,23 @@
     public void woken() {
         if (askAgain) {
             askAgain = false;
-            dispatcher.watchList();
+            dispatcher.watchEndpoints();
         }
     }
 
     @Override
     public void listFailed() {
         askAgain = true;
-        dispatcher.wake(ASK);
+        dispatcher.scheduleWakeup(ASK);
     }
 
     @Override
-    public void listed(List<Listing> entries, boolean whole) {
+    public void listed(List<Endpoint> entries, boolean whole) {
         if (whole) {
             listed.clear();
         }
-        for (Listing entry : entries) {
-            if (entry.readiness() == Listing.Readiness.ACTIVE) {
+        for (Endpoint entry : entries) {
+            if (entry.state() == Endpoint.State.READY) {
                 listed.put(entry.worker(), entry);
             } else {
                 listed.remove(entry.worker());
@@ -94,8 +94,8 @@
     }
 
     @Override
-    public Held take(Submission submission) {
-        Settings.Offering offering = offerings.get(submission.offering());
+    public Held take(Request submission) {
+        Settings.RequestClass offering = offerings.get(submission.requestClass());
         if (offering == null) {
             return null;
         }
@@ -106,11 +106,11 @@
 
     /** One launch: where, when, and what became of it. */
     private static final class Sent {
-        final Listing place;
+        final Endpoint place;
         final double at;
         Outcome outcome;
 
-        Sent(Listing place, double at) {
+        Sent(Endpoint place, double at) {
             this.place = place;
             this.at = at;
         }
@@ -121,19 +121,19 @@
     }
 
     private final class Taken implements Held {
-        private final Submission submission;
-        private final Settings.Offering offering;
+        private final Request submission;
+        private final Settings.RequestClass offering;
         private final List<Sent> launches = new ArrayList<>(2);
         private int open;
         private boolean done;
 
-        Taken(Submission submission, Settings.Offering offering) {
+        Taken(Request submission, Settings.RequestClass offering) {
             this.submission = submission;
             this.offering = offering;
         }
 
         void place() {
-            List<Listing> candidates = candidates();
+            List<Endpoint> candidates = candidates();
             Ids.Worker worker =
                     candidates.isEmpty()
                             ? null
@@ -142,31 +142,31 @@
                 launches.add(new Sent(listed.get(worker), now));
                 open++;
                 out.merge(worker, 1, Integer::sum);
-                dispatcher.launch(submission.id(), worker, 0);
+                dispatcher.startAttempt(submission.id(), worker, 0);
                 return;
             }
             done = true;
             boolean harmless =
-                    offering.effect() == Effect.IDEMPOTENT
-                            || (offering.effect() == Effect.DEDUPLICATED
-                                    && offering.group() == Group.ALL)
+                    offering.idempotency() == Idempotency.IDEMPOTENT
+                            || (offering.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                                    && offering.idempotencyScope() == IdempotencyScope.ALL)
                             || launches.stream().noneMatch(Sent::mayHaveRun);
             if (harmless) {
-                dispatcher.bounce(submission.id(), 0);
+                dispatcher.reject(submission.id(), 0);
             } else {
-                dispatcher.scrap(submission.id());
+                dispatcher.fail(submission.id());
             }
         }
 
-        private List<Listing> candidates() {
+        private List<Endpoint> candidates() {
             boolean again = launches.stream().anyMatch(Sent::mayHaveRun);
-            if (launches.size() >= settings.mostLaunches()
-                    || now > submission.outerLimit() - LAST_CALL
-                    || (again && offering.effect() == Effect.UNREPEATABLE)) {
+            if (launches.size() >= settings.maxAttempts()
+                    || now > submission.deadline() - LAST_CALL
+                    || (again && offering.idempotency() == Idempotency.NON_IDEMPOTENT)) {
                 return List.of();
             }
-            List<Listing> all = new ArrayList<>(listed.values());
-            if (again && offering.effect() == Effect.DEDUPLICATED) {
+            List<Endpoint> all = new ArrayList<>(listed.values());
+            if (again && offering.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
                 all.removeIf(
                         to ->
                                 launches.stream()
@@ -177,10 +177,10 @@
                                                                         || now
                                                                                 > sent.at
                                                                                         + offering
-                                                                                                .window()
+                                                                                                .idempotencyWindow()
                                                                                         - TRANSIT)));
             }
-            List<Listing> fresh = new ArrayList<>(all);
+            List<Endpoint> fresh = new ArrayList<>(all);
             fresh.removeIf(
                     to ->
                             launches.stream()
@@ -188,8 +188,8 @@
             return fresh.isEmpty() ? all : fresh;
         }
 
-        private boolean sameGroup(Listing a, Listing b) {
-            return switch (offering.group()) {
+        private boolean sameGroup(Endpoint a, Endpoint b) {
+            return switch (offering.idempotencyScope()) {
                 case ALL -> true;
                 case ZONE -> a.zone().equals(b.zone());
                 case CELL -> a.cell().equals(b.cell());
@@ -206,7 +206,7 @@
             done = true;
             for (int i = 0; i < launches.size() && settings.mayCancel(); i++) {
                 if (launches.get(i).outcome == null) {
-                    dispatcher.cancel(submission.id(), i);
+                    dispatcher.cancelAttempt(submission.id(), i);
                 }
             }
         }
@@ -230,11 +230,11 @@
             sent.outcome = outcome;
             open--;
             out.merge(sent.place.worker(), -1, Integer::sum);
-            if (over || outcome == Outcome.ANSWERED) {
+            if (over || outcome == Outcome.SUCCEEDED) {
                 done = true;
-            } else if (outcome == Outcome.UNUSABLE && !done) {
+            } else if (outcome == Outcome.INVALID_REQUEST && !done) {
                 done = true;
-                dispatcher.scrap(submission.id());
+                dispatcher.fail(submission.id());
             } else if (!done) {
                 place();
             }
--- a/kit/src/main/java/wheelroute/kit/brain/Brain.java
+++ b/kit/src/main/java/wheelroute/kit/brain/Brain.java
@@ -1,30 +1,30 @@
 package wheelroute.kit.brain;
 
 import java.util.List;
-import wheelroute.decision.Dispatcher;
-import wheelroute.decision.Listing;
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.Endpoint;
 import wheelroute.decision.LoadReport;
 import wheelroute.decision.Outcome;
+import wheelroute.decision.Request;
 import wheelroute.decision.Settings;
-import wheelroute.decision.Submission;
 
 /** The decisions of one dispatcher, as the daemon's module is spoken to. */
 public interface Brain {
     /** Makes one for each dispatcher, and anew at its restarts. */
     interface Maker {
-        Brain make(Settings settings, Dispatcher dispatcher);
+        Brain make(Settings settings, ActionHandler dispatcher);
     }
 
     void at(double time);
 
     void woken();
 
-    void listed(List<Listing> entries, boolean whole);
+    void listed(List<Endpoint> entries, boolean whole);
 
     void listFailed();
 
     /** Null when it knows no such offering. */
-    Held take(Submission submission);
+    Held take(Request submission);
 
     /** One submission, from its taking until its last launch has ended. */
     interface Held {
--- a/kit/src/main/java/wheelroute/kit/brain/Brains.java
+++ b/kit/src/main/java/wheelroute/kit/brain/Brains.java
@@ -5,9 +5,9 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.function.ToDoubleFunction;
+import wheelroute.decision.Endpoint;
 import wheelroute.decision.Ids;
-import wheelroute.decision.Listing;
-import wheelroute.decision.Submission;
+import wheelroute.decision.Request;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.world.WorkerModel;
 import wheelroute.kit.world.World;
@@ -43,7 +43,7 @@
                                                                                                 world,
                                                                                                 w))
                                                                         .sum();
-                                                for (Listing worker : open) {
+                                                for (Endpoint worker : open) {
                                                     draw -= capacity(world, worker);
                                                     if (draw < 0) {
                                                         return worker.worker();
@@ -112,27 +112,25 @@
      * The earliest end, with what an error would cost in time; none where even that comes after the
      * outer limit, or too late to earn anything.
      */
-    private static Ids.Worker seen(
-            World world, List<Listing> open, Submission submission, int from) {
-        double work = Double.isNaN(submission.hint()) ? 0 : submission.hint();
+    private static Ids.Worker seen(World world, List<Endpoint> open, Request submission, int from) {
+        double work = Double.isNaN(submission.estimatedWork()) ? 0 : submission.estimatedWork();
         Scenario.Offering offering =
                 world.scenario.offerings().stream()
-                        .filter(o -> o.name().equals(submission.offering().name()))
+                        .filter(o -> o.name().equals(submission.requestClass().name()))
                         .findFirst()
                         .orElseThrow();
-        ToDoubleFunction<Listing> end =
+        ToDoubleFunction<Endpoint> end =
                 w ->
                         model(world, w).doneAt(work)
                                 + model(world, w).failingPart() * offering.quoted();
         Ids.Worker best = least(open, from, end);
         double done = world.workers.get((int) best.value()).doneAt(work);
         double quotedAt =
-                submission.outerLimit()
+                submission.deadline()
                         - offering.outer()
                         + offering.quoted()
                         + offering.stretch() * work;
-        return done > submission.outerLimit()
-                        || (offering.lateValue() < WORTH_IT && done > quotedAt)
+        return done > submission.deadline() || (offering.lateValue() < WORTH_IT && done > quotedAt)
                 ? null
                 : best;
     }
@@ -141,21 +139,21 @@
         return (settings, dispatcher) -> new Baseline(settings, dispatcher, choice);
     }
 
-    private static WorkerModel model(World world, Listing listing) {
+    private static WorkerModel model(World world, Endpoint listing) {
         return world.workers.get((int) listing.worker().value());
     }
 
-    private static double capacity(World world, Listing listing) {
+    private static double capacity(World world, Endpoint listing) {
         WorkerModel model = model(world, listing);
         return model.group.speed() * model.group.slots();
     }
 
     private static Ids.Worker least(
-            List<Listing> open, int from, ToDoubleFunction<Listing> figure) {
-        Listing best = null;
+            List<Endpoint> open, int from, ToDoubleFunction<Endpoint> figure) {
+        Endpoint best = null;
         double least = Double.POSITIVE_INFINITY;
         for (int i = 0; i < open.size(); i++) {
-            Listing worker = open.get((from + i) % open.size());
+            Endpoint worker = open.get((from + i) % open.size());
             double value = figure.applyAsDouble(worker);
             if (best == null || value < least) {
                 best = worker;
--- a/kit/src/main/java/wheelroute/kit/brain/PolicyBrain.java
+++ b/kit/src/main/java/wheelroute/kit/brain/PolicyBrain.java
@@ -1,14 +1,14 @@
 package wheelroute.kit.brain;
 
 import java.util.List;
-import wheelroute.decision.Dispatcher;
-import wheelroute.decision.Listing;
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.Endpoint;
 import wheelroute.decision.LoadReport;
 import wheelroute.decision.Outcome;
 import wheelroute.decision.Policy;
+import wheelroute.decision.Request;
 import wheelroute.decision.Settings;
-import wheelroute.decision.Submission;
-import wheelroute.list.Backoff;
+import wheelroute.discovery.Backoff;
 
 /** The daemon's own module, and its own pauses between calls for the list. */
 public final class PolicyBrain implements Brain {
@@ -16,12 +16,12 @@
     private static final double BREATH = 1e-6;
 
     private final Policy policy;
-    private final Dispatcher dispatcher;
+    private final ActionHandler dispatcher;
     private final Backoff backoff;
     private double now;
     private double askAt = Double.POSITIVE_INFINITY;
 
-    public PolicyBrain(Settings settings, Dispatcher dispatcher) {
+    public PolicyBrain(Settings settings, ActionHandler dispatcher) {
         this.dispatcher = dispatcher;
         policy = new Policy(settings, dispatcher);
         backoff = new Backoff(settings.seed());
@@ -30,61 +30,61 @@
     @Override
     public void at(double time) {
         now = time;
-        policy.at(time);
+        policy.advanceTo(time);
     }
 
     @Override
     public void woken() {
         if (now > askAt - BREATH) {
             askAt = Double.POSITIVE_INFINITY;
-            dispatcher.watchList();
+            dispatcher.watchEndpoints();
         }
-        policy.woken();
+        policy.onWakeup();
     }
 
     @Override
-    public void listed(List<Listing> entries, boolean whole) {
-        backoff.answered();
-        policy.listed(entries, whole);
+    public void listed(List<Endpoint> entries, boolean whole) {
+        backoff.reset();
+        policy.onEndpoints(entries, whole);
     }
 
     @Override
     public void listFailed() {
-        double pause = backoff.failed(0);
+        double pause = backoff.nextDelay(0);
         askAt = now + pause;
-        dispatcher.wake(pause);
+        dispatcher.scheduleWakeup(pause);
     }
 
     @Override
-    public Held take(Submission submission) {
-        Policy.Handle handle = policy.take(submission);
+    public Held take(Request submission) {
+        Policy.RequestHandle handle = policy.accept(submission);
         return handle == null ? null : new Handled(handle);
     }
 
-    private record Handled(Policy.Handle handle) implements Held {
+    private record Handled(Policy.RequestHandle handle) implements Held {
         @Override
         public boolean isOver() {
-            return handle.isOver();
+            return handle.isComplete();
         }
 
         @Override
         public void gone() {
-            handle.gone();
+            handle.onClientGone();
         }
 
         @Override
         public void started(int launch) {
-            handle.started(launch);
+            handle.onStarted(launch);
         }
 
         @Override
         public void progressed(int launch, double share) {
-            handle.progressed(launch, share);
+            handle.onProgress(launch, share);
         }
 
         @Override
         public void ended(int launch, Outcome outcome, boolean over, LoadReport report) {
-            handle.ended(launch, outcome, over, report);
+            handle.onEnded(launch, outcome, over, report);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/Check.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Check.java
@@ -51,7 +51,10 @@
             Map<String, String> environment = new HashMap<>(System.getenv());
             environment.put("LB_CONFIG", file.toString());
             Config config = ConfigReader.read(environment);
-            found = "a configuration of " + config.settings().offerings().size() + " offerings";
+            found =
+                    "a configuration of "
+                            + config.settings().requestClasses().size()
+                            + " offerings";
         }
         spec.commandLine().getOut().println(file + ": " + found);
         return Exit.HOLDS;
--- a/kit/src/main/java/wheelroute/kit/cli/Load.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Load.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import wheelroute.config.ConfigReader;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 import wheelroute.kit.real.LoadRun;
 
 @Command(
@@ -115,7 +115,9 @@
                                             new LoadRun.Load(
                                                     to,
                                                     offering,
-                                                    keys ? Effect.DEDUPLICATED : Effect.IDEMPOTENT,
+                                                    keys
+                                                            ? Idempotency.IDEMPOTENT_BY_KEY
+                                                            : Idempotency.IDEMPOTENT,
                                                     rate,
                                                     connections,
                                                     work,
--- a/kit/src/main/java/wheelroute/kit/many/DatagramRelay.java
+++ b/kit/src/main/java/wheelroute/kit/many/DatagramRelay.java
@@ -6,8 +6,8 @@
 import java.nio.ByteBuffer;
 import java.util.function.DoubleSupplier;
 import java.util.function.Supplier;
-import wheelroute.net.Datagrams;
-import wheelroute.net.Loop;
+import wheelroute.net.DatagramSocket;
+import wheelroute.net.EventLoop;
 
 /**
  * One way for datagrams from one process to another: what comes here goes on to the far end, from
@@ -18,10 +18,10 @@
     /** More than any datagram of the program's. */
     private static final int SIZE = 2048;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Supplier<InetSocketAddress> target;
     private final DoubleSupplier chance;
-    private final Datagrams socket;
+    private final DatagramSocket socket;
     private DatagramRelay back;
     private long received;
     private Passage sender = Passage.OPEN;
@@ -32,13 +32,13 @@
      *
      * @param chance draws from 0 to 1, for what is lost, late or doubled
      */
-    public DatagramRelay(Loop loop, Supplier<InetSocketAddress> target, DoubleSupplier chance)
+    public DatagramRelay(EventLoop loop, Supplier<InetSocketAddress> target, DoubleSupplier chance)
             throws IOException {
         this.loop = loop;
         this.target = target;
         this.chance = chance;
         socket =
-                new Datagrams(
+                new DatagramSocket(
                         loop,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         SIZE,
@@ -91,7 +91,7 @@
                             + (spread > 0 ? spread * chance.getAsDouble() : 0);
             if (later > 0) {
                 // Each by itself: one that is sent later may come sooner.
-                loop.later(later, () -> goOn(copy));
+                loop.schedule(later, () -> goOn(copy));
             } else {
                 goOn(copy);
             }
--- a/kit/src/main/java/wheelroute/kit/many/Relay.java
+++ b/kit/src/main/java/wheelroute/kit/many/Relay.java
@@ -18,8 +18,8 @@
 import org.eclipse.jetty.util.Callback;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wheelroute.net.Link;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
+import wheelroute.net.StreamConnection;
 
 /**
  * One way between two processes, led through this one: a socket that stands for the far end. What
@@ -28,7 +28,7 @@
  * way when it closed the connection is lost with it while the way is cut; a real network's kernel
  * may send it again after that.
  */
-public final class Relay implements Loop.Peer {
+public final class Relay implements EventLoop.ChannelHandler {
     /**
      * Bytes held for one direction before the sender has to wait, as a socket's buffers would make
      * it.
@@ -40,7 +40,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Supplier<InetSocketAddress> target;
     private final boolean dispatcherIsNear;
     private final DoubleSupplier chance;
@@ -57,7 +57,7 @@
      * @param chance draws from 0 to 1, for what is lost and what comes late
      */
     public Relay(
-            Loop loop,
+            EventLoop loop,
             Supplier<InetSocketAddress> target,
             boolean dispatcherIsNear,
             DoubleSupplier chance)
@@ -112,7 +112,7 @@
                 server = loop.listen(address, this);
             }
         } catch (IOException e) {
-            loop.later(
+            loop.schedule(
                     LISTEN_AGAIN,
                     () -> {
                         if (!passage.refuses()) {
@@ -134,19 +134,19 @@
     }
 
     @Override
-    public Connection opened(EndPoint endPoint) {
+    public Connection onOpened(EndPoint endPoint) {
         Pair pair = new Pair(endPoint);
         pairs.add(pair);
         return pair.near;
     }
 
     @Override
-    public void failed(Throwable cause) {
+    public void onFailed(Throwable cause) {
         LOG.warn("a relay could not accept: {}", cause.toString());
     }
 
     /** A connection from whoever connects, and ours to the far end in its place. */
-    private final class Pair implements Loop.Peer {
+    private final class Pair implements EventLoop.ChannelHandler {
         final End near;
         final Stream forth = new Stream(true);
         final Stream back = new Stream(false);
@@ -161,7 +161,7 @@
         }
 
         @Override
-        public Connection opened(EndPoint endPoint) {
+        public Connection onOpened(EndPoint endPoint) {
             far = new End(endPoint, this, back);
             loop.post(
                     () -> {
@@ -177,7 +177,7 @@
 
         /** Nobody is there: who connects finds out as it would without us, if a moment later. */
         @Override
-        public void failed(Throwable cause) {
+        public void onFailed(Throwable cause) {
             reset();
         }
 
@@ -221,7 +221,7 @@
         private boolean writing;
         private boolean ended;
         private boolean endTold;
-        private Loop.Timer timer;
+        private EventLoop.Timer timer;
 
         /** When the last piece is due: nothing overtakes it. */
         private double lastDue = Double.NEGATIVE_INFINITY;
@@ -274,7 +274,7 @@
             if (wait > 0) {
                 if (timer == null) {
                     timer =
-                            loop.later(
+                            loop.schedule(
                                     wait,
                                     () -> {
                                         timer = null;
@@ -323,7 +323,7 @@
     }
 
     /** One end of a pair. */
-    private final class End extends Link {
+    private final class End extends StreamConnection {
         private final Pair pair;
         private final Stream out;
         private boolean waits;
@@ -335,7 +335,7 @@
         }
 
         @Override
-        protected boolean wantsMore() {
+        protected boolean canRead() {
             waits = out.isFull();
             return !waits;
         }
@@ -348,12 +348,12 @@
         }
 
         @Override
-        protected void received(ByteBuffer in) {
+        protected void onBytes(ByteBuffer in) {
             out.add(in, this);
         }
 
         @Override
-        protected void atEnd() {
+        protected void onEndOfStream() {
             if (this == pair.near) {
                 pair.nearCloses();
             }
@@ -361,7 +361,7 @@
         }
 
         @Override
-        protected void broke(Throwable cause) {
+        protected void onFailure(Throwable cause) {
             if (this == pair.near) {
                 pair.nearCloses();
             }
--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -7,13 +7,13 @@
 import java.util.function.BiPredicate;
 import wheelroute.kit.virtual.VirtualTime;
 import wheelroute.kit.world.Chance;
-import wheelroute.peers.Codec;
-import wheelroute.peers.MalformedException;
+import wheelroute.peers.MalformedMessageException;
+import wheelroute.peers.MemberAddress;
+import wheelroute.peers.MemberUpdate;
 import wheelroute.peers.Membership;
 import wheelroute.peers.Message;
+import wheelroute.peers.MessageCodec;
 import wheelroute.peers.PeerId;
-import wheelroute.peers.Place;
-import wheelroute.peers.Sighting;
 
 /**
  * Members of one cluster on the virtual clock. Every datagram goes through the codec; it may be
@@ -50,7 +50,7 @@
     private int largest;
 
     /** One member: a process that runs, stands still or is down. */
-    public final class Member implements Membership.Outside {
+    public final class Member implements Membership.Transport {
         public final int number;
         private Membership membership;
         private int life;
@@ -86,7 +86,7 @@
             still = false;
             meanwhile.clear();
             wakeAt = Double.POSITIVE_INFINITY;
-            List<Place> places = new ArrayList<>();
+            List<MemberAddress> places = new ArrayList<>();
             for (int i = 0; i < seeds; i++) {
                 places.add(place(i));
             }
@@ -163,8 +163,8 @@
         }
 
         @Override
-        public void send(Place to, Message message) {
-            ByteBuffer datagram = Codec.encode(message);
+        public void send(MemberAddress to, Message message) {
+            ByteBuffer datagram = MessageCodec.encode(message);
             datagrams++;
             bytes += datagram.remaining();
             largest = Math.max(largest, datagram.remaining());
@@ -188,9 +188,9 @@
                 return;
             }
             try {
-                Message message = Codec.decode(datagram);
+                Message message = MessageCodec.decode(datagram);
                 event(() -> membership.received(place(from), message));
-            } catch (MalformedException e) {
+            } catch (MalformedMessageException e) {
                 throw new IllegalStateException("our own datagram", e);
             }
         }
@@ -213,9 +213,9 @@
         }
 
         @Override
-        public void changed(Sighting now, Sighting.State before, String why) {
+        public void changed(MemberUpdate now, MemberUpdate.State before, String why) {
             // Passed on it is one verdict still.
-            if (now.state() == Sighting.State.DEAD && why.startsWith("by our own")) {
+            if (now.state() == MemberUpdate.State.DEAD && why.startsWith("by our own")) {
                 Member of = members.get(Integer.parseInt(now.id().name().substring(1)));
                 if (of.up && !of.still && of.slow == 0) {
                     verdicts++;
@@ -241,8 +241,8 @@
         return new PeerId("n" + number);
     }
 
-    private static Place place(int number) {
-        return new Place(HOST, FIRST_PORT + number);
+    private static MemberAddress place(int number) {
+        return new MemberAddress(HOST, FIRST_PORT + number);
     }
 
     /** From 0 up to 1, in the order of asking. */
@@ -302,7 +302,10 @@
                                         && m.membership.others().stream()
                                                 .allMatch(
                                                         o ->
-                                                                (o.state() == Sighting.State.ALIVE)
+                                                                (o.state()
+                                                                                == MemberUpdate
+                                                                                        .State
+                                                                                        .ALIVE)
                                                                         == members.get(
                                                                                         Integer
                                                                                                 .parseInt(
@@ -318,10 +321,10 @@
                 .filter(m -> m.up && m.number != number)
                 .allMatch(
                         m -> {
-                            Sighting of = m.membership.of(id(number));
+                            MemberUpdate of = m.membership.of(id(number));
                             return of == null
-                                    || of.state() == Sighting.State.DEAD
-                                    || of.state() == Sighting.State.LEFT;
+                                    || of.state() == MemberUpdate.State.DEAD
+                                    || of.state() == MemberUpdate.State.LEFT;
                         });
     }
 
--- a/kit/src/main/java/wheelroute/kit/real/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/real/ClientPool.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 import wheelroute.kit.world.Answer;
 import wheelroute.kit.world.Answers;
 import wheelroute.kit.world.Submitted;
-import wheelroute.net.AnswerParser;
+import wheelroute.net.EventLoop;
 import wheelroute.net.HttpText;
-import wheelroute.net.Link;
-import wheelroute.net.Loop;
+import wheelroute.net.ResponseParser;
+import wheelroute.net.StreamConnection;
 
 /**
  * Clients' connections to one dispatcher: one submission at a time on each, more when all are busy.
@@ -27,7 +27,7 @@
 final class ClientPool {
     private static final double MICROS = 1e6;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final InetSocketAddress address;
     private final Answers clients;
     private final ArrayDeque<Line> idle = new ArrayDeque<>();
@@ -59,7 +59,7 @@
                 }
             };
 
-    ClientPool(Loop loop, InetSocketAddress address, Answers clients, Manners manners) {
+    ClientPool(EventLoop loop, InetSocketAddress address, Answers clients, Manners manners) {
         this.loop = loop;
         this.address = address;
         this.clients = clients;
@@ -137,7 +137,7 @@
         if (slots > 1) {
             text.field("X-Attrs", "slots=" + slots);
         }
-        if (submitted.ask().offering().effect() == Effect.DEDUPLICATED) {
+        if (submitted.ask().offering().effect() == Idempotency.IDEMPOTENT_BY_KEY) {
             text.field("Idempotency-Key", "key-" + submitted.ask().number());
         }
         byte[] body = Jobs.body(submitted);
@@ -148,7 +148,7 @@
     }
 
     /** One submission on its way. */
-    private final class Sending implements Loop.Peer {
+    private final class Sending implements EventLoop.ChannelHandler {
         private final Submitted submitted;
         private final boolean fresh;
         private final double pause;
@@ -163,7 +163,7 @@
         }
 
         @Override
-        public Connection opened(EndPoint endPoint) {
+        public Connection onOpened(EndPoint endPoint) {
             Line opened = new Line(endPoint);
             loop.post(
                     () -> {
@@ -177,7 +177,7 @@
         }
 
         @Override
-        public void failed(Throwable cause) {
+        public void onFailed(Throwable cause) {
             if (!over) {
                 open.remove(submitted.key());
                 over = true;
@@ -190,8 +190,8 @@
         }
     }
 
-    private final class Line extends Link implements AnswerParser.Reader {
-        private final AnswerParser parser = new AnswerParser(this);
+    private final class Line extends StreamConnection implements ResponseParser.Reader {
+        private final ResponseParser parser = new ResponseParser(this);
         private final Outbox out;
         private Sending sending;
         private boolean kept;
@@ -202,7 +202,7 @@
 
         Line(EndPoint endPoint) {
             super(endPoint, ClientPool.this.loop);
-            out = new Outbox(endPoint, () -> broke(null));
+            out = new Outbox(endPoint, () -> onFailure(null));
             lines.add(this);
         }
 
@@ -227,7 +227,7 @@
             if (next.pause > 0) {
                 int half = message.length / 2;
                 out.send(ByteBuffer.wrap(message, 0, half));
-                loop.later(
+                loop.schedule(
                         next.pause,
                         () -> {
                             if (sending == next) {
@@ -240,7 +240,7 @@
         }
 
         @Override
-        protected void received(ByteBuffer in) throws IOException {
+        protected void onBytes(ByteBuffer in) throws IOException {
             heard = true;
             parser.parse(in);
         }
@@ -288,13 +288,13 @@
         }
 
         @Override
-        protected void atEnd() throws IOException {
+        protected void onEndOfStream() throws IOException {
             close();
             lost();
         }
 
         @Override
-        protected void broke(Throwable cause) {
+        protected void onFailure(Throwable cause) {
             close();
             lost();
         }
--- a/kit/src/main/java/wheelroute/kit/real/Crowd.java
+++ b/kit/src/main/java/wheelroute/kit/real/Crowd.java
@@ -8,8 +8,8 @@
 import java.util.function.IntFunction;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.net.Link;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
+import wheelroute.net.StreamConnection;
 
 /**
  * Strangers at the clients' addresses: they connect, say nothing or half a message, stay, and go.
@@ -26,13 +26,13 @@
                 + "\r\nhalf"
     };
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final IntFunction<InetSocketAddress> addresses;
     private final Map<Integer, Double> rates = new HashMap<>();
     private long came;
 
     /** An address of null is nobody's just now. */
-    Crowd(Loop loop, IntFunction<InetSocketAddress> addresses) {
+    Crowd(EventLoop loop, IntFunction<InetSocketAddress> addresses) {
         this.loop = loop;
         this.addresses = addresses;
     }
@@ -58,22 +58,22 @@
             String says = HALVES[(int) (came++ % HALVES.length)];
             loop.connect(
                     address,
-                    new Loop.Peer() {
+                    new EventLoop.ChannelHandler() {
                         @Override
-                        public Connection opened(EndPoint endPoint) {
+                        public Connection onOpened(EndPoint endPoint) {
                             return new Stranger(endPoint, says);
                         }
 
                         @Override
-                        public void failed(Throwable cause) {
+                        public void onFailed(Throwable cause) {
                             // Turned away at the door: what it is there to try.
                         }
                     });
         }
-        loop.later(1 / rate, () -> next(dispatcher));
+        loop.schedule(1 / rate, () -> next(dispatcher));
     }
 
-    private final class Stranger extends Link {
+    private final class Stranger extends StreamConnection {
         private final String says;
 
         Stranger(EndPoint endPoint, String says) {
@@ -84,7 +84,7 @@
         @Override
         public void onOpen() {
             super.onOpen();
-            loop.later(STAY, this::close);
+            loop.schedule(STAY, this::close);
             if (!says.isEmpty()) {
                 new Outbox(getEndPoint(), this::close)
                         .send(ByteBuffer.wrap(says.getBytes(StandardCharsets.US_ASCII)));
@@ -92,17 +92,17 @@
         }
 
         @Override
-        protected void received(ByteBuffer in) {
+        protected void onBytes(ByteBuffer in) {
             in.position(in.limit());
         }
 
         @Override
-        protected void atEnd() {
+        protected void onEndOfStream() {
             close();
         }
 
         @Override
-        protected void broke(Throwable cause) {
+        protected void onFailure(Throwable cause) {
             close();
         }
     }
--- a/kit/src/main/java/wheelroute/kit/real/DoorCall.java
+++ b/kit/src/main/java/wheelroute/kit/real/DoorCall.java
@@ -8,41 +8,45 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
-import wheelroute.net.Link;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
+import wheelroute.net.StreamConnection;
 
 /**
  * One call at an operators' door: a line goes, an answer comes, or null when none comes in time.
  */
-final class DoorCall implements Loop.Peer {
-    private final Loop loop;
+final class DoorCall implements EventLoop.ChannelHandler {
+    private final EventLoop loop;
     private final String word;
     private final Consumer<String> hearer;
     private final StringBuilder answer = new StringBuilder();
-    private final Loop.Timer limit;
+    private final EventLoop.Timer limit;
     private Line line;
     private boolean over;
 
-    private DoorCall(Loop loop, String word, double limit, Consumer<String> hearer) {
+    private DoorCall(EventLoop loop, String word, double limit, Consumer<String> hearer) {
         this.loop = loop;
         this.word = word;
         this.hearer = hearer;
-        this.limit = loop.later(limit, () -> end(null));
+        this.limit = loop.schedule(limit, () -> end(null));
     }
 
     static void ask(
-            Loop loop, InetSocketAddress door, String word, double limit, Consumer<String> hearer) {
+            EventLoop loop,
+            InetSocketAddress door,
+            String word,
+            double limit,
+            Consumer<String> hearer) {
         loop.connect(door, new DoorCall(loop, word, limit, hearer));
     }
 
     @Override
-    public Connection opened(EndPoint endPoint) {
+    public Connection onOpened(EndPoint endPoint) {
         line = new Line(endPoint);
         return line;
     }
 
     @Override
-    public void failed(Throwable cause) {
+    public void onFailed(Throwable cause) {
         end(null);
     }
 
@@ -57,7 +61,7 @@
         }
     }
 
-    private final class Line extends Link {
+    private final class Line extends StreamConnection {
         Line(EndPoint endPoint) {
             super(endPoint, DoorCall.this.loop);
         }
@@ -72,17 +76,17 @@
         }
 
         @Override
-        protected void received(ByteBuffer in) throws IOException {
+        protected void onBytes(ByteBuffer in) throws IOException {
             answer.append(StandardCharsets.ISO_8859_1.decode(in));
         }
 
         @Override
-        protected void atEnd() {
+        protected void onEndOfStream() {
             end(answer.isEmpty() ? null : answer.toString());
         }
 
         @Override
-        protected void broke(Throwable cause) {
+        protected void onFailure(Throwable cause) {
             end(null);
         }
     }
--- a/kit/src/main/java/wheelroute/kit/real/DoorPoll.java
+++ b/kit/src/main/java/wheelroute/kit/real/DoorPoll.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import wheelroute.kit.audit.Ledger;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /** Asks every process's door for its figures now and then, and hands them to the ledger. */
 final class DoorPoll {
@@ -12,12 +12,12 @@
     /** An answer is due within this, whatever the load. */
     private static final double DUE = 1;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Fleet fleet;
     private final Ledger ledger;
     private final int dispatchers;
 
-    DoorPoll(Loop loop, Fleet fleet, Ledger ledger, int dispatchers) {
+    DoorPoll(EventLoop loop, Fleet fleet, Ledger ledger, int dispatchers) {
         this.loop = loop;
         this.fleet = fleet;
         this.ledger = ledger;
@@ -32,7 +32,7 @@
                 }
             }
         }
-        loop.later(EVERY, this::begin);
+        loop.schedule(EVERY, this::begin);
     }
 
     private void ask(int dispatcher, DaemonProcess process) {
--- a/kit/src/main/java/wheelroute/kit/real/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/real/Fleet.java
@@ -18,7 +18,7 @@
 import wheelroute.kit.scenario.DaemonSettings;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.world.Chance;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /**
  * The dispatchers of a run: each is one process, or two while one takes the other's place. Used on
@@ -75,7 +75,7 @@
     /** The signal takes a moment, and what the process then reads another one. */
     private static final double GOES_ON = 0.1;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Scenario scenario;
     private final Chance chance;
     private final Map<String, String> pairs;
@@ -119,7 +119,7 @@
     }
 
     Fleet(
-            Loop loop,
+            EventLoop loop,
             Scenario scenario,
             Chance chance,
             Map<String, String> pairs,
@@ -178,7 +178,7 @@
         if (!place.alive.isEmpty()) {
             // The old one may still be at its end.
             place.startsAs = how;
-            loop.later(
+            loop.schedule(
                     GONE,
                     () -> {
                         if (place.startsAs != null) {
@@ -336,7 +336,7 @@
         if (fed) {
             place.hungry = false;
         } else {
-            loop.later(
+            loop.schedule(
                     HUNGER_ROUND * (runs ? place.share : 1 - place.share),
                     () -> round(place, !runs));
         }
@@ -373,7 +373,7 @@
         if (how == Scenario.How.NEW_KILLED) {
             double after =
                     NEW_KILLED_WITHIN * chance.once(Chance.Of.FAULT, place.number, place.starts);
-            loop.later(
+            loop.schedule(
                     after,
                     () -> {
                         if (place.next == next) {
@@ -397,7 +397,8 @@
             killBeside(place, next);
             return;
         }
-        Runnable again = () -> loop.later(READY_LOOK, () -> awaitReady(place, old, next, how, due));
+        Runnable again =
+                () -> loop.schedule(READY_LOOK, () -> awaitReady(place, old, next, how, due));
         if (next.door() == 0) {
             again.run();
             return;
@@ -423,12 +424,12 @@
         if (how == Scenario.How.BOTH_STOPPED) {
             hearer.halves(place.number, true);
             pause(place.number, true);
-            loop.later(
+            loop.schedule(
                     BOTH_STOPPED,
                     () -> {
                         if (place.current == next && place.paused) {
                             pause(place.number, false);
-                            loop.later(GOES_ON, () -> hearer.halves(place.number, false));
+                            loop.schedule(GOES_ON, () -> hearer.halves(place.number, false));
                             endOld(place, old, due);
                         }
                     });
@@ -448,7 +449,7 @@
 
     private void endOld(Place place, DaemonProcess old, double due) {
         old.end();
-        loop.later(
+        loop.schedule(
                 Math.max(0, due - loop.now()),
                 () -> {
                     if (place.alive.contains(old)) {
--- a/kit/src/main/java/wheelroute/kit/real/Jobs.java
+++ b/kit/src/main/java/wheelroute/kit/real/Jobs.java
@@ -9,7 +9,7 @@
 import java.util.zip.CRC32;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.world.Submitted;
-import wheelroute.net.clients.ClientMessage;
+import wheelroute.net.clients.ClientRequest;
 
 /**
  * How a submission names itself and its work on the wire: the dispatcher passes id and body on
@@ -41,7 +41,7 @@
     }
 
     /** A message of somebody else's is a job of the usual work. */
-    public static Job read(ClientMessage message, double usualWork) {
+    public static Job read(ClientRequest message, double usualWork) {
         double work = usualWork;
         int slots = 1;
         double memory = 0;
--- a/kit/src/main/java/wheelroute/kit/real/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/real/LoadRun.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 import org.HdrHistogram.Histogram;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.world.Answer;
 import wheelroute.kit.world.Answers;
@@ -22,7 +22,7 @@
 import wheelroute.kit.world.Chance;
 import wheelroute.kit.world.Submitted;
 import wheelroute.net.Clock;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /** Clients alone: a load on one address, and how it was answered. Nothing is retried. */
 public final class LoadRun implements Answers {
@@ -48,7 +48,7 @@
     public record Load(
             InetSocketAddress address,
             String offering,
-            Effect effect,
+            Idempotency effect,
             double rate,
             int connections,
             double work,
@@ -63,7 +63,7 @@
     public record Result(int sent, long fulfilled, String text) {}
 
     private final Load load;
-    private final Loop loop = new Loop(new Clock(), CONNECT);
+    private final EventLoop loop = new EventLoop(new Clock(), CONNECT);
     private final Chance chance;
     private final ClientPool pool;
     private final Scenario.Offering offering;
@@ -84,7 +84,7 @@
                 new Scenario.Offering(
                         load.offering(),
                         load.effect(),
-                        Group.ALL,
+                        IdempotencyScope.ALL,
                         1,
                         load.work(),
                         load.spread(),
@@ -149,7 +149,7 @@
     private void next(double before) {
         double at = before - Math.log(1 - chance.once(Chance.Of.ARRIVAL, sent, 0)) / load.rate();
         if (at < start + load.seconds()) {
-            loop.later(
+            loop.schedule(
                     Math.max(0, at - loop.now()),
                     () -> {
                         send(at);
@@ -173,7 +173,7 @@
                         Double.POSITIVE_INFINITY);
         Submitted submitted = new Submitted(ask, 0, 0, at, load.timeout());
         open.add(submitted.key());
-        loop.later(
+        loop.schedule(
                 load.timeout(),
                 () -> {
                     if (open.remove(submitted.key())) {
@@ -195,7 +195,7 @@
         if (load.connections() > 0
                 && loop.now() < start + load.seconds()
                 && (load.most() == 0 || sent < load.most())) {
-            loop.later(pause, () -> send(loop.now()));
+            loop.schedule(pause, () -> send(loop.now()));
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/real/RealRun.java
+++ b/kit/src/main/java/wheelroute/kit/real/RealRun.java
@@ -35,7 +35,7 @@
 import wheelroute.kit.world.WorkerModel;
 import wheelroute.kit.world.World;
 import wheelroute.net.Clock;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /**
  * One run on the real clock: stand-ins on one thread of this process, each daemon a process of its
@@ -74,7 +74,7 @@
     private final Path jar;
     private final Path older;
     private final Chance chance;
-    private final Loop loop = new Loop(new Clock(), CONNECT);
+    private final EventLoop loop = new EventLoop(new Clock(), CONNECT);
     private final RealTime time = new RealTime(loop);
     private final ClientPool[] pools;
     private final boolean[] listens;
@@ -210,7 +210,7 @@
         machine = new MachineWatch(this::processes);
         onLoop(
                 () -> {
-                    loop.later(SETTLE, this::beginAsking);
+                    loop.schedule(SETTLE, this::beginAsking);
                     return null;
                 });
     }
@@ -309,9 +309,9 @@
             if (peers) {
                 askWhoIsThere();
             }
-            loop.later(AFTERWARDS, () -> over = true);
+            loop.schedule(AFTERWARDS, () -> over = true);
         } else {
-            loop.later(TICK, this::look);
+            loop.schedule(TICK, this::look);
         }
     }
 
@@ -362,7 +362,7 @@
 
     /** How late this machine runs our own timers. */
     private void tick(double due) {
-        loop.later(
+        loop.schedule(
                 due - loop.now(),
                 () -> {
                     lags.recordValue(
@@ -613,7 +613,7 @@
             } else {
                 fleet.pause(dispatcher, false);
                 // The signal takes a moment, and what the process then reads another one.
-                loop.later(
+                loop.schedule(
                         SLACK,
                         () -> {
                             auditor.dispatcherWoke(dispatcher);
--- a/kit/src/main/java/wheelroute/kit/real/RealTime.java
+++ b/kit/src/main/java/wheelroute/kit/real/RealTime.java
@@ -1,13 +1,13 @@
 package wheelroute.kit.real;
 
 import wheelroute.kit.world.Timeline;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /** The time of the stand-ins' own thread; used on that thread only. */
 final class RealTime implements Timeline {
-    private final Loop loop;
+    private final EventLoop loop;
 
-    RealTime(Loop loop) {
+    RealTime(EventLoop loop) {
         this.loop = loop;
     }
 
@@ -18,6 +18,6 @@
 
     @Override
     public void after(double delay, Runnable task) {
-        loop.later(Math.max(0, delay), task);
+        loop.schedule(Math.max(0, delay), task);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/real/RelayCost.java
+++ b/kit/src/main/java/wheelroute/kit/real/RelayCost.java
@@ -10,8 +10,8 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.kit.many.Relay;
-import wheelroute.net.Link;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
+import wheelroute.net.StreamConnection;
 
 /** What the relays themselves cost: the same short exchanges, straight and through one. */
 final class RelayCost {
@@ -28,25 +28,25 @@
     private static final long MOST_NANOS = 10_000_000_000L;
     private static final double NANOS = 1e9;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Consumer<Cost> hearer;
     private final ServerSocketChannel server;
     private final Relay relay;
 
-    private RelayCost(Loop loop, Consumer<Cost> hearer) throws IOException {
+    private RelayCost(EventLoop loop, Consumer<Cost> hearer) throws IOException {
         this.loop = loop;
         this.hearer = hearer;
         server =
                 loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        new Loop.Peer() {
+                        new EventLoop.ChannelHandler() {
                             @Override
-                            public Connection opened(EndPoint endPoint) {
+                            public Connection onOpened(EndPoint endPoint) {
                                 return new Echo(endPoint, loop);
                             }
 
                             @Override
-                            public void failed(Throwable cause) {
+                            public void onFailed(Throwable cause) {
                                 // Then there is nothing to compare.
                             }
                         });
@@ -54,7 +54,7 @@
         relay = new Relay(loop, () -> far, true, () -> 1);
     }
 
-    static void measure(Loop loop, Consumer<Cost> hearer) throws IOException {
+    static void measure(EventLoop loop, Consumer<Cost> hearer) throws IOException {
         RelayCost cost = new RelayCost(loop, hearer);
         loop.connect(
                 Fleet.address(cost.server.socket().getLocalPort()),
@@ -78,53 +78,53 @@
         }
     }
 
-    private static final class Echo extends Link {
+    private static final class Echo extends StreamConnection {
         private final Outbox out;
 
-        Echo(EndPoint endPoint, Loop loop) {
+        Echo(EndPoint endPoint, EventLoop loop) {
             super(endPoint, loop);
             out = new Outbox(endPoint, this::close);
         }
 
         @Override
-        protected void received(ByteBuffer in) {
+        protected void onBytes(ByteBuffer in) {
             ByteBuffer copy = ByteBuffer.allocate(in.remaining());
             copy.put(in).flip();
             out.send(copy);
         }
 
         @Override
-        protected void atEnd() {
+        protected void onEndOfStream() {
             close();
         }
 
         @Override
-        protected void broke(Throwable cause) {
+        protected void onFailure(Throwable cause) {
             close();
         }
     }
 
     /** One exchange after the other on one connection. */
-    private static final class Asker implements Loop.Peer {
-        private final Loop loop;
+    private static final class Asker implements EventLoop.ChannelHandler {
+        private final EventLoop loop;
         private final Consumer<Double> done;
         private final Histogram took = new Histogram(MOST_NANOS, 3);
         private long askedAt;
         private int missing;
         private int asked;
 
-        Asker(Loop loop, Consumer<Double> done) {
+        Asker(EventLoop loop, Consumer<Double> done) {
             this.loop = loop;
             this.done = done;
         }
 
         @Override
-        public Connection opened(EndPoint endPoint) {
+        public Connection onOpened(EndPoint endPoint) {
             Outbox out = new Outbox(endPoint, () -> done.accept(Double.NaN));
-            Link link =
-                    new Link(endPoint, loop) {
+            StreamConnection link =
+                    new StreamConnection(endPoint, loop) {
                         @Override
-                        protected void received(ByteBuffer in) {
+                        protected void onBytes(ByteBuffer in) {
                             missing -= in.remaining();
                             in.position(in.limit());
                             if (missing > 0) {
@@ -142,12 +142,12 @@
                         }
 
                         @Override
-                        protected void atEnd() {
+                        protected void onEndOfStream() {
                             close();
                         }
 
                         @Override
-                        protected void broke(Throwable cause) {
+                        protected void onFailure(Throwable cause) {
                             close();
                         }
                     };
@@ -163,7 +163,7 @@
         }
 
         @Override
-        public void failed(Throwable cause) {
+        public void onFailed(Throwable cause) {
             done.accept(Double.NaN);
         }
     }
--- a/kit/src/main/java/wheelroute/kit/real/ServerLink.java
+++ b/kit/src/main/java/wheelroute/kit/real/ServerLink.java
@@ -3,57 +3,57 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.net.Link;
-import wheelroute.net.Loop;
-import wheelroute.net.clients.BadMessage;
-import wheelroute.net.clients.ClientDecoder;
-import wheelroute.net.clients.ClientMessage;
-import wheelroute.net.clients.Room;
+import wheelroute.net.EventLoop;
+import wheelroute.net.StreamConnection;
+import wheelroute.net.clients.BadRequestException;
+import wheelroute.net.clients.ClientRequest;
+import wheelroute.net.clients.ClientRequestDecoder;
+import wheelroute.net.clients.MemoryQuota;
 
 /**
  * A connection that a stand-in has accepted: it reads messages as the daemon itself would, and
  * strictly.
  */
-public abstract class ServerLink extends Link {
+public abstract class ServerLink extends StreamConnection {
     /** Bodies held at once by all of one kind of stand-in. */
     private static final long ROOM = 64L << 20;
 
     protected final Outbox out;
-    private final ClientDecoder decoder = new ClientDecoder(new Room(ROOM));
+    private final ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(ROOM));
     private boolean ended;
 
-    protected ServerLink(EndPoint endPoint, Loop loop) {
+    protected ServerLink(EndPoint endPoint, EventLoop loop) {
         super(endPoint, loop);
-        out = new Outbox(endPoint, () -> broke(null));
+        out = new Outbox(endPoint, () -> onFailure(null));
     }
 
-    protected abstract void message(ClientMessage message);
+    protected abstract void message(ClientRequest message);
 
     /** The connection is over, whoever ended it; called once. */
     protected abstract void over();
 
     @Override
-    protected void received(ByteBuffer in) {
+    protected void onBytes(ByteBuffer in) {
         try {
             while (in.hasRemaining()) {
-                ClientMessage message = decoder.decode(in);
+                ClientRequest message = decoder.decode(in);
                 if (message != null) {
                     message(message);
                 }
             }
-        } catch (BadMessage e) {
+        } catch (BadRequestException e) {
             out.send("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
             out.close();
         }
     }
 
     @Override
-    protected void atEnd() throws IOException {
+    protected void onEndOfStream() throws IOException {
         end();
     }
 
     @Override
-    protected void broke(Throwable cause) {
+    protected void onFailure(Throwable cause) {
         end();
     }
 
--- a/kit/src/main/java/wheelroute/kit/real/StandInList.java
+++ b/kit/src/main/java/wheelroute/kit/real/StandInList.java
@@ -18,11 +18,11 @@
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.world.Registry;
-import wheelroute.net.Loop;
-import wheelroute.net.clients.ClientMessage;
+import wheelroute.net.EventLoop;
+import wheelroute.net.clients.ClientRequest;
 
 /** Discovery as one dispatcher sees it: the registry behind the protocol's list and its watches. */
-final class StandInList implements Loop.Peer {
+final class StandInList implements EventLoop.ChannelHandler {
     private static final Pattern WATCH =
             Pattern.compile("/v1/servers\\?from=(\\d{1,18})&hold_ms=(\\d{1,6})");
     private static final double MILLIS = 1e3;
@@ -32,7 +32,7 @@
      */
     private static final double TOLD_AT_LAST = 6;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final int dispatcher;
     private final Registry registry;
     private final Auditor auditor;
@@ -46,7 +46,7 @@
     private final BooleanSupplier heard;
 
     StandInList(
-            Loop loop,
+            EventLoop loop,
             int dispatcher,
             Registry registry,
             Auditor auditor,
@@ -77,20 +77,20 @@
     }
 
     @Override
-    public Connection opened(EndPoint endPoint) {
+    public Connection onOpened(EndPoint endPoint) {
         Line line = new Line(endPoint);
         lines.add(line);
         return line;
     }
 
     @Override
-    public void failed(Throwable cause) {
+    public void onFailed(Throwable cause) {
         // The caller comes again.
     }
 
     private void changed(Registry.Entry entry) {
         new ArrayList<>(lines).forEach(Line::changed);
-        loop.later(
+        loop.schedule(
                 TOLD_AT_LAST,
                 () -> {
                     if (registry.entries().contains(entry)) {
@@ -153,14 +153,14 @@
         /** The version it waits to see passed; -1 when it waits for nothing. */
         private long heldFrom = -1;
 
-        private Loop.Timer hold;
+        private EventLoop.Timer hold;
 
         Line(EndPoint endPoint) {
             super(endPoint, StandInList.this.loop);
         }
 
         @Override
-        protected void message(ClientMessage message) {
+        protected void message(ClientRequest message) {
             Matcher watch = WATCH.matcher(message.target());
             calls.called(loop.now());
             if (registry.isDown()) {
@@ -169,7 +169,9 @@
                 answer(registry.entries(), true);
             } else if (watch.matches()) {
                 heldFrom = Long.parseLong(watch.group(1));
-                hold = loop.later(Double.parseDouble(watch.group(2)) / MILLIS, this::answerChanges);
+                hold =
+                        loop.schedule(
+                                Double.parseDouble(watch.group(2)) / MILLIS, this::answerChanges);
                 changed();
             } else {
                 out.send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
--- a/kit/src/main/java/wheelroute/kit/real/StandInRun.java
+++ b/kit/src/main/java/wheelroute/kit/real/StandInRun.java
@@ -14,7 +14,7 @@
 import wheelroute.kit.world.Chance;
 import wheelroute.kit.world.World;
 import wheelroute.net.Clock;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /**
  * Workers and discovery of a scenario, with its faults, for a dispatcher that somebody else
@@ -37,7 +37,7 @@
             BooleanSupplier stop,
             Consumer<String> tell)
             throws RehearsalException {
-        Loop loop = new Loop(new Clock(), CONNECT);
+        EventLoop loop = new EventLoop(new Clock(), CONNECT);
         try {
             loop.start();
             CompletableFuture<List<String>> ready = new CompletableFuture<>();
@@ -71,7 +71,7 @@
     }
 
     private static List<String> begin(
-            Loop loop,
+            EventLoop loop,
             Scenario scenario,
             long seed,
             double seconds,
--- a/kit/src/main/java/wheelroute/kit/real/StandInWorker.java
+++ b/kit/src/main/java/wheelroute/kit/real/StandInWorker.java
@@ -16,11 +16,11 @@
 import wheelroute.kit.world.Ending;
 import wheelroute.kit.world.Launch;
 import wheelroute.kit.world.WorkerModel;
-import wheelroute.net.Loop;
-import wheelroute.net.clients.ClientMessage;
+import wheelroute.net.EventLoop;
+import wheelroute.net.clients.ClientRequest;
 
 /** A worker of the model behind a socket: the protocol's words for what the model does. */
-final class StandInWorker implements Loop.Peer, WorkerModel.Door {
+final class StandInWorker implements EventLoop.ChannelHandler, WorkerModel.Door {
     /** Work of a job that does not say how much it is. */
     private static final double USUAL_WORK = 0.05;
 
@@ -29,14 +29,14 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(StandInWorker.class);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final WorkerModel model;
     private final Auditor auditor;
     private final Set<Line> lines = new HashSet<>();
     private InetSocketAddress address;
     private ServerSocketChannel server;
 
-    StandInWorker(Loop loop, WorkerModel model, Auditor auditor, InetSocketAddress wanted)
+    StandInWorker(EventLoop loop, WorkerModel model, Auditor auditor, InetSocketAddress wanted)
             throws IOException {
         this.loop = loop;
         this.model = model;
@@ -53,29 +53,29 @@
     }
 
     @Override
-    public Connection opened(EndPoint endPoint) {
+    public Connection onOpened(EndPoint endPoint) {
         Line line = new Line(endPoint);
         lines.add(line);
         return line;
     }
 
     @Override
-    public void failed(Throwable cause) {
+    public void onFailed(Throwable cause) {
         LOG.warn("{} could not accept: {}", model.name, cause.toString());
     }
 
     @Override
-    public void opened(WorkerModel worker) {
+    public void onOpened(WorkerModel worker) {
         try {
             if (server == null) {
                 server = loop.listen(address, this);
             }
         } catch (IOException e) {
-            loop.later(
+            loop.schedule(
                     LISTEN_AGAIN,
                     () -> {
                         if (worker.isUp()) {
-                            opened(worker);
+                            onOpened(worker);
                         }
                     });
         }
@@ -92,7 +92,7 @@
             LOG.warn("{} did not stop listening: {}", model.name, e.toString());
         }
         // Those with a launch out are ended by the model's own word, the idle ones here.
-        loop.later(
+        loop.schedule(
                 0,
                 () ->
                         new HashSet<>(lines)
@@ -129,7 +129,7 @@
         }
 
         @Override
-        protected void message(ClientMessage message) {
+        protected void message(ClientRequest message) {
             if (launch != null || message.id() == null) {
                 out.send(
                         "HTTP/1.1 "
--- a/kit/src/main/java/wheelroute/kit/real/Ways.java
+++ b/kit/src/main/java/wheelroute/kit/real/Ways.java
@@ -14,7 +14,7 @@
 import wheelroute.kit.many.Way;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.world.Chance;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /** The ways of a run. Where any can be harmed all of them lead through relays, else none does. */
 final class Ways {
@@ -23,7 +23,7 @@
         void changes(Way way, Passage passage);
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Chance chance;
     private final Hearer hearer;
     private final boolean relayed;
@@ -36,7 +36,7 @@
     private long pieces;
 
     Ways(
-            Loop loop,
+            EventLoop loop,
             Scenario scenario,
             Chance chance,
             List<Scenario.WorkerGroup> groups,
--- a/kit/src/main/java/wheelroute/kit/scale/HollowWorkers.java
+++ b/kit/src/main/java/wheelroute/kit/scale/HollowWorkers.java
@@ -10,26 +10,26 @@
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.kit.real.Jobs;
 import wheelroute.kit.real.ServerLink;
-import wheelroute.net.Loop;
-import wheelroute.net.clients.ClientMessage;
+import wheelroute.net.EventLoop;
+import wheelroute.net.clients.ClientRequest;
 
 /**
  * Any number of workers behind a few addresses: each message is a job that runs for the work that
  * it names.
  */
-final class HollowWorkers implements Loop.Peer {
+final class HollowWorkers implements EventLoop.ChannelHandler {
     /** More connections than one address has ports for would stand in each other's way. */
     private static final int ADDRESSES = 4;
 
     private static final double USUAL_WORK = 0.02;
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private int running;
 
     /** On the loop's thread. */
-    HollowWorkers(Loop loop) throws IOException {
+    HollowWorkers(EventLoop loop) throws IOException {
         this.loop = loop;
         for (int i = 0; i < ADDRESSES; i++) {
             addresses.add(
@@ -54,28 +54,28 @@
     }
 
     @Override
-    public Connection opened(EndPoint endPoint) {
+    public Connection onOpened(EndPoint endPoint) {
         return new Line(endPoint);
     }
 
     @Override
-    public void failed(Throwable cause) {
+    public void onFailed(Throwable cause) {
         // The dispatcher tries again, or tells its client.
     }
 
     private final class Line extends ServerLink {
-        private Loop.Timer job;
+        private EventLoop.Timer job;
 
         Line(EndPoint endPoint) {
             super(endPoint, HollowWorkers.this.loop);
         }
 
         @Override
-        protected void message(ClientMessage message) {
+        protected void message(ClientRequest message) {
             out.send(HEAD + line(message.id(), "started"));
             running++;
             job =
-                    loop.later(
+                    loop.schedule(
                             Jobs.read(message, USUAL_WORK).work(),
                             () -> {
                                 jobOver();
--- a/kit/src/main/java/wheelroute/kit/scale/ListService.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ListService.java
@@ -19,8 +19,8 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.kit.real.ServerLink;
-import wheelroute.net.Loop;
-import wheelroute.net.clients.ClientMessage;
+import wheelroute.net.EventLoop;
+import wheelroute.net.clients.ClientRequest;
 
 /**
  * A stand-in list service with a capacity: it works through calls in turn, and its list changes
@@ -57,7 +57,7 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private double capacity;
     private final IntFunction<InetSocketAddress> addresses;
     private final int workers;
@@ -80,7 +80,8 @@
      *
      * @param capacity answers a second
      */
-    ListService(Loop loop, int workers, double capacity, IntFunction<InetSocketAddress> addresses)
+    ListService(
+            EventLoop loop, int workers, double capacity, IntFunction<InetSocketAddress> addresses)
             throws IOException {
         this.loop = loop;
         this.workers = workers;
@@ -101,16 +102,16 @@
             ServerSocketChannel server =
                     loop.listen(
                             at[caller.ordinal()],
-                            new Loop.Peer() {
+                            new EventLoop.ChannelHandler() {
                                 @Override
-                                public Connection opened(EndPoint endPoint) {
+                                public Connection onOpened(EndPoint endPoint) {
                                     Line line = new Line(endPoint, accounts[caller.ordinal()]);
                                     lines.add(line);
                                     return line;
                                 }
 
                                 @Override
-                                public void failed(Throwable cause) {
+                                public void onFailed(Throwable cause) {
                                     // The caller comes again.
                                 }
                             });
@@ -152,7 +153,7 @@
             loop.unlisten(server);
         }
         new ArrayList<>(lines).forEach(Line::cut);
-        loop.later(
+        loop.schedule(
                 away,
                 () -> {
                     try {
@@ -240,7 +241,7 @@
         private long knows = -1;
 
         private long heldFrom = -1;
-        private Loop.Timer hold;
+        private EventLoop.Timer hold;
         private boolean ended;
 
         Line(EndPoint endPoint, Account account) {
@@ -249,7 +250,7 @@
         }
 
         @Override
-        protected void message(ClientMessage message) {
+        protected void message(ClientRequest message) {
             account.calls++;
             Matcher watch = WATCH.matcher(message.target());
             if (!watch.matches()) {
@@ -265,7 +266,7 @@
             }
             knows = from;
             heldFrom = from;
-            hold = loop.later(Double.parseDouble(watch.group(2)) / MILLIS, this::answerHeld);
+            hold = loop.schedule(Double.parseDouble(watch.group(2)) / MILLIS, this::answerHeld);
             lookAgain();
         }
 
@@ -286,7 +287,7 @@
 
         private void inTurn(Runnable task) {
             freeAt = Math.max(freeAt, loop.now()) + 1 / capacity;
-            loop.later(freeAt - loop.now(), task);
+            loop.schedule(freeAt - loop.now(), task);
         }
 
         private void answer(byte[] json) {
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
@@ -23,12 +23,12 @@
 import java.util.logging.Logger;
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 import wheelroute.kit.real.Keeper;
 import wheelroute.kit.real.LoadRun;
 import wheelroute.kit.real.RehearsalException;
 import wheelroute.net.Clock;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /**
  * Measures what a dispatcher and a list service cost by each of the sizes that grow. Every point
@@ -170,7 +170,7 @@
     private final Path folder;
     private final Keeper keeper;
     private final Guard guard;
-    private final Loop loop = new Loop(new Clock(), CONNECT);
+    private final EventLoop loop = new EventLoop(new Clock(), CONNECT);
     private final Map<String, List<Fit.Point>> points = new TreeMap<>();
     private final Map<String, Double> figures = new LinkedHashMap<>();
     private int daemons;
@@ -349,7 +349,7 @@
         final RealDaemon daemon;
         final double ready;
         final double listed;
-        private Loop.Timer next;
+        private EventLoop.Timer next;
 
         Bench(int size, int tenants) throws IOException, RehearsalException {
             workers = onLoop(() -> new HollowWorkers(loop));
@@ -398,7 +398,7 @@
 
         private void later(double perSecond) {
             next =
-                    loop.later(
+                    loop.schedule(
                             1 / perSecond,
                             () -> {
                                 list.change(1);
@@ -424,7 +424,7 @@
             return new LoadRun.Load(
                     daemon.address(),
                     Terms.OFFERING,
-                    Effect.IDEMPOTENT,
+                    Idempotency.IDEMPOTENT,
                     rate,
                     connections,
                     work,
--- a/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import wheelroute.config.ConfigException;
-import wheelroute.config.SettingsPairs;
 import wheelroute.config.SettingsReader;
+import wheelroute.config.WireSettingsWriter;
 import wheelroute.decision.Settings;
 
 /** A scenario's terms in the daemon's own configuration: one source for both clocks. */
@@ -26,8 +26,8 @@
      */
     public static Map<String, String> pairs(Scenario s, Map<String, String> variant) {
         Scenario.Terms terms = s.terms();
-        SettingsPairs settings =
-                new SettingsPairs()
+        WireSettingsWriter settings =
+                new WireSettingsWriter()
                         .text("az", s.groups().get(0).zone())
                         .number("balancers", s.dispatchers())
                         .number("over_share_worth", terms.overShareValue())
--- a/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Map;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 
 /**
  * What is played, and what must hold. Times in seconds, work in seconds on a worker of speed 1.
@@ -79,8 +79,8 @@
      */
     public record Offering(
             String name,
-            Effect effect,
-            Group group,
+            Idempotency effect,
+            IdempotencyScope group,
             double share,
             double work,
             double spread,
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -15,8 +15,8 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlParseResult;
 import wheelroute.config.TomlFields;
-import wheelroute.decision.Effect;
-import wheelroute.decision.Group;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
 
 /**
  * Reads a scenario and checks it as a whole: all its faults at once, none left for the middle of a
@@ -203,8 +203,8 @@
         Scenario.Offering offering =
                 new Scenario.Offering(
                         name,
-                        f.oneOf("effect", Effect.IDEMPOTENT, Effect.class),
-                        f.oneOf("group", Group.ALL, Group.class),
+                        f.oneOf("effect", Idempotency.IDEMPOTENT, Idempotency.class),
+                        f.oneOf("group", IdempotencyScope.ALL, IdempotencyScope.class),
                         f.number("share", 1, 0, MOST),
                         f.number("work", REQUIRED, Scenario.LEAST_WORK, MOST_TIME),
                         f.number("spread", 0.5, 0, 4),
--- a/kit/src/main/java/wheelroute/kit/virtual/VirtualDispatcher.java
+++ b/kit/src/main/java/wheelroute/kit/virtual/VirtualDispatcher.java
@@ -8,13 +8,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import wheelroute.decision.Dispatcher;
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.Endpoint;
 import wheelroute.decision.Ids;
-import wheelroute.decision.Listing;
 import wheelroute.decision.LoadReport;
 import wheelroute.decision.Outcome;
+import wheelroute.decision.Request;
 import wheelroute.decision.Settings;
-import wheelroute.decision.Submission;
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.brain.Brain;
 import wheelroute.kit.many.Passage;
@@ -35,7 +35,7 @@
  * the ways to and fro as delays. It keeps the daemon's order: a client is answered before the
  * decisions hear why.
  */
-final class VirtualDispatcher implements Dispatcher {
+final class VirtualDispatcher implements ActionHandler {
     /** As the daemon keeps back of what a client says it will wait. */
     private static final double ANSWER_MARGIN = 0.08;
 
@@ -62,7 +62,7 @@
     private final Brain.Maker maker;
     private final Auditor auditor;
     private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
-    private final Map<Ids.Submission, Exchange> open = new HashMap<>();
+    private final Map<Ids.Request, Exchange> open = new HashMap<>();
     private final Consumer<Registry.Entry> watcher = this::changed;
     private Clients clients;
     private Brain brain;
@@ -282,7 +282,7 @@
         open.put(exchange.submission.id(), exchange);
         lane(Way.toClients(number)).open(exchange);
         turn(exchange::begin);
-        later(exchange.submission.outerLimit() - world.timeline.now(), exchange::outOfTime);
+        later(exchange.submission.deadline() - world.timeline.now(), exchange::outOfTime);
     }
 
     void hangUp(Submitted submitted) {
@@ -299,7 +299,7 @@
                                                             unread.remove(submitted.key());
                                                             Exchange exchange =
                                                                     open.get(
-                                                                            new Ids.Submission(
+                                                                            new Ids.Request(
                                                                                     submitted
                                                                                             .key()));
                                                             if (exchange != null) {
@@ -311,7 +311,7 @@
 
     private final class Exchange implements Lane.Line {
         final Submitted submitted;
-        final Submission submission;
+        final Request submission;
         final List<Flight> launches = new ArrayList<>(2);
         private Brain.Held held;
         private boolean answered;
@@ -321,9 +321,9 @@
             double margin = Math.min(ANSWER_MARGIN, ANSWER_MARGIN_PART * submitted.timeout());
             Scenario.Offering offering = submitted.ask().offering();
             submission =
-                    new Submission(
-                            new Ids.Submission(submitted.key()),
-                            new Ids.Offering(offering.name()),
+                    new Request(
+                            new Ids.Request(submitted.key()),
+                            new Ids.RequestClass(offering.name()),
                             new Ids.Tenant(submitted.ask().tenant().name()),
                             world.timeline.now() + submitted.timeout() - margin,
                             submitted.ask().hint(),
@@ -424,7 +424,7 @@
          */
         void send() {
             if (lane.passage().refuses()) {
-                travel(() -> hears(() -> end(Outcome.UNCONNECTED, Double.NaN)));
+                travel(() -> hears(() -> end(Outcome.CONNECT_FAILED, Double.NaN)));
                 return;
             }
             lane.open(this);
@@ -437,7 +437,7 @@
                 return;
             }
             if (!worker.isUp()) {
-                back(() -> end(Outcome.UNCONNECTED, Double.NaN));
+                back(() -> end(Outcome.CONNECT_FAILED, Double.NaN));
                 return;
             }
             Scenario.Offering offering = exchange.submitted.ask().offering();
@@ -498,10 +498,10 @@
                     () ->
                             end(
                                     switch (ending) {
-                                        case DONE -> Outcome.ANSWERED;
-                                        case FAILED -> Outcome.ERRED;
-                                        case RETURNED, TURNED_AWAY -> Outcome.TURNED_AWAY;
-                                        case BROKEN -> Outcome.BROKEN_OFF;
+                                        case DONE -> Outcome.SUCCEEDED;
+                                        case FAILED -> Outcome.FAILED;
+                                        case RETURNED, TURNED_AWAY -> Outcome.REJECTED;
+                                        case BROKEN -> Outcome.CONNECTION_LOST;
                                     },
                                     freeSlots));
         }
@@ -514,7 +514,7 @@
             lane.closed(this);
             turn(
                     () -> {
-                        if (outcome == Outcome.ANSWERED) {
+                        if (outcome == Outcome.SUCCEEDED) {
                             exchange.answer(Answer.FULFILLED, 0);
                         }
                         exchange.held.ended(
@@ -541,7 +541,7 @@
             if (launch != null) {
                 closeAtWorker();
             }
-            travel(() -> hears(() -> end(Outcome.BROKEN_OFF, Double.NaN)));
+            travel(() -> hears(() -> end(Outcome.CONNECTION_LOST, Double.NaN)));
         }
 
         /** The connection ends now; the worker sees it one way later. */
@@ -562,9 +562,9 @@
 
     // ---- from the list
 
-    private Listing listing(Registry.Entry entry) {
+    private Endpoint listing(Registry.Entry entry) {
         WorkerModel worker = entry.worker();
-        return new Listing(
+        return new Endpoint(
                 new Ids.Worker(worker.number),
                 new Ids.Model(worker.group.model()),
                 1,
@@ -572,9 +572,9 @@
                 entry.startedAt(),
                 new Ids.Cell(scenario.groups().indexOf(worker.group)),
                 switch (entry.state()) {
-                    case READY -> Listing.Readiness.ACTIVE;
-                    case DRAINING -> Listing.Readiness.LEAVING;
-                    case GONE -> Listing.Readiness.GONE;
+                    case READY -> Endpoint.State.READY;
+                    case DRAINING -> Endpoint.State.DRAINING;
+                    case GONE -> Endpoint.State.REMOVED;
                 });
     }
 
@@ -597,7 +597,7 @@
         if (to != life) {
             return;
         }
-        List<Listing> listings = new ArrayList<>();
+        List<Endpoint> listings = new ArrayList<>();
         for (Registry.Entry entry : entries) {
             auditor.told(number, entry.worker().number, entry.state());
             if (!whole || entry.state() != Registry.State.GONE) {
@@ -635,7 +635,7 @@
     }
 
     @Override
-    public void watchList() {
+    public void watchEndpoints() {
         Passage passage = lane(Way.toList(number)).passage();
         if (world.registry.isDown() || passage.refuses()) {
             failed(0);
@@ -651,7 +651,7 @@
     // ---- from the decisions
 
     @Override
-    public void launch(Ids.Submission submission, Ids.Worker worker, double limit) {
+    public void startAttempt(Ids.Request submission, Ids.Worker worker, double limit) {
         Exchange exchange = open.get(submission);
         Flight flight =
                 new Flight(
@@ -663,17 +663,17 @@
     }
 
     @Override
-    public void bounce(Ids.Submission submission, double retryAfter) {
+    public void reject(Ids.Request submission, double retryAfter) {
         open.get(submission).answer(Answer.BOUNCED, retryAfter);
     }
 
     @Override
-    public void scrap(Ids.Submission submission) {
+    public void fail(Ids.Request submission) {
         open.get(submission).answer(Answer.SCRAPPED, 0);
     }
 
     @Override
-    public void cancel(Ids.Submission submission, int launch) {
+    public void cancelAttempt(Ids.Request submission, int launch) {
         Exchange exchange = open.get(submission);
         if (exchange != null) {
             exchange.launches.get(launch).calledOff();
@@ -681,7 +681,7 @@
     }
 
     @Override
-    public void wake(double delay) {
+    public void scheduleWakeup(double delay) {
         later(delay, () -> turn(brain::woken));
     }
 }
--- a/kit/src/main/java/wheelroute/kit/world/Clients.java
+++ b/kit/src/main/java/wheelroute/kit/world/Clients.java
@@ -2,7 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import wheelroute.decision.Effect;
+import wheelroute.decision.Idempotency;
 import wheelroute.kit.scenario.Scenario;
 
 /**
@@ -199,7 +199,7 @@
                             state,
                             Result.SCRAPPED,
                             0,
-                            state.ask.offering().effect() == Effect.IDEMPOTENT);
+                            state.ask.offering().effect() == Idempotency.IDEMPOTENT);
             case BOUNCED -> retryOrFinish(state, Result.BOUNCED, retryAfter, true);
         }
     }
@@ -225,7 +225,10 @@
         state.out = null;
         observer.cutOff(submitted);
         retryOrFinish(
-                state, Result.UNANSWERED, 0, state.ask.offering().effect() == Effect.IDEMPOTENT);
+                state,
+                Result.UNANSWERED,
+                0,
+                state.ask.offering().effect() == Idempotency.IDEMPOTENT);
     }
 
     private void retryOrFinish(State state, Result result, double notBefore, boolean mayRetry) {
--- a/kit/src/main/java/wheelroute/kit/world/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/world/WorkerModel.java
@@ -18,7 +18,7 @@
 
     /** Who opens and closes its door; a closed one refuses connections. */
     public interface Door {
-        void opened(WorkerModel worker);
+        void onOpened(WorkerModel worker);
 
         void closed(WorkerModel worker);
     }
@@ -398,7 +398,7 @@
         up = true;
         startedAt = timeline.now();
         if (door != null) {
-            door.opened(this);
+            door.onOpened(this);
         }
         registry.tell(this, Registry.State.READY, startedAt);
     }
--- a/kit/src/test/java/wheelroute/kit/many/DatagramRelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/many/DatagramRelayTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.net.Datagrams;
+import wheelroute.net.DatagramSocket;
 
 /** A pair of ways for datagrams on loopback sockets: what passes, what is lost, late, doubled. */
 public class DatagramRelayTest extends LoopHarness {
@@ -26,13 +26,13 @@
 
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     private volatile double chance = 0;
-    private Datagrams near;
-    private Datagrams far;
+    private DatagramSocket near;
+    private DatagramSocket far;
     private DatagramRelay forth;
     private DatagramRelay back;
 
-    private Datagrams socket(String name) throws Exception {
-        return new Datagrams(
+    private DatagramSocket socket(String name) throws Exception {
+        return new DatagramSocket(
                 loop,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 256,
@@ -61,7 +61,7 @@
                 });
     }
 
-    private void send(Datagrams from, DatagramRelay way, String text) throws Exception {
+    private void send(DatagramSocket from, DatagramRelay way, String text) throws Exception {
         onLoop(
                 () -> {
                     from.send(
--- a/kit/src/test/java/wheelroute/kit/many/LoopHarness.java
+++ b/kit/src/test/java/wheelroute/kit/many/LoopHarness.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import wheelroute.net.Clock;
-import wheelroute.net.Loop;
+import wheelroute.net.EventLoop;
 
 /** A loop for what belongs on its thread. */
 abstract class LoopHarness {
     protected static final int PATIENCE = 10_000;
-    protected Loop loop;
+    protected EventLoop loop;
 
     /** Something that is done on the loop's thread. */
     protected interface Step<T> {
@@ -16,7 +16,7 @@
     }
 
     protected void startLoop() throws Exception {
-        loop = new Loop(new Clock(), 1);
+        loop = new EventLoop(new Clock(), 1);
         loop.start();
     }
 
--- a/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
@@ -6,7 +6,7 @@
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.peers.Codec;
+import wheelroute.peers.MessageCodec;
 
 /**
  * Who is there, on the virtual clock: every datagram through the codec, and whatever can befall it.
@@ -45,7 +45,7 @@
         model.pass(10);
         assertEquals(model.wrongVerdicts(), 0);
         assertTrue(model.bytes() / 10.0 / count < bytes, model.bytes() / 10.0 / count + " bytes");
-        assertTrue(model.largestDatagram() <= Codec.MOST_BYTES);
+        assertTrue(model.largestDatagram() <= MessageCodec.MOST_BYTES);
         model.members.get(count - 1).crash();
         double known = model.passUntil(() -> model.isGivenUp(count - 1), PATIENCE);
         assertTrue(known < dead, known + " s until all knew it");
@@ -111,7 +111,7 @@
                 model.pass(20);
                 assertFalse(
                         model.members.get(0).membership().of(PeerModel.id(4)).state()
-                                == wheelroute.peers.Sighting.State.ALIVE,
+                                == wheelroute.peers.MemberUpdate.State.ALIVE,
                         "whom nobody hears is not there");
             }
             case "all but one" -> {
--- a/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
@@ -178,7 +178,7 @@
         Scenario scenario = Library.find(name);
         assertTrue(scenario.expectations().size() > 0, "it expects nothing");
         Settings settings = DaemonSettings.settings(1, DaemonSettings.pairs(scenario, Map.of()));
-        assertEquals(settings.offerings().size(), scenario.offerings().size());
+        assertEquals(settings.requestClasses().size(), scenario.offerings().size());
     }
 
     /**
@@ -194,12 +194,11 @@
         Map<String, String> pairs =
                 DaemonSettings.pairs(scenario, Map.of("prices.cross_zone", "0.5"));
         Settings settings = DaemonSettings.settings(3, pairs);
-        assertEquals(
-                settings.mostLaunches(), 5, "the scenario's own word on the daemon goes first");
+        assertEquals(settings.maxAttempts(), 5, "the scenario's own word on the daemon goes first");
         assertEquals(settings.crossZonePrice(), 0.5);
-        assertEquals(settings.mayCopy(), false);
+        assertEquals(settings.mayHedge(), false);
         assertEquals(settings.quotas().size(), 1);
-        assertEquals(settings.offerings().get(1).window(), 1.0);
+        assertEquals(settings.requestClasses().get(1).idempotencyWindow(), 1.0);
         Path file = Files.createTempFile("daemon", ".json");
         Files.writeString(file, DaemonSettings.file("n0", 3, 192, 512, pairs, List.of()));
         var config =
