--- a/daemon/src/main/java/wheelroute/adapter/Adapter.java
+++ b/daemon/src/main/java/wheelroute/adapter/Adapter.java
@@ -15,6 +15,7 @@
 import wheelroute.decision.Outcome;
 import wheelroute.decision.Policy;
 import wheelroute.decision.Request;
+import wheelroute.decision.RequestHandle;
 import wheelroute.decision.Settings;
 import wheelroute.discovery.Backoff;
 
@@ -41,7 +42,7 @@
         /** Null where the list comes unasked. */
         Backoff backoff;
 
-        final Map<Long, Policy.RequestHandle> handles = new HashMap<>();
+        final Map<Long, RequestHandle> handles = new HashMap<>();
         final Map<String, Ids.RequestClass> offerings = new HashMap<>();
         final Map<String, Ids.Tenant> tenants = new HashMap<>();
 
@@ -179,14 +180,14 @@
                         memory,
                         (bits & IS_REPEATED) != 0,
                         key == null ? null : new Ids.Key(key));
-        Policy.RequestHandle handle = current.policy.accept(submission);
+        RequestHandle handle = current.policy.accept(submission);
         if (handle == null) {
             throw line.error("the settings have no class '" + kind + "'");
         }
         keep(id, handle);
     }
 
-    private void keep(long id, Policy.RequestHandle handle) {
+    private void keep(long id, RequestHandle handle) {
         if (handle.isComplete()) {
             current.handles.remove(id);
         } else {
@@ -203,7 +204,7 @@
         boolean ended = line.wholeOr("no_more", 0) != 0;
         line.skip("note");
         LoadReport report = report();
-        Policy.RequestHandle handle = current.handles.get(id);
+        RequestHandle handle = current.handles.get(id);
         if (handle != null) {
             handle.onEnded(launch, outcome(code), ended, report);
             keep(id, handle);
@@ -216,7 +217,7 @@
         line.whole("worker");
         long topic = line.whole("topic");
         double value = line.numberOr("value", 0);
-        Policy.RequestHandle handle = current.handles.get(id);
+        RequestHandle handle = current.handles.get(id);
         if (handle != null && topic == NOTE_STARTED) {
             handle.onStarted(launch);
         } else if (handle != null && topic == NOTE_PROGRESS) {
@@ -229,7 +230,7 @@
         int launch = (int) line.whole("round_no");
         line.whole("worker");
         line.skip("elapsed_us");
-        Policy.RequestHandle handle = current.handles.get(id);
+        RequestHandle handle = current.handles.get(id);
         if (handle != null) {
             handle.onStreaming(launch);
         }
@@ -237,7 +238,7 @@
 
     private void gone() throws WireException {
         long id = line.whole("job");
-        Policy.RequestHandle handle = current.handles.get(id);
+        RequestHandle handle = current.handles.get(id);
         if (handle != null) {
             handle.onClientGone();
             keep(id, handle);
--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -265,7 +265,7 @@
         if (row == null) {
             return null;
         }
-        RequestHandle handle = new RequestHandle(submission, row);
+        TrackedRequest handle = new TrackedRequest(submission, row);
         firstTakenAt = Math.min(firstTakenAt, now);
         if (!submission.clientRetry()) {
             // Guards against a retry storm: what is bounced asks again at once, and is no load and no use.
@@ -287,7 +287,7 @@
     }
 
     /** One submission, from its taking until its last launch has ended. */
-    public final class RequestHandle {
+    private final class TrackedRequest implements RequestHandle {
         private final Request submission;
         private final RequestClassState row;
         private final double work;
@@ -305,7 +305,7 @@
         private boolean unusable;
         private boolean erred;
 
-        private RequestHandle(Request submission, RequestClassState row) {
+        private TrackedRequest(Request submission, RequestClassState row) {
             this.submission = submission;
             this.row = row;
             this.work = row.hints.workFor(submission.estimatedWork());
@@ -316,11 +316,13 @@
         }
 
         /** Nothing more will happen to it. */
+        @Override
         public boolean isComplete() {
             return done && out == 0;
         }
 
         /** The client left, or its answer is known to it already. */
+        @Override
         public void onClientGone() {
             done = true;
             callOff();
@@ -328,12 +330,14 @@
         }
 
         /** The outer limit has come, or no more time is left: what waits for its turn is told so. */
+        @Override
         public void onDeadline() {
             if (!done && out == 0) {
                 giveUp(0);
             }
         }
 
+        @Override
         public void onStarted(int number) {
             Attempt launch = launch(number);
             if (launch != null && launch.isOut()) {
@@ -351,6 +355,7 @@
         }
 
         /** Where starts are not told the first note tells one; each note tells how long the job will run. */
+        @Override
         public void onProgress(int number, double share) {
             Attempt launch = launch(number);
             if (launch != null && launch.isOut() && share > 0) {
@@ -363,6 +368,7 @@
             }
         }
 
+        @Override
         public void onStreaming(int number) {
             Attempt launch = launch(number);
             if (launch != null) {
@@ -372,6 +378,7 @@
         }
 
         /** A launch ended; over when the submission itself ended with it or before it. */
+        @Override
         public void onEnded(int number, Outcome outcome, boolean over, LoadReport report) {
             Attempt launch = launch(number);
             if (launch == null || !launch.isOut()) {
@@ -563,7 +570,7 @@
     /** The submissions of one key, in the order of their taking: one at a time, whatever its offering. */
     private final class KeyQueue {
         final Ids.Key key;
-        final ArrayDeque<RequestHandle> held = new ArrayDeque<>();
+        final ArrayDeque<TrackedRequest> held = new ArrayDeque<>();
         double restsUntil = Double.NEGATIVE_INFINITY;
         private double wakesAt;
         private boolean advancing;
@@ -600,8 +607,8 @@
          */
         private void giveUpLate() {
             double free = Math.max(now, restsUntil);
-            List<RequestHandle> kept = new ArrayList<>();
-            for (RequestHandle h : new ArrayList<>(held)) {
+            List<TrackedRequest> kept = new ArrayList<>();
+            for (TrackedRequest h : new ArrayList<>(held)) {
                 if (!h.launches.isEmpty()) {
                     free += h.remaining();
                     continue;
@@ -610,11 +617,11 @@
                 double excess = free - h.takenAt - h.row.borne(h.work, run);
                 boolean late = now + 2 * SWEEP > h.submission.deadline()
                         && (h != held.peekFirst() || now < restsUntil);
-                List<RequestHandle> lesser = kept.stream().filter(k -> k.row.value < h.row.value)
+                List<TrackedRequest> lesser = kept.stream().filter(k -> k.row.value < h.row.value)
                         .sorted(Comparator.comparingDouble(k -> k.row.value)).toList();
                 late |= excess > lesser.stream().mapToDouble(k -> k.work / usualSpeed).sum();
                 for (int i = 0; !late && excess > 0 && i < lesser.size(); i++) {
-                    RequestHandle least = lesser.get(i);
+                    TrackedRequest least = lesser.get(i);
                     kept.remove(least);
                     excess -= least.work / usualSpeed;
                     free -= least.work / usualSpeed;
@@ -633,7 +640,7 @@
     // ---- the ordinary path
 
     /** The worker of least admittance cost, ties by chance, or null; a second choice must meet its test. */
-    private Worker cheapest(RequestHandle h, Predicate<Worker> second) {
+    private Worker cheapest(TrackedRequest h, Predicate<Worker> second) {
         meanWork = arrivals.meanOfFirst(STANDARD);
         meanValue = arrivals.meanOfSecond();
         meanWorth = arrivals.meanOfProduct();
@@ -957,12 +964,12 @@
         }
 
         /** Probation: one launch at a time, after a pause, and only of what may be tried again. */
-        boolean takesTrial(RequestHandle h) {
+        boolean takesTrial(TrackedRequest h) {
             return !probation || (now >= trialAt && out.isEmpty() && h.row.of.idempotency() != Idempotency.NON_IDEMPOTENT);
         }
 
         /** Guards against bounces beside a worker that errs now and then, while the others are full. */
-        boolean servesSome(RequestHandle h) {
+        boolean servesSome(TrackedRequest h) {
             return !silent && now - answeredAt < FRESH && out.size() < slots()
                     && h.row.of.isSafeToRetryAnywhere();
         }
@@ -1074,7 +1081,7 @@
         }
 
         /** Equation 3 of the paper for one worker, and the prices that the settings put on the choice. */
-        double admittanceCost(RequestHandle h, double kappa) {
+        double admittanceCost(TrackedRequest h, double kappa) {
             double run = h.work / speedNow + FETCH_TOLL * fetches.expectedSeconds(home);
             double ownKappa = kappa * speedNow * slots();
             double added = run * h.slots / slots();
@@ -1099,7 +1106,7 @@
 
     /** One launch, from its sending to its end. */
     private static final class Attempt {
-        final RequestHandle handle;
+        final TrackedRequest handle;
         final int number;
         final Worker worker;
         /** The list's entry at the send: the cell and zone that a repeat must share. */
@@ -1117,7 +1124,7 @@
         boolean calledOff;
         boolean rescued;
 
-        Attempt(RequestHandle handle, int number, Worker worker, double sentAt) {
+        Attempt(TrackedRequest handle, int number, Worker worker, double sentAt) {
             this.handle = handle;
             this.number = number;
             this.worker = worker;
--- a/daemon/src/main/java/wheelroute/net/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/Exchange.java
@@ -6,9 +6,10 @@
 import wheelroute.decision.LoadReport;
 import wheelroute.decision.Policy;
 import wheelroute.decision.Request;
+import wheelroute.decision.RequestHandle;
 import wheelroute.net.clients.ClientRequest;
 import wheelroute.net.clients.ClientResponse;
-import wheelroute.net.clients.RequestHandler;
+import wheelroute.net.clients.RequestAcceptor;
 import wheelroute.net.workers.AttemptListener;
 import wheelroute.net.workers.AttemptRequest;
 import wheelroute.net.workers.InFlightAttempt;
@@ -17,14 +18,14 @@
  * One submission: its handle, its launches and its single final answer. Client and worker side meet
  * here.
  */
-final class Exchange implements RequestHandler.AcceptedRequest {
+final class Exchange implements RequestAcceptor.AcceptedRequest {
     private final RequestDispatcher exchanges;
     private final Request submission;
     private final AttemptRequest message;
-    private final RequestHandler.ResponseSender client;
+    private final RequestAcceptor.ResponseSender client;
     private final List<ExchangeAttempt> launches = new ArrayList<>(2);
     private final EventLoop.Timer limit;
-    private Policy.RequestHandle handle;
+    private RequestHandle handle;
 
     /** It has just been taken: that its client is there was seen a moment ago. */
     private boolean beginning;
@@ -36,7 +37,7 @@
             EventLoop loop,
             Request submission,
             ClientRequest message,
-            RequestHandler.ResponseSender client,
+            RequestAcceptor.ResponseSender client,
             boolean onceOnly) {
         this.exchanges = exchanges;
         this.submission = submission;
--- a/daemon/src/main/java/wheelroute/net/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/RequestDispatcher.java
@@ -24,7 +24,7 @@
 import wheelroute.net.clients.ClientRequest;
 import wheelroute.net.clients.ClientResponse;
 import wheelroute.net.clients.ClientServer;
-import wheelroute.net.clients.RequestHandler;
+import wheelroute.net.clients.RequestAcceptor;
 import wheelroute.net.discovery.EndpointList;
 import wheelroute.net.discovery.EndpointWatch;
 import wheelroute.net.handover.Handover;
@@ -36,7 +36,7 @@
  */
 final class RequestDispatcher
         implements ActionHandler,
-                RequestHandler,
+                RequestAcceptor,
                 EndpointWatch.Listener,
                 Handover.TransferableState {
     /**
--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -11,7 +11,7 @@
 import wheelroute.net.StreamConnection;
 
 /** One client's connection: one submission at a time, the next once it is answered. */
-final class ClientConnection extends StreamConnection implements RequestHandler.ResponseSender {
+final class ClientConnection extends StreamConnection implements RequestAcceptor.ResponseSender {
     /**
      * How long a closing connection swallows what still comes: a reset would take the answer with
      * it.
@@ -31,7 +31,7 @@
 
     private final ClientServer clients;
     private final ClientRequestDecoder decoder;
-    private RequestHandler.AcceptedRequest taken;
+    private RequestAcceptor.AcceptedRequest taken;
     private boolean waiting;
     private boolean unanswered;
     private boolean lastMessage;
@@ -182,7 +182,7 @@
                 ended();
                 return;
             }
-            RequestHandler.AcceptedRequest now = clients.take(message, cameAt, this);
+            RequestAcceptor.AcceptedRequest now = clients.take(message, cameAt, this);
             hasSubmitted = true;
             if (unanswered) {
                 // Else it was answered as it was taken, and there is nobody to tell that the client
@@ -340,7 +340,7 @@
     }
 
     private void ended() {
-        RequestHandler.AcceptedRequest left = taken;
+        RequestAcceptor.AcceptedRequest left = taken;
         taken = null;
         waiting = false;
         close();
--- a/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
@@ -44,7 +44,7 @@
     private static final long MOST_AHEAD = 16L * PipelinedInput.MOST;
 
     private final EventLoop loop;
-    private final RequestHandler submitters;
+    private final RequestAcceptor submitters;
     private final Counters counters;
     private final int mostAlone;
     private final ConnectionLimit<ClientConnection> places;
@@ -56,7 +56,7 @@
     private ServerSocketChannel server;
     private boolean isListening;
 
-    public ClientServer(EventLoop loop, RequestHandler submitters, Counters counters, int most) {
+    public ClientServer(EventLoop loop, RequestAcceptor submitters, Counters counters, int most) {
         this.loop = loop;
         this.submitters = submitters;
         this.counters = counters;
@@ -147,8 +147,8 @@
         counters.count(Counters.Counter.REQUESTS_NOT_ACCEPTED);
     }
 
-    RequestHandler.AcceptedRequest take(
-            ClientRequest message, double cameAt, RequestHandler.ResponseSender answers)
+    RequestAcceptor.AcceptedRequest take(
+            ClientRequest message, double cameAt, RequestAcceptor.ResponseSender answers)
             throws BadRequestException {
         return submitters.accept(message, cameAt, answers);
     }
--- a/daemon/src/main/java/wheelroute/net/clients/RequestHandler.java
+++ b/daemon/src/main/java/wheelroute/net/clients/RequestAcceptor.java
@@ -1,7 +1,7 @@
 package wheelroute.net.clients;
 
 /** What the client side hands over to, and may ask. */
-public interface RequestHandler {
+public interface RequestAcceptor {
     /** One submission as its client's connection sees it. */
     interface AcceptedRequest {
         /** The client closed its connection. */
--- a/daemon/src/test/java/wheelroute/ChoiceTest.java
+++ b/daemon/src/test/java/wheelroute/ChoiceTest.java
@@ -15,7 +15,7 @@
 import wheelroute.decision.IdempotencyScope;
 import wheelroute.decision.LoadReport;
 import wheelroute.decision.Outcome;
-import wheelroute.decision.Policy;
+import wheelroute.decision.RequestHandle;
 
 /** The ordinary path, and the judgement of workers. */
 public class ChoiceTest {
@@ -42,7 +42,7 @@
         for (int i = 0; i < 40; i++) {
             double hint = 0.2;
             w.did.clear();
-            Policy.RequestHandle handle = w.take(hint);
+            RequestHandle handle = w.take(hint);
             double speed = w.lastWorker() == 1 ? speed1 : speed2;
             handle.onStarted(0);
             w.pass(hint / speed);
@@ -80,7 +80,7 @@
         long launchesLate = 0;
         for (int i = 0; i < 60; i++) {
             w.did.clear();
-            Policy.RequestHandle handle = w.pass(0.05).take(0.1);
+            RequestHandle handle = w.pass(0.05).take(0.1);
             boolean bad = i % 2 == 1;
             for (int launch = 0; !handle.isComplete(); launch++) {
                 w.pass(0.02).end(handle, launch, bad ? Outcome.FAILED : Outcome.SUCCEEDED);
@@ -141,7 +141,7 @@
         SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(3);
         Set<String> kept = new HashSet<>();
         for (int i = 0; i < 200; i++) {
-            List<Policy.RequestHandle> handles = new ArrayList<>();
+            List<RequestHandle> handles = new ArrayList<>();
             List<Double> runs = new ArrayList<>();
             for (int job = 0; job < 3; job++) {
                 String key = "key" + (3 * i + job) % 10;
@@ -165,8 +165,7 @@
         int fastest = 0;
         for (int i = 10; i < 30; i++) {
             w.did.clear();
-            Policy.RequestHandle handle =
-                    w.take("job", "t", 0.1, w.now + SimulatedWorld.LIMIT, "key" + i);
+            RequestHandle handle = w.take("job", "t", 0.1, w.now + SimulatedWorld.LIMIT, "key" + i);
             fastest += w.lastWorker() == 2 ? 1 : 0;
             w.end(handle, 0, Outcome.CANCELLED);
             handle.onClientGone();
@@ -182,7 +181,7 @@
     @Test(dataProvider = "oddHints")
     public void oddHintsGetOneAnswer(double hint) {
         SimulatedWorld w = world();
-        Policy.RequestHandle handle = w.take(hint);
+        RequestHandle handle = w.take(hint);
         assertEquals(w.count("launch") + w.count("bounce"), 1);
         if (!handle.isComplete()) {
             w.end(handle, 0, Outcome.SUCCEEDED);
@@ -239,21 +238,20 @@
         given.progressEvery = 1;
         SimulatedWorld w = new SimulatedWorld(given).list(2);
         // Two at a time, so that the others need not wait for the one.
-        List<Policy.RequestHandle> two =
-                List.of(w.take(1.2), w.take(1.2), w.take(1.2), w.take(1.2));
+        List<RequestHandle> two = List.of(w.take(1.2), w.take(1.2), w.take(1.2), w.take(1.2));
         w.pass(1.1);
         two.forEach(handle -> handle.onProgress(0, 0.9));
         w.pass(0.1).policy.onWakeup();
         two.forEach(handle -> w.end(handle, 0, Outcome.SUCCEEDED));
         // The first is the faster one, so that the others go there beside the one.
         for (int i = 0; i < 60; i++) {
-            Policy.RequestHandle handle = w.take(0.1);
+            RequestHandle handle = w.take(0.1);
             w.pass(w.lastWorker() == 1 ? 0.1 : 0.5).end(handle, 0, Outcome.SUCCEEDED);
         }
         w.did.clear();
-        Policy.RequestHandle silent = w.take(0.4);
+        RequestHandle silent = w.take(0.4);
         for (int i = 0; i < tenths; i++) {
-            Policy.RequestHandle other = w.take(0.1);
+            RequestHandle other = w.take(0.1);
             w.pass(0.1).end(other, 0, Outcome.SUCCEEDED);
             w.policy.onWakeup();
             if (i % 10 == 9 && i / 10 < words) {
@@ -281,7 +279,7 @@
             SimulatedWorld w =
                     SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
             for (int i = 0; i < learned; i++) {
-                Policy.RequestHandle handle = w.take(0.1);
+                RequestHandle handle = w.take(0.1);
                 // It waited less lately than is usual: a warm one beside it must not look better
                 // still.
                 w.pass(i < learned - 8 ? 0.8 : 0.3);
@@ -305,7 +303,7 @@
         given.tellsStart = false;
         given.progressEvery = 1;
         SimulatedWorld w = new SimulatedWorld(given).list(1);
-        Policy.RequestHandle first = w.take(0.1);
+        RequestHandle first = w.take(0.1);
         w.pass(0.1);
         first.onEnded(0, Outcome.SUCCEEDED, true, new LoadReport(3));
         w.take(0.1);
@@ -340,7 +338,7 @@
     @Test
     public void aFullWorkerIsLeftAloneForAWhile() {
         SimulatedWorld w = world();
-        Policy.RequestHandle handle = w.take(0.1);
+        RequestHandle handle = w.take(0.1);
         final long full = w.lastWorker();
         w.end(handle, 0, Outcome.REJECTED);
         assertNotEquals(w.lastWorker(), full);
@@ -376,8 +374,8 @@
     @Test(dataProvider = "overlaps")
     public void onlySettledStartsCountAsSlots(double overlap, int launches) {
         SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
-        Policy.RequestHandle first = w.take(1);
-        Policy.RequestHandle second = w.take(1);
+        RequestHandle first = w.take(1);
+        RequestHandle second = w.take(1);
         first.onStarted(0);
         w.pass(1);
         second.onStarted(0);
@@ -415,7 +413,7 @@
     @Test
     public void oldWaitsFade() {
         SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
-        Policy.RequestHandle handle = w.take(0.1, w.now + 100);
+        RequestHandle handle = w.take(0.1, w.now + 100);
         w.pass(20);
         handle.onStarted(0);
         w.end(handle, 0, Outcome.SUCCEEDED);
@@ -458,7 +456,7 @@
     public void aTenantFarPastItsShareBearsShorterWaits(String tenant, String next) {
         SimulatedWorld w = SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
         for (int i = 0; i < 200; i++) {
-            Policy.RequestHandle handle =
+            RequestHandle handle =
                     w.take("job", i % 10 == 0 ? "t" : "greedy", 0.05, w.now + SimulatedWorld.LIMIT);
             handle.onStarted(0);
             w.pass(0.05).end(handle, 0, Outcome.SUCCEEDED);
@@ -533,7 +531,7 @@
     @Test
     public void launchesStillWaitingCount() {
         SimulatedWorld w = world();
-        Policy.RequestHandle slow = w.take(0.1);
+        RequestHandle slow = w.take(0.1);
         w.pass(3);
         // Such waits have been seen, long ago: the next one is no silence yet.
         slow.onStarted(0);
@@ -580,7 +578,7 @@
         // On probation, with a pause that outlasts this case; every other launch is answered.
         for (int i = 0; i < 5; i++) {
             for (Outcome outcome : new Outcome[] {Outcome.FAILED, Outcome.SUCCEEDED}) {
-                Policy.RequestHandle handle = w.take(0.1);
+                RequestHandle handle = w.take(0.1);
                 w.pass(0.02);
                 for (int launch = 0; !handle.isComplete(); launch++) {
                     w.end(handle, launch, launch == 0 ? outcome : Outcome.SUCCEEDED);
@@ -606,7 +604,7 @@
                 SimulatedWorld.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).list(2);
         for (int i = 0; i < 40; i++) {
             old.did.clear();
-            Policy.RequestHandle handle = old.take(0.2);
+            RequestHandle handle = old.take(0.2);
             boolean slow = old.lastWorker() == 1;
             handle.onStarted(0);
             old.pass(slow ? 1 : 0.2);
--- a/daemon/src/test/java/wheelroute/OrderTest.java
+++ b/daemon/src/test/java/wheelroute/OrderTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.Outcome;
-import wheelroute.decision.Policy;
+import wheelroute.decision.RequestHandle;
 
 /**
  * The rule on keys: one at a time, in the order of their taking, and a rest after what may still
@@ -33,11 +33,11 @@
         return new SimulatedWorld(given).list(4);
     }
 
-    private static Policy.RequestHandle take(SimulatedWorld w, String key) {
+    private static RequestHandle take(SimulatedWorld w, String key) {
         return take(w, "job", key);
     }
 
-    private static Policy.RequestHandle take(SimulatedWorld w, String offering, String key) {
+    private static RequestHandle take(SimulatedWorld w, String offering, String key) {
         return w.take(offering, "t", 0.1, w.now + SimulatedWorld.LIMIT, key);
     }
 
@@ -81,7 +81,7 @@
     @Test(dataProvider = "ends")
     public void theNextGoesWhenTheFirstIsOverAndItsKeyHasRested(Outcome outcome, double rest) {
         SimulatedWorld w = world();
-        Policy.RequestHandle first = take(w, "a");
+        RequestHandle first = take(w, "a");
         take(w, "a");
         w.pass(0.1).end(first, 0, outcome);
         assertTrue(first.isComplete());
@@ -96,7 +96,7 @@
     @Test
     public void aRestIsKeptByWhoComesIntoItAndEndsByItself() {
         SimulatedWorld w = world();
-        Policy.RequestHandle first = take(w, "a");
+        RequestHandle first = take(w, "a");
         w.end(first, 0, Outcome.CONNECTION_LOST);
         w.pass(0.05);
         take(w, "a");
@@ -126,7 +126,7 @@
     public void theFirstGoesOnWithoutARest() {
         given.effect = Idempotency.IDEMPOTENT;
         SimulatedWorld w = world();
-        Policy.RequestHandle first = take(w, "a");
+        RequestHandle first = take(w, "a");
         take(w, "a");
         w.end(first, 0, Outcome.CONNECTION_LOST);
         assertEquals(w.count("launch 1 "), 2, w.did.toString());
@@ -141,8 +141,8 @@
     @Test
     public void aClientThatLeavesGivesUpItsPlace() {
         SimulatedWorld w = world();
-        Policy.RequestHandle first = take(w, "a");
-        Policy.RequestHandle second = take(w, "a");
+        RequestHandle first = take(w, "a");
+        RequestHandle second = take(w, "a");
         take(w, "a");
         second.onClientGone();
         assertTrue(second.isComplete());
@@ -178,8 +178,8 @@
         given.patientValue = 0.1;
         SimulatedWorld w = world();
         w.take("job", "t", 0.5, w.now + SimulatedWorld.LIMIT, "a");
-        Policy.RequestHandle lesser = w.take("patient", "t", 3, w.now + SimulatedWorld.LIMIT, "a");
-        Policy.RequestHandle more = w.take("job", "t", 0.1, w.now + SimulatedWorld.LIMIT, "a");
+        RequestHandle lesser = w.take("patient", "t", 3, w.now + SimulatedWorld.LIMIT, "a");
+        RequestHandle more = w.take("job", "t", 0.1, w.now + SimulatedWorld.LIMIT, "a");
         assertTrue(lesser.isComplete());
         assertFalse(more.isComplete());
         assertEquals(w.did.get(w.did.size() - 1), "bounce 2");
@@ -196,7 +196,7 @@
         SimulatedWorld w = world();
         take(w, "a");
         double end = w.now + limit;
-        Policy.RequestHandle waits = w.take("job", "t", 0.1, end, "a");
+        RequestHandle waits = w.take("job", "t", 0.1, end, "a");
         while (!waits.isComplete() && w.now < end) {
             w.pass(0.1).policy.onWakeup();
         }
@@ -210,8 +210,8 @@
     @Test
     public void theDriverMayEndWhatWaits() {
         SimulatedWorld w = world();
-        Policy.RequestHandle first = take(w, "a");
-        Policy.RequestHandle second = take(w, "a");
+        RequestHandle first = take(w, "a");
+        RequestHandle second = take(w, "a");
         take(w, "a");
         second.onDeadline();
         first.onDeadline();
@@ -227,7 +227,7 @@
             Random random = new Random(seed);
             given.effect = Idempotency.values()[seed % 3];
             SimulatedWorld w = world();
-            List<Policy.RequestHandle> handles = new ArrayList<>();
+            List<RequestHandle> handles = new ArrayList<>();
             List<Integer> keys = new ArrayList<>();
             List<List<Integer>> out = new ArrayList<>();
             double[] rest = new double[3];
--- a/daemon/src/test/java/wheelroute/RulesTest.java
+++ b/daemon/src/test/java/wheelroute/RulesTest.java
@@ -12,7 +12,7 @@
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.IdempotencyScope;
 import wheelroute.decision.Outcome;
-import wheelroute.decision.Policy;
+import wheelroute.decision.RequestHandle;
 
 /** The four rules, by offering kind, outcome, list and cold worker. */
 public class RulesTest {
@@ -50,7 +50,7 @@
     public void whatFollowsAnOutcome(
             Idempotency effect, IdempotencyScope group, Outcome outcome, String expected) {
         SimulatedWorld w = SimulatedWorld.of(effect, group).list(4);
-        Policy.RequestHandle handle = w.take(0.1);
+        RequestHandle handle = w.take(0.1);
         w.pass(0.1).end(handle, 0, outcome);
         assertTrue(w.last().startsWith(expected), w.did.toString());
         int launches = outcome == Outcome.SUCCEEDED || expected.equals("scrap") ? 1 : 2;
@@ -101,7 +101,7 @@
         given.group = group;
         given.window = 5;
         SimulatedWorld w = new SimulatedWorld(given).list(4);
-        Policy.RequestHandle handle = w.take(0.1);
+        RequestHandle handle = w.take(0.1);
         final long first = w.lastWorker();
         w.pass(after);
         int launch = 0;
@@ -137,7 +137,7 @@
         SimulatedWorld.Given given = new SimulatedWorld.Given();
         given.mostLaunches = allowed;
         SimulatedWorld w = new SimulatedWorld(given).list(listed);
-        Policy.RequestHandle handle = w.take(0.1, w.now + left);
+        RequestHandle handle = w.take(0.1, w.now + left);
         for (int i = 0; !handle.isComplete(); i++) {
             w.end(handle, i, Outcome.REJECTED);
         }
@@ -152,7 +152,7 @@
     public void theOuterLimitEndsItWithOneAnswer() {
         SimulatedWorld w =
                 SimulatedWorld.of(Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL).list(4);
-        Policy.RequestHandle handle = w.take(0.1);
+        RequestHandle handle = w.take(0.1);
         w.pass(SimulatedWorld.LIMIT).end(handle, 0, Outcome.TIMED_OUT);
         assertEquals(w.count("scrap"), 1);
         assertTrue(handle.isComplete());
@@ -162,7 +162,7 @@
     public void aStartedStreamIsLeftAlone() {
         SimulatedWorld.Given given = new SimulatedWorld.Given();
         SimulatedWorld w = new SimulatedWorld(given).list(4);
-        Policy.RequestHandle handle = w.take(0.1);
+        RequestHandle handle = w.take(0.1);
         handle.onStreaming(0);
         for (int i = 0; i < 50; i++) {
             w.pass(0.5).policy.onWakeup();
@@ -230,7 +230,7 @@
         w.change(1, w.now - age, State.READY);
         double sent = 0;
         for (int i = 0; i < 100; i++) {
-            Policy.RequestHandle handle = w.take(work);
+            RequestHandle handle = w.take(work);
             if (w.lastWorker() == 1) {
                 sent += work;
                 // Turned away at once: refused work counts against the budget too.
@@ -268,7 +268,7 @@
         double sent = 0;
         for (int i = 0; i < 100; i++) {
             w.did.clear();
-            Policy.RequestHandle handle = w.take(0.02);
+            RequestHandle handle = w.take(0.02);
             if (w.lastWorker() == 1) {
                 sent += 0.02;
                 // Its client leaves, so that neither a queue nor a rest of the worker's stands in
@@ -300,7 +300,7 @@
         for (double age = 0.1; age < 19; age += 0.1) {
             for (SimulatedWorld w : all) {
                 w.did.clear();
-                Policy.RequestHandle handle = w.take(0.5);
+                RequestHandle handle = w.take(0.5);
                 if (w.lastWorker() == 1) {
                     sent.add(new double[] {age, 0.5});
                     w.end(handle, 0, Outcome.REJECTED);
@@ -347,7 +347,7 @@
             w.policy.onEndpoints(List.of(), true);
         }
         told.forEach(readiness -> w.change(1, Double.NaN, readiness));
-        Policy.RequestHandle handle = w.pass(1).take(0.1);
+        RequestHandle handle = w.pass(1).take(0.1);
         assertEquals(w.count("launch"), may ? 1 : 0, w.did.toString());
         if (may) {
             // The first failure settles it.
@@ -364,7 +364,7 @@
         SimulatedWorld.Given given = new SimulatedWorld.Given();
         given.mayCopy = false;
         SimulatedWorld w = new SimulatedWorld(given).list(4).earnCopies();
-        Policy.RequestHandle handle = w.take(0.1);
+        RequestHandle handle = w.take(0.1);
         w.watch(40);
         assertEquals(w.count("launch"), 1);
         assertEquals(w.count("cancel"), 1, "the silent launch is called off first");
--- a/daemon/src/test/java/wheelroute/SimulatedWorld.java
+++ b/daemon/src/test/java/wheelroute/SimulatedWorld.java
@@ -15,6 +15,7 @@
 import wheelroute.decision.Outcome;
 import wheelroute.decision.Policy;
 import wheelroute.decision.Request;
+import wheelroute.decision.RequestHandle;
 import wheelroute.decision.Settings;
 
 /** One policy, what it did so far, and short ways to tell it what happens. */
@@ -178,24 +179,23 @@
         return this;
     }
 
-    Policy.RequestHandle take(double hint) {
+    RequestHandle take(double hint) {
         return take(hint, now + LIMIT);
     }
 
-    Policy.RequestHandle take(double hint, double outerLimit) {
+    RequestHandle take(double hint, double outerLimit) {
         return take("job", hint, outerLimit);
     }
 
-    Policy.RequestHandle take(String offering, double hint, double outerLimit) {
+    RequestHandle take(String offering, double hint, double outerLimit) {
         return take(offering, "t", hint, outerLimit);
     }
 
-    Policy.RequestHandle take(String offering, String tenant, double hint, double outerLimit) {
+    RequestHandle take(String offering, String tenant, double hint, double outerLimit) {
         return take(offering, tenant, hint, outerLimit, null);
     }
 
-    Policy.RequestHandle take(
-            String offering, String tenant, double hint, double outerLimit, String key) {
+    RequestHandle take(String offering, String tenant, double hint, double outerLimit, String key) {
         return policy.accept(
                 new Request(
                         new Ids.Request(++lastId),
@@ -209,14 +209,14 @@
                         key == null ? null : new Ids.Key(key)));
     }
 
-    void end(Policy.RequestHandle handle, int launch, Outcome outcome) {
+    void end(RequestHandle handle, int launch, Outcome outcome) {
         handle.onEnded(launch, outcome, outcome == Outcome.SUCCEEDED, LoadReport.NONE);
     }
 
     /** Runs one submission to its answer: taken, started at once, answered after so long. */
     long serve(double hint, double run) {
         did.clear();
-        Policy.RequestHandle handle = take(hint);
+        RequestHandle handle = take(hint);
         final long worker = lastWorker();
         handle.onStarted(0);
         pass(run);
@@ -245,7 +245,7 @@
     int launchesToBad(int submissions, double hint, LongPredicate isBad, Outcome outcome) {
         int toBad = 0;
         for (int i = 0; i < submissions; i++) {
-            Policy.RequestHandle handle = take(hint);
+            RequestHandle handle = take(hint);
             for (int launch = 0; !handle.isComplete(); launch++) {
                 boolean bad = isBad.test(lastWorker());
                 toBad += bad ? 1 : 0;
--- a/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
+++ b/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
@@ -26,7 +26,7 @@
 import wheelroute.decision.Request;
 import wheelroute.net.clients.ClientRequest;
 import wheelroute.net.clients.ClientResponse;
-import wheelroute.net.clients.RequestHandler;
+import wheelroute.net.clients.RequestAcceptor;
 
 /**
  * Two events that cross, each put into the order that does harm: docs/narrow-moments.md tells of
@@ -675,7 +675,7 @@
                                     loop,
                                     submission,
                                     message,
-                                    new RequestHandler.ResponseSender() {
+                                    new RequestAcceptor.ResponseSender() {
                                         @Override
                                         public void send(ClientResponse answer) {
                                             status.complete(answer.status());
--- a/kit/src/main/java/wheelroute/kit/brain/PolicyBrain.java
+++ b/kit/src/main/java/wheelroute/kit/brain/PolicyBrain.java
@@ -7,6 +7,7 @@
 import wheelroute.decision.Outcome;
 import wheelroute.decision.Policy;
 import wheelroute.decision.Request;
+import wheelroute.decision.RequestHandle;
 import wheelroute.decision.Settings;
 import wheelroute.discovery.Backoff;
 
@@ -57,11 +58,11 @@
 
     @Override
     public Held take(Request submission) {
-        Policy.RequestHandle handle = policy.accept(submission);
+        RequestHandle handle = policy.accept(submission);
         return handle == null ? null : new Handled(handle);
     }
 
-    private record Handled(Policy.RequestHandle handle) implements Held {
+    private record Handled(RequestHandle handle) implements Held {
         @Override
         public boolean isOver() {
             return handle.isComplete();
