--- a/daemon/src/test/java/wheelroute/limits/ConnectionLimitTest.java
+++ b/daemon/src/test/java/wheelroute/limits/ConnectionLimitTest.java
@@ -39,22 +39,30 @@
     public Object[][] crowds() {
         return new Object[][] {
             // what came, whom something lies unread of, who makes room
-            {"a unknown 1, b unknown 1, c unknown 1", "", ""},
-            {"a held 1, b held 1, c held 1, d held 1", "", ""},
-            {"a held 1, b leaving 9.99, c unknown 1, d visitor 1", "", "b"},
-            {"a held 1, b begun 1, c unknown 1, d visitor 9.99", "", "d"},
-            {"a held 1, b begun 1, c unknown 9.5, d known 1", "", "c"},
-            {"a held 1, c begun 1, b begun 2, d known 1", "", "c"},
-            {"a held 1, b begun 1, c begun 2, b begun 3, d known 3", "", "c"},
-            {"a held 1, b begun 9.9, c unknown 9.9, d known 1", "", "d"},
-            {"a begun 9.9, b begun 9.9, c unknown 9.9, d known 1", "", ""},
-            {"a unknown 1, b unknown 2, c held 1, d held 1", "a", "b"},
-            {"a unknown 1, b begun 2, c held 1, d known 1", "a b", "d"},
-            {"a unknown 1, b unknown 2, c unknown 3, d known 1", "a b c", ""},
-            {"a known 5, b known 4, c held 1, d held 1", "", "a"},
-            {"a known 1, a held 2, a known 3, b known 2, c held 1, d held 1", "", "a"},
-            {"a known 1, b known 2, a held 3, a known 4, c held 1, d held 1", "", "b"},
-            {"a unknown 1, b unknown 1, c unknown 1, d unknown 1, a gone", "", ""},
+            {"a new 1, b new 1, c new 1", "", ""},
+            {"a in_flight 1, b in_flight 1, c in_flight 1, d in_flight 1", "", ""},
+            {"a in_flight 1, b closing 9.99, c new 1, d idle_visitor 1", "", "b"},
+            {"a in_flight 1, b reading 1, c new 1, d idle_visitor 9.99", "", "d"},
+            {"a in_flight 1, b reading 1, c new 9.5, d idle_client 1", "", "c"},
+            {"a in_flight 1, c reading 1, b reading 2, d idle_client 1", "", "c"},
+            {"a in_flight 1, b reading 1, c reading 2, b reading 3, d idle_client 3", "", "c"},
+            {"a in_flight 1, b reading 9.9, c new 9.9, d idle_client 1", "", "d"},
+            {"a reading 9.9, b reading 9.9, c new 9.9, d idle_client 1", "", ""},
+            {"a new 1, b new 2, c in_flight 1, d in_flight 1", "a", "b"},
+            {"a new 1, b reading 2, c in_flight 1, d idle_client 1", "a b", "d"},
+            {"a new 1, b new 2, c new 3, d idle_client 1", "a b c", ""},
+            {"a idle_client 5, b idle_client 4, c in_flight 1, d in_flight 1", "", "a"},
+            {
+                "a idle_client 1, a in_flight 2, a idle_client 3, b idle_client 2, c in_flight 1, d in_flight 1",
+                "",
+                "a"
+            },
+            {
+                "a idle_client 1, b idle_client 2, a in_flight 3, a idle_client 4, c in_flight 1, d in_flight 1",
+                "",
+                "b"
+            },
+            {"a new 1, b new 1, c new 1, d new 1, a gone", "", ""},
         };
     }
 
@@ -71,7 +79,7 @@
      */
     @Test
     public void whoMovesOnAsItIsReadKeepsItsPlace() {
-        ConnectionLimit<String> places = places("a unknown 1, b unknown 2, c unknown 3, d held 1");
+        ConnectionLimit<String> places = places("a new 1, b new 2, c new 3, d in_flight 1");
         assertEquals(
                 places.connectionToEvict(
                                 NOW,
@@ -90,14 +98,14 @@
     @DataProvider
     public Object[][] expecting() {
         return new Object[][] {
-            {"a known 1, b held 1, c leaving 9.99, d visitor 9.99", false},
-            {"a begun 1", false},
-            {"a begun 9.1", true},
-            {"a begun 1, a begun 9.5", true},
-            {"a unknown 9", false},
-            {"a unknown 9.9", true},
-            {"a begun 9.5, a held 9.6", false},
-            {"a unknown 9, b unknown 9.9, b gone", false},
+            {"a idle_client 1, b in_flight 1, c closing 9.99, d idle_visitor 9.99", false},
+            {"a reading 1", false},
+            {"a reading 9.1", true},
+            {"a reading 1, a reading 9.5", true},
+            {"a new 9", false},
+            {"a new 9.9", true},
+            {"a reading 9.5, a in_flight 9.6", false},
+            {"a new 9, b new 9.9, b gone", false},
         };
     }
 
@@ -112,7 +120,7 @@
     /** Half of the places are another process's from here on: who comes now needs one made. */
     @Test
     public void fewerPlacesAreFullSooner() {
-        ConnectionLimit<String> places = places("a known 1, b held 1");
+        ConnectionLimit<String> places = places("a idle_client 1, b in_flight 1");
         assertEquals(places.connectionToEvict(NOW, name -> false).orElse(""), "");
         places.limit(2);
         assertEquals(places.connectionToEvict(NOW, name -> false).orElse(""), "a");
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -430,12 +430,7 @@
         assertEquals(figure(figures, "submissions_pending"), 0, figures);
         long ends = 0;
         for (AttemptResult end : AttemptResult.values()) {
-            ends +=
-                    figure(
-                            figures,
-                            "launch_ends_total{end=\""
-                                    + end.name().toLowerCase(Locale.ROOT)
-                                    + "\"}");
+            ends += figure(figures, "launch_ends_total{end=\"" + end.metricLabel() + "\"}");
         }
         // What is launched at the end, or for a client that left, ends without having been sent.
         assertTrue(ends >= figure(figures, "launches_total"), figures);
--- a/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
@@ -47,34 +47,31 @@
     public Object[][] answers() {
         String notBegun = "X-Not-Processed: 1\r\n";
         return new Object[][] {
-            {answer(STARTED, RUNNING, DONE), "started 0.4 DONE[r\n\u00e9]2.0 kept"},
-            {answer(STARTED + RUNNING + DONE), "started 0.4 DONE[r\n\u00e9]2.0 kept"},
-            {answer(DONE.trim()), "DONE[r\n\u00e9]2.0 kept"},
+            {answer(STARTED, RUNNING, DONE), "started 0.4 SUCCEEDED[r\n\u00e9]2.0 kept"},
+            {answer(STARTED + RUNNING + DONE), "started 0.4 SUCCEEDED[r\n\u00e9]2.0 kept"},
+            {answer(DONE.trim()), "SUCCEEDED[r\n\u00e9]2.0 kept"},
             {
                 answer("{'id':'9b','state':'done','result':{'a':[1]}}\n"),
-                "DONE[{\"a\":[1]}]NaN kept"
+                "SUCCEEDED[{\"a\":[1]}]NaN kept"
             },
             {
                 answer("{'id':'9b','state':'paused','new':{'x':1}}\n", "\n", DONE),
-                "DONE[r\n\u00e9]2.0 kept"
+                "SUCCEEDED[r\n\u00e9]2.0 kept"
             },
-            {answer(DONE, DONE), "DONE[r\n\u00e9]2.0 kept"},
+            {answer(DONE, DONE), "SUCCEEDED[r\n\u00e9]2.0 kept"},
             {answer("{'id':'9b','state':'failed','load':3}\n"), "FAILED[]NaN kept"},
-            {answer("{'id':'9b','state':'returned'}\n"), "RETURNED[]NaN kept"},
-            {answer("{'id':'9b','state':'lost'}\n"), "LOST[]NaN kept"},
-            {
-                plain("503", notBegun + "X-Server-Load: pending=2,x0=1.5\r\n"),
-                "TURNED_AWAY[]1.5 kept"
-            },
-            {plain("504", notBegun), "TURNED_AWAY[]NaN kept"},
-            {plain("503", "X-Server-Load: x0=many\r\n"), "ODD_STATUS[]NaN kept"},
-            {plain("503", "X-Not-Processed: 0\r\n"), "ODD_STATUS[]NaN kept"},
+            {answer("{'id':'9b','state':'returned'}\n"), "HANDED_BACK[]NaN kept"},
+            {answer("{'id':'9b','state':'lost'}\n"), "KILLED[]NaN kept"},
+            {plain("503", notBegun + "X-Server-Load: pending=2,x0=1.5\r\n"), "REJECTED[]1.5 kept"},
+            {plain("504", notBegun), "REJECTED[]NaN kept"},
+            {plain("503", "X-Server-Load: x0=many\r\n"), "UNEXPECTED_STATUS[]NaN kept"},
+            {plain("503", "X-Not-Processed: 0\r\n"), "UNEXPECTED_STATUS[]NaN kept"},
             {plain("500", notBegun), "FAILED[]NaN kept"},
-            {plain("400", ""), "UNUSABLE[]NaN kept"},
-            {plain("404", notBegun), "UNUSABLE[]NaN kept"},
-            {plain("429", ""), "ODD_STATUS[]NaN kept"},
+            {plain("400", ""), "INVALID_REQUEST[]NaN kept"},
+            {plain("404", notBegun), "INVALID_REQUEST[]NaN kept"},
+            {plain("429", ""), "UNEXPECTED_STATUS[]NaN kept"},
             {plain("500", "Connection: close\r\n"), "FAILED[]NaN closed"},
-            {"HTTP/1.1 100 Continue\r\n\r\n" + answer(DONE), "DONE[r\n\u00e9]2.0 kept"},
+            {"HTTP/1.1 100 Continue\r\n\r\n" + answer(DONE), "SUCCEEDED[r\n\u00e9]2.0 kept"},
         };
     }
 
