--- /dev/null
+++ b/daemon/src/main/java/wheelroute/decision/Attempt.java
@@ -0,0 +1,129 @@
+package wheelroute.decision;
+
+/** One attempt of a request at one worker, from the moment it is sent until it has ended. */
+final class Attempt {
+    /**
+     * A job past its expected end is taken to need this fraction of what it has had already: sizes
+     * are heavy-tailed.
+     */
+    private static final double OVERRUN_FRACTION = 0.3;
+
+    private static final double NOT_STARTED = -1;
+
+    final TrackedRequest request;
+    final int number;
+    final WorkerState worker;
+
+    /** The endpoint as listed at the send: its zone and cell bind a retry of the same key. */
+    final Endpoint endpoint;
+
+    final double sentAt;
+
+    /** Seconds it was expected to wait behind this dispatcher's own attempts. */
+    final double ownWait;
+
+    /** Seconds it was expected to wait in all. */
+    final double expectedWait;
+
+    /** See {@link WorkerState#affinityRank}. */
+    final int affinityRank;
+
+    private double startedAt = NOT_STARTED;
+    private double heardAt = Double.POSITIVE_INFINITY;
+    private double totalRun;
+    private Outcome outcome;
+    private boolean cancelled;
+    private boolean rescued;
+
+    Attempt(TrackedRequest request, int number, WorkerState worker, double sentAt) {
+        this.request = request;
+        this.number = number;
+        this.worker = worker;
+        this.endpoint = worker.endpoint();
+        this.sentAt = sentAt;
+        this.ownWait = worker.estimates().ownWait();
+        this.expectedWait = worker.estimates().expectedWait();
+        this.affinityRank = worker.affinityRank();
+    }
+
+    void start(double time) {
+        startedAt = time;
+    }
+
+    boolean hasStarted() {
+        return startedAt > 0;
+    }
+
+    /** When the worker began it, in seconds; below 0 while it has not. */
+    double startedAt() {
+        return startedAt;
+    }
+
+    void heard(double now) {
+        heardAt = now;
+    }
+
+    /** An attempt that was sent later has begun, so this one, if no later word came, has too. */
+    void heardAtLatest(double now) {
+        heardAt = Math.min(heardAt, now);
+    }
+
+    /** When it was last heard of, in seconds; infinite while it may not have begun. */
+    double heardAt() {
+        return heardAt;
+    }
+
+    /**
+     * @param share the part of the work that is done, above 0
+     */
+    void progress(double now, double share) {
+        totalRun = (now - startedAt) / Math.min(1, share);
+    }
+
+    void end(Outcome how) {
+        outcome = how;
+    }
+
+    /** Null while the attempt is in flight. */
+    Outcome outcome() {
+        return outcome;
+    }
+
+    boolean isInFlight() {
+        return outcome == null;
+    }
+
+    boolean mayHaveRun() {
+        return outcome == null || outcome.mayHaveRun();
+    }
+
+    void cancel() {
+        cancelled = true;
+    }
+
+    boolean isCancelled() {
+        return cancelled;
+    }
+
+    /** Marks that a retry elsewhere has been tried because of this attempt; once is enough. */
+    void markRescued() {
+        rescued = true;
+    }
+
+    boolean isRescued() {
+        return rescued;
+    }
+
+    /** Seconds of waiting, up to a moment, that this dispatcher's attempts ahead do not explain. */
+    double unexplainedWait(double until) {
+        return until - sentAt - ownWait;
+    }
+
+    /** Seconds until it will have ended, once it has begun, at a worker of this speed. */
+    double remaining(double now, double speed) {
+        boolean told = totalRun > 0;
+        double run = told ? totalRun : request.work() / speed;
+        double had = hasStarted() ? now - startedAt : Math.max(0, now - sentAt - expectedWait);
+        return Math.max(run - had, told ? 0 : OVERRUN_FRACTION * had);
+    }
+}
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/decision/RequestClassState.java
@@ -0,0 +1,28 @@
+package wheelroute.decision;
+
+/** A request class: its settings, and what the cost estimates of its requests were worth lately. */
+final class RequestClassState {
+    private static final int ESTIMATE_COUNT = 64;
+
+    private final Settings.RequestClass settings;
+    private final double value;
+    private final CostEstimates estimates = new CostEstimates(ESTIMATE_COUNT);
+
+    RequestClassState(Settings.RequestClass settings) {
+        this.settings = settings;
+        value = settings.priorityWeight() > 0 ? settings.priorityWeight() : 1;
+    }
+
+    Settings.RequestClass settings() {
+        return settings;
+    }
+
+    /** The priority weight, or 1 where the settings give none. */
+    double value() {
+        return value;
+    }
+
+    CostEstimates estimates() {
+        return estimates;
+    }
+}
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/decision/RetryRules.java
@@ -0,0 +1,88 @@
+package wheelroute.decision;
+
+/**
+ * Rule 2, no effect twice: whether a request may be attempted again, and where, and whether it may
+ * be rejected, which tells the client that a retry does no harm.
+ */
+final class RetryRules {
+    /** No attempt begins with less time left: it could not even reach a worker and come back. */
+    private static final double MIN_TIME_LEFT = 0.02;
+
+    /** Taken off the window in which workers know a repeated key, for the way to the worker. */
+    private static final double TRANSIT = 0.5;
+
+    /** Retries taken to have succeeded, so that a few errors prove nothing. */
+    private static final int PRIOR_SUCCESSES = 2;
+
+    private final DispatcherState state;
+
+    RetryRules(DispatcherState state) {
+        this.state = state;
+    }
+
+    /** Whether one more attempt anywhere can be right. */
+    boolean mayAttempt(TrackedRequest request) {
+        if (request.isDone() || request.isStreaming() || request.isInvalid()) {
+            return false;
+        }
+        if (request.hasFailed() && errorsFollowRequests()) {
+            return false;
+        }
+        Settings settings = state.settings();
+        if (request.attempts().size() >= settings.maxAttempts()
+                || (request.hasInFlight() && !settings.mayHedge())
+                || state.now() > request.request().deadline() - MIN_TIME_LEFT) {
+            return false;
+        }
+        return request.settings().idempotency() != Idempotency.NON_IDEMPOTENT
+                || !request.mayHaveRun();
+    }
+
+    /**
+     * Whether the next attempt may go to this worker; for a key only where, and while, it is known.
+     */
+    boolean mayGoTo(TrackedRequest request, WorkerState worker) {
+        for (int i = 0; i < request.attempts().size(); i++) {
+            Attempt earlier = request.attempts().get(i);
+            boolean refused = earlier.isInFlight() || earlier.outcome() == Outcome.REJECTED;
+            if (earlier.worker == worker && refused) {
+                return false;
+            }
+            if (!isRepeatKnown(request.settings(), earlier, worker)) {
+                return false;
+            }
+        }
+        Ids.Model model = request.settings().model();
+        return model == null || model.equals(worker.endpoint().model());
+    }
+
+    /**
+     * Whether the worker recognizes the idempotency key of an earlier attempt that may have run.
+     */
+    private boolean isRepeatKnown(
+            Settings.RequestClass requestClass, Attempt earlier, WorkerState worker) {
+        if (requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY || !earlier.mayHaveRun()) {
+            return true;
+        }
+        double windowEnd = earlier.sentAt + requestClass.idempotencyWindow() - TRANSIT;
+        return state.now() <= windowEnd
+                && requestClass.idempotencyScope().covers(earlier.endpoint, worker.endpoint());
+    }
+
+    /** Whether no attempt ran, or a repeat does no harm wherever it runs. */
+    boolean mayReject(TrackedRequest request) {
+        return !request.mayHaveRun()
+                || (request.settings().isSafeToRetryAnywhere() && !request.isInvalid());
+    }
+
+    /**
+     * While retries fail as well, an error is its request's fault and not its worker's, and a
+     * further attempt is a waste. Looked at anew once these failures are old.
+     */
+    boolean errorsFollowRequests() {
+        double since = state.now() - OutlierEjection.FAILURE_MEMORY;
+        int retries = state.traffic().retriesSince(since);
+        double failed = state.traffic().failedRetriesSince(since);
+        return failed > (retries + PRIOR_SUCCESSES) / 2.0;
+    }
+}
