--- a/daemon/src/main/java/wheelroute/decision/CacheMissCost.java
+++ b/daemon/src/main/java/wheelroute/decision/CacheMissCost.java
@@ -1,25 +1,22 @@
 package wheelroute.decision;
 
 /**
- * How much longer a job runs where what its key needs is not kept: measured apart for a key's first
- * home, its second and so on, and for all other workers. Where keys mean nothing it comes out as
- * nothing.
+ * How much longer a job runs where what its key needs is not cached: measured apart for each rank
+ * of a key's preferred workers, and for all other workers. Where keys mean nothing the cost comes
+ * out as 0.
  */
 final class CacheMissCost {
     private static final int SAMPLE_COUNT = 64;
 
-    /**
-     * Elsewhere a fetch is taken to be this part of a mean job until so many runs have shown what
-     * it is.
-     */
+    /** A fetch is taken to cost this part of a mean job until enough runs have shown its cost. */
     private static final double PRIOR_COST = 0.25;
 
     private static final double PRIOR_RUNS = 2;
 
-    /** A fetch takes as long whatever the job: short ones show it best, but none counts for all. */
+    /** A fetch does not depend on the job: short jobs show it best, but none may outweigh all. */
     private static final double MIN_WORK_FRACTION = 0.125;
 
-    /** The excess of runs and 1, both weighted. */
+    /** Pairs of a run's excess and 1, both weighted by the inverse square of its work. */
     private final SampleWindow[] excess = new SampleWindow[KeyAffinity.PREFERRED_COUNT + 1];
 
     private final double[] expected = new double[excess.length];
@@ -31,6 +28,10 @@
         }
     }
 
+    /**
+     * @param rank below {@link KeyAffinity#PREFERRED_COUNT} for a preferred worker, or that number
+     * @param excessSeconds how much longer it ran than its work explains
+     */
     void record(double now, int rank, double work, double excessSeconds) {
         double weightedWork = Math.max(work, MIN_WORK_FRACTION * meanWork);
         excess[rank].add(
@@ -50,8 +51,8 @@
                             0,
                             (guess * prior + excess[i].sumOfFirst())
                                     / (prior + excess[i].sumOfSecond()));
-            // What is kept at a later home is kept at an earlier one: else a first guess could last
-            // for ever.
+            // What is cached at a later rank is cached at an earlier one; else a first guess could
+            // last for ever.
             expected[i] =
                     i == KeyAffinity.PREFERRED_COUNT
                             ? expected[i]
@@ -59,12 +60,12 @@
         }
     }
 
-    /** Seconds by which a run there is expected to take longer. */
+    /** Seconds by which a run at a worker of this rank is expected to take longer. */
     double expectedSeconds(int rank) {
         return rank == KeyAffinity.CACHED ? 0 : expected[rank];
     }
 
-    /** The part of the runs there that fetch. */
+    /** The part of the runs at a worker of this rank that are expected to fetch. */
     double missProbability(int rank) {
         double time = expectedSeconds(rank);
         return time == 0 ? 0 : time / Math.max(time, expected[KeyAffinity.PREFERRED_COUNT]);
--- a/daemon/src/main/java/wheelroute/decision/CostEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/CostEstimates.java
@@ -1,16 +1,16 @@
 package wheelroute.decision;
 
 /**
- * What one offering's hints were worth lately, against the work that the same jobs turned out to
- * be.
+ * What the cost estimates of one request class were worth lately: the clients' estimates of a
+ * request's work against the work that the same requests turned out to be.
  */
 final class CostEstimates {
-    /** Well-hinted jobs that hints are taken to have behind them. */
+    /** Well-estimated requests that estimates are taken to have behind them. */
     private static final double PRIOR_SAMPLES = 4;
 
     private static final double DEFAULT_WORK = 1;
 
-    /** Logarithms of hints, and of the work that the same jobs turned out to be. */
+    /** Pairs of the logarithms of an estimate and of the work that the request turned out to be. */
     private final SampleWindow logPairs;
 
     private final SampleWindow estimates;
@@ -28,11 +28,12 @@
     }
 
     /**
-     * The hint, drawn to its offering's middle as far as hints lately misled; their mean if none.
+     * The expected work of a request: its estimate, drawn to its class's mean as far as estimates
+     * lately misled; the mean estimate where it has none.
      */
     double workFor(double estimate) {
         if (!(estimate > 0)) {
-            // Also against a hint of nothing, by which a crossing's price would have no end.
+            // An estimate of 0 would make the price of another zone infinite.
             return meanWork();
         }
         estimates.add(0, estimate, 0);
@@ -48,7 +49,7 @@
         }
     }
 
-    /** As {@link SampleWindow#export}; samples of hints have no age. */
+    /** As {@link SampleWindow#export}; these samples have no age. */
     double[] export() {
         return logPairs.export(0);
     }
@@ -61,7 +62,7 @@
     }
 
     /**
-     * Guards against rough hints taken at their word: work's slope on hint tells how far to trust.
+     * Fits work against estimate on logarithms: the slope tells how far estimates can be trusted.
      */
     private void fit() {
         double count = logPairs.size();
--- a/daemon/src/main/java/wheelroute/decision/DispatcherShares.java
+++ b/daemon/src/main/java/wheelroute/decision/DispatcherShares.java
@@ -4,15 +4,15 @@
 
 /** What this dispatcher may use of what all dispatchers share, at this moment. */
 public interface DispatcherShares extends SlowStartBudget.Shares {
-    /** Of that dispatcher's part, from 0 to 1: of its own, or of one that is not there. */
+    /** The part of another dispatcher's share that may be used here, from 0 to 1; 1 for its own. */
     @Override
     double ofDispatcher(int number);
 
-    /** Of all, from 0 to 1. */
+    /** The part of what all share that may be used here, from 0 to 1. */
     @Override
     double total();
 
-    /** An even division by the settings alone: its own part, and nobody else's. */
+    /** An even division by the settings alone: this dispatcher's own share, and nobody else's. */
     static DispatcherShares even(Settings settings) {
         return new DispatcherShares() {
             @Override
--- a/daemon/src/main/java/wheelroute/decision/IdempotencyScope.java
+++ b/daemon/src/main/java/wheelroute/decision/IdempotencyScope.java
@@ -1,12 +1,12 @@
 package wheelroute.decision;
 
-/** The workers that know each other's repeats of a deduplicated submission. */
+/** Which workers know each other's idempotency keys. */
 public enum IdempotencyScope {
     ALL,
     ZONE,
     CELL;
 
-    /** Whether one of the two workers knows the other's repeats. */
+    /** Whether one of the two workers recognizes a key that the other one has seen. */
     boolean covers(Endpoint a, Endpoint b) {
         return switch (this) {
             case ALL -> true;
--- a/daemon/src/main/java/wheelroute/decision/Ids.java
+++ b/daemon/src/main/java/wheelroute/decision/Ids.java
@@ -3,12 +3,13 @@
 /**
  * One type for each kind of id, so that none can stand in for another.
  *
- * <p>They say themselves what makes them equal: what a record inherits is linked at run time, on
- * the first look-up, and took a sixth of a start's CPU.
+ * <p>Each defines equality itself: what a record inherits is linked at run time, on the first
+ * look-up, which took a sixth of a start's CPU time.
  */
 public final class Ids {
     private Ids() {}
 
+    /** A request, numbered by the dispatcher that accepted it. */
     public record Request(long value) {
         @Override
         public boolean equals(Object other) {
@@ -21,6 +22,7 @@
         }
     }
 
+    /** A worker, numbered by the dispatcher that lists it. */
     public record Worker(long value) {
         @Override
         public boolean equals(Object other) {
@@ -33,6 +35,7 @@
         }
     }
 
+    /** A request class, by its name in the settings. */
     public record RequestClass(String name) {
         @Override
         public boolean equals(Object other) {
@@ -45,6 +48,7 @@
         }
     }
 
+    /** A tenant, by its name; the empty name stands for all without a quota. */
     public record Tenant(String name) {
         @Override
         public boolean equals(Object other) {
@@ -57,6 +61,7 @@
         }
     }
 
+    /** A zone of workers and dispatchers. */
     public record Zone(String name) {
         @Override
         public boolean equals(Object other) {
@@ -69,6 +74,7 @@
         }
     }
 
+    /** What a request is about: its routing key. */
     public record Key(String name) {
         @Override
         public boolean equals(Object other) {
@@ -81,6 +87,7 @@
         }
     }
 
+    /** A model of workers: those of one model are alike. */
     public record Model(String name) {
         @Override
         public boolean equals(Object other) {
@@ -93,6 +100,7 @@
         }
     }
 
+    /** A cell: workers that share a store of idempotency keys. */
     public record Cell(long value) {
         @Override
         public boolean equals(Object other) {
--- a/daemon/src/main/java/wheelroute/decision/KeyAffinity.java
+++ b/daemon/src/main/java/wheelroute/decision/KeyAffinity.java
@@ -11,9 +11,9 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Where what a key's jobs need is likely kept: at the homes that every dispatcher reckons alike
- * from key and worker, so that none of them needs another's word, and where this one sent the key
- * lately. It measures; what a fetch is worth is weighed by the policy.
+ * Where what the requests of a key need is likely cached: at the workers that rendezvous hashing
+ * prefers for the key, which every dispatcher computes alike from key and endpoint, and where this
+ * dispatcher sent the key lately. It measures only; what a miss costs is weighed by the policy.
  *
  * @param <W> a worker, as its user knows it
  */
@@ -21,21 +21,16 @@
     /** Keys remembered: enough for those that come often, and bounded where all differ. */
     private static final int MAX_KEYS = 1024;
 
-    /**
-     * So many workers are a key's homes: the first, and those to which the others turn when it is
-     * busy.
-     */
+    /** Workers preferred for a key: the first, and those to turn to when it is busy. */
     static final int PREFERRED_COUNT = 3;
 
-    /**
-     * In place of a home's rank: no fetch is expected, as there is no key, or it went there lately.
-     */
+    /** In place of a rank: no miss is expected, as there is no key, or it went there lately. */
     static final int CACHED = -1;
 
-    /** What a key needs is taken to be kept until so many later launches of ours went there. */
+    /** A key is taken to stay cached until the worker has had this many later attempts of ours. */
     private static final int CACHED_ATTEMPTS = 8;
 
-    /** Guards against a worker that is listed without a size, which could be home to nothing. */
+    /** A worker listed with no weight is preferred for some keys all the same. */
     private static final double MIN_WEIGHT = 0.01;
 
     private final Function<W, Endpoint> endpoints;
@@ -55,7 +50,7 @@
         this.endpoints = listings;
     }
 
-    /** Who can be a home from now on. */
+    /** The workers that can be preferred from now on. */
     void setFleet(List<W> workers) {
         fleet = new ArrayList<>(workers);
         fleetVersion++;
@@ -65,7 +60,7 @@
         return placements.computeIfAbsent(key, Placement::new);
     }
 
-    /** One key's homes. */
+    /** The workers of one key. */
     final class Placement {
         private final long hash;
         private final Map<Ids.Model, List<W>> preferredByModel = new HashMap<>();
@@ -76,7 +71,7 @@
             hash = mix(key.name().hashCode());
         }
 
-        /** The first homes among a model's workers, or all for null; the likeliest first. */
+        /** The preferred workers of a model, or of all for null, the likeliest first. */
         List<W> preferred(Ids.Model model) {
             if (rankedVersion != fleetVersion) {
                 rankedVersion = fleetVersion;
@@ -87,8 +82,8 @@
         }
 
         /**
-         * The larger a worker the more keys it is home to; one that comes or goes moves only its
-         * own.
+         * Weighted rendezvous hashing: the heavier a worker the more keys prefer it, and one that
+         * comes or goes moves only its own keys.
          */
         private List<W> rank(Ids.Model model) {
             List<W> nearest = new ArrayList<>(PREFERRED_COUNT + 1);
@@ -118,7 +113,9 @@
         }
 
         /**
-         * Calls on those it went to lately, by how many launches each has had; forgets the others.
+         * Calls the action on the workers that the key went to lately, and forgets the others.
+         *
+         * @param attemptCount how many attempts a worker has had by now
          */
         void forEachRecent(ToIntFunction<W> attemptCount, Consumer<W> action) {
             for (Iterator<Map.Entry<W, Integer>> iterator = attemptsAtSend.entrySet().iterator();
@@ -133,7 +130,7 @@
         }
     }
 
-    /** The finalizer of a 64-bit hash: near keys and ids must not share homes. */
+    /** The finalizer of a 64-bit hash: similar keys and ids must not share their workers. */
     private static long mix(long x) {
         long a = (x ^ x >>> 33) * 0xff51afd7ed558ccdL;
         long b = (a ^ a >>> 33) * 0xc4ceb9fe1a85ec53L;
--- a/daemon/src/main/java/wheelroute/decision/ModelStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/ModelStatistics.java
@@ -1,13 +1,13 @@
 package wheelroute.decision;
 
 /**
- * What was measured of all workers of one model: a new one's speed, and how many jobs one runs at a
- * time.
+ * What was measured of all workers of one model: their speed, their slots, and how long attempts
+ * wait there. Times are in seconds.
  */
 final class ModelStatistics {
     private static final double STANDARD_SPEED = 1;
 
-    /** What its workers carry is read off so long: at one answer a second fewer would be chance. */
+    /** The work rate is measured over this long: at one result a second, less would be chance. */
     private static final double RATE_PERIOD = 20;
 
     private static final int MIN_RATE_SAMPLES = 3;
@@ -15,35 +15,33 @@
 
     final SampleWindow runs;
 
-    /** How long launches lately waited to start, and how much of it ours do not explain. */
+    /**
+     * Pairs of how long an attempt waited for its start, and how much of it this dispatcher's own
+     * attempts do not explain.
+     */
     final SampleWindow waits;
 
-    /** Work answered by warm workers, over all its slots, in parts of a worker. */
+    /** Work times slots that warm workers completed, divided by the number of warm workers. */
     private final SampleWindow completedWork;
 
     private double rateComputedAt = Double.NaN;
     private double rate;
 
-    /**
-     * Workers that were ready and warm at the list's last word: what these answer is what is
-     * counted.
-     */
+    /** Workers that were ready and warm at the last change of the endpoint list. */
     int warmWorkers;
 
     int slots;
     double speed = STANDARD_SPEED;
 
-    /** The mean of what ours do not explain, over the usual memory and over a short one. */
+    /** Mean unexplained wait, over the usual memory and over a short one. */
     double externalWait;
 
     double recentExternalWait;
 
-    /**
-     * By how much in all the launches not yet started have waited past the mean, as last looked at.
-     */
+    /** By how much, summed over attempts that have not started, they have waited past the mean. */
     double overdueWait;
 
-    /** Waits guessed from answers are as noisy as the sizes of jobs. */
+    /** Waits guessed from results are as noisy as the sizes of jobs and need a heavier prior. */
     private final double priorWeight;
 
     ModelStatistics(SampleWindow runs, SampleWindow waits, double priorWeight) {
@@ -57,7 +55,9 @@
         return new LearnedState.ModelSamples(slots, runs.export(now), waits.export(now));
     }
 
-    /** Waits are this model's own only where starts are told. */
+    /**
+     * Takes over exported samples; waits only where starts are told, as else they are not its own.
+     */
     void restore(double now, LearnedState.ModelSamples samples, boolean withWaits) {
         slots = samples.slots();
         runs.restore(now, samples.runs());
@@ -71,14 +71,16 @@
         speed = runs.size() > 0 ? runs.sumOfFirst() / runs.sumOfSecond() : speed;
     }
 
-    /** Work answered by one of the carriers. */
+    /** A warm worker completed this much work times slots. */
     void recordCompletedWork(double now, double work) {
         completedWork.add(now, work / warmWorkers, 0);
     }
 
     /**
-     * The work that one of its warm workers has done for us in a second, as a mean since then at
-     * most.
+     * Work a second that one of its warm workers does for this dispatcher, as a mean over {@link
+     * #RATE_PERIOD}; 0 before enough results.
+     *
+     * @param earliest nothing was measured before then
      */
     double workRatePerWorker(double now, double earliest) {
         if (now != rateComputedAt) {
@@ -96,7 +98,8 @@
     }
 
     /**
-     * Guards against bouncing on old waits: without launches no new wait is seen, so old ones fade.
+     * Works out the mean waits. Without attempts no new wait is seen, so old ones fade: requests
+     * must not be rejected for them.
      */
     void updateWaits(double now, double memory, double recentMemory) {
         externalWait = waits.decayedSecond(now, memory, priorWeight, overdueWait);
--- a/daemon/src/main/java/wheelroute/decision/SampleWindow.java
+++ b/daemon/src/main/java/wheelroute/decision/SampleWindow.java
@@ -1,12 +1,12 @@
 package wheelroute.decision;
 
-/** The last few samples of a measurement, each a time and two figures. */
+/** The last few samples of a measurement, each a time in seconds and a pair of figures. */
 final class SampleWindow {
     private final double[] values;
     private int next;
     private int size;
 
-    /** Sums over all, worked out when they are asked for after a change. */
+    /** Sums over all samples, worked out when they are asked for after a change. */
     private double sumOfFirst;
 
     private double sumOfSecond;
@@ -28,7 +28,10 @@
         sumsAreCurrent = false;
     }
 
-    /** As triples, each with its age in place of its time, the oldest first: for another clock. */
+    /**
+     * The samples as triples, the oldest first, each with its age in place of its time: for a
+     * process with another clock.
+     */
     double[] export(double now) {
         double[] exported = new double[3 * size];
         for (int i = 0; i < size; i++) {
@@ -57,8 +60,9 @@
     }
 
     /**
-     * From when on it has all there were: from its oldest once it has begun to forget, else since
-     * always.
+     * The time since which no sample is missing: that of the oldest sample once the window is full.
+     *
+     * @param earliest the answer while the window has room
      */
     double completeSince(double earliest) {
         return size < values.length / 3 ? earliest : time(next);
@@ -99,8 +103,11 @@
     }
 
     /**
-     * The second figure's mean, samples weighing less with age, and so many more that add up to
-     * excess.
+     * The mean of the second figures, in which samples weigh less with age, falling to 0 at the end
+     * of the memory.
+     *
+     * @param priorWeight the weight of a prior sample of 0
+     * @param excess added to the weighted sum
      */
     double decayedSecond(double now, double memory, double priorWeight, double excess) {
         double sum = excess;
@@ -114,8 +121,8 @@
     }
 
     /**
-     * Works out the sums in which samples weigh less with age: an exponential's start without its
-     * price.
+     * Works out the sums in which samples weigh less with age, by a cheap likeness of an
+     * exponential.
      */
     void computeDecayedSums(double now, double memory) {
         decayedFirst = 0;
--- a/daemon/src/main/java/wheelroute/decision/Settings.java
+++ b/daemon/src/main/java/wheelroute/decision/Settings.java
@@ -4,14 +4,31 @@
 import java.util.Map;
 
 /**
- * What an instance is told at its start. Times in seconds; prices in parts of the whole service.
+ * What a policy is told at its start. Times are in seconds, prices in parts of the whole service.
  *
+ * @param seed from which chance is drawn
+ * @param zone of this dispatcher
+ * @param dispatchers how many there are, this one included; 0 and 1 both mean one
  * @param position this dispatcher's place among all, from 0, or -1 where it is not told
- * @param cacheMissPrice for each fetch of what a key needs, as crossZonePrice for each launch to
- *     another zone
- * @param removalIsAdvisory only a worker listed as draining must not be sent to; one that is gone
- *     may be
- * @param keyQuietPeriod how long a key rests after a launch that may still be running
+ * @param timeResolution the shortest run that can be told from none
+ * @param quotas requests a second of each tenant that has a quota, over all dispatchers
+ * @param overQuotaValue the part of its value that a request past its tenant's quota keeps
+ * @param watchesEndpoints the endpoint list's changes come only to who asks for them
+ * @param reportsStart workers tell when they begin a job
+ * @param progressInterval how often workers tell of a job's progress; 0 where they do not
+ * @param reportsFreeSlots load reports hold the number of free slots
+ * @param mayHedge a request may have two attempts in flight
+ * @param sendsRetryAfter clients are told when to retry
+ * @param slowStartShare the part of its capacity that a worker has at its start
+ * @param slowStartDuration how long a worker warms up
+ * @param overloadMultiple so many times its capacity within the window collapse a cold worker
+ * @param overloadWindow over which that is counted
+ * @param crossZonePrice for each attempt in another zone
+ * @param cacheMissPrice for each fetch of what a key needs
+ * @param removalIsAdvisory only a worker listed as draining must not be sent to; one that has left
+ *     the list may be
+ * @param keyQuietPeriod how long no other request of a key begins after an attempt that may still
+ *     be running
  */
 public record Settings(
         long seed,
@@ -40,16 +57,14 @@
         boolean removalIsAdvisory,
         double keyQuietPeriod) {
 
-    /**
-     * How long a launch that has begun goes on without a word of it; for ever where none is told.
-     */
+    /** How long after its start an attempt is first heard of; infinite where nothing is told. */
     public double startNoticeDelay() {
         return reportsStart
                 ? 0
                 : progressInterval > 0 ? progressInterval : Double.POSITIVE_INFINITY;
     }
 
-    /** The seed is new with every file, and changes nothing that an operator set. */
+    /** The same with another seed: a new one comes with every file and is no change of settings. */
     public Settings withSeed(long other) {
         return new Settings(
                 other,
@@ -80,14 +95,16 @@
     }
 
     /**
-     * A row of the table of offerings.
+     * A request class.
      *
-     * @param latencyObjective answers within this earn full value
-     * @param objectivePerWork the quoted time grows by this many times the submission's own work
-     * @param lateValue the part of the value that an answer after the quoted time still earns
-     * @param idempotencyWindow how long repeats are known, from the first send that may have run
+     * @param idempotencyScope which workers recognize a key; without meaning for the other kinds
+     * @param latencyObjective answers within this earn their full value
+     * @param objectivePerWork the objective grows by this many times the request's own work
+     * @param priorityWeight its value against other classes; 0 and less count as 1
+     * @param lateValue the part of the value that an answer past the objective still earns
+     * @param idempotencyWindow how long a key is recognized, from the first send that may have run
      * @param model the one model that runs it, or null for any
-     * @param ordered one at a time for each key, in the order of their taking
+     * @param ordered requests of one key run one at a time, in the order of their acceptance
      */
     public record RequestClass(
             Ids.RequestClass id,
@@ -100,11 +117,12 @@
             double idempotencyWindow,
             Ids.Model model,
             boolean ordered) {
+        /** The objective of a request of so much work. */
         double latencyObjectiveFor(double work) {
             return latencyObjective + objectivePerWork * work;
         }
 
-        /** Also once it may have run: a repeat anywhere does no harm. */
+        /** Whether a repeat does no harm on any worker, also once an attempt may have run. */
         boolean isSafeToRetryAnywhere() {
             return idempotency == Idempotency.IDEMPOTENT
                     || (idempotency == Idempotency.IDEMPOTENT_BY_KEY
--- a/daemon/src/main/java/wheelroute/decision/WorkerStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/WorkerStatistics.java
@@ -1,9 +1,6 @@
 package wheelroute.decision;
 
-/**
- * What was measured of one worker: how long jobs ran, how long launches waited past ours, what
- * failed.
- */
+/** What was measured of one worker: pairs of work and run time, unexplained waits, and failures. */
 final class WorkerStatistics {
     final SampleWindow runs;
     final SampleWindow waits;
--- a/daemon/src/main/java/wheelroute/decision/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/package-info.java
@@ -1,2 +1,5 @@
-/** The decisions ({@link wheelroute.decision.Policy}) and the plain types they are spoken in. */
+/**
+ * The decisions of a dispatcher ({@link wheelroute.decision.Policy}), their state and their public
+ * types.
+ */
 package wheelroute.decision;
