--- /dev/null
+++ b/daemon/src/test/java/wheelroute/decision/KeyOrderTest.java
@@ -0,0 +1,290 @@
+package wheelroute.decision;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/**
+ * The rule on keys: one at a time, in the order of their taking, and a rest after what may still
+ * run.
+ */
+public class KeyOrderTest {
+    private static final double OBJECTIVE = 1;
+    private PolicyHarness.SettingsFixture given;
+
+    @BeforeMethod
+    public void plainSettings() {
+        given = new PolicyHarness.SettingsFixture();
+        given.ordered = true;
+        given.idempotency = Idempotency.NON_IDEMPOTENT;
+    }
+
+    private PolicyHarness harness() {
+        return new PolicyHarness(given).list(4);
+    }
+
+    private static RequestHandle accept(PolicyHarness harness, String key) {
+        return accept(harness, "job", key);
+    }
+
+    private static RequestHandle accept(PolicyHarness harness, String requestClass, String key) {
+        return harness.accept(requestClass, "t", 0.1, harness.now + PolicyHarness.TIMEOUT, key);
+    }
+
+    @DataProvider
+    public Object[][] neighbours() {
+        return new Object[][] {
+            // the second one's class and key, whether the classes keep order, whether it goes
+            // at once
+            {"job", "a", true, false},
+            {"patient", "a", true, false},
+            {"job", "b", true, true},
+            {"job", null, true, true},
+            {"job", "a", false, true},
+        };
+    }
+
+    @Test(dataProvider = "neighbours")
+    public void whoWaitsForWhom(String requestClass, String key, boolean ordered, boolean atOnce) {
+        given.ordered = ordered;
+        PolicyHarness harness = harness();
+        accept(harness, "a");
+        accept(harness, requestClass, key);
+        assertEquals(harness.count("attempt"), atOnce ? 2 : 1);
+    }
+
+    @DataProvider
+    public Object[][] ends() {
+        return new Object[][] {
+            // how the first one's only attempt ended, how long the key rests after it
+            {Outcome.SUCCEEDED, 0.0},
+            {Outcome.FAILED, 0.0},
+            {Outcome.INVALID_REQUEST, 0.0},
+            {Outcome.TIMED_OUT, 0.2},
+            {Outcome.CONNECTION_LOST, 0.2},
+            {Outcome.CANCELLED, 0.2},
+            {Outcome.STALE_CONNECTION, 0.2},
+            {Outcome.UNKNOWN, 0.2},
+        };
+    }
+
+    @Test(dataProvider = "ends")
+    public void theNextGoesWhenTheFirstIsOverAndItsKeyHasRested(
+            Outcome outcome, double quietPeriod) {
+        PolicyHarness harness = harness();
+        RequestHandle first = accept(harness, "a");
+        accept(harness, "a");
+        harness.pass(0.1).end(first, 0, outcome);
+        assertTrue(first.isComplete());
+        assertEquals(harness.count("attempt"), quietPeriod > 0 ? 1 : 2, harness.actions.toString());
+        harness.pass(0.19).policy.onWakeup();
+        assertEquals(harness.count("attempt"), quietPeriod > 0 ? 1 : 2, harness.actions.toString());
+        harness.pass(0.02).policy.onWakeup();
+        assertEquals(harness.count("attempt"), 2, harness.actions.toString());
+    }
+
+    /** A rest also holds for one that is taken while it lasts, and nothing else has to wake it. */
+    @Test
+    public void aRestIsKeptByWhoComesIntoItAndEndsByItself() {
+        PolicyHarness harness = harness();
+        RequestHandle first = accept(harness, "a");
+        harness.end(first, 0, Outcome.CONNECTION_LOST);
+        harness.pass(0.05);
+        accept(harness, "a");
+        assertEquals(harness.count("attempt"), 1);
+        assertEquals(harness.wakes.get(harness.wakes.size() - 1), harness.now + 0.15, 1e-9);
+        harness.pass(0.15 + 1e-6).policy.onWakeup();
+        assertEquals(harness.count("attempt"), 2);
+    }
+
+    /** However many rests there are, each has one wake: they must not call for one another. */
+    @Test
+    public void wakesDoNotMultiply() {
+        PolicyHarness harness = harness();
+        for (int i = 0; i < 10; i++) {
+            harness.end(accept(harness, "key" + i), 0, Outcome.CONNECTION_LOST);
+            accept(harness, "key" + i);
+        }
+        harness.wakes.clear();
+        for (int i = 0; i < 19; i++) {
+            harness.pass(0.01).policy.onWakeup();
+        }
+        assertTrue(harness.wakes.size() <= 4, harness.wakes.toString());
+    }
+
+    /** The one whose turn it is may be tried again and copied as ever. */
+    @Test
+    public void theFirstGoesOnWithoutARest() {
+        given.idempotency = Idempotency.IDEMPOTENT;
+        PolicyHarness harness = harness();
+        RequestHandle first = accept(harness, "a");
+        accept(harness, "a");
+        harness.end(first, 0, Outcome.CONNECTION_LOST);
+        assertEquals(harness.count("attempt 1 "), 2, harness.actions.toString());
+        harness.end(first, 1, Outcome.SUCCEEDED);
+        harness.pass(0.19).policy.onWakeup();
+        assertEquals(harness.count("attempt 2 "), 0, "the break of its first attempt still counts");
+        harness.pass(0.02).policy.onWakeup();
+        assertEquals(harness.count("attempt 2 "), 1);
+    }
+
+    /** A client that leaves is done with, but its key is not free before its attempt has ended. */
+    @Test
+    public void aClientThatLeavesGivesUpItsPlace() {
+        PolicyHarness harness = harness();
+        RequestHandle first = accept(harness, "a");
+        RequestHandle second = accept(harness, "a");
+        accept(harness, "a");
+        second.onClientGone();
+        assertTrue(second.isComplete());
+        first.onClientGone();
+        assertEquals(harness.lastAction(), "cancel 1 0");
+        harness.pass(0.1).policy.onWakeup();
+        assertEquals(harness.count("attempt"), 1);
+        harness.end(first, 0, Outcome.CANCELLED);
+        harness.pass(0.21).policy.onWakeup();
+        assertEquals(harness.lastAction().substring(0, 9), "attempt 3", harness.actions.toString());
+    }
+
+    /** A line longer than the quoted time lasts: the last ones hear at once, and when to come. */
+    @Test
+    public void whoCannotBeInTimeIsToldAtOnce() {
+        PolicyHarness harness = harness();
+        for (int i = 0; i < 30; i++) {
+            harness.accept("job", "t", 0.2, harness.now + PolicyHarness.TIMEOUT, "a");
+        }
+        long told = harness.count("reject");
+        assertTrue(told >= 20, "told " + told);
+        assertEquals(harness.count("attempt"), 1);
+        assertTrue(
+                harness.retryAfter >= OBJECTIVE && harness.retryAfter <= given.retryAfter,
+                "come back after " + harness.retryAfter);
+    }
+
+    /**
+     * One of great value behind lesser ones of its key, which run long: the lesser one gives way.
+     */
+    @Test
+    public void whatIsWorthLessGivesWay() {
+        given.patientValue = 0.1;
+        PolicyHarness harness = harness();
+        harness.accept("job", "t", 0.5, harness.now + PolicyHarness.TIMEOUT, "a");
+        RequestHandle lesser =
+                harness.accept("patient", "t", 3, harness.now + PolicyHarness.TIMEOUT, "a");
+        RequestHandle more =
+                harness.accept("job", "t", 0.1, harness.now + PolicyHarness.TIMEOUT, "a");
+        assertTrue(lesser.isComplete());
+        assertFalse(more.isComplete());
+        assertEquals(harness.actions.get(harness.actions.size() - 1), "reject 2");
+    }
+
+    @DataProvider
+    public Object[][] limits() {
+        return new Object[][] {{0.15}, {0.5}, {0.9}};
+    }
+
+    /** The head never reports: whoever waits is answered before its own outer limit, once. */
+    @Test(dataProvider = "limits")
+    public void whoWaitsIsAnsweredBeforeItsLimit(double limit) {
+        PolicyHarness harness = harness();
+        accept(harness, "a");
+        double end = harness.now + limit;
+        RequestHandle waits = harness.accept("job", "t", 0.1, end, "a");
+        while (!waits.isComplete() && harness.now < end) {
+            harness.pass(0.1).policy.onWakeup();
+        }
+        assertTrue(
+                waits.isComplete() && harness.now < end,
+                "answered by " + harness.now + " of " + end);
+        waits.onDeadline();
+        waits.onClientGone();
+        assertEquals(harness.count("reject"), 1, harness.actions.toString());
+    }
+
+    /** A driver whose timer is late tells it so itself; its place is free at once. */
+    @Test
+    public void theDriverMayEndWhatWaits() {
+        PolicyHarness harness = harness();
+        RequestHandle first = accept(harness, "a");
+        RequestHandle second = accept(harness, "a");
+        accept(harness, "a");
+        second.onDeadline();
+        first.onDeadline();
+        assertEquals(
+                harness.count("reject"), 1, "the first has an attempt in flight, whose end comes");
+        harness.end(first, 0, Outcome.SUCCEEDED);
+        assertEquals(harness.lastAction().substring(0, 9), "attempt 3");
+    }
+
+    /** Long random histories, checked against the rule's own words. */
+    @Test
+    public void randomHistoriesKeepTheRule() {
+        for (int seed = 0; seed < 20; seed++) {
+            Random random = new Random(seed);
+            given.idempotency = Idempotency.values()[seed % 3];
+            PolicyHarness harness = harness();
+            List<RequestHandle> handles = new ArrayList<>();
+            List<Integer> keys = new ArrayList<>();
+            List<List<Integer>> out = new ArrayList<>();
+            double[] quietPeriod = new double[3];
+            int seen = 0;
+            for (int step = 0; step < 400; step++) {
+                harness.pass(0.01 + 0.05 * random.nextDouble());
+                int pick = handles.isEmpty() ? 0 : random.nextInt(handles.size());
+                if (step < 200 && random.nextInt(3) == 0) {
+                    keys.add(random.nextInt(3));
+                    out.add(new ArrayList<>());
+                    handles.add(accept(harness, "k" + keys.get(keys.size() - 1)));
+                } else if (!handles.isEmpty() && !out.get(pick).isEmpty()) {
+                    Outcome outcome =
+                            random.nextInt(3) > 0
+                                    ? Outcome.SUCCEEDED
+                                    : Outcome.values()[random.nextInt(Outcome.values().length)];
+                    int number = out.get(pick).remove(0);
+                    if (outcome.mayStillRun()) {
+                        quietPeriod[keys.get(pick)] =
+                                Math.max(
+                                        quietPeriod[keys.get(pick)],
+                                        harness.now + given.keyQuietPeriod);
+                    }
+                    harness.end(handles.get(pick), number, outcome);
+                } else {
+                    harness.policy.onWakeup();
+                }
+                for (; seen < harness.actions.size(); seen++) {
+                    String[] words = harness.actions.get(seen).split(" ");
+                    if (words[0].equals("attempt")) {
+                        int id = Integer.parseInt(words[1]) - 1;
+                        int before =
+                                (int)
+                                        harness.actions.subList(0, seen).stream()
+                                                .filter(
+                                                        did ->
+                                                                did.startsWith(
+                                                                        "attempt "
+                                                                                + words[1]
+                                                                                + " "))
+                                                .count();
+                        out.get(id).add(before);
+                        for (int other = 0; other < id; other++) {
+                            assertTrue(
+                                    !keys.get(other).equals(keys.get(id))
+                                            || handles.get(other).isComplete(),
+                                    "seed " + seed + ": " + id + " before " + other + " was over");
+                        }
+                        assertTrue(
+                                before > 0 || harness.now >= quietPeriod[keys.get(id)],
+                                "a rest was not kept");
+                    }
+                }
+            }
+        }
+    }
+}
--- a/daemon/src/test/java/wheelroute/net/OperatingTest.java
+++ b/daemon/src/test/java/wheelroute/net/OperatingTest.java
@@ -16,10 +16,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.SimulatedWorld;
 import wheelroute.config.Config;
 import wheelroute.config.ConfigException;
 import wheelroute.decision.Idempotency;
+import wheelroute.decision.PolicyHarness;
 
 /**
  * What staff do with a dispatcher in service: the calls at its door, and the figures they read
@@ -192,7 +192,7 @@
                         1024,
                         Double.NaN,
                         null,
-                        new SimulatedWorld.Given().settings(),
+                        new PolicyHarness.SettingsFixture().settings(),
                         0.5,
                         10,
                         2,
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -34,9 +34,9 @@
 import java.util.regex.Pattern;
 import org.testng.annotations.AfterMethod;
 import wheelroute.ProcessLifetime;
-import wheelroute.SimulatedWorld;
 import wheelroute.config.Config;
 import wheelroute.decision.Idempotency;
+import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.Settings;
 
 /** A dispatcher on loopback sockets, among clients, workers and a discovery that do as told. */
@@ -242,12 +242,12 @@
 
     protected void serve(Idempotency effect, int sockets, String known, int dispatchers)
             throws Exception {
-        SimulatedWorld.Given given = new SimulatedWorld.Given();
+        PolicyHarness.SettingsFixture given = new PolicyHarness.SettingsFixture();
         given.dispatchers = dispatchers;
-        given.effect = effect;
-        given.mustAsk = true;
-        given.mayCopy = mayCopy;
-        given.inTurn = inTurn;
+        given.idempotency = effect;
+        given.watchesEndpoints = true;
+        given.mayHedge = mayCopy;
+        given.ordered = inTurn;
         Settings settings = given.settings();
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         config =
--- a/daemon/src/test/java/wheelroute/net/ServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceTest.java
@@ -16,10 +16,10 @@
 import java.util.concurrent.locks.LockSupport;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.SimulatedWorld;
 import wheelroute.config.Config;
 import wheelroute.config.ConfigException;
 import wheelroute.decision.Idempotency;
+import wheelroute.decision.PolicyHarness;
 
 /** The whole dispatcher on sockets, event by event. */
 public class ServiceTest extends ServiceHarness {
@@ -482,7 +482,7 @@
                         64,
                         Double.NaN,
                         known.getBytes(StandardCharsets.UTF_8),
-                        new SimulatedWorld.Given().settings(),
+                        new PolicyHarness.SettingsFixture().settings(),
                         0.5,
                         10,
                         2,
--- a/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.SimulatedWorld;
+import wheelroute.decision.PolicyHarness;
 import wheelroute.net.ResponseParser;
 import wheelroute.net.workers.AttemptRequest;
 
@@ -162,7 +162,7 @@
         assertEquals(message.tenant(), name);
         // To the worker it goes as it came, byte for byte.
         String sent =
-                SimulatedWorld.text(
+                PolicyHarness.text(
                         new AttemptRequest(
                                         message.method(),
                                         message.target(),
@@ -314,6 +314,6 @@
 
     @Test(dataProvider = "answers")
     public void encodesAnswers(ClientResponse answer, boolean last, String expected) {
-        assertEquals(SimulatedWorld.text(answer.encode(last)), expected);
+        assertEquals(PolicyHarness.text(answer.encode(last)), expected);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
@@ -9,7 +9,7 @@
 import java.util.EnumSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.SimulatedWorld;
+import wheelroute.decision.PolicyHarness;
 import wheelroute.net.AttemptResult;
 
 /** Workers' answers in all the shapes that a network or a faulty worker may give them. */
@@ -164,7 +164,7 @@
                 new AttemptRequest(
                         "POST", "/a%20b?q", "9b", null, "7f", new byte[] {'h', 'i'}, false);
         assertEquals(
-                SimulatedWorld.text(message.encode("127.0.0.1:80", 0.4567)),
+                PolicyHarness.text(message.encode("127.0.0.1:80", 0.4567)),
                 "POST /a%20b?q HTTP/1.1\r\nHost: 127.0.0.1:80\r\nX-Request-ID: 9b\r\nX-Route-Key: 7f\r\n"
                         + "X-Timeout: 0.457\r\nContent-Length: 2\r\n\r\nhi");
     }
