--- a/daemon/src/main/java/wheelroute/decision/WorkerEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/WorkerEstimates.java
@@ -117,7 +117,7 @@
         Arrays.fill(slotFreeAt, 0);
         for (int i = 0; i < worker.inFlight().size(); i++) {
             Attempt attempt = worker.inFlight().get(i);
-            occupy(attempt.request.slots(), attempt.remaining(state.now(), speed()));
+            occupy(attempt.request.slots(), attempt.remaining(state.now(), currentSpeed));
         }
         return slotFreeAt[startingSlot(slotsNeeded)];
     }
--- a/daemon/src/main/java/wheelroute/decision/WorkerSelector.java
+++ b/daemon/src/main/java/wheelroute/decision/WorkerSelector.java
@@ -20,6 +20,8 @@
         EJECTED
     }
 
+    private static final Tier[] TIERS = Tier.values();
+
     private final DispatcherState state;
     private final RetryRules retryRules;
     private final OutlierEjection ejection;
@@ -40,7 +42,7 @@
     WorkerState cheapest(TrackedRequest request) {
         prepare(request);
         double least = Double.POSITIVE_INFINITY;
-        for (Tier tier : Tier.values()) {
+        for (Tier tier : TIERS) {
             if (least == Double.POSITIVE_INFINITY) {
                 least = leastCost(request, worker -> isOpen(request, worker, tier));
             }
