--- a/daemon/src/main/java/wheelroute/decision/Admission.java
+++ b/daemon/src/main/java/wheelroute/decision/Admission.java
@@ -48,7 +48,8 @@
         WorkerEstimates estimates = worker.estimates();
         double wait =
                 estimates.ownWait()
-                        + estimates.externalWait(EVIDENCE_MEMORY, worker.model().recentExternalWait)
+                        + estimates.externalWait(
+                                EVIDENCE_MEMORY, worker.model().recentExternalWait())
                         + state.cacheMissCost().expectedSeconds(worker.affinityRank());
         // Waiting is what a rejection spares: that a job looks too long is only a rough estimate's
         // word.
--- a/daemon/src/main/java/wheelroute/decision/AttemptMeasurements.java
+++ b/daemon/src/main/java/wheelroute/decision/AttemptMeasurements.java
@@ -17,7 +17,7 @@
         worker.noteOvertaken(attempt, now);
         double unexplained = Math.max(0, attempt.unexplainedWait(startedAt));
         worker.statistics().waits.add(now, unexplained, 1);
-        worker.model().waits.add(now, startedAt - attempt.sentAt, unexplained);
+        worker.model().recordWait(now, startedAt - attempt.sentAt, unexplained);
     }
 
     /** Where starts are not told, the first progress tells of one. */
@@ -54,7 +54,7 @@
             double run = attempt.request.work() / worker.estimates().speed();
             double unexplained = attempt.unexplainedWait(now) - run;
             worker.statistics().waits.add(now, unexplained, 1);
-            worker.model().waits.add(now, now - attempt.sentAt, unexplained);
+            worker.model().recordWait(now, now - attempt.sentAt, unexplained);
         }
         if (attempt.hasStarted() || attempt.ownWait == 0) {
             recordRun(attempt);
@@ -77,9 +77,7 @@
         attempt.worker.statistics().runs.add(now, request.work(), run * warmth);
         if (warmth >= 1) {
             // Only warm workers speak for their model, or a release would make all of it look slow.
-            ModelStatistics model = attempt.worker.model();
-            model.runs.add(now, request.work(), run);
-            model.refitSpeed();
+            attempt.worker.model().recordRun(now, request.work(), run);
             request.requestClass()
                     .estimates()
                     .record(request.request().estimatedWork(), run * estimates.speed());
--- a/daemon/src/main/java/wheelroute/decision/EndpointUpdates.java
+++ b/daemon/src/main/java/wheelroute/decision/EndpointUpdates.java
@@ -31,7 +31,7 @@
             }
         }
         workers.ready().clear();
-        workers.models().values().forEach(model -> model.warmWorkers = 0);
+        workers.models().values().forEach(ModelStatistics::clearWarmWorkers);
         for (WorkerState worker : workers.all()) {
             if (complete && !worker.isListed()) {
                 ejection.onRemoved(worker);
@@ -53,7 +53,9 @@
         }
         boolean warm = worker.isReady() && worker.estimates().warmth(state.now()) >= 1;
         worker.setWarm(warm);
-        worker.model().warmWorkers += warm ? 1 : 0;
+        if (warm) {
+            worker.model().countWarmWorker();
+        }
     }
 
     /** Returns whether attempts in flight there are lost: it was removed, or is a new process. */
--- a/daemon/src/main/java/wheelroute/decision/ModelStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/ModelStatistics.java
@@ -13,13 +13,14 @@
     private static final int MIN_RATE_SAMPLES = 3;
     private static final int SAMPLE_COUNT = 64;
 
-    final SampleWindow runs;
+    /** Pairs of work and run time. */
+    private final SampleWindow runs;
 
     /**
      * Pairs of how long an attempt waited for its start, and how much of it this dispatcher's own
      * attempts do not explain.
      */
-    final SampleWindow waits;
+    private final SampleWindow waits;
 
     /** Work times slots that warm workers completed, divided by the number of warm workers. */
     private final SampleWindow completedWork;
@@ -28,18 +29,18 @@
     private double rate;
 
     /** Workers that were ready and warm at the last change of the endpoint list. */
-    int warmWorkers;
+    private int warmWorkers;
 
-    int slots;
-    double speed = STANDARD_SPEED;
+    private int slots;
+    private double speed = STANDARD_SPEED;
 
     /** Mean unexplained wait, over the usual memory and over a short one. */
-    double externalWait;
+    private double externalWait;
 
-    double recentExternalWait;
+    private double recentExternalWait;
 
     /** By how much, summed over attempts that have not started, they have waited past the mean. */
-    double overdueWait;
+    private double overdueWait;
 
     /** Waits guessed from results are as noisy as the sizes of jobs and need a heavier prior. */
     private final double priorWeight;
@@ -67,10 +68,70 @@
         }
     }
 
-    void refitSpeed() {
+    private void refitSpeed() {
         speed = runs.size() > 0 ? runs.sumOfFirst() / runs.sumOfSecond() : speed;
     }
 
+    /** Slots of a worker as far as seen; 0 before any was. */
+    int slots() {
+        return slots;
+    }
+
+    /** So many slots were seen in use or free at one time: the number only ever grows. */
+    void noteSlots(int seen) {
+        slots = Math.max(slots, seen);
+    }
+
+    /** Work that a slot does in a second. */
+    double speed() {
+        return speed;
+    }
+
+    void recordRun(double now, double work, double run) {
+        runs.add(now, work, run);
+        refitSpeed();
+    }
+
+    /**
+     * @param wait from the send of an attempt to its start
+     * @param unexplained of that, what this dispatcher's own attempts do not explain
+     */
+    void recordWait(double now, double wait, double unexplained) {
+        waits.add(now, wait, unexplained);
+    }
+
+    /** The longest of the waits that are remembered. */
+    double longestWait() {
+        return waits.maxOfFirst();
+    }
+
+    /** Mean unexplained wait as of the last update. */
+    double externalWait() {
+        return externalWait;
+    }
+
+    /** The same over a short memory. */
+    double recentExternalWait() {
+        return recentExternalWait;
+    }
+
+    void clearOverdueWait() {
+        overdueWait = 0;
+    }
+
+    /** An attempt that has not started has waited this much longer than the mean. */
+    void addOverdueWait(double wait) {
+        overdueWait += wait;
+    }
+
+    void clearWarmWorkers() {
+        warmWorkers = 0;
+    }
+
+    void countWarmWorker() {
+        warmWorkers++;
+    }
+
     /** A warm worker completed this much work times slots. */
     void recordCompletedWork(double now, double work) {
         completedWork.add(now, work / warmWorkers, 0);
--- a/daemon/src/main/java/wheelroute/decision/SilenceDetector.java
+++ b/daemon/src/main/java/wheelroute/decision/SilenceDetector.java
@@ -45,7 +45,7 @@
 
     /** Looks at all workers with attempts in flight. */
     void sweep() {
-        state.workers().models().values().forEach(model -> model.overdueWait = 0);
+        state.workers().models().values().forEach(ModelStatistics::clearOverdueWait);
         for (WorkerState worker : new ArrayList<>(state.workers().busy())) {
             worker.estimates().noteRunning();
             check(worker);
@@ -84,7 +84,7 @@
         double expected =
                 silentFor <= TOLERANCE
                         ? 0
-                        : Math.max(oldest.expectedWait, worker.model().waits.maxOfFirst());
+                        : Math.max(oldest.expectedWait, worker.model().longestWait());
         if (oldest.hasStarted() || !settings.reportsStart()) {
             double run = oldest.request.work() / worker.estimates().speed();
             expected +=
--- a/daemon/src/main/java/wheelroute/decision/SlowStart.java
+++ b/daemon/src/main/java/wheelroute/decision/SlowStart.java
@@ -20,7 +20,7 @@
         ModelStatistics model = worker.model();
         double workRate =
                 Math.max(
-                        model.speed * estimates.slots(),
+                        model.speed() * estimates.slots(),
                         state.senderCount()
                                 * model.workRatePerWorker(
                                         state.now(), state.traffic().firstAcceptedAt()));
--- a/daemon/src/main/java/wheelroute/decision/WorkerEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/WorkerEstimates.java
@@ -45,7 +45,7 @@
 
     /** Jobs that it runs at the same time, from 1. */
     int slots() {
-        return Math.min(MAX_SLOTS, Math.max(1, worker.model().slots));
+        return Math.min(MAX_SLOTS, Math.max(1, worker.model().slots()));
     }
 
     /**
@@ -57,7 +57,7 @@
         SampleWindow runs = worker.statistics().runs;
         runs.computeDecayedSums(state.now(), MEMORY);
         return warmth(state.now())
-                * (prior * worker.model().speed + runs.decayedFirst())
+                * (prior * worker.model().speed() + runs.decayedFirst())
                 / (prior + runs.decayedSecond());
     }
 
@@ -76,7 +76,7 @@
      * Works out speed, waits and backlog, for a choice of a worker and the attempt that follows.
      */
     void refresh(double slotsNeeded) {
-        double external = externalWait(MEMORY, worker.model().externalWait);
+        double external = externalWait(MEMORY, worker.model().externalWait());
         currentSpeed = speed();
         boolean idle = worker.inFlight().isEmpty();
         ownWait = idle ? 0 : waitBehindOwn(slotsNeeded);
@@ -190,8 +190,7 @@
             boolean counts = attempt.hasStarted() && state.now() - attempt.startedAt() > SETTLED;
             running += counts ? (int) attempt.request.slots() : 0;
         }
-        ModelStatistics model = worker.model();
-        model.slots = Math.max(model.slots, running);
+        worker.model().noteSlots(running);
     }
 
     /**
@@ -202,17 +201,17 @@
         // A silent worker's attempts tell of the worker, not of its model.
         for (int i = 0; i < worker.inFlight().size() && !worker.health().isSilent(); i++) {
             Attempt attempt = worker.inFlight().get(i);
-            ModelStatistics model = worker.model();
-            model.overdueWait +=
-                    attempt.hasStarted() ? 0 : Math.max(0, overdue(attempt) - model.externalWait);
+            if (!attempt.hasStarted()) {
+                ModelStatistics model = worker.model();
+                model.addOverdueWait(Math.max(0, overdue(attempt) - model.externalWait()));
+            }
         }
     }
 
     /** Free slots alone count: running plus free, told of two moments, overstates a worker. */
     void noteReport(LoadReport report) {
         if (state.settings().reportsFreeSlots() && !Double.isNaN(report.freeSlots())) {
-            ModelStatistics model = worker.model();
-            model.slots = Math.max(model.slots, (int) Math.round(report.freeSlots()));
+            worker.model().noteSlots((int) Math.round(report.freeSlots()));
         }
     }
 }
