--- a/daemon/src/test/java/wheelroute/decision/KeyOrderTest.java
+++ b/daemon/src/test/java/wheelroute/decision/KeyOrderTest.java
@@ -227,64 +227,87 @@
     @Test
     public void randomHistoriesKeepTheRule() {
         for (int seed = 0; seed < 20; seed++) {
-            Random random = new Random(seed);
             given.idempotency = Idempotency.values()[seed % 3];
-            PolicyHarness harness = harness();
-            List<RequestHandle> handles = new ArrayList<>();
-            List<Integer> keys = new ArrayList<>();
-            List<List<Integer>> out = new ArrayList<>();
-            double[] quietPeriod = new double[3];
-            int seen = 0;
+            RandomHistory history = new RandomHistory(seed, harness());
             for (int step = 0; step < 400; step++) {
-                harness.pass(0.01 + 0.05 * random.nextDouble());
-                int pick = handles.isEmpty() ? 0 : random.nextInt(handles.size());
-                if (step < 200 && random.nextInt(3) == 0) {
-                    keys.add(random.nextInt(3));
-                    out.add(new ArrayList<>());
-                    handles.add(accept(harness, "k" + keys.get(keys.size() - 1)));
-                } else if (!handles.isEmpty() && !out.get(pick).isEmpty()) {
-                    Outcome outcome =
-                            random.nextInt(3) > 0
-                                    ? Outcome.SUCCEEDED
-                                    : Outcome.values()[random.nextInt(Outcome.values().length)];
-                    int number = out.get(pick).remove(0);
-                    if (outcome.mayStillRun()) {
-                        quietPeriod[keys.get(pick)] =
-                                Math.max(
-                                        quietPeriod[keys.get(pick)],
-                                        harness.now + given.keyQuietPeriod);
-                    }
-                    harness.end(handles.get(pick), number, outcome);
-                } else {
-                    harness.policy.onWakeup();
-                }
-                for (; seen < harness.actions.size(); seen++) {
-                    String[] words = harness.actions.get(seen).split(" ");
-                    if (words[0].equals("attempt")) {
-                        int id = Integer.parseInt(words[1]) - 1;
-                        int before =
-                                (int)
-                                        harness.actions.subList(0, seen).stream()
-                                                .filter(
-                                                        did ->
-                                                                did.startsWith(
-                                                                        "attempt "
-                                                                                + words[1]
-                                                                                + " "))
-                                                .count();
-                        out.get(id).add(before);
-                        for (int other = 0; other < id; other++) {
-                            assertTrue(
-                                    !keys.get(other).equals(keys.get(id))
-                                            || handles.get(other).isComplete(),
-                                    "seed " + seed + ": " + id + " before " + other + " was over");
-                        }
-                        assertTrue(
-                                before > 0 || harness.now >= quietPeriod[keys.get(id)],
-                                "a rest was not kept");
-                    }
+                history.step(step < 200);
+                history.check();
+            }
+        }
+    }
+
+    /** Requests of three keys that are accepted and end by chance. */
+    private final class RandomHistory {
+        private final int seed;
+        private final Random random;
+        private final PolicyHarness harness;
+        private final List<RequestHandle> handles = new ArrayList<>();
+        private final List<Integer> keys = new ArrayList<>();
+        private final List<List<Integer>> inFlight = new ArrayList<>();
+        private final double[] quietUntil = new double[3];
+        private int checked;
+
+        RandomHistory(int seed, PolicyHarness harness) {
+            this.seed = seed;
+            this.harness = harness;
+            random = new Random(seed);
+        }
+
+        void step(boolean mayAccept) {
+            harness.pass(0.01 + 0.05 * random.nextDouble());
+            int pick = handles.isEmpty() ? 0 : random.nextInt(handles.size());
+            if (mayAccept && random.nextInt(3) == 0) {
+                keys.add(random.nextInt(3));
+                inFlight.add(new ArrayList<>());
+                handles.add(accept(harness, "k" + keys.get(keys.size() - 1)));
+            } else if (!handles.isEmpty() && !inFlight.get(pick).isEmpty()) {
+                end(pick);
+            } else {
+                harness.policy.onWakeup();
+            }
+        }
+
+        private void end(int pick) {
+            Outcome[] outcomes = Outcome.values();
+            Outcome outcome =
+                    random.nextInt(3) > 0
+                            ? Outcome.SUCCEEDED
+                            : outcomes[random.nextInt(outcomes.length)];
+            int number = inFlight.get(pick).remove(0);
+            if (outcome.mayStillRun()) {
+                int key = keys.get(pick);
+                quietUntil[key] = Math.max(quietUntil[key], harness.now + given.keyQuietPeriod);
+            }
+            harness.end(handles.get(pick), number, outcome);
+        }
+
+        /** Every attempt since the last check came in its turn, and after its key's quiet time. */
+        void check() {
+            for (; checked < harness.actions.size(); checked++) {
+                String[] words = harness.actions.get(checked).split(" ");
+                if (words[0].equals("attempt")) {
+                    checkAttempt(Integer.parseInt(words[1]) - 1, attemptsBefore(words[1]));
                 }
             }
         }
+
+        private int attemptsBefore(String id) {
+            return (int)
+                    harness.actions.subList(0, checked).stream()
+                            .filter(action -> action.startsWith("attempt " + id + " "))
+                            .count();
+        }
+
+        private void checkAttempt(int id, int number) {
+            inFlight.get(id).add(number);
+            for (int other = 0; other < id; other++) {
+                assertTrue(
+                        !keys.get(other).equals(keys.get(id)) || handles.get(other).isComplete(),
+                        "seed " + seed + ": " + id + " before " + other + " was over");
+            }
+            assertTrue(
+                    number > 0 || harness.now >= quietUntil[keys.get(id)],
+                    "a quiet time was not kept");
+        }
     }
 }
