--- a/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
@@ -20,6 +20,7 @@
 import wheelroute.peers.MemberAddress;
 import wheelroute.peers.MemberUpdate;
 import wheelroute.peers.Membership;
+import wheelroute.peers.MembershipConfig;
 import wheelroute.peers.Message;
 import wheelroute.peers.MessageCodec;
 import wheelroute.peers.MessageHeader;
@@ -73,7 +74,8 @@
                         .toList();
         membership =
                 new Membership(
-                        cluster, name, own, life, places, seed, true, new MembershipTransport());
+                        new MembershipConfig(cluster, name, own, life, places, seed, true),
+                        new MembershipTransport());
         shares =
                 new QuotaLeases(
                         peering.number(), places.size(), life, this::isThere, new LeaseTransport());
@@ -99,8 +101,8 @@
                 socket.address(),
                 peering.number(),
                 peering.addresses().size());
-        membership.at(loop.now());
-        membership.begin();
+        membership.advanceTo(loop.now());
+        membership.start();
         askForShares();
     }
 
@@ -109,7 +111,7 @@
         left = true;
         if (!silent) {
             shares.leave();
-            membership.at(loop.now());
+            membership.advanceTo(loop.now());
             membership.leave();
             fallSilent();
         }
@@ -139,7 +141,7 @@
         if (!silent) {
             shares.leave();
             silent = true;
-            membership.fallSilent();
+            membership.stop();
             socket.close();
         }
     }
@@ -222,8 +224,8 @@
                 foreign++;
                 return;
             }
-            membership.at(loop.now());
-            membership.received(sender, message);
+            membership.advanceTo(loop.now());
+            membership.receive(sender, message);
             if (message instanceof Message.LeaseMessage leaseMessage) {
                 lease(leaseMessage);
             }
@@ -270,7 +272,7 @@
         }
 
         @Override
-        public void wake(double delay) {
+        public void scheduleTimer(double delay) {
             double at = loop.now() + delay;
             if (at >= wakeAt && wakeAt > loop.now()) {
                 return;
@@ -284,20 +286,30 @@
                             delay,
                             () -> {
                                 wakeAt = Double.POSITIVE_INFINITY;
-                                membership.at(loop.now());
-                                membership.woken();
+                                membership.advanceTo(loop.now());
+                                membership.onTimer();
                             });
         }
 
         @Override
-        public void changed(MemberUpdate now, MemberUpdate.State before, String why) {
+        public void memberChanged(
+                MemberUpdate update, MemberUpdate.State previous, PeerId reportedBy) {
             LOG.info(
                     "{} (number {}) is {}{}, {}",
-                    now.id(),
-                    now.address().port(),
-                    word(now.state()),
-                    before == null ? "" : ", was " + word(before),
-                    why);
+                    update.id(),
+                    update.address().port(),
+                    word(update.state()),
+                    previous == null ? "" : ", was " + word(previous),
+                    reason(update, reportedBy));
+        }
+
+        private String reason(MemberUpdate update, PeerId reportedBy) {
+            if (reportedBy.equals(name)) {
+                return "by our own probes";
+            }
+            return reportedBy.equals(update.id())
+                    ? "as it reports"
+                    : "as " + reportedBy + " reports";
         }
     }
 
@@ -311,7 +323,7 @@
      * A line for each dispatcher that is known, this one first, and one on shares and datagrams.
      */
     public String text() {
-        membership.at(loop.now());
+        membership.advanceTo(loop.now());
         StringBuilder out = new StringBuilder();
         out.append(name).append(' ').append(peering.number()).append(" alive itself\n");
         for (MemberUpdate one : membership.others()) {
@@ -320,7 +332,9 @@
                     .append(one.address().port())
                     .append(' ')
                     .append(word(one.state()))
-                    .append(String.format(Locale.ROOT, " %.1f s%n", membership.since(one.id())));
+                    .append(
+                            String.format(
+                                    Locale.ROOT, " %.1f s%n", membership.timeInState(one.id())));
         }
         out.append(
                 String.format(
@@ -329,7 +343,7 @@
                                 + " ours %d, malformed %d%n",
                         total(),
                         shares.held(loop.now()),
-                        membership.doubt(),
+                        membership.localHealthScore(),
                         foreign,
                         malformed));
         return out.toString();
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/peers/DeterministicRandom.java
@@ -0,0 +1,49 @@
+package wheelroute.peers;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.zip.CRC32;
+
+/**
+ * Pseudo-random numbers that depend on a seed and on how many were drawn before: the CRC-32 of
+ * both. Virtual runs are repeatable because of that, so the order of the draws is part of the
+ * behaviour.
+ */
+final class DeterministicRandom {
+    private static final double CRC_RANGE = 1L << Integer.SIZE;
+
+    private final long seed;
+    private long draws;
+
+    DeterministicRandom(long seed) {
+        this.seed = seed;
+    }
+
+    /** The next number, from 0 inclusive to 1 exclusive. */
+    double next() {
+        CRC32 crc = new CRC32();
+        long counter = ++draws;
+        for (int shift = 0; shift < Long.SIZE; shift += Byte.SIZE) {
+            crc.update((int) (seed >>> shift));
+            crc.update((int) (counter >>> shift));
+        }
+        return crc.getValue() / CRC_RANGE;
+    }
+
+    /** The next number as an index, from 0 inclusive to the bound exclusive. */
+    int nextIndex(int bound) {
+        return (int) (next() * bound);
+    }
+
+    /** A copy of the list in a random order (Fisher-Yates); draws once for each but the first. */
+    <T> List<T> shuffled(List<T> list) {
+        List<T> order = new ArrayList<>(list);
+        for (int i = order.size() - 1; i > 0; i--) {
+            int other = nextIndex(i + 1);
+            T last = order.get(i);
+            order.set(i, order.get(other));
+            order.set(other, last);
+        }
+        return order;
+    }
+}
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/peers/MembershipConfig.java
@@ -0,0 +1,29 @@
+package wheelroute.peers;
+
+import java.util.List;
+
+/**
+ * What a member is started with.
+ *
+ * @param cluster identifier of the installation; messages of other installations are ignored
+ * @param id name of this member, unique in the cluster and kept over restarts
+ * @param address where the other members reach it
+ * @param incarnation start of this process in milliseconds, so that a later process supersedes it
+ * @param seeds addresses that are tried first; this member's own may be among them
+ * @param randomSeed seed of all random choices
+ * @param localHealthAware whether timeouts follow the local health multiplier (Lifeguard); false
+ *     only serves to compare with
+ */
+public record MembershipConfig(
+        int cluster,
+        PeerId id,
+        MemberAddress address,
+        long incarnation,
+        List<MemberAddress> seeds,
+        long randomSeed,
+        boolean localHealthAware) {
+    /** Copies the list of seeds. */
+    public MembershipConfig {
+        seeds = List.copyOf(seeds);
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -11,6 +11,7 @@
 import wheelroute.peers.MemberAddress;
 import wheelroute.peers.MemberUpdate;
 import wheelroute.peers.Membership;
+import wheelroute.peers.MembershipConfig;
 import wheelroute.peers.Message;
 import wheelroute.peers.MessageCodec;
 import wheelroute.peers.PeerId;
@@ -93,15 +94,16 @@
             long millis = (long) (1000 * (1e6 + time.now() - start + clockAhead));
             membership =
                     new Membership(
-                            CLUSTER,
-                            id(number),
-                            place(number),
-                            millis,
-                            places,
-                            chance.key(Chance.Of.BRAIN, number, life),
-                            doubts,
+                            new MembershipConfig(
+                                    CLUSTER,
+                                    id(number),
+                                    place(number),
+                                    millis,
+                                    places,
+                                    chance.key(Chance.Of.BRAIN, number, life),
+                                    doubts),
                             this);
-            event(membership::begin);
+            event(membership::start);
         }
 
         public void crash() {
@@ -156,7 +158,7 @@
                             meanwhile.addLast(() -> event(what));
                             return;
                         }
-                        membership.at(time.now());
+                        membership.advanceTo(time.now());
                         what.run();
                     };
             now.run();
@@ -189,14 +191,14 @@
             }
             try {
                 Message message = MessageCodec.decode(datagram);
-                event(() -> membership.received(place(from), message));
+                event(() -> membership.receive(place(from), message));
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException("our own datagram", e);
             }
         }
 
         @Override
-        public void wake(double delay) {
+        public void scheduleTimer(double delay) {
             double at = time.now() + delay;
             if (at < wakeAt) {
                 wakeAt = at;
@@ -206,16 +208,16 @@
                         () -> {
                             if (of == life && wakeAt == at) {
                                 wakeAt = Double.POSITIVE_INFINITY;
-                                event(membership::woken);
+                                event(membership::onTimer);
                             }
                         });
             }
         }
 
         @Override
-        public void changed(MemberUpdate now, MemberUpdate.State before, String why) {
+        public void memberChanged(MemberUpdate now, MemberUpdate.State before, PeerId reportedBy) {
             // Passed on it is one verdict still.
-            if (now.state() == MemberUpdate.State.DEAD && why.startsWith("by our own")) {
+            if (now.state() == MemberUpdate.State.DEAD && reportedBy.equals(id(number))) {
                 Member of = members.get(Integer.parseInt(now.id().name().substring(1)));
                 if (of.up && !of.still && of.slow == 0) {
                     verdicts++;
@@ -298,7 +300,7 @@
                 .filter(m -> m.up && !m.still)
                 .allMatch(
                         m ->
-                                m.membership.there() == up
+                                m.membership.aliveCount() == up
                                         && m.membership.others().stream()
                                                 .allMatch(
                                                         o ->
@@ -321,7 +323,7 @@
                 .filter(m -> m.up && m.number != number)
                 .allMatch(
                         m -> {
-                            MemberUpdate of = m.membership.of(id(number));
+                            MemberUpdate of = m.membership.find(id(number));
                             return of == null
                                     || of.state() == MemberUpdate.State.DEAD
                                     || of.state() == MemberUpdate.State.LEFT;
--- a/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
@@ -54,8 +54,8 @@
         int half = count / 2;
         model.cut((from, to) -> from < half != to < half);
         model.pass(30);
-        assertEquals(model.members.get(0).membership().there(), half);
-        assertEquals(model.members.get(half).membership().there(), count - half);
+        assertEquals(model.members.get(0).membership().aliveCount(), half);
+        assertEquals(model.members.get(half).membership().aliveCount(), count - half);
         model.cut((from, to) -> false);
         double agreed = model.passUntil(model::isAgreed, PATIENCE);
         assertTrue(agreed < healed, agreed + " s until all agreed again");
@@ -110,7 +110,7 @@
                 model.cut((from, to) -> from == 4);
                 model.pass(20);
                 assertFalse(
-                        model.members.get(0).membership().of(PeerModel.id(4)).state()
+                        model.members.get(0).membership().find(PeerModel.id(4)).state()
                                 == wheelroute.peers.MemberUpdate.State.ALIVE,
                         "whom nobody hears is not there");
             }
@@ -123,7 +123,7 @@
             case "thirds" -> {
                 model.cut((from, to) -> from % 3 != to % 3);
                 model.pass(30);
-                assertEquals(model.members.get(0).membership().there(), 4);
+                assertEquals(model.members.get(0).membership().aliveCount(), 4);
             }
             case "flapping" -> {
                 for (int i = 0; i < 6; i++) {
