--- a/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
@@ -86,7 +86,11 @@
         votes = new LeaseVoter(loop.now());
         socket =
                 new DatagramSocket(
-                        loop, peering.listen(), shared, MessageCodec.MOST_BYTES + 1, this::came);
+                        loop,
+                        peering.listen(),
+                        shared,
+                        MessageCodec.MAX_DATAGRAM_BYTES + 1,
+                        this::came);
     }
 
     private static int cluster(String name) {
@@ -110,7 +114,7 @@
     public void leave() {
         left = true;
         if (!silent) {
-            shares.leave();
+            shares.releaseAll();
             membership.advanceTo(loop.now());
             membership.leave();
             fallSilent();
@@ -139,7 +143,7 @@
 
     private void fallSilent() {
         if (!silent) {
-            shares.leave();
+            shares.releaseAll();
             silent = true;
             membership.stop();
             socket.close();
@@ -148,7 +152,7 @@
 
     private void askForShares() {
         if (!silent) {
-            loop.schedule(Math.min(Lease.USED, shares.woken(loop.now())), this::askForShares);
+            loop.schedule(Math.min(Lease.DURATION, shares.renew(loop.now())), this::askForShares);
         }
     }
 
@@ -156,12 +160,12 @@
 
     @Override
     public double ofDispatcher(int number) {
-        return silent ? 0 : shares.of(number, loop.now());
+        return silent ? 0 : shares.usablePart(number, loop.now());
     }
 
     @Override
     public double total() {
-        return silent ? 0 : shares.whole(loop.now());
+        return silent ? 0 : shares.usableTotal(loop.now());
     }
 
     // ---- who is there
@@ -244,13 +248,13 @@
         LeaseTerms terms = message.terms();
         PeerId sender = message.header().sender().id();
         if (message instanceof Message.LeaseRequest) {
-            if (votes.ask(now, terms.share(), sender, terms.incarnation(), number)) {
+            if (votes.requestVote(now, terms.share(), sender, terms.incarnation(), number)) {
                 grant(message);
             }
         } else if (message instanceof Message.LeaseGrant) {
-            shares.granted(now, number, terms, sender);
+            shares.onGrant(now, number, terms, sender);
         } else {
-            votes.back(terms.share(), sender, terms.incarnation(), number);
+            votes.release(terms.share(), sender, terms.incarnation(), number);
         }
     }
 
@@ -342,7 +346,7 @@
                         "share %.4f of the whole, holding %s; doubt %d; datagrams not"
                                 + " ours %d, malformed %d%n",
                         total(),
-                        shares.held(loop.now()),
+                        shares.heldShares(loop.now()),
                         membership.localHealthScore(),
                         foreign,
                         malformed));
--- a/daemon/src/main/java/wheelroute/peers/Lease.java
+++ b/daemon/src/main/java/wheelroute/peers/Lease.java
@@ -4,87 +4,94 @@
 import java.util.Set;
 
 /**
- * One share as its holder has it: until so long after it asked for the words of which it has
- * enough. It counts from before it asked, those who gave their word from after: so whatever lies
- * between, datagrams that come late, twice or never, processes that stand still, clocks that run
- * apart a little, it has stopped before anybody can begin.
+ * A lease on a quota share as its holder sees it: it is held for a fixed time once a majority of
+ * the voters has granted it. The holder counts that time from before it sent its requests, each
+ * voter counts from after it received one and for longer by the drift of their clocks (see {@link
+ * LeaseVoter}). So the holder has stopped before a voter can grant the share to another one,
+ * whatever is delayed, lost, duplicated or paused.
+ *
+ * <p>Not final so that the model check can take out one safeguard at a time.
  */
 public class Lease {
-    /** So long a holder may use it, by its own clock. */
-    public static final double USED = 3;
+    /** How long a lease is held from its request on, in seconds of the holder's clock. */
+    public static final double DURATION = 3;
 
-    /** Clocks' rates differ by this part at most: a hundred times what clocks of machines do. */
-    public static final double RATES = 0.01;
+    /** Bound on the relative drift of a clock's rate: 100 times that of ordinary machines. */
+    public static final double MAX_CLOCK_DRIFT = 0.01;
 
     /**
-     * So long whoever gave a word keeps it, by a clock that may run fast beside a holder's that
-     * runs slow.
+     * How long a voter's grant binds it, in seconds of its own clock: that may run fast while the
+     * holder's runs slow.
      */
-    public static final double PROMISED = USED * (1 + RATES) / (1 - RATES);
+    public static final double GRANT_DURATION =
+            DURATION * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT);
 
-    private final int needed;
-    private final double used;
-    private double until = Double.NEGATIVE_INFINITY;
-    private double askedAt;
-    private int number;
-    private final Set<PeerId> words = new HashSet<>();
-
-    /** So many words are needed. */
-    public Lease(int needed) {
-        this(needed, USED);
-    }
-
-    Lease(int needed, double used) {
-        this.needed = needed;
-        this.used = used;
-    }
+    private final int majority;
+    private final double duration;
+    private final Set<PeerId> grantedBy = new HashSet<>();
+    private double heldUntil = Double.NEGATIVE_INFINITY;
+    private double requestedAt;
+    private int round;
 
     /**
-     * A new round is about to be asked, under this number; words for an earlier one count no more.
+     * Creates a lease that is not held.
+     *
+     * @param majority number of grants needed
      */
-    public void asks(double now, int newNumber) {
-        askedAt = now;
-        number = newNumber;
-        words.clear();
+    public Lease(int majority) {
+        this(majority, DURATION);
     }
 
-    /** A word on the round of this number has come. */
-    public void granted(double now, int ofNumber, PeerId by) {
-        if (ofNumber == number && words.add(by) && words.size() >= needed) {
-            until = Math.max(until, countsFrom(now) + used);
-        }
+    Lease(int majority, double duration) {
+        this.majority = majority;
+        this.duration = duration;
     }
 
-    /** When it was asked for, whenever the words came. */
-    double countsFrom(double now) {
-        return askedAt;
+    /** Begins a round of requests, which are sent after this; earlier rounds' grants are void. */
+    public void beginRound(double now, int newRound) {
+        requestedAt = now;
+        round = newRound;
+        grantedBy.clear();
     }
 
-    /** All that it knows, for who compares. */
-    String key(double now) {
-        return (now < until ? until - now + "/" : "") + number + "/" + (now - askedAt) + words;
+    /** A voter's grant has arrived; the lease is held, or extended, by the one for a majority. */
+    public void onGrant(double now, int grantedRound, PeerId voter) {
+        if (grantedRound == round && grantedBy.add(voter) && grantedBy.size() >= majority) {
+            heldUntil = Math.max(heldUntil, startOfTerm(now) + duration);
+        }
     }
 
-    /** For who goes on from here in several ways. */
-    void copyTo(Lease other) {
-        other.until = until;
-        other.askedAt = askedAt;
-        other.number = number;
-        other.words.addAll(words);
+    /** When the term begins that a grant arriving now counts for: at the request. */
+    double startOfTerm(double now) {
+        return requestedAt;
     }
 
-    /** From here on it is not used, whatever words still come. */
-    public void stops() {
-        until = Double.NEGATIVE_INFINITY;
-        number = 0;
-        words.clear();
+    /** Stops using the lease, whatever grants still arrive. */
+    public void release() {
+        heldUntil = Double.NEGATIVE_INFINITY;
+        round = 0;
+        grantedBy.clear();
     }
 
     /**
-     * To be asked at each use, with the time at that moment: a process that stood still finds out
-     * here.
+     * Whether the lease is held. To be asked at each use, with the time read just then, as the
+     * process may have been paused before.
      */
     public boolean isHeld(double now) {
-        return now < until;
+        return now < heldUntil;
+    }
+
+    /** The whole state relative to now as a text, by which the model check compares states. */
+    String stateKey(double now) {
+        String remaining = now < heldUntil ? heldUntil - now + "/" : "";
+        return remaining + round + "/" + (now - requestedAt) + grantedBy;
+    }
+
+    /** Copies the state to a new lease; the model check goes on from one state in several ways. */
+    void copyTo(Lease other) {
+        other.heldUntil = heldUntil;
+        other.requestedAt = requestedAt;
+        other.round = round;
+        other.grantedBy.addAll(grantedBy);
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/LeaseVoter.java
+++ b/daemon/src/main/java/wheelroute/peers/LeaseVoter.java
@@ -4,81 +4,94 @@
 import java.util.Map;
 
 /**
- * What this dispatcher has promised as one of those who are asked about a share: that nobody else
- * gets its word on it before the promise has surely run out for whoever has it.
+ * This dispatcher's votes on leases of quota shares: a share is granted to one holder at a time,
+ * and to another one only after the grant has expired or was released.
+ *
+ * <p>Not final so that the model check can take out one safeguard at a time.
  */
 public class LeaseVoter {
-    /** Number: of the round in which it was last asked for. */
-    record Promise(PeerId holder, long life, int number, double until) {}
+    /**
+     * A grant that binds this voter.
+     *
+     * @param incarnation start of the holder's process; another start is another holder
+     * @param round the holder's latest round of requests
+     * @param expiresAt when the voter is free again
+     */
+    record Grant(PeerId holder, long incarnation, int round, double expiresAt) {}
 
-    private final double promised;
-    private final Map<Integer, Promise> promises = new HashMap<>();
+    private final double grantDuration;
+    private final Map<Integer, Grant> grants = new HashMap<>();
 
-    /** What this process promised before it was started anew it does not know. */
-    private double speaksFrom;
+    /**
+     * An earlier process of this dispatcher may have given grants that this one knows nothing of.
+     */
+    private double silentUntil;
 
-    /** From this process's start on. */
+    /**
+     * Creates a voter that grants nothing for {@link Lease#GRANT_DURATION}.
+     *
+     * @param now start of the process, or of its listening
+     */
     public LeaseVoter(double now) {
-        this(now, Lease.PROMISED, Lease.PROMISED);
+        this(now, Lease.GRANT_DURATION, Lease.GRANT_DURATION);
     }
 
-    /** With times of its own, for who shows that these matter. */
-    LeaseVoter(double now, double promised, double silentFor) {
-        this.promised = promised;
-        speaksFrom = now + silentFor;
+    LeaseVoter(double now, double grantDuration, double initialSilence) {
+        this.grantDuration = grantDuration;
+        silentUntil = now + initialSilence;
     }
 
-    /** Whether it has this dispatcher's word; another start of one is another holder. */
-    public boolean ask(double now, int share, PeerId holder, long life, int number) {
-        if (now < speaksFrom) {
+    /**
+     * Votes on a request, and is bound by a grant from now on.
+     *
+     * @return whether the share is granted
+     */
+    public boolean requestVote(double now, int share, PeerId holder, long incarnation, int round) {
+        if (now < silentUntil) {
             return false;
         }
-        Promise last = promises.get(share);
-        if (last != null && now < last.until && !isSame(last, holder, life)) {
+        Grant last = grants.get(share);
+        boolean renewal = last != null && isSameHolder(last, holder, incarnation);
+        if (last != null && now < last.expiresAt && !renewal) {
             return false;
         }
-        int newest =
-                last != null && isSame(last, holder, life) ? Math.max(last.number, number) : number;
-        promises.put(share, new Promise(holder, life, newest, now + promised));
+        int latestRound = renewal ? Math.max(last.round, round) : round;
+        grants.put(share, new Grant(holder, incarnation, latestRound, now + grantDuration));
         return true;
     }
 
-    boolean isSame(Promise last, PeerId holder, long life) {
-        return last.holder.equals(holder) && last.life == life;
+    boolean isSameHolder(Grant last, PeerId holder, long incarnation) {
+        return last.holder.equals(holder) && last.incarnation == incarnation;
     }
 
-    /** It has stopped using the share, and says so itself; unless it has asked again since. */
-    public void back(int share, PeerId holder, long life, int number) {
-        promises.computeIfPresent(
-                share,
-                (n, last) -> isSame(last, holder, life) && isLatest(last, number) ? null : last);
+    /** The holder has released the share; ignored if it has requested it again since. */
+    public void release(int share, PeerId holder, long incarnation, int round) {
+        Grant last = grants.get(share);
+        if (last != null && isSameHolder(last, holder, incarnation) && isLatestRound(last, round)) {
+            grants.remove(share);
+        }
     }
 
-    boolean isLatest(Promise last, int number) {
-        return number >= last.number;
+    boolean isLatestRound(Grant last, int round) {
+        return round >= last.round;
     }
 
-    /** All that it knows, for who compares. */
-    String key(double now) {
-        StringBuilder key = new StringBuilder(now < speaksFrom ? speaksFrom - now + " " : "");
-        promises.forEach(
-                (share, p) ->
-                        key.append(
-                                now < p.until
-                                        ? share
-                                                + p.holder.name()
-                                                + p.life
-                                                + "/"
-                                                + p.number
-                                                + "/"
-                                                + (p.until - now)
-                                        : ""));
+    /** The whole state relative to now as a text, by which the model check compares states. */
+    String stateKey(double now) {
+        StringBuilder key = new StringBuilder(now < silentUntil ? silentUntil - now + " " : "");
+        for (Map.Entry<Integer, Grant> entry : grants.entrySet()) {
+            Grant grant = entry.getValue();
+            if (now < grant.expiresAt) {
+                key.append(entry.getKey()).append(grant.holder.name()).append(grant.incarnation);
+                key.append('/').append(grant.round).append('/').append(grant.expiresAt - now);
+            }
+        }
         return key.toString();
     }
 
-    /** For who goes on from here in several ways. */
+    /** Copies the state to a new voter; the model check goes on from one state in several ways. */
     void copyTo(LeaseVoter other) {
-        other.promises.putAll(promises);
-        other.speaksFrom = speaksFrom;
+        other.grants.putAll(grants);
+        other.silentUntil = silentUntil;
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/MalformedMessageException.java
+++ b/daemon/src/main/java/wheelroute/peers/MalformedMessageException.java
@@ -1,11 +1,11 @@
 package wheelroute.peers;
 
-/** Bytes that are no datagram of ours. */
+/** The bytes of a datagram are no valid message; the text says which field is wrong. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    MalformedMessageException(String why) {
-        // A flood of them must not cost a stack trace each.
-        super(why, null, false, false);
+    MalformedMessageException(String reason) {
+        // Without a stack trace: anybody may send any number of invalid datagrams.
+        super(reason, null, false, false);
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/MessageCodec.java
+++ b/daemon/src/main/java/wheelroute/peers/MessageCodec.java
@@ -7,14 +7,14 @@
 import java.util.zip.CRC32;
 
 /**
- * The wire form of messages: datagrams of at most {@link #MOST_BYTES} bytes. A datagram consists of
- * a magic number with a version, the type code, cluster, sequence number, digest and sender, the
- * fields of the type, the membership updates with their number in front, and a CRC-32 of all that.
- * Integers are big-endian. Anything else is rejected.
+ * The wire form of messages: datagrams of at most {@link #MAX_DATAGRAM_BYTES} bytes. A datagram
+ * consists of a magic number with a version, the type code, cluster, sequence number, digest and
+ * sender, the fields of the type, the membership updates with their number in front, and a CRC-32
+ * of all that. Integers are big-endian. Anything else is rejected.
  */
 public final class MessageCodec {
     /** Upper bound of a datagram's size in bytes, given by the platform. */
-    public static final int MOST_BYTES = 256;
+    public static final int MAX_DATAGRAM_BYTES = 256;
 
     private static final int MAGIC = 0x77720000;
     private static final int VERSION = 1;
@@ -28,7 +28,7 @@
      */
     public static ByteBuffer encode(Message message) {
         MessageHeader header = message.header();
-        ByteBuffer out = ByteBuffer.allocate(MOST_BYTES);
+        ByteBuffer out = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
         out.putInt(MAGIC | VERSION);
         out.put((byte) message.type().code());
         out.putInt(header.cluster());
@@ -81,7 +81,7 @@
      * @param withoutUpdates the message, with no updates in its header
      */
     public static int fitting(Message withoutUpdates, List<MemberUpdate> updates) {
-        int remaining = MOST_BYTES - encode(withoutUpdates).remaining();
+        int remaining = MAX_DATAGRAM_BYTES - encode(withoutUpdates).remaining();
         int count = 0;
         for (MemberUpdate update : updates) {
             remaining -= MemberUpdateCodec.size(update);
@@ -106,7 +106,7 @@
      *     thrown, whatever they are
      */
     public static Message decode(ByteBuffer in) throws MalformedMessageException {
-        if (in.remaining() > MOST_BYTES || in.remaining() <= CHECKSUM_BYTES) {
+        if (in.remaining() > MAX_DATAGRAM_BYTES || in.remaining() <= CHECKSUM_BYTES) {
             throw new MalformedMessageException("invalid size of " + in.remaining() + " bytes");
         }
         byte[] bytes = new byte[in.remaining()];
--- a/daemon/src/main/java/wheelroute/peers/PeerId.java
+++ b/daemon/src/main/java/wheelroute/peers/PeerId.java
@@ -3,13 +3,13 @@
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
 
-/** A dispatcher's name, the same after a restart. */
+/** A dispatcher's name, unique in its cluster and the same after a restart. Ordered by name. */
 public record PeerId(String name) implements Comparable<PeerId> {
-    /** In a datagram it takes so much at most, and there must be room for others. */
+    /** Longest name in bytes, so that a datagram holds several. */
     public static final int MOST_BYTES = 40;
 
-    /** Short, for who only has to be told apart from a few others. */
-    int mark() {
+    /** A hash that tells a few members from each other; part of the wire format. */
+    int shortHash() {
         CRC32 crc = new CRC32();
         crc.update(name.getBytes(StandardCharsets.UTF_8));
         return (int) crc.getValue();
@@ -20,6 +20,7 @@
         return name.compareTo(other.name);
     }
 
+    /** The bare name. */
     @Override
     public String toString() {
         return name;
--- a/daemon/src/main/java/wheelroute/peers/QuotaLeases.java
+++ b/daemon/src/main/java/wheelroute/peers/QuotaLeases.java
@@ -6,10 +6,11 @@
 import java.util.Map;
 
 /**
- * What this dispatcher may use of what all share, in parts of the whole. Each has a floor of its
- * own that is never anybody else's; the rest of each one's part is held by lease: by itself, or,
- * while it is not there, by the next one that is. A lease rests on the words of most of five,
- * always the same ones for a share, so that no two can hold it, whoever believes whom to be there.
+ * How much this dispatcher may use of the quota that all dispatchers share. The quota is divided
+ * into one share for each dispatcher. Part of a share is guaranteed to its owner and never anybody
+ * else's; the rest is held by lease, by the owner or, while that is not alive, by the next
+ * dispatcher that is. A lease needs a majority of the share's voters, which are always the same
+ * dispatchers. So no two hold it at once, even if they disagree on who is alive.
  */
 public final class QuotaLeases {
     /** Sends lease messages to other dispatchers, and to this one itself. */
@@ -21,144 +22,172 @@
         void sendRelease(int dispatcher, int sequenceNumber, LeaseTerms terms);
     }
 
-    /** Who is believed to be there: it decides who asks, never who gets. */
+    /**
+     * Which dispatchers are believed to be alive. It decides who requests a lease; who gets it is
+     * decided by the voters alone.
+     */
     public interface LivenessView {
-        boolean isThere(int dispatcher);
+        /** Whether the dispatcher of this number is believed to be alive. */
+        boolean isAlive(int dispatcher);
     }
 
-    /** Of each one's part so much is its own for good: cut off from all, it may still use this. */
-    public static final double FLOOR = 0.5;
+    /** Part of a share that is its owner's without a lease, even if it is cut off from all. */
+    public static final double GUARANTEED_PART = 0.5;
 
-    /** Those whose words a share rests on. */
-    static final int COMMITTEE = 5;
+    /** Number of voters on a share; fewer if there are not as many dispatchers. */
+    static final int VOTERS = 5;
 
-    /** With fewer dispatchers than this one that is lost would take the others' shares with it. */
-    private static final int FEWEST = 3;
+    /** With fewer dispatchers no leases are used: losing one would cost the others their shares. */
+    private static final int MIN_DISPATCHERS = 3;
 
-    /** A lease is asked for anew so often: three rounds may be lost before it runs out. */
-    private static final double ROUND = Lease.USED / 4;
+    /** Seconds between renewals: three rounds may be lost before a lease expires. */
+    private static final double RENEWAL_INTERVAL = Lease.DURATION / 4;
 
     private final int own;
     private final int dispatchers;
-    private final long life;
-    private final LivenessView belief;
-    private final Transport outside;
+    private final long incarnation;
+    private final LivenessView liveness;
+    private final Transport transport;
     private final Map<Integer, Lease> leases = new HashMap<>();
-    private double nextRound = Double.NEGATIVE_INFINITY;
-    private int lastNumber;
+    private double nextRenewalAt = Double.NEGATIVE_INFINITY;
+    private int lastSequenceNumber;
 
     /**
-     * Of so many dispatchers, numbered from 0, all of which have the same numbers.
+     * Creates the view of one dispatcher, which holds no lease yet.
      *
-     * @param life of this process: another start is another holder
+     * @param own this dispatcher's number
+     * @param dispatchers number of dispatchers; they are numbered from 0, the same way everywhere
+     * @param incarnation start of this process; another start is another holder
      */
     public QuotaLeases(
-            int own, int dispatchers, long life, LivenessView belief, Transport outside) {
+            int own,
+            int dispatchers,
+            long incarnation,
+            LivenessView liveness,
+            Transport transport) {
         this.own = own;
         this.dispatchers = dispatchers;
-        this.life = life;
-        this.belief = belief;
-        this.outside = outside;
+        this.incarnation = incarnation;
+        this.liveness = liveness;
+        this.transport = transport;
     }
 
-    /** Whose words a share rests on: the dispatchers that follow its own. */
-    static List<Integer> committee(int share, int dispatchers) {
-        List<Integer> members = new ArrayList<>();
-        for (int i = 1; i <= Math.min(COMMITTEE, dispatchers); i++) {
-            members.add((share + i) % dispatchers);
+    /** Numbers of the dispatchers that vote on a share: those that follow its owner. */
+    static List<Integer> voters(int share, int dispatchers) {
+        List<Integer> voters = new ArrayList<>();
+        for (int i = 1; i <= Math.min(VOTERS, dispatchers); i++) {
+            voters.add((share + i) % dispatchers);
         }
-        return members;
+        return voters;
     }
 
-    private boolean isDivided() {
-        return dispatchers >= FEWEST;
+    private boolean usesLeases() {
+        return dispatchers >= MIN_DISPATCHERS;
     }
 
-    /** Asks for what should be held from here on; when to come again. */
-    public double woken(double now) {
-        if (!isDivided()) {
+    /**
+     * Requests, renews and releases leases as membership has it now, if that is due.
+     *
+     * @return seconds until the next call; positive infinity for never
+     */
+    public double renew(double now) {
+        if (!usesLeases()) {
             return Double.POSITIVE_INFINITY;
         }
-        if (now >= nextRound) {
-            nextRound = now + ROUND;
-            boolean[] there = new boolean[dispatchers];
-            for (int i = 0; i < dispatchers; i++) {
-                there[i] = belief.isThere(i);
-            }
-            for (int share = 0; share < dispatchers; share++) {
-                if (isOurs(share, there)) {
-                    ask(now, share);
-                } else {
-                    giveBack(share);
-                }
+        if (now >= nextRenewalAt) {
+            nextRenewalAt = now + RENEWAL_INTERVAL;
+            renewAll(now);
+        }
+        return nextRenewalAt - now;
+    }
+
+    private void renewAll(double now) {
+        boolean[] alive = new boolean[dispatchers];
+        for (int i = 0; i < dispatchers; i++) {
+            alive[i] = liveness.isAlive(i);
+        }
+        for (int share = 0; share < dispatchers; share++) {
+            if (isResponsible(share, alive)) {
+                request(now, share);
+            } else {
+                release(share);
             }
         }
-        return nextRound - now;
     }
 
-    /** Our own, and those of all between us and the next before us that is there. */
-    private boolean isOurs(int share, boolean[] there) {
+    /** Whether nobody is alive from the share's owner up to this dispatcher, itself excluded. */
+    private boolean isResponsible(int share, boolean[] alive) {
         for (int at = share; at != own; at = (at + 1) % dispatchers) {
-            if (there[at]) {
+            if (alive[at]) {
                 return false;
             }
         }
         return true;
     }
 
-    private void ask(double now, int share) {
-        List<Integer> committee = committee(share, dispatchers);
-        Lease lease = leases.computeIfAbsent(share, s -> new Lease(committee.size() / 2 + 1));
-        int number = ++lastNumber;
-        lease.asks(now, number);
-        committee.forEach(
-                member -> outside.sendRequest(member, number, new LeaseTerms(share, life)));
+    private void request(double now, int share) {
+        List<Integer> voters = voters(share, dispatchers);
+        Lease lease = leases.computeIfAbsent(share, s -> new Lease(voters.size() / 2 + 1));
+        int round = ++lastSequenceNumber;
+        lease.beginRound(now, round);
+        for (int voter : voters) {
+            transport.sendRequest(voter, round, new LeaseTerms(share, incarnation));
+        }
     }
 
-    private void giveBack(int share) {
+    private void release(int share) {
         Lease lease = leases.remove(share);
-        if (lease != null) {
-            lease.stops();
-            int number = ++lastNumber;
-            committee(share, dispatchers)
-                    .forEach(
-                            member ->
-                                    outside.sendRelease(
-                                            member, number, new LeaseTerms(share, life)));
+        if (lease == null) {
+            return;
+        }
+        lease.release();
+        int sequenceNumber = ++lastSequenceNumber;
+        for (int voter : voters(share, dispatchers)) {
+            transport.sendRelease(voter, sequenceNumber, new LeaseTerms(share, incarnation));
         }
     }
 
-    /** One of those asked has given its word. */
-    public void granted(double now, int number, LeaseTerms lease, PeerId by) {
-        Lease of = leases.get(lease.share());
-        if (of != null && lease.incarnation() == life) {
-            of.granted(now, number, by);
+    /** A voter's grant has arrived. */
+    public void onGrant(double now, int sequenceNumber, LeaseTerms terms, PeerId voter) {
+        Lease lease = leases.get(terms.share());
+        if (lease != null && terms.incarnation() == incarnation) {
+            lease.onGrant(now, sequenceNumber, voter);
         }
     }
 
-    /** All is given back, as this process goes; it uses nothing more. */
-    public void leave() {
-        new ArrayList<>(leases.keySet()).forEach(this::giveBack);
+    /** Releases all leases, as this process stops using the quota. */
+    public void releaseAll() {
+        for (int share : new ArrayList<>(leases.keySet())) {
+            release(share);
+        }
     }
 
-    /** How much of this one's part may be used at this moment: 0 to 1. */
-    public double of(int share, double now) {
-        double floor = share != own ? 0 : isDivided() ? FLOOR : 1;
+    /** Usable part of one share at this moment, from 0 to 1. */
+    public double usablePart(int share, double now) {
+        double guaranteed = guaranteedPart(share);
         Lease lease = leases.get(share);
-        return floor + (isDivided() && lease != null && lease.isHeld(now) ? 1 - FLOOR : 0);
+        boolean leased = usesLeases() && lease != null && lease.isHeld(now);
+        return guaranteed + (leased ? 1 - GUARANTEED_PART : 0);
+    }
+
+    private double guaranteedPart(int share) {
+        if (share != own) {
+            return 0;
+        }
+        return usesLeases() ? GUARANTEED_PART : 1;
     }
 
-    /** All that may be used at this moment, in parts of the whole. */
-    public double whole(double now) {
-        double sum = of(own, now);
+    /** Usable part of the whole quota at this moment, from 0 to 1. */
+    public double usableTotal(double now) {
+        double sum = usablePart(own, now);
         for (int share : leases.keySet()) {
-            sum += share == own ? 0 : of(share, now);
+            sum += share == own ? 0 : usablePart(share, now);
         }
         return sum / dispatchers;
     }
 
-    /** The numbers of those held by lease at this moment. */
-    public List<Integer> held(double now) {
+    /** Numbers of the shares held by lease at this moment, in order. */
+    public List<Integer> heldShares(double now) {
         return leases.keySet().stream()
                 .filter(share -> leases.get(share).isHeld(now))
                 .sorted()
--- a/daemon/src/test/java/wheelroute/peers/LeaseModelCheckTest.java
+++ b/daemon/src/test/java/wheelroute/peers/LeaseModelCheckTest.java
@@ -7,6 +7,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -17,129 +18,147 @@
 import org.testng.annotations.Test;
 
 /**
- * Three dispatchers and one share that two of them want, with the program's own leases and votes:
- * every order of asking, hearing, passing time, standing still, giving back and starting anew, to a
- * stated depth, datagrams coming late, again or never. At no moment do two use the share; and with
- * any one guard taken out, they do.
+ * Model check of {@link Lease} and {@link LeaseVoter}, with three dispatchers and one share that
+ * two of them want: every order of requests, deliveries, releases, pauses, restarts and passing
+ * time to a stated depth, and random walks beyond it. Datagrams are delayed, duplicated and lost.
+ * At no moment do two hold the share; with any one safeguard taken out, they do.
  */
 public class LeaseModelCheckTest {
     private static final int MEMBERS = 3;
     private static final int HOLDERS = 2;
 
-    /** In steps of the model: long enough beside the passes of time below. */
-    private static final double USED = 10;
+    /** A lease's duration, in the unit of {@link #TIME_STEPS}. */
+    private static final double DURATION = 10;
 
-    /** Clocks in the model run apart by this, so that it shows within one lease. */
-    private static final double RATES = 0.1;
+    /** Drift of the clocks in the model: large, so that it shows within one lease. */
+    private static final double DRIFT = 0.1;
 
-    private static final double PROMISED = USED * (1 + RATES) / (1 - RATES);
-    private static final double[] PASSES = {1, 9.5, 12.5};
+    private static final double GRANT_DURATION = DURATION * (1 + DRIFT) / (1 - DRIFT);
+    private static final double[] TIME_STEPS = {1, 9.5, 12.5};
     private static final PeerId[] NAMES = {new PeerId("a"), new PeerId("b"), new PeerId("c")};
 
-    /**
-     * The second holder is another process under the first one's name, started while that stood
-     * still.
-     */
-    private static final PeerId[] TWINS = {NAMES[0], NAMES[0], NAMES[2]};
+    /** The second holder is a later process of the first one's name, which was only paused. */
+    private static final PeerId[] TWO_INCARNATIONS = {NAMES[0], NAMES[0], NAMES[2]};
 
-    private enum Guard {
+    /** What the protocol's safety rests on; NONE takes nothing out. */
+    private enum Safeguard {
         NONE,
-        COUNTS_FROM_ASKING,
-        KEEPS_ITS_WORD,
-        SILENT_AFTER_START,
-        MARGIN_FOR_RATES,
-        MOST_OF_THEM,
-        LOOKS_AT_USE,
-        LIFE,
-        LATEST_BACK
+        TERM_STARTS_AT_REQUEST,
+        ONE_HOLDER_AT_A_TIME,
+        SILENCE_AFTER_START,
+        MARGIN_FOR_DRIFT,
+        MAJORITY,
+        CHECK_AT_USE,
+        INCARNATION,
+        LATEST_RELEASE
     }
 
-    /** A datagram on its way, or come: it may come again at any time. */
-    private record Sent(String kind, int from, int to, long life, int number, String text)
-            implements Comparable<Sent> {
-        Sent(String kind, int from, int to, long life, int number) {
-            this(kind, from, to, life, number, kind + from + to + "-" + life + "-" + number);
+    /** Types of datagrams, in the order in which their deliveries are listed as steps. */
+    private enum DatagramType {
+        REQUEST,
+        RELEASE,
+        GRANT
+    }
+
+    /** A datagram that was sent; it may arrive at any time, never, or more than once. */
+    private record LeaseDatagram(
+            DatagramType type, int from, int to, long incarnation, int round, String text)
+            implements Comparable<LeaseDatagram> {
+        private static final Comparator<LeaseDatagram> ORDER =
+                Comparator.comparing(LeaseDatagram::type).thenComparing(LeaseDatagram::text);
+
+        LeaseDatagram(DatagramType type, int from, int to, long incarnation, int round) {
+            this(
+                    type,
+                    from,
+                    to,
+                    incarnation,
+                    round,
+                    type + " " + from + to + "-" + incarnation + "-" + round);
         }
 
         @Override
-        public int compareTo(Sent other) {
-            return text.compareTo(other.text);
+        public int compareTo(LeaseDatagram other) {
+            return ORDER.compare(this, other);
         }
     }
 
-    /** All three at one moment, and how it came to that. */
+    /** The state of all three dispatchers and the network, and the steps that led to it. */
     private static final class State {
-        final Guard without;
+        final Safeguard without;
         final double[] rates;
         final PeerId[] names;
         double time;
-        final LeaseVoter[] votes = new LeaseVoter[MEMBERS];
+        final LeaseVoter[] voters = new LeaseVoter[MEMBERS];
         final Lease[] leases = new Lease[HOLDERS];
-        final long[] lives = new long[MEMBERS];
-        final int[] numbers = new int[HOLDERS];
-        final boolean[] still = new boolean[HOLDERS];
+        final long[] incarnations = new long[MEMBERS];
+        final int[] rounds = new int[HOLDERS];
+        final boolean[] paused = new boolean[HOLDERS];
 
-        /** Only without the look at use: it uses the share until something happens to it. */
-        final boolean[] believes = new boolean[HOLDERS];
+        /** What a holder goes by if it does not check the time at each use. */
+        final boolean[] believesHeld = new boolean[HOLDERS];
 
-        final Set<Sent> sent = new TreeSet<>();
-        final List<String> story = new ArrayList<>();
+        final Set<LeaseDatagram> messages = new TreeSet<>();
+        final List<String> history = new ArrayList<>();
 
-        State(Guard without, double[] rates, PeerId[] names) {
+        State(Safeguard without, double[] rates, PeerId[] names) {
             this.without = without;
             this.rates = rates;
             this.names = names;
             for (int i = 0; i < MEMBERS; i++) {
-                // It has been up for long.
-                votes[i] = votes(-100 * USED);
-                lives[i] = names == TWINS && i == 1 ? 9 : 1;
+                // All have been running for long.
+                voters[i] = newVoter(-100 * DURATION);
+                incarnations[i] = names == TWO_INCARNATIONS && i == 1 ? 9 : 1;
             }
             for (int i = 0; i < HOLDERS; i++) {
-                leases[i] = lease();
+                leases[i] = newLease();
             }
         }
 
-        State(State of) {
-            this(of.without, of.rates, of.names);
-            time = of.time;
+        State(State other) {
+            this(other.without, other.rates, other.names);
+            time = other.time;
             for (int i = 0; i < MEMBERS; i++) {
-                lives[i] = of.lives[i];
-                votes[i] = of.votes[i];
+                incarnations[i] = other.incarnations[i];
+                voters[i] = other.voters[i];
             }
             for (int i = 0; i < HOLDERS; i++) {
-                of.leases[i].copyTo(leases[i]);
-                numbers[i] = of.numbers[i];
-                still[i] = of.still[i];
-                believes[i] = of.believes[i];
+                other.leases[i].copyTo(leases[i]);
+                rounds[i] = other.rounds[i];
+                paused[i] = other.paused[i];
+                believesHeld[i] = other.believesHeld[i];
             }
-            sent.addAll(of.sent);
-            story.addAll(of.story);
+            messages.addAll(other.messages);
+            history.addAll(other.history);
         }
 
-        private LeaseVoter votes(double now) {
-            double promised = without == Guard.MARGIN_FOR_RATES ? USED : PROMISED;
-            double silent = without == Guard.SILENT_AFTER_START ? 0 : promised;
-            return new LeaseVoter(now, promised, silent) {
+        private LeaseVoter newVoter(double now) {
+            double grantDuration =
+                    without == Safeguard.MARGIN_FOR_DRIFT ? DURATION : GRANT_DURATION;
+            double initialSilence = without == Safeguard.SILENCE_AFTER_START ? 0 : grantDuration;
+            return new LeaseVoter(now, grantDuration, initialSilence) {
                 @Override
-                boolean isSame(Promise last, PeerId holder, long life) {
-                    return without == Guard.KEEPS_ITS_WORD
-                            || (without == Guard.LIFE
+                boolean isSameHolder(Grant last, PeerId holder, long incarnation) {
+                    return without == Safeguard.ONE_HOLDER_AT_A_TIME
+                            || (without == Safeguard.INCARNATION
                                     ? last.holder().equals(holder)
-                                    : super.isSame(last, holder, life));
+                                    : super.isSameHolder(last, holder, incarnation));
                 }
 
                 @Override
-                boolean isLatest(Promise last, int number) {
-                    return without == Guard.LATEST_BACK || super.isLatest(last, number);
+                boolean isLatestRound(Grant last, int round) {
+                    return without == Safeguard.LATEST_RELEASE || super.isLatestRound(last, round);
                 }
             };
         }
 
-        private Lease lease() {
-            return new Lease(without == Guard.MOST_OF_THEM ? 1 : 2, USED) {
+        private Lease newLease() {
+            return new Lease(without == Safeguard.MAJORITY ? 1 : 2, DURATION) {
                 @Override
-                double countsFrom(double now) {
-                    return without == Guard.COUNTS_FROM_ASKING ? now : super.countsFrom(now);
+                double startOfTerm(double now) {
+                    return without == Safeguard.TERM_STARTS_AT_REQUEST
+                            ? now
+                            : super.startOfTerm(now);
                 }
             };
         }
@@ -149,157 +168,165 @@
         }
 
         boolean uses(int holder) {
-            return !still[holder]
-                    && (without == Guard.LOOKS_AT_USE
-                            ? believes[holder]
+            return !paused[holder]
+                    && (without == Safeguard.CHECK_AT_USE
+                            ? believesHeld[holder]
                             : leases[holder].isHeld(clock(holder)));
         }
 
         String key() {
             StringBuilder key = new StringBuilder();
             for (int i = 0; i < MEMBERS; i++) {
-                key.append(lives[i]).append(votes[i].key(clock(i))).append(';');
+                key.append(incarnations[i]).append(voters[i].stateKey(clock(i))).append(';');
             }
             for (int i = 0; i < HOLDERS; i++) {
-                key.append(leases[i].key(clock(i)))
-                        .append(still[i])
-                        .append(believes[i])
+                key.append(leases[i].stateKey(clock(i)))
+                        .append(paused[i])
+                        .append(believesHeld[i])
                         .append(';');
             }
-            sent.forEach(one -> key.append(one.text).append(','));
+            messages.forEach(message -> key.append(message.text).append(','));
             return key.toString();
         }
 
-        /** Votes are copied where they change: most steps leave them as they are. */
-        private LeaseVoter own(int member) {
-            LeaseVoter copy = votes(-100 * USED);
-            votes[member].copyTo(copy);
-            votes[member] = copy;
+        /** Voters are copied on write, as most steps leave them as they are. */
+        private LeaseVoter voterToChange(int member) {
+            LeaseVoter copy = newVoter(-100 * DURATION);
+            voters[member].copyTo(copy);
+            voters[member] = copy;
             return copy;
         }
 
-        private void step(List<Step> all, String what, Consumer<State> does) {
-            all.add(new Step(what, does));
+        private void step(List<Step> all, String name, Consumer<State> action) {
+            all.add(new Step(name, action));
         }
 
-        /** All that can happen next. */
+        /** All steps that are possible next. */
         List<Step> steps() {
             List<Step> all = new ArrayList<>();
             for (int i = 0; i < HOLDERS; i++) {
-                int h = i;
-                if (!still[h]) {
-                    step(all, "asks " + NAMES[h], s -> s.asks(h));
-                    if (leases[h].isHeld(clock(h))) {
-                        step(all, "gives back " + NAMES[h], s -> s.givesBack(h));
+                int holder = i;
+                if (!paused[holder]) {
+                    step(all, "request by " + NAMES[holder], state -> state.request(holder));
+                    if (leases[holder].isHeld(clock(holder))) {
+                        step(all, "release by " + NAMES[holder], state -> state.release(holder));
                     }
                 }
-                if (uses(h) || still[h]) {
+                if (uses(holder) || paused[holder]) {
                     step(
                             all,
-                            (still[h] ? "goes on " : "stands still ") + NAMES[h],
-                            s -> s.still[h] = !s.still[h]);
+                            (paused[holder] ? "resume " : "pause ") + NAMES[holder],
+                            state -> state.paused[holder] = !state.paused[holder]);
                 }
             }
-            for (Sent one : sent) {
-                if (one.to >= HOLDERS || !still[one.to]) {
-                    step(all, "hears " + one.text, s -> s.hears(one));
+            for (LeaseDatagram message : messages) {
+                if (message.to >= HOLDERS || !paused[message.to]) {
+                    step(all, "receive " + message.text, state -> state.receive(message));
                 }
             }
-            for (double pass : PASSES) {
-                step(all, "passes " + pass, s -> s.passes(pass));
+            for (double timeStep : TIME_STEPS) {
+                step(all, "advance " + timeStep, state -> state.advance(timeStep));
             }
             for (int i = 0; i < MEMBERS; i++) {
-                int m = i;
-                if (lives[m] == 1 && (m >= HOLDERS || !still[m])) {
-                    step(all, "starts anew " + NAMES[m], s -> s.startsAnew(m));
+                int member = i;
+                if (incarnations[member] == 1 && (member >= HOLDERS || !paused[member])) {
+                    step(all, "restart " + NAMES[member], state -> state.restart(member));
                 }
             }
             return all;
         }
 
-        private void passes(double pass) {
-            time += pass;
-            for (int h = 0; h < HOLDERS; h++) {
-                // A timer of its own ends its belief, unless it stands still.
-                believes[h] &= still[h] || leases[h].isHeld(clock(h));
+        private void advance(double timeStep) {
+            time += timeStep;
+            for (int holder = 0; holder < HOLDERS; holder++) {
+                // A timer of its own ends its belief, unless the process is paused.
+                believesHeld[holder] &= paused[holder] || leases[holder].isHeld(clock(holder));
             }
         }
 
-        /** Its own word it gives itself, without a datagram. */
-        private void asks(int h) {
-            int number = ++numbers[h];
-            leases[h].asks(clock(h), number);
-            for (int m = 0; m < MEMBERS; m++) {
-                Sent ask = new Sent("ask", h, m, lives[h], number);
-                if (m == h) {
-                    hears(ask);
-                } else {
-                    sent.add(ask);
-                }
+        /** Sends a round of requests; its own vote is taken at once. */
+        private void request(int holder) {
+            int round = ++rounds[holder];
+            leases[holder].beginRound(clock(holder), round);
+            for (int member = 0; member < MEMBERS; member++) {
+                send(DatagramType.REQUEST, holder, member, incarnations[holder], round);
+            }
+        }
+
+        private void release(int holder) {
+            leases[holder].release();
+            believesHeld[holder] = false;
+            int round = ++rounds[holder];
+            for (int member = 0; member < MEMBERS; member++) {
+                messages.add(
+                        new LeaseDatagram(
+                                DatagramType.RELEASE, holder, member, incarnations[holder], round));
             }
         }
 
-        private void givesBack(int h) {
-            leases[h].stops();
-            believes[h] = false;
-            int number = ++numbers[h];
-            for (int m = 0; m < MEMBERS; m++) {
-                sent.add(new Sent("back", h, m, lives[h], number));
+        private void restart(int member) {
+            incarnations[member]++;
+            voters[member] = newVoter(clock(member));
+            if (member < HOLDERS) {
+                leases[member] = newLease();
+                believesHeld[member] = false;
             }
         }
 
-        private void startsAnew(int m) {
-            lives[m]++;
-            votes[m] = votes(clock(m));
-            if (m < HOLDERS) {
-                leases[m] = lease();
-                believes[m] = false;
+        /** Sends a datagram; one to the sender itself is received at once. */
+        private void send(DatagramType type, int from, int to, long incarnation, int round) {
+            LeaseDatagram message = new LeaseDatagram(type, from, to, incarnation, round);
+            if (from == to) {
+                receive(message);
+            } else {
+                messages.add(message);
             }
         }
 
-        private void hears(Sent one) {
-            switch (one.kind) {
-                case "ask" -> {
-                    if (own(one.to).ask(clock(one.to), 0, names[one.from], one.life, one.number)) {
-                        Sent word = new Sent("word", one.to, one.from, one.life, one.number);
-                        if (one.to == one.from) {
-                            hears(word);
-                        } else {
-                            sent.add(word);
-                        }
+        private void receive(LeaseDatagram message) {
+            int receiver = message.to;
+            PeerId sender = names[message.from];
+            long incarnation = message.incarnation;
+            int round = message.round;
+            double now = clock(receiver);
+            switch (message.type) {
+                case REQUEST -> {
+                    if (voterToChange(receiver).requestVote(now, 0, sender, incarnation, round)) {
+                        send(DatagramType.GRANT, receiver, message.from, incarnation, round);
                     }
                 }
-                case "back" -> own(one.to).back(0, names[one.from], one.life, one.number);
-                default -> {
-                    if (one.life == lives[one.to]) {
-                        leases[one.to].granted(clock(one.to), one.number, names[one.from]);
-                        believes[one.to] |= leases[one.to].isHeld(clock(one.to));
+                case RELEASE -> voterToChange(receiver).release(0, sender, incarnation, round);
+                case GRANT -> {
+                    if (incarnation == incarnations[receiver]) {
+                        leases[receiver].onGrant(now, round, sender);
+                        believesHeld[receiver] |= leases[receiver].isHeld(now);
                     }
                 }
             }
         }
     }
 
-    /** Something that can happen to a state. */
-    private record Step(String what, Consumer<State> does) {}
+    /** A transition to the next state; it changes the state that it is given. */
+    private record Step(String name, Consumer<State> action) {}
 
+    /** Number of states that the last exhaustive search has seen. */
     private int states;
 
-    /** The story of the first state in which two use the share; null if there is none that deep. */
-    private List<String> broken(double[] rates, PeerId[] names) {
+    /** Searches all states up to a depth; the steps to one with two holders, or null for none. */
+    private List<String> findViolation(double[] rates, PeerId[] names) {
         Set<String> seen = new HashSet<>();
         ArrayDeque<State> open = new ArrayDeque<>();
-        open.add(new State(Guard.NONE, rates, names));
+        open.add(new State(Safeguard.NONE, rates, names));
         while (!open.isEmpty()) {
             State state = open.poll();
             if (state.uses(0) && state.uses(1)) {
-                return state.story;
+                return state.history;
             }
-            if (state.story.size() < DEPTH) {
+            if (state.history.size() < DEPTH) {
                 for (Step step : state.steps()) {
                     State next = new State(state);
-                    step.does.accept(next);
-                    next.story.add(step.what);
+                    step.action.accept(next);
+                    next.history.add(step.name);
                     if (seen.add(next.key())) {
                         open.add(next);
                     }
@@ -310,72 +337,75 @@
         return null;
     }
 
-    /** Goes one way at each state, by chance: far deeper, in a part of all ways. */
-    private static List<String> brokenAtLast(
-            Guard without, double[] rates, PeerId[] names, int walks) {
+    /** Walks at random, deeper than an exhaustive search; the steps to two holders, or null. */
+    private static List<String> findViolationByRandomWalks(
+            Safeguard without, double[] rates, PeerId[] names, int walks) {
         for (int seed = 0; seed < walks; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
             State state = new State(without, rates, names);
-            while (state.story.size() < WALK) {
+            while (state.history.size() < WALK_LENGTH) {
                 List<Step> steps = state.steps();
-                // Mostly something is heard, and mostly something new: else long stories never come
-                // about.
-                List<Step> heard =
-                        steps.stream().filter(one -> one.what.startsWith("hears")).toList();
-                List<Step> open = heard.isEmpty() || random.nextInt(3) == 0 ? steps : heard;
-                Step step = open.get(random.nextInt(open.size()));
-                step.does.accept(state);
-                state.story.add(step.what);
+                // Mostly deliveries: else a walk hardly ever gets to a lease that is held.
+                List<Step> deliveries =
+                        steps.stream().filter(one -> one.name.startsWith("receive")).toList();
+                boolean any = deliveries.isEmpty() || random.nextInt(3) == 0;
+                List<Step> choice = any ? steps : deliveries;
+                Step step = choice.get(random.nextInt(choice.size()));
+                step.action.accept(state);
+                state.history.add(step.name);
                 if (state.uses(0) && state.uses(1)) {
-                    return state.story;
+                    return state.history;
                 }
             }
         }
         return null;
     }
 
-    private static final double SLOW = 1 - RATES;
-    private static final double FAST = 1 + RATES;
+    private static final double SLOW = 1 - DRIFT;
+    private static final double FAST = 1 + DRIFT;
 
-    /** Every way to this depth is gone: some hundred thousand states for each set of clocks. */
+    /** Depth of the exhaustive search: some hundred thousand states for each set of clocks. */
     private static final int DEPTH = 6;
 
-    private static final int WALK = 30;
+    private static final int WALK_LENGTH = 30;
     private static final int WALKS = 250_000;
 
     @DataProvider
     public Object[][] clocks() {
         return new Object[][] {
-            {new double[] {1, 1, 1}, NAMES}, {new double[] {SLOW, FAST, FAST}, NAMES},
-            {new double[] {FAST, SLOW, SLOW}, NAMES}, {new double[] {SLOW, FAST, 1}, NAMES},
-            {new double[] {SLOW, SLOW, FAST}, TWINS}, {new double[] {FAST, SLOW, FAST}, TWINS},
+            {new double[] {1, 1, 1}, NAMES},
+            {new double[] {SLOW, FAST, FAST}, NAMES},
+            {new double[] {FAST, SLOW, SLOW}, NAMES},
+            {new double[] {SLOW, FAST, 1}, NAMES},
+            {new double[] {SLOW, SLOW, FAST}, TWO_INCARNATIONS},
+            {new double[] {FAST, SLOW, FAST}, TWO_INCARNATIONS},
         };
     }
 
     @Test(dataProvider = "clocks")
-    public void noTwoUseItAtOnce(double[] rates, PeerId[] names) {
-        List<String> story = broken(rates, names);
-        assertNull(story, String.valueOf(story));
+    public void shareHasOneHolderAtATime(double[] rates, PeerId[] names) {
+        List<String> history = findViolation(rates, names);
+        assertNull(history, String.valueOf(history));
         assertTrue(states > 5_000, states + " states were seen");
-        List<String> deep = brokenAtLast(Guard.NONE, rates, names, WALKS / 10);
+        List<String> deep = findViolationByRandomWalks(Safeguard.NONE, rates, names, WALKS / 10);
         assertNull(deep, String.valueOf(deep));
     }
 
     @DataProvider
-    public Object[][] guards() {
-        return Arrays.stream(Guard.values())
-                .filter(g -> g != Guard.NONE)
-                .map(g -> new Object[] {g})
+    public Object[][] safeguards() {
+        return Arrays.stream(Safeguard.values())
+                .filter(safeguard -> safeguard != Safeguard.NONE)
+                .map(safeguard -> new Object[] {safeguard})
                 .toArray(Object[][]::new);
     }
 
-    @Test(dataProvider = "guards")
-    public void withoutOneGuardTwoUseItAtOnce(Guard guard) {
+    @Test(dataProvider = "safeguards")
+    public void withoutOneSafeguardTwoHoldTheShare(Safeguard safeguard) {
         assertNotNull(
-                brokenAtLast(
-                        guard,
+                findViolationByRandomWalks(
+                        safeguard,
                         new double[] {SLOW, FAST, FAST},
-                        guard == Guard.LIFE ? TWINS : NAMES,
+                        safeguard == Safeguard.INCARNATION ? TWO_INCARNATIONS : NAMES,
                         WALKS),
                 "not found");
     }
--- a/daemon/src/test/java/wheelroute/peers/MessageCodecTest.java
+++ b/daemon/src/test/java/wheelroute/peers/MessageCodecTest.java
@@ -73,7 +73,8 @@
                         (type, number, updateCount) -> {
                             Message sent = message(type, number, updateCount);
                             ByteBuffer bytes = MessageCodec.encode(sent);
-                            assertEquals(bytes.remaining() <= MessageCodec.MOST_BYTES, true);
+                            assertEquals(
+                                    bytes.remaining() <= MessageCodec.MAX_DATAGRAM_BYTES, true);
                             int fitting =
                                     MessageCodec.fitting(
                                             sent.withUpdates(List.of()), sent.header().updates());
--- a/daemon/src/test/java/wheelroute/peers/QuotaLeasesTest.java
+++ b/daemon/src/test/java/wheelroute/peers/QuotaLeasesTest.java
@@ -11,35 +11,39 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Shares among several dispatchers, whose datagrams and beliefs the case makes. */
+/**
+ * Quota leases of several dispatchers, with a network and a view of liveness that the test sets.
+ */
 public class QuotaLeasesTest {
     private static final double STEP = 0.05;
-    private static final double EXACT = 1e-9;
+    private static final double TOLERANCE = 1e-9;
 
-    /** All of them, in one time; a datagram takes a step, or as the case says. */
-    private static final class All {
+    /** All dispatchers, on one clock; a datagram is delivered after one time step or more. */
+    private static final class Cluster {
         final int count;
-        final QuotaLeases[] shares;
-        final LeaseVoter[] votes;
-        final long[] lives;
+        final QuotaLeases[] leases;
+        final LeaseVoter[] voters;
+        final long[] incarnations;
         final boolean[] up;
-        final Set<Integer> still = new HashSet<>();
-        final List<Runnable> under = new ArrayList<>();
+        final Set<Integer> paused = new HashSet<>();
+        final List<Runnable> inTransit = new ArrayList<>();
         final SplittableRandom random = new SplittableRandom(7);
         double loss;
 
-        /** From here on one side does not hear the other. */
-        int cutAt = -1;
+        /** Dispatchers from this number on and those below do not reach each other; -1 for none. */
+        int partitionAt = -1;
+
+        /** Each dispatcher's view of who is alive is random. */
+        boolean livenessIsWrong;
 
-        boolean lies;
         double now = 100;
-        double most;
+        double largestUse;
 
-        All(int count) {
+        Cluster(int count) {
             this.count = count;
-            shares = new QuotaLeases[count];
-            votes = new LeaseVoter[count];
-            lives = new long[count];
+            leases = new QuotaLeases[count];
+            voters = new LeaseVoter[count];
+            incarnations = new long[count];
             up = new boolean[count];
             for (int i = 0; i < count; i++) {
                 start(i);
@@ -48,19 +52,22 @@
 
         void start(int i) {
             up[i] = true;
-            long life = ++lives[i];
-            votes[i] = new LeaseVoter(now);
-            shares[i] =
+            long incarnation = ++incarnations[i];
+            voters[i] = new LeaseVoter(now);
+            leases[i] =
                     new QuotaLeases(
                             i,
                             count,
-                            life,
-                            other -> lies ? random.nextBoolean() : up[other] && !isCut(i, other),
+                            incarnation,
+                            other ->
+                                    livenessIsWrong
+                                            ? random.nextBoolean()
+                                            : up[other] && !isPartitioned(i, other),
                             transportOf(i));
         }
 
-        boolean isCut(int one, int other) {
-            return cutAt >= 0 && one < cutAt != other < cutAt;
+        boolean isPartitioned(int one, int other) {
+            return partitionAt >= 0 && one < partitionAt != other < partitionAt;
         }
 
         private QuotaLeases.Transport transportOf(int from) {
@@ -76,26 +83,26 @@
                             from,
                             to,
                             () ->
-                                    votes[to].back(
+                                    voters[to].release(
                                             terms.share(), id(from), terms.incarnation(), number));
                 }
             };
         }
 
         private void request(int from, int to, int number, LeaseTerms terms) {
-            if (votes[to].ask(now, terms.share(), id(from), terms.incarnation(), number)) {
-                send(to, from, () -> shares[from].granted(now, number, terms, id(to)));
+            if (voters[to].requestVote(now, terms.share(), id(from), terms.incarnation(), number)) {
+                send(to, from, () -> leases[from].onGrant(now, number, terms, id(to)));
             }
         }
 
         /** Puts a message on its way, to be handled unless the receiver is down or paused. */
         private void send(int from, int to, Runnable receive) {
-            if (isCut(from, to) || random.nextDouble() < loss) {
+            if (isPartitioned(from, to) || random.nextDouble() < loss) {
                 return;
             }
-            under.add(
+            inTransit.add(
                     () -> {
-                        if (up[to] && !still.contains(to)) {
+                        if (up[to] && !paused.contains(to)) {
                             receive.run();
                         }
                     });
@@ -105,41 +112,41 @@
             return new PeerId("n" + number);
         }
 
-        void pass(double seconds) {
+        void advance(double seconds) {
             for (double end = now + seconds; now < end; ) {
                 now += STEP;
-                List<Runnable> due = new ArrayList<>(under);
-                under.clear();
-                // Some come a step later, and so out of their order.
+                List<Runnable> due = new ArrayList<>(inTransit);
+                inTransit.clear();
+                // Some are delivered a step later, and so out of order.
                 due.forEach(
-                        one -> {
+                        delivery -> {
                             if (random.nextInt(4) == 0) {
-                                under.add(one);
+                                inTransit.add(delivery);
                             } else {
-                                one.run();
+                                delivery.run();
                             }
                         });
                 for (int i = 0; i < count; i++) {
-                    if (up[i] && !still.contains(i)) {
-                        shares[i].woken(now);
+                    if (up[i] && !paused.contains(i)) {
+                        leases[i].renew(now);
                     }
                 }
-                most = Math.max(most, inUse());
-                assertTrue(most <= 1 + EXACT, most + " of the whole are in use");
+                largestUse = Math.max(largestUse, inUse());
+                assertTrue(largestUse <= 1 + TOLERANCE, largestUse + " of the quota are in use");
             }
         }
 
         double inUse() {
             double sum = 0;
             for (int i = 0; i < count; i++) {
-                sum += up[i] && !still.contains(i) ? shares[i].whole(now) : 0;
+                sum += up[i] && !paused.contains(i) ? leases[i].usableTotal(now) : 0;
             }
             return sum;
         }
     }
 
-    /** Long enough for every promise to run out and every share to be asked for again. */
-    private static final double SETTLED = 3 * Lease.PROMISED;
+    /** Long enough for every grant to expire and every share to be requested again. */
+    private static final double SETTLED = 3 * Lease.GRANT_DURATION;
 
     @DataProvider
     public Object[][] counts() {
@@ -147,95 +154,100 @@
     }
 
     @Test(dataProvider = "counts")
-    public void allTogetherUseTheWhole(int count) {
-        All all = new All(count);
-        all.pass(SETTLED);
-        assertEquals(all.inUse(), 1, EXACT);
-        assertEquals(all.shares[0].whole(all.now), 1.0 / count, EXACT);
+    public void togetherTheyUseTheWholeQuota(int count) {
+        Cluster cluster = new Cluster(count);
+        cluster.advance(SETTLED);
+        assertEquals(cluster.inUse(), 1, TOLERANCE);
+        assertEquals(cluster.leases[0].usableTotal(cluster.now), 1.0 / count, TOLERANCE);
     }
 
-    /** One that is gone: its floor rests, the rest of its part is used by the next one. */
+    /**
+     * A dead dispatcher's guaranteed part is unused, the rest of its share goes to the next one.
+     */
     @Test
-    public void theNextOneTakesOver() {
-        All all = new All(10);
-        all.pass(SETTLED);
-        all.up[4] = false;
-        all.pass(SETTLED);
-        assertEquals(all.inUse(), 1 - QuotaLeases.FLOOR / 10, EXACT);
-        assertEquals(all.shares[5].held(all.now), List.of(4, 5));
-        assertEquals(all.shares[5].of(4, all.now), 1 - QuotaLeases.FLOOR, EXACT);
-        all.start(4);
-        all.pass(SETTLED);
-        assertEquals(all.inUse(), 1, EXACT);
-        assertEquals(all.shares[5].held(all.now), List.of(5));
+    public void nextDispatcherTakesOverLeasedPart() {
+        Cluster cluster = new Cluster(10);
+        cluster.advance(SETTLED);
+        cluster.up[4] = false;
+        cluster.advance(SETTLED);
+        assertEquals(cluster.inUse(), 1 - QuotaLeases.GUARANTEED_PART / 10, TOLERANCE);
+        assertEquals(cluster.leases[5].heldShares(cluster.now), List.of(4, 5));
+        assertEquals(
+                cluster.leases[5].usablePart(4, cluster.now),
+                1 - QuotaLeases.GUARANTEED_PART,
+                TOLERANCE);
+        cluster.start(4);
+        cluster.advance(SETTLED);
+        assertEquals(cluster.inUse(), 1, TOLERANCE);
+        assertEquals(cluster.leases[5].heldShares(cluster.now), List.of(5));
     }
 
-    /**
-     * Cut off from all it has its floor, at once after the lease, and goes on; nobody is left with
-     * nothing.
-     */
+    /** A dispatcher cut off from all others falls back to its guaranteed part, and no further. */
     @Test
-    public void whoIsCutOffKeepsItsFloor() {
-        All all = new All(10);
-        all.pass(SETTLED);
-        all.cutAt = 1;
-        all.pass(Lease.USED + STEP);
-        assertEquals(all.shares[0].whole(all.now), QuotaLeases.FLOOR / 10, EXACT);
-        all.pass(SETTLED);
-        assertEquals(all.inUse(), 1, EXACT);
-        all.cutAt = 5;
-        all.pass(SETTLED);
+    public void partitionedDispatcherKeepsGuaranteedPart() {
+        Cluster cluster = new Cluster(10);
+        cluster.advance(SETTLED);
+        cluster.partitionAt = 1;
+        cluster.advance(Lease.DURATION + STEP);
+        assertEquals(
+                cluster.leases[0].usableTotal(cluster.now),
+                QuotaLeases.GUARANTEED_PART / 10,
+                TOLERANCE);
+        cluster.advance(SETTLED);
+        assertEquals(cluster.inUse(), 1, TOLERANCE);
+        cluster.partitionAt = 5;
+        cluster.advance(SETTLED);
         // Of five that follow a share's owner three are always on one side.
-        assertEquals(all.inUse(), 1, EXACT);
+        assertEquals(cluster.inUse(), 1, TOLERANCE);
     }
 
-    /** One that stood still finds out as it looks, before it has heard a word. */
+    /** A process that was paused sees by the clock that its lease has expired. */
     @Test
-    public void whoWakesLooksFirst() {
-        All all = new All(5);
-        all.pass(SETTLED);
-        assertEquals(all.shares[2].of(2, all.now), 1, EXACT);
-        all.still.add(2);
-        all.pass(Lease.USED + STEP);
-        all.still.remove(2);
-        assertEquals(all.shares[2].of(2, all.now), QuotaLeases.FLOOR, EXACT);
+    public void leaseIsExpiredAfterPause() {
+        Cluster cluster = new Cluster(5);
+        cluster.advance(SETTLED);
+        assertEquals(cluster.leases[2].usablePart(2, cluster.now), 1, TOLERANCE);
+        cluster.paused.add(2);
+        cluster.advance(Lease.DURATION + STEP);
+        cluster.paused.remove(2);
+        assertEquals(
+                cluster.leases[2].usablePart(2, cluster.now),
+                QuotaLeases.GUARANTEED_PART,
+                TOLERANCE);
     }
 
     @Test
-    public void whoLeavesGivesBackAtOnce() {
-        All all = new All(10);
-        all.pass(SETTLED);
-        all.shares[4].leave();
-        all.up[4] = false;
-        all.pass(Lease.USED / 2);
+    public void leavingReleasesAtOnce() {
+        Cluster cluster = new Cluster(10);
+        cluster.advance(SETTLED);
+        cluster.leases[4].releaseAll();
+        cluster.up[4] = false;
+        cluster.advance(Lease.DURATION / 2);
         assertTrue(
-                all.shares[5].held(all.now).contains(4),
-                "it waits for a promise that was given back");
+                cluster.leases[5].heldShares(cluster.now).contains(4),
+                "the successor waits for a grant that was released");
     }
 
-    /**
-     * Whatever is believed and lost: kills, starts, stops, cuts, by chance, over many seeds' worth
-     * of time.
-     */
+    /** Random crashes, restarts, pauses and partitions, with loss and wrong views of liveness. */
     @Test
-    public void neverMoreThanTheWhole() {
-        All all = new All(9);
-        all.lies = true;
-        all.loss = 0.3;
+    public void usageNeverExceedsTheQuota() {
+        Cluster cluster = new Cluster(9);
+        cluster.livenessIsWrong = true;
+        cluster.loss = 0.3;
         for (int i = 0; i < 300; i++) {
-            int who = all.random.nextInt(9);
-            switch (all.random.nextInt(4)) {
-                case 0 -> all.up[who] = false;
-                case 1 -> all.start(who);
-                case 2 -> all.cutAt = all.random.nextInt(10) - 1;
+            int target = cluster.random.nextInt(9);
+            switch (cluster.random.nextInt(4)) {
+                case 0 -> cluster.up[target] = false;
+                case 1 -> cluster.start(target);
+                case 2 -> cluster.partitionAt = cluster.random.nextInt(10) - 1;
                 default -> {
-                    if (!all.still.remove(who)) {
-                        all.still.add(who);
+                    if (!cluster.paused.remove(target)) {
+                        cluster.paused.add(target);
                     }
                 }
             }
-            all.pass(all.random.nextDouble() * 3);
+            cluster.advance(cluster.random.nextDouble() * 3);
         }
-        assertTrue(all.most > 0.6, "hardly anything was used: " + all.most);
+        assertTrue(cluster.largestUse > 0.6, "hardly anything was used: " + cluster.largestUse);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
@@ -45,7 +45,7 @@
         model.pass(10);
         assertEquals(model.wrongVerdicts(), 0);
         assertTrue(model.bytes() / 10.0 / count < bytes, model.bytes() / 10.0 / count + " bytes");
-        assertTrue(model.largestDatagram() <= MessageCodec.MOST_BYTES);
+        assertTrue(model.largestDatagram() <= MessageCodec.MAX_DATAGRAM_BYTES);
         model.members.get(count - 1).crash();
         double known = model.passUntil(() -> model.isGivenUp(count - 1), PATIENCE);
         assertTrue(known < dead, known + " s until all knew it");
