--- /dev/null
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipDriver.java
@@ -0,0 +1,134 @@
+package wheelroute.net.peers;
+
+import java.util.Collection;
+import java.util.Locale;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import wheelroute.net.EventLoop;
+import wheelroute.peers.MemberAddress;
+import wheelroute.peers.MemberUpdate;
+import wheelroute.peers.Membership;
+import wheelroute.peers.MembershipConfig;
+import wheelroute.peers.Message;
+import wheelroute.peers.PeerId;
+
+/**
+ * Runs a {@link Membership} on the event loop: passes the loop's time in before each event, keeps
+ * its timer, sends its messages and logs the members' changes of state.
+ */
+final class MembershipDriver implements Membership.Transport {
+    private static final Logger LOG = LoggerFactory.getLogger(MembershipDriver.class);
+
+    private final EventLoop loop;
+    private final PeerSocket socket;
+    private final PeerId name;
+    private final Membership membership;
+    private EventLoop.Timer timer;
+    private double timerAt = Double.POSITIVE_INFINITY;
+
+    MembershipDriver(EventLoop loop, PeerSocket socket, MembershipConfig config) {
+        this.loop = loop;
+        this.socket = socket;
+        name = config.id();
+        membership = new Membership(config, this);
+    }
+
+    void start() {
+        membership.advanceTo(loop.now());
+        membership.start();
+    }
+
+    /** Announces that this dispatcher leaves. */
+    void leave() {
+        membership.advanceTo(loop.now());
+        membership.leave();
+    }
+
+    /** Stops without an announcement. */
+    void stop() {
+        membership.stop();
+    }
+
+    void receive(Message message) {
+        membership.advanceTo(loop.now());
+        membership.receive(message.header().sender().address(), message);
+    }
+
+    /** This dispatcher as it announces itself. */
+    MemberUpdate self() {
+        return membership.self();
+    }
+
+    /** The other dispatchers at this moment, also those that are dead or have left. */
+    Collection<MemberUpdate> others() {
+        membership.advanceTo(loop.now());
+        return membership.others();
+    }
+
+    /** Seconds from the change of the member's state to the last event. */
+    double timeInState(PeerId id) {
+        return membership.timeInState(id);
+    }
+
+    int localHealthScore() {
+        return membership.localHealthScore();
+    }
+
+    /** Whether another dispatcher of this number is alive, and not even suspected. */
+    boolean isAlive(int number) {
+        for (MemberUpdate member : membership.others()) {
+            if (member.address().port() == number && member.state() == MemberUpdate.State.ALIVE) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    @Override
+    public void send(MemberAddress to, Message message) {
+        socket.send(to, message);
+    }
+
+    @Override
+    public void scheduleTimer(double delay) {
+        double at = loop.now() + delay;
+        boolean pending = timerAt > loop.now();
+        if (pending && at >= timerAt) {
+            return;
+        }
+        if (timer != null) {
+            timer.cancel();
+        }
+        timerAt = at;
+        timer = loop.schedule(delay, this::onTimer);
+    }
+
+    private void onTimer() {
+        timerAt = Double.POSITIVE_INFINITY;
+        membership.advanceTo(loop.now());
+        membership.onTimer();
+    }
+
+    @Override
+    public void memberChanged(MemberUpdate update, MemberUpdate.State previous, PeerId reportedBy) {
+        LOG.info(
+                "{} (number {}) is {}{}, {}",
+                update.id(),
+                update.address().port(),
+                stateName(update.state()),
+                previous == null ? "" : ", was " + stateName(previous),
+                reason(update, reportedBy));
+    }
+
+    private String reason(MemberUpdate update, PeerId reportedBy) {
+        if (reportedBy.equals(name)) {
+            return "by our own probes";
+        }
+        return reportedBy.equals(update.id()) ? "as it reports" : "as " + reportedBy + " reports";
+    }
+
+    /** The state's name in log lines and in the operators' text. */
+    static String stateName(MemberUpdate.State state) {
+        return state.name().toLowerCase(Locale.ROOT);
+    }
+}
--- a/daemon/src/main/java/wheelroute/net/peers/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/peers/package-info.java
@@ -1,2 +1,5 @@
-/** Datagrams between dispatchers: carries what {@link wheelroute.peers} decides. */
+/**
+ * Runs {@link wheelroute.peers} on the event loop and over UDP; {@link
+ * wheelroute.net.peers.MembershipService} is the entry.
+ */
 package wheelroute.net.peers;
