--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -30,39 +30,39 @@
     private static final double JITTER = 0.001;
 
     /** A starved member runs for so long at a time. */
-    private static final double FED = 0.3;
+    private static final double RUN_SECONDS_BETWEEN_STALLS = 0.3;
 
     private static final int CLUSTER = 7;
 
     public final VirtualTime time = new VirtualTime();
     public final List<Member> members = new ArrayList<>();
-    private final Chance chance;
+    private final Chance random;
     private final int seeds;
-    private final boolean doubts;
+    private final boolean localHealthAware;
     private final double start = time.now();
-    private long drawn;
+    private long draws;
     private double loss;
-    private double doubled;
+    private double duplication;
     private double spread;
-    private BiPredicate<Integer, Integer> cut = (from, to) -> false;
+    private BiPredicate<Integer, Integer> blocked = (from, to) -> false;
     private long datagrams;
     private long bytes;
-    private long verdicts;
-    private int largest;
+    private long falsePositives;
+    private int largestDatagram;
 
     /** One member: a process that runs, stands still or is down. */
     public final class Member implements Membership.Transport {
         public final int number;
         private Membership membership;
-        private int life;
-        private boolean still;
+        private int processCount;
+        private boolean paused;
         private boolean up;
-        private double wakeAt = Double.POSITIVE_INFINITY;
+        private double timerAt = Double.POSITIVE_INFINITY;
 
         /** So long at a time it gets no core; 0 for as it should be. */
-        private double slow;
+        private double stallSeconds;
 
-        private final ArrayDeque<Runnable> meanwhile = new ArrayDeque<>();
+        private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
 
         private Member(int number) {
             this.number = number;
@@ -76,20 +76,20 @@
             return up;
         }
 
-        public boolean isStill() {
-            return still;
+        public boolean isPaused() {
+            return paused;
         }
 
         /** A new process under the same name; its clock says so much more than it should. */
-        public void begin(double clockAhead) {
-            life++;
+        public void start(double clockAhead) {
+            processCount++;
             up = true;
-            still = false;
-            meanwhile.clear();
-            wakeAt = Double.POSITIVE_INFINITY;
-            List<MemberAddress> places = new ArrayList<>();
+            paused = false;
+            deferredEvents.clear();
+            timerAt = Double.POSITIVE_INFINITY;
+            List<MemberAddress> seedAddresses = new ArrayList<>();
             for (int i = 0; i < seeds; i++) {
-                places.add(place(i));
+                seedAddresses.add(address(i));
             }
             long millis = (long) (1000 * (1e6 + time.now() - start + clockAhead));
             membership =
@@ -97,24 +97,24 @@
                             new MembershipConfig(
                                     CLUSTER,
                                     id(number),
-                                    place(number),
+                                    address(number),
                                     millis,
-                                    places,
-                                    chance.key(Chance.Of.BRAIN, number, life),
-                                    doubts),
+                                    seedAddresses,
+                                    random.key(Chance.Of.BRAIN, number, processCount),
+                                    localHealthAware),
                             this);
-            event(membership::start);
+            runEvent(membership::start);
         }
 
         public void crash() {
             up = false;
-            life++;
+            processCount++;
         }
 
         public void pause(boolean begins) {
-            still = begins;
-            while (!still && !meanwhile.isEmpty()) {
-                meanwhile.pollFirst().run();
+            paused = begins;
+            while (!paused && !deferredEvents.isEmpty()) {
+                deferredEvents.pollFirst().run();
             }
         }
 
@@ -122,40 +122,40 @@
          * From here on it stands still about so long, again and again, with moments between; 0 ends
          * that.
          */
-        public void slow(double by) {
-            boolean was = slow > 0;
-            slow = by;
+        public void stall(double by) {
+            boolean was = stallSeconds > 0;
+            stallSeconds = by;
             if (!was && by > 0) {
-                starve();
+                stallRepeatedly();
             }
         }
 
-        private void starve() {
-            if (slow > 0 && up) {
+        private void stallRepeatedly() {
+            if (stallSeconds > 0 && up) {
                 pause(true);
                 time.after(
-                        slow * (0.5 + draw()),
+                        stallSeconds * (0.5 + draw()),
                         () -> {
                             pause(false);
-                            time.after(FED, this::starve);
+                            time.after(RUN_SECONDS_BETWEEN_STALLS, this::stallRepeatedly);
                         });
             }
         }
 
         public void leave() {
-            event(membership::leave);
+            runEvent(membership::leave);
             crash();
         }
 
-        private void event(Runnable what) {
-            int of = life;
+        private void runEvent(Runnable what) {
+            int of = processCount;
             Runnable now =
                     () -> {
-                        if (of != life) {
+                        if (of != processCount) {
                             return;
                         }
-                        if (still) {
-                            meanwhile.addLast(() -> event(what));
+                        if (paused) {
+                            deferredEvents.addLast(() -> runEvent(what));
                             return;
                         }
                         membership.advanceTo(time.now());
@@ -169,29 +169,29 @@
             ByteBuffer datagram = MessageCodec.encode(message);
             datagrams++;
             bytes += datagram.remaining();
-            largest = Math.max(largest, datagram.remaining());
+            largestDatagram = Math.max(largestDatagram, datagram.remaining());
             int target = to.port() - FIRST_PORT;
             if (target < 0
                     || target >= members.size()
-                    || cut.test(number, target)
+                    || blocked.test(number, target)
                     || draw() < loss) {
                 return;
             }
-            for (int copies = draw() < doubled ? 2 : 1; copies > 0; copies--) {
+            for (int copies = draw() < duplication ? 2 : 1; copies > 0; copies--) {
                 ByteBuffer copy = datagram.duplicate();
                 time.after(
                         DELAY + JITTER * draw() + spread * draw(),
-                        () -> members.get(target).comes(number, copy));
+                        () -> members.get(target).receive(number, copy));
             }
         }
 
-        private void comes(int from, ByteBuffer datagram) {
+        private void receive(int from, ByteBuffer datagram) {
             if (!up) {
                 return;
             }
             try {
                 Message message = MessageCodec.decode(datagram);
-                event(() -> membership.receive(place(from), message));
+                runEvent(() -> membership.receive(address(from), message));
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException("our own datagram", e);
             }
@@ -200,15 +200,15 @@
         @Override
         public void scheduleTimer(double delay) {
             double at = time.now() + delay;
-            if (at < wakeAt) {
-                wakeAt = at;
-                int of = life;
+            if (at < timerAt) {
+                timerAt = at;
+                int of = processCount;
                 time.after(
                         delay,
                         () -> {
-                            if (of == life && wakeAt == at) {
-                                wakeAt = Double.POSITIVE_INFINITY;
-                                event(membership::onTimer);
+                            if (of == processCount && timerAt == at) {
+                                timerAt = Double.POSITIVE_INFINITY;
+                                runEvent(membership::onTimer);
                             }
                         });
             }
@@ -219,8 +219,8 @@
             // Passed on it is one verdict still.
             if (now.state() == MemberUpdate.State.DEAD && reportedBy.equals(id(number))) {
                 Member of = members.get(Integer.parseInt(now.id().name().substring(1)));
-                if (of.up && !of.still && of.slow == 0) {
-                    verdicts++;
+                if (of.up && !of.paused && of.stallSeconds == 0) {
+                    falsePositives++;
                 }
             }
         }
@@ -230,10 +230,10 @@
      * So many members, of which the first few are everybody's seeds; who doubt themselves, or do
      * not.
      */
-    public PeerModel(int count, int seeds, long seed, boolean doubts) {
+    public PeerModel(int count, int seeds, long seed, boolean localHealthAware) {
         this.seeds = seeds;
-        this.doubts = doubts;
-        chance = new Chance(seed);
+        this.localHealthAware = localHealthAware;
+        random = new Chance(seed);
         for (int i = 0; i < count; i++) {
             members.add(new Member(i));
         }
@@ -243,34 +243,34 @@
         return new PeerId("n" + number);
     }
 
-    private static MemberAddress place(int number) {
+    private static MemberAddress address(int number) {
         return new MemberAddress(HOST, FIRST_PORT + number);
     }
 
     /** From 0 up to 1, in the order of asking. */
     public double draw() {
-        return chance.once(Chance.Of.LINK, drawn++, 0);
+        return random.once(Chance.Of.LINK, draws++, 0);
     }
 
-    public void network(double newLoss, double newDoubled, double newSpread) {
+    public void setNetwork(double newLoss, double newDuplication, double newSpread) {
         loss = newLoss;
-        doubled = newDoubled;
+        duplication = newDuplication;
         spread = newSpread;
     }
 
     /** Whose datagrams to whom are lost from here on. */
-    public void cut(BiPredicate<Integer, Integer> newCut) {
-        cut = newCut;
+    public void blocked(BiPredicate<Integer, Integer> newBlocked) {
+        blocked = newBlocked;
     }
 
     /** All of them within so long. */
-    public void beginAll(double within) {
+    public void startAll(double within) {
         for (Member member : members) {
-            time.after(within * draw(), () -> member.begin(0));
+            time.after(within * draw(), () -> member.start(0));
         }
     }
 
-    public void pass(double seconds) {
+    public void advance(double seconds) {
         boolean[] there = {false};
         time.after(seconds, () -> there[0] = true);
         while (!there[0] && time.step()) {
@@ -282,22 +282,22 @@
      * Passes until it is so, looking ten times a second; how long it took, or NaN if it did not
      * come.
      */
-    public double passUntil(java.util.function.BooleanSupplier so, double most) {
+    public double advanceUntil(java.util.function.BooleanSupplier so, double most) {
         double from = time.now();
         while (time.now() < from + most) {
             if (so.getAsBoolean()) {
                 return time.now() - from;
             }
-            pass(0.1);
+            advance(0.1);
         }
         return Double.NaN;
     }
 
     /** All that run hold just those that run to be there. */
-    public boolean isAgreed() {
+    public boolean hasConverged() {
         long up = members.stream().filter(Member::isUp).count();
         return members.stream()
-                .filter(m -> m.up && !m.still)
+                .filter(m -> m.up && !m.paused)
                 .allMatch(
                         m ->
                                 m.membership.aliveCount() == up
@@ -318,7 +318,7 @@
     }
 
     /** All that run have given this one up. */
-    public boolean isGivenUp(int number) {
+    public boolean isDeadEverywhere(int number) {
         return members.stream()
                 .filter(m -> m.up && m.number != number)
                 .allMatch(
@@ -331,8 +331,8 @@
     }
 
     /** Verdicts on members that ran as they should. */
-    public long wrongVerdicts() {
-        return verdicts;
+    public long falsePositives() {
+        return falsePositives;
     }
 
     public long bytes() {
@@ -344,12 +344,12 @@
     }
 
     public int largestDatagram() {
-        return largest;
+        return largestDatagram;
     }
 
-    public void countFromHere() {
+    public void resetCounters() {
         bytes = 0;
         datagrams = 0;
-        verdicts = 0;
+        falsePositives = 0;
     }
 }
