--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiPredicate;
+import java.util.function.BooleanSupplier;
 import wheelroute.kit.virtual.VirtualTime;
 import wheelroute.kit.world.Chance;
 import wheelroute.peers.MalformedMessageException;
@@ -17,70 +18,102 @@
 import wheelroute.peers.PeerId;
 
 /**
- * Members of one cluster on the virtual clock. Every datagram goes through the codec; it may be
- * lost, late, doubled, overtaken, or cut off by whoever sends it to whom; members crash, stand
- * still and come back.
+ * A cluster of {@link Membership}s on the virtual clock. Every datagram passes through the codec
+ * and a network that may delay, reorder, duplicate or lose it, or block it by sender and receiver.
+ * Members crash, pause, stall, leave and restart. All randomness is drawn from one seed.
  */
 public final class PeerModel {
-    /** Any; each member has a port of its own on it. */
+    /** The host of all members, which differ by port. */
     private static final int HOST = 0x7f000001;
 
     private static final int FIRST_PORT = 10_000;
+
+    /** Least delay of a datagram in seconds. */
     private static final double DELAY = 0.0005;
+
+    /** Random part of the delay in seconds, from 0 on. */
     private static final double JITTER = 0.001;
 
-    /** A starved member runs for so long at a time. */
-    private static final double RUN_SECONDS_BETWEEN_STALLS = 0.3;
+    /** How long a member that stalls repeatedly runs in between, in seconds. */
+    private static final double RUN_BETWEEN_STALLS = 0.3;
+
+    /** Interval at which a condition is looked at, in seconds. */
+    private static final double CHECK_INTERVAL = 0.1;
 
+    /** What a member's clock shows in seconds when the model starts. */
+    private static final double CLOCK_AT_START = 1e6;
+
+    private static final double MILLISECONDS = 1000;
     private static final int CLUSTER = 7;
+    private static final String NAME_PREFIX = "n";
 
+    /** The clock of the whole model. */
     public final VirtualTime time = new VirtualTime();
+
+    /** All members, up or not, in the order of their numbers. */
     public final List<Member> members = new ArrayList<>();
+
     private final Chance random;
     private final int seeds;
     private final boolean localHealthAware;
-    private final double start = time.now();
+    private final double startTime = time.now();
     private long draws;
     private double loss;
     private double duplication;
+
+    /** Further random delay in seconds, from 0 on, by which datagrams overtake each other. */
     private double spread;
+
     private BiPredicate<Integer, Integer> blocked = (from, to) -> false;
     private long datagrams;
     private long bytes;
     private long falsePositives;
     private int largestDatagram;
 
-    /** One member: a process that runs, stands still or is down. */
+    /** One member: a process that runs, is paused, or is down. */
     public final class Member implements Membership.Transport {
+        /** Index in {@link PeerModel#members}. */
         public final int number;
+
         private Membership membership;
+
+        /** Counts starts and ends, so that events of an earlier process are dropped. */
         private int processCount;
+
         private boolean paused;
         private boolean up;
         private double timerAt = Double.POSITIVE_INFINITY;
 
-        /** So long at a time it gets no core; 0 for as it should be. */
+        /** Mean length of its repeated stalls; 0 for none. */
         private double stallSeconds;
 
+        /** Events that arrived while it was paused. */
         private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
 
         private Member(int number) {
             this.number = number;
         }
 
+        /** The membership of its latest process; null before the first. */
         public Membership membership() {
             return membership;
         }
 
+        /** Whether it has a process, paused or not. */
         public boolean isUp() {
             return up;
         }
 
+        /** Whether its process gets no CPU. */
         public boolean isPaused() {
             return paused;
         }
 
-        /** A new process under the same name; its clock says so much more than it should. */
+        /**
+         * Starts a new process of the same name.
+         *
+         * @param clockAhead seconds by which its clock is ahead; negative for behind
+         */
         public void start(double clockAhead) {
             processCount++;
             up = true;
@@ -91,14 +124,15 @@
             for (int i = 0; i < seeds; i++) {
                 seedAddresses.add(address(i));
             }
-            long millis = (long) (1000 * (1e6 + time.now() - start + clockAhead));
+            double clock = CLOCK_AT_START + time.now() - startTime + clockAhead;
+            long incarnation = (long) (MILLISECONDS * clock);
             membership =
                     new Membership(
                             new MembershipConfig(
                                     CLUSTER,
                                     id(number),
                                     address(number),
-                                    millis,
+                                    incarnation,
                                     seedAddresses,
                                     random.key(Chance.Of.BRAIN, number, processCount),
                                     localHealthAware),
@@ -106,26 +140,29 @@
             runEvent(membership::start);
         }
 
+        /** Ends the process without a message. */
         public void crash() {
             up = false;
             processCount++;
         }
 
-        public void pause(boolean begins) {
-            paused = begins;
+        /** Pauses the process, or resumes it; it then handles what arrived meanwhile. */
+        public void pause(boolean newPaused) {
+            paused = newPaused;
             while (!paused && !deferredEvents.isEmpty()) {
                 deferredEvents.pollFirst().run();
             }
         }
 
         /**
-         * From here on it stands still about so long, again and again, with moments between; 0 ends
-         * that.
+         * Lets the process stall again and again, as on an overloaded machine.
+         *
+         * @param seconds mean length of a stall; 0 ends them
          */
-        public void stall(double by) {
-            boolean was = stallSeconds > 0;
-            stallSeconds = by;
-            if (!was && by > 0) {
+        public void stall(double seconds) {
+            boolean wasStalling = stallSeconds > 0;
+            stallSeconds = seconds;
+            if (!wasStalling && seconds > 0) {
                 stallRepeatedly();
             }
         }
@@ -137,31 +174,31 @@
                         stallSeconds * (0.5 + draw()),
                         () -> {
                             pause(false);
-                            time.after(RUN_SECONDS_BETWEEN_STALLS, this::stallRepeatedly);
+                            time.after(RUN_BETWEEN_STALLS, this::stallRepeatedly);
                         });
             }
         }
 
+        /** Announces that it leaves, and ends the process. */
         public void leave() {
             runEvent(membership::leave);
             crash();
         }
 
-        private void runEvent(Runnable what) {
-            int of = processCount;
-            Runnable now =
-                    () -> {
-                        if (of != processCount) {
-                            return;
-                        }
-                        if (paused) {
-                            deferredEvents.addLast(() -> runEvent(what));
-                            return;
-                        }
-                        membership.advanceTo(time.now());
-                        what.run();
-                    };
-            now.run();
+        private void runEvent(Runnable event) {
+            runEventOf(processCount, event);
+        }
+
+        private void runEventOf(int process, Runnable event) {
+            if (process != processCount) {
+                return;
+            }
+            if (paused) {
+                deferredEvents.addLast(() -> runEventOf(process, event));
+                return;
+            }
+            membership.advanceTo(time.now());
+            event.run();
         }
 
         @Override
@@ -170,10 +207,10 @@
             datagrams++;
             bytes += datagram.remaining();
             largestDatagram = Math.max(largestDatagram, datagram.remaining());
-            int target = to.port() - FIRST_PORT;
-            if (target < 0
-                    || target >= members.size()
-                    || blocked.test(number, target)
+            int receiver = to.port() - FIRST_PORT;
+            if (receiver < 0
+                    || receiver >= members.size()
+                    || blocked.test(number, receiver)
                     || draw() < loss) {
                 return;
             }
@@ -181,7 +218,7 @@
                 ByteBuffer copy = datagram.duplicate();
                 time.after(
                         DELAY + JITTER * draw() + spread * draw(),
-                        () -> members.get(target).receive(number, copy));
+                        () -> members.get(receiver).receive(number, copy));
             }
         }
 
@@ -193,7 +230,7 @@
                 Message message = MessageCodec.decode(datagram);
                 runEvent(() -> membership.receive(address(from), message));
             } catch (MalformedMessageException e) {
-                throw new IllegalStateException("our own datagram", e);
+                throw new IllegalStateException("a member sent a malformed datagram", e);
             }
         }
 
@@ -202,11 +239,11 @@
             double at = time.now() + delay;
             if (at < timerAt) {
                 timerAt = at;
-                int of = processCount;
+                int process = processCount;
                 time.after(
                         delay,
                         () -> {
-                            if (of == processCount && timerAt == at) {
+                            if (process == processCount && timerAt == at) {
                                 timerAt = Double.POSITIVE_INFINITY;
                                 runEvent(membership::onTimer);
                             }
@@ -215,20 +252,49 @@
         }
 
         @Override
-        public void memberChanged(MemberUpdate now, MemberUpdate.State before, PeerId reportedBy) {
-            // Passed on it is one verdict still.
-            if (now.state() == MemberUpdate.State.DEAD && reportedBy.equals(id(number))) {
-                Member of = members.get(Integer.parseInt(now.id().name().substring(1)));
-                if (of.up && !of.paused && of.stallSeconds == 0) {
+        public void memberChanged(
+                MemberUpdate update, MemberUpdate.State previous, PeerId reportedBy) {
+            // Only at the member that declares the death: gossip of it is no further verdict.
+            if (update.state() == MemberUpdate.State.DEAD && reportedBy.equals(id(number))) {
+                Member dead = memberOf(update);
+                if (dead.up && !dead.paused && dead.stallSeconds == 0) {
                     falsePositives++;
                 }
             }
         }
+
+        private boolean isReachable() {
+            return up && !paused;
+        }
+
+        /** Whether it holds exactly those members to be alive that are up. */
+        private boolean hasConverged(long upCount) {
+            if (membership.aliveCount() != upCount) {
+                return false;
+            }
+            for (MemberUpdate other : membership.others()) {
+                boolean heldAlive = other.state() == MemberUpdate.State.ALIVE;
+                if (heldAlive != memberOf(other).up) {
+                    return false;
+                }
+            }
+            return true;
+        }
+
+        private boolean holdsDead(int other) {
+            MemberUpdate update = membership.find(id(other));
+            return update == null
+                    || update.state() == MemberUpdate.State.DEAD
+                    || update.state() == MemberUpdate.State.LEFT;
+        }
     }
 
     /**
-     * So many members, of which the first few are everybody's seeds; who doubt themselves, or do
-     * not.
+     * Creates a cluster with no member started.
+     *
+     * @param count number of members
+     * @param seeds how many of them, from the first on, are everybody's seeds
+     * @param localHealthAware whether they use Lifeguard's local health multiplier
      */
     public PeerModel(int count, int seeds, long seed, boolean localHealthAware) {
         this.seeds = seeds;
@@ -239,114 +305,112 @@
         }
     }
 
+    private Member memberOf(MemberUpdate update) {
+        String number = update.id().name().substring(NAME_PREFIX.length());
+        return members.get(Integer.parseInt(number));
+    }
+
+    /** Name of the member of this number. */
     public static PeerId id(int number) {
-        return new PeerId("n" + number);
+        return new PeerId(NAME_PREFIX + number);
     }
 
     private static MemberAddress address(int number) {
         return new MemberAddress(HOST, FIRST_PORT + number);
     }
 
-    /** From 0 up to 1, in the order of asking. */
+    /** The next random number, from 0 inclusive to 1 exclusive. */
     public double draw() {
         return random.once(Chance.Of.LINK, draws++, 0);
     }
 
+    /**
+     * Sets how the network treats datagrams from here on.
+     *
+     * @param newLoss part that is lost
+     * @param newDuplication part that arrives twice
+     * @param newSpread further random delay in seconds at most
+     */
     public void setNetwork(double newLoss, double newDuplication, double newSpread) {
         loss = newLoss;
         duplication = newDuplication;
         spread = newSpread;
     }
 
-    /** Whose datagrams to whom are lost from here on. */
-    public void blocked(BiPredicate<Integer, Integer> newBlocked) {
+    /** Loses from here on the datagrams for whose sender and receiver this holds. */
+    public void block(BiPredicate<Integer, Integer> newBlocked) {
         blocked = newBlocked;
     }
 
-    /** All of them within so long. */
+    /** Starts all members at random times within so many seconds. */
     public void startAll(double within) {
         for (Member member : members) {
             time.after(within * draw(), () -> member.start(0));
         }
     }
 
+    /** Runs the model for so many seconds. */
     public void advance(double seconds) {
-        boolean[] there = {false};
-        time.after(seconds, () -> there[0] = true);
-        while (!there[0] && time.step()) {
+        boolean[] elapsed = {false};
+        time.after(seconds, () -> elapsed[0] = true);
+        while (!elapsed[0] && time.step()) {
             // Each step moves the virtual clock on.
         }
     }
 
     /**
-     * Passes until it is so, looking ten times a second; how long it took, or NaN if it did not
-     * come.
+     * Runs the model until a condition holds.
+     *
+     * @param timeout seconds after which it gives up
+     * @return seconds that it took; NaN if the condition did not hold in time
      */
-    public double advanceUntil(java.util.function.BooleanSupplier so, double most) {
+    public double advanceUntil(BooleanSupplier condition, double timeout) {
         double from = time.now();
-        while (time.now() < from + most) {
-            if (so.getAsBoolean()) {
+        while (time.now() < from + timeout) {
+            if (condition.getAsBoolean()) {
                 return time.now() - from;
             }
-            advance(0.1);
+            advance(CHECK_INTERVAL);
         }
         return Double.NaN;
     }
 
-    /** All that run hold just those that run to be there. */
+    /** Whether all members that run hold exactly those to be alive that are up. */
     public boolean hasConverged() {
-        long up = members.stream().filter(Member::isUp).count();
+        long upCount = members.stream().filter(Member::isUp).count();
         return members.stream()
-                .filter(m -> m.up && !m.paused)
-                .allMatch(
-                        m ->
-                                m.membership.aliveCount() == up
-                                        && m.membership.others().stream()
-                                                .allMatch(
-                                                        o ->
-                                                                (o.state()
-                                                                                == MemberUpdate
-                                                                                        .State
-                                                                                        .ALIVE)
-                                                                        == members.get(
-                                                                                        Integer
-                                                                                                .parseInt(
-                                                                                                        o.id().name()
-                                                                                                                .substring(
-                                                                                                                        1)))
-                                                                                .up));
+                .filter(Member::isReachable)
+                .allMatch(member -> member.hasConverged(upCount));
     }
 
-    /** All that run have given this one up. */
+    /** Whether all others that are up hold this member to be dead, or to have left. */
     public boolean isDeadEverywhere(int number) {
         return members.stream()
-                .filter(m -> m.up && m.number != number)
-                .allMatch(
-                        m -> {
-                            MemberUpdate of = m.membership.find(id(number));
-                            return of == null
-                                    || of.state() == MemberUpdate.State.DEAD
-                                    || of.state() == MemberUpdate.State.LEFT;
-                        });
+                .filter(member -> member.up && member.number != number)
+                .allMatch(member -> member.holdsDead(number));
     }
 
-    /** Verdicts on members that ran as they should. */
+    /** Number of deaths declared of members that ran without a fault. */
     public long falsePositives() {
         return falsePositives;
     }
 
+    /** Bytes sent since the last reset, by all members. */
     public long bytes() {
         return bytes;
     }
 
+    /** Datagrams sent since the last reset, by all members. */
     public long datagrams() {
         return datagrams;
     }
 
+    /** Size of the largest datagram of the whole run in bytes. */
     public int largestDatagram() {
         return largestDatagram;
     }
 
+    /** Resets the counters of bytes, datagrams and false positives. */
     public void resetCounters() {
         bytes = 0;
         datagrams = 0;
--- a/kit/src/main/java/wheelroute/kit/peers/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/peers/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Dispatchers that know each other, on the virtual clock: their datagrams, and whatever can befall
- * them.
+ * Simulation of {@link wheelroute.peers.Membership} on the virtual clock: a cluster, its network
+ * and the faults that both may have.
  */
 package wheelroute.kit.peers;
