--- a/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
@@ -1,9 +1,8 @@
 package wheelroute.net.peers;
 
 import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.zip.CRC32;
@@ -11,23 +10,18 @@
 import org.slf4j.LoggerFactory;
 import wheelroute.config.PeeringConfig;
 import wheelroute.decision.DispatcherShares;
-import wheelroute.net.DatagramSocket;
 import wheelroute.net.EventLoop;
 import wheelroute.peers.Lease;
-import wheelroute.peers.LeaseVoter;
-import wheelroute.peers.MalformedMessageException;
 import wheelroute.peers.MemberAddress;
 import wheelroute.peers.MemberUpdate;
-import wheelroute.peers.Membership;
+import wheelroute.peers.MembershipConfig;
 import wheelroute.peers.Message;
-import wheelroute.peers.MessageCodec;
 import wheelroute.peers.PeerId;
 import wheelroute.peers.QuotaLeases;
 
 /**
- * The other dispatchers of this installation, by datagrams. They are known by their numbers; where
- * each number is reached is this dispatcher's own list, as one that others tell may not be where it
- * is for us.
+ * Membership and quota leases as the daemon runs them: which dispatchers of the installation are
+ * alive, and how much of the shared quota this one may use. Used on the event loop's thread only.
  */
 public final class MembershipService implements DispatcherShares {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipService.class);
@@ -35,276 +29,175 @@
     private final EventLoop loop;
     private final PeeringConfig peering;
     private final PeerId name;
-    private final long life;
-    private final Membership membership;
-    private final QuotaLeases shares;
-    private final int cluster;
-    private final boolean shared;
-    private LeaseVoter votes;
-    private DatagramSocket socket;
-    private EventLoop.Timer wake;
-    private double wakeAt = Double.POSITIVE_INFINITY;
-    private boolean silent;
+    private final PeerSocket socket;
+    private final MembershipDriver membership;
+    private final LeaseMessenger leaseMessenger;
+    private final QuotaLeases leases;
     private boolean left;
-    private long malformed;
-    private long foreign;
 
     /**
-     * From this process's start on; nothing is sent before {@link #begin}.
+     * Listens at the configured address; nothing is sent before {@link #begin}.
      *
-     * @param shared another process may take this one's place, and then hears peers at the same
-     *     address
+     * @param dispatcher name of this dispatcher
+     * @param seed seed of the random choices
+     * @param shared whether a successor process may take over, and listen at the same address
+     * @throws IOException if the address cannot be used
      */
     public MembershipService(
             EventLoop loop, PeeringConfig peering, String dispatcher, long seed, boolean shared)
             throws IOException {
         this.loop = loop;
         this.peering = peering;
-        this.shared = shared;
         name = new PeerId(dispatcher);
-        life = System.currentTimeMillis();
-        cluster = cluster(peering.cluster());
-        MemberAddress own = new MemberAddress(0, peering.number());
-        List<MemberAddress> places =
-                java.util.stream.IntStream.range(0, peering.addresses().size())
-                        .mapToObj(n -> new MemberAddress(0, n))
-                        .toList();
+        int cluster = clusterId(peering.cluster());
+        int number = peering.number();
+        long incarnation = System.currentTimeMillis();
+        List<MemberAddress> members = memberAddresses(peering);
+        socket = new PeerSocket(loop, peering, cluster, shared, this::onMessage);
         membership =
-                new Membership(
-                        cluster, name, own, life, places, seed, true, new MembershipTransport());
-        shares =
-                new QuotaLeases(
-                        peering.number(), places.size(), life, this::isThere, this::sendLease);
+                new MembershipDriver(
+                        loop,
+                        socket,
+                        new MembershipConfig(
+                                cluster,
+                                name,
+                                PeerSocket.addressOf(number),
+                                incarnation,
+                                members,
+                                seed,
+                                true));
+        leaseMessenger = new LeaseMessenger(loop, socket, membership, cluster, number);
+        leases =
+                new QuotaLeases(number, members.size(), incarnation, this::isAlive, leaseMessenger);
+        leaseMessenger.setLeases(leases);
         open();
     }
 
-    private void open() throws IOException {
-        votes = new LeaseVoter(loop.now());
-        socket =
-                new DatagramSocket(
-                        loop, peering.listen(), shared, MessageCodec.MOST_BYTES + 1, this::came);
-    }
-
-    private static int cluster(String name) {
+    private static int clusterId(String clusterName) {
         CRC32 crc = new CRC32();
-        crc.update(name.getBytes(StandardCharsets.UTF_8));
+        crc.update(clusterName.getBytes(StandardCharsets.UTF_8));
         return (int) crc.getValue();
     }
 
+    private static List<MemberAddress> memberAddresses(PeeringConfig peering) {
+        List<MemberAddress> addresses = new ArrayList<>();
+        for (int number = 0; number < peering.addresses().size(); number++) {
+            addresses.add(PeerSocket.addressOf(number));
+        }
+        return addresses;
+    }
+
+    private void open() throws IOException {
+        leaseMessenger.resetVoter();
+        socket.open();
+    }
+
+    // ---- lifecycle
+
+    /** Starts to probe the other dispatchers and to request leases. */
     public void begin() {
+        // The kit waits for this line and reads the port from it.
         LOG.info(
                 "peers are heard at {}, as number {} of {}",
-                socket.address(),
+                socket.localAddress(),
                 peering.number(),
                 peering.addresses().size());
-        membership.at(loop.now());
-        membership.begin();
-        askForShares();
+        membership.start();
+        renewLeases();
+    }
+
+    private void renewLeases() {
+        if (socket.isOpen()) {
+            double delay = Math.min(Lease.DURATION, leases.renew(loop.now()));
+            loop.schedule(delay, this::renewLeases);
+        }
     }
 
-    /** Gives back what it holds and says that it goes. */
+    /** Releases the leases, announces that this dispatcher leaves, and stops for good. */
     public void leave() {
         left = true;
-        if (!silent) {
-            shares.leave();
-            membership.at(loop.now());
+        if (socket.isOpen()) {
+            leases.releaseAll();
             membership.leave();
-            fallSilent();
+            stop();
         }
     }
 
     /**
-     * Another process speaks for this dispatcher, or does so no longer: both are one member. What
-     * that one holds it holds by words of its own, so what this one holds is given back; and of
-     * what was promised in the meantime this one knows nothing, so it is silent for as long as
-     * after a start.
+     * Another process speaks for this dispatcher, or no longer does: both are one member. The other
+     * process holds leases of its own, so this one releases its leases. Afterwards this one knows
+     * nothing of the votes given meanwhile, so its voter is as silent as after a start.
+     *
+     * @param hasSuccessor whether there is another process now
      */
-    public void succeeded(boolean now) {
-        if (now) {
-            fallSilent();
-        } else if (silent && !left) {
-            try {
-                open();
-                silent = false;
-                begin();
-            } catch (IOException e) {
-                LOG.warn("peers are not heard any more: {}", e.toString());
-            }
-        }
-    }
-
-    private void fallSilent() {
-        if (!silent) {
-            shares.leave();
-            silent = true;
-            membership.fallSilent();
-            socket.close();
-        }
-    }
-
-    private void askForShares() {
-        if (!silent) {
-            loop.schedule(Math.min(Lease.USED, shares.woken(loop.now())), this::askForShares);
+    public void succeeded(boolean hasSuccessor) {
+        if (hasSuccessor) {
+            stop();
+        } else if (!socket.isOpen() && !left) {
+            resume();
         }
     }
 
-    // ---- what the decisions ask
-
-    @Override
-    public double ofDispatcher(int number) {
-        return silent ? 0 : shares.of(number, loop.now());
-    }
-
-    @Override
-    public double total() {
-        return silent ? 0 : shares.whole(loop.now());
-    }
-
-    // ---- who is there
-
-    private boolean isThere(int number) {
-        return number == peering.number()
-                || membership.others().stream()
-                        .anyMatch(
-                                one ->
-                                        one.address().port() == number
-                                                && one.state() == MemberUpdate.State.ALIVE);
-    }
-
-    private InetSocketAddress address(MemberAddress place) {
-        return place.host() == 0 && place.port() < peering.addresses().size()
-                ? peering.addresses().get(place.port())
-                : null;
-    }
-
-    private void send(MemberAddress to, Message message) {
-        InetSocketAddress address = address(to);
-        if (address != null && !silent) {
-            socket.send(address, MessageCodec.encode(message));
+    private void resume() {
+        try {
+            open();
+            begin();
+        } catch (IOException e) {
+            LOG.warn("cannot listen for peers again: {}", e.toString());
         }
     }
 
-    private void sendLease(
-            int dispatcher, Message.Kind kind, int number, Message.LeaseTerms lease) {
-        Message message =
-                new Message(kind, cluster, membership.self(), number, 0, null, lease, List.of());
-        if (dispatcher == peering.number()) {
-            // Its own word it gives itself, in a turn of its own as if it had come.
-            loop.post(() -> lease(message));
-        } else {
-            send(new MemberAddress(0, dispatcher), message);
+    private void stop() {
+        if (socket.isOpen()) {
+            leases.releaseAll();
+            membership.stop();
+            socket.close();
         }
     }
 
-    private void came(InetSocketAddress from, ByteBuffer bytes) {
-        if (silent) {
-            return;
-        }
-        try {
-            Message message = MessageCodec.decode(bytes);
-            if (message.cluster() != cluster || address(message.from().address()) == null) {
-                foreign++;
-                return;
-            }
-            membership.at(loop.now());
-            membership.received(message.from().address(), message);
-            lease(message);
-        } catch (MalformedMessageException e) {
-            malformed++;
-            LOG.debug("no datagram of ours from {}: {}", from, e.getMessage());
+    private void onMessage(Message message) {
+        membership.receive(message);
+        if (message instanceof Message.LeaseMessage leaseMessage) {
+            leaseMessenger.receive(leaseMessage);
         }
     }
 
-    private void lease(Message message) {
-        if (message.lease() == null || silent) {
-            return;
-        }
-        double now = loop.now();
-        PeerId by = message.from().id();
-        Message.LeaseTerms lease = message.lease();
-        switch (message.kind()) {
-            case LEASE_REQUEST -> {
-                if (votes.ask(now, lease.share(), by, lease.incarnation(), message.number())) {
-                    Message word =
-                            new Message(
-                                    Message.Kind.LEASE_GRANT,
-                                    cluster,
-                                    membership.self(),
-                                    message.number(),
-                                    0,
-                                    null,
-                                    lease,
-                                    List.of());
-                    if (by.equals(name)) {
-                        loop.post(() -> lease(word));
-                    } else {
-                        send(message.from().address(), word);
-                    }
-                }
-            }
-            case LEASE_GRANT -> shares.granted(now, message.number(), lease, by);
-            default -> votes.back(lease.share(), by, lease.incarnation(), message.number());
-        }
+    private boolean isAlive(int number) {
+        return number == peering.number() || membership.isAlive(number);
     }
 
-    private final class MembershipTransport implements Membership.Transport {
-        @Override
-        public void send(MemberAddress to, Message message) {
-            MembershipService.this.send(to, message);
-        }
-
-        @Override
-        public void wake(double delay) {
-            double at = loop.now() + delay;
-            if (at >= wakeAt && wakeAt > loop.now()) {
-                return;
-            }
-            if (wake != null) {
-                wake.cancel();
-            }
-            wakeAt = at;
-            wake =
-                    loop.schedule(
-                            delay,
-                            () -> {
-                                wakeAt = Double.POSITIVE_INFINITY;
-                                membership.at(loop.now());
-                                membership.woken();
-                            });
-        }
+    // ---- quota
 
-        @Override
-        public void changed(MemberUpdate now, MemberUpdate.State before, String why) {
-            LOG.info(
-                    "{} (number {}) is {}{}, {}",
-                    now.id(),
-                    now.address().port(),
-                    word(now.state()),
-                    before == null ? "" : ", was " + word(before),
-                    why);
-        }
+    /** Usable part of that dispatcher's share, from 0 to 1; 0 while another process speaks. */
+    @Override
+    public double ofDispatcher(int number) {
+        return socket.isOpen() ? leases.usablePart(number, loop.now()) : 0;
     }
 
-    private static String word(MemberUpdate.State state) {
-        return state.name().toLowerCase(Locale.ROOT);
+    /** Usable part of the whole quota, from 0 to 1; 0 while another process speaks. */
+    @Override
+    public double total() {
+        return socket.isOpen() ? leases.usableTotal(loop.now()) : 0;
     }
 
-    // ---- what operators are told
+    // ---- operators' text
 
     /**
-     * A line for each dispatcher that is known, this one first, and one on shares and datagrams.
+     * The answer to the admin command PEERS: a line for each known dispatcher, this one first, then
+     * a line on its quota, local health and rejected datagrams.
      */
     public String text() {
-        membership.at(loop.now());
         StringBuilder out = new StringBuilder();
         out.append(name).append(' ').append(peering.number()).append(" alive itself\n");
-        for (MemberUpdate one : membership.others()) {
-            out.append(one.id())
+        for (MemberUpdate member : membership.others()) {
+            out.append(member.id())
                     .append(' ')
-                    .append(one.address().port())
+                    .append(member.address().port())
                     .append(' ')
-                    .append(word(one.state()))
-                    .append(String.format(Locale.ROOT, " %.1f s%n", membership.since(one.id())));
+                    .append(MembershipDriver.stateName(member.state()))
+                    .append(
+                            String.format(
+                                    Locale.ROOT, " %.1f s%n", membership.timeInState(member.id())));
         }
         out.append(
                 String.format(
@@ -312,10 +205,10 @@
                         "share %.4f of the whole, holding %s; doubt %d; datagrams not"
                                 + " ours %d, malformed %d%n",
                         total(),
-                        shares.held(loop.now()),
-                        membership.doubt(),
-                        foreign,
-                        malformed));
+                        leases.heldShares(loop.now()),
+                        membership.localHealthScore(),
+                        socket.foreignCount(),
+                        socket.malformedCount()));
         return out.toString();
     }
 }
--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -5,161 +5,200 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiPredicate;
+import java.util.function.BooleanSupplier;
 import wheelroute.kit.virtual.VirtualTime;
 import wheelroute.kit.world.Chance;
 import wheelroute.peers.MalformedMessageException;
 import wheelroute.peers.MemberAddress;
 import wheelroute.peers.MemberUpdate;
 import wheelroute.peers.Membership;
+import wheelroute.peers.MembershipConfig;
 import wheelroute.peers.Message;
 import wheelroute.peers.MessageCodec;
 import wheelroute.peers.PeerId;
 
 /**
- * Members of one cluster on the virtual clock. Every datagram goes through the codec; it may be
- * lost, late, doubled, overtaken, or cut off by whoever sends it to whom; members crash, stand
- * still and come back.
+ * A cluster of {@link Membership}s on the virtual clock. Every datagram passes through the codec
+ * and a network that may delay, reorder, duplicate or lose it, or block it by sender and receiver.
+ * Members crash, pause, stall, leave and restart. All randomness is drawn from one seed.
  */
 public final class PeerModel {
-    /** Any; each member has a port of its own on it. */
+    /** The host of all members, which differ by port. */
     private static final int HOST = 0x7f000001;
 
     private static final int FIRST_PORT = 10_000;
+
+    /** Least delay of a datagram in seconds. */
     private static final double DELAY = 0.0005;
+
+    /** Random part of the delay in seconds, from 0 on. */
     private static final double JITTER = 0.001;
 
-    /** A starved member runs for so long at a time. */
-    private static final double FED = 0.3;
+    /** How long a member that stalls repeatedly runs in between, in seconds. */
+    private static final double RUN_BETWEEN_STALLS = 0.3;
+
+    /** Interval at which a condition is looked at, in seconds. */
+    private static final double CHECK_INTERVAL = 0.1;
 
+    /** What a member's clock shows in seconds when the model starts. */
+    private static final double CLOCK_AT_START = 1e6;
+
+    private static final double MILLISECONDS = 1000;
     private static final int CLUSTER = 7;
+    private static final String NAME_PREFIX = "n";
 
+    /** The clock of the whole model. */
     public final VirtualTime time = new VirtualTime();
+
+    /** All members, up or not, in the order of their numbers. */
     public final List<Member> members = new ArrayList<>();
-    private final Chance chance;
+
+    private final Chance random;
     private final int seeds;
-    private final boolean doubts;
-    private final double start = time.now();
-    private long drawn;
+    private final boolean localHealthAware;
+    private final double startTime = time.now();
+    private long draws;
     private double loss;
-    private double doubled;
+    private double duplication;
+
+    /** Further random delay in seconds, from 0 on, by which datagrams overtake each other. */
     private double spread;
-    private BiPredicate<Integer, Integer> cut = (from, to) -> false;
+
+    private BiPredicate<Integer, Integer> blocked = (from, to) -> false;
     private long datagrams;
     private long bytes;
-    private long verdicts;
-    private int largest;
+    private long falsePositives;
+    private int largestDatagram;
 
-    /** One member: a process that runs, stands still or is down. */
+    /** One member: a process that runs, is paused, or is down. */
     public final class Member implements Membership.Transport {
+        /** Index in {@link PeerModel#members}. */
         public final int number;
+
         private Membership membership;
-        private int life;
-        private boolean still;
+
+        /** Counts starts and ends, so that events of an earlier process are dropped. */
+        private int processCount;
+
+        private boolean paused;
         private boolean up;
-        private double wakeAt = Double.POSITIVE_INFINITY;
+        private double timerAt = Double.POSITIVE_INFINITY;
 
-        /** So long at a time it gets no core; 0 for as it should be. */
-        private double slow;
+        /** Mean length of its repeated stalls; 0 for none. */
+        private double stallSeconds;
 
-        private final ArrayDeque<Runnable> meanwhile = new ArrayDeque<>();
+        /** Events that arrived while it was paused. */
+        private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
 
         private Member(int number) {
             this.number = number;
         }
 
+        /** The membership of its latest process; null before the first. */
         public Membership membership() {
             return membership;
         }
 
+        /** Whether it has a process, paused or not. */
         public boolean isUp() {
             return up;
         }
 
-        public boolean isStill() {
-            return still;
+        /** Whether its process gets no CPU. */
+        public boolean isPaused() {
+            return paused;
         }
 
-        /** A new process under the same name; its clock says so much more than it should. */
-        public void begin(double clockAhead) {
-            life++;
+        /**
+         * Starts a new process of the same name.
+         *
+         * @param clockAhead seconds by which its clock is ahead; negative for behind
+         */
+        public void start(double clockAhead) {
+            processCount++;
             up = true;
-            still = false;
-            meanwhile.clear();
-            wakeAt = Double.POSITIVE_INFINITY;
-            List<MemberAddress> places = new ArrayList<>();
+            paused = false;
+            deferredEvents.clear();
+            timerAt = Double.POSITIVE_INFINITY;
+            List<MemberAddress> seedAddresses = new ArrayList<>();
             for (int i = 0; i < seeds; i++) {
-                places.add(place(i));
+                seedAddresses.add(address(i));
             }
-            long millis = (long) (1000 * (1e6 + time.now() - start + clockAhead));
+            double clock = CLOCK_AT_START + time.now() - startTime + clockAhead;
+            long incarnation = (long) (MILLISECONDS * clock);
             membership =
                     new Membership(
-                            CLUSTER,
-                            id(number),
-                            place(number),
-                            millis,
-                            places,
-                            chance.key(Chance.Of.BRAIN, number, life),
-                            doubts,
+                            new MembershipConfig(
+                                    CLUSTER,
+                                    id(number),
+                                    address(number),
+                                    incarnation,
+                                    seedAddresses,
+                                    random.key(Chance.Of.BRAIN, number, processCount),
+                                    localHealthAware),
                             this);
-            event(membership::begin);
+            runEvent(membership::start);
         }
 
+        /** Ends the process without a message. */
         public void crash() {
             up = false;
-            life++;
+            processCount++;
         }
 
-        public void pause(boolean begins) {
-            still = begins;
-            while (!still && !meanwhile.isEmpty()) {
-                meanwhile.pollFirst().run();
+        /** Pauses the process, or resumes it; it then handles what arrived meanwhile. */
+        public void pause(boolean newPaused) {
+            paused = newPaused;
+            while (!paused && !deferredEvents.isEmpty()) {
+                deferredEvents.pollFirst().run();
             }
         }
 
         /**
-         * From here on it stands still about so long, again and again, with moments between; 0 ends
-         * that.
+         * Lets the process stall again and again, as on an overloaded machine.
+         *
+         * @param seconds mean length of a stall; 0 ends them
          */
-        public void slow(double by) {
-            boolean was = slow > 0;
-            slow = by;
-            if (!was && by > 0) {
-                starve();
+        public void stall(double seconds) {
+            boolean wasStalling = stallSeconds > 0;
+            stallSeconds = seconds;
+            if (!wasStalling && seconds > 0) {
+                stallRepeatedly();
             }
         }
 
-        private void starve() {
-            if (slow > 0 && up) {
+        private void stallRepeatedly() {
+            if (stallSeconds > 0 && up) {
                 pause(true);
                 time.after(
-                        slow * (0.5 + draw()),
+                        stallSeconds * (0.5 + draw()),
                         () -> {
                             pause(false);
-                            time.after(FED, this::starve);
+                            time.after(RUN_BETWEEN_STALLS, this::stallRepeatedly);
                         });
             }
         }
 
+        /** Announces that it leaves, and ends the process. */
         public void leave() {
-            event(membership::leave);
+            runEvent(membership::leave);
             crash();
         }
 
-        private void event(Runnable what) {
-            int of = life;
-            Runnable now =
-                    () -> {
-                        if (of != life) {
-                            return;
-                        }
-                        if (still) {
-                            meanwhile.addLast(() -> event(what));
-                            return;
-                        }
-                        membership.at(time.now());
-                        what.run();
-                    };
-            now.run();
+        private void runEvent(Runnable event) {
+            runEventOf(processCount, event);
+        }
+
+        private void runEventOf(int process, Runnable event) {
+            if (process != processCount) {
+                return;
+            }
+            if (paused) {
+                deferredEvents.addLast(() -> runEventOf(process, event));
+                return;
+            }
+            membership.advanceTo(time.now());
+            event.run();
         }
 
         @Override
@@ -167,187 +206,214 @@
             ByteBuffer datagram = MessageCodec.encode(message);
             datagrams++;
             bytes += datagram.remaining();
-            largest = Math.max(largest, datagram.remaining());
-            int target = to.port() - FIRST_PORT;
-            if (target < 0
-                    || target >= members.size()
-                    || cut.test(number, target)
+            largestDatagram = Math.max(largestDatagram, datagram.remaining());
+            int receiver = to.port() - FIRST_PORT;
+            if (receiver < 0
+                    || receiver >= members.size()
+                    || blocked.test(number, receiver)
                     || draw() < loss) {
                 return;
             }
-            for (int copies = draw() < doubled ? 2 : 1; copies > 0; copies--) {
+            for (int copies = draw() < duplication ? 2 : 1; copies > 0; copies--) {
                 ByteBuffer copy = datagram.duplicate();
                 time.after(
                         DELAY + JITTER * draw() + spread * draw(),
-                        () -> members.get(target).comes(number, copy));
+                        () -> members.get(receiver).receive(number, copy));
             }
         }
 
-        private void comes(int from, ByteBuffer datagram) {
+        private void receive(int from, ByteBuffer datagram) {
             if (!up) {
                 return;
             }
             try {
                 Message message = MessageCodec.decode(datagram);
-                event(() -> membership.received(place(from), message));
+                runEvent(() -> membership.receive(address(from), message));
             } catch (MalformedMessageException e) {
-                throw new IllegalStateException("our own datagram", e);
+                throw new IllegalStateException("a member sent a malformed datagram", e);
             }
         }
 
         @Override
-        public void wake(double delay) {
+        public void scheduleTimer(double delay) {
             double at = time.now() + delay;
-            if (at < wakeAt) {
-                wakeAt = at;
-                int of = life;
+            if (at < timerAt) {
+                timerAt = at;
+                int process = processCount;
                 time.after(
                         delay,
                         () -> {
-                            if (of == life && wakeAt == at) {
-                                wakeAt = Double.POSITIVE_INFINITY;
-                                event(membership::woken);
+                            if (process == processCount && timerAt == at) {
+                                timerAt = Double.POSITIVE_INFINITY;
+                                runEvent(membership::onTimer);
                             }
                         });
             }
         }
 
         @Override
-        public void changed(MemberUpdate now, MemberUpdate.State before, String why) {
-            // Passed on it is one verdict still.
-            if (now.state() == MemberUpdate.State.DEAD && why.startsWith("by our own")) {
-                Member of = members.get(Integer.parseInt(now.id().name().substring(1)));
-                if (of.up && !of.still && of.slow == 0) {
-                    verdicts++;
+        public void memberChanged(
+                MemberUpdate update, MemberUpdate.State previous, PeerId reportedBy) {
+            // Only at the member that declares the death: gossip of it is no further verdict.
+            if (update.state() == MemberUpdate.State.DEAD && reportedBy.equals(id(number))) {
+                Member dead = memberOf(update);
+                if (dead.up && !dead.paused && dead.stallSeconds == 0) {
+                    falsePositives++;
+                }
+            }
+        }
+
+        private boolean isReachable() {
+            return up && !paused;
+        }
+
+        /** Whether it holds exactly those members to be alive that are up. */
+        private boolean hasConverged(long upCount) {
+            if (membership.aliveCount() != upCount) {
+                return false;
+            }
+            for (MemberUpdate other : membership.others()) {
+                boolean heldAlive = other.state() == MemberUpdate.State.ALIVE;
+                if (heldAlive != memberOf(other).up) {
+                    return false;
                 }
             }
+            return true;
+        }
+
+        private boolean holdsDead(int other) {
+            MemberUpdate update = membership.find(id(other));
+            return update == null
+                    || update.state() == MemberUpdate.State.DEAD
+                    || update.state() == MemberUpdate.State.LEFT;
         }
     }
 
     /**
-     * So many members, of which the first few are everybody's seeds; who doubt themselves, or do
-     * not.
+     * Creates a cluster with no member started.
+     *
+     * @param count number of members
+     * @param seeds how many of them, from the first on, are everybody's seeds
+     * @param localHealthAware whether they use Lifeguard's local health multiplier
      */
-    public PeerModel(int count, int seeds, long seed, boolean doubts) {
+    public PeerModel(int count, int seeds, long seed, boolean localHealthAware) {
         this.seeds = seeds;
-        this.doubts = doubts;
-        chance = new Chance(seed);
+        this.localHealthAware = localHealthAware;
+        random = new Chance(seed);
         for (int i = 0; i < count; i++) {
             members.add(new Member(i));
         }
     }
 
+    private Member memberOf(MemberUpdate update) {
+        String number = update.id().name().substring(NAME_PREFIX.length());
+        return members.get(Integer.parseInt(number));
+    }
+
+    /** Name of the member of this number. */
     public static PeerId id(int number) {
-        return new PeerId("n" + number);
+        return new PeerId(NAME_PREFIX + number);
     }
 
-    private static MemberAddress place(int number) {
+    private static MemberAddress address(int number) {
         return new MemberAddress(HOST, FIRST_PORT + number);
     }
 
-    /** From 0 up to 1, in the order of asking. */
+    /** The next random number, from 0 inclusive to 1 exclusive. */
     public double draw() {
-        return chance.once(Chance.Of.LINK, drawn++, 0);
+        return random.once(Chance.Of.LINK, draws++, 0);
     }
 
-    public void network(double newLoss, double newDoubled, double newSpread) {
+    /**
+     * Sets how the network treats datagrams from here on.
+     *
+     * @param newLoss part that is lost
+     * @param newDuplication part that arrives twice
+     * @param newSpread further random delay in seconds at most
+     */
+    public void setNetwork(double newLoss, double newDuplication, double newSpread) {
         loss = newLoss;
-        doubled = newDoubled;
+        duplication = newDuplication;
         spread = newSpread;
     }
 
-    /** Whose datagrams to whom are lost from here on. */
-    public void cut(BiPredicate<Integer, Integer> newCut) {
-        cut = newCut;
+    /** Loses from here on the datagrams for whose sender and receiver this holds. */
+    public void block(BiPredicate<Integer, Integer> newBlocked) {
+        blocked = newBlocked;
     }
 
-    /** All of them within so long. */
-    public void beginAll(double within) {
+    /** Starts all members at random times within so many seconds. */
+    public void startAll(double within) {
         for (Member member : members) {
-            time.after(within * draw(), () -> member.begin(0));
+            time.after(within * draw(), () -> member.start(0));
         }
     }
 
-    public void pass(double seconds) {
-        boolean[] there = {false};
-        time.after(seconds, () -> there[0] = true);
-        while (!there[0] && time.step()) {
+    /** Runs the model for so many seconds. */
+    public void advance(double seconds) {
+        boolean[] elapsed = {false};
+        time.after(seconds, () -> elapsed[0] = true);
+        while (!elapsed[0] && time.step()) {
             // Each step moves the virtual clock on.
         }
     }
 
     /**
-     * Passes until it is so, looking ten times a second; how long it took, or NaN if it did not
-     * come.
+     * Runs the model until a condition holds.
+     *
+     * @param timeout seconds after which it gives up
+     * @return seconds that it took; NaN if the condition did not hold in time
      */
-    public double passUntil(java.util.function.BooleanSupplier so, double most) {
+    public double advanceUntil(BooleanSupplier condition, double timeout) {
         double from = time.now();
-        while (time.now() < from + most) {
-            if (so.getAsBoolean()) {
+        while (time.now() < from + timeout) {
+            if (condition.getAsBoolean()) {
                 return time.now() - from;
             }
-            pass(0.1);
+            advance(CHECK_INTERVAL);
         }
         return Double.NaN;
     }
 
-    /** All that run hold just those that run to be there. */
-    public boolean isAgreed() {
-        long up = members.stream().filter(Member::isUp).count();
+    /** Whether all members that run hold exactly those to be alive that are up. */
+    public boolean hasConverged() {
+        long upCount = members.stream().filter(Member::isUp).count();
         return members.stream()
-                .filter(m -> m.up && !m.still)
-                .allMatch(
-                        m ->
-                                m.membership.there() == up
-                                        && m.membership.others().stream()
-                                                .allMatch(
-                                                        o ->
-                                                                (o.state()
-                                                                                == MemberUpdate
-                                                                                        .State
-                                                                                        .ALIVE)
-                                                                        == members.get(
-                                                                                        Integer
-                                                                                                .parseInt(
-                                                                                                        o.id().name()
-                                                                                                                .substring(
-                                                                                                                        1)))
-                                                                                .up));
+                .filter(Member::isReachable)
+                .allMatch(member -> member.hasConverged(upCount));
     }
 
-    /** All that run have given this one up. */
-    public boolean isGivenUp(int number) {
+    /** Whether all others that are up hold this member to be dead, or to have left. */
+    public boolean isDeadEverywhere(int number) {
         return members.stream()
-                .filter(m -> m.up && m.number != number)
-                .allMatch(
-                        m -> {
-                            MemberUpdate of = m.membership.of(id(number));
-                            return of == null
-                                    || of.state() == MemberUpdate.State.DEAD
-                                    || of.state() == MemberUpdate.State.LEFT;
-                        });
+                .filter(member -> member.up && member.number != number)
+                .allMatch(member -> member.holdsDead(number));
     }
 
-    /** Verdicts on members that ran as they should. */
-    public long wrongVerdicts() {
-        return verdicts;
+    /** Number of deaths declared of members that ran without a fault. */
+    public long falsePositives() {
+        return falsePositives;
     }
 
+    /** Bytes sent since the last reset, by all members. */
     public long bytes() {
         return bytes;
     }
 
+    /** Datagrams sent since the last reset, by all members. */
     public long datagrams() {
         return datagrams;
     }
 
+    /** Size of the largest datagram of the whole run in bytes. */
     public int largestDatagram() {
-        return largest;
+        return largestDatagram;
     }
 
-    public void countFromHere() {
+    /** Resets the counters of bytes, datagrams and false positives. */
+    public void resetCounters() {
         bytes = 0;
         datagrams = 0;
-        verdicts = 0;
+        falsePositives = 0;
     }
 }
