--- a/daemon/src/main/java/wheelroute/JsonLogFormatter.java
+++ b/daemon/src/main/java/wheelroute/JsonLogFormatter.java
@@ -9,27 +9,32 @@
 import java.util.logging.Formatter;
 import java.util.logging.LogRecord;
 
-/** One JSON object an entry, for whoever gathers logs: time in UTC, level, who says it, what. */
+/**
+ * Formats each log record as one line with a JSON object, for log collectors.
+ *
+ * <p>Its fields are the time in UTC, level, logger and message, and the stack trace of the
+ * exception, if any.
+ */
 public final class JsonLogFormatter extends Formatter {
     private static final JsonFactory JSON = new JsonFactory();
 
     @Override
-    public String format(LogRecord entry) {
+    public String format(LogRecord logRecord) {
         StringWriter line = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(line)) {
             json.writeStartObject();
-            json.writeStringField("time", entry.getInstant().toString());
-            json.writeStringField("level", entry.getLevel().getName());
-            json.writeStringField("logger", entry.getLoggerName());
-            json.writeStringField("message", formatMessage(entry));
-            if (entry.getThrown() != null) {
+            json.writeStringField("time", logRecord.getInstant().toString());
+            json.writeStringField("level", logRecord.getLevel().getName());
+            json.writeStringField("logger", logRecord.getLoggerName());
+            json.writeStringField("message", formatMessage(logRecord));
+            if (logRecord.getThrown() != null) {
                 StringWriter trace = new StringWriter();
-                entry.getThrown().printStackTrace(new PrintWriter(trace, true));
+                logRecord.getThrown().printStackTrace(new PrintWriter(trace, true));
                 json.writeStringField("trace", trace.toString());
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("a text cannot be written to", e);
+            throw new UncheckedIOException("cannot write to a string", e);
         }
         return line.append('\n').toString();
     }
--- a/daemon/src/main/java/wheelroute/Main.java
+++ b/daemon/src/main/java/wheelroute/Main.java
@@ -11,17 +11,24 @@
 import wheelroute.config.ConfigReader;
 import wheelroute.net.Service;
 
-/** The command line: one subcommand a way of running the decisions. */
+/**
+ * The daemon's command line: {@code adapter} runs the simulator's wire protocol on standard input
+ * and output, {@code serve} dispatches on sockets.
+ */
 public final class Main {
     private static final int BAD_INPUT = 1;
     private static final int BAD_USAGE = 2;
 
     private Main() {}
 
+    /**
+     * Runs the subcommand that the first argument names; ends with status 1 if it fails and with
+     * status 2 after a usage error.
+     */
     public static void main(String[] args) {
         String command = args.length > 0 ? args[0] : "";
         if (command.equals("adapter") && args.length == 1) {
-            adapter();
+            runAdapter();
         } else if (command.equals("serve")) {
             serve(environment(args));
         } else {
@@ -34,18 +41,16 @@
                 "usage: wheelroute adapter    the wire on standard input and output\n"
                         + "       wheelroute serve [--log-format text|json] [FILE]\n"
                         + "                             dispatch on sockets, by LB_* and FILE, TOML or JSON, or"
-                        + " the file"
-                        + " that LB_CONFIG names");
+                        + " the file that LB_CONFIG names");
         System.exit(BAD_USAGE);
     }
 
-    /** Of the process, with the file that the command line names in place of LB_CONFIG. */
+    /** The process's environment, with a file from the command line in place of LB_CONFIG. */
     private static Map<String, String> environment(String[] args) {
         Map<String, String> environment = System.getenv();
         for (int i = 1; i < args.length; i++) {
-            if (args[i].equals("--log-format")
-                    && i + 1 < args.length
-                    && (args[i + 1].equals("text") || args[i + 1].equals("json"))) {
+            boolean hasValue = i + 1 < args.length;
+            if (args[i].equals("--log-format") && hasValue && isLogFormat(args[i + 1])) {
                 System.setProperty(PersistentLogManager.FORMAT, args[++i]);
             } else if (i == args.length - 1 && !args[i].startsWith("-")) {
                 environment = new HashMap<>(environment);
@@ -57,8 +62,12 @@
         return environment;
     }
 
-    private static void adapter() {
-        // Unwrapped descriptors: System.out would add a lock and a second buffer to every reply.
+    private static boolean isLogFormat(String value) {
+        return value.equals("text") || value.equals("json");
+    }
+
+    private static void runAdapter() {
+        // Plain descriptors: System.out would add a lock and a second buffer to every reply.
         try (FileInputStream in = new FileInputStream(FileDescriptor.in);
                 FileOutputStream out = new FileOutputStream(FileDescriptor.out)) {
             new Adapter(in, out).run();
@@ -68,34 +77,35 @@
     }
 
     private static void serve(Map<String, String> environment) {
-        // Before the first logger: the usual manager drops its handlers once the process is told to
-        // end.
+        // Before the first logger is created: the default manager drops its handlers on shutdown.
         System.setProperty("java.util.logging.manager", PersistentLogManager.class.getName());
         try {
             Service service = new Service(ConfigReader.read(environment));
-            // Before it is ready: by default either signal would end the process, with what it had
-            // taken.
+            // Before the service accepts requests: by default SIGHUP and SIGTERM would end the
+            // process and lose them.
             ReloadSignal.onSignal(() -> service.reload(() -> ConfigReader.reread(environment)));
-            Thread end = new Thread(() -> end(service), "end");
-            Runtime.getRuntime().addShutdownHook(end);
-            start(service, end);
+            Thread shutdownHook = new Thread(() -> shutDown(service), "shutdown");
+            Runtime.getRuntime().addShutdownHook(shutdownHook);
+            start(service, shutdownHook);
         } catch (Exception e) {
             fail(e);
         }
     }
 
-    /** A start that fails ends with the code for it, and with nothing to wait for. */
-    private static void start(Service service, Thread end) throws Exception {
+    /**
+     * After a failed start there is nothing to drain, and the exit status is that of the failure.
+     */
+    private static void start(Service service, Thread shutdownHook) throws Exception {
         try {
             service.start();
         } catch (Exception e) {
-            Runtime.getRuntime().removeShutdownHook(end);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
             throw e;
         }
     }
 
-    /** A signal's own exit code would read as a crash. */
-    private static void end(Service service) {
+    /** Halts with status 0: the default status after a signal would look like a crash. */
+    private static void shutDown(Service service) {
         try {
             service.drain();
         } catch (Exception e) {
--- a/daemon/src/main/java/wheelroute/PersistentLogManager.java
+++ b/daemon/src/main/java/wheelroute/PersistentLogManager.java
@@ -3,18 +3,20 @@
 import java.util.logging.LogManager;
 
 /**
- * Keeps its handlers when the process is told to end: what is logged while it drains must not be
- * lost.
+ * A log manager that keeps its handlers during shutdown, so that what is logged while the process
+ * drains is not lost.
+ *
+ * <p>Also selects the formatter of the console handler by the system property {@link #FORMAT}.
  */
 public final class PersistentLogManager extends LogManager {
-    /** The system property that names how entries are written; text where it is not set. */
+    /** System property with the log format: {@code json}, or text for any other value or none. */
     static final String FORMAT = "wheelroute.log-format";
 
     private static final String FORMATTER = "java.util.logging.ConsoleHandler.formatter";
 
     @Override
     public void reset() {
-        // The process's end calls this; nothing else here does.
+        // Called by the runtime's shutdown hook only, at which the handlers must stay.
     }
 
     @Override
--- a/daemon/src/main/java/wheelroute/ReloadSignal.java
+++ b/daemon/src/main/java/wheelroute/ReloadSignal.java
@@ -3,26 +3,32 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP as a call instead of the process's end. The runtime has no other door to signals than a
- * class that the compiler warns of wherever it is named; so it is asked for by name, once, at the
- * start.
+ * Handles SIGHUP, which requests a reload of the configuration and would end the process by
+ * default.
+ *
+ * <p>The runtime's only API for signals is an internal class that the compiler warns of wherever it
+ * is named, hence the access by reflection.
  */
 final class ReloadSignal {
     private ReloadSignal() {}
 
-    /** The task runs on a thread of the runtime's, once for each signal. */
+    /**
+     * Runs the task for each signal, on a thread of the runtime; replaces an earlier task.
+     *
+     * @throws ReflectiveOperationException if the runtime lacks the API or rejects the handler
+     */
     static void onSignal(Runnable task) throws ReflectiveOperationException {
-        Class<?> signal = Class.forName("sun.misc.Signal");
-        Class<?> handler = Class.forName("sun.misc.SignalHandler");
-        Object relay =
+        Class<?> signalType = Class.forName("sun.misc.Signal");
+        Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+        Object handler =
                 Proxy.newProxyInstance(
                         ReloadSignal.class.getClassLoader(),
-                        new Class<?>[] {handler},
+                        new Class<?>[] {handlerType},
                         (proxy, method, arguments) -> {
                             task.run();
                             return null;
                         });
-        signal.getMethod("handle", signal, handler)
-                .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), relay);
+        Object hangup = signalType.getConstructor(String.class).newInstance("HUP");
+        signalType.getMethod("handle", signalType, handlerType).invoke(null, hangup, handler);
     }
 }
--- a/daemon/src/main/java/wheelroute/TextLogFormatter.java
+++ b/daemon/src/main/java/wheelroute/TextLogFormatter.java
@@ -7,8 +7,10 @@
 import java.util.logging.LogRecord;
 
 /**
- * One line an entry, in UTC. The runtime's own formatter reads a whole locale first, at every
- * start.
+ * Formats each log record as one line of text with its time in UTC, followed by the stack trace of
+ * its exception, if any.
+ *
+ * <p>The runtime's own formatter would load a locale's data at every start.
  */
 public final class TextLogFormatter extends Formatter {
     private static final long DAY_MILLIS = 86_400_000;
@@ -17,30 +19,30 @@
     private static final int SECOND_MILLIS = 1000;
 
     @Override
-    public String format(LogRecord entry) {
-        long millis = entry.getMillis();
-        int ofDay = (int) Math.floorMod(millis, DAY_MILLIS);
+    public String format(LogRecord logRecord) {
+        long millis = logRecord.getMillis();
+        int millisOfDay = (int) Math.floorMod(millis, DAY_MILLIS);
         StringBuilder line = new StringBuilder();
         line.append(LocalDate.ofEpochDay(Math.floorDiv(millis, DAY_MILLIS)));
-        part(line, ' ', ofDay / HOUR_MILLIS, 2);
-        part(line, ':', ofDay % HOUR_MILLIS / MINUTE_MILLIS, 2);
-        part(line, ':', ofDay % MINUTE_MILLIS / SECOND_MILLIS, 2);
-        part(line, '.', ofDay % SECOND_MILLIS, 3);
+        appendPadded(line, ' ', millisOfDay / HOUR_MILLIS, 2);
+        appendPadded(line, ':', millisOfDay % HOUR_MILLIS / MINUTE_MILLIS, 2);
+        appendPadded(line, ':', millisOfDay % MINUTE_MILLIS / SECOND_MILLIS, 2);
+        appendPadded(line, '.', millisOfDay % SECOND_MILLIS, 3);
         line.append("Z ")
-                .append(entry.getLevel().getName())
+                .append(logRecord.getLevel().getName())
                 .append(' ')
-                .append(entry.getLoggerName());
-        line.append(": ").append(formatMessage(entry)).append('\n');
-        if (entry.getThrown() != null) {
+                .append(logRecord.getLoggerName());
+        line.append(": ").append(formatMessage(logRecord)).append('\n');
+        if (logRecord.getThrown() != null) {
             StringWriter trace = new StringWriter();
-            entry.getThrown().printStackTrace(new PrintWriter(trace, true));
+            logRecord.getThrown().printStackTrace(new PrintWriter(trace, true));
             line.append(trace);
         }
         return line.toString();
     }
 
-    private static void part(StringBuilder line, char before, int value, int digits) {
+    private static void appendPadded(StringBuilder line, char separator, int value, int digits) {
         String text = Integer.toString(value);
-        line.append(before).append("0".repeat(digits - text.length())).append(text);
+        line.append(separator).append("0".repeat(digits - text.length())).append(text);
     }
 }
--- a/daemon/src/main/java/wheelroute/discovery/package-info.java
+++ b/daemon/src/main/java/wheelroute/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** When discovery is asked again. Decides; no I/O, no clock. */
+/** When the endpoint list is polled again after a failed call. No I/O, no clock. */
 package wheelroute.discovery;
--- a/daemon/src/main/java/wheelroute/limits/ConnectionLimit.java
+++ b/daemon/src/main/java/wheelroute/limits/ConnectionLimit.java
@@ -10,112 +10,121 @@
 import java.util.function.Predicate;
 
 /**
- * Clients' connections and the places for them: who makes room when one more comes than there are
- * places. A crowd that connects and never finishes a message must not take them from those who do;
- * and of true clients some are slow to write, some only look, some keep a connection for later.
+ * Limits client connections and chooses which one to evict for a new one when the limit is reached.
+ *
+ * <p>A flood of connections that never complete a message must not displace clients that do. Some
+ * legitimate clients write slowly, some only query status, and some keep a connection for reuse, so
+ * the eviction order follows the {@link Stage} of each connection.
+ *
+ * <p>Times are in seconds on the caller's clock. Not thread-safe.
+ *
+ * @param <C> identifies a connection; needs equals and hashCode
  */
 public final class ConnectionLimit<C> {
-    /**
-     * How far a connection is. Within each, the first is the one about which nothing happened for
-     * longest.
-     */
+    /** Progress of a connection. Within a stage, connections are ordered by their last update. */
     public enum Stage {
-        /** Has said nothing yet: its first message may be on the way, or it is a stranger. */
+        /** Accepted, without any bytes of a first message yet. */
         NEW,
-        /** A message has begun. */
+        /** Part of a message has arrived. */
         READING,
-        /** A whole message is being worked on: it keeps its place whatever comes. */
+        /** A complete message is being processed; never evicted. */
         IN_FLIGHT,
-        /** Between two messages, of which none was a submission. */
+        /** Between two messages, none of which was a request for work. */
         IDLE_VISITOR,
-        /** Between two messages, after a submission: it is kept to be used again. */
+        /** Between two messages, after a request for work: kept open for reuse. */
         IDLE_CLIENT,
-        /** Its last answer is out. */
+        /** The last response has been sent. */
         CLOSING
     }
 
-    /**
-     * A message comes at once, or goes on at once, from most; who is silent for less is not yet
-     * silent.
-     */
+    /** A connection without progress for less than this is not considered silent. */
     public static final double SILENCE_TIMEOUT = 0.15;
 
-    /**
-     * Who is slow to write goes on within this; who stops in the middle for longer holds up no end.
-     */
+    /** A slow writer continues within this; a longer pause does not delay shutdown. */
     private static final double WRITE_PAUSE_TIMEOUT = 1;
 
-    /** Over this part of the places that has not spoken yet is a crowd of strangers. */
-    private static final double CROWD_FRACTION = 0.5;
+    /** More than this fraction of the limit without a complete message counts as a flood. */
+    private static final double FLOOD_FRACTION = 0.5;
 
-    private final Map<Stage, Map<C, Double>> stages = new EnumMap<>(Stage.class);
-    private final Map<C, Stage> stageOf = new HashMap<>();
+    private final Map<Stage, Map<C, Double>> lastUpdates = new EnumMap<>(Stage.class);
+    private final Map<C, Stage> stages = new HashMap<>();
     private int limit;
 
+    /**
+     * Creates a limit without any connections.
+     *
+     * @param limit the maximum number of connections
+     */
     public ConnectionLimit(int limit) {
         this.limit = limit;
         for (Stage stage : Stage.values()) {
-            stages.put(stage, new LinkedHashMap<>());
+            lastUpdates.put(stage, new LinkedHashMap<>());
         }
     }
 
-    /** From here on there are so many. */
+    /** Changes the maximum number of connections; {@link #isOverLimit} may hold afterwards. */
     public void limit(int newLimit) {
         limit = newLimit;
     }
 
+    /** The maximum number of connections. */
     public int limit() {
         return limit;
     }
 
+    /** The number of open connections. */
     public int count() {
-        return stageOf.size();
+        return stages.size();
     }
 
-    /** Those that are at this stage, the one that has been so for longest first. */
+    /** A copy of the connections at this stage, the least recently updated first. */
     public List<C> connectionsIn(Stage stage) {
-        return new ArrayList<>(stages.get(stage).keySet());
+        return new ArrayList<>(lastUpdates.get(stage).keySet());
     }
 
-    /** It is there, or has come so far, or goes on saying what it has begun. */
+    /** Records that a connection was opened, reached this stage, or made progress within it. */
     public void update(C connection, Stage stage, double time) {
-        Stage before = stageOf.put(connection, stage);
-        if (before != null) {
-            stages.get(before).remove(connection);
+        Stage previous = stages.put(connection, stage);
+        if (previous != null) {
+            lastUpdates.get(previous).remove(connection);
         }
-        stages.get(stage).put(connection, time);
+        lastUpdates.get(stage).put(connection, time);
     }
 
-    /** Its place is free; an unknown connection has none. */
+    /** Records that a connection was closed; ignores an unknown one. */
     public void remove(C connection) {
-        Stage last = stageOf.remove(connection);
-        if (last != null) {
-            stages.get(last).remove(connection);
+        Stage previous = stages.remove(connection);
+        if (previous != null) {
+            lastUpdates.get(previous).remove(connection);
         }
     }
 
     /**
-     * Whether somebody may be about to hand over a message: one has begun and went on lately, or
-     * was accepted a moment ago. A process that ends now would cut it off unheard.
+     * Whether a request may be about to arrive: one is partly read and made progress recently, or a
+     * connection was accepted a moment ago. Ending the process now would lose it.
      */
     public boolean expectsRequest(double time) {
-        return stages.get(Stage.READING).values().stream()
-                        .anyMatch(since -> time - since < WRITE_PAUSE_TIMEOUT)
-                || stages.get(Stage.NEW).values().stream()
-                        .anyMatch(since -> time - since < SILENCE_TIMEOUT);
+        return hasUpdateWithin(WRITE_PAUSE_TIMEOUT, Stage.READING, time)
+                || hasUpdateWithin(SILENCE_TIMEOUT, Stage.NEW, time);
     }
 
-    /** More are here than there are places, as when the places have just become fewer. */
+    private boolean hasUpdateWithin(double timeout, Stage stage, double time) {
+        return lastUpdates.get(stage).values().stream()
+                .anyMatch(lastUpdate -> time - lastUpdate < timeout);
+    }
+
+    /** Whether more connections are open than allowed, as after the limit was lowered. */
     public boolean isOverLimit() {
         return count() > limit;
     }
 
     /**
-     * Before one more comes: who makes room for it; nobody if there is a place, or if all that are
-     * here have more of a claim than whoever comes.
+     * Chooses the connection to evict before one more is accepted.
      *
-     * @param hasUnread whether something of it has come that is not read yet: then it is not
-     *     silent, and reading it may change its stage
+     * @param hasUnread whether received bytes of a connection are still unread: then it is not
+     *     silent, and the call may read them and so change or remove the connection
+     * @return empty if the limit is not reached, or if every connection takes precedence over a new
+     *     one
      */
     public Optional<C> connectionToEvict(double time, Predicate<C> hasUnread) {
         if (count() < limit) {
@@ -127,22 +136,32 @@
                 return first;
             }
         }
-        // Those who have said nothing before those who are slow to say it: a slow one has shown
-        // that it will.
+        // NEW before READING: a slow writer has shown that it intends to send a request.
         for (Stage stage : List.of(Stage.NEW, Stage.READING)) {
-            for (C connection : connectionsIn(stage)) {
-                // One that was read for the sake of another may have moved on meanwhile, or be
-                // gone.
-                double since = stages.get(stage).getOrDefault(connection, time);
-                if (time - since >= SILENCE_TIMEOUT && !hasUnread.test(connection)) {
-                    return Optional.of(connection);
-                }
+            Optional<C> silent = firstSilent(stage, time, hasUnread);
+            if (silent.isPresent()) {
+                return silent;
+            }
+        }
+        // A flood must not displace known clients, who keep their connections for reuse.
+        return isFlooded()
+                ? Optional.empty()
+                : connectionsIn(Stage.IDLE_CLIENT).stream().findFirst();
+    }
+
+    private Optional<C> firstSilent(Stage stage, double time, Predicate<C> hasUnread) {
+        for (C connection : connectionsIn(stage)) {
+            // An earlier hasUnread call may have moved this one to another stage or removed it.
+            double lastUpdate = lastUpdates.get(stage).getOrDefault(connection, time);
+            if (time - lastUpdate >= SILENCE_TIMEOUT && !hasUnread.test(connection)) {
+                return Optional.of(connection);
             }
         }
-        // Not for a crowd: known clients keep connections to use them.
-        boolean crowded =
-                stages.get(Stage.NEW).size() + stages.get(Stage.READING).size()
-                        > CROWD_FRACTION * limit;
-        return crowded ? Optional.empty() : connectionsIn(Stage.IDLE_CLIENT).stream().findFirst();
+        return Optional.empty();
+    }
+
+    private boolean isFlooded() {
+        int incomplete = lastUpdates.get(Stage.NEW).size() + lastUpdates.get(Stage.READING).size();
+        return incomplete > FLOOD_FRACTION * limit;
     }
 }
--- a/daemon/src/main/java/wheelroute/limits/SlowStartBudget.java
+++ b/daemon/src/main/java/wheelroute/limits/SlowStartBudget.java
@@ -1,86 +1,103 @@
 package wheelroute.limits;
 
 import java.util.ArrayDeque;
+import java.util.Deque;
 
 /**
- * What one dispatcher may send one worker that warms up, so that all dispatchers together do not
- * push it over. It falls when more than N + 2 root N + 2 requests of mean work come within a
- * window, N being what the settings allow it then; the rule is broken if over two thirds of them
- * came from dispatchers that had been told of its start.
+ * Limits the work that one dispatcher sends to a worker in slow start, so that all dispatchers
+ * together do not overload it while it warms up.
  *
- * <p><b>The bound.</b> Let B be {@link #BUDGET_FRACTION} of what the settings allow in a window, by
- * the worker's capacity at that window's beginning, where it is least. Those told of the start
- * send, in any window:
+ * <p>A worker collapses when more than N + 2 sqrt(N) + 2 requests of mean work arrive within a
+ * window, where N is what the settings allow at that time. The collapse is attributed to the
+ * dispatchers if more than two thirds of those requests came from dispatchers that had been
+ * notified of its start.
+ *
+ * <p><b>The bound.</b> Let B be {@link #BUDGET_FRACTION} of the work that the settings allow in a
+ * window, by the worker's capacity at the beginning of that window, where it is lowest. The
+ * notified dispatchers send, in any window:
  *
  * <ul>
- *   <li>divided evenly, D dispatchers B/D each: B. No share rounds up: work is counted and not
- *       requests, and a request that does not fit is not sent;
- *   <li>by turns, G dispatchers at a time, the numbers c-G+1 to c, c one further with each window:
- *       a window touches two turns, in which G+1 dispatchers are let in. Each counts what it sent
- *       in the window that ends now, in whichever turn, and stays within B/(G+1): B again;
- *   <li>two processes of one dispatcher, while one takes the other's place, half of its part each;
- *   <li>for a dispatcher that is not there, whoever holds its part by lease: that part, not more.
- *       In the window in which a lease changes hands both may have used it; it is half of one part;
- *   <li>retries, copies, and what the worker turns away: each launch is counted when it is decided
- *       on, whatever becomes of it. Nothing is probed;
- *   <li>what a dispatcher sent after the start, before it was told of it, is counted from the start
- *       on: it does not send its part on top.
+ *   <li>divided evenly, D dispatchers with a share of B/D each: B. No share is rounded up: work is
+ *       counted, not requests, and a request that does not fit is not sent;
+ *   <li>in rotation, G dispatchers at a time, the numbers c-G+1 to c, where c advances by one with
+ *       each turn: a window overlaps two turns, in which G+1 dispatchers are admitted. Each counts
+ *       what it sent in the window that ends now, in either turn, and stays within B/(G+1): B
+ *       again;
+ *   <li>two processes of one dispatcher, during a handover: half of its share each;
+ *   <li>for an absent dispatcher, whoever holds its share by lease: that share, not more. In the
+ *       window in which a lease changes hands both may have used it; that is half of one share;
+ *   <li>retries, hedged requests, and requests that the worker rejects: each attempt is counted
+ *       when it is decided on, whatever its outcome. There are no health checks;
+ *   <li>what a dispatcher sent after the start, before it was notified of it, counts from the start
+ *       on: it does not send its share on top.
  * </ul>
  *
- * So they send B at most, under two thirds of N. Whatever comes from those not told of the start
- * yet, a fall has over a third from them then, and is not ours.
+ * <p>So they send at most B, which is less than two thirds of N. Whatever arrives from dispatchers
+ * that are not notified yet, more than a third of the requests of a collapse come from them then,
+ * and it is not attributed to the notified ones.
+ *
+ * <p><b>What remains random.</b> B and G come from each dispatcher's own estimates. All are
+ * admitted at the same end of the group and the first turn is drawn from the start, so over that
+ * draw each has its B/(G+1) in G+1 windows out of D, a mean of B/D whatever its G, and the mean of
+ * the sum is the mean of their B. Groups of one turn are nested: if their G differ by at most a
+ * factor r, no draw gives more than B (1 + ln r). Cost estimates deviate from the true work in both
+ * directions, and arrivals are delayed against departures by network jitter. The 2 sqrt(N) + 2
+ * cover these, and no part of them is allocated.
  *
- * <p><b>What is left to chance.</b> B and G come from each dispatcher's own estimates. All are let
- * in at the same end of the group and who is first is drawn from the start, so over that draw each
- * has its B/(G+1) in G+1 windows of D, a mean of B/D whatever its G, and the sum's mean is the mean
- * of their B. Groups of one turn lie inside each other: if their G differ by a factor r at most, no
- * draw gives more than B (1 + ln r). Hints miss the true work to both sides, and what arrives is
- * later than what was sent by the network's jitter. The 2 root N + 2 are for these, and no part of
- * them is given out.
+ * <p>Times and windows are in seconds, work in the unit of the caller's cost estimates. Not
+ * thread-safe.
  */
 public final class SlowStartBudget {
     /**
-     * Under two thirds, at which a fall counts as ours; hints are rough and the worker's size is a
-     * guess.
+     * Below two thirds, above which a collapse is attributed to the dispatchers; leaves a margin
+     * for rough cost estimates and an estimated worker capacity.
      */
     private static final double BUDGET_FRACTION = 0.65;
 
-    /**
-     * A part is to hold so many requests of mean work: in a smaller one most of the work finds no
-     * place.
-     */
+    /** A share holds at least this many requests of mean work; most would not fit a smaller one. */
     private static final double MIN_REQUESTS_PER_SHARE = 1;
 
-    /** The parts of others are used where a dispatcher is not there and its part is held here. */
+    /** Which dispatchers' shares may be used here: this one's, and those held by lease. */
     public interface Shares {
-        /** How much of that dispatcher's part may be used here, from 0 to 1. */
+        /** The fraction of that dispatcher's share that may be used here, from 0 to 1. */
         double ofDispatcher(int dispatcher);
 
-        /** How much of all parts together. */
+        /** The fraction of all shares together that may be used here, from 0 to 1. */
         double total();
     }
 
     /**
-     * What the settings say of all cold workers.
+     * The settings that hold for all workers in slow start.
      *
-     * @param dispatchers all there are
-     * @param position this one's place among them; under 0 where that is not told
-     * @param multiple so many times its capacity within the window push a worker over
+     * @param dispatchers the number of dispatchers
+     * @param position this dispatcher's index among them; negative if unknown
+     * @param multiple a worker collapses at this multiple of its capacity within the window
+     * @param window seconds
      */
     public record Limits(int dispatchers, int position, double multiple, double window) {}
 
+    /** Work of one attempt, and when it was sent. */
+    private record SentWork(double time, double work) {}
+
     private final Limits limits;
-    private final ArrayDeque<double[]> sentWork = new ArrayDeque<>();
+    private final Deque<SentWork> sentWork = new ArrayDeque<>();
+
+    /** NaN until the start is known: then all recent work counts. */
     private double startedAt = Double.NaN;
+
     private long firstTurn;
 
+    /** Creates the budget of one worker, of whose start nothing is known yet. */
     public SlowStartBudget(Limits limits) {
         this.limits = limits;
     }
 
     /**
-     * When the worker started, by the list, and whose turn is first: all dispatchers must draw the
-     * same.
+     * Sets when the worker started.
+     *
+     * @param time as the endpoint list has it
+     * @param draw from 0 to 1, chooses the dispatcher of the first turn; all dispatchers must draw
+     *     the same
      */
     public void onWorkerStarted(double time, double draw) {
         startedAt = time;
@@ -88,27 +105,29 @@
     }
 
     /**
-     * A launch goes to the worker: also before its start is told, as that may be the start's
-     * window.
+     * Counts an attempt sent to the worker. Also called before its start is known, since the
+     * attempt may fall into the first window after the start.
      */
     public void recordSent(double now, double work) {
-        while (!sentWork.isEmpty() && sentWork.peekFirst()[0] <= now - limits.window) {
+        while (!sentWork.isEmpty() && sentWork.peekFirst().time <= now - limits.window) {
             sentWork.pollFirst();
         }
-        sentWork.addLast(new double[] {now, work});
+        sentWork.addLast(new SentWork(now, work));
     }
 
     /**
-     * Whether so much work more keeps to our part.
+     * Whether this much more work stays within this dispatcher's share.
      *
-     * @param capacity work in a window at the warmth of its beginning, for this process
+     * @param capacity work that the worker completes in a window, as warm as at the window's
+     *     beginning; this process's portion during a handover
      * @param meanWork of a request
      */
     public boolean allows(
             double now, double work, double capacity, double meanWork, Shares shares) {
         double sum = work;
-        for (double[] entry : sentWork) {
-            sum += entry[0] > now - limits.window && !(entry[0] < startedAt) ? entry[1] : 0;
+        for (SentWork sent : sentWork) {
+            boolean counts = sent.time > now - limits.window && !(sent.time < startedAt);
+            sum += counts ? sent.work : 0;
         }
         double budget = BUDGET_FRACTION * limits.multiple * capacity;
         return sum <= budget * share(now, budget, meanWork, shares);
@@ -116,7 +135,8 @@
 
     private double share(double now, double budget, double meanWork, Shares shares) {
         int group = groupSize(budget, meanWork);
-        // Guards against shares that no job fits into, by which many dispatchers shut a fleet out.
+        // Even division, unless its shares are too small for any request, which would leave the
+        // worker unused: then dispatchers take turns.
         if (limits.position < 0
                 || limits.dispatchers <= limits.multiple
                 || group + 1 >= limits.dispatchers) {
@@ -125,21 +145,16 @@
         long turn = (long) (Math.max(0, now - startedAt) / limits.window);
         double sum = 0;
         for (int i = 0; i < group; i++) {
-            sum +=
-                    shares.ofDispatcher(
-                            (int) Math.floorMod(firstTurn + turn - i, (long) limits.dispatchers));
+            long dispatcher = Math.floorMod(firstTurn + turn - i, (long) limits.dispatchers);
+            sum += shares.ofDispatcher((int) dispatcher);
         }
         return sum / (group + 1);
     }
 
-    /**
-     * So many have their turn together: as many as the budget leaves a part that requests fit into.
-     */
+    /** How many dispatchers are admitted per turn: as many as leave a share that requests fit. */
     private int groupSize(double budget, double meanWork) {
-        return (int)
-                Math.max(
-                        1,
-                        Math.min(limits.dispatchers, budget / (MIN_REQUESTS_PER_SHARE * meanWork))
-                                - 1);
+        double shareCount =
+                Math.min(limits.dispatchers, budget / (MIN_REQUESTS_PER_SHARE * meanWork));
+        return (int) Math.max(1, shareCount - 1);
     }
 }
--- a/daemon/src/main/java/wheelroute/limits/package-info.java
+++ b/daemon/src/main/java/wheelroute/limits/package-info.java
@@ -1,2 +1,2 @@
-/** Who has a place, and what part, where there is less than all want. No I/O, no clock. */
+/** Admission limits for scarce resources: connections and slow-start work. No I/O, no clock. */
 package wheelroute.limits;
--- a/daemon/src/test/java/wheelroute/TextLogFormatterTest.java
+++ b/daemon/src/test/java/wheelroute/TextLogFormatterTest.java
@@ -8,37 +8,34 @@
 import java.util.logging.LogRecord;
 import org.testng.annotations.Test;
 
-/** What an operator reads in the log. */
+/** Log records as text and as JSON. */
 public class TextLogFormatterTest {
     @Test
-    public void tellsWhenAndWhere() {
-        LogRecord entry = new LogRecord(Level.WARNING, "it stays");
-        entry.setLoggerName("a.B");
-        entry.setInstant(Instant.parse("2026-02-28T03:04:05.006Z"));
+    public void formatsTimeLevelAndLogger() {
+        LogRecord logRecord = new LogRecord(Level.WARNING, "it stays");
+        logRecord.setLoggerName("a.B");
+        logRecord.setInstant(Instant.parse("2026-02-28T03:04:05.006Z"));
         assertEquals(
-                new TextLogFormatter().format(entry),
+                new TextLogFormatter().format(logRecord),
                 "2026-02-28 03:04:05.006Z WARNING a.B: it stays\n");
-        entry.setThrown(new IllegalStateException("why"));
-        assertTrue(new TextLogFormatter().format(entry).contains("IllegalStateException: why"));
+        logRecord.setThrown(new IllegalStateException("why"));
+        assertTrue(new TextLogFormatter().format(logRecord).contains("IllegalStateException: why"));
     }
 
-    /**
-     * What a line of text would garble stays one entry: whoever gathers logs reads them line by
-     * line.
-     */
+    /** A message with a line break stays on one line, since log collectors read line by line. */
     @Test
-    public void tellsItAsJson() {
-        LogRecord entry = new LogRecord(Level.INFO, "it says \"a\"\nand more");
-        entry.setLoggerName("a.B");
-        entry.setInstant(Instant.parse("2026-02-28T03:04:05.006Z"));
+    public void formatsAsOneLineOfJson() {
+        LogRecord logRecord = new LogRecord(Level.INFO, "it says \"a\"\nand more");
+        logRecord.setLoggerName("a.B");
+        logRecord.setInstant(Instant.parse("2026-02-28T03:04:05.006Z"));
         assertEquals(
-                new JsonLogFormatter().format(entry),
+                new JsonLogFormatter().format(logRecord),
                 "{\"time\":\"2026-02-28T03:04:05.006Z\",\"level\":\"INFO\","
                         + "\"logger\":\"a.B\",\"message\":\"it says \\\"a\\\"\\nand more\"}\n");
-        entry.setThrown(new IllegalStateException("why"));
+        logRecord.setThrown(new IllegalStateException("why"));
         assertTrue(
                 new JsonLogFormatter()
-                        .format(entry)
+                        .format(logRecord)
                         .contains("\"trace\":\"java.lang.IllegalStateException:" + " why"));
     }
 }
--- a/daemon/src/test/java/wheelroute/limits/ConnectionLimitTest.java
+++ b/daemon/src/test/java/wheelroute/limits/ConnectionLimitTest.java
@@ -10,35 +10,35 @@
 import wheelroute.limits.ConnectionLimit.Stage;
 
 /**
- * Four places: who makes room for a fifth. Each row tells what came, as "name stage time", in its
- * order.
+ * Which connection is evicted for a fifth where four are allowed. Test rows list the earlier
+ * updates in order, as "name stage time" or "name gone".
  */
 public class ConnectionLimitTest {
-    private static final int MOST = 4;
+    private static final int MAX_CONNECTIONS = 4;
     private static final double NOW = 10;
     private final Set<String> unread = new HashSet<>();
 
-    private ConnectionLimit<String> places(String came) {
-        ConnectionLimit<String> places = new ConnectionLimit<>(MOST);
+    private ConnectionLimit<String> limitAfter(String updates) {
+        ConnectionLimit<String> limit = new ConnectionLimit<>(MAX_CONNECTIONS);
         unread.clear();
-        for (String event : came.split(", ")) {
-            String[] words = event.split(" ");
+        for (String update : updates.split(", ")) {
+            String[] words = update.split(" ");
             if (words[1].equals("gone")) {
-                places.remove(words[0]);
+                limit.remove(words[0]);
             } else {
-                places.update(
+                limit.update(
                         words[0],
                         Stage.valueOf(words[1].toUpperCase(java.util.Locale.ROOT)),
                         Double.parseDouble(words[2]));
             }
         }
-        return places;
+        return limit;
     }
 
     @DataProvider
-    public Object[][] crowds() {
+    public Object[][] evictions() {
         return new Object[][] {
-            // what came, whom something lies unread of, who makes room
+            // updates, connections with unread bytes, the one to evict
             {"a new 1, b new 1, c new 1", "", ""},
             {"a in_flight 1, b in_flight 1, c in_flight 1, d in_flight 1", "", ""},
             {"a in_flight 1, b closing 9.99, c new 1, d idle_visitor 1", "", "b"},
@@ -66,37 +66,34 @@
         };
     }
 
-    @Test(dataProvider = "crowds")
-    public void roomIsMadeByWhoHasTheLeastClaim(String came, String unreadOf, String who) {
-        ConnectionLimit<String> places = places(came);
+    @Test(dataProvider = "evictions")
+    public void evictsByStageAndAge(String updates, String unreadOf, String evicted) {
+        ConnectionLimit<String> limit = limitAfter(updates);
         unread.addAll(List.of(unreadOf.split(" ")));
-        assertEquals(places.connectionToEvict(NOW, unread::contains).orElse(""), who);
+        assertEquals(limit.connectionToEvict(NOW, unread::contains).orElse(""), evicted);
     }
 
-    /**
-     * Reading what lies unread may take a connection on to another stage, or end it, amid the
-     * choice.
-     */
+    /** Reading the unread bytes may change a connection's stage, or close it, amid the choice. */
     @Test
-    public void whoMovesOnAsItIsReadKeepsItsPlace() {
-        ConnectionLimit<String> places = places("a new 1, b new 2, c new 3, d in_flight 1");
+    public void skipsConnectionsThatChangeWhileRead() {
+        ConnectionLimit<String> limit = limitAfter("a new 1, b new 2, c new 3, d in_flight 1");
         assertEquals(
-                places.connectionToEvict(
+                limit.connectionToEvict(
                                 NOW,
                                 name -> {
                                     if (name.equals("a")) {
-                                        places.update("a", Stage.IN_FLIGHT, NOW);
-                                        places.remove("b");
+                                        limit.update("a", Stage.IN_FLIGHT, NOW);
+                                        limit.remove("b");
                                     }
                                     return name.equals("a");
                                 })
                         .orElse(""),
                 "c");
-        assertEquals(places.count(), 3);
+        assertEquals(limit.count(), 3);
     }
 
     @DataProvider
-    public Object[][] expecting() {
+    public Object[][] expectedRequests() {
         return new Object[][] {
             {"a idle_client 1, b in_flight 1, c closing 9.99, d idle_visitor 9.99", false},
             {"a reading 1", false},
@@ -109,20 +106,18 @@
         };
     }
 
-    /**
-     * What a process that ends must wait for: a message under way, not a stranger who says nothing.
-     */
-    @Test(dataProvider = "expecting")
-    public void aMessageUnderWayIsExpected(String came, boolean expects) {
-        assertEquals(places(came).expectsRequest(NOW), expects);
+    /** Shutdown waits for a message that is arriving, but not for a silent connection. */
+    @Test(dataProvider = "expectedRequests")
+    public void expectsRequestsThatAreArriving(String updates, boolean expects) {
+        assertEquals(limitAfter(updates).expectsRequest(NOW), expects);
     }
 
-    /** Half of the places are another process's from here on: who comes now needs one made. */
+    /** A lower limit, as after half of it went to another process, is reached sooner. */
     @Test
-    public void fewerPlacesAreFullSooner() {
-        ConnectionLimit<String> places = places("a idle_client 1, b in_flight 1");
-        assertEquals(places.connectionToEvict(NOW, name -> false).orElse(""), "");
-        places.limit(2);
-        assertEquals(places.connectionToEvict(NOW, name -> false).orElse(""), "a");
+    public void lowerLimitEvictsSooner() {
+        ConnectionLimit<String> limit = limitAfter("a idle_client 1, b in_flight 1");
+        assertEquals(limit.connectionToEvict(NOW, name -> false).orElse(""), "");
+        limit.limit(2);
+        assertEquals(limit.connectionToEvict(NOW, name -> false).orElse(""), "a");
     }
 }
--- a/daemon/src/test/java/wheelroute/limits/SlowStartBudgetTest.java
+++ b/daemon/src/test/java/wheelroute/limits/SlowStartBudgetTest.java
@@ -10,16 +10,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What all dispatchers together send a cold worker, each asking for as much as it gets. */
+/** What all dispatchers together send to a worker in slow start, each sending all it may. */
 public class SlowStartBudgetTest {
     private static final double MULTIPLE = 3;
     private static final double WINDOW = 2;
-    private static final double USE = 0.65;
+    private static final double BUDGET_FRACTION = 0.65;
     private static final double START = 100;
     private static final int STEPS = 1500;
     private static final double STEP = 0.02;
 
-    private static SlowStartBudget.Shares alone(int position, int dispatchers) {
+    private static SlowStartBudget.Shares ownShare(int position, int dispatchers) {
         return new SlowStartBudget.Shares() {
             @Override
             public double ofDispatcher(int dispatcher) {
@@ -33,45 +33,58 @@
         };
     }
 
-    /**
-     * The most that came within any window, in parts of what the settings allow; and all that came.
-     */
-    private static double[] sent(
-            int dispatchers,
-            int processes,
-            boolean placed,
-            double[] capacity,
-            double[] mean,
-            double draw,
-            long seed) {
-        List<SlowStartBudget> all = new ArrayList<>();
+    /** Work that arrived at the worker: the maximum within any window, and the total. */
+    private record ArrivedWork(double maxPerWindow, double total) {
+        double meanPerWindow() {
+            return total / (STEPS * STEP / WINDOW);
+        }
+    }
+
+    private static List<SlowStartBudget> startedBudgets(
+            int dispatchers, int processes, boolean knowsPosition, double draw) {
+        List<SlowStartBudget> budgets = new ArrayList<>();
         for (int i = 0; i < dispatchers * processes; i++) {
             SlowStartBudget budget =
                     new SlowStartBudget(
                             new SlowStartBudget.Limits(
-                                    dispatchers, placed ? i / processes : -1, MULTIPLE, WINDOW));
+                                    dispatchers,
+                                    knowsPosition ? i / processes : -1,
+                                    MULTIPLE,
+                                    WINDOW));
             budget.onWorkerStarted(START, draw);
-            all.add(budget);
+            budgets.add(budget);
         }
+        return budgets;
+    }
+
+    private static ArrivedWork simulate(
+            int dispatchers,
+            int processes,
+            boolean knowsPosition,
+            double[] capacity,
+            double[] mean,
+            double draw,
+            long seed) {
+        List<SlowStartBudget> budgets = startedBudgets(dispatchers, processes, knowsPosition, draw);
         SplittableRandom random = new SplittableRandom(seed);
         ArrayDeque<double[]> window = new ArrayDeque<>();
         double sum = 0;
-        double most = 0;
+        double max = 0;
         double total = 0;
         for (int step = 0; step < STEPS; step++) {
             double now = START + step * STEP;
-            for (int i = 0; i < all.size(); i++) {
+            for (int i = 0; i < budgets.size(); i++) {
                 // Sizes are heavy-tailed, as they are in service.
                 double work = -Math.log(1 - random.nextDouble());
-                int kind = i / processes % capacity.length;
-                if (all.get(i)
+                int estimate = i / processes % capacity.length;
+                if (budgets.get(i)
                         .allows(
                                 now,
                                 work,
-                                capacity[kind] / processes,
-                                mean[kind],
-                                alone(i / processes, dispatchers))) {
-                    all.get(i).recordSent(now, work);
+                                capacity[estimate] / processes,
+                                mean[estimate],
+                                ownShare(i / processes, dispatchers))) {
+                    budgets.get(i).recordSent(now, work);
                     window.addLast(new double[] {now, work});
                     sum += work;
                     total += work;
@@ -80,56 +93,56 @@
             while (!window.isEmpty() && window.peekFirst()[0] <= now - WINDOW) {
                 sum -= window.pollFirst()[1];
             }
-            most = Math.max(most, sum);
+            max = Math.max(max, sum);
         }
-        return new double[] {most, total};
+        return new ArrivedWork(max, total);
     }
 
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
-            // dispatchers, processes of each, whether they know their places, the worker's work in
-            // a window
+            // dispatchers, processes of each, whether they know their positions, capacity of the
+            // worker in a window
             {1, 1, false, 2.0}, {3, 1, true, 2.0}, {3, 2, true, 8.0}, {10, 1, false, 30.0},
             {10, 1, true, 3.0}, {20, 1, true, 0.8}, {20, 1, true, 3.0}, {30, 1, true, 3.0},
             {30, 2, true, 6.0}, {30, 1, true, 20.0}, {30, 1, true, 60.0}, {100, 1, true, 10.0},
         };
     }
 
-    /** The sum keeps to the budget in every window; and not so that the worker is hardly used. */
+    /** The sum stays within the budget in every window, but still makes use of the worker. */
     @Test(dataProvider = "fleets")
-    public void allTogetherKeepToTheBudget(
-            int dispatchers, int processes, boolean placed, double capacity) {
-        double[] sent =
-                sent(
+    public void staysWithinTheBudgetInEveryWindow(
+            int dispatchers, int processes, boolean knowsPosition, double capacity) {
+        ArrivedWork arrived =
+                simulate(
                         dispatchers,
                         processes,
-                        placed,
+                        knowsPosition,
                         new double[] {capacity},
                         new double[] {1},
                         0.4,
                         dispatchers);
         assertTrue(
-                sent[0] <= USE * MULTIPLE * capacity * 1.000001,
-                sent[0] + " of " + MULTIPLE * capacity);
+                arrived.maxPerWindow() <= BUDGET_FRACTION * MULTIPLE * capacity * 1.000001,
+                arrived.maxPerWindow() + " of " + MULTIPLE * capacity);
         double windows = STEPS * STEP / WINDOW;
         assertTrue(
-                sent[1] > 0.25 * USE * MULTIPLE * capacity * windows,
-                "only " + sent[1] / windows + " a window");
+                arrived.total() > 0.25 * BUDGET_FRACTION * MULTIPLE * capacity * windows,
+                "only " + arrived.total() / windows + " per window");
     }
 
     /**
-     * Where dispatchers estimate differently the mean over the starts keeps to it, and none goes
-     * past N.
+     * Where the dispatchers' estimates differ, the mean over many starts stays within the budget
+     * and no start causes a collapse.
      */
     @Test
-    public void estimatesThatDifferKeepToItInTheMean() {
+    public void staysWithinTheBudgetOnAverageIfEstimatesDiffer() {
         double sum = 0;
-        double most = 0;
+        double max = 0;
         int starts = 60;
         for (int i = 0; i < starts; i++) {
-            double[] sent =
-                    sent(
+            ArrivedWork arrived =
+                    simulate(
                             30,
                             1,
                             true,
@@ -137,33 +150,37 @@
                             new double[] {1, 0.5, 2},
                             i / 60.0,
                             i);
-            sum += sent[1] / (STEPS * STEP / WINDOW);
-            most = Math.max(most, sent[0]);
+            sum += arrived.meanPerWindow();
+            max = Math.max(max, arrived.maxPerWindow());
         }
-        assertTrue(sum / starts <= USE * MULTIPLE * (8 + 2 + 4) / 3.0, "a mean of " + sum / starts);
+        assertTrue(
+                sum / starts <= BUDGET_FRACTION * MULTIPLE * (8 + 2 + 4) / 3.0,
+                "a mean of " + sum / starts);
         double n = MULTIPLE * 8;
-        assertTrue(most <= n + 2 * Math.sqrt(n) + 2, "at most " + most);
+        assertTrue(max <= n + 2 * Math.sqrt(n) + 2, "a maximum of " + max);
     }
 
     @DataProvider
-    public Object[][] before() {
+    public Object[][] sendTimes() {
         return new Object[][] {
-            // when it sent 4 of the 4 that it may, against the start; whether that counts once it
-            // is told
+            // when the whole budget was sent, relative to the start; whether it counts once the
+            // start is known
             {-0.5, false}, {0.5, true},
         };
     }
 
-    /**
-     * Guards against a dispatcher that sends its part on top of what it sent before it was told.
-     */
-    @Test(dataProvider = "before")
-    public void whatWentBeforeTheStartWasToldCounts(double at, boolean counts) {
+    /** Work sent between the start and its notification counts against the share. */
+    @Test(dataProvider = "sendTimes")
+    public void countsWorkSentBeforeNotification(double sentAfterStart, boolean counts) {
         SlowStartBudget budget =
                 new SlowStartBudget(new SlowStartBudget.Limits(1, 0, MULTIPLE, WINDOW));
-        budget.recordSent(START + at, 4);
+        budget.recordSent(START + sentAfterStart, 4);
         budget.onWorkerStarted(START, 0);
-        assertEquals(budget.allows(START + 1, 1, 4 / USE / MULTIPLE, 1, alone(0, 1)), !counts);
-        assertTrue(budget.allows(START + 1 + WINDOW, 1, 4 / USE / MULTIPLE, 1, alone(0, 1)));
+        assertEquals(
+                budget.allows(START + 1, 1, 4 / BUDGET_FRACTION / MULTIPLE, 1, ownShare(0, 1)),
+                !counts);
+        assertTrue(
+                budget.allows(
+                        START + 1 + WINDOW, 1, 4 / BUDGET_FRACTION / MULTIPLE, 1, ownShare(0, 1)));
     }
 }
