--- /dev/null
+++ b/daemon/src/main/java/wheelroute/adapter/DispatcherInstance.java
@@ -0,0 +1,78 @@
+package wheelroute.adapter;
+
+import java.util.HashMap;
+import java.util.Map;
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.Ids;
+import wheelroute.decision.Policy;
+import wheelroute.decision.RequestHandle;
+import wheelroute.decision.Settings;
+import wheelroute.discovery.Backoff;
+
+/** One simulated dispatcher: its policy and the requests that it has accepted. */
+final class DispatcherInstance {
+    private final long id;
+    private final Map<Long, RequestHandle> handles = new HashMap<>();
+
+    /** One object for each name that recurs on the wire. */
+    private final Map<String, Ids.RequestClass> requestClasses = new HashMap<>();
+
+    private final Map<String, Ids.Tenant> tenants = new HashMap<>();
+
+    private Policy policy;
+    private Backoff backoff;
+
+    DispatcherInstance(long id) {
+        this.id = id;
+    }
+
+    long id() {
+        return id;
+    }
+
+    /** Starts over with these settings, without requests. */
+    void configure(Settings settings, ActionHandler actions, double now) {
+        handles.clear();
+        policy = new Policy(settings, actions);
+        policy.advanceTo(now);
+        backoff = settings.watchesEndpoints() ? new Backoff(settings.seed()) : null;
+    }
+
+    /** Drops the policy and its requests. */
+    void kill() {
+        policy = null;
+        handles.clear();
+    }
+
+    /** Null before the instance is configured and after it was killed. */
+    Policy policy() {
+        return policy;
+    }
+
+    /** Between calls for the endpoint list; null where the list is pushed. */
+    Backoff backoff() {
+        return backoff;
+    }
+
+    Ids.RequestClass requestClass(String name) {
+        return requestClasses.computeIfAbsent(name, Ids.RequestClass::new);
+    }
+
+    Ids.Tenant tenant(String name) {
+        return tenants.computeIfAbsent(name, Ids.Tenant::new);
+    }
+
+    /** Null for a request that is unknown or complete. */
+    RequestHandle handle(long request) {
+        return handles.get(request);
+    }
+
+    /** Keeps the handle of a request until the request is complete. */
+    void updateHandle(long request, RequestHandle handle) {
+        if (handle.isComplete()) {
+            handles.remove(request);
+        } else {
+            handles.put(request, handle);
+        }
+    }
+}
--- a/daemon/src/main/java/wheelroute/adapter/LineReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/LineReader.java
@@ -6,20 +6,26 @@
 import java.util.Arrays;
 
 /**
- * Lines of the wire and the fields in them, read in place: a day has little CPU to spare for
- * garbage.
+ * Reads lines and their space-separated fields from a stream.
+ *
+ * <p>Fields are parsed in place, without garbage: a simulated day has many lines. Field names are
+ * those of the protocol and only serve error messages. Field methods read the next field of the
+ * current line; a field that is '-' is absent.
  */
 final class LineReader {
-    private static final int FIRST_BUFFER = 1 << 16;
-    private static final int LONGEST_SHOWN = 80;
-    private static final int MOST_DIGITS = 18;
+    private static final int INITIAL_BUFFER_SIZE = 1 << 16;
+    private static final int MAX_SHOWN_LENGTH = 80;
+    private static final int MAX_DIGITS = 18;
 
     private final InputStream in;
-    private byte[] buffer = new byte[FIRST_BUFFER];
+    private byte[] buffer = new byte[INITIAL_BUFFER_SIZE];
     private int filled;
     private int lineStart;
     private int lineEnd = -1;
-    private int at;
+
+    /** Where the next field begins; beyond the line's end after the last one. */
+    private int position;
+
     private long lineNumber;
 
     LineReader(InputStream in) {
@@ -29,156 +35,176 @@
     /** Moves to the next line; false at the end of the input. */
     boolean next() throws IOException, WireException {
         lineStart = lineEnd + 1;
-        int scan = lineStart;
+        int scanned = 0;
         while (true) {
-            for (; scan < filled; scan++) {
-                if (buffer[scan] == '\n') {
-                    lineEnd = scan;
-                    at = lineStart;
+            for (int i = lineStart + scanned; i < filled; i++) {
+                if (buffer[i] == '\n') {
+                    lineEnd = i;
+                    position = lineStart;
                     lineNumber++;
                     return true;
                 }
             }
-            if (lineStart > 0) {
-                System.arraycopy(buffer, lineStart, buffer, 0, filled - lineStart);
-                scan -= lineStart;
-                filled -= lineStart;
-                lineStart = 0;
-            }
-            if (filled == buffer.length) {
-                buffer = Arrays.copyOf(buffer, 2 * buffer.length);
-            }
-            int got = in.read(buffer, filled, buffer.length - filled);
-            if (got < 0) {
-                if (filled > lineStart) {
-                    throw new WireException(
-                            "line " + (lineNumber + 1) + ": the input ends within a line");
-                }
+            scanned = filled - lineStart;
+            if (!fillBuffer()) {
                 return false;
             }
-            filled += got;
         }
     }
 
+    /** Reads more bytes of the line that begins at lineStart; false at the end of the input. */
+    private boolean fillBuffer() throws IOException, WireException {
+        if (lineStart > 0) {
+            System.arraycopy(buffer, lineStart, buffer, 0, filled - lineStart);
+            filled -= lineStart;
+            lineStart = 0;
+        }
+        if (filled == buffer.length) {
+            buffer = Arrays.copyOf(buffer, 2 * buffer.length);
+        }
+        int count = in.read(buffer, filled, buffer.length - filled);
+        if (count >= 0) {
+            filled += count;
+            return true;
+        }
+        if (filled > lineStart) {
+            throw new WireException("line " + (lineNumber + 1) + ": the input ends within a line");
+        }
+        return false;
+    }
+
+    /** Whether the current line is empty. */
     boolean isBlank() {
         return lineStart == lineEnd;
     }
 
     private int fieldEnd(String name) throws WireException {
-        if (at > lineEnd || at == lineEnd) {
+        if (position > lineEnd || position == lineEnd) {
             throw error("'" + name + "' is missing");
         }
-        int end = at;
+        int end = position;
         while (end < lineEnd && buffer[end] != ' ') {
             end++;
         }
-        if (end == at) {
+        if (end == position) {
             throw error("'" + name + "' is empty");
         }
         return end;
     }
 
+    /** Whether another field follows. */
     boolean hasMore() {
-        return at < lineEnd;
+        return position < lineEnd;
     }
 
-    String text(String name) throws WireException {
+    /** A field as it is, '-' included. */
+    String readText(String name) throws WireException {
         int end = fieldEnd(name);
-        String s = new String(buffer, at, end - at, StandardCharsets.UTF_8);
-        at = end + 1;
-        return s;
+        String text = new String(buffer, position, end - position, StandardCharsets.UTF_8);
+        position = end + 1;
+        return text;
     }
 
-    /** Null where the wire has '-'. */
-    String textOrAbsent(String name) throws WireException {
-        String s = text(name);
-        return s.equals("-") ? null : s;
+    /** Null where the field is absent. */
+    String readOptionalText(String name) throws WireException {
+        String text = readText(name);
+        return text.equals("-") ? null : text;
     }
 
+    /** Skips a field, which must be there. */
     void skip(String name) throws WireException {
-        at = fieldEnd(name) + 1;
+        position = fieldEnd(name) + 1;
     }
 
-    /** The rest of the line, up to its end. */
-    String rest() {
-        String s = at < lineEnd ? new String(buffer, at, lineEnd - at, StandardCharsets.UTF_8) : "";
-        at = lineEnd + 1;
-        return s;
+    /** The rest of the line, spaces included. */
+    String readRest() {
+        String text =
+                position < lineEnd
+                        ? new String(buffer, position, lineEnd - position, StandardCharsets.UTF_8)
+                        : "";
+        position = lineEnd + 1;
+        return text;
     }
 
-    long whole(String name) throws WireException {
+    /** A whole number of at most {@link #MAX_DIGITS} digits. */
+    long readLong(String name) throws WireException {
         int end = fieldEnd(name);
-        int i = at;
+        int i = position;
         boolean negative = buffer[i] == '-';
         if (negative) {
             i++;
         }
-        if (i == end || end - i > MOST_DIGITS) {
+        if (i == end || end - i > MAX_DIGITS) {
             throw error("'" + name + "' is not a whole number");
         }
-        long v = 0;
+        long value = 0;
         for (; i < end; i++) {
-            int d = buffer[i] - '0';
-            if (d < 0 || d > 9) {
+            int digit = buffer[i] - '0';
+            if (digit < 0 || digit > 9) {
                 throw error("'" + name + "' is not a whole number");
             }
-            v = 10 * v + d;
+            value = 10 * value + digit;
         }
-        at = end + 1;
-        return negative ? -v : v;
+        position = end + 1;
+        return negative ? -value : value;
     }
 
-    long wholeOr(String name, long absent) throws WireException {
-        if (isAbsent(name)) {
-            return absent;
+    /** A whole number; the default where the field is absent. */
+    long readLong(String name, long defaultValue) throws WireException {
+        if (skipIfAbsent(name)) {
+            return defaultValue;
         }
-        return whole(name);
+        return readLong(name);
     }
 
-    double numberOr(String name, double absent) throws WireException {
-        if (isAbsent(name)) {
-            return absent;
+    /** A finite number; the default where the field is absent. */
+    double readDouble(String name, double defaultValue) throws WireException {
+        if (skipIfAbsent(name)) {
+            return defaultValue;
         }
         int end = fieldEnd(name);
-        for (int i = at; i < end; i++) {
+        for (int i = position; i < end; i++) {
             if (buffer[i] < '0' || buffer[i] > '9') {
-                return fraction(name);
+                return readFraction(name);
             }
         }
-        return whole(name);
+        return readLong(name);
     }
 
-    private double fraction(String name) throws WireException {
-        String s = text(name);
+    private double readFraction(String name) throws WireException {
+        String text = readText(name);
         try {
-            double v = Double.parseDouble(s);
-            if (Double.isNaN(v) || Double.isInfinite(v)) {
+            double value = Double.parseDouble(text);
+            if (Double.isNaN(value) || Double.isInfinite(value)) {
                 throw error("'" + name + "' is not a number");
             }
-            return v;
+            return value;
         } catch (NumberFormatException e) {
             throw error("'" + name + "' is not a number");
         }
     }
 
-    private boolean isAbsent(String name) throws WireException {
+    /** Whether the next field is absent; only then the field counts as read. */
+    private boolean skipIfAbsent(String name) throws WireException {
         int end = fieldEnd(name);
-        if (end - at == 1 && buffer[at] == '-') {
-            at = end + 1;
+        if (end - position == 1 && buffer[position] == '-') {
+            position = end + 1;
             return true;
         }
         return false;
     }
 
+    /** Fails unless all fields of the line have been read. */
     void expectEnd() throws WireException {
-        if (at < lineEnd || (at == lineEnd && lineEnd > lineStart)) {
+        if (position < lineEnd || (position == lineEnd && lineEnd > lineStart)) {
             throw error("something follows the last field");
         }
     }
 
-    WireException error(String what) {
-        int shown = Math.min(lineEnd - lineStart, LONGEST_SHOWN);
+    /** An exception for a fault in the current line. */
+    WireException error(String fault) {
+        int shown = Math.min(lineEnd - lineStart, MAX_SHOWN_LENGTH);
         String line = new String(buffer, lineStart, Math.max(0, shown), StandardCharsets.UTF_8);
-        return new WireException("line " + lineNumber + ": " + what + ": " + line);
+        return new WireException("line " + lineNumber + ": " + fault + ": " + line);
     }
 }
--- a/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
+++ b/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
@@ -7,121 +7,132 @@
 import wheelroute.decision.ActionHandler;
 import wheelroute.decision.Ids;
 
-/** One reply, gathered in a buffer: the actions of each instance under its own SOURCE line. */
+/**
+ * Buffers the reply to one batch: the actions of the instances, each run of actions of one instance
+ * introduced by a SOURCE line.
+ */
 final class ReplyWriter {
-    private static final int FIRST_BUFFER = 1 << 14;
-    private static final int LONGEST_NUMBER = 20;
-    private static final double MICROS = 1e6;
-    private static final String WAKE_TOKEN = "w";
+    private static final int INITIAL_BUFFER_SIZE = 1 << 14;
+    private static final long NO_SOURCE = -1;
+    private static final int MAX_NUMBER_LENGTH = 20;
 
-    /** Of a wake at which the list is asked for again, which the decisions need not hear of. */
-    static final String LIST_TOKEN = "l";
+    /** Token of a wakeup of the policy. */
+    private static final String POLICY_TOKEN = "w";
+
+    /**
+     * Token of a wakeup that retries the call for the endpoint list; the policy is not involved.
+     */
+    static final String LIST_RETRY_TOKEN = "l";
 
     private final OutputStream out;
-    private byte[] buffer = new byte[FIRST_BUFFER];
+    private byte[] buffer = new byte[INITIAL_BUFFER_SIZE];
     private int used;
-    private long source = -1;
+
+    /** The instance of the last SOURCE line. */
+    private long source = NO_SOURCE;
 
     ReplyWriter(OutputStream out) {
         this.out = out;
     }
 
+    /** Writes the reply to the stream, and starts the next one. */
     void finish() throws IOException {
-        word("DONE").end();
+        text("DONE").endLine();
         out.write(buffer, 0, used);
         out.flush();
         used = 0;
-        source = -1;
+        source = NO_SOURCE;
     }
 
-    /** The actions of one instance. */
+    /** Writes the actions of one instance to the reply. */
     ActionHandler forInstance(long instance) {
         return new ActionHandler() {
             @Override
-            public void startAttempt(Ids.Request submission, Ids.Worker worker, double limit) {
-                from(instance).word("TRY").number(submission.value()).number(worker.value());
-                number(micros(limit)).end();
+            public void startAttempt(Ids.Request request, Ids.Worker worker, double timeout) {
+                startAction(instance).text("TRY").number(request.value()).number(worker.value());
+                number(WireMapping.micros(timeout)).endLine();
             }
 
             @Override
-            public void reject(Ids.Request submission, double retryAfter) {
-                from(instance).word("OVERLOAD_REPLY").number(submission.value());
-                number(micros(retryAfter)).end();
+            public void reject(Ids.Request request, double retryAfter) {
+                startAction(instance).text("OVERLOAD_REPLY").number(request.value());
+                number(WireMapping.micros(retryAfter)).endLine();
             }
 
             @Override
-            public void fail(Ids.Request submission) {
-                from(instance).word("SURRENDER").number(submission.value()).end();
+            public void fail(Ids.Request request) {
+                startAction(instance).text("SURRENDER").number(request.value()).endLine();
             }
 
             @Override
-            public void cancelAttempt(Ids.Request submission, int launch) {
-                from(instance).word("CALL_OFF").number(submission.value()).number(launch).end();
+            public void cancelAttempt(Ids.Request request, int attempt) {
+                startAction(instance)
+                        .text("CALL_OFF")
+                        .number(request.value())
+                        .number(attempt)
+                        .endLine();
             }
 
             @Override
             public void scheduleWakeup(double delay) {
-                wakeAfter(instance, delay, WAKE_TOKEN);
+                wakeAfter(instance, delay, POLICY_TOKEN);
             }
 
             @Override
             public void watchEndpoints() {
-                from(instance).word("WATCH").number(1).end();
+                startAction(instance).text("WATCH").number(1).endLine();
             }
         };
     }
 
+    /** Requests a wakeup of the instance after a delay in seconds, with this token. */
     void wakeAfter(long instance, double delay, String token) {
-        from(instance).word("SLEEP").number(micros(delay)).word(token).end();
-    }
-
-    private static long micros(double seconds) {
-        return Math.round(seconds * MICROS);
+        startAction(instance).text("SLEEP").number(WireMapping.micros(delay)).text(token).endLine();
     }
 
-    private ReplyWriter from(long instance) {
+    private ReplyWriter startAction(long instance) {
         if (instance != source) {
             source = instance;
-            word("SOURCE").number(instance).end();
+            text("SOURCE").number(instance).endLine();
         }
         return this;
     }
 
-    private void room(int more) {
+    private void ensureCapacity(int more) {
         if (used + more + 1 > buffer.length) {
             buffer = Arrays.copyOf(buffer, 2 * buffer.length + more);
         }
     }
 
-    private ReplyWriter word(String s) {
-        byte[] bytes = s.getBytes(StandardCharsets.UTF_8);
-        room(bytes.length);
+    private ReplyWriter text(String value) {
+        byte[] bytes = value.getBytes(StandardCharsets.UTF_8);
+        ensureCapacity(bytes.length);
         System.arraycopy(bytes, 0, buffer, used, bytes.length);
         used += bytes.length;
         buffer[used++] = ' ';
         return this;
     }
 
-    private ReplyWriter number(long v) {
-        room(LONGEST_NUMBER);
-        if (v < 0) {
+    private ReplyWriter number(long value) {
+        ensureCapacity(MAX_NUMBER_LENGTH);
+        if (value < 0) {
             buffer[used++] = '-';
-            v = -v;
+            value = -value;
         }
         int digits = 1;
-        for (long rest = v / 10; rest > 0; rest /= 10) {
+        for (long rest = value / 10; rest > 0; rest /= 10) {
             digits++;
         }
         for (int i = used + digits - 1; i >= used; i--) {
-            buffer[i] = (byte) ('0' + v % 10);
-            v /= 10;
+            buffer[i] = (byte) ('0' + value % 10);
+            value /= 10;
         }
         used += digits;
         buffer[used++] = ' ';
         return this;
     }
 
-    private void end() {
+    private void endLine() {
         buffer[used - 1] = '\n';
     }
 }
--- a/daemon/src/test/java/wheelroute/AdapterTest.java
+++ b/daemon/src/test/java/wheelroute/AdapterTest.java
@@ -9,13 +9,15 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.regex.Pattern;
+import java.util.stream.Stream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.adapter.Adapter;
 import wheelroute.adapter.WireException;
 
-/** The wire, read and written. */
+/** The adapter's replies to batches of the wire protocol. */
 public class AdapterTest {
     private static final String CONF =
             "CONFIGURE 5 az=a balancers=1 later.key=what membership_mode=push"
@@ -30,6 +32,9 @@
                     + LIST;
     private static final String ORDER = "ORDER 9 - 1 job - - 5000000 1 20000\n";
 
+    private static final String WAKEUP = "SLEEP 100000 w\n";
+    private static final String ATTEMPT = "TRY 9 77 0\n";
+
     private static String run(String input) throws IOException, WireException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         new Adapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
@@ -42,38 +47,47 @@
 
     @DataProvider
     public Object[][] conversations() {
-        String wake = "SLEEP 100000 w\n";
-        String launched = "TRY 9 77 0\n";
+        return Stream.of(attempts(), otherEvents())
+                .flatMap(Arrays::stream)
+                .toArray(Object[][]::new);
+    }
+
+    private static Object[][] attempts() {
         return new Object[][] {
             {"FRAME 8412250\nYOUR_TURN\n", "DONE\n"},
             {batch(""), "DONE\n"},
-            {batch(ORDER), "SOURCE 3\n" + wake + launched + "DONE\n"},
+            {batch(ORDER), "SOURCE 3\n" + WAKEUP + ATTEMPT + "DONE\n"},
             {batch("AT 4\n" + CONF + ORDER), "SOURCE 4\nOVERLOAD_REPLY 9 0\nDONE\n"},
             {
                 batch(ORDER + "KILLED\n" + CONF + "SYNC C 0 0\n"),
-                "SOURCE 3\n" + wake + launched + "DONE\n"
+                "SOURCE 3\n" + WAKEUP + ATTEMPT + "DONE\n"
             },
             {
                 batch(
                         ORDER
                                 + "FINISHED 9 0 77 200 18500 1 - -\nFINISHED 9 0 77 200 1 1 - -\nGONE 9\nGONE 8\n"),
-                "SOURCE 3\n" + wake + launched + "DONE\n"
+                "SOURCE 3\n" + WAKEUP + ATTEMPT + "DONE\n"
             },
             {
                 batch(ORDER + "FINISHED 9 0 77 999 18500 1 0 busy_reqs:1,novelty:3,x0:0.5\n"),
-                "SOURCE 3\n" + wake + launched + "DONE\n"
+                "SOURCE 3\n" + WAKEUP + ATTEMPT + "DONE\n"
             },
             {
                 batch(
                         "ORDER 9 - 2 job f00d someone 5000000 0 -\nUPDATE_OF 9 0 77 1 0\nUPDATE_OF 9 0 7 2 0.5\n"),
-                "SOURCE 3\n" + wake + launched + "DONE\n"
+                "SOURCE 3\n" + WAKEUP + ATTEMPT + "DONE\n"
             },
+        };
+    }
+
+    private static Object[][] otherEvents() {
+        return new Object[][] {
             {
                 batch(
                         ORDERED
                                 + "ORDER 9 - 1 job f00d - 5000000 1 20000\nORDER 8 - 1 job f00d - 5000000 1 2\n"
                                 + "ORDER 7 - 1 job cafe - 5000000 1 20000\n"),
-                "SOURCE 3\n" + wake + launched + "TRY 7 77 0\nDONE\n"
+                "SOURCE 3\n" + WAKEUP + ATTEMPT + "TRY 7 77 0\nDONE\n"
             },
             {
                 batch(
@@ -92,35 +106,35 @@
         assertEquals(run(input), expected);
     }
 
-    /** After each failure: a wake of the list's own, and the call at that wake and no other. */
+    /** After each failed call for the list, it is retried at a wakeup of its own. */
     @Test
-    public void theListIsAskedForAgainAfterEachFailure() throws IOException, WireException {
-        String asked = batch("").replace("membership_mode=push", "membership_mode=ask");
+    public void retriesTheEndpointListWithBackoff() throws IOException, WireException {
+        String polling = batch("").replace("membership_mode=push", "membership_mode=ask");
         String failed = "FRAME 2000\nAT 3\nSYNC X - 0\nYOUR_TURN\n";
-        String other = "FRAME 3000\nAT 3\nBELL w\nYOUR_TURN\n";
-        String due = "FRAME 9000000\nAT 3\nBELL l\nYOUR_TURN\n";
-        String again = "SOURCE 3\nSLEEP \\d+ l\nDONE\nDONE\nSOURCE 3\nWATCH 1\nDONE\n";
-        String said = run(asked + (failed + other + due).repeat(4));
-        assertTrue(said.matches("SOURCE 3\nWATCH 1\nDONE\n(" + again + "){4}"), said);
-        int[] pauses =
+        String policyWakeup = "FRAME 3000\nAT 3\nBELL w\nYOUR_TURN\n";
+        String retryWakeup = "FRAME 9000000\nAT 3\nBELL l\nYOUR_TURN\n";
+        String retried = "SOURCE 3\nSLEEP \\d+ l\nDONE\nDONE\nSOURCE 3\nWATCH 1\nDONE\n";
+        String replies = run(polling + (failed + policyWakeup + retryWakeup).repeat(4));
+        assertTrue(replies.matches("SOURCE 3\nWATCH 1\nDONE\n(" + retried + "){4}"), replies);
+        int[] delays =
                 Pattern.compile("SLEEP (\\d+) l")
-                        .matcher(said)
+                        .matcher(replies)
                         .results()
                         .mapToInt(found -> Integer.parseInt(found.group(1)))
                         .toArray();
-        assertTrue(pauses[0] >= 500_000 && pauses[0] < 1_000_000, said);
-        assertTrue(pauses[3] >= 1_500_000 && pauses[3] < 3_000_000, said);
-        // An answer ends it: the next failure is a first one.
-        String answered = "FRAME 9500000\nAT 3\nSYNC D 2 0\nYOUR_TURN\n";
+        assertTrue(delays[0] >= 500_000 && delays[0] < 1_000_000, replies);
+        assertTrue(delays[3] >= 1_500_000 && delays[3] < 3_000_000, replies);
+        // A response resets the backoff.
+        String response = "FRAME 9500000\nAT 3\nSYNC D 2 0\nYOUR_TURN\n";
         assertTrue(
-                run(asked + (failed + due).repeat(4) + answered + failed)
+                run(polling + (failed + retryWakeup).repeat(4) + response + failed)
                         .matches("(?s).*SLEEP [5-9]\\d{5} l\nDONE\n"));
     }
 
     @DataProvider
     public Object[][] malformed() {
         return new Object[][] {
-            // input, words that the message must have
+            // input, text that the message must contain
             {"HELLO\n", "line 1"},
             {"FRAME x\nYOUR_TURN\n", "time_us"},
             {"FRAME 1\nAT 3\nORDER 1\nYOUR_TURN\n", "not configured"},
@@ -144,9 +158,9 @@
     }
 
     @Test(dataProvider = "malformed")
-    public void refusesWhatIsNotTheWire(String input, String words) {
+    public void rejectsMalformedInput(String input, String expected) {
         String message = expectThrows(WireException.class, () -> run(input)).getMessage();
-        assertTrue(message.contains(words), message);
+        assertTrue(message.contains(expected), message);
     }
 
     @Test
