--- a/daemon/src/main/java/wheelroute/config/Config.java
+++ b/daemon/src/main/java/wheelroute/config/Config.java
@@ -8,19 +8,24 @@
 import wheelroute.decision.Settings;
 
 /**
- * What one dispatcher is told. Times in seconds.
+ * The configuration of one dispatcher. Times in seconds.
  *
- * @param admin where operators call; null for nowhere
- * @param meeting the directory in which processes of one dispatcher find each other; null where
- *     none is to
- * @param sockets how many descriptors the process may hold
- * @param memory how many bytes the process may take; NaN when not told
- * @param known the remembered list of workers, as the JSON that discovery would send; null for none
- * @param connectLimit a connection that is not up after this is given up
- * @param idleLimit a worker closes a connection that has been idle so long
- * @param longestOuterLimit no submission waits longer
- * @param listIsPushed what discovery's agent knows counts as told, whether or not it was asked for
- * @param peers how it knows the other dispatchers; null where it does not
+ * @param name identifies the dispatcher to others
+ * @param listen where clients connect
+ * @param discovery where the endpoint list is polled
+ * @param admin where the admin server listens; null for no admin server
+ * @param meeting the handover directory, in which an old and a new process of one dispatcher find
+ *     each other; null for no handover
+ * @param sockets the maximum number of file descriptors of the process
+ * @param memory the maximum size of the process in bytes; NaN if unknown
+ * @param known the cached endpoint list, as JSON in discovery's form; null for none
+ * @param settings of the decisions
+ * @param connectLimit timeout for connecting to a worker
+ * @param idleLimit workers close connections that have been idle for this long
+ * @param longestOuterLimit the maximum deadline of all request classes
+ * @param listIsPushed whether watch events that discovery's agent has received count as received by
+ *     this dispatcher, even before it polls for them
+ * @param peers communication with other dispatchers; null for none
  */
 public record Config(
         String name,
@@ -37,25 +42,30 @@
         double longestOuterLimit,
         boolean listIsPushed,
         PeeringConfig peers) {
-    /** The keys by which another configuration differs in what is used only at the start. */
+    private static final String CONNECT_TIMEOUT_KEY = "settings.permissions.connect_timeout_us";
+    private static final String IDLE_TIMEOUT_KEY = "settings.permissions.conn_idle_us";
+
+    /** The keys whose values differ in the other configuration but apply only after a restart. */
     public List<String> waitingForRestart(Config other) {
         List<String> keys = new ArrayList<>();
-        differs(keys, "name", name, other.name);
-        differs(keys, "listen", listen, other.listen);
-        differs(keys, "admin", admin, other.admin);
-        differs(keys, "limits.sockets", sockets, other.sockets);
-        differs(keys, "limits.memory_mb", memory, other.memory);
-        differs(keys, "settings", settings, other.settings.withSeed(settings.seed()));
-        differs(keys, "settings.permissions.connect_timeout_us", connectLimit, other.connectLimit);
-        differs(keys, "settings.permissions.conn_idle_us", idleLimit, other.idleLimit);
-        differs(keys, "settings.membership_mode", listIsPushed, other.listIsPushed);
-        differs(keys, "peering", peers, other.peers);
-        differs(keys, "settings.request_classes", longestOuterLimit, other.longestOuterLimit);
+        addIfDifferent(keys, "name", name, other.name);
+        addIfDifferent(keys, "listen", listen, other.listen);
+        addIfDifferent(keys, "admin", admin, other.admin);
+        addIfDifferent(keys, "limits.sockets", sockets, other.sockets);
+        addIfDifferent(keys, "limits.memory_mb", memory, other.memory);
+        addIfDifferent(keys, "settings", settings, other.settings.withSeed(settings.seed()));
+        addIfDifferent(keys, CONNECT_TIMEOUT_KEY, connectLimit, other.connectLimit);
+        addIfDifferent(keys, IDLE_TIMEOUT_KEY, idleLimit, other.idleLimit);
+        addIfDifferent(keys, "settings.membership_mode", listIsPushed, other.listIsPushed);
+        addIfDifferent(keys, "peering", peers, other.peers);
+        addIfDifferent(
+                keys, "settings.request_classes", longestOuterLimit, other.longestOuterLimit);
         return keys;
     }
 
-    private static void differs(List<String> keys, String key, Object one, Object other) {
-        if (!Objects.equals(one, other)) {
+    private static void addIfDifferent(
+            List<String> keys, String key, Object value, Object otherValue) {
+        if (!Objects.equals(value, otherValue)) {
             keys.add(key);
         }
     }
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/config/ConfigFile.java
@@ -0,0 +1,75 @@
+package wheelroute.config;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.JsonGenerator;
+import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonToken;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.InvalidPathException;
+import java.nio.file.Path;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * The contents of a configuration file: the platform's JSON, or an operator's TOML.
+ *
+ * @param pairs all values by their path, as {@link JsonFlattener} writes them
+ * @param cachedEndpoints the endpoint list, as JSON in discovery's form; null for none
+ */
+record ConfigFile(Map<String, String> pairs, byte[] cachedEndpoints) {
+    private static final JsonFactory JSON = new JsonFactory();
+    private static final String PATH_KEY = "LB_CONFIG";
+    private static final String CACHED_ENDPOINTS_KEY = "known";
+
+    /**
+     * Reads a file; one whose name ends with .toml is TOML, any other JSON.
+     *
+     * @throws ConfigException if the file cannot be read or parsed
+     */
+    static ConfigFile read(String path) throws ConfigException {
+        try {
+            if (path.endsWith(".toml")) {
+                return TomlFile.parse(Files.readString(Path.of(path), StandardCharsets.UTF_8));
+            }
+            return parseJson(Files.readAllBytes(Path.of(path)));
+        } catch (IOException | InvalidPathException e) {
+            throw new ConfigException(
+                    PATH_KEY, "names a file that cannot be read: " + e.getMessage());
+        }
+    }
+
+    private static ConfigFile parseJson(byte[] json) throws IOException, ConfigException {
+        Map<String, String> pairs = new HashMap<>();
+        byte[] cachedEndpoints = null;
+        try (JsonParser parser = JSON.createParser(json)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new ConfigException(PATH_KEY, "names a file that is not a JSON object");
+            }
+            while (parser.nextToken() != JsonToken.END_OBJECT) {
+                String name = parser.currentName();
+                parser.nextToken();
+                if (name.equals(CACHED_ENDPOINTS_KEY)) {
+                    cachedEndpoints = copyValue(parser);
+                } else {
+                    JsonFlattener.flatten(parser, name, pairs);
+                }
+            }
+            if (parser.nextToken() != null) {
+                throw new ConfigException(PATH_KEY, "names a file that goes on after its object");
+            }
+        }
+        return new ConfigFile(pairs, cachedEndpoints);
+    }
+
+    /** The JSON text of a value, to be decoded by the endpoint list's own codec. */
+    private static byte[] copyValue(JsonParser parser) throws IOException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        try (JsonGenerator generator = JSON.createGenerator(out)) {
+            generator.copyCurrentStructure(parser);
+        }
+        return out.toByteArray();
+    }
+}
--- a/daemon/src/main/java/wheelroute/config/ConfigReader.java
+++ b/daemon/src/main/java/wheelroute/config/ConfigReader.java
@@ -1,14 +1,6 @@
 package wheelroute.config;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonGenerator;
-import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonToken;
-import java.io.ByteArrayOutputStream;
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -21,182 +13,158 @@
 import wheelroute.peers.PeerId;
 
 /**
- * Reads the environment and the file that it names. At the start the environment's own values go
- * before the file's; later only the file can have changed, and its word on discovery is the newer
- * one.
+ * Reads a dispatcher's configuration from the environment and the file that LB_CONFIG names.
+ *
+ * <p>At the start, variables of the environment take precedence over the file. On a reload only the
+ * file can have changed, so its address of discovery takes precedence then.
  */
 public final class ConfigReader {
-    private static final JsonFactory JSON = new JsonFactory();
     private static final int HEX = 16;
-    private static final int MOST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
-    /** Far below it nothing could be served: the runtime itself holds some thirty descriptors. */
-    private static final int LEAST_SOCKETS = 64;
+    /** The runtime alone needs some thirty descriptors; with fewer than this nothing is served. */
+    private static final int MIN_SOCKETS = 64;
 
-    private static final double MEGABYTE = 1 << 20;
-    private static final double USUAL_SOCKETS = 1024;
-    private static final double USUAL_CONNECT = 0.25;
-    private static final double USUAL_IDLE = 30;
-    private static final double USUAL_OUTER_LIMIT = 30;
+    private static final double BYTES_PER_MEGABYTE = 1 << 20;
+    private static final double DEFAULT_SOCKETS = 1024;
+    private static final double DEFAULT_CONNECT_TIMEOUT = 0.25;
+    private static final double DEFAULT_IDLE_TIMEOUT = 30;
+    private static final double DEFAULT_DEADLINE = 30;
+    private static final String SETTINGS_PREFIX = "settings.";
+    private static final String MEMBERSHIP_MODE = "membership_mode";
+    private static final String CONNECT_TIMEOUT = "permissions.connect_timeout_us";
+    private static final String IDLE_TIMEOUT = "permissions.conn_idle_us";
 
     private final Map<String, String> environment;
-    private final Map<String, String> file = new HashMap<>();
-    private final boolean again;
-    private byte[] known;
+    private final ConfigFile file;
+    private final Map<String, String> pairs;
+    private final boolean isReload;
 
-    private ConfigReader(Map<String, String> environment, boolean again) {
+    private ConfigReader(Map<String, String> environment, ConfigFile file, boolean isReload) {
         this.environment = environment;
-        this.again = again;
+        this.file = file;
+        this.pairs = file.pairs();
+        this.isReload = isReload;
     }
 
+    /**
+     * Reads the configuration of a process that starts.
+     *
+     * @throws ConfigException if the file or a value cannot be used
+     */
     public static Config read(Map<String, String> environment) throws ConfigException {
         return read(environment, false);
     }
 
-    /** The same for a process that serves already, after its file was replaced. */
+    /**
+     * Reads the configuration again for a running process.
+     *
+     * @param environment as at the process's start
+     * @throws ConfigException if the file or a value cannot be used
+     */
     public static Config reread(Map<String, String> environment) throws ConfigException {
         return read(environment, true);
     }
 
-    private static Config read(Map<String, String> environment, boolean again)
+    private static Config read(Map<String, String> environment, boolean isReload)
             throws ConfigException {
-        ConfigReader reader = new ConfigReader(environment, again);
-        reader.readFile();
-        return reader.config();
-    }
-
-    private void readFile() throws ConfigException {
         String path = environment.get("LB_CONFIG");
         if (path == null || path.isEmpty()) {
             throw new ConfigException("LB_CONFIG", "is missing: it names the configuration file");
         }
-        if (path.endsWith(".toml")) {
-            readToml(path);
-            return;
-        }
-        try (JsonParser parser = JSON.createParser(Files.readAllBytes(Path.of(path)))) {
-            if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new ConfigException("LB_CONFIG", "names a file that is not a JSON object");
-            }
-            while (parser.nextToken() != JsonToken.END_OBJECT) {
-                String name = parser.currentName();
-                parser.nextToken();
-                if (name.equals("known")) {
-                    known = copied(parser);
-                } else {
-                    JsonFlattener.flatten(parser, name, file);
-                }
-            }
-            if (parser.nextToken() != null) {
-                throw new ConfigException(
-                        "LB_CONFIG", "names a file that goes on after its object");
-            }
-        } catch (IOException | InvalidPathException e) {
-            throw new ConfigException(
-                    "LB_CONFIG", "names a file that cannot be read: " + e.getMessage());
-        }
-    }
-
-    private void readToml(String path) throws ConfigException {
-        try {
-            TomlFile.Read read =
-                    TomlFile.read(Files.readString(Path.of(path), StandardCharsets.UTF_8));
-            file.putAll(read.pairs());
-            known = read.known();
-        } catch (IOException | InvalidPathException e) {
-            throw new ConfigException(
-                    "LB_CONFIG", "names a file that cannot be read: " + e.getMessage());
-        }
+        return new ConfigReader(environment, ConfigFile.read(path), isReload).readConfig();
     }
 
-    /** Kept as it is: the list's own codec reads it, once. */
-    private static byte[] copied(JsonParser parser) throws IOException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (JsonGenerator generator = JSON.createGenerator(out)) {
-            generator.copyCurrentStructure(parser);
-        }
-        return out.toByteArray();
+    private Config readConfig() throws ConfigException {
+        Map<String, String> settingsPairs = settingsPairs();
+        boolean listIsPushed = "push".equals(settingsPairs.get(MEMBERSHIP_MODE));
+        // On sockets the endpoint list must always be polled, whatever the simulator's wire does.
+        settingsPairs.put(MEMBERSHIP_MODE, "ask");
+        SettingsReader settingsReader = new SettingsReader(settingsPairs);
+        Settings settings = settingsReader.readSettings(seed());
+        double maxDeadline = maxDeadline(settings, settingsReader);
+        int sockets = sockets();
+        double memory = memory();
+        boolean fileNamesDiscovery = isReload && pairs.containsKey("discovery");
+        InetSocketAddress admin = optionalAddress("LB_ADMIN", "admin");
+        return new Config(
+                value("LB_NAME", "name"),
+                address("LB_LISTEN", "listen"),
+                address(fileNamesDiscovery ? "" : "LB_DISCOVERY", "discovery"),
+                admin,
+                admin == null ? null : handoverDirectory(),
+                sockets,
+                memory,
+                file.cachedEndpoints(),
+                settings,
+                positive(
+                        CONNECT_TIMEOUT,
+                        settingsReader.seconds(CONNECT_TIMEOUT, DEFAULT_CONNECT_TIMEOUT)),
+                positive(IDLE_TIMEOUT, settingsReader.seconds(IDLE_TIMEOUT, DEFAULT_IDLE_TIMEOUT)),
+                maxDeadline,
+                listIsPushed,
+                peering(settings));
     }
 
-    private Config config() throws ConfigException {
-        Map<String, String> pairs = new HashMap<>();
-        file.forEach(
+    private Map<String, String> settingsPairs() {
+        Map<String, String> settingsPairs = new HashMap<>();
+        pairs.forEach(
                 (key, value) -> {
-                    if (key.startsWith("settings.")) {
-                        pairs.put(key.substring("settings.".length()), value);
+                    if (key.startsWith(SETTINGS_PREFIX)) {
+                        settingsPairs.put(key.substring(SETTINGS_PREFIX.length()), value);
                     }
                 });
-        boolean listIsPushed = "push".equals(pairs.get("membership_mode"));
-        // On sockets the list comes only to who asks, however the bench's wire would bring it.
-        pairs.put("membership_mode", "ask");
-        SettingsReader reader = new SettingsReader(pairs);
-        Settings settings = reader.settings(seed());
+        return settingsPairs;
+    }
+
+    /** Of all request classes; also checks that their names are usable. */
+    private static double maxDeadline(Settings settings, SettingsReader settingsReader)
+            throws ConfigException {
         if (settings.requestClasses().isEmpty()) {
-            throw new ConfigException("settings.request_classes", "names no offering");
+            throw new ConfigException("settings.request_classes", "names no request class");
         }
-        double longest = 0;
+        double maxDeadline = 0;
         Set<String> names = new HashSet<>();
         for (int i = 0; i < settings.requestClasses().size(); i++) {
             String name = settings.requestClasses().get(i).id().name();
             if (name.isEmpty() || !names.add(name)) {
                 throw new ConfigException(
                         "settings.request_classes." + i + ".name",
-                        name.isEmpty() ? "is missing" : "is another offering's too: " + name);
+                        name.isEmpty() ? "is missing" : "is another request class's too: " + name);
             }
             String key = "request_classes." + i + ".hard_limit_us";
-            longest = Math.max(longest, positive(key, reader.seconds(key, USUAL_OUTER_LIMIT)));
+            double deadline = positive(key, settingsReader.seconds(key, DEFAULT_DEADLINE));
+            maxDeadline = Math.max(maxDeadline, deadline);
         }
-        double sockets = new SettingsReader(file).number("limits.sockets", USUAL_SOCKETS);
-        if (!(sockets >= LEAST_SOCKETS)) {
-            throw new ConfigException("limits.sockets", "is under " + LEAST_SOCKETS);
+        return maxDeadline;
+    }
+
+    private int sockets() throws ConfigException {
+        double sockets = new SettingsReader(pairs).number("limits.sockets", DEFAULT_SOCKETS);
+        if (!(sockets >= MIN_SOCKETS)) {
+            throw new ConfigException("limits.sockets", "is under " + MIN_SOCKETS);
         }
-        double memory = new SettingsReader(file).number("limits.memory_mb", Double.NaN) * MEGABYTE;
-        if (memory <= 0) {
+        return (int) sockets;
+    }
+
+    /** In bytes; NaN where the file has no limit. */
+    private double memory() throws ConfigException {
+        double megabytes = new SettingsReader(pairs).number("limits.memory_mb", Double.NaN);
+        if (megabytes <= 0) {
             throw new ConfigException("limits.memory_mb", "is not above 0");
         }
-        String connect = "permissions.connect_timeout_us";
-        String idle = "permissions.conn_idle_us";
-        String discovery = again && file.containsKey("discovery") ? "" : "LB_DISCOVERY";
-        InetSocketAddress admin = optional("LB_ADMIN", "admin");
-        return new Config(
-                value("LB_NAME", "name"),
-                address("LB_LISTEN", "listen"),
-                address(discovery, "discovery"),
-                admin,
-                admin == null ? null : meeting(),
-                (int) sockets,
-                memory,
-                known,
-                settings,
-                positive(connect, reader.seconds(connect, USUAL_CONNECT)),
-                positive(idle, reader.seconds(idle, USUAL_IDLE)),
-                longest,
-                listIsPushed,
-                peering(settings));
+        return megabytes * BYTES_PER_MEGABYTE;
     }
 
     /**
-     * Off unless it is asked for by name: a platform that tells addresses of peers does not ask for
-     * it yet.
+     * Null unless the file has an address to listen on: platforms that list the addresses of peers
+     * do not all support it.
      */
     private PeeringConfig peering(Settings settings) throws ConfigException {
-        if (file.getOrDefault("peering.listen", "").isEmpty()) {
+        if (pairs.getOrDefault("peering.listen", "").isEmpty()) {
             return null;
         }
-        List<InetSocketAddress> addresses = new ArrayList<>();
-        for (String text : file.getOrDefault("peering.addresses", "").split(",")) {
-            InetSocketAddress address = parse(text);
-            if (address == null) {
-                throw new ConfigException(
-                        "peering.addresses", "has one that is not host:port: " + text);
-            }
-            addresses.add(address);
-        }
-        if (addresses.size() != settings.dispatchers()) {
-            throw new ConfigException(
-                    "peering.addresses",
-                    "are " + addresses.size() + " of " + settings.dispatchers() + " dispatchers");
-        }
+        List<InetSocketAddress> addresses = peerAddresses(settings.dispatchers());
         if (settings.position() < 0 || settings.position() >= addresses.size()) {
             throw new ConfigException("peering", "needs this dispatcher's position among them");
         }
@@ -206,21 +174,39 @@
                     "is longer than " + PeerId.MOST_BYTES + " plain characters, which peers need");
         }
         return new PeeringConfig(
-                file.getOrDefault("peering.cluster", ""),
+                pairs.getOrDefault("peering.cluster", ""),
                 address("", "peering.listen"),
                 List.copyOf(addresses),
                 settings.position());
     }
 
-    private static double positive(String key, double value) throws ConfigException {
+    private List<InetSocketAddress> peerAddresses(int dispatchers) throws ConfigException {
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        for (String text : pairs.getOrDefault("peering.addresses", "").split(",")) {
+            InetSocketAddress address = parse(text);
+            if (address == null) {
+                throw new ConfigException(
+                        "peering.addresses", "has one that is not host:port: " + text);
+            }
+            addresses.add(address);
+        }
+        if (addresses.size() != dispatchers) {
+            throw new ConfigException(
+                    "peering.addresses",
+                    "are " + addresses.size() + " of " + dispatchers + " dispatchers");
+        }
+        return addresses;
+    }
+
+    private static double positive(String settingsKey, double value) throws ConfigException {
         if (!(value > 0)) {
-            throw new ConfigException("settings." + key, "is not above 0");
+            throw new ConfigException(SETTINGS_PREFIX + settingsKey, "is not above 0");
         }
         return value;
     }
 
     private long seed() throws ConfigException {
-        String seed = file.getOrDefault("seed", "0");
+        String seed = pairs.getOrDefault("seed", "0");
         try {
             return Long.parseUnsignedLong(seed, HEX);
         } catch (NumberFormatException e) {
@@ -228,20 +214,8 @@
         }
     }
 
-    private String value(String variable, String key) throws ConfigException {
-        String value = environment.getOrDefault(variable, file.get(key));
-        if (value == null || value.isEmpty()) {
-            String or = variable.isEmpty() ? "" : " (or " + variable + ")";
-            throw new ConfigException(key, "is missing" + or);
-        }
-        return value;
-    }
-
-    /**
-     * Where a process that takes this one's place has a door of its own, it shares this directory
-     * too.
-     */
-    private Path meeting() throws ConfigException {
+    /** The process's temporary directory, which a successor process shares; null where not set. */
+    private Path handoverDirectory() throws ConfigException {
         String directory = environment.getOrDefault("TMPDIR", "");
         try {
             return directory.isEmpty() ? null : Path.of(directory);
@@ -250,11 +224,14 @@
         }
     }
 
-    /** Null where neither names one. */
-    private InetSocketAddress optional(String variable, String key) throws ConfigException {
-        return environment.getOrDefault(variable, file.getOrDefault(key, "")).isEmpty()
-                ? null
-                : address(variable, key);
+    /** The variable's value, or else the key's in the file; no variable's if its name is empty. */
+    private String value(String variable, String key) throws ConfigException {
+        String value = environment.getOrDefault(variable, pairs.get(key));
+        if (value == null || value.isEmpty()) {
+            String alternative = variable.isEmpty() ? "" : " (or " + variable + ")";
+            throw new ConfigException(key, "is missing" + alternative);
+        }
+        return value;
     }
 
     private InetSocketAddress address(String variable, String key) throws ConfigException {
@@ -266,14 +243,22 @@
         return address;
     }
 
-    /** As {@link #parse} reads it. */
+    /** Null where neither the variable nor the key has a value. */
+    private InetSocketAddress optionalAddress(String variable, String key) throws ConfigException {
+        return environment.getOrDefault(variable, pairs.getOrDefault(key, "")).isEmpty()
+                ? null
+                : address(variable, key);
+    }
+
+    /** The address as host:port, the form that {@link #parse} reads. */
     public static String text(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 
     /**
-     * Null for what is no address of the form host:port; the host is taken as it is, there is no
-     * DNS.
+     * Parses an address of the form host:port.
+     *
+     * @return null for any other text and for a host that does not resolve
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -282,7 +267,7 @@
         }
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            if (port < 0 || port > MOST_PORT) {
+            if (port < 0 || port > MAX_PORT) {
                 return null;
             }
             InetSocketAddress address = new InetSocketAddress(text.substring(0, colon), port);
--- a/daemon/src/main/java/wheelroute/config/JsonFlattener.java
+++ b/daemon/src/main/java/wheelroute/config/JsonFlattener.java
@@ -6,46 +6,51 @@
 import java.util.Map;
 
 /**
- * Nested JSON as path=value pairs, just as the bench's wire writes the same settings: a list of
- * plain values is joined with commas, a list of objects has its length under .count and its items
- * under .0, .1 and so on.
+ * Flattens nested JSON to path=value pairs, the form that the simulator's wire has for the same
+ * settings: a list of plain values is joined with commas; a list of objects has its length under
+ * .count and its items under .0, .1 and so on. Nulls are left out.
  */
 final class JsonFlattener {
     private JsonFlattener() {}
 
-    /** Adds what the value holds on which the parser stands; its own path is the prefix. */
-    static void flatten(JsonParser parser, String path, Map<String, String> into)
+    /**
+     * Adds the pairs of the value that the parser is at, and moves the parser to the value's end.
+     *
+     * @param path of the value; empty for the root
+     */
+    static void flatten(JsonParser parser, String path, Map<String, String> pairs)
             throws IOException {
         switch (parser.currentToken()) {
             case START_OBJECT -> {
                 while (parser.nextToken() != JsonToken.END_OBJECT) {
                     String name = parser.currentName();
                     parser.nextToken();
-                    flatten(parser, path.isEmpty() ? name : path + "." + name, into);
+                    flatten(parser, path.isEmpty() ? name : path + "." + name, pairs);
                 }
             }
-            case START_ARRAY -> list(parser, path, into);
+            case START_ARRAY -> flattenList(parser, path, pairs);
             case VALUE_NULL -> {}
-            // As it is: names come in paths and headers, and a stand-in for a blank would be
-            // another.
-            default -> into.put(path, parser.getText());
+            // Unchanged: a name must be the one that appears in paths and headers.
+            default -> pairs.put(path, parser.getText());
         }
     }
 
-    private static void list(JsonParser parser, String path, Map<String, String> into)
+    private static void flattenList(JsonParser parser, String path, Map<String, String> pairs)
             throws IOException {
-        StringBuilder plain = new StringBuilder();
-        int objects = 0;
-        int values = 0;
+        StringBuilder joinedValues = new StringBuilder();
+        int objectCount = 0;
+        int valueCount = 0;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (parser.currentToken().isScalarValue()) {
-                // A comma parts the list, so that none may come from a value.
-                plain.append(values++ > 0 ? "," : "").append(parser.getText().replace(',', '_'));
+                // The comma separates values, so a value must not contain one.
+                joinedValues
+                        .append(valueCount++ > 0 ? "," : "")
+                        .append(parser.getText().replace(',', '_'));
             } else {
-                flatten(parser, path + "." + objects++, into);
+                flatten(parser, path + "." + objectCount++, pairs);
             }
         }
-        into.put(path + ".count", Integer.toString(objects));
-        into.put(path, plain.toString());
+        pairs.put(path + ".count", Integer.toString(objectCount));
+        pairs.put(path, joinedValues.toString());
     }
 }
--- a/daemon/src/main/java/wheelroute/config/SettingsReader.java
+++ b/daemon/src/main/java/wheelroute/config/SettingsReader.java
@@ -4,18 +4,18 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wheelroute.decision.Idempotency;
-import wheelroute.decision.IdempotencyScope;
 import wheelroute.decision.Ids;
 import wheelroute.decision.Settings;
 
 /**
- * The settings' path=value pairs, in our words, for adapter and service alike. Other keys are
- * skipped.
+ * Reads the settings' path=value pairs, for adapter and service alike. Unknown keys are ignored,
+ * and '-' stands for an absent number.
  */
 public final class SettingsReader {
-    private static final double MICROS = 1e6;
-    private static final String CLASSES = "request_classes.";
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final String REQUEST_CLASSES = "request_classes.";
+    private static final String CLASS_OBJECTIVES = "family_info.class_stretch";
+    private static final String KEY_QUIET_PERIOD = "rules.key_rest_us";
 
     private final Map<String, String> pairs;
 
@@ -23,15 +23,20 @@
         this.pairs = pairs;
     }
 
+    /**
+     * Reads all settings of the decisions.
+     *
+     * @throws ConfigException if a value is malformed or out of range
+     */
     public static Settings read(long seed, Map<String, String> pairs) throws ConfigException {
-        return new SettingsReader(pairs).settings(seed);
+        return new SettingsReader(pairs).readSettings(seed);
     }
 
-    Settings settings(long seed) throws ConfigException {
+    Settings readSettings(long seed) throws ConfigException {
         double dispatchers = number("balancers", 1);
         double position = number("position", -1);
         if (!(position < dispatchers)) {
-            // It would never have its turn at a cold worker.
+            // It would never be admitted to a worker in slow start.
             throw new ConfigException("position", "is not under the number of dispatchers");
         }
         return new Settings(
@@ -40,7 +45,7 @@
                 (int) dispatchers,
                 (int) position,
                 seconds("round_us", 0),
-                offerings(),
+                requestClasses(),
                 quotas(),
                 number("over_share_worth", 1),
                 text("membership_mode", "push").equals("ask"),
@@ -59,70 +64,62 @@
                 number("prices.cross_zone", 0),
                 number("prices.origin", 0),
                 strictFlag("rules.gone_is_advice"),
-                rest());
+                keyQuietPeriod());
     }
 
-    private List<Settings.RequestClass> offerings() throws ConfigException {
-        List<Settings.RequestClass> rows = new ArrayList<>();
-        int count = (int) number(CLASSES + "count", 0);
-        String[] stretches = text("family_info.class_stretch", "").split(",");
-        String[] models = text("family_info.class_kind", "").split(",");
+    private List<Settings.RequestClass> requestClasses() throws ConfigException {
+        List<Settings.RequestClass> requestClasses = new ArrayList<>();
+        int count = (int) number(REQUEST_CLASSES + "count", 0);
         for (int i = 0; i < count; i++) {
-            String row = CLASSES + i + ".";
-            String model = i < models.length ? models[i] : "";
-            rows.add(
-                    new Settings.RequestClass(
-                            new Ids.RequestClass(text(row + "name", "")),
-                            effect(row),
-                            group(row),
-                            seconds(row + "on_time_us", 0),
-                            stretch(row, stretches, i),
-                            number(row + "worth", 1),
-                            number(row + "late_value", 0),
-                            seconds(row + "window_us", 0),
-                            model.isEmpty() || model.equals("-1")
-                                    ? null
-                                    : new Ids.Model(modelName(model)),
-                            strictFlag(row + "one_at_a_time")));
+            requestClasses.add(requestClass(i));
         }
-        return rows;
+        return requestClasses;
+    }
+
+    private Settings.RequestClass requestClass(int index) throws ConfigException {
+        String prefix = REQUEST_CLASSES + index + ".";
+        return new Settings.RequestClass(
+                new Ids.RequestClass(text(prefix + "name", "")),
+                SettingsVocabulary.idempotency(text(prefix + "effect", "")),
+                SettingsVocabulary.idempotencyScope(text(prefix + "group", "")),
+                seconds(prefix + "on_time_us", 0),
+                objectivePerWork(index),
+                number(prefix + "worth", 1),
+                number(prefix + "late_value", 0),
+                seconds(prefix + "window_us", 0),
+                model(index),
+                strictFlag(prefix + "one_at_a_time"));
+    }
+
+    /** The class's own value, or else its item in the list for all classes. */
+    private double objectivePerWork(int index) throws ConfigException {
+        String key = REQUEST_CLASSES + index + ".aim_stretch";
+        String listed = listItem(CLASS_OBJECTIVES, index);
+        if (pairs.containsKey(key) || listed.isEmpty()) {
+            return number(key, 0);
+        }
+        return parse(CLASS_OBJECTIVES, listed);
     }
 
-    /** A class's kind may come as a name or as its place in the list of kinds. */
-    private String modelName(String model) {
+    /** Null for a class that any model may run. A model is given by name, or by index. */
+    private Ids.Model model(int index) {
+        String model = listItem("family_info.class_kind", index);
+        if (model.isEmpty() || model.equals("-1")) {
+            return null;
+        }
         String[] names = text("models", "").split(",");
         for (int i = 0; i < names.length; i++) {
             if (model.equals(Integer.toString(i))) {
-                return names[i];
+                return new Ids.Model(names[i]);
             }
         }
-        return model;
-    }
-
-    private double stretch(String row, String[] stretches, int i) throws ConfigException {
-        if (pairs.containsKey(row + "aim_stretch")
-                || i >= stretches.length
-                || stretches[i].isEmpty()) {
-            return number(row + "aim_stretch", 0);
-        }
-        return parse("family_info.class_stretch", stretches[i]);
-    }
-
-    private Idempotency effect(String row) {
-        return switch (text(row + "effect", "")) {
-            case "free" -> Idempotency.IDEMPOTENT;
-            case "guarded" -> Idempotency.IDEMPOTENT_BY_KEY;
-            // Anything else, also a kind yet to come, gets the strictest reading.
-            default -> Idempotency.NON_IDEMPOTENT;
-        };
+        return new Ids.Model(model);
     }
 
-    private IdempotencyScope group(String row) {
-        return switch (text(row + "group", "")) {
-            case "all" -> IdempotencyScope.ALL;
-            case "zone" -> IdempotencyScope.ZONE;
-            default -> IdempotencyScope.CELL;
-        };
+    /** An item of a list with commas; empty where the list is shorter. */
+    private String listItem(String key, int index) {
+        String[] items = text(key, "").split(",");
+        return index < items.length ? items[index] : "";
     }
 
     private Map<Ids.Tenant, Double> quotas() throws ConfigException {
@@ -136,46 +133,47 @@
         return quotas;
     }
 
-    private String text(String key, String absent) {
-        return pairs.getOrDefault(key, absent);
+    private double keyQuietPeriod() throws ConfigException {
+        double period = seconds(KEY_QUIET_PERIOD, 0);
+        if (!(period >= 0)) {
+            throw new ConfigException(KEY_QUIET_PERIOD, "is under 0");
+        }
+        return period;
+    }
+
+    private String text(String key, String defaultValue) {
+        return pairs.getOrDefault(key, defaultValue);
     }
 
     private boolean flag(String key) {
-        String s = text(key, "");
-        return s.equals("true") || s.equals("1");
+        String value = text(key, "");
+        return value.equals("true") || value.equals("1");
     }
 
-    /** For what must not be taken for off because it was written another way. */
+    /** For a flag that must not be off just because it is misspelled. */
     private boolean strictFlag(String key) throws ConfigException {
-        String s = text(key, "false");
-        if (!List.of("true", "1", "false", "0", "-").contains(s)) {
-            throw new ConfigException(key, "is neither true nor false: " + s);
+        String value = text(key, "false");
+        if (!List.of("true", "1", "false", "0", "-").contains(value)) {
+            throw new ConfigException(key, "is neither true nor false: " + value);
         }
         return flag(key);
     }
 
-    private double rest() throws ConfigException {
-        double rest = seconds("rules.key_rest_us", 0);
-        if (!(rest >= 0)) {
-            throw new ConfigException("rules.key_rest_us", "is under 0");
-        }
-        return rest;
-    }
-
-    double seconds(String key, double absent) throws ConfigException {
-        return number(key, absent * MICROS) / MICROS;
+    /** Seconds, from a value in microseconds. */
+    double seconds(String key, double defaultValue) throws ConfigException {
+        return number(key, defaultValue * MICROS_PER_SECOND) / MICROS_PER_SECOND;
     }
 
-    double number(String key, double absent) throws ConfigException {
-        String s = pairs.get(key);
-        return s == null || s.equals("-") ? absent : parse(key, s);
+    double number(String key, double defaultValue) throws ConfigException {
+        String value = pairs.get(key);
+        return value == null || value.equals("-") ? defaultValue : parse(key, value);
     }
 
-    private double parse(String key, String s) throws ConfigException {
+    private static double parse(String key, String value) throws ConfigException {
         try {
-            return Double.parseDouble(s);
+            return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new ConfigException(key, "is not a number: " + s);
+            throw new ConfigException(key, "is not a number: " + value);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/config/TomlFields.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFields.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import java.util.function.Predicate;
 import org.tomlj.Toml;
@@ -14,10 +15,11 @@
 import wheelroute.decision.Idempotency;
 
 /**
- * One table of a file, read key by key; every fault is noted with its line, and reading goes on.
+ * Reads the fields of one TOML table and checks them. Faults are collected with their line, and
+ * reading continues with a substitute value, so that all faults of a file are found at once.
  */
 public final class TomlFields {
-    /** Constants that a configuration file knows by another name than their own. */
+    /** Constants whose names in TOML files are not derived from their own. */
     private static final Map<Enum<?>, String> CONFIGURED_NAMES =
             Map.of(
                     Idempotency.IDEMPOTENT_BY_KEY, "deduplicated",
@@ -26,175 +28,216 @@
     private final TomlTable table;
     private final String path;
     private final List<Fault> faults;
-    private final Set<String> known = new HashSet<>();
+    private final Set<String> knownKeys = new HashSet<>();
 
-    /** What is wrong, where. */
-    public record Fault(int line, String key, String what) {
+    /**
+     * A fault in a file.
+     *
+     * @param line from 1
+     * @param key path of the field at fault; may be empty
+     * @param message what is wrong, as the predicate of a sentence about the key
+     */
+    public record Fault(int line, String key, String message) {
         @Override
         public String toString() {
-            return "line " + line + ": " + (key.isEmpty() ? "" : key + " ") + what;
+            return "line " + line + ": " + (key.isEmpty() ? "" : key + " ") + message;
         }
     }
 
+    /**
+     * Creates a reader of one table.
+     *
+     * @param path of the table, with a dot at its end; empty for the root
+     * @param faults to which the faults found are added
+     */
     public TomlFields(TomlTable table, String path, List<Fault> faults) {
         this.table = table;
         this.path = path;
         this.faults = faults;
     }
 
+    /**
+     * Records a fault of a key, at the key's line, or at the table's first if the key is absent.
+     */
+    public void addFault(String key, String message) {
+        faults.add(new Fault(line(key), path + key, message));
+    }
+
     private int line(String key) {
         TomlPosition position = key == null ? null : table.inputPositionOf(List.of(key));
         if (position == null) {
             position =
                     table.keySet().stream()
-                            .map(k -> table.inputPositionOf(List.of(k)))
-                            .filter(p -> p != null)
+                            .map(other -> table.inputPositionOf(List.of(other)))
+                            .filter(Objects::nonNull)
                             .findFirst()
                             .orElse(null);
         }
         return position == null ? 1 : position.line();
     }
 
-    public void fault(String key, String what) {
-        faults.add(new Fault(line(key), path + key, what));
-    }
-
-    public boolean has(String key) {
+    /** Whether the table has this key. */
+    public boolean contains(String key) {
         return table.contains(List.of(key));
     }
 
     private Object value(String key) {
-        known.add(key);
+        knownKeys.add(key);
         return table.get(List.of(key));
     }
 
     /**
-     * With no value it is the usual one; NaN for a usual one makes the key one that must be there.
+     * A number within bounds.
+     *
+     * @param defaultValue NaN for a required key
+     * @return the minimum after a fault in the value, NaN if a required key is missing
      */
-    public double number(String key, double usual, double least, double most) {
+    public double number(String key, double defaultValue, double min, double max) {
         Object value = value(key);
         if (value == null) {
-            if (Double.isNaN(usual)) {
-                fault(key, "is missing");
+            if (Double.isNaN(defaultValue)) {
+                addFault(key, "is missing");
             }
-            return usual;
+            return defaultValue;
         }
         if (!(value instanceof Long) && !(value instanceof Double)) {
-            fault(key, "is not a number: " + value);
-            return least;
+            addFault(key, "is not a number: " + value);
+            return min;
         }
         double number = ((Number) value).doubleValue();
-        if (!(number >= least && number <= most)) {
-            fault(key, "is not from " + plain(least) + " to " + plain(most) + ": " + plain(number));
-            return least;
+        if (!(number >= min && number <= max)) {
+            addFault(key, "is not from " + plain(min) + " to " + plain(max) + ": " + plain(number));
+            return min;
         }
         return number;
     }
 
-    public int whole(String key, double usual, int least, int most) {
-        double number = number(key, usual, least, most);
+    /**
+     * A whole number within bounds.
+     *
+     * @param defaultValue NaN for a required key
+     * @return the minimum if a required key is missing
+     */
+    public int integer(String key, double defaultValue, int min, int max) {
+        double number = number(key, defaultValue, min, max);
         if (number != Math.rint(number)) {
-            fault(key, "is not a whole number: " + number);
+            addFault(key, "is not a whole number: " + number);
         }
-        return Double.isNaN(number) ? least : (int) number;
+        return Double.isNaN(number) ? min : (int) number;
     }
 
-    /** Plain decimals, as a person writes them. */
+    /** Without decimals where it is whole. */
     private static String plain(double number) {
         return number == Math.rint(number) && Math.abs(number) < Integer.MAX_VALUE
                 ? Long.toString((long) number)
                 : Double.toString(number);
     }
 
-    /** Null for a usual one makes the key one that must be there. */
-    public String text(String key, String usual) {
+    /**
+     * A text.
+     *
+     * @param defaultValue null for a required key
+     * @return empty after a fault; never null
+     */
+    public String text(String key, String defaultValue) {
         Object value = value(key);
         if (value == null) {
-            if (usual == null) {
-                fault(key, "is missing");
+            if (defaultValue == null) {
+                addFault(key, "is missing");
             }
-            return usual == null ? "" : usual;
+            return defaultValue == null ? "" : defaultValue;
         }
-        if (!(value instanceof String string)) {
-            fault(key, "is not a text: " + value);
+        if (!(value instanceof String text)) {
+            addFault(key, "is not a text: " + value);
             return "";
         }
-        return string;
+        return text;
     }
 
-    public boolean flag(String key, boolean usual) {
+    /** True or false; the default also after a fault. */
+    public boolean flag(String key, boolean defaultValue) {
         Object value = value(key);
         if (value != null && !(value instanceof Boolean)) {
-            fault(key, "is not true or false: " + value);
-            return usual;
+            addFault(key, "is not true or false: " + value);
+            return defaultValue;
         }
-        return value == null ? usual : (Boolean) value;
+        return value == null ? defaultValue : (Boolean) value;
     }
 
-    /** Names as a file writes them: small letters, dashes. */
-    public <E extends Enum<E>> E oneOf(String key, E usual, Class<E> of) {
-        String text = text(key, usual == null ? null : word(usual));
-        List<String> words = new ArrayList<>();
-        for (E constant : of.getEnumConstants()) {
-            if (word(constant).equals(text)) {
+    /**
+     * A constant by its {@link #configuredName}.
+     *
+     * @param defaultValue null for a required key
+     * @return the type's first constant after a fault
+     */
+    public <E extends Enum<E>> E enumConstant(String key, E defaultValue, Class<E> type) {
+        String text = text(key, defaultValue == null ? null : configuredName(defaultValue));
+        List<String> names = new ArrayList<>();
+        for (E constant : type.getEnumConstants()) {
+            String name = configuredName(constant);
+            if (name.equals(text)) {
                 return constant;
             }
-            words.add(word(constant));
+            names.add(name);
         }
         if (!text.isEmpty()) {
-            fault(key, "is none of " + String.join(", ", words) + ": " + text);
+            addFault(key, "is none of " + String.join(", ", names) + ": " + text);
         }
-        return of.getEnumConstants()[0];
+        return type.getEnumConstants()[0];
     }
 
-    public static String word(Enum<?> constant) {
+    /** A constant's name in TOML files: its own in lower case with dashes, unless listed above. */
+    public static String configuredName(Enum<?> constant) {
         String configured = CONFIGURED_NAMES.get(constant);
         return configured != null
                 ? configured
                 : constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    public List<String> texts(String key, List<String> usual, List<String> allowed) {
-        return texts(key, usual, allowed::contains, "none of " + String.join(", ", allowed));
+    /** A list of texts, each of which must be allowed; others are left out with a fault. */
+    public List<String> textList(String key, List<String> defaultValue, List<String> allowed) {
+        return textList(
+                key, defaultValue, allowed::contains, "none of " + String.join(", ", allowed));
     }
 
-    /** Whatever texts are listed there. */
-    public List<String> anyTexts(String key) {
-        return texts(key, List.of(), text -> true, "not a text");
+    /** A list of any texts; empty if the key is absent. */
+    public List<String> anyTextList(String key) {
+        return textList(key, List.of(), text -> true, "not a text");
     }
 
-    private List<String> texts(
-            String key, List<String> usual, Predicate<String> allowed, String otherwise) {
+    private List<String> textList(
+            String key, List<String> defaultValue, Predicate<String> allowed, String faultOfItem) {
         Object value = value(key);
         if (value == null) {
-            return usual;
+            return defaultValue;
         }
-        List<String> texts = new ArrayList<>();
-        if (!(value instanceof TomlArray tomlArray)) {
-            fault(key, "is not a list");
-            return usual;
+        if (!(value instanceof TomlArray array)) {
+            addFault(key, "is not a list");
+            return defaultValue;
         }
-        for (Object item : tomlArray.toList()) {
+        List<String> texts = new ArrayList<>();
+        for (Object item : array.toList()) {
             if (item instanceof String text && allowed.test(text)) {
                 texts.add(text);
             } else {
-                fault(key, "has an item that is " + otherwise + ": " + item);
+                addFault(key, "has an item that is " + faultOfItem + ": " + item);
             }
         }
         return texts;
     }
 
-    /** The table of that name; an empty one if it is not there. */
+    /** The table under this key; an empty one if it is absent or after a fault. */
     public TomlFields table(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof TomlTable)) {
-            fault(key, "is not a table");
+            addFault(key, "is not a table");
             value = null;
         }
-        return new TomlFields(
-                value == null ? Toml.parse("") : (TomlTable) value, path + key + ".", faults);
+        TomlTable subtable = value == null ? Toml.parse("") : (TomlTable) value;
+        return new TomlFields(subtable, path + key + ".", faults);
     }
 
+    /** The list of tables under this key; empty if it is absent. */
     public List<TomlFields> tables(String key) {
         Object value = value(key);
         List<TomlFields> tables = new ArrayList<>();
@@ -202,34 +245,33 @@
             return tables;
         }
         if (!(value instanceof TomlArray array)) {
-            fault(key, "is not a list of tables");
+            addFault(key, "is not a list of tables");
             return tables;
         }
-
         for (int i = 0; i < array.size(); i++) {
             if (array.get(i) instanceof TomlTable item) {
                 tables.add(new TomlFields(item, path + key + "[" + i + "].", faults));
             } else {
-                fault(key, "has an item that is not a table: " + array.get(i));
+                addFault(key, "has an item that is not a table: " + array.get(i));
             }
         }
         return tables;
     }
 
-    public Set<String> names() {
+    /** All keys of the table. */
+    public Set<String> keys() {
         return table.keySet();
     }
 
     /**
-     * Every key that nothing asked for is a fault: a slip of the pen must not pass as a default.
+     * Adds a fault for each key that was not read, so that a misspelled key does not pass for an
+     * absent one. Called after the last field.
      */
-    public void done() {
+    public void rejectUnknownKeys() {
         for (String key : table.keySet()) {
-            if (!known.contains(key)) {
-                fault(
-                        key,
-                        "is not known; known here: "
-                                + String.join(", ", known.stream().sorted().toList()));
+            if (!knownKeys.contains(key)) {
+                List<String> sortedKeys = knownKeys.stream().sorted().toList();
+                addFault(key, "is not known; known here: " + String.join(", ", sortedKeys));
             }
         }
     }
--- a/daemon/src/main/java/wheelroute/config/TomlFile.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFile.java
@@ -6,178 +6,201 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.regex.Pattern;
 import org.tomlj.Toml;
+import org.tomlj.TomlParseError;
 import org.tomlj.TomlParseResult;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.IdempotencyScope;
 
 /**
- * An operator's own file: house words, seconds, comments. It becomes the same pairs as the
- * platform's JSON, so that everything after it is one way. Loaded only where such a file is given:
- * `run` has none.
+ * Reads an operator's TOML file and converts it to the pairs that the platform's JSON has, so that
+ * both are processed alike from there on. Times in the file are in seconds.
  */
 final class TomlFile {
     private static final double REQUIRED = Double.NaN;
-    private static final double MOST_TIME = 86_400;
-    private static final double MOST = 1e9;
+    private static final double MAX_DURATION = 86_400;
+    private static final double MAX_NUMBER = 1e9;
+    private static final int MAX_DISPATCHERS = 1_000_000;
+    private static final int MAX_LIMIT = 1 << 20;
+    private static final int MAX_CELL = 1 << 30;
+
+    /** Texts that need no escapes in JSON; names may not have spaces either. */
+    private static final Pattern PLAIN_TEXT = Pattern.compile("[ -~&&[^\"\\\\]]*");
+
+    private static final Pattern PLAIN_NAME = Pattern.compile("[!-~&&[^\"\\\\]]*");
 
     private final Map<String, String> pairs = new HashMap<>();
     private final List<TomlFields.Fault> faults = new ArrayList<>();
-    private final StringBuilder workers = new StringBuilder();
+    private final List<String> endpoints = new ArrayList<>();
 
     private TomlFile() {}
 
-    /** What the file holds, flat, and its list of workers in discovery's form; null for none. */
-    record Read(Map<String, String> pairs, byte[] known) {}
-
-    static Read read(String text) throws ConfigException {
+    /**
+     * Parses the text of a file.
+     *
+     * @throws ConfigException with all faults of the file, each with its line
+     */
+    static ConfigFile parse(String text) throws ConfigException {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
-            var error = toml.errors().get(0);
+            TomlParseError error = toml.errors().get(0);
             throw new ConfigException(
                     "line " + error.position().line(), "is no TOML: " + error.getMessage());
         }
         TomlFile file = new TomlFile();
-        file.root(new TomlFields(toml, "", file.faults));
+        file.readRoot(new TomlFields(toml, "", file.faults));
         if (!file.faults.isEmpty()) {
-            file.faults.sort(Comparator.comparingInt(TomlFields.Fault::line));
-            TomlFields.Fault first = file.faults.get(0);
-            String more =
-                    file.faults.size() == 1
-                            ? ""
-                            : "\n  "
-                                    + String.join(
-                                            "\n  ",
-                                            file.faults.stream()
-                                                    .skip(1)
-                                                    .map(TomlFields.Fault::toString)
-                                                    .toList());
-            throw new ConfigException(
-                    first.key(), first.what() + " (line " + first.line() + ")" + more);
+            throw exceptionOf(file.faults);
+        }
+        return new ConfigFile(file.pairs, file.cachedEndpoints());
+    }
+
+    /** The first fault by line, followed by the others on a line each. */
+    private static ConfigException exceptionOf(List<TomlFields.Fault> faults) {
+        List<TomlFields.Fault> sorted =
+                faults.stream().sorted(Comparator.comparingInt(TomlFields.Fault::line)).toList();
+        TomlFields.Fault first = sorted.get(0);
+        StringBuilder message = new StringBuilder();
+        message.append(first.message()).append(" (line ").append(first.line()).append(')');
+        for (TomlFields.Fault fault : sorted.subList(1, sorted.size())) {
+            message.append("\n  ").append(fault);
+        }
+        return new ConfigException(first.key(), message.toString());
+    }
+
+    /** The workers of the file as an endpoint list in discovery's form; null for none. */
+    private byte[] cachedEndpoints() {
+        if (endpoints.isEmpty()) {
+            return null;
         }
-        byte[] known =
-                file.workers.isEmpty()
-                        ? null
-                        : ("{\"version\":0,\"full\":true,\"servers\":[" + file.workers + "]}")
-                                .getBytes(StandardCharsets.UTF_8);
-        return new Read(file.pairs, known);
+        String list =
+                "{\"version\":0,\"full\":true,\"servers\":[" + String.join(",", endpoints) + "]}";
+        return list.getBytes(StandardCharsets.UTF_8);
     }
 
-    private void root(TomlFields root) {
+    private void readRoot(TomlFields root) {
         put("name", root.text("name", "wheelroute"));
-        optional("listen", root.text("listen", ""));
-        optional("discovery", root.text("discovery", ""));
-        optional("admin", root.text("admin", ""));
-        optional("seed", root.text("seed", ""));
-        TomlFields limits = root.table("limits");
-        put("limits.memory_mb", limits.number("memory_mb", 192, 32, 1 << 20));
-        put("limits.sockets", limits.number("sockets", 1024, 64, 1 << 20));
-        limits.done();
+        putIfNotEmpty("listen", root.text("listen", ""));
+        putIfNotEmpty("discovery", root.text("discovery", ""));
+        putIfNotEmpty("admin", root.text("admin", ""));
+        putIfNotEmpty("seed", root.text("seed", ""));
+        readLimits(root.table("limits"));
         WireSettingsWriter settings =
                 new WireSettingsWriter()
                         .text("az", root.text("zone", ""))
-                        .number("balancers", root.whole("dispatchers", 1, 1, 1_000_000))
-                        .number("position", root.whole("position", -1, -1, 1_000_000));
-        terms(root.table("terms"), settings);
-        cold(root.table("cold"), settings);
-        for (TomlFields f : root.tables("offerings")) {
-            settings.offering(
-                    f.text("name", null),
-                    f.oneOf("effect", Idempotency.NON_IDEMPOTENT, Idempotency.class),
-                    f.oneOf("group", IdempotencyScope.CELL, IdempotencyScope.class),
-                    f.number("quoted", REQUIRED, 0, MOST_TIME),
-                    f.number("stretch", 0, 0, 1000),
-                    f.number("outer", 30, 0.001, MOST_TIME),
-                    f.number("value", 1, 0, MOST),
-                    f.number("late_value", 0, 0, 1),
-                    f.number("window", 0, 0, MOST_TIME),
-                    f.flag("in_turn", false));
-            f.done();
+                        .number("balancers", root.integer("dispatchers", 1, 1, MAX_DISPATCHERS))
+                        .number("position", root.integer("position", -1, -1, MAX_DISPATCHERS));
+        readTerms(root.table("terms"), settings);
+        readSlowStart(root.table("cold"), settings);
+        for (TomlFields requestClass : root.tables("offerings")) {
+            settings.requestClass(readRequestClass(requestClass));
         }
-        for (TomlFields f : root.tables("tenants")) {
-            settings.tenant(f.text("name", null), f.number("quota", 0, 0, MOST));
-            f.done();
+        for (TomlFields tenant : root.tables("tenants")) {
+            settings.tenant(tenant.text("name", null), tenant.number("quota", 0, 0, MAX_NUMBER));
+            tenant.rejectUnknownKeys();
+        }
+        readPeers(root.table("peers"));
+        for (TomlFields worker : root.tables("workers")) {
+            endpoints.add(readEndpoint(worker));
         }
-        peers(root.table("peers"));
-        root.tables("workers").forEach(this::worker);
         settings.pairs().forEach((path, value) -> put("settings." + path, value));
-        root.done();
+        root.rejectUnknownKeys();
+    }
+
+    private void readLimits(TomlFields limits) {
+        put("limits.memory_mb", limits.number("memory_mb", 192, 32, MAX_LIMIT));
+        put("limits.sockets", limits.number("sockets", 1024, 64, MAX_LIMIT));
+        limits.rejectUnknownKeys();
+    }
+
+    private static RequestClassSettings readRequestClass(TomlFields fields) {
+        RequestClassSettings settings =
+                new RequestClassSettings(
+                        fields.text("name", null),
+                        fields.enumConstant(
+                                "effect", Idempotency.NON_IDEMPOTENT, Idempotency.class),
+                        fields.enumConstant("group", IdempotencyScope.CELL, IdempotencyScope.class),
+                        fields.number("quoted", REQUIRED, 0, MAX_DURATION),
+                        fields.number("stretch", 0, 0, 1000),
+                        fields.number("outer", 30, 0.001, MAX_DURATION),
+                        fields.number("value", 1, 0, MAX_NUMBER),
+                        fields.number("late_value", 0, 0, 1),
+                        fields.number("window", 0, 0, MAX_DURATION),
+                        fields.flag("in_turn", false));
+        fields.rejectUnknownKeys();
+        return settings;
     }
 
-    private void peers(TomlFields f) {
-        optional("peering.listen", f.text("listen", ""));
-        optional("peering.cluster", f.text("cluster", ""));
-        List<String> addresses = f.anyTexts("addresses");
-        optional("peering.addresses", String.join(",", addresses));
-        if (f.has("listen") == addresses.isEmpty()) {
-            f.fault("listen", "and addresses go together");
+    private void readPeers(TomlFields peers) {
+        putIfNotEmpty("peering.listen", peers.text("listen", ""));
+        putIfNotEmpty("peering.cluster", peers.text("cluster", ""));
+        List<String> addresses = peers.anyTextList("addresses");
+        putIfNotEmpty("peering.addresses", String.join(",", addresses));
+        if (peers.contains("listen") == addresses.isEmpty()) {
+            peers.addFault("listen", "and addresses go together");
         }
-        f.done();
+        peers.rejectUnknownKeys();
     }
 
-    private static void terms(TomlFields f, WireSettingsWriter settings) {
-        settings.flag("family_info.tells_start", f.flag("tells_start", true))
-                .seconds("family_info.progress_us", f.number("progress_every", 0, 0, 60))
-                .flag("permissions.cancel", f.flag("may_cancel", true))
-                .flag("permissions.may_duplicate", f.flag("may_copy", false))
-                .number("permissions.most_tries", f.whole("most_launches", 3, 1, 1000))
-                .flag("permissions.retry_after", f.flag("retry_after", true))
+    private static void readTerms(TomlFields fields, WireSettingsWriter settings) {
+        settings.flag("family_info.tells_start", fields.flag("tells_start", true))
+                .seconds("family_info.progress_us", fields.number("progress_every", 0, 0, 60))
+                .flag("permissions.cancel", fields.flag("may_cancel", true))
+                .flag("permissions.may_duplicate", fields.flag("may_copy", false))
+                .number("permissions.most_tries", fields.integer("most_launches", 3, 1, 1000))
+                .flag("permissions.retry_after", fields.flag("retry_after", true))
                 .seconds(
                         "permissions.max_retry_after_us",
-                        f.number("longest_retry_after", 2, 0, 3600))
+                        fields.number("longest_retry_after", 2, 0, 3600))
                 .seconds(
                         "permissions.connect_timeout_us",
-                        f.number("connect_limit", 0.25, 0.001, 60))
-                .seconds("permissions.conn_idle_us", f.number("idle_limit", 30, 0.1, MOST_TIME))
-                .number("prices.cross_zone", f.number("cross_zone_price", 0, 0, 1000))
-                .number("over_share_worth", f.number("over_share_value", 1, 0, 1))
-                .flag("rules.gone_is_advice", f.flag("gone_is_advice", false))
-                .seconds("rules.key_rest_us", f.number("key_rest", 0, 0, 3600));
-        if (f.flag("reports_free_slots", false)) {
+                        fields.number("connect_limit", 0.25, 0.001, 60))
+                .seconds(
+                        "permissions.conn_idle_us",
+                        fields.number("idle_limit", 30, 0.1, MAX_DURATION))
+                .number("prices.cross_zone", fields.number("cross_zone_price", 0, 0, 1000))
+                .number("over_share_worth", fields.number("over_share_value", 1, 0, 1))
+                .flag("rules.gone_is_advice", fields.flag("gone_is_advice", false))
+                .seconds("rules.key_rest_us", fields.number("key_rest", 0, 0, 3600));
+        if (fields.flag("reports_free_slots", false)) {
             settings.text("family_info.report_x0", "free_slots");
         }
-        f.done();
+        fields.rejectUnknownKeys();
     }
 
-    private static void cold(TomlFields f, WireSettingsWriter settings) {
-        settings.number("rules.cold_from", f.number("share", 1, 0.001, 1))
-                .seconds("rules.cold_us", f.number("for", 0, 0, MOST_TIME))
-                .number("rules.tip_multiple", f.number("tip_multiple", 1, 0.001, 1000))
-                .seconds("rules.fall_us", f.number("tip_window", 0, 0, 3600));
-        f.done();
+    private static void readSlowStart(TomlFields fields, WireSettingsWriter settings) {
+        settings.number("rules.cold_from", fields.number("share", 1, 0.001, 1))
+                .seconds("rules.cold_us", fields.number("for", 0, 0, MAX_DURATION))
+                .number("rules.tip_multiple", fields.number("tip_multiple", 1, 0.001, 1000))
+                .seconds("rules.fall_us", fields.number("tip_window", 0, 0, 3600));
+        fields.rejectUnknownKeys();
     }
 
-    private void worker(TomlFields f) {
-        String name = f.text("name", null);
-        String address = f.text("address", null);
-        if (!name.matches("[!-~&&[^\"\\\\]]*")) {
-            f.fault("name", "has a character that no id may have: " + name);
+    /** One entry of an endpoint list in discovery's form. */
+    private static String readEndpoint(TomlFields worker) {
+        String name = worker.text("name", null);
+        String address = worker.text("address", null);
+        if (!PLAIN_NAME.matcher(name).matches()) {
+            worker.addFault("name", "has a character that no id may have: " + name);
         }
         if (!address.isEmpty() && ConfigReader.parse(address) == null) {
-            f.fault("address", "is not host:port: " + address);
+            worker.addFault("address", "is not host:port: " + address);
         }
-        String zone = f.text("zone", "");
-        String model = f.text("model", "");
+        String zone = worker.text("zone", "");
+        String model = worker.text("model", "");
         for (String text : List.of(address, zone, model)) {
-            if (!text.matches("[ -~&&[^\"\\\\]]*")) {
-                f.fault("name", "has a zone, model or address that is no plain text: " + text);
+            if (!PLAIN_TEXT.matcher(text).matches()) {
+                worker.addFault(
+                        "name", "has a zone, model or address that is no plain text: " + text);
             }
         }
-        workers.append(workers.isEmpty() ? "" : ",")
-                .append("{\"id\":\"")
-                .append(name)
-                .append("\",\"addr\":\"")
-                .append(address)
-                .append("\",\"zone\":\"")
-                .append(zone)
-                .append("\",\"kind\":\"")
-                .append(model)
-                .append("\",\"cell\":")
-                .append(f.whole("cell", 0, 0, 1 << 30))
-                .append(",\"state\":\"ready\",\"weight\":")
-                .append(f.number("weight", 1, 0.000001, MOST))
-                .append('}');
-        f.done();
+        int cell = worker.integer("cell", 0, 0, MAX_CELL);
+        double weight = worker.number("weight", 1, 0.000001, MAX_NUMBER);
+        worker.rejectUnknownKeys();
+        return ("{\"id\":\"" + name + "\",\"addr\":\"" + address + "\"")
+                + (",\"zone\":\"" + zone + "\",\"kind\":\"" + model + "\",\"cell\":" + cell)
+                + (",\"state\":\"ready\",\"weight\":" + weight + "}");
     }
 
     private void put(String path, String value) {
@@ -188,7 +211,7 @@
         put(path, Double.toString(value));
     }
 
-    private void optional(String path, String value) {
+    private void putIfNotEmpty(String path, String value) {
         if (!value.isEmpty()) {
             put(path, value);
         }
--- a/daemon/src/main/java/wheelroute/config/package-info.java
+++ b/daemon/src/main/java/wheelroute/config/package-info.java
@@ -1,2 +1,5 @@
-/** The one place where LB_* and the configuration file are read, checked and given defaults. */
+/**
+ * The only place where the environment (LB_*), the configuration file and the settings are read,
+ * checked and given defaults.
+ */
 package wheelroute.config;
--- a/daemon/src/test/java/wheelroute/ConfigTest.java
+++ b/daemon/src/test/java/wheelroute/ConfigTest.java
@@ -9,9 +9,11 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Stream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.config.Config;
@@ -25,7 +27,7 @@
 import wheelroute.decision.Settings;
 import wheelroute.net.discovery.EndpointList;
 
-/** What a dispatcher is told at its start, read from the environment and its file. */
+/** Configuration read from the environment and from JSON and TOML files. */
 public class ConfigTest {
     private static final String CLASSES =
             "'request_classes':[{'name':'light','effect':'free',"
@@ -40,33 +42,34 @@
                     + "'tenants':[{'name':'t','quota_per_s':28.0}],'later':{'key':[{'a':null}]},"
                     + CLASSES
                     + "}";
-    private static final String WHOLE =
+    private static final String COMPLETE =
             "{'name':'n3','listen':'127.0.0.4:8081','discovery':'127.0.0.1:8500',"
                     + "'seed':'8c1f30d27a5be964','limits':{'memory_mb':96,'sockets':512},'peers':['127.0.0.9:1'],"
                     + "'known':{'version':41,'full':true,'servers':[]},"
                     + SETTINGS
                     + "}";
 
-    static Config read(String json, Map<String, String> more) throws IOException, ConfigException {
-        return read(json, more, false);
+    static Config read(String json, Map<String, String> variables)
+            throws IOException, ConfigException {
+        return read(json, variables, false);
     }
 
-    private static Config read(String json, Map<String, String> more, boolean again)
+    private static Config read(String json, Map<String, String> variables, boolean isReload)
             throws IOException, ConfigException {
         Path file = Files.createTempFile("config", ".json");
         try {
             Files.write(file, json.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
-            Map<String, String> environment = new HashMap<>(more);
+            Map<String, String> environment = new HashMap<>(variables);
             environment.putIfAbsent("LB_CONFIG", file.toString());
-            return again ? ConfigReader.reread(environment) : ConfigReader.read(environment);
+            return isReload ? ConfigReader.reread(environment) : ConfigReader.read(environment);
         } finally {
             Files.delete(file);
         }
     }
 
     @Test
-    public void readsAll() throws IOException, ConfigException {
-        Config config = read(WHOLE, Map.of("LB_NAME", "n4"));
+    public void readsAllSettings() throws IOException, ConfigException {
+        Config config = read(COMPLETE, Map.of("LB_NAME", "n4"));
         assertEquals(config.name(), "n4");
         assertEquals(config.listen().getPort(), 8081);
         assertEquals(config.sockets(), 512);
@@ -96,13 +99,14 @@
             "'peering':{'listen':'127.0.0.1:7','addresses':['127.0.0.1:7',"
                     + "'127.0.0.1:8'],'cluster':'x'},";
 
-    /** Only who asks for them by name has peers: a platform's own list of them is not enough. */
+    /** Peering needs an explicit address to listen on; a platform's list of peers is not enough. */
     @Test
-    public void peersAreOffUnlessAskedFor() throws IOException, ConfigException {
-        String two = WHOLE.replace("'settings':{", "'settings':{'balancers':2,'position':1,");
+    public void peeringIsOffByDefault() throws IOException, ConfigException {
+        String twoDispatchers =
+                COMPLETE.replace("'settings':{", "'settings':{'balancers':2,'position':1,");
         assertEquals(
                 read(
-                                two.replace(
+                                twoDispatchers.replace(
                                         "'settings'",
                                         "'peer_listen':'127.0.0.1:7','peers':['127.0.0.1:7',"
                                                 + "'127.0.0.1:8'],'settings'"),
@@ -110,42 +114,37 @@
                         .peers(),
                 null);
         PeeringConfig peers =
-                read(two.replace("'settings'", PEERING + "'settings'"), Map.of()).peers();
+                read(twoDispatchers.replace("'settings'", PEERING + "'settings'"), Map.of())
+                        .peers();
         assertEquals(peers.number(), 1);
         assertEquals(peers.cluster(), "x");
         assertEquals(peers.addresses().get(1).getPort(), 8);
     }
 
-    /**
-     * What was replaced since the start is the file: its word goes before the environment's of that
-     * time.
-     */
+    /** After a reload the file's address of discovery takes precedence over the environment's. */
     @Test
-    public void readsAgain() throws IOException, ConfigException {
+    public void reloads() throws IOException, ConfigException {
         Map<String, String> start = Map.of("LB_DISCOVERY", "127.0.0.1:7", "LB_NAME", "n4");
-        Config first = read(WHOLE, start);
+        Config first = read(COMPLETE, start);
         assertEquals(first.discovery().getPort(), 7);
         assertEquals(first.memory(), 96.0 * 1024 * 1024);
-        Config second = read(WHOLE.replace("8c1f", "9c1f"), start, true);
+        Config second = read(COMPLETE.replace("8c1f", "9c1f"), start, true);
         assertEquals(second.discovery().getPort(), 8500);
         assertEquals(first.waitingForRestart(second), List.of());
         Config third =
                 read(
-                        WHOLE.replace("512", "256").replace("'worth':2.0", "'worth':3.0"),
+                        COMPLETE.replace("512", "256").replace("'worth':2.0", "'worth':3.0"),
                         start,
                         true);
         assertEquals(first.waitingForRestart(third), List.of("limits.sockets", "settings"));
         assertEquals(
-                read(WHOLE.replace("'discovery'", "'other'"), start, true).discovery().getPort(),
+                read(COMPLETE.replace("'discovery'", "'other'"), start, true).discovery().getPort(),
                 7);
     }
 
-    /**
-     * One mapping serves both: the same settings must mean the same on the bench's wire and in the
-     * file.
-     */
+    /** The same settings have the same meaning on the simulator's wire and in the file. */
     @Test
-    public void readsAsTheWireDoes() throws IOException, ConfigException {
+    public void readsTheSameSettingsAsTheAdapter() throws IOException, ConfigException {
         Map<String, String> wire = new HashMap<>();
         for (String pair :
                 ("az=west family_info.class_stretch=1.75,2.0 family_info.class_kind=-1,1"
@@ -159,12 +158,13 @@
             wire.put(pair.substring(0, pair.indexOf('=')), pair.substring(pair.indexOf('=') + 1));
         }
         assertEquals(
-                read(WHOLE, Map.of()).settings(), SettingsReader.read(0x8c1f30d27a5be964L, wire));
+                read(COMPLETE, Map.of()).settings(),
+                SettingsReader.read(0x8c1f30d27a5be964L, wire));
     }
 
-    /** Names that look like a path's part, a list or a key: each stays what it is. */
+    /** Names that look like part of a path, a list or a key are unchanged. */
     @Test
-    public void namesStayWhatTheyAre() throws IOException, ConfigException {
+    public void keepsNamesUnchanged() throws IOException, ConfigException {
         for (String name :
                 List.of(
                         "a b",
@@ -178,7 +178,7 @@
                         "\u00e9t\u00e9")) {
             Settings settings =
                     read(
-                                    WHOLE.replace("'name':'light'", "'name':'" + name + "'")
+                                    COMPLETE.replace("'name':'light'", "'name':'" + name + "'")
                                             .replace("'name':'t'", "'name':'" + name + "'"),
                                     Map.of())
                             .settings();
@@ -190,8 +190,14 @@
 
     @DataProvider
     public Object[][] faults() {
+        return Stream.of(faultsOfSettings(), faultsOfPeeringAndFile())
+                .flatMap(Arrays::stream)
+                .toArray(Object[][]::new);
+    }
+
+    private static Object[][] faultsOfSettings() {
         return new Object[][] {
-            // what is taken out, what stands there instead, the key that the message must name
+            // text to replace, its replacement, the key that the message must name
             {"'listen':'127.0.0.4:8081',", "", "listen"},
             {"127.0.0.4:8081", "127.0.0.4", "listen"},
             {"127.0.0.4:8081", "127.0.0.4:80810", "listen"},
@@ -214,7 +220,7 @@
             },
             {"'sockets':512", "'sockets':'few'", "limits.sockets"},
             {"'memory_mb':96", "'memory_mb':0", "limits.memory_mb"},
-            {WHOLE, WHOLE + "}", "LB_CONFIG"},
+            {COMPLETE, COMPLETE + "}", "LB_CONFIG"},
             {"'hard_limit_us':5000000", "'hard_limit_us':0", "request_classes.0.hard_limit_us"},
             {"'on_time_us':200000", "'on_time_us':'soon'", "request_classes.0.on_time_us"},
             {"'connect_timeout_us':250000", "'connect_timeout_us':-1", "connect_timeout_us"},
@@ -222,6 +228,11 @@
             {"'name':'alert'", "'name':'light'", "request_classes.1.name"},
             {"'name':'alert'", "'name':''", "request_classes.1.name"},
             {"'settings'", "'sittings'", "request_classes"},
+        };
+    }
+
+    private static Object[][] faultsOfPeeringAndFile() {
+        return new Object[][] {
             {"'settings':{", PEERING + "'settings':{'balancers':2,", "peering"},
             {
                 "'settings':{",
@@ -240,25 +251,27 @@
                 "peering.listen"
             },
             {"'name':'n3',", "'name':'" + "n".repeat(41) + "'," + PEERING, "peering"},
-            {WHOLE, "[]", "LB_CONFIG"},
-            {WHOLE, WHOLE.substring(0, 90), "LB_CONFIG"},
+            {COMPLETE, "[]", "LB_CONFIG"},
+            {COMPLETE, COMPLETE.substring(0, 90), "LB_CONFIG"},
         };
     }
 
     @Test(dataProvider = "faults")
-    public void namesTheFaultyKey(String out, String in, String key) {
+    public void reportsTheKeyOfAFault(String target, String replacement, String key) {
         String message =
-                expectThrows(ConfigException.class, () -> read(WHOLE.replace(out, in), Map.of()))
+                expectThrows(
+                                ConfigException.class,
+                                () -> read(COMPLETE.replace(target, replacement), Map.of()))
                         .getMessage();
         assertTrue(message.contains(key), message);
     }
 
     @Test
-    public void namesTheMissingFile() {
+    public void reportsAMissingFile() {
         String message =
                 expectThrows(
                                 ConfigException.class,
-                                () -> read(WHOLE, Map.of("LB_CONFIG", "/no/such/file")))
+                                () -> read(COMPLETE, Map.of("LB_CONFIG", "/no/such/file")))
                         .getMessage();
         assertTrue(message.contains("LB_CONFIG"), message);
         assertTrue(
@@ -308,7 +321,7 @@
         }
     }
 
-    /** An operator's own words mean what the platform's JSON means. */
+    /** An operator's TOML file is converted to the settings of the platform's JSON. */
     @Test
     public void readsToml() throws IOException, ConfigException {
         Config config = readToml(TOML);
@@ -340,7 +353,7 @@
     @DataProvider
     public Object[][] tomlFaults() {
         return new Object[][] {
-            // what is taken out, what stands there instead, what is told, with its place
+            // text to replace, its replacement, part of the message, with the place of the fault
             {"quoted = 0.2\n", "", "offerings[0].quoted"},
             {
                 "quoted = 0.2",
@@ -375,10 +388,13 @@
     }
 
     @Test(dataProvider = "tomlFaults")
-    public void namesTheFaultyKeyOfToml(String out, String in, String told) {
+    public void reportsTheKeyAndLineOfATomlFault(
+            String target, String replacement, String expected) {
         String message =
-                expectThrows(ConfigException.class, () -> readToml(TOML.replace(out, in)))
+                expectThrows(
+                                ConfigException.class,
+                                () -> readToml(TOML.replace(target, replacement)))
                         .getMessage();
-        assertTrue(message.contains(told), message);
+        assertTrue(message.contains(expected), message);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -551,7 +551,7 @@
                         + ", "
                         + s.ask().offering().name()
                         + " ("
-                        + TomlFields.word(s.ask().offering().effect())
+                        + TomlFields.configuredName(s.ask().offering().effect())
                         + "), waits "
                         + seconds(s.timeout())
                         + " s");
--- a/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
@@ -10,6 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import wheelroute.config.ConfigException;
+import wheelroute.config.RequestClassSettings;
 import wheelroute.config.SettingsReader;
 import wheelroute.config.WireSettingsWriter;
 import wheelroute.decision.Settings;
@@ -53,17 +54,18 @@
                 .number("rules.tip_multiple", cold.tipMultiple())
                 .seconds("rules.fall_us", cold.tipWindow());
         for (Scenario.Offering o : s.offerings()) {
-            settings.offering(
-                    o.name(),
-                    o.effect(),
-                    o.group(),
-                    o.quoted(),
-                    o.stretch(),
-                    o.outer(),
-                    o.value(),
-                    o.lateValue(),
-                    o.window(),
-                    false);
+            settings.requestClass(
+                    new RequestClassSettings(
+                            o.name(),
+                            o.effect(),
+                            o.group(),
+                            o.quoted(),
+                            o.stretch(),
+                            o.outer(),
+                            o.value(),
+                            o.lateValue(),
+                            o.window(),
+                            false));
         }
         s.tenants().forEach(tenant -> settings.tenant(tenant.name(), tenant.quota()));
         Map<String, String> pairs = new LinkedHashMap<>(settings.pairs());
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -76,20 +76,20 @@
         double seconds = run.number("seconds", 60, 1, MOST_TIME);
         double cycle = run.number("cycle", seconds, 1, MOST_TIME);
         List<String> clocks =
-                run.texts("clocks", List.of("virtual", "real"), List.of("virtual", "real"));
-        int dispatchers = run.whole("dispatchers", 1, 1, MOST_DISPATCHERS);
+                run.textList("clocks", List.of("virtual", "real"), List.of("virtual", "real"));
+        int dispatchers = run.integer("dispatchers", 1, 1, MOST_DISPATCHERS);
         List<Scenario.WorkerGroup> groups = new ArrayList<>();
         root.tables("workers").forEach(f -> groups.add(group(f)));
         List<String> zones =
-                run.texts(
+                run.textList(
                         "zones",
                         List.of(),
                         groups.stream().map(Scenario.WorkerGroup::zone).distinct().toList());
         boolean peers = run.flag("peers", false);
         if (peers && clocks.contains("virtual")) {
-            run.fault("peers", "need processes: run.clocks must be [\"real\"]");
+            run.addFault("peers", "need processes: run.clocks must be [\"real\"]");
         }
-        run.done();
+        run.rejectUnknownKeys();
         Scenario.Limits limits = limits(root.table("limits"));
         List<Scenario.Offering> offerings = new ArrayList<>();
         root.tables("offerings").forEach(f -> offerings.add(offering(f)));
@@ -106,7 +106,7 @@
         List<Scenario.Expectation> expectations = expectations(root.table("expect"));
         Map<String, String> overrides = texts(root.table("daemon"));
         Map<String, String> changed = texts(root.table("changed"));
-        root.done();
+        root.rejectUnknownKeys();
         needsSome(root, "workers", groups.isEmpty());
         needsSome(root, "offerings", offerings.isEmpty());
         needsSome(root, "load", load.isEmpty());
@@ -115,11 +115,12 @@
         unique(root, "tenants", tenants.stream().map(Scenario.Tenant::name).toList());
         for (int i = 1; i < load.size(); i++) {
             if (load.get(i).at() < load.get(i - 1).at()) {
-                root.fault("load", "has a point before the one above it, at " + load.get(i).at());
+                root.addFault(
+                        "load", "has a point before the one above it, at " + load.get(i).at());
             }
         }
         if (groups.stream().mapToInt(Scenario.WorkerGroup::count).sum() > MOST_WORKERS) {
-            root.fault("workers", "are more than " + MOST_WORKERS);
+            root.addFault("workers", "are more than " + MOST_WORKERS);
         }
         return new Scenario(
                 name,
@@ -147,7 +148,7 @@
 
     private static Map<String, String> texts(TomlFields f) {
         Map<String, String> texts = new LinkedHashMap<>();
-        for (String key : f.names()) {
+        for (String key : f.keys()) {
             texts.put(key, f.text(key, ""));
         }
         return texts;
@@ -155,7 +156,7 @@
 
     private static void needsSome(TomlFields root, String key, boolean none) {
         if (none) {
-            root.fault(key, root.has(key) ? "has none" : "is missing");
+            root.addFault(key, root.contains(key) ? "has none" : "is missing");
         }
     }
 
@@ -163,7 +164,7 @@
         Set<String> seen = new HashSet<>();
         for (String name : names) {
             if (!seen.add(name)) {
-                root.fault(key, "names " + name + " twice");
+                root.addFault(key, "names " + name + " twice");
             }
         }
     }
@@ -171,7 +172,7 @@
     private static String name(TomlFields f) {
         String name = f.text("name", null);
         if (!name.isEmpty() && !name.matches("[a-z0-9][a-z0-9-]{0,40}")) {
-            f.fault("name", "is not made of small letters, digits and dashes: " + name);
+            f.addFault("name", "is not made of small letters, digits and dashes: " + name);
         }
         return name;
     }
@@ -182,18 +183,18 @@
                 new Scenario.WorkerGroup(
                         name,
                         f.text("model", name),
-                        f.whole("count", 1, 1, MOST_WORKERS),
-                        f.whole("slots", 1, 1, 1024),
+                        f.integer("count", 1, 1, MOST_WORKERS),
+                        f.integer("slots", 1, 1, 1024),
                         f.number("speed", 1, 0.001, 1000),
                         f.text("zone", "a"),
-                        f.whole("queue", 100, 0, 1_000_000),
+                        f.integer("queue", 100, 0, 1_000_000),
                         f.number("memory", MOST, 0, MOST),
                         f.number("cold_share", 1, 0.01, 1),
                         f.number("cold_for", 0, 0, MOST_TIME),
                         f.number("tip_multiple", 4, 0.1, 1000),
                         f.number("tip_window", 3, 0.1, 60),
                         f.number("tip_request", 0, 0, MOST_TIME));
-        f.done();
+        f.rejectUnknownKeys();
         return group;
     }
 
@@ -203,8 +204,8 @@
         Scenario.Offering offering =
                 new Scenario.Offering(
                         name,
-                        f.oneOf("effect", Idempotency.IDEMPOTENT, Idempotency.class),
-                        f.oneOf("group", IdempotencyScope.ALL, IdempotencyScope.class),
+                        f.enumConstant("effect", Idempotency.IDEMPOTENT, Idempotency.class),
+                        f.enumConstant("group", IdempotencyScope.ALL, IdempotencyScope.class),
                         f.number("share", 1, 0, MOST),
                         f.number("work", REQUIRED, Scenario.LEAST_WORK, MOST_TIME),
                         f.number("spread", 0.5, 0, 4),
@@ -215,12 +216,12 @@
                         f.number("value", 1, 0.001, MOST),
                         f.number("late_value", 0, 0, 1),
                         f.number("window", 20, 0, MOST_TIME),
-                        f.whole("slots", 1, 1, 1024),
+                        f.integer("slots", 1, 1, 1024),
                         f.number("memory", 0, 0, MOST));
         if (offering.outer() < quoted) {
-            f.fault("outer", "is under quoted: no answer could be late");
+            f.addFault("outer", "is under quoted: no answer could be late");
         }
-        f.done();
+        f.rejectUnknownKeys();
         return offering;
     }
 
@@ -230,7 +231,7 @@
                         name(f),
                         f.number("share", 1, 0.000001, MOST),
                         f.number("quota", 0, 0, MOST_RATE));
-        f.done();
+        f.rejectUnknownKeys();
         return tenant;
     }
 
@@ -238,47 +239,48 @@
         Scenario.LoadPoint point =
                 new Scenario.LoadPoint(
                         f.number("at", 0, 0, cycle), f.number("rate", REQUIRED, 0, MOST_RATE));
-        f.done();
+        f.rejectUnknownKeys();
         return point;
     }
 
     private static Scenario.Clients clients(TomlFields f) {
         Scenario.Clients clients =
                 new Scenario.Clients(
-                        f.whole("retries", 0, 0, MOST_RETRIES),
+                        f.integer("retries", 0, 0, MOST_RETRIES),
                         f.number("pause", 0.1, 0, 60),
                         f.number("least_wait", 0.25, 0.01, 60),
                         f.number("impatient", 0, 0, 1),
                         f.number("fresh", 0, 0, 1),
                         f.number("writes", 0, 0, 10));
-        f.done();
+        f.rejectUnknownKeys();
         return clients;
     }
 
     private static Scenario.Limits limits(TomlFields f) {
         Scenario.Limits limits =
                 new Scenario.Limits(
-                        f.whole("memory_mb", 192, 64, 4096), f.whole("sockets", 4096, 96, 65_536));
-        f.done();
+                        f.integer("memory_mb", 192, 64, 4096),
+                        f.integer("sockets", 4096, 96, 65_536));
+        f.rejectUnknownKeys();
         return limits;
     }
 
     private static Scenario.Drawn drawn(TomlFields f, double cycle, List<String> clocks) {
         List<Scenario.Kind> open = Draw.kinds(!clocks.contains("virtual"));
-        List<String> words = open.stream().map(TomlFields::word).toList();
-        List<String> kinds = f.texts("kinds", words, words);
+        List<String> words = open.stream().map(TomlFields::configuredName).toList();
+        List<String> kinds = f.textList("kinds", words, words);
         Scenario.Drawn drawn =
                 new Scenario.Drawn(
-                        f.whole("faults", 0, 0, 100),
+                        f.integer("faults", 0, 0, 100),
                         f.number(
                                 "longest",
                                 Math.min(4, cycle / 2),
                                 Draw.SHORTEST,
                                 Math.max(Draw.SHORTEST, cycle / 2)),
                         open.stream()
-                                .filter(kind -> kinds.contains(TomlFields.word(kind)))
+                                .filter(kind -> kinds.contains(TomlFields.configuredName(kind)))
                                 .toList());
-        f.done();
+        f.rejectUnknownKeys();
         return drawn.faults() == 0 ? Scenario.Drawn.NONE : drawn;
     }
 
@@ -286,7 +288,7 @@
         Scenario.Network network =
                 new Scenario.Network(
                         f.number("delay", 0.0005, 0, 10), f.number("jitter", 0.0005, 0, 10));
-        f.done();
+        f.rejectUnknownKeys();
         return network;
     }
 
@@ -297,7 +299,7 @@
                         f.number("progress_every", 0, 0, 60),
                         f.flag("may_cancel", true),
                         f.flag("may_copy", true),
-                        f.whole("most_launches", 3, 1, 50),
+                        f.integer("most_launches", 3, 1, 50),
                         f.flag("retry_after", true),
                         f.number("longest_retry_after", 2, 0, 60),
                         f.number("list_lag", 0.2, 0, 60),
@@ -306,7 +308,7 @@
                         f.number("connect_limit", 0.25, 0.01, 10),
                         f.number("cross_zone_price", 0, 0, 100),
                         f.number("over_share_value", 1, 0, 1));
-        f.done();
+        f.rejectUnknownKeys();
         return terms;
     }
 
@@ -316,11 +318,11 @@
             List<Scenario.WorkerGroup> groups,
             List<String> zones,
             List<String> clocks) {
-        Scenario.Kind kind = f.oneOf("kind", null, Scenario.Kind.class);
+        Scenario.Kind kind = f.enumConstant("kind", null, Scenario.Kind.class);
         double[] level = levels(kind);
         String group = f.text("group", "");
         if (!group.isEmpty() && groups.stream().noneMatch(g -> g.name().equals(group))) {
-            f.fault("group", "names no group of workers: " + group);
+            f.addFault("group", "names no group of workers: " + group);
         }
         Scenario.Fault fault =
                 new Scenario.Fault(
@@ -330,46 +332,49 @@
                         group,
                         f.number("share", 1, 0, 1),
                         f.number("level", level[0], level[1], level[2]),
-                        f.whole("pick", 0, 0, 1000),
+                        f.integer("pick", 0, 0, 1000),
                         f.number("within", 0, 0, MOST_TIME),
-                        f.oneOf("to", Scenario.Ends.WORKERS, Scenario.Ends.class),
+                        f.enumConstant("to", Scenario.Ends.WORKERS, Scenario.Ends.class),
                         f.text("zone", ""),
                         f.text("from", ""),
                         f.number("spread", 0, 0, 60),
-                        f.oneOf("how", Scenario.How.USUAL, Scenario.How.class),
+                        f.enumConstant("how", Scenario.How.USUAL, Scenario.How.class),
                         f.number("others", 1, 0, 1));
         if (fault.until() > cycle) {
-            f.fault("for", "goes on past the end of the cycle, " + cycle + " s");
+            f.addFault("for", "goes on past the end of the cycle, " + cycle + " s");
         }
         if (fault.within() > 0 && !kind.isAboutDispatchers()) {
-            f.fault("within", "is for faults of dispatchers only");
+            f.addFault("within", "is for faults of dispatchers only");
         }
-        if (f.has("to") && (!kind.isAboutWays() || kind == Scenario.Kind.LIST_CUT)) {
-            f.fault("to", "is for links only");
+        if (f.contains("to") && (!kind.isAboutWays() || kind == Scenario.Kind.LIST_CUT)) {
+            f.addFault("to", "is for links only");
         }
         if (kind == Scenario.Kind.LINK_DOUBLE && fault.to() != Scenario.Ends.PEERS) {
-            f.fault("kind", "is for ways to peers only: to must be \"peers\"");
+            f.addFault("kind", "is for ways to peers only: to must be \"peers\"");
         }
         if (!fault.zone().isEmpty() && groups.stream().noneMatch(fault::concerns)) {
-            f.fault("zone", "names no zone of those workers: " + fault.zone());
+            f.addFault("zone", "names no zone of those workers: " + fault.zone());
         }
         if (!fault.from().isEmpty()
                 && (!kind.isAboutDispatchers() || !zones.contains(fault.from()))) {
-            f.fault(
+            f.addFault(
                     "from",
                     kind.isAboutDispatchers()
                             ? "is none of run.zones: " + fault.from()
                             : "is for faults of dispatchers only");
         }
         if (!kind.hows().contains(fault.how())) {
-            f.fault(
+            f.addFault(
                     "how",
-                    "is no way of " + TomlFields.word(kind) + ": " + TomlFields.word(fault.how()));
+                    "is no way of "
+                            + TomlFields.configuredName(kind)
+                            + ": "
+                            + TomlFields.configuredName(fault.how()));
         }
         if (kind.needsProcesses() && clocks.contains("virtual")) {
-            f.fault("kind", "needs processes: run.clocks must be [\"real\"]");
+            f.addFault("kind", "needs processes: run.clocks must be [\"real\"]");
         }
-        f.done();
+        f.rejectUnknownKeys();
         return fault;
     }
 
@@ -392,16 +397,16 @@
 
     private static List<Scenario.Expectation> expectations(TomlFields f) {
         List<Scenario.Expectation> all = new ArrayList<>();
-        for (String figure : f.names()) {
+        for (String figure : f.keys()) {
             if (!Figures.isKnown(figure)) {
-                f.fault(figure, "is no figure of a report; known: " + Figures.KNOWN);
+                f.addFault(figure, "is no figure of a report; known: " + Figures.KNOWN);
                 f.table(figure);
                 continue;
             }
             TomlFields bounds = f.table(figure);
             double least = bounds.number("least", Double.NEGATIVE_INFINITY, -MOST, MOST);
             double most = bounds.number("most", Double.POSITIVE_INFINITY, -MOST, MOST);
-            bounds.done();
+            bounds.rejectUnknownKeys();
             all.add(new Scenario.Expectation(figure, least, most));
         }
         return all;
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -73,7 +73,9 @@
             table("drawn")
                     .number("faults", s.drawn().faults())
                     .number("longest", s.drawn().longest())
-                    .texts("kinds", s.drawn().kinds().stream().map(TomlFields::word).toList());
+                    .texts(
+                            "kinds",
+                            s.drawn().kinds().stream().map(TomlFields::configuredName).toList());
         }
         map("daemon", s.overrides());
         map("changed", s.changed());
@@ -108,8 +110,8 @@
     private void write(Scenario.Offering o) {
         item("offerings")
                 .text("name", o.name())
-                .text("effect", TomlFields.word(o.effect()))
-                .text("group", TomlFields.word(o.group()))
+                .text("effect", TomlFields.configuredName(o.effect()))
+                .text("group", TomlFields.configuredName(o.group()))
                 .number("share", o.share())
                 .number("work", o.work())
                 .number("spread", o.spread())
@@ -127,7 +129,7 @@
     /** What has no meaning for a kind may not stand there. */
     private void write(Scenario.Fault f) {
         item("faults")
-                .text("kind", TomlFields.word(f.kind()))
+                .text("kind", TomlFields.configuredName(f.kind()))
                 .number("at", f.at())
                 .number("for", f.length());
         if (!f.group().isEmpty()) {
@@ -138,7 +140,7 @@
             number("within", f.within());
         }
         if (f.to() != Scenario.Ends.WORKERS) {
-            text("to", TomlFields.word(f.to()));
+            text("to", TomlFields.configuredName(f.to()));
         }
         if (!f.zone().isEmpty()) {
             text("zone", f.zone());
@@ -153,7 +155,7 @@
             number("others", f.others());
         }
         if (f.how() != Scenario.How.USUAL) {
-            text("how", TomlFields.word(f.how()));
+            text("how", TomlFields.configuredName(f.how()));
         }
     }
 
