--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -12,21 +12,21 @@
 import wheelroute.config.TomlFields;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.IdempotencyScope;
+import wheelroute.kit.model.AttemptEnding;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.EndpointRegistry;
+import wheelroute.kit.model.EventListener;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.model.Timeline;
+import wheelroute.kit.model.WorkerAttempt;
+import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Answer;
-import wheelroute.kit.world.Ending;
-import wheelroute.kit.world.Launch;
-import wheelroute.kit.world.Registry;
-import wheelroute.kit.world.Submitted;
-import wheelroute.kit.world.Timeline;
-import wheelroute.kit.world.Witness;
-import wheelroute.kit.world.WorkerModel;
 
 /**
  * Checks the four rules on what stand-ins and clients saw. A submission's record is kept until
  * nothing that breaks a rule can follow any more, so that a run of any length takes bounded memory.
  */
-public final class Auditor implements Witness {
+public final class Auditor implements EventListener {
     /** A broken rule, with all that is known of the submission it befell. */
     public record Breach(Rule rule, String what, List<String> history) {}
 
@@ -48,10 +48,10 @@
     private static final double LEFT = 0.3;
 
     /** Words of the histories, made once: they are noted millions of times and seldom read. */
-    private static final String[] ANSWERED = words("answered ", Answer.values(), "");
+    private static final String[] ANSWERED = words("answered ", FinalResponse.values(), "");
 
-    private static final String[] ENDED = words("", Ending.values(), " at");
-    private static final String[] ENDED_UNTOLD = words("untold: ", Ending.values(), " at");
+    private static final String[] ENDED = words("", AttemptEnding.values(), " at");
+    private static final String[] ENDED_UNTOLD = words("untold: ", AttemptEnding.values(), " at");
 
     private final Scenario scenario;
     private final Timeline timeline;
@@ -94,14 +94,14 @@
     private record Event(double at, String what, int worker) {}
 
     /** One launch as its worker saw it. */
-    private static final class Seen {
+    private static final class ObservedAttempt {
         final RequestRecord of;
         final WorkerModel worker;
         final double arrivedAt;
         boolean over;
         boolean neverRan;
 
-        Seen(RequestRecord of, WorkerModel worker, double arrivedAt) {
+        ObservedAttempt(RequestRecord of, WorkerModel worker, double arrivedAt) {
             this.of = of;
             this.worker = worker;
             this.arrivedAt = arrivedAt;
@@ -110,10 +110,10 @@
 
     /** One submission. */
     private static final class RequestRecord {
-        final Submitted submitted;
-        final List<Seen> launches = new ArrayList<>(2);
+        final ClientAttempt submitted;
+        final List<ObservedAttempt> launches = new ArrayList<>(2);
         final List<Event> events = new ArrayList<>();
-        Answer answer;
+        FinalResponse answer;
         double answeredAt = Double.NaN;
 
         /** When its client hung up of its own wish, before any answer. */
@@ -135,7 +135,7 @@
 
         boolean done;
 
-        RequestRecord(Submitted submitted) {
+        RequestRecord(ClientAttempt submitted) {
             this.submitted = submitted;
         }
 
@@ -166,7 +166,7 @@
 
     // ---- from the clients
 
-    public void sent(Submitted submitted) {
+    public void sent(ClientAttempt submitted) {
         RequestRecord record = new RequestRecord(submitted);
         record.note(timeline.now(), "sent to dispatcher", submitted.dispatcher());
         record.untimed = unheard.contains(submitted.dispatcher());
@@ -181,7 +181,7 @@
         forgetOld();
     }
 
-    public void answered(Submitted submitted, Answer answer) {
+    public void answered(ClientAttempt submitted, FinalResponse answer) {
         RequestRecord record = records.get(submitted.key());
         if (record == null) {
             breach(Rule.ONE_ANSWER, "an answer to a submission long over", null);
@@ -198,10 +198,10 @@
         if (!record.excused && now > submitted.sentAt() + submitted.timeout() + slack) {
             breach(Rule.ONE_ANSWER, "an answer after the outer limit", record);
         }
-        if (answer == Answer.FULFILLED && !record.done) {
+        if (answer == FinalResponse.FULFILLED && !record.done) {
             breach(Rule.ONE_ANSWER, "fulfilled with what no worker made for it", record);
         }
-        if (answer == Answer.BOUNCED && !mayBounce(record)) {
+        if (answer == FinalResponse.BOUNCED && !mayBounce(record)) {
             breach(Rule.NO_EFFECT_TWICE, "bounced, though it may have run", record);
         }
     }
@@ -209,7 +209,7 @@
     /**
      * The client stopped waiting: its own wish is no fault of the dispatcher, its time being up is.
      */
-    public void gaveUp(Submitted submitted, boolean ownWish) {
+    public void gaveUp(ClientAttempt submitted, boolean ownWish) {
         RequestRecord record = records.get(submitted.key());
         if (record == null) {
             return;
@@ -225,7 +225,7 @@
     }
 
     /** Its connection ended without an answer: allowed only to a dispatcher that died. */
-    public void cutOff(Submitted submitted) {
+    public void cutOff(ClientAttempt submitted) {
         RequestRecord record = records.get(submitted.key());
         if (record == null) {
             return;
@@ -238,7 +238,7 @@
     }
 
     /** Its connection never came up: no dispatcher has taken it, so none owes an answer. */
-    public void refused(Submitted submitted) {
+    public void refused(ClientAttempt submitted) {
         RequestRecord record = records.get(submitted.key());
         if (record != null) {
             record.note(timeline.now(), "connection refused", -1);
@@ -305,7 +305,7 @@
     }
 
     /** Null for one that is not remembered. */
-    public Submitted submitted(long key) {
+    public ClientAttempt submitted(long key) {
         RequestRecord record = records.get(key);
         return record == null ? null : record.submitted;
     }
@@ -353,9 +353,9 @@
 
     // ---- from the list
 
-    public void told(int dispatcher, int worker, Registry.State state) {
+    public void told(int dispatcher, int worker, EndpointRegistry.State state) {
         long key = way(dispatcher, worker);
-        if (state == Registry.State.READY) {
+        if (state == EndpointRegistry.State.READY) {
             toldLeaving.remove(key);
         } else {
             toldLeaving.putIfAbsent(key, timeline.now());
@@ -365,7 +365,7 @@
     // ---- from the workers
 
     @Override
-    public void arrived(Launch launch, WorkerModel worker) {
+    public void arrived(WorkerAttempt launch, WorkerModel worker) {
         RequestRecord record = records.get(launch.submission);
         double now = timeline.now();
         if (record == null) {
@@ -373,7 +373,7 @@
             return;
         }
         record.note(now, "launch at", worker.number);
-        Seen seen = new Seen(record, worker, now);
+        ObservedAttempt seen = new ObservedAttempt(record, worker, now);
         long way = way(record.submitted.dispatcher(), worker.number);
         double slack = this.slack + later.getOrDefault(way, 0.0);
         if (now > record.answeredAt + slack) {
@@ -400,7 +400,7 @@
                             + " was told draining or gone",
                     record);
         }
-        for (Seen earlier : record.launches) {
+        for (ObservedAttempt earlier : record.launches) {
             checkAgain(record, earlier, seen, slack);
         }
         record.launches.add(seen);
@@ -408,8 +408,9 @@
     }
 
     /** Whether an earlier launch allows this one. */
-    private void checkAgain(RequestRecord record, Seen earlier, Seen seen, double slack) {
-        Scenario.Offering offering = record.submitted.ask().offering();
+    private void checkAgain(
+            RequestRecord record, ObservedAttempt earlier, ObservedAttempt seen, double slack) {
+        Scenario.RequestClass offering = record.submitted.ask().offering();
         if (!scenario.terms().mayCopy() && !earlier.over) {
             // The end of the earlier connection may be seen a moment later than the new launch.
             timeline.after(
@@ -445,7 +446,7 @@
     }
 
     private static boolean mayBounce(RequestRecord record) {
-        Scenario.Offering offering = record.submitted.ask().offering();
+        Scenario.RequestClass offering = record.submitted.ask().offering();
         if (offering.effect() == Idempotency.IDEMPOTENT
                 || (offering.effect() == Idempotency.IDEMPOTENT_BY_KEY
                         && offering.group() == IdempotencyScope.ALL)) {
@@ -455,14 +456,14 @@
     }
 
     @Override
-    public void began(Launch launch, WorkerModel worker) {
-        Seen seen = (Seen) launch.mark();
+    public void began(WorkerAttempt launch, WorkerModel worker) {
+        ObservedAttempt seen = (ObservedAttempt) launch.mark();
         if (seen == null) {
             return;
         }
         seen.of.note(timeline.now(), "began at", worker.number);
         // Also over several submissions of one ask: a bounce promises that a retry does no harm.
-        Scenario.Offering offering = seen.of.submitted.ask().offering();
+        Scenario.RequestClass offering = seen.of.submitted.ask().offering();
         if (offering.effect() == Idempotency.NON_IDEMPOTENT) {
             Set<Integer> places =
                     effects.computeIfAbsent(seen.of.submitted.ask().number(), n -> new HashSet<>());
@@ -474,14 +475,15 @@
     }
 
     @Override
-    public void ended(Launch launch, WorkerModel worker, Ending ending, boolean told) {
-        Seen seen = (Seen) launch.mark();
+    public void ended(
+            WorkerAttempt launch, WorkerModel worker, AttemptEnding ending, boolean told) {
+        ObservedAttempt seen = (ObservedAttempt) launch.mark();
         if (seen == null) {
             return;
         }
         seen.of.note(
                 timeline.now(), (told ? ENDED : ENDED_UNTOLD)[ending.ordinal()], worker.number);
-        if (ending == Ending.DONE) {
+        if (ending == AttemptEnding.DONE) {
             seen.of.done = true;
         }
         if (told) {
@@ -491,8 +493,8 @@
     }
 
     /** The dispatcher closed the launch's connection. */
-    public void closed(Launch launch) {
-        Seen seen = (Seen) launch.mark();
+    public void closed(WorkerAttempt launch) {
+        ObservedAttempt seen = (ObservedAttempt) launch.mark();
         if (seen != null && !seen.over) {
             seen.over = true;
             seen.of.note(timeline.now(), "connection closed at", seen.worker.number);
@@ -510,7 +512,7 @@
         double now = timeline.now();
         while (!aging.isEmpty()) {
             RequestRecord oldest = aging.peekFirst();
-            Submitted submitted = oldest.submitted;
+            ClientAttempt submitted = oldest.submitted;
             // One whose time its dispatcher could not know may go on for as long again.
             double outer = submitted.ask().offering().outer() * (oldest.untimed ? 2 : 1);
             if (now < submitted.sentAt() + outer + KEEP + slack + mostLater) {
@@ -525,7 +527,7 @@
     /** At the end of the run: what is still unanswered, though its time is up. */
     public void finish() {
         for (RequestRecord record : aging) {
-            Submitted submitted = record.submitted;
+            ClientAttempt submitted = record.submitted;
             boolean due = timeline.now() > submitted.sentAt() + submitted.timeout() + slack;
             if (record.answer == null && !record.given && !record.excused && due) {
                 breach(Rule.ONE_ANSWER, "no answer at all", record);
@@ -542,7 +544,7 @@
 
     private List<String> history(RequestRecord record) {
         List<String> lines = new ArrayList<>();
-        Submitted s = record.submitted;
+        ClientAttempt s = record.submitted;
         lines.add(
                 "ask "
                         + s.ask().number()
--- a/kit/src/main/java/wheelroute/kit/audit/Track.java
+++ b/kit/src/main/java/wheelroute/kit/audit/CounterHistory.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 
 /** A number as it was over the last few seconds. */
-final class Track {
+final class CounterHistory {
     private static final double KEEP = 5;
 
     private record Point(double at, long value) {}
--- a/kit/src/main/java/wheelroute/kit/audit/Ledger.java
+++ b/kit/src/main/java/wheelroute/kit/audit/MetricsAuditor.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import wheelroute.kit.world.Answer;
-import wheelroute.kit.world.Timeline;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.model.Timeline;
 
 /**
  * Holds the figures of the operators' doors against what clients and workers saw. Processes count
  * from 0, also those that take another's place: what the two of one dispatcher tell together is
  * compared.
  */
-public final class Ledger {
+public final class MetricsAuditor {
     /** What is told may be so old, or as much ahead of what a client has heard. */
     private static final double LATE = 0.5;
 
@@ -39,7 +39,7 @@
 
     /** One count of one dispatcher. */
     private static final class Count {
-        final Track seen = new Track();
+        final CounterHistory seen = new CounterHistory();
 
         /** Of those seen, how many a process that is no more has counted: at least, and at most. */
         long leastBefore;
@@ -48,20 +48,20 @@
     }
 
     /** One process's own numbers. */
-    private static final class Told {
+    private static final class ReportedMetrics {
         final Map<String, Long> last = new HashMap<>();
         boolean any;
     }
 
     /** One dispatcher. */
-    private static final class Of {
+    private static final class DispatcherMetrics {
         final Map<String, Count> counts = new LinkedHashMap<>();
-        final Track open = new Track();
+        final CounterHistory open = new CounterHistory();
 
         /** Ended with nobody listening: they may stand under any count, or none. */
-        final Track loose = new Track();
+        final CounterHistory loose = new CounterHistory();
 
-        final Map<Object, Told> processes = new LinkedHashMap<>();
+        final Map<Object, ReportedMetrics> processes = new LinkedHashMap<>();
         double unsureUntil = Double.NEGATIVE_INFINITY;
         boolean unsure;
 
@@ -70,7 +70,7 @@
     }
 
     private final Timeline timeline;
-    private final Map<Integer, Of> dispatchers = new HashMap<>();
+    private final Map<Integer, DispatcherMetrics> dispatchers = new HashMap<>();
     private final List<String> untrue = new ArrayList<>();
     private final boolean piecewise;
     private long checks;
@@ -79,21 +79,21 @@
     private long late;
 
     /** Piecewise: submissions may be on their way for long before they are taken. */
-    public Ledger(Timeline timeline, boolean piecewise) {
+    public MetricsAuditor(Timeline timeline, boolean piecewise) {
         this.timeline = timeline;
         this.piecewise = piecewise;
     }
 
-    private Of of(int dispatcher) {
-        return dispatchers.computeIfAbsent(dispatcher, d -> new Of());
+    private DispatcherMetrics of(int dispatcher) {
+        return dispatchers.computeIfAbsent(dispatcher, d -> new DispatcherMetrics());
     }
 
-    private static Count count(Of of, String name) {
+    private static Count count(DispatcherMetrics of, String name) {
         return of.counts.computeIfAbsent(name, n -> new Count());
     }
 
     /** As the figures name it. */
-    public static String name(Answer answer, String offering) {
+    public static String name(FinalResponse answer, String offering) {
         return switch (answer) {
                     case FULFILLED -> "completed.";
                     case BOUNCED -> "rejected.";
@@ -108,7 +108,7 @@
         of(dispatcher).open.add(timeline.now(), 1);
     }
 
-    public void answered(int dispatcher, String offering, Answer answer) {
+    public void answered(int dispatcher, String offering, FinalResponse answer) {
         of(dispatcher).open.add(timeline.now(), -1);
         count(of(dispatcher), name(answer, offering)).seen.add(timeline.now(), 1);
     }
@@ -126,7 +126,7 @@
     // ---- its processes
 
     public void began(int dispatcher, Object process) {
-        Of of = of(dispatcher);
+        DispatcherMetrics of = of(dispatcher);
         if (of.processes.isEmpty()) {
             of.counts
                     .values()
@@ -137,7 +137,7 @@
                             });
             of.lost = false;
         }
-        of.processes.put(process, new Told());
+        of.processes.put(process, new ReportedMetrics());
     }
 
     /**
@@ -145,8 +145,8 @@
      * since.
      */
     public void ended(int dispatcher, Object process) {
-        Of of = of(dispatcher);
-        Told told = of.processes.remove(process);
+        DispatcherMetrics of = of(dispatcher);
+        ReportedMetrics told = of.processes.remove(process);
         if (told == null || of.processes.isEmpty()) {
             return;
         }
@@ -181,7 +181,7 @@
         of(dispatcher).lost = true;
     }
 
-    private boolean isUnsure(Of of) {
+    private boolean isUnsure(DispatcherMetrics of) {
         return of.unsure || timeline.now() < of.unsureUntil;
     }
 
@@ -197,8 +197,8 @@
 
     /** The figures as they came, by name. */
     public void told(int dispatcher, Object process, Map<String, Long> figures) {
-        Of of = of(dispatcher);
-        Told told = of.processes.get(process);
+        DispatcherMetrics of = of(dispatcher);
+        ReportedMetrics told = of.processes.get(process);
         if (told == null) {
             return;
         }
@@ -225,7 +225,12 @@
                 });
     }
 
-    private void compare(int dispatcher, Of of, Map<String, Long> sums, double at, double window) {
+    private void compare(
+            int dispatcher,
+            DispatcherMetrics of,
+            Map<String, Long> sums,
+            double at,
+            double window) {
         long loose = of.loose.now();
         of.counts.forEach(
                 (name, count) -> {
--- a/kit/src/main/java/wheelroute/kit/cli/Admin.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Admin.java
@@ -45,22 +45,23 @@
     }
 
     /** Prints what the door answers; a no ends with 3. */
-    static int ask(CommandSpec spec, String address, String call, double timeout) throws Fault {
+    static int ask(CommandSpec spec, String address, String call, double timeout)
+            throws CommandLineException {
         InetSocketAddress door = ConfigReader.parse(address);
         if (door == null) {
-            throw new Fault("HOST:PORT: " + address + " is no address");
+            throw new CommandLineException("HOST:PORT: " + address + " is no address");
         }
         if (!call.matches("[!-~]+")) {
-            throw new Fault("CALL: " + call + " is no word");
+            throw new CommandLineException("CALL: " + call + " is no word");
         }
         if (!(timeout >= 0.01 && timeout <= 60)) {
-            throw new Fault("--timeout: " + timeout + " is not from 0.01 to 60");
+            throw new CommandLineException("--timeout: " + timeout + " is not from 0.01 to 60");
         }
         String answer = answer(door, address, call, timeout);
         String last = answer.substring(answer.lastIndexOf('\n', answer.length() - 2) + 1).strip();
         boolean says = answer.startsWith("ok") || answer.startsWith("fail");
         if (!answer.endsWith("\n") || (!says && !last.equals("eof"))) {
-            throw new Fault(
+            throw new CommandLineException(
                     address + " gives no whole answer: no operators' door, or one that broke off");
         }
         spec.commandLine().getOut().print(answer);
@@ -69,7 +70,8 @@
     }
 
     private static String answer(
-            InetSocketAddress door, String address, String call, double timeout) throws Fault {
+            InetSocketAddress door, String address, String call, double timeout)
+            throws CommandLineException {
         long end = System.nanoTime() + (long) (timeout * 1e9);
         try (Socket socket = new Socket()) {
             socket.connect(door, left(end));
@@ -85,9 +87,9 @@
             }
             return answer.toString();
         } catch (SocketTimeoutException e) {
-            throw new Fault(address + " has not answered within " + timeout + " s");
+            throw new CommandLineException(address + " has not answered within " + timeout + " s");
         } catch (IOException e) {
-            throw new Fault(address + " cannot be asked: " + e.getMessage());
+            throw new CommandLineException(address + " cannot be asked: " + e.getMessage());
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/cli/Capacity.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Capacity.java
@@ -11,10 +11,10 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import wheelroute.kit.scale.CapacityModel;
 import wheelroute.kit.scale.CapacityPage;
-import wheelroute.kit.scale.Reckoning;
-import wheelroute.kit.scale.Size;
-import wheelroute.kit.scale.Slopes;
+import wheelroute.kit.scale.DeploymentSize;
+import wheelroute.kit.scale.ScaleResults;
 
 @Command(
         name = "capacity",
@@ -66,10 +66,12 @@
     public Integer call() throws Exception {
         Map<String, String> tables;
         try {
-            Slopes found = Slopes.read(Files.readString(existing("--slopes", slopes)));
-            tables = new Reckoning(found, Size.read(existing("--size", size))).tables();
+            ScaleResults found = ScaleResults.read(Files.readString(existing("--slopes", slopes)));
+            tables =
+                    new CapacityModel(found, DeploymentSize.read(existing("--size", size)))
+                            .tables();
         } catch (IOException | IllegalArgumentException e) {
-            throw new Fault(slopes + ": " + e.getMessage());
+            throw new CommandLineException(slopes + ": " + e.getMessage());
         }
         if (what.print) {
             tables.forEach(
@@ -94,9 +96,9 @@
         return Exit.HOLDS;
     }
 
-    static Path existing(String option, Path path) throws Fault {
+    static Path existing(String option, Path path) throws CommandLineException {
         if (!Files.isRegularFile(path)) {
-            throw new Fault(option + ": " + path + " is no file");
+            throw new CommandLineException(option + ": " + path + " is no file");
         }
         return path;
     }
--- a/kit/src/main/java/wheelroute/kit/cli/Check.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Check.java
@@ -30,7 +30,7 @@
     @Override
     public Integer call() throws Exception {
         if (!Files.isRegularFile(file)) {
-            throw new Fault(file + " is no file");
+            throw new CommandLineException(file + " is no file");
         }
         String text = Files.readString(file);
         boolean toml = file.toString().endsWith(".toml");
--- a/kit/src/main/java/wheelroute/kit/cli/Fault.java
+++ b/kit/src/main/java/wheelroute/kit/cli/CommandLineException.java
@@ -1,10 +1,10 @@
 package wheelroute.kit.cli;
 
 /** Input that cannot be used; the message names the place. */
-final class Fault extends Exception {
+final class CommandLineException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Fault(String message) {
+    CommandLineException(String message) {
         super(message);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/Load.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Load.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Spec;
 import wheelroute.config.ConfigReader;
 import wheelroute.decision.Idempotency;
-import wheelroute.kit.real.LoadRun;
+import wheelroute.kit.process.LoadRun;
 
 @Command(
         name = "load",
@@ -89,16 +89,18 @@
     public Integer call() throws Exception {
         InetSocketAddress to = ConfigReader.parse(address);
         if (to == null) {
-            throw new Fault("HOST:PORT: " + address + " is no address");
+            throw new CommandLineException("HOST:PORT: " + address + " is no address");
         }
         if (!LoadRun.isLocal(to)) {
-            throw new Fault("HOST:PORT: " + address + " is no address of this machine");
+            throw new CommandLineException(
+                    "HOST:PORT: " + address + " is no address of this machine");
         }
         if (!offering.matches("[A-Za-z0-9._~-]{1,100}")) {
-            throw new Fault("--offering: " + offering + " cannot stand in a path");
+            throw new CommandLineException("--offering: " + offering + " cannot stand in a path");
         }
         if (rate > 0 == connections > 0) {
-            throw new Fault("--rate, --connections: one of them must be above 0, and only one");
+            throw new CommandLineException(
+                    "--rate, --connections: one of them must be above 0, and only one");
         }
         within("--rate", rate, 0, MOST_RATE);
         within("--connections", connections, 0, MOST_CONNECTIONS);
@@ -106,7 +108,7 @@
         within("--spread", spread, 0, 4);
         within("--timeout", timeout, 0.01, 3600);
         within("--seconds", seconds, 0.1, 86_400);
-        Stop stop = new Stop();
+        StopSignal stop = new StopSignal();
         try {
             spec.commandLine()
                     .getOut()
@@ -137,9 +139,10 @@
     }
 
     private static void within(String option, double value, double least, double most)
-            throws Fault {
+            throws CommandLineException {
         if (!(value >= least && value <= most)) {
-            throw new Fault(option + ": " + value + " is not from " + least + " to " + most);
+            throw new CommandLineException(
+                    option + ": " + value + " is not from " + least + " to " + most);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/OutputFile.java
+++ b/kit/src/main/java/wheelroute/kit/cli/OutputFile.java
@@ -19,13 +19,13 @@
     }
 
     /** Null for no path. */
-    static OutputFile open(String option, Path path) throws Fault {
+    static OutputFile open(String option, Path path) throws CommandLineException {
         if (path == null) {
             return null;
         }
         Path folder = path.toAbsolutePath().getParent();
         if (Files.isDirectory(path) || folder == null || !Files.isDirectory(folder)) {
-            throw new Fault(
+            throw new CommandLineException(
                     option
                             + ": "
                             + path
@@ -46,17 +46,17 @@
             part.toFile().deleteOnExit();
             return new OutputFile(path, part);
         } catch (IOException e) {
-            throw new Fault(option + ": " + path + " cannot be written: " + e);
+            throw new CommandLineException(option + ": " + path + " cannot be written: " + e);
         }
     }
 
     /** Whole or not at all: a reader never sees half a report. */
-    void write(String text) throws Fault {
+    void write(String text) throws CommandLineException {
         try {
             Files.writeString(part, text, StandardCharsets.UTF_8);
             Files.move(part, path, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            throw new Fault(path + " cannot be written: " + e);
+            throw new CommandLineException(path + " cannot be written: " + e);
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
@@ -15,22 +15,22 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import wheelroute.kit.brain.Brains;
 import wheelroute.kit.experiment.Agreement;
 import wheelroute.kit.experiment.Comparison;
 import wheelroute.kit.experiment.Matrix;
 import wheelroute.kit.experiment.Plan;
 import wheelroute.kit.experiment.Variant;
-import wheelroute.kit.many.CutDown;
+import wheelroute.kit.faults.ScheduleMinimizer;
 import wheelroute.kit.report.HtmlWriter;
 import wheelroute.kit.report.JsonWriter;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
-import wheelroute.kit.scenario.Draw;
-import wheelroute.kit.scenario.Library;
+import wheelroute.kit.scenario.FaultScheduleGenerator;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.scenario.ScenarioException;
+import wheelroute.kit.scenario.ScenarioLibrary;
 import wheelroute.kit.scenario.ScenarioWriter;
+import wheelroute.kit.strategy.Strategies;
 
 @Command(
         name = "rehearse",
@@ -130,8 +130,8 @@
     public Integer call() throws Exception {
         PrintWriter out = spec.commandLine().getOut();
         if (list) {
-            for (String name : Library.NAMES) {
-                Scenario scenario = Library.find(name);
+            for (String name : ScenarioLibrary.NAMES) {
+                Scenario scenario = ScenarioLibrary.find(name);
                 out.printf("%-20s %s%n", name, scenario.title());
             }
             out.flush();
@@ -140,19 +140,19 @@
         List<Scenario> scenarios = scenarios();
         List<Variant> all = variants();
         if (seconds < 0 || (seconds > 0 && seconds < 1)) {
-            throw new Fault("--seconds: " + seconds + " is under 1");
+            throw new CommandLineException("--seconds: " + seconds + " is under 1");
         }
         if (older != null && !Files.isRegularFile(older)) {
-            throw new Fault("--older: " + older + " is no file");
+            throw new CommandLineException("--older: " + older + " is no file");
         }
         if (cores != null && cores < 1) {
-            throw new Fault("--cores: " + cores + " is under 1");
+            throw new CommandLineException("--cores: " + cores + " is under 1");
         }
         List<Plan> plans = plans(scenarios, all);
         OutputFile jsonFile = OutputFile.open("--json", json);
         OutputFile htmlFile = OutputFile.open("--html", html);
         OutputFile cutFile = OutputFile.open("--cut-down", cutDown);
-        Stop stop = new Stop();
+        StopSignal stop = new StopSignal();
         try {
             return play(plans, jsonFile, htmlFile, cutFile, stop, out);
         } finally {
@@ -174,7 +174,7 @@
             OutputFile jsonFile,
             OutputFile htmlFile,
             OutputFile cutFile,
-            Stop stop,
+            StopSignal stop,
             PrintWriter out)
             throws Exception {
         PrintWriter err = spec.commandLine().getErr();
@@ -240,7 +240,11 @@
 
     /** Plays the first that does not hold again and again, with less and less of its schedule. */
     private void cutDown(
-            List<Plan> plans, List<Report> reports, OutputFile file, Stop stop, PrintWriter out)
+            List<Plan> plans,
+            List<Report> reports,
+            OutputFile file,
+            StopSignal stop,
+            PrintWriter out)
             throws Exception {
         for (Plan plan : plans) {
             for (Plan.Item item : plan.items()) {
@@ -261,10 +265,10 @@
                 if (first == null || first.judgement() != Report.Judgement.DOES_NOT_HOLD) {
                     continue;
                 }
-                Scenario whole = Draw.drawn(item.scenario(), item.seed());
+                Scenario whole = FaultScheduleGenerator.drawn(item.scenario(), item.seed());
                 Matrix player = new Matrix(plan, 1, stop, text -> {});
-                CutDown.Result result =
-                        CutDown.of(
+                ScheduleMinimizer.Result result =
+                        ScheduleMinimizer.of(
                                 whole.faults(),
                                 MOST_CUTS,
                                 faults -> {
@@ -315,7 +319,8 @@
                 : plan.clock() == Plan.Clock.REAL ? 1 : Runtime.getRuntime().availableProcessors();
     }
 
-    private boolean agree(List<Plan> plans, List<List<Report>> rounds, Stop stop, PrintWriter out) {
+    private boolean agree(
+            List<Plan> plans, List<List<Report>> rounds, StopSignal stop, PrintWriter out) {
         boolean agree = true;
         if (stop.getAsBoolean()) {
             return true;
@@ -335,65 +340,67 @@
         return agree;
     }
 
-    private List<Scenario> scenarios() throws ScenarioException, Fault {
+    private List<Scenario> scenarios() throws ScenarioException, CommandLineException {
         if (names.isEmpty()) {
-            names = List.of(Library.NAMES.get(0));
+            names = List.of(ScenarioLibrary.NAMES.get(0));
             quick |= seconds == 0;
         }
         List<Scenario> scenarios = new ArrayList<>();
         Set<String> seen = new HashSet<>();
         for (String name : names) {
             if (!seen.add(name)) {
-                throw new Fault(name + " is named twice");
+                throw new CommandLineException(name + " is named twice");
             }
-            scenarios.add(Library.find(name));
+            scenarios.add(ScenarioLibrary.find(name));
         }
         return scenarios;
     }
 
-    private List<Variant> variants() throws Fault {
+    private List<Variant> variants() throws CommandLineException {
         List<Variant> all = new ArrayList<>(List.of(Variant.USUAL));
         try {
             variants.forEach(text -> all.add(Variant.parse(text)));
         } catch (IllegalArgumentException e) {
-            throw new Fault("--variant: " + e.getMessage());
+            throw new CommandLineException("--variant: " + e.getMessage());
         }
         if (baselines) {
-            Brains.names().stream()
-                    .filter(name -> !name.equals(Brains.MODULE))
+            Strategies.names().stream()
+                    .filter(name -> !name.equals(Strategies.MODULE))
                     .forEach(name -> all.add(Variant.baseline(name)));
         }
         Set<String> seen = new HashSet<>();
         for (Variant variant : all) {
             if (!seen.add(variant.name())) {
-                throw new Fault("--variant: " + variant.name() + " is named twice");
+                throw new CommandLineException("--variant: " + variant.name() + " is named twice");
             }
         }
         return all;
     }
 
-    private List<Plan> plans(List<Scenario> scenarios, List<Variant> all) throws Fault {
+    private List<Plan> plans(List<Scenario> scenarios, List<Variant> all)
+            throws CommandLineException {
         boolean realDaemons =
                 scenarios.stream().allMatch(s -> s.clocks().contains(REAL))
-                        && all.stream().allMatch(v -> v.brain().equals(Brains.MODULE));
+                        && all.stream().allMatch(v -> v.brain().equals(Strategies.MODULE));
         String wanted =
                 clock == null ? realDaemons ? REAL : VIRTUAL : clock.toLowerCase(Locale.ROOT);
         if (!Set.of(REAL, VIRTUAL, BOTH).contains(wanted)) {
-            throw new Fault("--clock: " + clock + " is none of virtual, real, both");
+            throw new CommandLineException("--clock: " + clock + " is none of virtual, real, both");
         }
         for (Scenario scenario : scenarios) {
             for (String word : wanted.equals(BOTH) ? List.of(VIRTUAL, REAL) : List.of(wanted)) {
                 if (!scenario.clocks().contains(word)) {
-                    throw new Fault(
+                    throw new CommandLineException(
                             scenario.name() + " cannot be played on the " + word + " clock");
                 }
             }
         }
         if (!wanted.equals(VIRTUAL) && !realDaemons) {
-            throw new Fault("baselines are played on the virtual clock only");
+            throw new CommandLineException("baselines are played on the virtual clock only");
         }
         if (!wanted.equals(REAL) && all.stream().anyMatch(v -> v.jar() != null)) {
-            throw new Fault("another build's daemon is played on the real clock only");
+            throw new CommandLineException(
+                    "another build's daemon is played on the real clock only");
         }
         List<Long> numbers = seeds();
         List<Plan> plans = new ArrayList<>();
@@ -406,7 +413,7 @@
         return plans;
     }
 
-    private List<Long> seeds() throws Fault {
+    private List<Long> seeds() throws CommandLineException {
         List<Long> numbers = new ArrayList<>();
         for (String text : seeds) {
             try {
@@ -417,14 +424,16 @@
                     long from = Long.parseLong(text.substring(0, dots).trim());
                     long to = Long.parseLong(text.substring(dots + 2).trim());
                     if (to < from || to - from > 1000) {
-                        throw new Fault("--seed: " + text + " is no range of up to 1000");
+                        throw new CommandLineException(
+                                "--seed: " + text + " is no range of up to 1000");
                     }
                     for (long seed = from; seed <= to; seed++) {
                         numbers.add(seed);
                     }
                 }
             } catch (NumberFormatException e) {
-                throw new Fault("--seed: " + text + " is no whole number and no range");
+                throw new CommandLineException(
+                        "--seed: " + text + " is no whole number and no range");
             }
         }
         return numbers;
--- a/kit/src/main/java/wheelroute/kit/cli/Scale.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Scale.java
@@ -9,11 +9,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import wheelroute.kit.scale.Reckoning;
+import wheelroute.kit.scale.CapacityModel;
+import wheelroute.kit.scale.DeploymentSize;
 import wheelroute.kit.scale.ScalePage;
+import wheelroute.kit.scale.ScaleResults;
 import wheelroute.kit.scale.ScaleRun;
-import wheelroute.kit.scale.Size;
-import wheelroute.kit.scale.Slopes;
 
 @Command(
         name = "scale",
@@ -56,15 +56,15 @@
     public Integer call() throws Exception {
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
-        Size wanted = Size.read(Capacity.existing("--size", size));
+        DeploymentSize wanted = DeploymentSize.read(Capacity.existing("--size", size));
         OutputFile jsonFile = null;
         OutputFile htmlFile = null;
-        Stop stop = new Stop();
+        StopSignal stop = new StopSignal();
         try {
             jsonFile = OutputFile.open("--json", json);
             htmlFile = OutputFile.open("--html", html);
             boolean full = kind != null && kind.full;
-            Slopes slopes =
+            ScaleResults slopes =
                     ScaleRun.play(
                             full ? ScaleRun.Sizes.full() : ScaleRun.Sizes.quick(),
                             stop,
@@ -72,7 +72,7 @@
                                 err.println(text);
                                 err.flush();
                             });
-            Reckoning reckoning = new Reckoning(slopes, wanted);
+            CapacityModel reckoning = new CapacityModel(slopes, wanted);
             List<String> over = reckoning.verdict();
             reckoning.tables().forEach((name, table) -> out.println(name + "\n" + table));
             if (jsonFile != null) {
--- a/kit/src/main/java/wheelroute/kit/cli/StandIn.java
+++ b/kit/src/main/java/wheelroute/kit/cli/StandIn.java
@@ -6,8 +6,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import wheelroute.kit.real.StandInRun;
-import wheelroute.kit.scenario.Library;
+import wheelroute.kit.process.StubRun;
+import wheelroute.kit.scenario.ScenarioLibrary;
 
 @Command(
         name = "stand-in",
@@ -54,10 +54,10 @@
 
     @Override
     public Integer call() throws Exception {
-        Stop stop = new Stop();
+        StopSignal stop = new StopSignal();
         try {
-            StandInRun.play(
-                    Library.find(name),
+            StubRun.play(
+                    ScenarioLibrary.find(name),
                     seed,
                     seconds,
                     discovery,
--- a/kit/src/main/java/wheelroute/kit/cli/Stop.java
+++ b/kit/src/main/java/wheelroute/kit/cli/StopSignal.java
@@ -8,14 +8,14 @@
  * ^C: the run ends early, its children are ended and its partial report is written before the
  * process goes.
  */
-final class Stop implements BooleanSupplier {
+final class StopSignal implements BooleanSupplier {
     private static final int MOST_SECONDS = 15;
 
     private final CountDownLatch finished = new CountDownLatch(1);
     private final Thread hook = new Thread(this::ask, "stop");
     private volatile boolean asked;
 
-    Stop() {
+    StopSignal() {
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
--- a/kit/src/main/java/wheelroute/kit/cli/Wheelroute.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Wheelroute.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 import wheelroute.config.ConfigException;
-import wheelroute.kit.real.RehearsalException;
+import wheelroute.kit.process.RehearsalException;
 import wheelroute.kit.scenario.ScenarioException;
 
 /** The command line: one subcommand for each thing that can be done. */
@@ -63,7 +63,7 @@
         CommandLine line = new CommandLine(new Wheelroute());
         line.setExecutionExceptionHandler(
                 (e, command, parsed) -> {
-                    if (e instanceof Fault
+                    if (e instanceof CommandLineException
                             || e instanceof ScenarioException
                             || e instanceof ConfigException
                             || e instanceof RehearsalException
--- a/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
@@ -8,7 +8,7 @@
 import wheelroute.kit.report.JsonWriter;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
-import wheelroute.kit.scenario.Figures;
+import wheelroute.kit.scenario.FigureNames;
 
 /** Whether the same was found twice: by two runs of one seed, or by the two clocks. */
 public final class Agreement {
@@ -48,9 +48,9 @@
             } else {
                 agreement.compare(
                         name(once.get(i)),
-                        Figures.SERVICE,
-                        once.get(i).figures().get(Figures.SERVICE),
-                        again.get(i).figures().get(Figures.SERVICE),
+                        FigureNames.SERVICE,
+                        once.get(i).figures().get(FigureNames.SERVICE),
+                        again.get(i).figures().get(FigureNames.SERVICE),
                         REPEATS);
             }
         }
@@ -70,7 +70,7 @@
         groups.forEach(
                 (name, places) ->
                         virtual.get(places.get(0)).figures().keySet().stream()
-                                .filter(figure -> figure.startsWith(Figures.OFFERING))
+                                .filter(figure -> figure.startsWith(FigureNames.OFFERING))
                                 .forEach(
                                         figure -> {
                                             // Where all queues are full one launch decides where
--- a/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
-import wheelroute.kit.scenario.Figures;
+import wheelroute.kit.scenario.FigureNames;
 
 /**
  * What several runs say together: each figure's mean and spread over the seeds, and how a variant
@@ -18,12 +18,12 @@
 public final class Comparison {
     private static final List<String> FIGURES =
             List.of(
-                    Figures.SERVICE,
-                    Figures.IN_TIME,
-                    Figures.BOUNCED,
-                    Figures.SCRAPPED,
-                    Figures.P99,
-                    Figures.LAUNCHES);
+                    FigureNames.SERVICE,
+                    FigureNames.IN_TIME,
+                    FigureNames.BOUNCED,
+                    FigureNames.SCRAPPED,
+                    FigureNames.P99,
+                    FigureNames.LAUNCHES);
 
     /**
      * Of one scenario and variant.
--- a/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
@@ -12,11 +12,11 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import wheelroute.config.ConfigException;
-import wheelroute.kit.brain.Brains;
-import wheelroute.kit.real.RealRun;
-import wheelroute.kit.real.RehearsalException;
+import wheelroute.kit.process.ProcessRun;
+import wheelroute.kit.process.RehearsalException;
 import wheelroute.kit.report.Report;
-import wheelroute.kit.virtual.VirtualRun;
+import wheelroute.kit.simulation.SimulationRun;
+import wheelroute.kit.strategy.Strategies;
 
 /** Plays a plan, so many runs side by side. */
 public final class Matrix {
@@ -105,7 +105,7 @@
     public Report play(Plan.Item item) throws RehearsalException, ConfigException {
         Variant variant = item.variant();
         if (plan.clock() == Plan.Clock.REAL) {
-            return RealRun.play(
+            return ProcessRun.play(
                     item.scenario(),
                     item.seed(),
                     item.seconds(),
@@ -116,13 +116,13 @@
                     stop,
                     text -> progress.accept(item.text() + ": " + text));
         }
-        return VirtualRun.play(
+        return SimulationRun.play(
                 item.scenario(),
                 item.seed(),
                 item.seconds(),
                 variant.settings(),
                 variant.name(),
-                world -> Brains.maker(variant.brain(), world),
+                world -> Strategies.maker(variant.brain(), world),
                 stop);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/experiment/Variant.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Variant.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import wheelroute.kit.brain.Brains;
+import wheelroute.kit.strategy.Strategies;
 
 /**
  * Who dispatches, and with which settings.
@@ -15,7 +15,7 @@
  */
 public record Variant(String name, String brain, Path jar, Map<String, String> settings) {
     /** The daemon as it is. */
-    public static final Variant USUAL = new Variant("as-built", Brains.MODULE, null, Map.of());
+    public static final Variant USUAL = new Variant("as-built", Strategies.MODULE, null, Map.of());
 
     private static final String BRAIN = "brain";
     private static final String JAR = "daemon";
@@ -32,7 +32,7 @@
             throw new IllegalArgumentException(
                     "variant '" + text + "' has no name before its colon");
         }
-        String brain = Brains.MODULE;
+        String brain = Strategies.MODULE;
         Path jar = null;
         Map<String, String> settings = new LinkedHashMap<>();
         for (String pair :
@@ -56,14 +56,14 @@
     }
 
     private static String brain(String name, String value) {
-        if (!Brains.names().contains(value)) {
+        if (!Strategies.names().contains(value)) {
             throw new IllegalArgumentException(
                     "variant '"
                             + name
                             + "': no brain '"
                             + value
                             + "'; there are "
-                            + String.join(", ", Brains.names()));
+                            + String.join(", ", Strategies.names()));
         }
         return value;
     }
--- a/kit/src/main/java/wheelroute/kit/many/DatagramRelay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -24,8 +24,8 @@
     private final DatagramSocket socket;
     private DatagramRelay back;
     private long received;
-    private Passage sender = Passage.OPEN;
-    private Passage receiver = Passage.OPEN;
+    private LinkState sender = LinkState.OPEN;
+    private LinkState receiver = LinkState.OPEN;
 
     /**
      * Where the target is may change: a process may come back elsewhere, and null is nowhere.
@@ -61,7 +61,7 @@
      * @param ofSender the way of who sends here: this is its way forth
      * @param ofReceiver the way of who is sent to: this is its way back
      */
-    public void set(Passage ofSender, Passage ofReceiver) {
+    public void set(LinkState ofSender, LinkState ofReceiver) {
         sender = ofSender;
         receiver = ofReceiver;
     }
--- a/kit/src/main/java/wheelroute/kit/many/Harm.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
@@ -1,11 +1,11 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import wheelroute.kit.scenario.Scenario;
 
 /**
  * What can be done to a way. Each heals on its own; what was held back then goes on in its order.
  */
-public enum Harm {
+public enum LinkFault {
     /**
      * Nothing passes, and nobody is told: bytes wait, as they would for a network that resends
      * them.
@@ -32,7 +32,7 @@
     /** Of all datagrams the part that the level says comes twice. */
     DOUBLE;
 
-    public static Harm of(Scenario.Kind kind) {
+    public static LinkFault of(Scenario.Kind kind) {
         return switch (kind) {
             case LINK_REFUSE -> REFUSE;
             case LINK_ONE_WAY -> ONE_WAY;
--- a/kit/src/main/java/wheelroute/kit/many/Passage.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkState.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import java.util.function.DoubleSupplier;
 
@@ -14,7 +14,7 @@
  * @param rate bytes a second in each direction; infinite for no limit
  * @param doubled the part of the datagrams that comes twice
  */
-public record Passage(
+public record LinkState(
         boolean refuses,
         boolean forth,
         boolean back,
@@ -23,8 +23,8 @@
         double loss,
         double rate,
         double doubled) {
-    public static final Passage OPEN =
-            new Passage(false, true, true, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
+    public static final LinkState OPEN =
+            new LinkState(false, true, true, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
 
     /** A sender takes this long to find out that a piece was lost, and sends it again. */
     public static final double RESEND = 0.2;
--- a/kit/src/main/java/wheelroute/kit/many/Way.java
+++ b/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import java.util.Arrays;
 import java.util.List;
@@ -11,21 +11,21 @@
  * @param worker which worker, {@link #LIST}, {@link #CLIENTS} or, from {@link #PEERS} down, which
  *     peer
  */
-public record Way(int dispatcher, int worker) {
+public record NetworkLink(int dispatcher, int worker) {
     public static final int LIST = -1;
     public static final int CLIENTS = -2;
     private static final int PEERS = -3;
 
-    public static Way toList(int dispatcher) {
-        return new Way(dispatcher, LIST);
+    public static NetworkLink toList(int dispatcher) {
+        return new NetworkLink(dispatcher, LIST);
     }
 
-    public static Way toClients(int dispatcher) {
-        return new Way(dispatcher, CLIENTS);
+    public static NetworkLink toClients(int dispatcher) {
+        return new NetworkLink(dispatcher, CLIENTS);
     }
 
-    public static Way toPeer(int dispatcher, int peer) {
-        return new Way(dispatcher, PEERS - peer);
+    public static NetworkLink toPeer(int dispatcher, int peer) {
+        return new NetworkLink(dispatcher, PEERS - peer);
     }
 
     public boolean isToPeer() {
@@ -48,7 +48,7 @@
      * @param dispatchers how many there are
      * @param groups the group of each worker, by its number
      */
-    public static List<Way> of(
+    public static List<NetworkLink> of(
             Scenario.Fault fault,
             int dispatcher,
             int[] targets,
@@ -66,7 +66,7 @@
             case WORKERS ->
                     IntStream.range(0, groups.size())
                             .filter(n -> fault.concerns(groups.get(n)))
-                            .mapToObj(n -> new Way(dispatcher, n))
+                            .mapToObj(n -> new NetworkLink(dispatcher, n))
                             .toList();
         };
     }
--- a/kit/src/main/java/wheelroute/kit/many/Relay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/Relay.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -45,10 +45,10 @@
     private final boolean dispatcherIsNear;
     private final DoubleSupplier chance;
     private IntConsumer nearClosed = port -> {};
-    private final Set<Pair> pairs = new HashSet<>();
+    private final Set<RelayedConnection> pairs = new HashSet<>();
     private final InetSocketAddress address;
     private ServerSocketChannel server;
-    private Passage passage = Passage.OPEN;
+    private LinkState passage = LinkState.OPEN;
 
     /**
      * The target is asked for anew at each connection: a process may come back elsewhere.
@@ -84,11 +84,11 @@
     }
 
     /** From the loop's thread only. */
-    public void set(Passage now) {
+    public void set(LinkState now) {
         passage = now;
         if (now.refuses()) {
             unlisten();
-            new HashSet<>(pairs).forEach(Pair::reset);
+            new HashSet<>(pairs).forEach(RelayedConnection::reset);
         } else {
             listen();
             new HashSet<>(pairs)
@@ -103,7 +103,7 @@
     /** For good. */
     public void close() {
         unlisten();
-        new HashSet<>(pairs).forEach(Pair::reset);
+        new HashSet<>(pairs).forEach(RelayedConnection::reset);
     }
 
     private void listen() {
@@ -135,7 +135,7 @@
 
     @Override
     public Connection onOpened(EndPoint endPoint) {
-        Pair pair = new Pair(endPoint);
+        RelayedConnection pair = new RelayedConnection(endPoint);
         pairs.add(pair);
         return pair.near;
     }
@@ -146,23 +146,23 @@
     }
 
     /** A connection from whoever connects, and ours to the far end in its place. */
-    private final class Pair implements EventLoop.ChannelHandler {
-        final End near;
-        final Stream forth = new Stream(true);
-        final Stream back = new Stream(false);
-        private End far;
+    private final class RelayedConnection implements EventLoop.ChannelHandler {
+        final Side near;
+        final Direction forth = new Direction(true);
+        final Direction back = new Direction(false);
+        private Side far;
         private boolean over;
         private boolean nearIsClosed;
 
-        Pair(EndPoint endPoint) {
-            near = new End(endPoint, this, forth);
+        RelayedConnection(EndPoint endPoint) {
+            near = new Side(endPoint, this, forth);
             back.to = near;
             loop.post(() -> loop.connect(target.get(), this));
         }
 
         @Override
         public Connection onOpened(EndPoint endPoint) {
-            far = new End(endPoint, this, back);
+            far = new Side(endPoint, this, back);
             loop.post(
                     () -> {
                         if (over) {
@@ -213,10 +213,10 @@
     }
 
     /** One direction: what has come and is not yet out, in its order. */
-    private final class Stream {
+    private final class Direction {
         private final boolean fromNear;
-        private final ArrayDeque<Piece> held = new ArrayDeque<>();
-        private End to;
+        private final ArrayDeque<Chunk> held = new ArrayDeque<>();
+        private Side to;
         private int bytes;
         private boolean writing;
         private boolean ended;
@@ -226,7 +226,7 @@
         /** When the last piece is due: nothing overtakes it. */
         private double lastDue = Double.NEGATIVE_INFINITY;
 
-        Stream(boolean fromNear) {
+        Direction(boolean fromNear) {
             this.fromNear = fromNear;
         }
 
@@ -242,11 +242,11 @@
             return fromNear == dispatcherIsNear ? passage.forth() : passage.back();
         }
 
-        void add(ByteBuffer in, End from) {
+        void add(ByteBuffer in, Side from) {
             ByteBuffer copy = ByteBuffer.allocate(in.remaining());
             copy.put(in).flip();
             bytes += copy.remaining();
-            held.addLast(new Piece(copy, due(copy.remaining()), from));
+            held.addLast(new Chunk(copy, due(copy.remaining()), from));
             flush();
         }
 
@@ -255,13 +255,13 @@
             return lastDue;
         }
 
-        void end(End from) {
+        void end(Side from) {
             ended = true;
             if (!isOpen()) {
                 held.forEach(piece -> bytes -= piece.size);
                 held.clear();
             }
-            held.addLast(new Piece(ByteBuffer.allocate(0), due(0), from));
+            held.addLast(new Chunk(ByteBuffer.allocate(0), due(0), from));
             flush();
         }
 
@@ -269,7 +269,7 @@
             if (writing || !isOpen() || to == null || held.isEmpty()) {
                 return;
             }
-            Piece first = held.peekFirst();
+            Chunk first = held.peekFirst();
             double wait = first.due - loop.now();
             if (wait > 0) {
                 if (timer == null) {
@@ -308,13 +308,13 @@
     }
 
     /** Bytes that came together. */
-    private static final class Piece {
+    private static final class Chunk {
         final ByteBuffer buffer;
         final int size;
         final double due;
-        final End from;
+        final Side from;
 
-        Piece(ByteBuffer buffer, double due, End from) {
+        Chunk(ByteBuffer buffer, double due, Side from) {
             this.buffer = buffer;
             this.size = buffer.remaining();
             this.due = due;
@@ -323,12 +323,12 @@
     }
 
     /** One end of a pair. */
-    private final class End extends StreamConnection {
-        private final Pair pair;
-        private final Stream out;
+    private final class Side extends StreamConnection {
+        private final RelayedConnection pair;
+        private final Direction out;
         private boolean waits;
 
-        End(EndPoint endPoint, Pair pair, Stream out) {
+        Side(EndPoint endPoint, RelayedConnection pair, Direction out) {
             super(endPoint, Relay.this.loop);
             this.pair = pair;
             this.out = out;
--- a/kit/src/main/java/wheelroute/kit/many/CutDown.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,9 +10,9 @@
  * them before single ones, then shorter, fewer met, all at once. Pure: who plays a schedule says
  * whether it fails.
  */
-public final class CutDown {
+public final class ScheduleMinimizer {
     /** Plays one; true if it still fails. */
-    public interface Player {
+    public interface FailureCheck {
         boolean fails(List<Scenario.Fault> faults) throws Exception;
     }
 
@@ -24,21 +24,21 @@
 
     private static final double LEAST_SHARE = 0.05;
 
-    private final Player player;
+    private final FailureCheck player;
     private final int mostPlays;
     private List<Scenario.Fault> faults;
     private int plays;
 
-    private CutDown(List<Scenario.Fault> faults, int mostPlays, Player player) {
+    private ScheduleMinimizer(List<Scenario.Fault> faults, int mostPlays, FailureCheck player) {
         this.faults = faults;
         this.mostPlays = mostPlays;
         this.player = player;
     }
 
     /** The faults given are known to fail. */
-    public static Result of(List<Scenario.Fault> faults, int mostPlays, Player player)
+    public static Result of(List<Scenario.Fault> faults, int mostPlays, FailureCheck player)
             throws Exception {
-        CutDown cut = new CutDown(List.copyOf(faults), mostPlays, player);
+        ScheduleMinimizer cut = new ScheduleMinimizer(List.copyOf(faults), mostPlays, player);
         cut.fewer();
         cut.smaller(f -> with(f, f.length(), f.share(), 0));
         cut.smaller(
--- a/kit/src/main/java/wheelroute/kit/many/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/faults/package-info.java
@@ -2,4 +2,4 @@
  * Many processes under faults: which ways between them are harmed and how (pure), and the relays
  * through which every byte of a real run passes where ways can be harmed.
  */
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
--- a/kit/src/main/java/wheelroute/kit/world/Ending.java
+++ b/kit/src/main/java/wheelroute/kit/model/AttemptEnding.java
@@ -1,7 +1,7 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 /** How a worker ends a launch. */
-public enum Ending {
+public enum AttemptEnding {
     DONE,
     FAILED,
     /** Handed back before it was begun. */
--- a/kit/src/main/java/wheelroute/kit/world/Submitted.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClientAttempt.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 /**
  * One submission of an ask.
@@ -8,7 +8,8 @@
  * @param sentAt in seconds of the run's timeline
  * @param timeout how long its client waits
  */
-public record Submitted(Ask ask, int attempt, int dispatcher, double sentAt, double timeout) {
+public record ClientAttempt(
+        ClientRequest ask, int attempt, int dispatcher, double sentAt, double timeout) {
     /** One number for both; the ask in the low bits, from which hash tables are spread. */
     public long key() {
         return (long) attempt << Integer.SIZE | ask.number();
--- a/kit/src/main/java/wheelroute/kit/world/Ask.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClientRequest.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 import wheelroute.kit.scenario.Scenario;
 
@@ -11,10 +11,10 @@
  * @param hint the client's guess at it; NaN for none
  * @param leavesAfter the client hangs up after so long without an answer; infinite if it waits
  */
-public record Ask(
+public record ClientRequest(
         int number,
         double at,
-        Scenario.Offering offering,
+        Scenario.RequestClass offering,
         Scenario.Tenant tenant,
         double work,
         double hint,
--- a/kit/src/main/java/wheelroute/kit/world/Clients.java
+++ b/kit/src/main/java/wheelroute/kit/model/Clients.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -9,7 +9,7 @@
  * The clients: they send what traffic says, wait, retry what may be retried, hang up, and remember
  * how it went.
  */
-public final class Clients implements Answers {
+public final class Clients implements ResponseListener {
     /** Who finds no dispatcher tries the next one after this long. */
     private static final double RECONNECT = 0.2;
 
@@ -26,53 +26,53 @@
     }
 
     /** The way to the dispatchers. */
-    public interface Door {
-        void submit(Submitted submitted);
+    public interface Transport {
+        void submit(ClientAttempt submitted);
 
         /** Closes the connection of a submission that is still open. */
-        void hangUp(Submitted submitted);
+        void hangUp(ClientAttempt submitted);
 
         boolean isOpen(int dispatcher);
     }
 
     /** Hears of each ask as it begins and ends, and of each submission. */
     public interface Observer {
-        void asked(Ask ask);
+        void asked(ClientRequest ask);
 
-        void finished(Ask ask, Result result, double latency);
+        void finished(ClientRequest ask, Result result, double latency);
 
-        void sent(Submitted submitted);
+        void sent(ClientAttempt submitted);
 
-        void answered(Submitted submitted, Answer answer);
+        void answered(ClientAttempt submitted, FinalResponse answer);
 
         /** The client waits no longer; by its own wish, or as its time is up. */
-        void gaveUp(Submitted submitted, boolean ownWish);
+        void gaveUp(ClientAttempt submitted, boolean ownWish);
 
         /** The connection ended with no answer. */
-        void cutOff(Submitted submitted);
+        void cutOff(ClientAttempt submitted);
 
         /** It never reached a dispatcher. */
-        void refused(Submitted submitted);
+        void refused(ClientAttempt submitted);
     }
 
     private final Scenario scenario;
     private final Timeline timeline;
-    private final Chance chance;
-    private final Door door;
+    private final SeededRandom chance;
+    private final Transport door;
     private final Observer observer;
-    private final Traffic traffic;
-    private final Map<Integer, State> open = new HashMap<>();
+    private final RequestGenerator traffic;
+    private final Map<Integer, PendingRequest> open = new HashMap<>();
     private double start;
     private boolean allSent;
 
     /** One ask under way. */
-    private static final class State {
-        final Ask ask;
+    private static final class PendingRequest {
+        final ClientRequest ask;
         final double firstSent;
-        Submitted out;
+        ClientAttempt out;
         int attempts;
 
-        State(Ask ask, double firstSent) {
+        PendingRequest(ClientRequest ask, double firstSent) {
             this.ask = ask;
             this.firstSent = firstSent;
         }
@@ -81,16 +81,16 @@
     public Clients(
             Scenario scenario,
             Timeline timeline,
-            Chance chance,
+            SeededRandom chance,
             double seconds,
-            Door door,
+            Transport door,
             Observer observer) {
         this.scenario = scenario;
         this.timeline = timeline;
         this.chance = chance;
         this.door = door;
         this.observer = observer;
-        traffic = new Traffic(scenario, chance, seconds);
+        traffic = new RequestGenerator(scenario, chance, seconds);
     }
 
     public void begin() {
@@ -104,7 +104,7 @@
     }
 
     private void sendNext() {
-        Ask ask = traffic.next();
+        ClientRequest ask = traffic.next();
         if (ask == null) {
             allSent = true;
             return;
@@ -114,7 +114,7 @@
                 () -> {
                     // Counted from when it was meant to go: a sender that lags must not flatter who
                     // answers.
-                    State state = new State(ask, start + ask.at());
+                    PendingRequest state = new PendingRequest(ask, start + ask.at());
                     open.put(ask.number(), state);
                     observer.asked(ask);
                     send(state);
@@ -125,7 +125,7 @@
                 });
     }
 
-    private void send(State state) {
+    private void send(PendingRequest state) {
         double left = state.firstSent + state.ask.offering().outer() - timeline.now();
         int dispatcher = dispatcherFor(state);
         if (dispatcher < 0) {
@@ -133,8 +133,8 @@
             retryOrFinish(state, Result.UNANSWERED, RECONNECT, true);
             return;
         }
-        Submitted submitted =
-                new Submitted(state.ask, state.attempts++, dispatcher, timeline.now(), left);
+        ClientAttempt submitted =
+                new ClientAttempt(state.ask, state.attempts++, dispatcher, timeline.now(), left);
         state.out = submitted;
         observer.sent(submitted);
         timeline.after(
@@ -150,11 +150,14 @@
         door.submit(submitted);
     }
 
-    private int dispatcherFor(State state) {
+    private int dispatcherFor(PendingRequest state) {
         int count = scenario.dispatchers();
         int first =
                 (int)
-                        (chance.once(Chance.Of.DISPATCHER, state.ask.number(), state.attempts)
+                        (chance.once(
+                                        SeededRandom.Purpose.DISPATCHER,
+                                        state.ask.number(),
+                                        state.attempts)
                                 * count);
         for (int i = 0; i < count; i++) {
             if (door.isOpen((first + i) % count)) {
@@ -164,11 +167,11 @@
         return -1;
     }
 
-    private void leave(State state) {
+    private void leave(PendingRequest state) {
         if (open.get(state.ask.number()) != state) {
             return;
         }
-        Submitted submitted = state.out;
+        ClientAttempt submitted = state.out;
         state.out = null;
         if (submitted != null) {
             observer.gaveUp(submitted, true);
@@ -179,9 +182,9 @@
 
     /** An answer has come, whole; advice to return of 0 is none. */
     @Override
-    public void answered(Submitted submitted, Answer answer, double retryAfter) {
+    public void answered(ClientAttempt submitted, FinalResponse answer, double retryAfter) {
         observer.answered(submitted, answer);
-        State state = open.get(submitted.ask().number());
+        PendingRequest state = open.get(submitted.ask().number());
         if (state == null || state.out != submitted) {
             return;
         }
@@ -206,8 +209,8 @@
 
     /** It reached nobody: trying again does no harm. */
     @Override
-    public void refused(Submitted submitted) {
-        State state = open.get(submitted.ask().number());
+    public void refused(ClientAttempt submitted) {
+        PendingRequest state = open.get(submitted.ask().number());
         if (state != null && state.out == submitted) {
             state.out = null;
             observer.refused(submitted);
@@ -217,8 +220,8 @@
 
     /** The connection ended before an answer. */
     @Override
-    public void cutOff(Submitted submitted) {
-        State state = open.get(submitted.ask().number());
+    public void cutOff(ClientAttempt submitted) {
+        PendingRequest state = open.get(submitted.ask().number());
         if (state == null || state.out != submitted) {
             return;
         }
@@ -231,8 +234,10 @@
                 state.ask.offering().effect() == Idempotency.IDEMPOTENT);
     }
 
-    private void retryOrFinish(State state, Result result, double notBefore, boolean mayRetry) {
-        double spread = 1 + chance.once(Chance.Of.RETRY, state.ask.number(), state.attempts);
+    private void retryOrFinish(
+            PendingRequest state, Result result, double notBefore, boolean mayRetry) {
+        double spread =
+                1 + chance.once(SeededRandom.Purpose.RETRY, state.ask.number(), state.attempts);
         double wait = Math.max(notBefore, scenario.clients().pause() * spread);
         double left = state.firstSent + state.ask.offering().outer() - timeline.now() - wait;
         if (!mayRetry
@@ -250,7 +255,7 @@
                 });
     }
 
-    private void finish(State state, Result result) {
+    private void finish(PendingRequest state, Result result) {
         open.remove(state.ask.number());
         observer.finished(state.ask, result, timeline.now() - state.firstSent);
     }
--- a/kit/src/main/java/wheelroute/kit/world/World.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -12,14 +12,14 @@
 import wheelroute.kit.scenario.Scenario;
 
 /** Workers, their list and their faults, put together from a scenario and a seed. */
-public final class World {
+public final class ClusterModel {
     /** Draws of moments lie far from those of targets, which are numbered from 0. */
     private static final long MOMENT = -1;
 
     /**
      * Who can end a dispatcher and start it again, and do more to real processes and their ways.
      */
-    public interface Dispatchers {
+    public interface DispatcherControl {
         void kill(int dispatcher);
 
         void end(int dispatcher);
@@ -56,30 +56,34 @@
     }
 
     /** A fault with its time in the run and those it meets. */
-    public record Happening(Scenario.Fault fault, double from, double to, int[] targets) {}
+    public record ScheduledFault(Scenario.Fault fault, double from, double to, int[] targets) {}
 
     public final Scenario scenario;
     public final Timeline timeline;
-    public final Chance chance;
-    public final Registry registry;
+    public final SeededRandom chance;
+    public final EndpointRegistry registry;
     public final List<WorkerModel> workers = new ArrayList<>();
-    public final List<Happening> happenings;
+    public final List<ScheduledFault> happenings;
 
     /**
      * By dispatcher, the faults that keep it down, or still: it is up again when the last of them
      * is over.
      */
-    private final Map<Integer, Set<Happening>> downs = new HashMap<>();
+    private final Map<Integer, Set<ScheduledFault>> downs = new HashMap<>();
 
-    private final Map<Integer, Set<Happening>> pauses = new HashMap<>();
-    private final Map<Integer, Set<Happening>> hungers = new HashMap<>();
+    private final Map<Integer, Set<ScheduledFault>> pauses = new HashMap<>();
+    private final Map<Integer, Set<ScheduledFault>> hungers = new HashMap<>();
 
-    public World(
-            Scenario scenario, Timeline timeline, Chance chance, double seconds, Witness witness) {
+    public ClusterModel(
+            Scenario scenario,
+            Timeline timeline,
+            SeededRandom chance,
+            double seconds,
+            EventListener witness) {
         this.scenario = scenario;
         this.timeline = timeline;
         this.chance = chance;
-        registry = new Registry(timeline, scenario.terms().listLag());
+        registry = new EndpointRegistry(timeline, scenario.terms().listLag());
         for (Scenario.WorkerGroup group : scenario.groups()) {
             for (int i = 0; i < group.count(); i++) {
                 WorkerModel worker =
@@ -99,8 +103,8 @@
         happenings = happenings(seconds);
     }
 
-    private List<Happening> happenings(double seconds) {
-        List<Happening> all = new ArrayList<>();
+    private List<ScheduledFault> happenings(double seconds) {
+        List<ScheduledFault> all = new ArrayList<>();
         for (int cycle = 0; cycle * scenario.cycle() < seconds; cycle++) {
             for (Scenario.Fault fault : scenario.faults()) {
                 double from = cycle * scenario.cycle() + fault.at();
@@ -109,7 +113,7 @@
                 }
                 int[] targets = targets(fault, cycle);
                 if (fault.within() == 0) {
-                    all.add(new Happening(fault, from, from + fault.length(), targets));
+                    all.add(new ScheduledFault(fault, from, from + fault.length(), targets));
                 } else {
                     // A moment of its own for each, which depends on the seed alone.
                     for (int target : targets) {
@@ -117,15 +121,17 @@
                                 from
                                         + fault.within()
                                                 * chance.once(
-                                                        Chance.Of.FAULT,
+                                                        SeededRandom.Purpose.FAULT,
                                                         fault.pick() * 1000L + cycle,
                                                         MOMENT - target);
-                        all.add(new Happening(fault, at, at + fault.length(), new int[] {target}));
+                        all.add(
+                                new ScheduledFault(
+                                        fault, at, at + fault.length(), new int[] {target}));
                     }
                 }
             }
         }
-        all.sort(Comparator.comparingDouble(Happening::from));
+        all.sort(Comparator.comparingDouble(ScheduledFault::from));
         return all;
     }
 
@@ -144,14 +150,14 @@
             workers.stream().filter(w -> fault.concerns(w.group)).forEach(w -> open.add(w.number));
         }
         long pick = fault.pick() * 1000L + cycle;
-        open.sort(Comparator.comparingLong(i -> chance.key(Chance.Of.FAULT, pick, i)));
+        open.sort(Comparator.comparingLong(i -> chance.key(SeededRandom.Purpose.FAULT, pick, i)));
         int count = (int) Math.max(1, Math.round(fault.share() * open.size()));
         return open.stream().limit(count).mapToInt(i -> i).toArray();
     }
 
     /** Sets every fault on the timeline, which must stand at the start of the run. */
-    public void begin(Dispatchers dispatchers) {
-        for (Happening happening : happenings) {
+    public void begin(DispatcherControl dispatchers) {
+        for (ScheduledFault happening : happenings) {
             timeline.after(happening.from(), () -> set(happening, true, dispatchers));
             // A replacement's own end is not ours to set.
             if (happening.fault().kind() != Scenario.Kind.DEPLOY
@@ -161,7 +167,7 @@
         }
     }
 
-    private void set(Happening happening, boolean begins, Dispatchers dispatchers) {
+    private void set(ScheduledFault happening, boolean begins, DispatcherControl dispatchers) {
         Scenario.Fault fault = happening.fault();
         switch (fault.kind()) {
             case LIST_DOWN -> registry.down(begins);
@@ -215,17 +221,21 @@
         }
     }
 
-    private static void each(Happening happening, IntConsumer task) {
+    private static void each(ScheduledFault happening, IntConsumer task) {
         Arrays.stream(happening.targets()).forEach(task);
     }
 
-    private static Set<Happening> of(Map<Integer, Set<Happening>> faults, int dispatcher) {
+    private static Set<ScheduledFault> of(
+            Map<Integer, Set<ScheduledFault>> faults, int dispatcher) {
         return faults.computeIfAbsent(dispatcher, d -> new LinkedHashSet<>());
     }
 
     private void down(
-            Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
-        Set<Happening> all = of(downs, dispatcher);
+            ScheduledFault happening,
+            int dispatcher,
+            boolean begins,
+            DispatcherControl dispatchers) {
+        Set<ScheduledFault> all = of(downs, dispatcher);
         if (begins) {
             boolean first = all.isEmpty();
             all.add(happening);
@@ -243,8 +253,11 @@
     }
 
     private void still(
-            Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
-        Set<Happening> all = of(pauses, dispatcher);
+            ScheduledFault happening,
+            int dispatcher,
+            boolean begins,
+            DispatcherControl dispatchers) {
+        Set<ScheduledFault> all = of(pauses, dispatcher);
         // One that is down cannot stand still, nor does the next one at its start.
         if (begins && of(downs, dispatcher).isEmpty()) {
             all.add(happening);
@@ -257,8 +270,11 @@
     }
 
     private void hungry(
-            Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
-        Set<Happening> all = of(hungers, dispatcher);
+            ScheduledFault happening,
+            int dispatcher,
+            boolean begins,
+            DispatcherControl dispatchers) {
+        Set<ScheduledFault> all = of(hungers, dispatcher);
         if (begins) {
             all.add(happening);
         } else {
@@ -299,7 +315,7 @@
      * One group after the other, each of so many workers as the level says, in equal parts of the
      * length.
      */
-    private void deploy(Happening happening) {
+    private void deploy(ScheduledFault happening) {
         int atOnce = (int) Math.max(1, Math.round(happening.fault().level()));
         int[] targets = happening.targets();
         int steps = (targets.length + atOnce - 1) / atOnce;
--- a/kit/src/main/java/wheelroute/kit/world/Registry.java
+++ b/kit/src/main/java/wheelroute/kit/model/EndpointRegistry.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 
 /** The list of workers, later than the truth: what is told to it counts only after the lag. */
-public final class Registry {
+public final class EndpointRegistry {
     /** How often something slow is looked at again. */
     static final double LOOK = 0.1;
 
@@ -36,7 +36,7 @@
     private double extraLag;
     private int down;
 
-    Registry(Timeline timeline, double lag) {
+    EndpointRegistry(Timeline timeline, double lag) {
         this.timeline = timeline;
         this.lag = lag;
     }
--- a/kit/src/main/java/wheelroute/kit/world/Answer.java
+++ b/kit/src/main/java/wheelroute/kit/model/FinalResponse.java
@@ -1,7 +1,7 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 /** What a client hears in the end. */
-public enum Answer {
+public enum FinalResponse {
     FULFILLED,
     BOUNCED,
     SCRAPPED
--- a/kit/src/main/java/wheelroute/kit/world/Traffic.java
+++ b/kit/src/main/java/wheelroute/kit/model/RequestGenerator.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 import java.util.List;
 import java.util.SplittableRandom;
@@ -7,9 +7,9 @@
 /**
  * The asks of a run, by the seed alone: a Poisson stream whose rate follows the scenario's load.
  */
-public final class Traffic {
+public final class RequestGenerator {
     private final Scenario scenario;
-    private final Chance chance;
+    private final SeededRandom chance;
     private final double seconds;
     private final double mostRate;
     private final double[] offeringShares;
@@ -18,7 +18,7 @@
     private int drawn;
     private int asks;
 
-    public Traffic(Scenario scenario, Chance chance, double seconds) {
+    public RequestGenerator(Scenario scenario, SeededRandom chance, double seconds) {
         this.scenario = scenario;
         this.chance = chance;
         this.seconds = seconds;
@@ -26,16 +26,16 @@
         offeringShares =
                 summed(
                         scenario.offerings().stream()
-                                .mapToDouble(Scenario.Offering::share)
+                                .mapToDouble(Scenario.RequestClass::share)
                                 .toArray());
         tenantShares =
                 summed(scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray());
     }
 
     /** The next ask, or null when the run's time is over. */
-    public Ask next() {
+    public ClientRequest next() {
         while (mostRate > 0) {
-            SplittableRandom random = chance.of(Chance.Of.ARRIVAL, drawn++, 0);
+            SplittableRandom random = chance.of(SeededRandom.Purpose.ARRIVAL, drawn++, 0);
             time -= Math.log(1 - random.nextDouble()) / mostRate;
             if (time >= seconds) {
                 return null;
@@ -50,34 +50,43 @@
         return null;
     }
 
-    private Ask ask(int number) {
-        Scenario.Offering offering =
+    private ClientRequest ask(int number) {
+        Scenario.RequestClass offering =
                 scenario.offerings()
-                        .get(index(offeringShares, chance.once(Chance.Of.OFFERING, number, 0)));
+                        .get(
+                                index(
+                                        offeringShares,
+                                        chance.once(SeededRandom.Purpose.OFFERING, number, 0)));
         Scenario.Tenant tenant =
                 scenario.tenants().isEmpty()
                         ? Scenario.Tenant.NONE
                         : scenario.tenants()
-                                .get(index(tenantShares, chance.once(Chance.Of.TENANT, number, 0)));
+                                .get(
+                                        index(
+                                                tenantShares,
+                                                chance.once(
+                                                        SeededRandom.Purpose.TENANT, number, 0)));
         double work =
                 Math.max(
                         Scenario.LEAST_WORK,
                         offering.work()
-                                * Chance.lognormal(
-                                        chance.of(Chance.Of.WORK, number, 0), offering.spread()));
+                                * SeededRandom.lognormal(
+                                        chance.of(SeededRandom.Purpose.WORK, number, 0),
+                                        offering.spread()));
         double hint = Double.NaN;
         if (offering.hintError() >= 0) {
             hint =
                     work
-                            * Chance.lognormal(
-                                    chance.of(Chance.Of.HINT, number, 0), offering.hintError());
+                            * SeededRandom.lognormal(
+                                    chance.of(SeededRandom.Purpose.HINT, number, 0),
+                                    offering.hintError());
         }
         double leaves = Double.POSITIVE_INFINITY;
-        SplittableRandom impatience = chance.of(Chance.Of.IMPATIENCE, number, 0);
+        SplittableRandom impatience = chance.of(SeededRandom.Purpose.IMPATIENCE, number, 0);
         if (impatience.nextDouble() < scenario.clients().impatient()) {
             leaves = impatience.nextDouble() * offering.outer();
         }
-        return new Ask(number, time, offering, tenant, work, hint, leaves);
+        return new ClientRequest(number, time, offering, tenant, work, hint, leaves);
     }
 
     /** Asks a second at this moment; the schedule begins anew with each cycle. */
--- a/kit/src/main/java/wheelroute/kit/world/Chance.java
+++ b/kit/src/main/java/wheelroute/kit/model/SeededRandom.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 import java.util.SplittableRandom;
 
@@ -7,9 +7,9 @@
  * happened before. So both clocks, and any two builds, are asked the same questions, whatever they
  * did in between.
  */
-public final class Chance {
+public final class SeededRandom {
     /** What is drawn. The order is part of what a seed means: new ones go to the end. */
-    public enum Of {
+    public enum Purpose {
         ARRIVAL,
         OFFERING,
         TENANT,
@@ -35,20 +35,20 @@
 
     private final long seed;
 
-    public Chance(long seed) {
+    public SeededRandom(long seed) {
         this.seed = seed;
     }
 
-    public SplittableRandom of(Of what, long a, long b) {
+    public SplittableRandom of(Purpose what, long a, long b) {
         return new SplittableRandom(key(what, a, b));
     }
 
     /** One draw, from 0 up to 1: cheaper than a generator where one is enough. */
-    public double once(Of what, long a, long b) {
+    public double once(Purpose what, long a, long b) {
         return (mixed(key(what, a, b)) >>> 11) * 0x1.0p-53;
     }
 
-    public long key(Of what, long a, long b) {
+    public long key(Purpose what, long a, long b) {
         return mixed(mixed(mixed(seed + GOLDEN * (what.ordinal() + 1)) + a) + GOLDEN * b);
     }
 
--- a/kit/src/main/java/wheelroute/kit/world/Timeline.java
+++ b/kit/src/main/java/wheelroute/kit/model/Timeline.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 /** The time that a world lives in: virtual or real, the model cannot tell. Seconds. */
 public interface Timeline {
--- a/kit/src/main/java/wheelroute/kit/world/Launch.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
@@ -1,7 +1,7 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 /** One launch at a worker, from its last byte to the end of its connection. */
-public final class Launch {
+public final class WorkerAttempt {
     /** How the worker speaks on the launch's connection. */
     public interface Reply {
         void started();
@@ -9,7 +9,7 @@
         void progressed(double share);
 
         /** The last word; freeSlots is NaN where no report goes with it. */
-        void ended(Ending ending, double freeSlots);
+        void ended(AttemptEnding ending, double freeSlots);
     }
 
     public final long submission;
@@ -28,7 +28,7 @@
     /** Something it should have been told was not. */
     boolean kept;
 
-    public Launch(long submission, double work, int slots, double memory, Reply reply) {
+    public WorkerAttempt(long submission, double work, int slots, double memory, Reply reply) {
         this.submission = submission;
         this.work = work;
         this.slots = slots;
--- a/kit/src/main/java/wheelroute/kit/world/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
     private static final double FALL = 3;
 
     /** Who opens and closes its door; a closed one refuses connections. */
-    public interface Door {
+    public interface PortListener {
         void onOpened(WorkerModel worker);
 
         void closed(WorkerModel worker);
@@ -27,19 +27,19 @@
     public final String name;
     public final Scenario.WorkerGroup group;
     private final Timeline timeline;
-    private final Scenario.Terms terms;
-    private final Chance chance;
-    private final Registry registry;
-    private final Witness witness;
-    private final ArrayDeque<Launch> waiting = new ArrayDeque<>();
-    private final List<Launch> running = new ArrayList<>();
+    private final Scenario.PlatformTerms terms;
+    private final SeededRandom chance;
+    private final EndpointRegistry registry;
+    private final EventListener witness;
+    private final ArrayDeque<WorkerAttempt> waiting = new ArrayDeque<>();
+    private final List<WorkerAttempt> running = new ArrayList<>();
 
     /** Those who were not told something: broken off when the worker can speak again. */
-    private final List<Launch> untold = new ArrayList<>();
+    private final List<WorkerAttempt> untold = new ArrayList<>();
 
     private final ArrayDeque<double[]> cameCold = new ArrayDeque<>();
     private final ArrayDeque<double[]> freeBefore = new ArrayDeque<>();
-    private Door door;
+    private PortListener door;
     private int slotsInUse;
     private double memoryInUse;
     private boolean up = true;
@@ -57,10 +57,10 @@
             String name,
             Scenario.WorkerGroup group,
             Timeline timeline,
-            Scenario.Terms terms,
-            Chance chance,
-            Registry registry,
-            Witness witness) {
+            Scenario.PlatformTerms terms,
+            SeededRandom chance,
+            EndpointRegistry registry,
+            EventListener witness) {
         this.number = number;
         this.name = name;
         this.group = group;
@@ -71,7 +71,7 @@
         this.witness = witness;
     }
 
-    public void door(Door newDoor) {
+    public void door(PortListener newDoor) {
         door = newDoor;
     }
 
@@ -83,7 +83,7 @@
     }
 
     /** A launch's last byte has come. */
-    public void arrive(Launch launch) {
+    public void arrive(WorkerAttempt launch) {
         witness.arrived(launch, this);
         if (cuts > 0) {
             launch.kept = true;
@@ -92,7 +92,7 @@
         }
         if (tips(launch.work)) {
             witness.fell(this);
-            end(launch, Ending.BROKEN);
+            end(launch, AttemptEnding.BROKEN);
             crash();
             int life = lives;
             timeline.after(
@@ -104,20 +104,21 @@
                     });
             return;
         }
-        if (failing > 0 && chance.once(Chance.Of.FAILURE, launch.submission, number) < failing) {
+        if (failing > 0
+                && chance.once(SeededRandom.Purpose.FAILURE, launch.submission, number) < failing) {
             int life = lives;
             timeline.after(
                     ERROR_TIME,
                     () -> {
                         if (life == lives && !launch.ended) {
-                            end(launch, Ending.FAILED);
+                            end(launch, AttemptEnding.FAILED);
                         }
                     });
             return;
         }
         if ((waiting.size() >= group.queue() && !mayBegin(launch))
                 || memoryInUse + launch.memory > group.memory()) {
-            end(launch, Ending.TURNED_AWAY);
+            end(launch, AttemptEnding.TURNED_AWAY);
             return;
         }
         memoryInUse += launch.memory;
@@ -129,7 +130,7 @@
      * Its connection was closed by the other side: what waits is forgotten, what runs goes on
      * unheard.
      */
-    public void dropped(Launch launch) {
+    public void dropped(WorkerAttempt launch) {
         launch.dropped = true;
         if (!launch.ended && waiting.remove(launch)) {
             memoryInUse -= launch.memory;
@@ -140,14 +141,14 @@
 
     // ---- its work
 
-    private boolean mayBegin(Launch launch) {
+    private boolean mayBegin(WorkerAttempt launch) {
         return waiting.isEmpty()
                 && slotsInUse + Math.min(launch.slots, group.slots()) <= group.slots();
     }
 
     private void beginNext() {
         while (!waiting.isEmpty() && stalls == 0) {
-            Launch next = waiting.peekFirst();
+            WorkerAttempt next = waiting.peekFirst();
             int need = Math.min(next.slots, group.slots());
             if (slotsInUse + need > group.slots()) {
                 return;
@@ -175,7 +176,7 @@
         return stalls > 0 ? 0 : group.speed() * slow;
     }
 
-    private void plan(Launch launch) {
+    private void plan(WorkerAttempt launch) {
         double pace = pace();
         int plan = ++launch.plan;
         if (pace > 0) {
@@ -189,16 +190,16 @@
         }
     }
 
-    private void finish(Launch launch) {
+    private void finish(WorkerAttempt launch) {
         running.remove(launch);
         slotsInUse -= Math.min(launch.slots, group.slots());
         memoryInUse -= launch.memory;
         noteFree();
-        end(launch, Ending.DONE);
+        end(launch, AttemptEnding.DONE);
         beginNext();
     }
 
-    private void progress(Launch launch, double whole) {
+    private void progress(WorkerAttempt launch, double whole) {
         timeline.after(
                 terms.progressEvery(),
                 () -> {
@@ -219,7 +220,7 @@
         double before = pace();
         change.run();
         double now = timeline.now();
-        for (Launch launch : running) {
+        for (WorkerAttempt launch : running) {
             launch.remaining = Math.max(0, launch.remaining - (now - launch.since) * before);
             launch.since = now;
             plan(launch);
@@ -227,15 +228,15 @@
         beginNext();
     }
 
-    private void end(Launch launch, Ending ending) {
+    private void end(WorkerAttempt launch, AttemptEnding ending) {
         launch.ended = true;
-        boolean heard = ending == Ending.BROKEN || (silences == 0 && cuts == 0);
+        boolean heard = ending == AttemptEnding.BROKEN || (silences == 0 && cuts == 0);
         witness.ended(launch, this, ending, heard && !launch.dropped);
         double free = reportedFree();
         speak(launch, () -> launch.reply.ended(ending, free));
     }
 
-    private void speak(Launch launch, Runnable word) {
+    private void speak(WorkerAttempt launch, Runnable word) {
         if (launch.dropped) {
             return;
         }
@@ -253,14 +254,14 @@
 
     /** Connections on which something went unsaid are of no more use to anyone. */
     private void breakUntold() {
-        List<Launch> broken = new ArrayList<>(untold);
+        List<WorkerAttempt> broken = new ArrayList<>(untold);
         untold.clear();
-        for (Launch launch : broken) {
+        for (WorkerAttempt launch : broken) {
             if (!launch.dropped) {
                 // Whatever becomes of the job, its connection ends here.
                 launch.dropped = true;
-                witness.ended(launch, this, Ending.BROKEN, true);
-                launch.reply.ended(Ending.BROKEN, Double.NaN);
+                witness.ended(launch, this, AttemptEnding.BROKEN, true);
+                launch.reply.ended(AttemptEnding.BROKEN, Double.NaN);
             }
         }
     }
@@ -354,7 +355,7 @@
 
     /** Told draining now; it ends when it is empty, but not before all have had time to hear it. */
     void drain() {
-        registry.tell(this, Registry.State.DRAINING, startedAt);
+        registry.tell(this, EndpointRegistry.State.DRAINING, startedAt);
         int life = lives;
         timeline.after(terms.listLag() + terms.grace(), () -> endIfEmpty(life));
     }
@@ -366,7 +367,7 @@
         if (running.isEmpty() && waiting.isEmpty()) {
             crash();
         } else {
-            timeline.after(Registry.LOOK, () -> endIfEmpty(life));
+            timeline.after(EndpointRegistry.LOOK, () -> endIfEmpty(life));
         }
     }
 
@@ -374,8 +375,8 @@
     void crash() {
         lives++;
         up = false;
-        registry.tell(this, Registry.State.GONE, startedAt);
-        List<Launch> lost = new ArrayList<>(running);
+        registry.tell(this, EndpointRegistry.State.GONE, startedAt);
+        List<WorkerAttempt> lost = new ArrayList<>(running);
         lost.addAll(waiting);
         running.clear();
         waiting.clear();
@@ -385,7 +386,7 @@
         if (door != null) {
             door.closed(this);
         }
-        lost.forEach(launch -> end(launch, Ending.BROKEN));
+        lost.forEach(launch -> end(launch, AttemptEnding.BROKEN));
         breakUntold();
     }
 
@@ -400,7 +401,7 @@
         if (door != null) {
             door.onOpened(this);
         }
-        registry.tell(this, Registry.State.READY, startedAt);
+        registry.tell(this, EndpointRegistry.State.READY, startedAt);
     }
 
     // ---- what those see who see all
@@ -426,10 +427,10 @@
             return Double.POSITIVE_INFINITY;
         }
         double ahead = 0;
-        for (Launch launch : waiting) {
+        for (WorkerAttempt launch : waiting) {
             ahead += launch.work;
         }
-        for (Launch launch : running) {
+        for (WorkerAttempt launch : running) {
             ahead += Math.max(0, launch.remaining - (now - launch.since) * pace());
         }
         double wait = slotsInUse < group.slots() && waiting.isEmpty() ? 0 : ahead / group.slots();
--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -5,8 +5,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiPredicate;
-import wheelroute.kit.virtual.VirtualTime;
-import wheelroute.kit.world.Chance;
+import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.simulation.SimulatedTime;
 import wheelroute.peers.MalformedMessageException;
 import wheelroute.peers.MemberAddress;
 import wheelroute.peers.MemberUpdate;
@@ -33,9 +33,9 @@
 
     private static final int CLUSTER = 7;
 
-    public final VirtualTime time = new VirtualTime();
+    public final SimulatedTime time = new SimulatedTime();
     public final List<Member> members = new ArrayList<>();
-    private final Chance chance;
+    private final SeededRandom chance;
     private final int seeds;
     private final boolean doubts;
     private final double start = time.now();
@@ -98,7 +98,7 @@
                             place(number),
                             millis,
                             places,
-                            chance.key(Chance.Of.BRAIN, number, life),
+                            chance.key(SeededRandom.Purpose.BRAIN, number, life),
                             doubts,
                             this);
             event(membership::begin);
@@ -231,7 +231,7 @@
     public PeerModel(int count, int seeds, long seed, boolean doubts) {
         this.seeds = seeds;
         this.doubts = doubts;
-        chance = new Chance(seed);
+        chance = new SeededRandom(seed);
         for (int i = 0; i < count; i++) {
             members.add(new Member(i));
         }
@@ -247,7 +247,7 @@
 
     /** From 0 up to 1, in the order of asking. */
     public double draw() {
-        return chance.once(Chance.Of.LINK, drawn++, 0);
+        return chance.once(SeededRandom.Purpose.LINK, drawn++, 0);
     }
 
     public void network(double newLoss, double newDoubled, double newSpread) {
--- a/kit/src/main/java/wheelroute/kit/real/DoorCall.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminCall.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -14,16 +14,16 @@
 /**
  * One call at an operators' door: a line goes, an answer comes, or null when none comes in time.
  */
-final class DoorCall implements EventLoop.ChannelHandler {
+final class AdminCall implements EventLoop.ChannelHandler {
     private final EventLoop loop;
     private final String word;
     private final Consumer<String> hearer;
     private final StringBuilder answer = new StringBuilder();
     private final EventLoop.Timer limit;
-    private Line line;
+    private AdminConnection line;
     private boolean over;
 
-    private DoorCall(EventLoop loop, String word, double limit, Consumer<String> hearer) {
+    private AdminCall(EventLoop loop, String word, double limit, Consumer<String> hearer) {
         this.loop = loop;
         this.word = word;
         this.hearer = hearer;
@@ -36,12 +36,12 @@
             String word,
             double limit,
             Consumer<String> hearer) {
-        loop.connect(door, new DoorCall(loop, word, limit, hearer));
+        loop.connect(door, new AdminCall(loop, word, limit, hearer));
     }
 
     @Override
     public Connection onOpened(EndPoint endPoint) {
-        line = new Line(endPoint);
+        line = new AdminConnection(endPoint);
         return line;
     }
 
@@ -61,9 +61,9 @@
         }
     }
 
-    private final class Line extends StreamConnection {
-        Line(EndPoint endPoint) {
-            super(endPoint, DoorCall.this.loop);
+    private final class AdminConnection extends StreamConnection {
+        AdminConnection(EndPoint endPoint) {
+            super(endPoint, AdminCall.this.loop);
         }
 
         @Override
--- a/kit/src/main/java/wheelroute/kit/real/DoorPoll.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminPoll.java
@@ -1,12 +1,12 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.util.HashMap;
 import java.util.Map;
-import wheelroute.kit.audit.Ledger;
+import wheelroute.kit.audit.MetricsAuditor;
 import wheelroute.net.EventLoop;
 
 /** Asks every process's door for its figures now and then, and hands them to the ledger. */
-final class DoorPoll {
+final class AdminPoll {
     private static final double EVERY = 0.5;
 
     /** An answer is due within this, whatever the load. */
@@ -14,10 +14,10 @@
 
     private final EventLoop loop;
     private final Fleet fleet;
-    private final Ledger ledger;
+    private final MetricsAuditor ledger;
     private final int dispatchers;
 
-    DoorPoll(EventLoop loop, Fleet fleet, Ledger ledger, int dispatchers) {
+    AdminPoll(EventLoop loop, Fleet fleet, MetricsAuditor ledger, int dispatchers) {
         this.loop = loop;
         this.fleet = fleet;
         this.ledger = ledger;
@@ -36,7 +36,7 @@
     }
 
     private void ask(int dispatcher, DaemonProcess process) {
-        DoorCall.ask(
+        AdminCall.ask(
                 loop,
                 Fleet.address(process.door()),
                 "STATS",
--- a/kit/src/main/java/wheelroute/kit/real/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientPool.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,9 +13,9 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.decision.Idempotency;
-import wheelroute.kit.world.Answer;
-import wheelroute.kit.world.Answers;
-import wheelroute.kit.world.Submitted;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.model.ResponseListener;
 import wheelroute.net.EventLoop;
 import wheelroute.net.HttpText;
 import wheelroute.net.ResponseParser;
@@ -29,37 +29,41 @@
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final Answers clients;
-    private final ArrayDeque<Line> idle = new ArrayDeque<>();
-    private final Map<Long, Sending> open = new HashMap<>();
-    private final Set<Line> lines = new HashSet<>();
-    private final Manners manners;
+    private final ResponseListener clients;
+    private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
+    private final Map<Long, PendingSend> open = new HashMap<>();
+    private final Set<ClientConnection> lines = new HashSet<>();
+    private final ConnectionBehavior manners;
     private boolean dead;
 
     /** How submissions come: see {@link wheelroute.kit.scenario.Scenario.Clients}. */
-    interface Manners {
+    interface ConnectionBehavior {
         /** It has a connection of its own. */
-        boolean isFresh(Submitted submitted);
+        boolean isFresh(ClientAttempt submitted);
 
         /** So long between the two pieces in which it is written; 0 for one piece. */
-        double pause(Submitted submitted);
+        double pause(ClientAttempt submitted);
     }
 
     /** All at once, on whatever connection is idle. */
-    static final Manners USUAL =
-            new Manners() {
+    static final ConnectionBehavior USUAL =
+            new ConnectionBehavior() {
                 @Override
-                public boolean isFresh(Submitted submitted) {
+                public boolean isFresh(ClientAttempt submitted) {
                     return false;
                 }
 
                 @Override
-                public double pause(Submitted submitted) {
+                public double pause(ClientAttempt submitted) {
                     return 0;
                 }
             };
 
-    ClientPool(EventLoop loop, InetSocketAddress address, Answers clients, Manners manners) {
+    ClientPool(
+            EventLoop loop,
+            InetSocketAddress address,
+            ResponseListener clients,
+            ConnectionBehavior manners) {
         this.loop = loop;
         this.address = address;
         this.clients = clients;
@@ -70,14 +74,14 @@
         return address;
     }
 
-    void submit(Submitted submitted) {
-        Sending sending = new Sending(submitted);
+    void submit(ClientAttempt submitted) {
+        PendingSend sending = new PendingSend(submitted);
         open.put(submitted.key(), sending);
         if (sending.fresh) {
             loop.connect(address, sending);
             return;
         }
-        for (Line line = idle.pollLast(); line != null; line = idle.pollLast()) {
+        for (ClientConnection line = idle.pollLast(); line != null; line = idle.pollLast()) {
             if (line.getEndPoint().isOpen()) {
                 line.send(sending);
                 return;
@@ -86,8 +90,8 @@
         loop.connect(address, sending);
     }
 
-    void hangUp(Submitted submitted) {
-        Sending sending = open.remove(submitted.key());
+    void hangUp(ClientAttempt submitted) {
+        PendingSend sending = open.remove(submitted.key());
         if (sending != null) {
             sending.over = true;
             if (sending.line != null) {
@@ -114,15 +118,15 @@
     /** What is idle is of no more use. */
     void closeIdle() {
         // Each takes itself off the list as it goes.
-        new ArrayList<>(idle).forEach(Line::close);
+        new ArrayList<>(idle).forEach(ClientConnection::close);
         idle.clear();
     }
 
-    private byte[] message(Submitted submitted, double timeout) {
+    private byte[] message(ClientAttempt submitted, double timeout) {
         HttpText text =
                 new HttpText("POST /" + submitted.ask().offering().name() + " HTTP/1.1")
                         .field("Host", address.getAddress().getHostAddress())
-                        .field("X-Request-ID", Jobs.id(submitted))
+                        .field("X-Request-ID", JobCodec.id(submitted))
                         .field("X-Timeout", String.format(Locale.ROOT, "%.3f", timeout));
         if (!Double.isNaN(submitted.ask().hint())) {
             text.field("X-Cost", Long.toString(Math.round(MICROS * submitted.ask().hint())));
@@ -140,7 +144,7 @@
         if (submitted.ask().offering().effect() == Idempotency.IDEMPOTENT_BY_KEY) {
             text.field("Idempotency-Key", "key-" + submitted.ask().number());
         }
-        byte[] body = Jobs.body(submitted);
+        byte[] body = JobCodec.body(submitted);
         ByteBuffer[] parts = text.body(body);
         ByteBuffer whole = ByteBuffer.allocate(parts[0].remaining() + parts[1].remaining());
         whole.put(parts[0]).put(parts[1]);
@@ -148,15 +152,15 @@
     }
 
     /** One submission on its way. */
-    private final class Sending implements EventLoop.ChannelHandler {
-        private final Submitted submitted;
+    private final class PendingSend implements EventLoop.ChannelHandler {
+        private final ClientAttempt submitted;
         private final boolean fresh;
         private final double pause;
-        private Line line;
+        private ClientConnection line;
         private boolean over;
         private boolean wasWritten;
 
-        Sending(Submitted submitted) {
+        PendingSend(ClientAttempt submitted) {
             this.submitted = submitted;
             fresh = manners.isFresh(submitted);
             pause = manners.pause(submitted);
@@ -164,7 +168,7 @@
 
         @Override
         public Connection onOpened(EndPoint endPoint) {
-            Line opened = new Line(endPoint);
+            ClientConnection opened = new ClientConnection(endPoint);
             loop.post(
                     () -> {
                         if (over) {
@@ -190,19 +194,19 @@
         }
     }
 
-    private final class Line extends StreamConnection implements ResponseParser.Reader {
+    private final class ClientConnection extends StreamConnection implements ResponseParser.Reader {
         private final ResponseParser parser = new ResponseParser(this);
-        private final Outbox out;
-        private Sending sending;
+        private final WriteQueue out;
+        private PendingSend sending;
         private boolean kept;
         private boolean heard;
         private int status;
         private double retryAfter;
         private boolean severed;
 
-        Line(EndPoint endPoint) {
+        ClientConnection(EndPoint endPoint) {
             super(endPoint, ClientPool.this.loop);
-            out = new Outbox(endPoint, () -> onFailure(null));
+            out = new WriteQueue(endPoint, () -> onFailure(null));
             lines.add(this);
         }
 
@@ -212,7 +216,7 @@
             lines.remove(this);
         }
 
-        void send(Sending next) {
+        void send(PendingSend next) {
             sending = next;
             next.line = this;
             heard = false;
@@ -262,7 +266,7 @@
 
         @Override
         public void end(boolean keepsOpen) {
-            Sending done = sending;
+            PendingSend done = sending;
             sending = null;
             kept = true;
             if (done == null) {
@@ -280,9 +284,9 @@
             clients.answered(
                     done.submitted,
                     switch (status) {
-                        case 200 -> Answer.FULFILLED;
-                        case 429, 503 -> Answer.BOUNCED;
-                        default -> Answer.SCRAPPED;
+                        case 200 -> FinalResponse.FULFILLED;
+                        case 429, 503 -> FinalResponse.BOUNCED;
+                        default -> FinalResponse.SCRAPPED;
                     },
                     retryAfter);
         }
@@ -301,7 +305,7 @@
 
         private void lost() {
             idle.remove(this);
-            Sending last = sending;
+            PendingSend last = sending;
             sending = null;
             if (last == null || last.over) {
                 return;
--- a/kit/src/main/java/wheelroute/kit/real/DaemonProcess.java
+++ b/kit/src/main/java/wheelroute/kit/process/DaemonProcess.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.BufferedReader;
 import java.io.File;
@@ -34,7 +34,7 @@
             int heapMb) {}
 
     /** What becomes of it; each word comes on a thread of its own. */
-    interface Hearer {
+    interface Listener {
         /** It takes clients; its port is known. */
         void up(DaemonProcess process);
 
@@ -70,7 +70,8 @@
         this.port = port;
     }
 
-    static DaemonProcess start(Spec spec, Keeper keeper, Hearer hearer) throws IOException {
+    static DaemonProcess start(Spec spec, ProcessSupervisor keeper, Listener hearer)
+            throws IOException {
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -138,7 +139,7 @@
         return InetAddress.getLoopbackAddress().getHostAddress();
     }
 
-    private void read(Hearer hearer) {
+    private void read(Listener hearer) {
         boolean listens = false;
         try (BufferedReader lines =
                 new BufferedReader(
--- a/kit/src/main/java/wheelroute/kit/real/ListCalls.java
+++ b/kit/src/main/java/wheelroute/kit/process/DiscoveryCallCounter.java
@@ -1,9 +1,9 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.util.ArrayDeque;
 
 /** Calls to the list service by all dispatchers: the most of them in any one second counts. */
-final class ListCalls {
+final class DiscoveryCallCounter {
     private final ArrayDeque<Double> last = new ArrayDeque<>();
     private long all;
     private int most;
--- a/kit/src/main/java/wheelroute/kit/real/RealTime.java
+++ b/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
@@ -1,13 +1,13 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
-import wheelroute.kit.world.Timeline;
+import wheelroute.kit.model.Timeline;
 import wheelroute.net.EventLoop;
 
 /** The time of the stand-ins' own thread; used on that thread only. */
-final class RealTime implements Timeline {
+final class EventLoopTimeline implements Timeline {
     private final EventLoop loop;
 
-    RealTime(EventLoop loop) {
+    EventLoopTimeline(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/kit/src/main/java/wheelroute/kit/real/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/process/Fleet.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -15,9 +15,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntFunction;
 import java.util.stream.Stream;
+import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.DaemonSettings;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Chance;
 import wheelroute.net.EventLoop;
 
 /**
@@ -26,7 +26,7 @@
  */
 final class Fleet {
     /** What others have to know of the processes. */
-    interface Hearer {
+    interface Listener {
         /** It takes clients, at this address. */
         void up(int dispatcher, InetSocketAddress clients);
 
@@ -77,21 +77,21 @@
 
     private final EventLoop loop;
     private final Scenario scenario;
-    private final Chance chance;
+    private final SeededRandom chance;
     private final Map<String, String> pairs;
     private final Path jar;
     private final Path older;
     private final IntFunction<InetSocketAddress> lists;
     private final IntFunction<List<String>> peers;
-    private final Hearer hearer;
+    private final Listener hearer;
     private final Path folder;
-    private final Keeper keeper;
-    private final List<Place> places = new ArrayList<>();
+    private final ProcessSupervisor keeper;
+    private final List<DispatcherSlot> places = new ArrayList<>();
     private int notReplaced;
     private int replacements;
 
     /** One dispatcher: its files, its port, its processes. */
-    private final class Place {
+    private final class DispatcherSlot {
         final int number;
         final Path home;
         final Set<DaemonProcess> alive = new HashSet<>();
@@ -112,7 +112,7 @@
         /** To be started once the last process is gone; null for not. */
         Scenario.How startsAs;
 
-        Place(int number) throws IOException {
+        DispatcherSlot(int number) throws IOException {
             this.number = number;
             home = Files.createDirectory(folder.resolve("n" + number));
         }
@@ -121,13 +121,13 @@
     Fleet(
             EventLoop loop,
             Scenario scenario,
-            Chance chance,
+            SeededRandom chance,
             Map<String, String> pairs,
             Path jar,
             Path older,
             IntFunction<InetSocketAddress> lists,
             IntFunction<List<String>> peers,
-            Hearer hearer)
+            Listener hearer)
             throws IOException {
         this.loop = loop;
         this.scenario = scenario;
@@ -139,9 +139,9 @@
         this.peers = peers;
         this.hearer = hearer;
         folder = Files.createTempDirectory("wheelroute");
-        keeper = new Keeper(folder);
+        keeper = new ProcessSupervisor(folder);
         for (int i = 0; i < scenario.dispatchers(); i++) {
-            places.add(new Place(i));
+            places.add(new DispatcherSlot(i));
         }
     }
 
@@ -161,7 +161,7 @@
 
     /** Where its newest process hears peers; null while there is none. */
     InetSocketAddress peersOf(int dispatcher) {
-        Place place = places.get(dispatcher);
+        DispatcherSlot place = places.get(dispatcher);
         DaemonProcess speaks =
                 place.next != null && place.next.peers() != 0 ? place.next : place.current;
         return speaks == null || speaks.peers() == 0 ? null : address(speaks.peers());
@@ -174,7 +174,7 @@
     // ---- starts and ends
 
     void start(int dispatcher, Scenario.How how) {
-        Place place = places.get(dispatcher);
+        DispatcherSlot place = places.get(dispatcher);
         if (!place.alive.isEmpty()) {
             // The old one may still be at its end.
             place.startsAs = how;
@@ -192,7 +192,7 @@
                 launch(
                         place,
                         how,
-                        new DaemonProcess.Hearer() {
+                        new DaemonProcess.Listener() {
                             @Override
                             public void up(DaemonProcess process) {
                                 loop.post(
@@ -216,14 +216,14 @@
     }
 
     private DaemonProcess launch(
-            Place place, Scenario.How how, DaemonProcess.Hearer processHearer) {
+            DispatcherSlot place, Scenario.How how, DaemonProcess.Listener processHearer) {
         try {
             Map<String, String> own = DaemonSettings.pairsOf(scenario, place.number, pairs);
             if (how == Scenario.How.CHANGED) {
                 own.putAll(scenario.changed());
             }
             Path config = place.home.resolve("config-" + place.starts + ".json");
-            long seed = chance.key(Chance.Of.BRAIN, place.number, place.starts++);
+            long seed = chance.key(SeededRandom.Purpose.BRAIN, place.number, place.starts++);
             Files.writeString(
                     config,
                     DaemonSettings.file(
@@ -260,7 +260,7 @@
         return Math.max(16, Math.min(96, scenario.limits().memoryMb() - 45));
     }
 
-    private void gone(Place place, DaemonProcess process) {
+    private void gone(DispatcherSlot place, DaemonProcess process) {
         place.alive.remove(process);
         hearer.ended(place.number, process);
         if (process == place.killedBeside) {
@@ -285,7 +285,7 @@
     }
 
     void kill(int dispatcher) {
-        Place place = places.get(dispatcher);
+        DispatcherSlot place = places.get(dispatcher);
         place.paused = false;
         place.next = null;
         place.startsAs = null;
@@ -293,7 +293,7 @@
     }
 
     void end(int dispatcher) {
-        Place place = places.get(dispatcher);
+        DispatcherSlot place = places.get(dispatcher);
         place.next = null;
         place.alive.forEach(DaemonProcess::end);
     }
@@ -301,12 +301,12 @@
     // ---- standing still, and sharing a core
 
     void pause(int dispatcher, boolean begins) {
-        Place place = places.get(dispatcher);
+        DispatcherSlot place = places.get(dispatcher);
         place.paused = begins;
         place.alive.forEach(process -> signal(place, process, begins));
     }
 
-    private void signal(Place place, DaemonProcess process, boolean stop) {
+    private void signal(DispatcherSlot place, DaemonProcess process, boolean stop) {
         try {
             keeper.pause(process.process(), stop);
         } catch (IOException e) {
@@ -320,7 +320,7 @@
 
     /** From here on it runs for this part of the time; 1 for as it likes. */
     void starve(int dispatcher, double share) {
-        Place place = places.get(dispatcher);
+        DispatcherSlot place = places.get(dispatcher);
         place.share = share;
         if (share < 1 && !place.hungry) {
             place.hungry = true;
@@ -328,7 +328,7 @@
         }
     }
 
-    private void round(Place place, boolean runs) {
+    private void round(DispatcherSlot place, boolean runs) {
         boolean fed = place.share >= 1;
         if (!place.paused) {
             place.alive.forEach(process -> signal(place, process, !runs && !fed));
@@ -346,7 +346,7 @@
 
     /** It is to be through within the limit; what is not counts as {@link #notReplaced}. */
     void replace(int dispatcher, Scenario.How how, double limit) {
-        Place place = places.get(dispatcher);
+        DispatcherSlot place = places.get(dispatcher);
         if (place.alive.size() != 1 || place.startsAs != null || place.port == 0) {
             // Down, or in the middle of another: an operator would wait too.
             return;
@@ -357,7 +357,7 @@
                 launch(
                         place,
                         how,
-                        new DaemonProcess.Hearer() {
+                        new DaemonProcess.Listener() {
                             @Override
                             public void up(DaemonProcess process) {
                                 // Its door is asked: see below.
@@ -372,7 +372,8 @@
         double due = loop.now() + limit;
         if (how == Scenario.How.NEW_KILLED) {
             double after =
-                    NEW_KILLED_WITHIN * chance.once(Chance.Of.FAULT, place.number, place.starts);
+                    NEW_KILLED_WITHIN
+                            * chance.once(SeededRandom.Purpose.FAULT, place.number, place.starts);
             loop.schedule(
                     after,
                     () -> {
@@ -387,7 +388,11 @@
     }
 
     private void awaitReady(
-            Place place, DaemonProcess old, DaemonProcess next, Scenario.How how, double due) {
+            DispatcherSlot place,
+            DaemonProcess old,
+            DaemonProcess next,
+            Scenario.How how,
+            double due) {
         if (place.next != next) {
             return;
         }
@@ -403,7 +408,7 @@
             again.run();
             return;
         }
-        DoorCall.ask(
+        AdminCall.ask(
                 loop,
                 address(next.door()),
                 "READY",
@@ -418,7 +423,11 @@
     }
 
     private void ready(
-            Place place, DaemonProcess old, DaemonProcess next, Scenario.How how, double due) {
+            DispatcherSlot place,
+            DaemonProcess old,
+            DaemonProcess next,
+            Scenario.How how,
+            double due) {
         place.current = next;
         place.next = null;
         if (how == Scenario.How.BOTH_STOPPED) {
@@ -441,13 +450,13 @@
     }
 
     /** The other one goes on. */
-    private void killBeside(Place place, DaemonProcess process) {
+    private void killBeside(DispatcherSlot place, DaemonProcess process) {
         place.killedBeside = process;
         hearer.halves(place.number, true);
         process.kill();
     }
 
-    private void endOld(Place place, DaemonProcess old, double due) {
+    private void endOld(DispatcherSlot place, DaemonProcess old, double due) {
         old.end();
         loop.schedule(
                 Math.max(0, due - loop.now()),
@@ -464,7 +473,7 @@
     /** From any thread: told to end, waited for, killed. */
     void close() {
         List<DaemonProcess> all = places.stream().flatMap(place -> place.alive.stream()).toList();
-        for (Place place : places) {
+        for (DispatcherSlot place : places) {
             place.share = 1;
             place.alive.forEach(process -> signal(place, process, false));
         }
--- a/kit/src/main/java/wheelroute/kit/real/Crowd.java
+++ b/kit/src/main/java/wheelroute/kit/process/IdleConnectionFlood.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -14,7 +14,7 @@
 /**
  * Strangers at the clients' addresses: they connect, say nothing or half a message, stay, and go.
  */
-final class Crowd {
+final class IdleConnectionFlood {
     /** Longer than the program has patience for. */
     private static final double STAY = 4;
 
@@ -32,7 +32,7 @@
     private long came;
 
     /** An address of null is nobody's just now. */
-    Crowd(EventLoop loop, IntFunction<InetSocketAddress> addresses) {
+    IdleConnectionFlood(EventLoop loop, IntFunction<InetSocketAddress> addresses) {
         this.loop = loop;
         this.addresses = addresses;
     }
@@ -61,7 +61,7 @@
                     new EventLoop.ChannelHandler() {
                         @Override
                         public Connection onOpened(EndPoint endPoint) {
-                            return new Stranger(endPoint, says);
+                            return new IdleConnection(endPoint, says);
                         }
 
                         @Override
@@ -73,11 +73,11 @@
         loop.schedule(1 / rate, () -> next(dispatcher));
     }
 
-    private final class Stranger extends StreamConnection {
+    private final class IdleConnection extends StreamConnection {
         private final String says;
 
-        Stranger(EndPoint endPoint, String says) {
-            super(endPoint, Crowd.this.loop);
+        IdleConnection(EndPoint endPoint, String says) {
+            super(endPoint, IdleConnectionFlood.this.loop);
             this.says = says;
         }
 
@@ -86,7 +86,7 @@
             super.onOpen();
             loop.schedule(STAY, this::close);
             if (!says.isEmpty()) {
-                new Outbox(getEndPoint(), this::close)
+                new WriteQueue(getEndPoint(), this::close)
                         .send(ByteBuffer.wrap(says.getBytes(StandardCharsets.US_ASCII)));
             }
         }
--- a/kit/src/main/java/wheelroute/kit/real/Jobs.java
+++ b/kit/src/main/java/wheelroute/kit/process/JobCodec.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -7,15 +7,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.zip.CRC32;
+import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Submitted;
 import wheelroute.net.clients.ClientRequest;
 
 /**
  * How a submission names itself and its work on the wire: the dispatcher passes id and body on
  * unchanged, so a worker learns from them alone what it has to do, whoever sent them.
  */
-public final class Jobs {
+public final class JobCodec {
     private static final JsonFactory JSON = new JsonFactory();
     private static final String MARK = "wr-";
     private static final int HEX = 16;
@@ -23,14 +23,14 @@
     /** What a worker reads off a message. */
     public record Job(long submission, double work, int slots, double memory) {}
 
-    private Jobs() {}
+    private JobCodec() {}
 
-    static String id(Submitted submitted) {
+    static String id(ClientAttempt submitted) {
         return MARK + Long.toHexString(submitted.key());
     }
 
-    static byte[] body(Submitted submitted) {
-        Scenario.Offering offering = submitted.ask().offering();
+    static byte[] body(ClientAttempt submitted) {
+        Scenario.RequestClass offering = submitted.ask().offering();
         return String.format(
                         Locale.ROOT,
                         "{\"work\":%.6f,\"slots\":%d,\"memory\":%.3f}",
--- a/kit/src/main/java/wheelroute/kit/real/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadRun.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.net.InetSocketAddress;
 import java.net.NetworkInterface;
@@ -15,17 +15,17 @@
 import org.HdrHistogram.Histogram;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.IdempotencyScope;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.ClientRequest;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.model.ResponseListener;
+import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Answer;
-import wheelroute.kit.world.Answers;
-import wheelroute.kit.world.Ask;
-import wheelroute.kit.world.Chance;
-import wheelroute.kit.world.Submitted;
 import wheelroute.net.Clock;
 import wheelroute.net.EventLoop;
 
 /** Clients alone: a load on one address, and how it was answered. Nothing is retried. */
-public final class LoadRun implements Answers {
+public final class LoadRun implements ResponseListener {
     private static final double MICROS = 1e6;
     private static final double MILLIS = 1e3;
     private static final long MOST_MICROS = 3_600_000_000L;
@@ -64,10 +64,10 @@
 
     private final Load load;
     private final EventLoop loop = new EventLoop(new Clock(), CONNECT);
-    private final Chance chance;
+    private final SeededRandom chance;
     private final ClientPool pool;
-    private final Scenario.Offering offering;
-    private final Map<Answer, Long> answers = new EnumMap<>(Answer.class);
+    private final Scenario.RequestClass offering;
+    private final Map<FinalResponse, Long> answers = new EnumMap<>(FinalResponse.class);
     private final Histogram latencies = new Histogram(MOST_MICROS, 3);
     private double start;
     private int sent;
@@ -78,10 +78,10 @@
 
     private LoadRun(Load load) {
         this.load = load;
-        chance = new Chance(load.seed());
+        chance = new SeededRandom(load.seed());
         pool = new ClientPool(loop, load.address(), this, ClientPool.USUAL);
         offering =
-                new Scenario.Offering(
+                new Scenario.RequestClass(
                         load.offering(),
                         load.effect(),
                         IdempotencyScope.ALL,
@@ -119,7 +119,7 @@
                             result.complete(
                                     new Result(
                                             run.sent,
-                                            run.answers.getOrDefault(Answer.FULFILLED, 0L),
+                                            run.answers.getOrDefault(FinalResponse.FULFILLED, 0L),
                                             run.text())));
             Result report = result.get();
             run.loop.stop();
@@ -147,7 +147,10 @@
 
     /** The open loop: when the next goes does not depend on any answer. */
     private void next(double before) {
-        double at = before - Math.log(1 - chance.once(Chance.Of.ARRIVAL, sent, 0)) / load.rate();
+        double at =
+                before
+                        - Math.log(1 - chance.once(SeededRandom.Purpose.ARRIVAL, sent, 0))
+                                / load.rate();
         if (at < start + load.seconds()) {
             loop.schedule(
                     Math.max(0, at - loop.now()),
@@ -161,9 +164,11 @@
     private void send(double at) {
         int number = sent++;
         double work =
-                load.work() * Chance.lognormal(chance.of(Chance.Of.WORK, number, 0), load.spread());
-        Ask ask =
-                new Ask(
+                load.work()
+                        * SeededRandom.lognormal(
+                                chance.of(SeededRandom.Purpose.WORK, number, 0), load.spread());
+        ClientRequest ask =
+                new ClientRequest(
                         number,
                         at - start,
                         offering,
@@ -171,7 +176,7 @@
                         work,
                         work,
                         Double.POSITIVE_INFINITY);
-        Submitted submitted = new Submitted(ask, 0, 0, at, load.timeout());
+        ClientAttempt submitted = new ClientAttempt(ask, 0, 0, at, load.timeout());
         open.add(submitted.key());
         loop.schedule(
                 load.timeout(),
@@ -200,7 +205,7 @@
     }
 
     @Override
-    public void answered(Submitted submitted, Answer answer, double retryAfter) {
+    public void answered(ClientAttempt submitted, FinalResponse answer, double retryAfter) {
         if (open.remove(submitted.key())) {
             answers.merge(answer, 1L, Long::sum);
             // From when it was meant to go, not from when we came round to it.
@@ -213,7 +218,7 @@
     }
 
     @Override
-    public void refused(Submitted submitted) {
+    public void refused(ClientAttempt submitted) {
         if (open.remove(submitted.key())) {
             refused++;
             again(RECONNECT);
@@ -221,7 +226,7 @@
     }
 
     @Override
-    public void cutOff(Submitted submitted) {
+    public void cutOff(ClientAttempt submitted) {
         if (open.remove(submitted.key())) {
             cutOff++;
             again(RECONNECT);
@@ -234,7 +239,7 @@
         lines.add(
                 String.format(
                         Locale.ROOT, "%d sent in %.1f s, %.0f a second", sent, took, sent / took));
-        for (Answer answer : Answer.values()) {
+        for (FinalResponse answer : FinalResponse.values()) {
             lines.add(
                     answer.name().toLowerCase(Locale.ROOT)
                             + ": "
--- a/kit/src/main/java/wheelroute/kit/real/MachineWatch.java
+++ b/kit/src/main/java/wheelroute/kit/process/MachineMonitor.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -15,7 +15,7 @@
  * by it the machine's lateness is told from the program's. Where the kernel gives none, nothing is
  * measured.
  */
-final class MachineWatch implements AutoCloseable {
+final class MachineMonitor implements AutoCloseable {
     private static final int EVERY_MILLIS = 100;
     private static final double NANOS = 1e9;
     private static final long MOST_NANOS = 60_000_000_000L;
@@ -28,7 +28,7 @@
     private final Histogram waits = new Histogram(MOST_NANOS, 3);
     private volatile boolean over;
 
-    MachineWatch(Supplier<List<Process>> processes) {
+    MachineMonitor(Supplier<List<Process>> processes) {
         this.processes = processes;
         thread = new Thread(this::watch, "machine-watch");
         thread.setDaemon(true);
--- a/kit/src/main/java/wheelroute/kit/real/Ways.java
+++ b/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -7,40 +7,40 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntFunction;
-import wheelroute.kit.many.DatagramRelay;
-import wheelroute.kit.many.Links;
-import wheelroute.kit.many.Passage;
-import wheelroute.kit.many.Relay;
-import wheelroute.kit.many.Way;
+import wheelroute.kit.faults.ActiveLinkFaults;
+import wheelroute.kit.faults.DatagramRelay;
+import wheelroute.kit.faults.LinkState;
+import wheelroute.kit.faults.NetworkLink;
+import wheelroute.kit.faults.Relay;
+import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Chance;
 import wheelroute.net.EventLoop;
 
 /** The ways of a run. Where any can be harmed all of them lead through relays, else none does. */
-final class Ways {
+final class NetworkLinks {
     /** Hears of each change before it is made. */
-    interface Hearer {
-        void changes(Way way, Passage passage);
+    interface Listener {
+        void changes(NetworkLink way, LinkState passage);
     }
 
     private final EventLoop loop;
-    private final Chance chance;
-    private final Hearer hearer;
+    private final SeededRandom chance;
+    private final Listener hearer;
     private final boolean relayed;
     private final List<Scenario.WorkerGroup> groups;
     private final int dispatchers;
-    private final Map<Way, Relay> relays = new HashMap<>();
-    private final Map<Way, DatagramRelay> datagrams = new HashMap<>();
+    private final Map<NetworkLink, Relay> relays = new HashMap<>();
+    private final Map<NetworkLink, DatagramRelay> datagrams = new HashMap<>();
     private final Map<Integer, InetSocketAddress> clients = new HashMap<>();
-    private final Links links = new Links(this::changed);
+    private final ActiveLinkFaults links = new ActiveLinkFaults(this::changed);
     private long pieces;
 
-    Ways(
+    NetworkLinks(
             EventLoop loop,
             Scenario scenario,
-            Chance chance,
+            SeededRandom chance,
             List<Scenario.WorkerGroup> groups,
-            Hearer hearer) {
+            Listener hearer) {
         this.loop = loop;
         this.chance = chance;
         this.groups = groups;
@@ -48,7 +48,8 @@
         this.hearer = hearer;
         relayed =
                 scenario.faults().stream()
-                        .anyMatch(f -> f.kind().isAboutWays() && f.ends() != Scenario.Ends.PEERS);
+                        .anyMatch(
+                                f -> f.kind().isAboutWays() && f.ends() != Scenario.LinkKind.PEERS);
     }
 
     boolean areRelayed() {
@@ -56,27 +57,27 @@
     }
 
     private double draw() {
-        return chance.once(Chance.Of.LINK, pieces++, 0);
+        return chance.once(SeededRandom.Purpose.LINK, pieces++, 0);
     }
 
     /** Where this worker is reached by this dispatcher. */
-    InetSocketAddress toWorker(int dispatcher, int worker, StandInWorker far) throws IOException {
+    InetSocketAddress toWorker(int dispatcher, int worker, StubWorker far) throws IOException {
         if (!relayed) {
             return far.address();
         }
-        Way way = new Way(dispatcher, worker);
+        NetworkLink way = new NetworkLink(dispatcher, worker);
         Relay relay = new Relay(loop, far::address, true, this::draw);
         relay.onNearClosed(far::nearClosed);
         relays.put(way, relay);
         return relay.address();
     }
 
-    InetSocketAddress toList(int dispatcher, StandInList far) throws IOException {
+    InetSocketAddress toList(int dispatcher, StubDiscovery far) throws IOException {
         if (!relayed) {
             return far.address();
         }
         Relay relay = new Relay(loop, far::address, true, this::draw);
-        relays.put(Way.toList(dispatcher), relay);
+        relays.put(NetworkLink.toList(dispatcher), relay);
         return relay.address();
     }
 
@@ -86,7 +87,7 @@
         if (!relayed) {
             return own;
         }
-        Way way = Way.toClients(dispatcher);
+        NetworkLink way = NetworkLink.toClients(dispatcher);
         if (!relays.containsKey(way)) {
             relays.put(way, new Relay(loop, () -> clients.get(dispatcher), false, this::draw));
         }
@@ -99,8 +100,8 @@
         for (int i = 0; i < dispatchers; i++) {
             int peer = i;
             DatagramRelay relay = new DatagramRelay(loop, () -> far.apply(peer), this::draw);
-            datagrams.put(Way.toPeer(dispatcher, peer), relay);
-            DatagramRelay back = datagrams.get(Way.toPeer(peer, dispatcher));
+            datagrams.put(NetworkLink.toPeer(dispatcher, peer), relay);
+            DatagramRelay back = datagrams.get(NetworkLink.toPeer(peer, dispatcher));
             if (back != null) {
                 relay.pairedWith(back);
                 back.pairedWith(relay);
@@ -113,18 +114,19 @@
         return book;
     }
 
-    boolean isOpen(Way way) {
-        return links.passage(way).equals(Passage.OPEN);
+    boolean isOpen(NetworkLink way) {
+        return links.passage(way).equals(LinkState.OPEN);
     }
 
     void harm(Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
-        links.set(fault, begins, Way.of(fault, dispatcher, targets, dispatchers, groups));
+        links.set(fault, begins, NetworkLink.of(fault, dispatcher, targets, dispatchers, groups));
     }
 
-    private void changed(Way way, Passage passage) {
+    private void changed(NetworkLink way, LinkState passage) {
         hearer.changes(way, passage);
         if (way.isToPeer()) {
-            Way back = Way.toPeer(/* dispatcher= */ way.peer(), /* peer= */ way.dispatcher());
+            NetworkLink back =
+                    NetworkLink.toPeer(/* dispatcher= */ way.peer(), /* peer= */ way.dispatcher());
             if (datagrams.containsKey(way)) {
                 datagrams.get(way).set(passage, links.passage(back));
                 datagrams.get(back).set(links.passage(back), passage);
--- a/kit/src/main/java/wheelroute/kit/real/RealRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -20,20 +20,20 @@
 import org.HdrHistogram.Histogram;
 import wheelroute.config.ConfigException;
 import wheelroute.kit.audit.Auditor;
-import wheelroute.kit.audit.Ledger;
-import wheelroute.kit.many.Passage;
-import wheelroute.kit.many.Way;
+import wheelroute.kit.audit.MetricsAuditor;
+import wheelroute.kit.faults.LinkState;
+import wheelroute.kit.faults.NetworkLink;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.Clients;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.report.Recorder;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.scenario.DaemonSettings;
-import wheelroute.kit.scenario.Draw;
-import wheelroute.kit.scenario.Figures;
+import wheelroute.kit.scenario.FaultScheduleGenerator;
+import wheelroute.kit.scenario.FigureNames;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Chance;
-import wheelroute.kit.world.Clients;
-import wheelroute.kit.world.Submitted;
-import wheelroute.kit.world.WorkerModel;
-import wheelroute.kit.world.World;
 import wheelroute.net.Clock;
 import wheelroute.net.EventLoop;
 
@@ -41,7 +41,7 @@
  * One run on the real clock: stand-ins on one thread of this process, each daemon a process of its
  * own.
  */
-public final class RealRun {
+public final class ProcessRun {
     /**
      * What a loopback way, a timer and a busy core may add to a time before a rule counts as
      * broken.
@@ -73,29 +73,29 @@
     private final boolean peers;
     private final Path jar;
     private final Path older;
-    private final Chance chance;
+    private final SeededRandom chance;
     private final EventLoop loop = new EventLoop(new Clock(), CONNECT);
-    private final RealTime time = new RealTime(loop);
+    private final EventLoopTimeline time = new EventLoopTimeline(loop);
     private final ClientPool[] pools;
     private final boolean[] listens;
     private final CompletableFuture<Void> allUp = new CompletableFuture<>();
     private final List<String> peersWrong = new ArrayList<>();
-    private final ListCalls listCalls = new ListCalls();
+    private final DiscoveryCallCounter listCalls = new DiscoveryCallCounter();
     private final Histogram lags = new Histogram(MOST_MICROS, 3);
     private Auditor auditor;
-    private Ledger ledger;
+    private MetricsAuditor ledger;
     private Recorder recorder;
-    private World world;
+    private ClusterModel world;
     private Clients clients;
-    private Ways ways;
+    private NetworkLinks ways;
     private Fleet fleet;
-    private Crowd crowd;
-    private MachineWatch machine;
+    private IdleConnectionFlood crowd;
+    private MachineMonitor machine;
     private RelayCost.Cost relayCost = RelayCost.Cost.NONE;
     private volatile boolean over;
     private volatile String failure;
 
-    private RealRun(
+    private ProcessRun(
             Scenario scenario,
             long seed,
             double seconds,
@@ -106,7 +106,7 @@
         this.seconds = seconds;
         this.jar = jar;
         this.older = older;
-        chance = new Chance(seed);
+        chance = new SeededRandom(seed);
         // A variant may do without, to be compared with.
         peers = scenario.peers() && !variant.containsKey(NO_PEERS);
         Map<String, String> settings = new LinkedHashMap<>(variant);
@@ -133,7 +133,14 @@
             BooleanSupplier stop,
             Consumer<String> progress)
             throws RehearsalException, ConfigException {
-        RealRun run = new RealRun(Draw.drawn(written, seed), seed, seconds, variant, jar, older);
+        ProcessRun run =
+                new ProcessRun(
+                        FaultScheduleGenerator.drawn(written, seed),
+                        seed,
+                        seconds,
+                        variant,
+                        jar,
+                        older);
         // A fault in the settings is told before anything is started.
         DaemonSettings.settings(seed, run.pairs);
         boolean partial;
@@ -151,12 +158,12 @@
         }
     }
 
-    private interface Step<T> {
+    private interface ThrowingTask<T> {
         T run() throws Exception;
     }
 
     /** Runs it on the stand-ins' thread and waits for it. */
-    private <T> T onLoop(Step<T> step) throws Exception {
+    private <T> T onLoop(ThrowingTask<T> step) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.post(
                 () -> {
@@ -207,7 +214,7 @@
             }
             Thread.sleep(POLL_MILLIS);
         }
-        machine = new MachineWatch(this::processes);
+        machine = new MachineMonitor(this::processes);
         onLoop(
                 () -> {
                     loop.schedule(SETTLE, this::beginAsking);
@@ -217,16 +224,16 @@
 
     private void beginStandIns() throws IOException {
         auditor = new Auditor(scenario, time, SLACK);
-        ledger = new Ledger(time, scenario.clients().writes() > 0);
+        ledger = new MetricsAuditor(time, scenario.clients().writes() > 0);
         recorder = new Recorder(scenario, time, seconds, auditor, ledger);
-        world = new World(scenario, time, chance, seconds, recorder);
-        clients = new Clients(scenario, time, chance, seconds, new Doors(), recorder);
-        List<StandInWorker> workers = new ArrayList<>();
+        world = new ClusterModel(scenario, time, chance, seconds, recorder);
+        clients = new Clients(scenario, time, chance, seconds, new ClientTransport(), recorder);
+        List<StubWorker> workers = new ArrayList<>();
         for (WorkerModel model : world.workers) {
-            workers.add(new StandInWorker(loop, model, auditor, anyPort()));
+            workers.add(new StubWorker(loop, model, auditor, anyPort()));
         }
         ways =
-                new Ways(
+                new NetworkLinks(
                         loop,
                         scenario,
                         chance,
@@ -240,8 +247,8 @@
                 book[j] = ways.toWorker(i, j, workers.get(j));
             }
             // Each is told addresses of its own: no message has to be written anew on the way.
-            StandInList list =
-                    new StandInList(
+            StubDiscovery list =
+                    new StubDiscovery(
                             loop,
                             i,
                             world.registry,
@@ -250,7 +257,7 @@
                             n -> book[n],
                             anyPort(),
                             listCalls,
-                            () -> ways.isOpen(Way.toList(dispatcher)));
+                            () -> ways.isOpen(NetworkLink.toList(dispatcher)));
             discoveries[i] = ways.toList(i, list);
         }
         List<List<String>> books = new ArrayList<>();
@@ -267,8 +274,8 @@
                         older,
                         i -> discoveries[i],
                         books::get,
-                        new Processes());
-        crowd = new Crowd(loop, i -> listens[i] ? pools[i].address() : null);
+                        new FleetListener());
+        crowd = new IdleConnectionFlood(loop, i -> listens[i] ? pools[i].address() : null);
     }
 
     private static InetSocketAddress anyPort() {
@@ -276,18 +283,18 @@
     }
 
     /** What a change of a way excuses, told to the judges before it is made. */
-    private void wayChanges(Way way, Passage passage) {
+    private void wayChanges(NetworkLink way, LinkState passage) {
         if (way.isToPeer()) {
             return;
         }
-        boolean open = passage.equals(Passage.OPEN);
+        boolean open = passage.equals(LinkState.OPEN);
         ledger.unsure(way.dispatcher(), !open);
         if (way.isToWorker()) {
             if (!open) {
                 ledger.launchesLost(way.dispatcher());
             }
             auditor.wayLater(way.dispatcher(), way.worker(), passage.mostLater(MESSAGE_SIZE));
-        } else if (way.worker() == Way.CLIENTS) {
+        } else if (way.worker() == NetworkLink.CLIENTS) {
             auditor.clientsHarmed(way.dispatcher(), !open);
             if (passage.refuses()) {
                 pools[way.dispatcher()].severed();
@@ -297,9 +304,9 @@
 
     private void beginAsking() {
         listCalls.beginsNow();
-        world.begin(new Faults());
+        world.begin(new FaultInjector());
         recorder.begins(world, clients);
-        new DoorPoll(loop, fleet, ledger, scenario.dispatchers()).begin();
+        new AdminPoll(loop, fleet, ledger, scenario.dispatchers()).begin();
         tick(loop.now() + TICK);
         look();
     }
@@ -323,7 +330,7 @@
                 if (process.door() == 0 || fleet.isStill(i)) {
                     continue;
                 }
-                DoorCall.ask(
+                AdminCall.ask(
                         loop,
                         Fleet.address(process.door()),
                         "PEERS",
@@ -447,11 +454,11 @@
 
     private Report.Extra extra() {
         Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put(Figures.LIST_CALLS, (double) listCalls.most());
-        figures.put(Figures.UNTRUE, ledger.untruePart());
-        figures.put(Figures.DOORS_LATE, ledger.latePart());
-        figures.put(Figures.NOT_REPLACED, (double) fleet.notReplaced());
-        figures.put(Figures.PEERS_WRONG, (double) peersWrong.size());
+        figures.put(FigureNames.LIST_CALLS, (double) listCalls.most());
+        figures.put(FigureNames.UNTRUE, ledger.untruePart());
+        figures.put(FigureNames.DOORS_LATE, ledger.latePart());
+        figures.put(FigureNames.NOT_REPLACED, (double) fleet.notReplaced());
+        figures.put(FigureNames.PEERS_WRONG, (double) peersWrong.size());
         List<String> notes = new ArrayList<>();
         notes.add(
                 String.format(
@@ -510,13 +517,16 @@
     }
 
     /** What becomes of the daemons' processes. */
-    private final class Processes implements Fleet.Hearer {
+    private final class FleetListener implements Fleet.Listener {
         @Override
         public void up(int dispatcher, InetSocketAddress own) {
             try {
                 pools[dispatcher] =
                         new ClientPool(
-                                loop, ways.toClients(dispatcher, own), clients, new Manners());
+                                loop,
+                                ways.toClients(dispatcher, own),
+                                clients,
+                                new ScenarioBehavior());
             } catch (IOException e) {
                 failed("no relay for clients: " + e.getMessage());
                 return;
@@ -566,34 +576,37 @@
         }
     }
 
-    private final class Manners implements ClientPool.Manners {
+    private final class ScenarioBehavior implements ClientPool.ConnectionBehavior {
         @Override
-        public boolean isFresh(Submitted submitted) {
-            return chance.once(Chance.Of.CLIENT, submitted.ask().number(), 2L * submitted.attempt())
+        public boolean isFresh(ClientAttempt submitted) {
+            return chance.once(
+                            SeededRandom.Purpose.CLIENT,
+                            submitted.ask().number(),
+                            2L * submitted.attempt())
                     < scenario.clients().fresh();
         }
 
         @Override
-        public double pause(Submitted submitted) {
+        public double pause(ClientAttempt submitted) {
             double most = Math.min(scenario.clients().writes(), submitted.timeout() / 2);
             return most <= 0 || !isFresh(submitted)
                     ? 0
                     : most
                             * chance.once(
-                                    Chance.Of.CLIENT,
+                                    SeededRandom.Purpose.CLIENT,
                                     submitted.ask().number(),
                                     2L * submitted.attempt() + 1);
         }
     }
 
-    private final class Doors implements Clients.Door {
+    private final class ClientTransport implements Clients.Transport {
         @Override
-        public void submit(Submitted submitted) {
+        public void submit(ClientAttempt submitted) {
             pools[submitted.dispatcher()].submit(submitted);
         }
 
         @Override
-        public void hangUp(Submitted submitted) {
+        public void hangUp(ClientAttempt submitted) {
             pools[submitted.dispatcher()].hangUp(submitted);
         }
 
@@ -603,7 +616,7 @@
         }
     }
 
-    private final class Faults implements World.Dispatchers {
+    private final class FaultInjector implements ClusterModel.DispatcherControl {
         @Override
         public void pause(int dispatcher, boolean begins) {
             if (begins) {
--- a/kit/src/main/java/wheelroute/kit/real/Keeper.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessSupervisor.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -13,7 +13,7 @@
  * a shell of its own for each signal would cost more than the signal. When the pipe ends, for
  * whatever reason, all that is kept is killed, also what stands still just then.
  */
-public final class Keeper implements AutoCloseable {
+public final class ProcessSupervisor implements AutoCloseable {
     /**
      * It outlives a ^C that reaches the whole group: it must see our end, and clear up after it.
      */
@@ -44,7 +44,7 @@
     private final BufferedWriter words;
 
     /** Notes lie in this folder, which is nobody else's. */
-    public Keeper(Path folder) throws IOException {
+    public ProcessSupervisor(Path folder) throws IOException {
         this.folder = folder;
         shell =
                 new ProcessBuilder("sh", "-c", SCRIPT, folder.toString())
--- a/kit/src/main/java/wheelroute/kit/real/RehearsalException.java
+++ b/kit/src/main/java/wheelroute/kit/process/RehearsalException.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 /** A run that cannot begin or go on; the message says why. */
 public final class RehearsalException extends Exception {
--- a/kit/src/main/java/wheelroute/kit/real/RelayCost.java
+++ b/kit/src/main/java/wheelroute/kit/process/RelayCost.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -9,7 +9,7 @@
 import org.HdrHistogram.Histogram;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.kit.many.Relay;
+import wheelroute.kit.faults.Relay;
 import wheelroute.net.EventLoop;
 import wheelroute.net.StreamConnection;
 
@@ -42,7 +42,7 @@
                         new EventLoop.ChannelHandler() {
                             @Override
                             public Connection onOpened(EndPoint endPoint) {
-                                return new Echo(endPoint, loop);
+                                return new EchoServer(endPoint, loop);
                             }
 
                             @Override
@@ -58,12 +58,13 @@
         RelayCost cost = new RelayCost(loop, hearer);
         loop.connect(
                 Fleet.address(cost.server.socket().getLocalPort()),
-                new Asker(
+                new EchoClient(
                         loop,
                         direct ->
                                 loop.connect(
                                         cost.relay.address(),
-                                        new Asker(loop, relayed -> cost.end(direct, relayed)))));
+                                        new EchoClient(
+                                                loop, relayed -> cost.end(direct, relayed)))));
     }
 
     private void end(double direct, double relayed) {
@@ -78,12 +79,12 @@
         }
     }
 
-    private static final class Echo extends StreamConnection {
-        private final Outbox out;
+    private static final class EchoServer extends StreamConnection {
+        private final WriteQueue out;
 
-        Echo(EndPoint endPoint, EventLoop loop) {
+        EchoServer(EndPoint endPoint, EventLoop loop) {
             super(endPoint, loop);
-            out = new Outbox(endPoint, this::close);
+            out = new WriteQueue(endPoint, this::close);
         }
 
         @Override
@@ -105,7 +106,7 @@
     }
 
     /** One exchange after the other on one connection. */
-    private static final class Asker implements EventLoop.ChannelHandler {
+    private static final class EchoClient implements EventLoop.ChannelHandler {
         private final EventLoop loop;
         private final Consumer<Double> done;
         private final Histogram took = new Histogram(MOST_NANOS, 3);
@@ -113,14 +114,14 @@
         private int missing;
         private int asked;
 
-        Asker(EventLoop loop, Consumer<Double> done) {
+        EchoClient(EventLoop loop, Consumer<Double> done) {
             this.loop = loop;
             this.done = done;
         }
 
         @Override
         public Connection onOpened(EndPoint endPoint) {
-            Outbox out = new Outbox(endPoint, () -> done.accept(Double.NaN));
+            WriteQueue out = new WriteQueue(endPoint, () -> done.accept(Double.NaN));
             StreamConnection link =
                     new StreamConnection(endPoint, loop) {
                         @Override
@@ -155,7 +156,7 @@
             return link;
         }
 
-        private void ask(Outbox out) {
+        private void ask(WriteQueue out) {
             missing = SIZE;
             asked++;
             askedAt = System.nanoTime();
--- a/kit/src/main/java/wheelroute/kit/real/ServerLink.java
+++ b/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -14,17 +14,17 @@
  * A connection that a stand-in has accepted: it reads messages as the daemon itself would, and
  * strictly.
  */
-public abstract class ServerLink extends StreamConnection {
+public abstract class ServerConnection extends StreamConnection {
     /** Bodies held at once by all of one kind of stand-in. */
     private static final long ROOM = 64L << 20;
 
-    protected final Outbox out;
+    protected final WriteQueue out;
     private final ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(ROOM));
     private boolean ended;
 
-    protected ServerLink(EndPoint endPoint, EventLoop loop) {
+    protected ServerConnection(EndPoint endPoint, EventLoop loop) {
         super(endPoint, loop);
-        out = new Outbox(endPoint, () -> onFailure(null));
+        out = new WriteQueue(endPoint, () -> onFailure(null));
     }
 
     protected abstract void message(ClientRequest message);
--- a/kit/src/main/java/wheelroute/kit/real/StandInList.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -16,13 +16,13 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.kit.audit.Auditor;
+import wheelroute.kit.model.EndpointRegistry;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Registry;
 import wheelroute.net.EventLoop;
 import wheelroute.net.clients.ClientRequest;
 
 /** Discovery as one dispatcher sees it: the registry behind the protocol's list and its watches. */
-final class StandInList implements EventLoop.ChannelHandler {
+final class StubDiscovery implements EventLoop.ChannelHandler {
     private static final Pattern WATCH =
             Pattern.compile("/v1/servers\\?from=(\\d{1,18})&hold_ms=(\\d{1,6})");
     private static final double MILLIS = 1e3;
@@ -34,26 +34,26 @@
 
     private final EventLoop loop;
     private final int dispatcher;
-    private final Registry registry;
+    private final EndpointRegistry registry;
     private final Auditor auditor;
     private final Scenario scenario;
     private final IntFunction<InetSocketAddress> addresses;
-    private final Set<Line> lines = new HashSet<>();
+    private final Set<DispatcherConnection> lines = new HashSet<>();
     private final InetSocketAddress address;
-    private final ListCalls calls;
+    private final DiscoveryCallCounter calls;
 
     /** False while what is written here need not arrive. */
     private final BooleanSupplier heard;
 
-    StandInList(
+    StubDiscovery(
             EventLoop loop,
             int dispatcher,
-            Registry registry,
+            EndpointRegistry registry,
             Auditor auditor,
             Scenario scenario,
             IntFunction<InetSocketAddress> addresses,
             InetSocketAddress wanted,
-            ListCalls calls,
+            DiscoveryCallCounter calls,
             BooleanSupplier heard)
             throws IOException {
         this.calls = calls;
@@ -69,7 +69,7 @@
                 new InetSocketAddress(
                         InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
         registry.watch(this::changed);
-        registry.onOutage(() -> new ArrayList<>(lines).forEach(Line::outage));
+        registry.onOutage(() -> new ArrayList<>(lines).forEach(DispatcherConnection::outage));
     }
 
     InetSocketAddress address() {
@@ -78,7 +78,7 @@
 
     @Override
     public Connection onOpened(EndPoint endPoint) {
-        Line line = new Line(endPoint);
+        DispatcherConnection line = new DispatcherConnection(endPoint);
         lines.add(line);
         return line;
     }
@@ -88,8 +88,8 @@
         // The caller comes again.
     }
 
-    private void changed(Registry.Entry entry) {
-        new ArrayList<>(lines).forEach(Line::changed);
+    private void changed(EndpointRegistry.Entry entry) {
+        new ArrayList<>(lines).forEach(DispatcherConnection::changed);
         loop.schedule(
                 TOLD_AT_LAST,
                 () -> {
@@ -99,7 +99,7 @@
                 });
     }
 
-    private String json(List<Registry.Entry> entries, boolean whole) {
+    private String json(List<EndpointRegistry.Entry> entries, boolean whole) {
         StringBuilder json =
                 new StringBuilder(
                         "{\"version\":"
@@ -108,13 +108,13 @@
                                 + whole
                                 + ",\"servers\":[");
         String comma = "";
-        for (Registry.Entry entry : entries) {
+        for (EndpointRegistry.Entry entry : entries) {
             // What need not arrive counts as told only at last; that one is back can only be in its
             // favour.
-            if (heard.getAsBoolean() || entry.state() == Registry.State.READY) {
+            if (heard.getAsBoolean() || entry.state() == EndpointRegistry.State.READY) {
                 auditor.told(dispatcher, entry.worker().number, entry.state());
             }
-            if (whole && entry.state() == Registry.State.GONE) {
+            if (whole && entry.state() == EndpointRegistry.State.GONE) {
                 continue;
             }
             InetSocketAddress at = addresses.apply(entry.worker().number);
@@ -149,14 +149,14 @@
     }
 
     /** One call after the other; a watch is held. */
-    private final class Line extends ServerLink {
+    private final class DispatcherConnection extends ServerConnection {
         /** The version it waits to see passed; -1 when it waits for nothing. */
         private long heldFrom = -1;
 
         private EventLoop.Timer hold;
 
-        Line(EndPoint endPoint) {
-            super(endPoint, StandInList.this.loop);
+        DispatcherConnection(EndPoint endPoint) {
+            super(endPoint, StubDiscovery.this.loop);
         }
 
         @Override
@@ -192,7 +192,7 @@
             answer(registry.entries().stream().filter(e -> e.version() > from).toList(), false);
         }
 
-        private void answer(List<Registry.Entry> entries, boolean whole) {
+        private void answer(List<EndpointRegistry.Entry> entries, boolean whole) {
             heldFrom = -1;
             if (hold != null) {
                 hold.cancel();
--- a/kit/src/main/java/wheelroute/kit/real/StandInRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubRun.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -10,9 +10,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import wheelroute.kit.audit.Auditor;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Chance;
-import wheelroute.kit.world.World;
 import wheelroute.net.Clock;
 import wheelroute.net.EventLoop;
 
@@ -20,12 +20,12 @@
  * Workers and discovery of a scenario, with its faults, for a dispatcher that somebody else
  * started.
  */
-public final class StandInRun {
+public final class StubRun {
     private static final int POLL_MILLIS = 100;
     private static final double CONNECT = 1;
     private static final double NANOS = 1e9;
 
-    private StandInRun() {}
+    private StubRun() {}
 
     /** Until the time is over or it is told to stop. Ports of 0 are the system's choice. */
     public static void play(
@@ -78,22 +78,23 @@
             int discoveryPort,
             int firstWorker)
             throws IOException {
-        RealTime time = new RealTime(loop);
+        EventLoopTimeline time = new EventLoopTimeline(loop);
         // Somebody else's submissions are unknown to it: what it finds says nothing here, and is
         // not told.
         Auditor auditor = new Auditor(scenario, time, 0);
-        World world = new World(scenario, time, new Chance(seed), seconds, auditor);
-        List<StandInWorker> workers = new ArrayList<>();
+        ClusterModel world =
+                new ClusterModel(scenario, time, new SeededRandom(seed), seconds, auditor);
+        List<StubWorker> workers = new ArrayList<>();
         for (int i = 0; i < world.workers.size(); i++) {
             workers.add(
-                    new StandInWorker(
+                    new StubWorker(
                             loop,
                             world.workers.get(i),
                             auditor,
                             local(firstWorker == 0 ? 0 : firstWorker + i)));
         }
-        StandInList list =
-                new StandInList(
+        StubDiscovery list =
+                new StubDiscovery(
                         loop,
                         0,
                         world.registry,
@@ -101,10 +102,10 @@
                         scenario,
                         n -> workers.get(n).address(),
                         local(discoveryPort),
-                        new ListCalls(),
+                        new DiscoveryCallCounter(),
                         () -> true);
         world.begin(
-                new World.Dispatchers() {
+                new ClusterModel.DispatcherControl() {
                     @Override
                     public void kill(int dispatcher) {
                         // Not ours.
--- a/kit/src/main/java/wheelroute/kit/real/StandInWorker.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubWorker.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -13,30 +13,30 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wheelroute.kit.audit.Auditor;
-import wheelroute.kit.world.Ending;
-import wheelroute.kit.world.Launch;
-import wheelroute.kit.world.WorkerModel;
+import wheelroute.kit.model.AttemptEnding;
+import wheelroute.kit.model.WorkerAttempt;
+import wheelroute.kit.model.WorkerModel;
 import wheelroute.net.EventLoop;
 import wheelroute.net.clients.ClientRequest;
 
 /** A worker of the model behind a socket: the protocol's words for what the model does. */
-final class StandInWorker implements EventLoop.ChannelHandler, WorkerModel.Door {
+final class StubWorker implements EventLoop.ChannelHandler, WorkerModel.PortListener {
     /** Work of a job that does not say how much it is. */
     private static final double USUAL_WORK = 0.05;
 
     /** A port that was ours a moment ago is free again soon. */
     private static final double LISTEN_AGAIN = 0.05;
 
-    private static final Logger LOG = LoggerFactory.getLogger(StandInWorker.class);
+    private static final Logger LOG = LoggerFactory.getLogger(StubWorker.class);
 
     private final EventLoop loop;
     private final WorkerModel model;
     private final Auditor auditor;
-    private final Set<Line> lines = new HashSet<>();
+    private final Set<DispatcherConnection> lines = new HashSet<>();
     private InetSocketAddress address;
     private ServerSocketChannel server;
 
-    StandInWorker(EventLoop loop, WorkerModel model, Auditor auditor, InetSocketAddress wanted)
+    StubWorker(EventLoop loop, WorkerModel model, Auditor auditor, InetSocketAddress wanted)
             throws IOException {
         this.loop = loop;
         this.model = model;
@@ -54,7 +54,7 @@
 
     @Override
     public Connection onOpened(EndPoint endPoint) {
-        Line line = new Line(endPoint);
+        DispatcherConnection line = new DispatcherConnection(endPoint);
         lines.add(line);
         return line;
     }
@@ -109,7 +109,7 @@
      * more.
      */
     void nearClosed(int port) {
-        for (Line line : lines) {
+        for (DispatcherConnection line : lines) {
             if (line.launch != null
                     && line.getEndPoint().getRemoteSocketAddress() instanceof InetSocketAddress from
                     && from.getPort() == port) {
@@ -119,13 +119,14 @@
     }
 
     /** One connection: a launch at a time. */
-    private final class Line extends ServerLink implements Launch.Reply {
-        private Launch launch;
+    private final class DispatcherConnection extends ServerConnection
+            implements WorkerAttempt.Reply {
+        private WorkerAttempt launch;
         private String id;
         private boolean headSent;
 
-        Line(EndPoint endPoint) {
-            super(endPoint, StandInWorker.this.loop);
+        DispatcherConnection(EndPoint endPoint) {
+            super(endPoint, StubWorker.this.loop);
         }
 
         @Override
@@ -138,10 +139,12 @@
                 out.close();
                 return;
             }
-            Jobs.Job job = Jobs.read(message, USUAL_WORK);
+            JobCodec.Job job = JobCodec.read(message, USUAL_WORK);
             id = message.id();
             headSent = false;
-            launch = new Launch(job.submission(), job.work(), job.slots(), job.memory(), this);
+            launch =
+                    new WorkerAttempt(
+                            job.submission(), job.work(), job.slots(), job.memory(), this);
             model.arrive(launch);
         }
 
@@ -169,7 +172,7 @@
         }
 
         @Override
-        public void ended(Ending ending, double freeSlots) {
+        public void ended(AttemptEnding ending, double freeSlots) {
             launch = null;
             boolean reports = !Double.isNaN(freeSlots);
             String load = reports ? ",\"load\":{\"x0\":" + freeSlots + "}" : "";
--- a/kit/src/main/java/wheelroute/kit/real/Outbox.java
+++ b/kit/src/main/java/wheelroute/kit/process/WriteQueue.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -7,14 +7,14 @@
 import org.eclipse.jetty.util.Callback;
 
 /** What goes out on one connection, in order, one write at a time. */
-public final class Outbox {
+public final class WriteQueue {
     private final EndPoint endPoint;
     private final Runnable broken;
     private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
     private boolean writing;
     private boolean closesAfter;
 
-    public Outbox(EndPoint endPoint, Runnable broken) {
+    public WriteQueue(EndPoint endPoint, Runnable broken) {
         this.endPoint = endPoint;
         this.broken = broken;
     }
--- a/kit/src/main/java/wheelroute/kit/report/Recorder.java
+++ b/kit/src/main/java/wheelroute/kit/report/Recorder.java
@@ -1,35 +1,39 @@
 package wheelroute.kit.report;
 
 import wheelroute.kit.audit.Auditor;
-import wheelroute.kit.audit.Ledger;
+import wheelroute.kit.audit.MetricsAuditor;
+import wheelroute.kit.model.AttemptEnding;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.ClientRequest;
+import wheelroute.kit.model.Clients;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.EventListener;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.model.Timeline;
+import wheelroute.kit.model.WorkerAttempt;
+import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Answer;
-import wheelroute.kit.world.Ask;
-import wheelroute.kit.world.Clients;
-import wheelroute.kit.world.Ending;
-import wheelroute.kit.world.Launch;
-import wheelroute.kit.world.Submitted;
-import wheelroute.kit.world.Timeline;
-import wheelroute.kit.world.Witness;
-import wheelroute.kit.world.WorkerModel;
-import wheelroute.kit.world.World;
 
 /** Hears clients and workers, for the tally and the auditor; the same under both clocks. */
-public final class Recorder implements Clients.Observer, Witness {
+public final class Recorder implements Clients.Observer, EventListener {
     private final Tally tally;
     private final Auditor auditor;
-    private final Ledger ledger;
+    private final MetricsAuditor ledger;
     private final Timeline timeline;
     private long submissions;
     private long launches;
 
     /** Without operators' doors. */
     public Recorder(Scenario scenario, Timeline timeline, double seconds, Auditor auditor) {
-        this(scenario, timeline, seconds, auditor, new Ledger(timeline, false));
+        this(scenario, timeline, seconds, auditor, new MetricsAuditor(timeline, false));
     }
 
     public Recorder(
-            Scenario scenario, Timeline timeline, double seconds, Auditor auditor, Ledger ledger) {
+            Scenario scenario,
+            Timeline timeline,
+            double seconds,
+            Auditor auditor,
+            MetricsAuditor ledger) {
         this.timeline = timeline;
         this.auditor = auditor;
         this.ledger = ledger;
@@ -45,7 +49,7 @@
     }
 
     /** The first ask goes now. */
-    public void begins(World world, Clients clients) {
+    public void begins(ClusterModel world, Clients clients) {
         tally.beginsAt(timeline.now());
         auditor.beginsNow();
         clients.begin();
@@ -53,7 +57,7 @@
     }
 
     /** Looks at the queues now and then, until the asks have ended. */
-    private void sampleQueues(World world, Clients clients) {
+    private void sampleQueues(ClusterModel world, Clients clients) {
         tally.sample(world);
         timeline.after(
                 tally.step(),
@@ -65,64 +69,65 @@
     }
 
     @Override
-    public void asked(Ask ask) {
+    public void asked(ClientRequest ask) {
         tally.asked(ask);
     }
 
     @Override
-    public void finished(Ask ask, Clients.Result result, double latency) {
+    public void finished(ClientRequest ask, Clients.Result result, double latency) {
         tally.finished(ask, result, latency);
     }
 
     @Override
-    public void sent(Submitted submitted) {
+    public void sent(ClientAttempt submitted) {
         submissions++;
         auditor.sent(submitted);
         ledger.sent(submitted.dispatcher());
     }
 
     @Override
-    public void answered(Submitted submitted, Answer answer) {
+    public void answered(ClientAttempt submitted, FinalResponse answer) {
         auditor.answered(submitted, answer);
         ledger.answered(submitted.dispatcher(), submitted.ask().offering().name(), answer);
     }
 
     @Override
-    public void gaveUp(Submitted submitted, boolean ownWish) {
+    public void gaveUp(ClientAttempt submitted, boolean ownWish) {
         auditor.gaveUp(submitted, ownWish);
         ledger.unheard(submitted.dispatcher());
     }
 
     @Override
-    public void cutOff(Submitted submitted) {
+    public void cutOff(ClientAttempt submitted) {
         auditor.cutOff(submitted);
         ledger.unheard(submitted.dispatcher());
     }
 
     @Override
-    public void refused(Submitted submitted) {
+    public void refused(ClientAttempt submitted) {
         auditor.refused(submitted);
         ledger.unheard(submitted.dispatcher());
     }
 
     @Override
-    public void arrived(Launch launch, WorkerModel worker) {
+    public void arrived(WorkerAttempt launch, WorkerModel worker) {
         launches++;
         tally.launched(timeline.now());
         auditor.arrived(launch, worker);
-        Submitted submitted = auditor.submitted(launch.submission);
+        ClientAttempt submitted = auditor.submitted(launch.submission);
         if (submitted != null) {
             ledger.launched(submitted.dispatcher());
         }
     }
 
     @Override
-    public void began(Launch launch, WorkerModel worker) {
+    public void began(WorkerAttempt launch, WorkerModel worker) {
         auditor.began(launch, worker);
     }
 
     @Override
-    public void ended(Launch launch, WorkerModel worker, Ending ending, boolean told) {
+    public void ended(
+            WorkerAttempt launch, WorkerModel worker, AttemptEnding ending, boolean told) {
         auditor.ended(launch, worker, ending, told);
     }
 
--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.audit.Rule;
-import wheelroute.kit.scenario.Figures;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.scenario.FigureNames;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.World;
 
 /** One run's result. Nothing in it depends on the machine, where the clock is virtual. */
 public record Report(
@@ -113,27 +113,28 @@
             Run run,
             Recorder recorder,
             Auditor auditor,
-            World world,
+            ClusterModel world,
             Lag lag,
             Extra extra,
             boolean partial) {
         Tally tally = recorder.tally();
         Row total = tally.total();
         Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put(Figures.SERVICE, total.service());
+        figures.put(FigureNames.SERVICE, total.service());
         double counted = Math.max(1, total.asked() - total.left());
-        figures.put(Figures.IN_TIME, total.inTime() / counted);
-        figures.put(Figures.BOUNCED, total.bounced() / counted);
-        figures.put(Figures.SCRAPPED, total.scrapped() / counted);
-        figures.put(Figures.UNANSWERED, total.unanswered() / counted);
-        figures.put(Figures.BREACHES, (double) auditor.total());
-        figures.put(Figures.LAUNCHES, recorder.launchesPerSubmission());
-        figures.put(Figures.P50, total.p50());
-        figures.put(Figures.P99, total.p99());
-        figures.put(Figures.P999, total.p999());
+        figures.put(FigureNames.IN_TIME, total.inTime() / counted);
+        figures.put(FigureNames.BOUNCED, total.bounced() / counted);
+        figures.put(FigureNames.SCRAPPED, total.scrapped() / counted);
+        figures.put(FigureNames.UNANSWERED, total.unanswered() / counted);
+        figures.put(FigureNames.BREACHES, (double) auditor.total());
+        figures.put(FigureNames.LAUNCHES, recorder.launchesPerSubmission());
+        figures.put(FigureNames.P50, total.p50());
+        figures.put(FigureNames.P99, total.p99());
+        figures.put(FigureNames.P999, total.p999());
         tally.offeringRows()
-                .forEach(row -> figures.put(Figures.OFFERING + row.name(), row.service()));
-        tally.tenantRows().forEach(row -> figures.put(Figures.TENANT + row.name(), row.service()));
+                .forEach(row -> figures.put(FigureNames.OFFERING + row.name(), row.service()));
+        tally.tenantRows()
+                .forEach(row -> figures.put(FigureNames.TENANT + row.name(), row.service()));
         figures.putAll(extra.figures());
         List<Verdict> verdicts = new ArrayList<>();
         for (Scenario.Expectation e : world.scenario.expectations()) {
--- a/kit/src/main/java/wheelroute/kit/report/Tally.java
+++ b/kit/src/main/java/wheelroute/kit/report/Tally.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
+import wheelroute.kit.model.ClientRequest;
+import wheelroute.kit.model.Clients;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Ask;
-import wheelroute.kit.world.Clients;
-import wheelroute.kit.world.WorkerModel;
-import wheelroute.kit.world.World;
 
 /** Counts as a run goes on: by offering, by tenant, over time. */
 public final class Tally {
@@ -23,7 +23,7 @@
     private static final int MOST_POINTS = 600;
 
     /** One line of a report while it grows. */
-    private static final class Line {
+    private static final class OutcomeCounter {
         final long[] results = new long[Clients.Result.values().length];
         final Histogram latencies = new Histogram(MOST_MICROS, DIGITS);
         long asked;
@@ -60,9 +60,9 @@
     private final Scenario scenario;
     private double start;
     private final double step;
-    private final Line all = new Line();
-    private final Map<String, Line> offerings = new LinkedHashMap<>();
-    private final Map<String, Line> tenants = new LinkedHashMap<>();
+    private final OutcomeCounter all = new OutcomeCounter();
+    private final Map<String, OutcomeCounter> offerings = new LinkedHashMap<>();
+    private final Map<String, OutcomeCounter> tenants = new LinkedHashMap<>();
     private final double[] asked;
     private final double[] valueAsked;
     private final double[] valueEarned;
@@ -77,8 +77,9 @@
         valueAsked = new double[points];
         valueEarned = new double[points];
         launches = new double[points];
-        scenario.offerings().forEach(offering -> offerings.put(offering.name(), new Line()));
-        scenario.tenants().forEach(tenant -> tenants.put(tenant.name(), new Line()));
+        scenario.offerings()
+                .forEach(offering -> offerings.put(offering.name(), new OutcomeCounter()));
+        scenario.tenants().forEach(tenant -> tenants.put(tenant.name(), new OutcomeCounter()));
     }
 
     void beginsAt(double time) {
@@ -90,7 +91,7 @@
         return step;
     }
 
-    public void asked(Ask ask) {
+    public void asked(ClientRequest ask) {
         all.asked++;
         offerings.get(ask.offering().name()).asked++;
         if (tenants.containsKey(ask.tenant().name())) {
@@ -103,7 +104,7 @@
         return (int) Math.max(0, Math.min(asked.length - 1, at / step));
     }
 
-    public void finished(Ask ask, Clients.Result result, double latency) {
+    public void finished(ClientRequest ask, Clients.Result result, double latency) {
         finished(all, ask, result, latency);
         finished(offerings.get(ask.offering().name()), ask, result, latency);
         if (tenants.containsKey(ask.tenant().name())) {
@@ -115,7 +116,8 @@
         }
     }
 
-    private static void finished(Line line, Ask ask, Clients.Result result, double latency) {
+    private static void finished(
+            OutcomeCounter line, ClientRequest ask, Clients.Result result, double latency) {
         line.results[result.ordinal()]++;
         if (result == Clients.Result.LEFT) {
             return;
@@ -127,7 +129,7 @@
         }
     }
 
-    private static double earned(Ask ask, Clients.Result result) {
+    private static double earned(ClientRequest ask, Clients.Result result) {
         return switch (result) {
             case IN_TIME -> ask.offering().value();
             case LATE -> ask.offering().value() * ask.offering().lateValue();
@@ -140,7 +142,7 @@
     }
 
     /** How many jobs each worker holds now. */
-    public void sample(World world) {
+    public void sample(ClusterModel world) {
         if (queues.size() < asked.length) {
             double[] sample = new double[world.workers.size()];
             for (WorkerModel worker : world.workers) {
@@ -166,7 +168,7 @@
         return tenants.entrySet().stream().map(e -> e.getValue().row(e.getKey())).toList();
     }
 
-    Report.Series series(World world) {
+    Report.Series series(ClusterModel world) {
         int points = asked.length;
         double[] times = new double[points];
         double[] service = new double[points];
--- a/kit/src/main/java/wheelroute/kit/scale/Reckoning.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityModel.java
@@ -11,7 +11,7 @@
  * carries it. A figure fits where it is within its bound by two standard errors, and is over where
  * it is past it by as much.
  */
-public final class Reckoning {
+public final class CapacityModel {
     /** Standard errors: of nineteen figures in twenty the true one is no further away. */
     private static final double SURE = 2;
 
@@ -32,22 +32,22 @@
     /** At rest the list changed so often a second. */
     private static final double MEASURED_CHANGES = 1;
 
-    private final Slopes slopes;
-    private final Size size;
+    private final ScaleResults slopes;
+    private final DeploymentSize size;
 
-    public Reckoning(Slopes slopes, Size size) {
+    public CapacityModel(ScaleResults slopes, DeploymentSize size) {
         this.slopes = slopes;
         this.size = size;
     }
 
     /** A figure and its standard error. */
-    record Value(double value, double error) {
-        Value plus(Value other) {
-            return new Value(value + other.value, Math.hypot(error, other.error));
+    record Estimate(double value, double error) {
+        Estimate plus(Estimate other) {
+            return new Estimate(value + other.value, Math.hypot(error, other.error));
         }
 
-        Value times(double factor) {
-            return new Value(value * factor, error * factor);
+        Estimate times(double factor) {
+            return new Estimate(value * factor, error * factor);
         }
 
         String within(double bound) {
@@ -84,15 +84,15 @@
         List<String> over = new ArrayList<>();
         for (double dispatchers : size.dispatchers()) {
             String at = " with " + digits(dispatchers) + " dispatchers";
-            Value cpu = cpuAtPeak(dispatchers);
+            Estimate cpu = cpuAtPeak(dispatchers);
             if (!cpu.within(size.coreShare()).equals("fits")) {
                 over.add("processor time at the peak" + at + ": " + cpu.within(size.coreShare()));
             }
-            Value memory = memory(dispatchers);
+            Estimate memory = memory(dispatchers);
             if (!memory.within(size.memoryMb()).equals("fits")) {
                 over.add("memory" + at + ": " + memory.within(size.memoryMb()));
             }
-            Value bytes = controlBytes();
+            Estimate bytes = controlBytes();
             if (!bytes.within(size.controlBytes()).equals("fits")) {
                 over.add("control's bytes" + at + ": " + bytes.within(size.controlBytes()));
             }
@@ -102,47 +102,47 @@
 
     // ---- the figures
 
-    private static Value at(Fit fit, double x) {
-        return new Value(fit.at(x), fit.errorAt(x));
+    private static Estimate at(LinearFit fit, double x) {
+        return new Estimate(fit.at(x), fit.errorAt(x));
     }
 
     /** What is more costs no less: a slope under 0 is what the errors make of none. */
-    private static Value slope(Fit fit) {
-        return new Value(Math.max(0, fit.slope()), fit.slopeError());
+    private static Estimate slope(LinearFit fit) {
+        return new Estimate(Math.max(0, fit.slope()), fit.slopeError());
     }
 
-    private Value rest() {
-        Value changes =
+    private Estimate rest() {
+        Estimate changes =
                 slope(slopes.fit(ScaleRun.CHANGES_CPU))
                         .times(size.changesPerSecond() - MEASURED_CHANGES);
         return at(slopes.fit(ScaleRun.REST_CPU), size.workers()).plus(changes);
     }
 
     /** One launch among so many workers, with the tenants' part. */
-    private Value launch(double workers) {
+    private Estimate launch(double workers) {
         return at(slopes.fit(ScaleRun.LAUNCH_CPU), workers)
                 .plus(slope(slopes.fit(ScaleRun.TENANTS_CPU)).times(size.teams()));
     }
 
-    private Value cpuAtPeak(double dispatchers) {
+    private Estimate cpuAtPeak(double dispatchers) {
         return rest().plus(launch(size.workers()).times(size.startsPerSecond() / dispatchers))
                 .plus(slope(slopes.fit(ScaleRun.HELD_CPU)).times(size.running() / dispatchers));
     }
 
-    private Value memory(double dispatchers) {
+    private Estimate memory(double dispatchers) {
         return at(slopes.fit(ScaleRun.MEMORY), size.workers())
                 .plus(slope(slopes.fit(ScaleRun.HELD_MEMORY)).times(size.running() / dispatchers));
     }
 
-    private Value controlBytes() {
+    private Estimate controlBytes() {
         return at(slopes.fit(ScaleRun.CHANGES_BYTES), size.changesPerSecond());
     }
 
-    private Value wholeList() {
+    private Estimate wholeList() {
         return at(slopes.fit(ScaleRun.WHOLE_BYTES), size.workers());
     }
 
-    private Value entryBytes() {
+    private Estimate entryBytes() {
         return slope(slopes.fit(ScaleRun.WHOLE_BYTES));
     }
 
@@ -150,7 +150,7 @@
 
     private String slopesTable() {
         Table table = new Table("line", "against", "measured to", "at 0", "slope", "r²");
-        for (Fit fit : slopes.fits().values()) {
+        for (LinearFit fit : slopes.fits().values()) {
             table.row(
                     "`" + fit.name() + "`, " + fit.y(),
                     fit.x(),
@@ -206,11 +206,11 @@
                         "machines for the memory",
                         "of " + digits(size.machines()));
         for (double n : size.dispatchers()) {
-            Value cores = cpuAtPeak(n).times(n);
-            Value memory = memory(n).times(n / MILLIS);
-            Value byCores = cores.times(1 / (size.machineCores() * size.coresInUse()));
-            Value byMemory = memory.times(MILLIS / size.machineMemoryMb());
-            Value most = byCores.value() > byMemory.value() ? byCores : byMemory;
+            Estimate cores = cpuAtPeak(n).times(n);
+            Estimate memory = memory(n).times(n / MILLIS);
+            Estimate byCores = cores.times(1 / (size.machineCores() * size.coresInUse()));
+            Estimate byMemory = memory.times(MILLIS / size.machineMemoryMb());
+            Estimate most = byCores.value() > byMemory.value() ? byCores : byMemory;
             table.row(
                     digits(n),
                     cores.text(),
@@ -234,8 +234,8 @@
         for (double n : size.dispatchers()) {
             int seenBy = n < MANY ? FEW_SEE : MANY_SEE;
             double part = Math.min(size.workers(), Math.ceil(seenBy * size.workers() / n));
-            Value each = launch(part);
-            Value cpu = each.times(size.startsPerSecond() / n);
+            Estimate each = launch(part);
+            Estimate cpu = each.times(size.startsPerSecond() / n);
             table.row(
                     digits(n),
                     digits(part),
@@ -243,8 +243,8 @@
                     each.times(MILLIS).text(),
                     cpu.text(),
                     cpu.within(size.coreShare()));
-            Value whole = launch(size.workers());
-            Value wholeCpu = whole.times(size.startsPerSecond() / n);
+            Estimate whole = launch(size.workers());
+            Estimate wholeCpu = whole.times(size.startsPerSecond() / n);
             table.row(
                     digits(n),
                     digits(size.workers()) + " (all)",
@@ -287,7 +287,7 @@
                         "worst, s",
                         "of " + digits(size.inForce()));
         for (double n : size.dispatchers()) {
-            Value worst = at(slopes.fit(ScaleRun.IN_FORCE_WORST), n);
+            Estimate worst = at(slopes.fit(ScaleRun.IN_FORCE_WORST), n);
             table.row(
                     digits(n),
                     at(slopes.fit(ScaleRun.IN_FORCE_P50), n).text(),
--- a/kit/src/main/java/wheelroute/kit/scale/Size.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DeploymentSize.java
@@ -21,7 +21,7 @@
  * @param rackWorkers workers behind one rack or switch
  * @param coresInUse the part of a machine's cores that is planned with
  */
-public record Size(
+public record DeploymentSize(
         String name,
         double workers,
         double startsPerSecond,
@@ -65,7 +65,7 @@
                     "rack_workers",
                     "cut_s");
 
-    public static Size read(Path file) throws IOException {
+    public static DeploymentSize read(Path file) throws IOException {
         TomlParseResult toml = Toml.parse(Files.readString(file));
         if (toml.hasErrors()) {
             throw new IOException(file + ": " + toml.errors().get(0).toString());
@@ -80,7 +80,7 @@
         if (name == null) {
             throw new IOException(file + ": 'name' is missing");
         }
-        return new Size(
+        return new DeploymentSize(
                 name,
                 number(toml, "workers", file),
                 number(toml, "starts_per_s", file),
