--- a/kit/src/main/java/wheelroute/kit/scale/ListService.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
@@ -18,7 +18,7 @@
 import org.HdrHistogram.Histogram;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.kit.real.ServerLink;
+import wheelroute.kit.process.ServerConnection;
 import wheelroute.net.EventLoop;
 import wheelroute.net.clients.ClientRequest;
 
@@ -27,7 +27,7 @@
  * when it is told so. A change is in force at a dispatcher when that asks for what comes after it:
  * the next call of a watch goes out once the decisions have the list. All on one loop.
  */
-final class ListService {
+final class DiscoveryService {
     private static final Pattern WATCH =
             Pattern.compile("/v1/servers\\?from=(\\d{1,18})&hold_ms=(\\d{1,6})");
     private static final double MILLIS = 1e3;
@@ -43,7 +43,7 @@
     }
 
     /** What one kind of caller has asked since the last look. */
-    static final class Account {
+    static final class CallStatistics {
         long calls;
         long bytes;
 
@@ -67,10 +67,10 @@
 
     private final List<Double> changedAt = new ArrayList<>();
     private final boolean[] draining;
-    private final Set<Line> lines = new HashSet<>();
+    private final Set<DispatcherConnection> lines = new HashSet<>();
     private final ServerSocketChannel[] servers = new ServerSocketChannel[Caller.values().length];
     private final InetSocketAddress[] at = new InetSocketAddress[Caller.values().length];
-    private final Account[] accounts = {new Account(), new Account()};
+    private final CallStatistics[] accounts = {new CallStatistics(), new CallStatistics()};
     private byte[] whole;
     private double freeAt;
     private int next;
@@ -80,7 +80,7 @@
      *
      * @param capacity answers a second
      */
-    ListService(
+    DiscoveryService(
             EventLoop loop, int workers, double capacity, IntFunction<InetSocketAddress> addresses)
             throws IOException {
         this.loop = loop;
@@ -105,7 +105,9 @@
                             new EventLoop.ChannelHandler() {
                                 @Override
                                 public Connection onOpened(EndPoint endPoint) {
-                                    Line line = new Line(endPoint, accounts[caller.ordinal()]);
+                                    DispatcherConnection line =
+                                            new DispatcherConnection(
+                                                    endPoint, accounts[caller.ordinal()]);
                                     lines.add(line);
                                     return line;
                                 }
@@ -126,7 +128,7 @@
         return at[caller.ordinal()];
     }
 
-    Account account(Caller caller) {
+    CallStatistics account(Caller caller) {
         return accounts[caller.ordinal()];
     }
 
@@ -144,7 +146,7 @@
         log.add(changed);
         changedAt.add(loop.now());
         whole = null;
-        new ArrayList<>(lines).forEach(Line::lookAgain);
+        new ArrayList<>(lines).forEach(DispatcherConnection::lookAgain);
     }
 
     /** Its process ends: all calls break, and new ones are refused until it is back. */
@@ -152,7 +154,7 @@
         for (ServerSocketChannel server : servers) {
             loop.unlisten(server);
         }
-        new ArrayList<>(lines).forEach(Line::cut);
+        new ArrayList<>(lines).forEach(DispatcherConnection::cut);
         loop.schedule(
                 away,
                 () -> {
@@ -234,8 +236,8 @@
     }
 
     /** One caller's connection: one call after the other. */
-    private final class Line extends ServerLink {
-        private final Account account;
+    private final class DispatcherConnection extends ServerConnection {
+        private final CallStatistics account;
 
         /** The newest version that it asked to be told after; -1 before its first call. */
         private long knows = -1;
@@ -244,8 +246,8 @@
         private EventLoop.Timer hold;
         private boolean ended;
 
-        Line(EndPoint endPoint, Account account) {
-            super(endPoint, ListService.this.loop);
+        DispatcherConnection(EndPoint endPoint, CallStatistics account) {
+            super(endPoint, DiscoveryService.this.loop);
             this.account = account;
         }
 
--- a/kit/src/main/java/wheelroute/kit/scale/Terms.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherConfigFile.java
@@ -9,7 +9,8 @@
  * @param dispatchers how many there are, itself among them
  * @param tenants with a quota that none of them reaches
  */
-record Terms(InetSocketAddress discovery, int dispatchers, int tenants, int memoryMb, int sockets) {
+record DispatcherConfigFile(
+        InetSocketAddress discovery, int dispatchers, int tenants, int memoryMb, int sockets) {
     static final String OFFERING = "job";
     private static final int QUOTA = 1_000_000;
 
--- a/kit/src/main/java/wheelroute/kit/scale/Hollow.java
+++ b/kit/src/main/java/wheelroute/kit/scale/EmbeddedDispatchers.java
@@ -11,21 +11,21 @@
 import java.util.concurrent.Future;
 import wheelroute.config.ConfigException;
 import wheelroute.config.ConfigReader;
-import wheelroute.kit.real.RehearsalException;
+import wheelroute.kit.process.RehearsalException;
 import wheelroute.net.Service;
 
 /**
  * Many dispatchers in this process: the daemon's own service each, with a loop and sockets of its
  * own.
  */
-final class Hollow implements AutoCloseable {
+final class EmbeddedDispatchers implements AutoCloseable {
     private static final int AT_ONCE = 16;
 
     private final Path folder;
     private final List<Service> services = new ArrayList<>();
     private final ExecutorService starts = Executors.newFixedThreadPool(AT_ONCE);
 
-    Hollow(Path folder) {
+    EmbeddedDispatchers(Path folder) {
         this.folder = folder;
     }
 
@@ -34,7 +34,7 @@
     }
 
     /** Returns once so many are up; each has a configuration, and so a seed, of its own. */
-    void growTo(int many, Terms terms) throws IOException, RehearsalException {
+    void growTo(int many, DispatcherConfigFile terms) throws IOException, RehearsalException {
         List<Future<Service>> starting = new ArrayList<>();
         for (int i = services.size(); i < many; i++) {
             Path file =
--- a/kit/src/main/java/wheelroute/kit/scale/Fit.java
+++ b/kit/src/main/java/wheelroute/kit/scale/LinearFit.java
@@ -12,7 +12,7 @@
  * @param slopeError the standard error of the slope; so with the intercept's
  * @param residual what the points stand off the line, as a standard deviation, in the unit of y
  */
-public record Fit(
+public record LinearFit(
         String name,
         String x,
         String y,
@@ -29,14 +29,14 @@
     /** One size and what it cost. */
     public record Point(double x, double y) {}
 
-    public static Fit of(String name, String x, String y, List<Point> points) {
+    public static LinearFit of(String name, String x, String y, List<Point> points) {
         if (points.size() < LEAST_POINTS) {
             throw new IllegalArgumentException(
                     name + " was measured at " + points.size() + " sizes, not " + LEAST_POINTS);
         }
         SimpleRegression line = new SimpleRegression();
         points.forEach(point -> line.addData(point.x(), point.y()));
-        return new Fit(
+        return new LinearFit(
                 name,
                 x,
                 y,
--- a/kit/src/main/java/wheelroute/kit/scale/RealDaemon.java
+++ b/kit/src/main/java/wheelroute/kit/scale/MeasuredDaemon.java
@@ -12,11 +12,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import wheelroute.kit.real.Keeper;
-import wheelroute.kit.real.RehearsalException;
+import wheelroute.kit.process.ProcessSupervisor;
+import wheelroute.kit.process.RehearsalException;
 
 /** A dispatcher started by the shipped command, and looked at from outside only. */
-final class RealDaemon implements AutoCloseable {
+final class MeasuredDaemon implements AutoCloseable {
     private static final Pattern LISTENS = Pattern.compile("listens on .*:(\\d+)\\R");
     private static final int UP_SECONDS = 60;
     private static final int END_SECONDS = 10;
@@ -33,13 +33,13 @@
     private final Map<String, Double> threads = new HashMap<>();
     private InetSocketAddress address;
 
-    private RealDaemon(Process process, Path log) {
+    private MeasuredDaemon(Process process, Path log) {
         this.process = process;
         this.log = log;
     }
 
     /** Returns at once; {@link #awaitReady} waits. */
-    static RealDaemon start(Path folder, String name, String config, Keeper keeper)
+    static MeasuredDaemon start(Path folder, String name, String config, ProcessSupervisor keeper)
             throws IOException, RehearsalException {
         Path file = Files.writeString(folder.resolve(name + ".json"), config);
         Path log = folder.resolve(name + ".log");
@@ -47,7 +47,7 @@
                 new ProcessBuilder("bash", "deploy/run.sh").directory(root().toFile());
         builder.environment().put("LB_CONFIG", file.toString());
         builder.environment().put("TMPDIR", folder.toString());
-        return new RealDaemon(
+        return new MeasuredDaemon(
                 keeper.start(builder.redirectErrorStream(true).redirectOutput(log.toFile())), log);
     }
 
@@ -115,12 +115,12 @@
 
     /** Seconds of processor time; of a thread that has ended, as much as was seen of it. */
     synchronized double cpu() throws IOException {
-        threads.putAll(ProcessAccount.threads(process.pid()));
+        threads.putAll(ProcessStats.threads(process.pid()));
         return threads.values().stream().mapToDouble(Double::doubleValue).sum();
     }
 
     double memory() throws IOException {
-        return ProcessAccount.memory(process.pid());
+        return ProcessStats.memory(process.pid());
     }
 
     boolean isAlive() {
--- a/kit/src/main/java/wheelroute/kit/scale/ProcessAccount.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ProcessStats.java
@@ -9,7 +9,7 @@
 import java.util.stream.Stream;
 
 /** What the kernel says of processes and of the machine; all from {@code /proc}, from outside. */
-final class ProcessAccount {
+final class ProcessStats {
     private static final Path PROC = Path.of("/proc");
     private static final double NANOS = 1e9;
     private static final double KILO = 1024;
@@ -31,7 +31,7 @@
     private static final int WAITING = 4;
     private static final int KINDS = 8;
 
-    private ProcessAccount() {}
+    private ProcessStats() {}
 
     /** Seconds of processor time that each of its threads has had, by their numbers. */
     static Map<String, Double> threads(long pid) throws IOException {
--- a/kit/src/main/java/wheelroute/kit/scale/Guard.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ResourceGuard.java
@@ -4,13 +4,13 @@
 import java.util.HashSet;
 import java.util.Locale;
 import java.util.Set;
-import wheelroute.kit.real.RehearsalException;
+import wheelroute.kit.process.RehearsalException;
 
 /**
  * Keeps a run within half of the machine's memory and 300 processes, and tells whether others were
  * busy there.
  */
-final class Guard {
+final class ResourceGuard {
     static final int MOST_PROCESSES = 300;
     private static final double MOST_MEMORY = 0.5;
 
@@ -19,13 +19,13 @@
 
     private static final double NANOS = 1e9;
 
-    private final Set<RealDaemon> daemons = new HashSet<>();
-    private final double mostMemory = MOST_MEMORY * ProcessAccount.machineMemory();
-    private final double machineBefore = ProcessAccount.machine();
-    private final double ownBefore = ProcessAccount.own();
+    private final Set<MeasuredDaemon> daemons = new HashSet<>();
+    private final double mostMemory = MOST_MEMORY * ProcessStats.machineMemory();
+    private final double machineBefore = ProcessStats.machine();
+    private final double ownBefore = ProcessStats.own();
     private final long begun = System.nanoTime();
 
-    Guard() throws IOException {}
+    ResourceGuard() throws IOException {}
 
     /** Before it is started: what it may take at most, in megabytes, beside all that runs. */
     synchronized void mayStart(double megabytes) throws IOException, RehearsalException {
@@ -43,11 +43,11 @@
         }
     }
 
-    synchronized void started(RealDaemon daemon) {
+    synchronized void started(MeasuredDaemon daemon) {
         daemons.add(daemon);
     }
 
-    synchronized void ended(RealDaemon daemon) {
+    synchronized void ended(MeasuredDaemon daemon) {
         daemons.remove(daemon);
     }
 
@@ -57,14 +57,14 @@
     }
 
     private double memory() throws IOException, RehearsalException {
-        double sum = ProcessAccount.memory(ProcessHandle.current().pid());
-        for (RealDaemon daemon : daemons) {
+        double sum = ProcessStats.memory(ProcessHandle.current().pid());
+        for (MeasuredDaemon daemon : daemons) {
             sum += memoryOf(daemon);
         }
         return sum;
     }
 
-    private static double memoryOf(RealDaemon daemon) throws RehearsalException {
+    private static double memoryOf(MeasuredDaemon daemon) throws RehearsalException {
         try {
             return daemon.memory();
         } catch (IOException e) {
@@ -76,8 +76,7 @@
     /** Once all processes have ended: why nothing may be concluded, or empty. */
     String whyNotJudged() throws IOException {
         double seconds = (System.nanoTime() - begun) / NANOS;
-        double others =
-                ProcessAccount.machine() - machineBefore - (ProcessAccount.own() - ownBefore);
+        double others = ProcessStats.machine() - machineBefore - (ProcessStats.own() - ownBefore);
         double cores = Runtime.getRuntime().availableProcessors();
         return others <= MOST_OTHERS * seconds * cores
                 ? ""
--- a/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
@@ -7,7 +7,7 @@
 public final class ScalePage {
     private ScalePage() {}
 
-    public static String text(Slopes slopes, List<String> verdict) {
+    public static String text(ScaleResults slopes, List<String> verdict) {
         StringBuilder body =
                 new StringBuilder("<h1>wheelroute scale run</h1>\n<pre>")
                         .append(
--- a/kit/src/main/java/wheelroute/kit/scale/Slopes.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleResults.java
@@ -22,13 +22,16 @@
  * @param fits by their names
  * @param figures what was measured once, by name
  */
-public record Slopes(
-        String notJudged, String machine, Map<String, Fit> fits, Map<String, Double> figures) {
+public record ScaleResults(
+        String notJudged,
+        String machine,
+        Map<String, LinearFit> fits,
+        Map<String, Double> figures) {
     private static final int VERSION = 1;
     private static final JsonFactory JSON = new JsonFactory();
 
-    public Fit fit(String name) {
-        Fit fit = fits.get(name);
+    public LinearFit fit(String name) {
+        LinearFit fit = fits.get(name);
         if (fit == null) {
             throw new IllegalArgumentException("the slopes have no '" + name + "'");
         }
@@ -53,13 +56,13 @@
             json.writeStringField("not_judged", notJudged);
             json.writeStringField("machine", machine);
             json.writeArrayFieldStart("fits");
-            for (Fit fit : fits.values()) {
+            for (LinearFit fit : fits.values()) {
                 json.writeStartObject();
                 json.writeStringField("name", fit.name());
                 json.writeStringField("x", fit.x());
                 json.writeStringField("y", fit.y());
                 json.writeArrayFieldStart("points");
-                for (Fit.Point point : fit.points()) {
+                for (LinearFit.Point point : fit.points()) {
                     json.writeArray(new double[] {point.x(), point.y()}, 0, 2);
                 }
                 json.writeEndArray();
@@ -84,10 +87,10 @@
     }
 
     /** The lines are drawn anew from the points: a slope that was changed by hand has no effect. */
-    public static Slopes read(String text) throws IOException {
+    public static ScaleResults read(String text) throws IOException {
         String notJudged = "";
         String machine = "";
-        Map<String, Fit> fits = new LinkedHashMap<>();
+        Map<String, LinearFit> fits = new LinkedHashMap<>();
         Map<String, Double> figures = new LinkedHashMap<>();
         try (JsonParser json = JSON.createParser(text)) {
             expect(json.nextToken() == JsonToken.START_OBJECT, "is no object");
@@ -100,7 +103,7 @@
                     case "machine" -> machine = json.getText();
                     case "fits" -> {
                         while (json.nextToken() != JsonToken.END_ARRAY) {
-                            Fit fit = fit(json);
+                            LinearFit fit = fit(json);
                             fits.put(fit.name(), fit);
                         }
                     }
@@ -117,14 +120,14 @@
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
-        return new Slopes(notJudged, machine, fits, figures);
+        return new ScaleResults(notJudged, machine, fits, figures);
     }
 
-    private static Fit fit(JsonParser json) throws IOException {
+    private static LinearFit fit(JsonParser json) throws IOException {
         String name = "";
         String x = "";
         String y = "";
-        List<Fit.Point> points = new ArrayList<>();
+        List<LinearFit.Point> points = new ArrayList<>();
         while (json.nextToken() != JsonToken.END_OBJECT) {
             String field = json.currentName();
             json.nextToken();
@@ -137,7 +140,7 @@
                         json.nextToken();
                         double at = json.getDoubleValue();
                         json.nextToken();
-                        points.add(new Fit.Point(at, json.getDoubleValue()));
+                        points.add(new LinearFit.Point(at, json.getDoubleValue()));
                         expect(
                                 json.nextToken() == JsonToken.END_ARRAY,
                                 "has a point that is no pair");
@@ -146,7 +149,7 @@
                 default -> json.skipChildren();
             }
         }
-        return Fit.of(name, x, y, points);
+        return LinearFit.of(name, x, y, points);
     }
 
     private static void expect(boolean holds, String fault) throws IOException {
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
@@ -24,9 +24,9 @@
 import java.util.stream.Stream;
 import org.HdrHistogram.Histogram;
 import wheelroute.decision.Idempotency;
-import wheelroute.kit.real.Keeper;
-import wheelroute.kit.real.LoadRun;
-import wheelroute.kit.real.RehearsalException;
+import wheelroute.kit.process.LoadRun;
+import wheelroute.kit.process.ProcessSupervisor;
+import wheelroute.kit.process.RehearsalException;
 import wheelroute.net.Clock;
 import wheelroute.net.EventLoop;
 
@@ -168,10 +168,10 @@
     private final BooleanSupplier stop;
     private final Consumer<String> tell;
     private final Path folder;
-    private final Keeper keeper;
-    private final Guard guard;
+    private final ProcessSupervisor keeper;
+    private final ResourceGuard guard;
     private final EventLoop loop = new EventLoop(new Clock(), CONNECT);
-    private final Map<String, List<Fit.Point>> points = new TreeMap<>();
+    private final Map<String, List<LinearFit.Point>> points = new TreeMap<>();
     private final Map<String, Double> figures = new LinkedHashMap<>();
     private int daemons;
 
@@ -180,18 +180,18 @@
         this.stop = stop;
         this.tell = tell;
         folder = Files.createTempDirectory("wheelroute-scale");
-        keeper = new Keeper(folder);
-        guard = new Guard();
+        keeper = new ProcessSupervisor(folder);
+        guard = new ResourceGuard();
     }
 
-    public static Slopes play(Sizes sizes, BooleanSupplier stop, Consumer<String> tell)
+    public static ScaleResults play(Sizes sizes, BooleanSupplier stop, Consumer<String> tell)
             throws RehearsalException {
         // Hundreds of dispatchers in this process would each say where they listen.
         QUIET.get(0).setLevel(Level.WARNING);
         // Sockets that are still being opened as a loop ends are no news.
         QUIET.get(1).setLevel(Level.SEVERE);
         try {
-            RealDaemon.root();
+            MeasuredDaemon.root();
             ScaleRun run = new ScaleRun(sizes, stop, tell);
             try {
                 return run.play();
@@ -203,7 +203,7 @@
         }
     }
 
-    private Slopes play() throws IOException, RehearsalException {
+    private ScaleResults play() throws IOException, RehearsalException {
         try {
             loop.start();
         } catch (Exception e) {
@@ -239,23 +239,23 @@
         String machine =
                 Runtime.getRuntime().availableProcessors()
                         + " cores, "
-                        + Math.round(ProcessAccount.machineMemory())
+                        + Math.round(ProcessStats.machineMemory())
                         + " MB, Java "
                         + System.getProperty("java.version");
-        Map<String, Fit> fits = new LinkedHashMap<>();
+        Map<String, LinearFit> fits = new LinkedHashMap<>();
         for (Measure measure : Measure.values()) {
-            List<Fit.Point> found = points.getOrDefault(measure.word, List.of());
+            List<LinearFit.Point> found = points.getOrDefault(measure.word, List.of());
             fits.put(
                     measure.word,
-                    Fit.of(
+                    LinearFit.of(
                             measure.word,
                             measure.x,
                             measure.y,
                             found.stream()
-                                    .sorted(Comparator.comparingDouble(Fit.Point::x))
+                                    .sorted(Comparator.comparingDouble(LinearFit.Point::x))
                                     .toList()));
         }
-        return new Slopes(guard.whyNotJudged(), machine, fits, new TreeMap<>(figures));
+        return new ScaleResults(guard.whyNotJudged(), machine, fits, new TreeMap<>(figures));
     }
 
     /** The lines, with what they are drawn against. */
@@ -292,11 +292,11 @@
         }
     }
 
-    private interface Point {
+    private interface PointMeasurement {
         Void measure(int size) throws Exception;
     }
 
-    private static List<Callable<Void>> descending(int[] sizes, Point point) {
+    private static List<Callable<Void>> descending(int[] sizes, PointMeasurement point) {
         List<Callable<Void>> all = new ArrayList<>();
         for (int i = sizes.length - 1; i >= 0; i--) {
             int size = sizes[i];
@@ -333,7 +333,7 @@
     }
 
     private synchronized void found(String line, double x, double y) {
-        points.computeIfAbsent(line, l -> new ArrayList<>()).add(new Fit.Point(x, y));
+        points.computeIfAbsent(line, l -> new ArrayList<>()).add(new LinearFit.Point(x, y));
     }
 
     private synchronized void figure(String name, double value) {
@@ -343,26 +343,26 @@
     // ---- one real daemon
 
     /** A list service and a daemon on it, up and with its list. */
-    private final class Bench implements AutoCloseable {
-        final HollowWorkers workers;
-        final ListService list;
-        final RealDaemon daemon;
+    private final class Benchmark implements AutoCloseable {
+        final StubWorkers workers;
+        final DiscoveryService list;
+        final MeasuredDaemon daemon;
         final double ready;
         final double listed;
         private EventLoop.Timer next;
 
-        Bench(int size, int tenants) throws IOException, RehearsalException {
-            workers = onLoop(() -> new HollowWorkers(loop));
-            list = onLoop(() -> new ListService(loop, size, AMPLE, workers::address));
+        Benchmark(int size, int tenants) throws IOException, RehearsalException {
+            workers = onLoop(() -> new StubWorkers(loop));
+            list = onLoop(() -> new DiscoveryService(loop, size, AMPLE, workers::address));
             guard.mayStart(MEMORY_MB);
             int number = nextDaemon();
             long begun = System.nanoTime();
             daemon =
-                    RealDaemon.start(
+                    MeasuredDaemon.start(
                             folder,
                             "r" + number,
-                            new Terms(
-                                            list.address(ListService.Caller.REAL),
+                            new DispatcherConfigFile(
+                                            list.address(DiscoveryService.Caller.REAL),
                                             1,
                                             tenants,
                                             MEMORY_MB,
@@ -384,7 +384,7 @@
                 if (System.nanoTime() > end || !daemon.isAlive()) {
                     throw new RehearsalException(fault);
                 }
-                RealDaemon.pause(LOOK_MILLIS);
+                MeasuredDaemon.pause(LOOK_MILLIS);
             }
         }
 
@@ -408,14 +408,14 @@
 
         /** Processor time and bytes of the list in so many seconds, while a load runs or none. */
         double[] spent(double seconds) throws IOException, RehearsalException {
-            long bytes = onLoop(() -> list.account(ListService.Caller.REAL).bytes);
+            long bytes = onLoop(() -> list.account(DiscoveryService.Caller.REAL).bytes);
             double before = daemon.cpu();
             long begun = System.nanoTime();
-            RealDaemon.pause((long) (seconds * MILLIS));
+            MeasuredDaemon.pause((long) (seconds * MILLIS));
             double took = (System.nanoTime() - begun) / (MICROS * MILLIS);
             double cpu = daemon.cpu() - before;
             guard.look();
-            long more = onLoop(() -> list.account(ListService.Caller.REAL).bytes) - bytes;
+            long more = onLoop(() -> list.account(DiscoveryService.Caller.REAL).bytes) - bytes;
             return new double[] {cpu / took, more / took};
         }
 
@@ -423,7 +423,7 @@
                 double rate, int connections, double work, double seconds, int tenants, int most) {
             return new LoadRun.Load(
                     daemon.address(),
-                    Terms.OFFERING,
+                    DispatcherConfigFile.OFFERING,
                     Idempotency.IDEMPOTENT,
                     rate,
                     connections,
@@ -480,7 +480,7 @@
     }
 
     private Void byWorkers(int size) throws Exception {
-        try (Bench bench = new Bench(size, 0)) {
+        try (Benchmark bench = new Benchmark(size, 0)) {
             found(READY, size, bench.ready);
             found(LISTED, size, bench.listed);
             found(WHOLE_BYTES, size, onLoop(() -> (double) bench.list.wholeBytes()));
@@ -508,7 +508,7 @@
     }
 
     private Void byChanges(double perSecond) throws Exception {
-        try (Bench bench = new Bench(USUAL_WORKERS, 0)) {
+        try (Benchmark bench = new Benchmark(USUAL_WORKERS, 0)) {
             bench.changes(perSecond);
             double[] spent = bench.spent(sizes.seconds);
             found(CHANGES_CPU, perSecond, spent[0]);
@@ -525,7 +525,7 @@
     }
 
     private Void byRate(int rate) throws Exception {
-        try (Bench bench = new Bench(USUAL_WORKERS, 0)) {
+        try (Benchmark bench = new Benchmark(USUAL_WORKERS, 0)) {
             bench.first(0);
             double each = bench.perLaunch(rate, sizes.seconds, 0);
             found(RATE_CPU, rate, each * rate);
@@ -540,7 +540,7 @@
     }
 
     private Void byTenants(int tenants) throws Exception {
-        try (Bench bench = new Bench(USUAL_WORKERS, tenants)) {
+        try (Benchmark bench = new Benchmark(USUAL_WORKERS, tenants)) {
             bench.first(tenants);
             double each = bench.perLaunch(TENANTS_RATE, sizes.seconds, tenants);
             found(TENANTS_CPU, tenants, each);
@@ -553,7 +553,7 @@
 
     /** So many launches stay out, one at a worker, while nothing else is asked. */
     private Void byHeld(int held) throws Exception {
-        try (Bench bench = new Bench(Math.max(USUAL_WORKERS, held + held / 2), 0)) {
+        try (Benchmark bench = new Benchmark(Math.max(USUAL_WORKERS, held + held / 2), 0)) {
             double before = bench.daemon.memory();
             AtomicBoolean over = new AtomicBoolean();
             ExecutorService clients = Executors.newSingleThreadExecutor();
@@ -571,7 +571,7 @@
                                                         0),
                                                 () -> over.get() || stop.getAsBoolean()));
                 // By chance a few more come, or less.
-                RealDaemon.pause((long) (held / HELD_RATE * MILLIS));
+                MeasuredDaemon.pause((long) (held / HELD_RATE * MILLIS));
                 bench.await(
                         () -> bench.workers.running() >= HELD_ENOUGH * held || asked.isDone(),
                         "fewer than " + held + " launches could be held");
@@ -598,10 +598,10 @@
 
     /** A zone's loss: so many changes in one answer. */
     private Void byBatch(int many) throws Exception {
-        try (Bench bench = new Bench(Math.max(sizes.batchWorkers, many), 0)) {
+        try (Benchmark bench = new Benchmark(Math.max(sizes.batchWorkers, many), 0)) {
             onLoop(
                     () -> {
-                        bench.list.account(ListService.Caller.REAL).clear();
+                        bench.list.account(DiscoveryService.Caller.REAL).clear();
                         return null;
                     });
             double before = bench.daemon.cpu();
@@ -618,7 +618,7 @@
                     onLoop(
                             () ->
                                     bench.list
-                                                    .account(ListService.Caller.REAL)
+                                                    .account(DiscoveryService.Caller.REAL)
                                                     .inForce
                                                     .getMaxValue()
                                             / MICROS));
@@ -630,12 +630,12 @@
     // ---- many dispatchers
 
     private Void byDispatchers() throws Exception {
-        Bench real = new Bench(USUAL_WORKERS, 0);
+        Benchmark real = new Benchmark(USUAL_WORKERS, 0);
         try (real;
-                Hollow hollow = new Hollow(folder)) {
-            ListService list = real.list;
-            ListService.Account of = list.account(ListService.Caller.HOLLOW);
-            ListService.Account ofReal = list.account(ListService.Caller.REAL);
+                EmbeddedDispatchers hollow = new EmbeddedDispatchers(folder)) {
+            DiscoveryService list = real.list;
+            DiscoveryService.CallStatistics of = list.account(DiscoveryService.Caller.HOLLOW);
+            DiscoveryService.CallStatistics ofReal = list.account(DiscoveryService.Caller.REAL);
             real.changes(USUAL_CHANGES);
             for (int many : sizes.dispatchers) {
                 if (stop.getAsBoolean()) {
@@ -643,8 +643,12 @@
                 }
                 hollow.growTo(
                         many,
-                        new Terms(
-                                list.address(ListService.Caller.HOLLOW), many, 0, MEMORY_MB, 128));
+                        new DispatcherConfigFile(
+                                list.address(DiscoveryService.Caller.HOLLOW),
+                                many,
+                                0,
+                                MEMORY_MB,
+                                128));
                 real.await(
                         () -> list.watching() == many + 1,
                         "hollow dispatchers never had their list");
@@ -655,7 +659,7 @@
                             return null;
                         });
                 double seconds = 2 * sizes.seconds;
-                RealDaemon.pause((long) (seconds * MILLIS));
+                MeasuredDaemon.pause((long) (seconds * MILLIS));
                 guard.look();
                 onLoop(
                         () -> {
@@ -682,23 +686,25 @@
      * The list service's own restart under all of them, with a capacity that they would overbook
      * together.
      */
-    private void restart(Bench real, int many) throws Exception {
-        ListService list = real.list;
+    private void restart(Benchmark real, int many) throws Exception {
+        DiscoveryService list = real.list;
         onLoop(
                 () -> {
                     list.capacity(RESTART_CAPACITY * many);
-                    list.account(ListService.Caller.HOLLOW).clear();
+                    list.account(DiscoveryService.Caller.HOLLOW).clear();
                     list.restart(RESTART_AWAY);
                     list.change(1);
                     return null;
                 });
-        RealDaemon.pause((long) (RESTART_AWAY * MILLIS));
+        MeasuredDaemon.pause((long) (RESTART_AWAY * MILLIS));
         long back = System.nanoTime();
         real.await(
                 () -> list.watching() >= many + 1 && list.behind() == 0,
                 "not all dispatchers came back after the list service's restart");
         figure(RESTART_WORST, (System.nanoTime() - back) / (MICROS * MILLIS));
-        figure(RESTART_CALLS, onLoop(() -> (double) list.account(ListService.Caller.HOLLOW).calls));
+        figure(
+                RESTART_CALLS,
+                onLoop(() -> (double) list.account(DiscoveryService.Caller.HOLLOW).calls));
         tell.accept("the list service restarted under " + many);
     }
 
--- a/kit/src/main/java/wheelroute/kit/scale/HollowWorkers.java
+++ b/kit/src/main/java/wheelroute/kit/scale/StubWorkers.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.kit.real.Jobs;
-import wheelroute.kit.real.ServerLink;
+import wheelroute.kit.process.JobCodec;
+import wheelroute.kit.process.ServerConnection;
 import wheelroute.net.EventLoop;
 import wheelroute.net.clients.ClientRequest;
 
@@ -17,7 +17,7 @@
  * Any number of workers behind a few addresses: each message is a job that runs for the work that
  * it names.
  */
-final class HollowWorkers implements EventLoop.ChannelHandler {
+final class StubWorkers implements EventLoop.ChannelHandler {
     /** More connections than one address has ports for would stand in each other's way. */
     private static final int ADDRESSES = 4;
 
@@ -29,7 +29,7 @@
     private int running;
 
     /** On the loop's thread. */
-    HollowWorkers(EventLoop loop) throws IOException {
+    StubWorkers(EventLoop loop) throws IOException {
         this.loop = loop;
         for (int i = 0; i < ADDRESSES; i++) {
             addresses.add(
@@ -55,7 +55,7 @@
 
     @Override
     public Connection onOpened(EndPoint endPoint) {
-        return new Line(endPoint);
+        return new DispatcherConnection(endPoint);
     }
 
     @Override
@@ -63,11 +63,11 @@
         // The dispatcher tries again, or tells its client.
     }
 
-    private final class Line extends ServerLink {
+    private final class DispatcherConnection extends ServerConnection {
         private EventLoop.Timer job;
 
-        Line(EndPoint endPoint) {
-            super(endPoint, HollowWorkers.this.loop);
+        DispatcherConnection(EndPoint endPoint) {
+            super(endPoint, StubWorkers.this.loop);
         }
 
         @Override
@@ -76,7 +76,7 @@
             running++;
             job =
                     loop.schedule(
-                            Jobs.read(message, USUAL_WORK).work(),
+                            JobCodec.read(message, USUAL_WORK).work(),
                             () -> {
                                 jobOver();
                                 out.send(
--- a/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
@@ -26,7 +26,7 @@
      * before.
      */
     public static Map<String, String> pairs(Scenario s, Map<String, String> variant) {
-        Scenario.Terms terms = s.terms();
+        Scenario.PlatformTerms terms = s.terms();
         WireSettingsWriter settings =
                 new WireSettingsWriter()
                         .text("az", s.groups().get(0).zone())
@@ -53,7 +53,7 @@
                 .seconds("rules.cold_us", cold.coldFor())
                 .number("rules.tip_multiple", cold.tipMultiple())
                 .seconds("rules.fall_us", cold.tipWindow());
-        for (Scenario.Offering o : s.offerings()) {
+        for (Scenario.RequestClass o : s.offerings()) {
             settings.requestClass(
                     new RequestClassSettings(
                             o.name(),
--- a/kit/src/main/java/wheelroute/kit/scenario/Draw.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultScheduleGenerator.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import wheelroute.kit.world.Chance;
+import wheelroute.kit.model.SeededRandom;
 
 /**
  * Schedules drawn from a seed: which faults, when, how long and whom they meet depends on the seed
  * alone, so that one that fails can be played again, and written down as a scenario.
  */
-public final class Draw {
+public final class FaultScheduleGenerator {
     /** Shorter than this nobody would notice. */
     static final double SHORTEST = 0.1;
 
@@ -36,10 +36,10 @@
             EnumSet.of(Scenario.Kind.DEPLOY, Scenario.Kind.LATE_REPORTS, Scenario.Kind.LINK_DOUBLE);
 
     /** Ways to peers are harmed by plan: few scenarios have any. */
-    private static final List<Scenario.Ends> ENDS =
-            List.of(Scenario.Ends.WORKERS, Scenario.Ends.LIST, Scenario.Ends.CLIENTS);
+    private static final List<Scenario.LinkKind> ENDS =
+            List.of(Scenario.LinkKind.WORKERS, Scenario.LinkKind.LIST, Scenario.LinkKind.CLIENTS);
 
-    private Draw() {}
+    private FaultScheduleGenerator() {}
 
     /** What may be drawn: whatever the clocks can play, less what only makes sense by plan. */
     static List<Scenario.Kind> kinds(boolean processes) {
@@ -56,9 +56,10 @@
         }
         List<Scenario.Fault> all = new ArrayList<>(scenario.faults());
         List<Scenario.Fault> drawn = new ArrayList<>();
-        Chance chance = new Chance(seed);
+        SeededRandom chance = new SeededRandom(seed);
         for (int i = 0; i < scenario.drawn().faults(); i++) {
-            drawn.add(one(scenario, chance.of(Chance.Of.SCHEDULE, i, 0), FIRST_PICK + i));
+            drawn.add(
+                    one(scenario, chance.of(SeededRandom.Purpose.SCHEDULE, i, 0), FIRST_PICK + i));
         }
         drawn.sort(Comparator.comparingDouble(Scenario.Fault::at));
         all.addAll(drawn);
@@ -66,7 +67,7 @@
     }
 
     private static Scenario.Fault one(Scenario scenario, SplittableRandom random, int pick) {
-        Scenario.Drawn bounds = scenario.drawn();
+        Scenario.RandomFaults bounds = scenario.drawn();
         Scenario.Kind kind = any(bounds.kinds(), random);
         double most = Math.min(bounds.longest(), scenario.cycle() - 2 * QUIET);
         double length = rounded(SHORTEST + (most - SHORTEST) * random.nextDouble());
@@ -86,10 +87,10 @@
                         ? any(scenario.groups(), random).name()
                         : "";
         double share = rounded(LEAST_SHARE + (MOST_SHARE - LEAST_SHARE) * random.nextDouble());
-        Scenario.Ends ends =
+        Scenario.LinkKind ends =
                 kind.isAboutWays() && kind != Scenario.Kind.LIST_CUT
                         ? any(ENDS, random)
-                        : Scenario.Ends.WORKERS;
+                        : Scenario.LinkKind.WORKERS;
         Scenario.How how =
                 any(
                         kind.hows().stream()
@@ -105,7 +106,7 @@
                 kind,
                 at,
                 length,
-                ends == Scenario.Ends.WORKERS ? group : "",
+                ends == Scenario.LinkKind.WORKERS ? group : "",
                 share,
                 level(kind, random),
                 pick,
--- a/kit/src/main/java/wheelroute/kit/scenario/Figures.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
@@ -1,7 +1,7 @@
 package wheelroute.kit.scenario;
 
 /** The names of a report's figures, as scenarios may expect them and matrices compare them. */
-public final class Figures {
+public final class FigureNames {
     /** Value earned over value asked, from 0 to 1. */
     public static final String SERVICE = "service";
 
@@ -58,7 +58,7 @@
                     OFFERING + "NAME",
                     TENANT + "NAME");
 
-    private Figures() {}
+    private FigureNames() {}
 
     static boolean isKnown(String name) {
         return switch (name) {
--- a/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
@@ -28,14 +28,14 @@
         boolean peers,
         Limits limits,
         List<WorkerGroup> groups,
-        List<Offering> offerings,
+        List<RequestClass> offerings,
         List<Tenant> tenants,
         List<LoadPoint> load,
         Clients clients,
         Network network,
-        Terms terms,
+        PlatformTerms terms,
         List<Fault> faults,
-        Drawn drawn,
+        RandomFaults drawn,
         List<Expectation> expectations,
         Map<String, String> overrides,
         Map<String, String> changed) {
@@ -77,7 +77,7 @@
      * @param hintError of the hint's logarithm; under 0 for no hint
      * @param outer how long a client waits for the answer
      */
-    public record Offering(
+    public record RequestClass(
             String name,
             Idempotency effect,
             IdempotencyScope group,
@@ -134,7 +134,7 @@
      * @param reportLag how old a load report is when it is sent; under 0 for no reports
      * @param grace after which nothing may go to a worker that was told draining or gone
      */
-    public record Terms(
+    public record PlatformTerms(
             boolean tellsStart,
             double progressEvery,
             boolean mayCancel,
@@ -279,7 +279,7 @@
     }
 
     /** Which of a dispatcher's ways a fault is about. */
-    public enum Ends {
+    public enum LinkKind {
         WORKERS,
         LIST,
         CLIENTS,
@@ -315,7 +315,7 @@
             double level,
             int pick,
             double within,
-            Ends to,
+            LinkKind to,
             String zone,
             String from,
             double spread,
@@ -328,8 +328,8 @@
         }
 
         /** The list's ways have a kind of their own, from before there were others. */
-        public Ends ends() {
-            return kind == Kind.LIST_CUT ? Ends.LIST : to;
+        public LinkKind ends() {
+            return kind == Kind.LIST_CUT ? LinkKind.LIST : to;
         }
 
         public double until() {
@@ -344,8 +344,8 @@
      * @param longest no fault is longer
      * @param kinds from which they are drawn
      */
-    public record Drawn(int faults, double longest, List<Kind> kinds) {
-        public static final Drawn NONE = new Drawn(0, 1, List.of());
+    public record RandomFaults(int faults, double longest, List<Kind> kinds) {
+        public static final RandomFaults NONE = new RandomFaults(0, 1, List.of());
     }
 
     /** What must hold: the figure of that name is at least, or at most, so much. */
@@ -376,7 +376,7 @@
                 network,
                 terms,
                 List.copyOf(others),
-                Drawn.NONE,
+                RandomFaults.NONE,
                 expectations,
                 overrides,
                 changed);
--- a/kit/src/main/java/wheelroute/kit/scenario/Library.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioLibrary.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /** The scenarios that are shipped. */
-public final class Library {
+public final class ScenarioLibrary {
     /** In the order in which they are listed: the first is the one played when none is named. */
     public static final List<String> NAMES =
             List.of(
@@ -37,7 +37,7 @@
 
     private static final String FOLDER = "/wheelroute/kit/scenarios/";
 
-    private Library() {}
+    private ScenarioLibrary() {}
 
     /** By its name, or from a file of the operator's: a path has a dot or a slash. */
     public static Scenario find(String nameOrFile) throws ScenarioException {
@@ -53,7 +53,7 @@
     }
 
     private static Scenario shipped(String name) throws ScenarioException {
-        try (InputStream in = Library.class.getResourceAsStream(FOLDER + name + ".toml")) {
+        try (InputStream in = ScenarioLibrary.class.getResourceAsStream(FOLDER + name + ".toml")) {
             return ScenarioReader.read(name, new String(in.readAllBytes(), StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new ScenarioException(name, List.of("cannot be read: " + e));
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -91,7 +91,7 @@
         }
         run.rejectUnknownKeys();
         Scenario.Limits limits = limits(root.table("limits"));
-        List<Scenario.Offering> offerings = new ArrayList<>();
+        List<Scenario.RequestClass> offerings = new ArrayList<>();
         root.tables("offerings").forEach(f -> offerings.add(offering(f)));
         List<Scenario.Tenant> tenants = new ArrayList<>();
         root.tables("tenants").forEach(f -> tenants.add(tenant(f)));
@@ -99,10 +99,10 @@
         root.tables("load").forEach(f -> load.add(point(f, cycle)));
         Scenario.Clients clients = clients(root.table("clients"));
         Scenario.Network network = network(root.table("network"));
-        Scenario.Terms terms = terms(root.table("terms"));
+        Scenario.PlatformTerms terms = terms(root.table("terms"));
         List<Scenario.Fault> events = new ArrayList<>();
         root.tables("faults").forEach(f -> events.add(fault(f, cycle, groups, zones, clocks)));
-        Scenario.Drawn drawn = drawn(root.table("drawn"), cycle, clocks);
+        Scenario.RandomFaults drawn = drawn(root.table("drawn"), cycle, clocks);
         List<Scenario.Expectation> expectations = expectations(root.table("expect"));
         Map<String, String> overrides = texts(root.table("daemon"));
         Map<String, String> changed = texts(root.table("changed"));
@@ -111,7 +111,7 @@
         needsSome(root, "offerings", offerings.isEmpty());
         needsSome(root, "load", load.isEmpty());
         unique(root, "workers", groups.stream().map(Scenario.WorkerGroup::name).toList());
-        unique(root, "offerings", offerings.stream().map(Scenario.Offering::name).toList());
+        unique(root, "offerings", offerings.stream().map(Scenario.RequestClass::name).toList());
         unique(root, "tenants", tenants.stream().map(Scenario.Tenant::name).toList());
         for (int i = 1; i < load.size(); i++) {
             if (load.get(i).at() < load.get(i - 1).at()) {
@@ -198,11 +198,11 @@
         return group;
     }
 
-    private static Scenario.Offering offering(TomlFields f) {
+    private static Scenario.RequestClass offering(TomlFields f) {
         String name = name(f);
         double quoted = f.number("quoted", REQUIRED, 0.001, MOST_TIME);
-        Scenario.Offering offering =
-                new Scenario.Offering(
+        Scenario.RequestClass offering =
+                new Scenario.RequestClass(
                         name,
                         f.enumConstant("effect", Idempotency.IDEMPOTENT, Idempotency.class),
                         f.enumConstant("group", IdempotencyScope.ALL, IdempotencyScope.class),
@@ -265,23 +265,23 @@
         return limits;
     }
 
-    private static Scenario.Drawn drawn(TomlFields f, double cycle, List<String> clocks) {
-        List<Scenario.Kind> open = Draw.kinds(!clocks.contains("virtual"));
+    private static Scenario.RandomFaults drawn(TomlFields f, double cycle, List<String> clocks) {
+        List<Scenario.Kind> open = FaultScheduleGenerator.kinds(!clocks.contains("virtual"));
         List<String> words = open.stream().map(TomlFields::configuredName).toList();
         List<String> kinds = f.textList("kinds", words, words);
-        Scenario.Drawn drawn =
-                new Scenario.Drawn(
+        Scenario.RandomFaults drawn =
+                new Scenario.RandomFaults(
                         f.integer("faults", 0, 0, 100),
                         f.number(
                                 "longest",
                                 Math.min(4, cycle / 2),
-                                Draw.SHORTEST,
-                                Math.max(Draw.SHORTEST, cycle / 2)),
+                                FaultScheduleGenerator.SHORTEST,
+                                Math.max(FaultScheduleGenerator.SHORTEST, cycle / 2)),
                         open.stream()
                                 .filter(kind -> kinds.contains(TomlFields.configuredName(kind)))
                                 .toList());
         f.rejectUnknownKeys();
-        return drawn.faults() == 0 ? Scenario.Drawn.NONE : drawn;
+        return drawn.faults() == 0 ? Scenario.RandomFaults.NONE : drawn;
     }
 
     private static Scenario.Network network(TomlFields f) {
@@ -292,9 +292,9 @@
         return network;
     }
 
-    private static Scenario.Terms terms(TomlFields f) {
-        Scenario.Terms terms =
-                new Scenario.Terms(
+    private static Scenario.PlatformTerms terms(TomlFields f) {
+        Scenario.PlatformTerms terms =
+                new Scenario.PlatformTerms(
                         f.flag("tells_start", true),
                         f.number("progress_every", 0, 0, 60),
                         f.flag("may_cancel", true),
@@ -334,7 +334,7 @@
                         f.number("level", level[0], level[1], level[2]),
                         f.integer("pick", 0, 0, 1000),
                         f.number("within", 0, 0, MOST_TIME),
-                        f.enumConstant("to", Scenario.Ends.WORKERS, Scenario.Ends.class),
+                        f.enumConstant("to", Scenario.LinkKind.WORKERS, Scenario.LinkKind.class),
                         f.text("zone", ""),
                         f.text("from", ""),
                         f.number("spread", 0, 0, 60),
@@ -349,7 +349,7 @@
         if (f.contains("to") && (!kind.isAboutWays() || kind == Scenario.Kind.LIST_CUT)) {
             f.addFault("to", "is for links only");
         }
-        if (kind == Scenario.Kind.LINK_DOUBLE && fault.to() != Scenario.Ends.PEERS) {
+        if (kind == Scenario.Kind.LINK_DOUBLE && fault.to() != Scenario.LinkKind.PEERS) {
             f.addFault("kind", "is for ways to peers only: to must be \"peers\"");
         }
         if (!fault.zone().isEmpty() && groups.stream().noneMatch(fault::concerns)) {
@@ -398,8 +398,8 @@
     private static List<Scenario.Expectation> expectations(TomlFields f) {
         List<Scenario.Expectation> all = new ArrayList<>();
         for (String figure : f.keys()) {
-            if (!Figures.isKnown(figure)) {
-                f.addFault(figure, "is no figure of a report; known: " + Figures.KNOWN);
+            if (!FigureNames.isKnown(figure)) {
+                f.addFault(figure, "is no figure of a report; known: " + FigureNames.KNOWN);
                 f.table(figure);
                 continue;
             }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -53,7 +53,7 @@
         table("network")
                 .number("delay", s.network().delay())
                 .number("jitter", s.network().jitter());
-        Scenario.Terms t = s.terms();
+        Scenario.PlatformTerms t = s.terms();
         table("terms")
                 .flag("tells_start", t.tellsStart())
                 .number("progress_every", t.progressEvery())
@@ -107,7 +107,7 @@
                 .number("tip_request", g.tipRequest());
     }
 
-    private void write(Scenario.Offering o) {
+    private void write(Scenario.RequestClass o) {
         item("offerings")
                 .text("name", o.name())
                 .text("effect", TomlFields.configuredName(o.effect()))
@@ -139,7 +139,7 @@
         if (f.within() > 0) {
             number("within", f.within());
         }
-        if (f.to() != Scenario.Ends.WORKERS) {
+        if (f.to() != Scenario.LinkKind.WORKERS) {
             text("to", TomlFields.configuredName(f.to()));
         }
         if (!f.zone().isEmpty()) {
--- a/kit/src/main/java/wheelroute/kit/virtual/VirtualDispatcher.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.virtual;
+package wheelroute.kit.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -16,26 +16,26 @@
 import wheelroute.decision.Request;
 import wheelroute.decision.Settings;
 import wheelroute.kit.audit.Auditor;
-import wheelroute.kit.brain.Brain;
-import wheelroute.kit.many.Passage;
-import wheelroute.kit.many.Way;
+import wheelroute.kit.faults.LinkState;
+import wheelroute.kit.faults.NetworkLink;
+import wheelroute.kit.model.AttemptEnding;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.Clients;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.EndpointRegistry;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.model.WorkerAttempt;
+import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Answer;
-import wheelroute.kit.world.Chance;
-import wheelroute.kit.world.Clients;
-import wheelroute.kit.world.Ending;
-import wheelroute.kit.world.Launch;
-import wheelroute.kit.world.Registry;
-import wheelroute.kit.world.Submitted;
-import wheelroute.kit.world.WorkerModel;
-import wheelroute.kit.world.World;
+import wheelroute.kit.strategy.Strategy;
 
 /**
  * One dispatcher without sockets: what the daemon does around its decisions, event by event, with
  * the ways to and fro as delays. It keeps the daemon's order: a client is answered before the
  * decisions hear why.
  */
-final class VirtualDispatcher implements ActionHandler {
+final class SimulatedDispatcher implements ActionHandler {
     /** As the daemon keeps back of what a client says it will wait. */
     private static final double ANSWER_MARGIN = 0.08;
 
@@ -56,22 +56,22 @@
     private static final double LEFT_FOR = 60;
 
     private final int number;
-    private final World world;
+    private final ClusterModel world;
     private final Scenario scenario;
     private final Settings settings;
-    private final Brain.Maker maker;
+    private final Strategy.Factory maker;
     private final Auditor auditor;
     private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
-    private final Map<Ids.Request, Exchange> open = new HashMap<>();
-    private final Consumer<Registry.Entry> watcher = this::changed;
+    private final Map<Ids.Request, PendingRequest> open = new HashMap<>();
+    private final Consumer<EndpointRegistry.Entry> watcher = this::changed;
     private Clients clients;
-    private Brain brain;
+    private Strategy brain;
     private boolean deciding;
     private boolean listens;
     private boolean watching;
     private int life;
     private long messages;
-    private final Map<Way, Lane> lanes = new HashMap<>();
+    private final Map<NetworkLink, SimulatedLink> lanes = new HashMap<>();
 
     /**
      * While the process stands still: what would have happened, timers before what came from
@@ -83,12 +83,16 @@
     private final ArrayDeque<Runnable> cameMeanwhile = new ArrayDeque<>();
 
     /** Sent to us and not read yet, by clients that still wait for it. */
-    private final Map<Long, Submitted> unread = new HashMap<>();
+    private final Map<Long, ClientAttempt> unread = new HashMap<>();
 
     private final Set<Long> left = new HashSet<>();
 
-    VirtualDispatcher(
-            int number, World world, Settings settings, Brain.Maker maker, Auditor auditor) {
+    SimulatedDispatcher(
+            int number,
+            ClusterModel world,
+            Settings settings,
+            Strategy.Factory maker,
+            Auditor auditor) {
         this.number = number;
         this.world = world;
         this.scenario = world.scenario;
@@ -126,13 +130,13 @@
         auditor.dispatcherDied(number);
         world.registry.unwatch(watcher);
         watching = false;
-        List<Exchange> lost = new ArrayList<>(open.values());
+        List<PendingRequest> lost = new ArrayList<>(open.values());
         open.clear();
-        for (Exchange exchange : lost) {
-            exchange.launches.forEach(Flight::close);
+        for (PendingRequest exchange : lost) {
+            exchange.launches.forEach(InFlightAttempt::close);
             travel(() -> clients.cutOff(exchange.submitted));
         }
-        List<Submitted> neverRead = new ArrayList<>(unread.values());
+        List<ClientAttempt> neverRead = new ArrayList<>(unread.values());
         unread.clear();
         neverRead.forEach(submitted -> travel(() -> clients.cutOff(submitted)));
     }
@@ -143,7 +147,7 @@
         later(
                 DRAIN,
                 () -> {
-                    new ArrayList<>(open.values()).forEach(Exchange::outOfTime);
+                    new ArrayList<>(open.values()).forEach(PendingRequest::outOfTime);
                     kill();
                 });
     }
@@ -162,16 +166,16 @@
         auditor.dispatcherWoke(number);
     }
 
-    void harmed(Way way, Passage passage) {
-        if (way.worker() == Way.CLIENTS) {
-            auditor.clientsHarmed(number, !passage.equals(Passage.OPEN));
+    void harmed(NetworkLink way, LinkState passage) {
+        if (way.worker() == NetworkLink.CLIENTS) {
+            auditor.clientsHarmed(number, !passage.equals(LinkState.OPEN));
         }
         if (way.isToWorker()) {
             auditor.wayLater(number, way.worker(), passage.mostLater(0));
         }
-        Passage before = lane(way).passage();
+        LinkState before = lane(way).passage();
         lane(way).set(passage);
-        if (way.worker() == Way.LIST) {
+        if (way.worker() == NetworkLink.LIST) {
             boolean shut = !passage.forth() || !passage.back();
             if (passage.refuses()) {
                 listLost();
@@ -187,8 +191,8 @@
         }
     }
 
-    private Lane lane(Way way) {
-        return lanes.computeIfAbsent(way, w -> new Lane(world.timeline));
+    private SimulatedLink lane(NetworkLink way) {
+        return lanes.computeIfAbsent(way, w -> new SimulatedLink(world.timeline));
     }
 
     /** A timer of this process; it is gone with it, and late if that stands still. */
@@ -219,17 +223,21 @@
 
     /** A message's way: never at once, so that no event reaches a decision that is being made. */
     private void travel(Runnable arrival) {
-        travel(Passage.OPEN, arrival);
+        travel(LinkState.OPEN, arrival);
     }
 
-    private void travel(Passage passage, Runnable arrival) {
+    private void travel(LinkState passage, Runnable arrival) {
         Scenario.Network network = scenario.network();
         double delay = network.delay();
         if (network.jitter() > 0) {
-            delay += network.jitter() * world.chance.once(Chance.Of.NETWORK, number, messages++);
+            delay +=
+                    network.jitter()
+                            * world.chance.once(SeededRandom.Purpose.NETWORK, number, messages++);
         }
-        if (!passage.equals(Passage.OPEN)) {
-            delay += passage.later(() -> world.chance.once(Chance.Of.LINK, number, messages++));
+        if (!passage.equals(LinkState.OPEN)) {
+            delay +=
+                    passage.later(
+                            () -> world.chance.once(SeededRandom.Purpose.LINK, number, messages++));
         }
         world.timeline.after(delay, arrival);
     }
@@ -251,9 +259,9 @@
 
     // ---- from the clients
 
-    void submit(Submitted submitted) {
+    void submit(ClientAttempt submitted) {
         int sentTo = life;
-        Lane lane = lane(Way.toClients(number));
+        SimulatedLink lane = lane(NetworkLink.toClients(number));
         if (lane.passage().refuses()) {
             travel(() -> clients.refused(submitted));
             return;
@@ -273,31 +281,31 @@
                                 () -> !left.contains(submitted.key())));
     }
 
-    private void read(Submitted submitted) {
+    private void read(ClientAttempt submitted) {
         // Whose client has left while it lay unread is not taken.
         if (unread.remove(submitted.key()) == null || left.contains(submitted.key())) {
             return;
         }
-        Exchange exchange = new Exchange(submitted);
+        PendingRequest exchange = new PendingRequest(submitted);
         open.put(exchange.submission.id(), exchange);
-        lane(Way.toClients(number)).open(exchange);
+        lane(NetworkLink.toClients(number)).open(exchange);
         turn(exchange::begin);
         later(exchange.submission.deadline() - world.timeline.now(), exchange::outOfTime);
     }
 
-    void hangUp(Submitted submitted) {
+    void hangUp(ClientAttempt submitted) {
         left.add(submitted.key());
         // An answer may be under way for as long as a process can stand still.
         world.timeline.after(LEFT_FOR, () -> left.remove(submitted.key()));
         travel(
                 () ->
-                        lane(Way.toClients(number))
+                        lane(NetworkLink.toClients(number))
                                 .back(
                                         () ->
                                                 comes(
                                                         () -> {
                                                             unread.remove(submitted.key());
-                                                            Exchange exchange =
+                                                            PendingRequest exchange =
                                                                     open.get(
                                                                             new Ids.Request(
                                                                                     submitted
@@ -309,17 +317,17 @@
                                         () -> true));
     }
 
-    private final class Exchange implements Lane.Line {
-        final Submitted submitted;
+    private final class PendingRequest implements SimulatedLink.Connection {
+        final ClientAttempt submitted;
         final Request submission;
-        final List<Flight> launches = new ArrayList<>(2);
-        private Brain.Held held;
+        final List<InFlightAttempt> launches = new ArrayList<>(2);
+        private Strategy.Handle held;
         private boolean answered;
 
-        Exchange(Submitted submitted) {
+        PendingRequest(ClientAttempt submitted) {
             this.submitted = submitted;
             double margin = Math.min(ANSWER_MARGIN, ANSWER_MARGIN_PART * submitted.timeout());
-            Scenario.Offering offering = submitted.ask().offering();
+            Scenario.RequestClass offering = submitted.ask().offering();
             submission =
                     new Request(
                             new Ids.Request(submitted.key()),
@@ -338,10 +346,10 @@
             closeIfOver();
         }
 
-        void answer(Answer answer, double retryAfter) {
+        void answer(FinalResponse answer, double retryAfter) {
             if (!answered) {
                 answered = true;
-                Lane lane = lane(Way.toClients(number));
+                SimulatedLink lane = lane(NetworkLink.toClients(number));
                 travel(
                         lane.passage(),
                         () ->
@@ -367,7 +375,7 @@
         void clientGone() {
             if (!answered) {
                 answered = true;
-                lane(Way.toClients(number)).closed(this);
+                lane(NetworkLink.toClients(number)).closed(this);
                 held.gone();
                 closeIfOver();
             }
@@ -377,13 +385,13 @@
             if (open.get(submission.id()) != this) {
                 return;
             }
-            for (Flight flight : new ArrayList<>(launches)) {
+            for (InFlightAttempt flight : new ArrayList<>(launches)) {
                 flight.giveUp(Outcome.TIMED_OUT);
             }
             turn(
                     () -> {
                         if (!answered) {
-                            answer(Answer.SCRAPPED, 0);
+                            answer(FinalResponse.SCRAPPED, 0);
                         }
                         open.remove(submission.id());
                     });
@@ -398,13 +406,13 @@
 
     // ---- one launch
 
-    private final class Flight implements Launch.Reply, Lane.Line {
-        private final Exchange exchange;
+    private final class InFlightAttempt implements WorkerAttempt.Reply, SimulatedLink.Connection {
+        private final PendingRequest exchange;
         private final int number;
         private final WorkerModel worker;
         private final int from = life;
-        private final Lane lane;
-        private Launch launch;
+        private final SimulatedLink lane;
+        private WorkerAttempt launch;
         private boolean ended;
 
         /**
@@ -412,11 +420,11 @@
          */
         private boolean closed;
 
-        Flight(Exchange exchange, int number, WorkerModel worker) {
+        InFlightAttempt(PendingRequest exchange, int number, WorkerModel worker) {
             this.exchange = exchange;
             this.number = number;
             this.worker = worker;
-            lane = lane(new Way(VirtualDispatcher.this.number, worker.number));
+            lane = lane(new NetworkLink(SimulatedDispatcher.this.number, worker.number));
         }
 
         /**
@@ -432,7 +440,7 @@
         }
 
         private void arrive() {
-            if (closed && !lane.passage().equals(Passage.OPEN)) {
+            if (closed && !lane.passage().equals(LinkState.OPEN)) {
                 // Reset on the way, or called off while the way was harmed.
                 return;
             }
@@ -440,9 +448,9 @@
                 back(() -> end(Outcome.CONNECT_FAILED, Double.NaN));
                 return;
             }
-            Scenario.Offering offering = exchange.submitted.ask().offering();
+            Scenario.RequestClass offering = exchange.submitted.ask().offering();
             launch =
-                    new Launch(
+                    new WorkerAttempt(
                             exchange.submitted.key(),
                             exchange.submitted.ask().work(),
                             offering.slots(),
@@ -493,7 +501,7 @@
         }
 
         @Override
-        public void ended(Ending ending, double freeSlots) {
+        public void ended(AttemptEnding ending, double freeSlots) {
             back(
                     () ->
                             end(
@@ -515,7 +523,7 @@
             turn(
                     () -> {
                         if (outcome == Outcome.SUCCEEDED) {
-                            exchange.answer(Answer.FULFILLED, 0);
+                            exchange.answer(FinalResponse.FULFILLED, 0);
                         }
                         exchange.held.ended(
                                 number, outcome, exchange.answered, new LoadReport(freeSlots));
@@ -562,7 +570,7 @@
 
     // ---- from the list
 
-    private Endpoint listing(Registry.Entry entry) {
+    private Endpoint listing(EndpointRegistry.Entry entry) {
         WorkerModel worker = entry.worker();
         return new Endpoint(
                 new Ids.Worker(worker.number),
@@ -578,13 +586,13 @@
                 });
     }
 
-    private void changed(Registry.Entry entry) {
+    private void changed(EndpointRegistry.Entry entry) {
         hear(List.of(entry), false);
     }
 
-    private void hear(List<Registry.Entry> entries, boolean whole) {
+    private void hear(List<EndpointRegistry.Entry> entries, boolean whole) {
         int to = life;
-        Lane lane = lane(Way.toList(number));
+        SimulatedLink lane = lane(NetworkLink.toList(number));
         travel(
                 lane.passage(),
                 () ->
@@ -593,14 +601,14 @@
                                 () -> to == life && watching));
     }
 
-    private void heard(List<Registry.Entry> entries, boolean whole, int to) {
+    private void heard(List<EndpointRegistry.Entry> entries, boolean whole, int to) {
         if (to != life) {
             return;
         }
         List<Endpoint> listings = new ArrayList<>();
-        for (Registry.Entry entry : entries) {
+        for (EndpointRegistry.Entry entry : entries) {
             auditor.told(number, entry.worker().number, entry.state());
-            if (!whole || entry.state() != Registry.State.GONE) {
+            if (!whole || entry.state() != EndpointRegistry.State.GONE) {
                 listings.add(listing(entry));
             }
         }
@@ -608,7 +616,7 @@
     }
 
     private void outage() {
-        if (lane(Way.toList(number)).passage().back()) {
+        if (lane(NetworkLink.toList(number)).passage().back()) {
             listLost();
         }
     }
@@ -636,7 +644,7 @@
 
     @Override
     public void watchEndpoints() {
-        Passage passage = lane(Way.toList(number)).passage();
+        LinkState passage = lane(NetworkLink.toList(number)).passage();
         if (world.registry.isDown() || passage.refuses()) {
             failed(0);
         } else if (!passage.forth() || !passage.back()) {
@@ -652,9 +660,9 @@
 
     @Override
     public void startAttempt(Ids.Request submission, Ids.Worker worker, double limit) {
-        Exchange exchange = open.get(submission);
-        Flight flight =
-                new Flight(
+        PendingRequest exchange = open.get(submission);
+        InFlightAttempt flight =
+                new InFlightAttempt(
                         exchange,
                         exchange.launches.size(),
                         world.workers.get((int) worker.value()));
@@ -664,17 +672,17 @@
 
     @Override
     public void reject(Ids.Request submission, double retryAfter) {
-        open.get(submission).answer(Answer.BOUNCED, retryAfter);
+        open.get(submission).answer(FinalResponse.BOUNCED, retryAfter);
     }
 
     @Override
     public void fail(Ids.Request submission) {
-        open.get(submission).answer(Answer.SCRAPPED, 0);
+        open.get(submission).answer(FinalResponse.SCRAPPED, 0);
     }
 
     @Override
     public void cancelAttempt(Ids.Request submission, int launch) {
-        Exchange exchange = open.get(submission);
+        PendingRequest exchange = open.get(submission);
         if (exchange != null) {
             exchange.launches.get(launch).calledOff();
         }
--- a/kit/src/main/java/wheelroute/kit/virtual/Lane.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedLink.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.virtual;
+package wheelroute.kit.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import wheelroute.kit.many.Passage;
-import wheelroute.kit.world.Timeline;
+import wheelroute.kit.faults.LinkState;
+import wheelroute.kit.model.Timeline;
 
 /**
  * One way of a dispatcher on the virtual clock: messages wait on it while it is cut, as on the
  * relays of the real one, and what was lost when its sender closed never comes.
  */
-final class Lane {
+final class SimulatedLink {
     /** What is on a way at one time belongs to a connection, which a refusing way breaks. */
-    interface Line {
+    interface Connection {
         /** Reset: both ends find out. */
         void reset();
     }
@@ -24,35 +24,35 @@
     private record Message(Runnable arrival, BooleanSupplier stillWanted) {}
 
     private final Timeline timeline;
-    private final Set<Line> lines = new HashSet<>();
+    private final Set<Connection> lines = new HashSet<>();
     private final ArrayDeque<Message> heldForth = new ArrayDeque<>();
     private final ArrayDeque<Message> heldBack = new ArrayDeque<>();
-    private Passage passage = Passage.OPEN;
+    private LinkState passage = LinkState.OPEN;
 
-    Lane(Timeline timeline) {
+    SimulatedLink(Timeline timeline) {
         this.timeline = timeline;
     }
 
-    Passage passage() {
+    LinkState passage() {
         return passage;
     }
 
-    void open(Line line) {
+    void open(Connection line) {
         lines.add(line);
     }
 
-    void closed(Line line) {
+    void closed(Connection line) {
         lines.remove(line);
     }
 
-    void set(Passage now) {
+    void set(LinkState now) {
         passage = now;
         if (now.refuses()) {
             heldForth.clear();
             heldBack.clear();
-            List<Line> broken = new ArrayList<>(lines);
+            List<Connection> broken = new ArrayList<>(lines);
             lines.clear();
-            broken.forEach(Line::reset);
+            broken.forEach(Connection::reset);
         }
         if (now.forth()) {
             flush(heldForth);
--- a/kit/src/main/java/wheelroute/kit/virtual/VirtualTime.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedTime.java
@@ -1,14 +1,14 @@
-package wheelroute.kit.virtual;
+package wheelroute.kit.simulation;
 
 import java.util.Arrays;
-import wheelroute.kit.world.Timeline;
+import wheelroute.kit.model.Timeline;
 
 /**
  * Time that passes only from one task to the next. A run is little but this queue: so it is a heap
  * of four children a node over plain arrays, in which a step looks at neighbours and follows no
  * pointers.
  */
-public final class VirtualTime implements Timeline {
+public final class SimulatedTime implements Timeline {
     /**
      * Any moment will do; the decisions must not meet times near 0, where "long ago" cannot be
      * told.
--- a/kit/src/main/java/wheelroute/kit/virtual/VirtualRun.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.virtual;
+package wheelroute.kit.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,21 +7,21 @@
 import java.util.function.Function;
 import wheelroute.config.ConfigException;
 import wheelroute.kit.audit.Auditor;
-import wheelroute.kit.brain.Brain;
-import wheelroute.kit.many.Links;
-import wheelroute.kit.many.Way;
+import wheelroute.kit.faults.ActiveLinkFaults;
+import wheelroute.kit.faults.NetworkLink;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.Clients;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.report.Recorder;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.scenario.DaemonSettings;
-import wheelroute.kit.scenario.Draw;
+import wheelroute.kit.scenario.FaultScheduleGenerator;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Chance;
-import wheelroute.kit.world.Clients;
-import wheelroute.kit.world.Submitted;
-import wheelroute.kit.world.World;
+import wheelroute.kit.strategy.Strategy;
 
 /** One run on the virtual clock. */
-public final class VirtualRun {
+public final class SimulationRun {
     /**
      * After the last ask has ended the world goes on for so long: what comes too late must be seen.
      */
@@ -33,7 +33,7 @@
     /** How often a run looks whether it is to stop. */
     private static final int LOOK = 4096;
 
-    private VirtualRun() {}
+    private SimulationRun() {}
 
     /** Plays it to its end, or until it is told to stop. */
     public static Report play(
@@ -42,33 +42,33 @@
             double seconds,
             Map<String, String> variant,
             String variantName,
-            Function<World, Brain.Maker> maker,
+            Function<ClusterModel, Strategy.Factory> maker,
             BooleanSupplier stop)
             throws ConfigException {
-        Scenario scenario = Draw.drawn(written, seed);
-        VirtualTime time = new VirtualTime();
-        Chance chance = new Chance(seed);
+        Scenario scenario = FaultScheduleGenerator.drawn(written, seed);
+        SimulatedTime time = new SimulatedTime();
+        SeededRandom chance = new SeededRandom(seed);
         double slack = CROSSINGS * (scenario.network().delay() + scenario.network().jitter());
         Auditor auditor = new Auditor(scenario, time, slack);
         Recorder recorder = new Recorder(scenario, time, seconds, auditor);
-        World world = new World(scenario, time, chance, seconds, recorder);
+        ClusterModel world = new ClusterModel(scenario, time, chance, seconds, recorder);
         Map<String, String> pairs = DaemonSettings.pairs(scenario, variant);
-        List<VirtualDispatcher> dispatchers = new ArrayList<>();
-        Brain.Maker brains = maker.apply(world);
+        List<SimulatedDispatcher> dispatchers = new ArrayList<>();
+        Strategy.Factory brains = maker.apply(world);
         for (int i = 0; i < scenario.dispatchers(); i++) {
             dispatchers.add(
-                    new VirtualDispatcher(
+                    new SimulatedDispatcher(
                             i,
                             world,
                             DaemonSettings.settings(
-                                    chance.key(Chance.Of.BRAIN, i, 0),
+                                    chance.key(SeededRandom.Purpose.BRAIN, i, 0),
                                     DaemonSettings.pairsOf(scenario, i, pairs)),
                             brains,
                             auditor));
         }
         Clients clients = new Clients(scenario, time, chance, seconds, door(dispatchers), recorder);
         dispatchers.forEach(dispatcher -> dispatcher.clients(clients));
-        dispatchers.forEach(VirtualDispatcher::start);
+        dispatchers.forEach(SimulatedDispatcher::start);
         world.begin(faults(world, dispatchers));
         recorder.begins(world, clients);
         boolean partial = false;
@@ -95,15 +95,15 @@
                 run, recorder, auditor, world, Report.Lag.NONE, Report.Extra.NONE, partial);
     }
 
-    private static Clients.Door door(List<VirtualDispatcher> dispatchers) {
-        return new Clients.Door() {
+    private static Clients.Transport door(List<SimulatedDispatcher> dispatchers) {
+        return new Clients.Transport() {
             @Override
-            public void submit(Submitted submitted) {
+            public void submit(ClientAttempt submitted) {
                 dispatchers.get(submitted.dispatcher()).submit(submitted);
             }
 
             @Override
-            public void hangUp(Submitted submitted) {
+            public void hangUp(ClientAttempt submitted) {
                 dispatchers.get(submitted.dispatcher()).hangUp(submitted);
             }
 
@@ -114,12 +114,14 @@
         };
     }
 
-    private static World.Dispatchers faults(World world, List<VirtualDispatcher> dispatchers) {
-        Links links =
-                new Links((way, passage) -> dispatchers.get(way.dispatcher()).harmed(way, passage));
+    private static ClusterModel.DispatcherControl faults(
+            ClusterModel world, List<SimulatedDispatcher> dispatchers) {
+        ActiveLinkFaults links =
+                new ActiveLinkFaults(
+                        (way, passage) -> dispatchers.get(way.dispatcher()).harmed(way, passage));
         List<Scenario.WorkerGroup> groups =
                 world.workers.stream().map(worker -> worker.group).toList();
-        return new World.Dispatchers() {
+        return new ClusterModel.DispatcherControl() {
             @Override
             public void kill(int dispatcher) {
                 dispatchers.get(dispatcher).kill();
@@ -145,7 +147,7 @@
                 links.set(
                         fault,
                         begins,
-                        Way.of(fault, dispatcher, targets, dispatchers.size(), groups));
+                        NetworkLink.of(fault, dispatcher, targets, dispatchers.size(), groups));
             }
         };
     }
--- a/kit/src/main/java/wheelroute/kit/virtual/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/package-info.java
@@ -1,2 +1,2 @@
 /** The virtual clock: a world and its dispatchers played as fast as the machine can. */
-package wheelroute.kit.virtual;
+package wheelroute.kit.simulation;
--- a/kit/src/main/java/wheelroute/kit/brain/Baseline.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.brain;
+package wheelroute.kit.strategy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,7 +21,7 @@
  * elsewhere where a repeat is allowed, else the answer that the rules leave. It bounces only what
  * cannot be placed.
  */
-public final class Baseline implements Brain {
+public final class BaselineStrategy implements Strategy {
     /** Nothing is launched with less than this left. */
     private static final double LAST_CALL = 0.02;
 
@@ -32,7 +32,7 @@
     private static final double ASK = 0.5;
 
     /** How a worker is chosen. */
-    public interface Choice {
+    public interface WorkerSelector {
         /** One of the workers, of which there is at least one; null where none is worth it. */
         Ids.Worker choose(
                 List<Endpoint> open,
@@ -43,7 +43,7 @@
 
     private final Settings settings;
     private final ActionHandler dispatcher;
-    private final Choice choice;
+    private final WorkerSelector choice;
     private final SplittableRandom random;
     private final Map<Ids.Worker, Endpoint> listed = new LinkedHashMap<>();
     private final Map<Ids.Worker, Integer> out = new HashMap<>();
@@ -51,7 +51,7 @@
     private double now;
     private boolean askAgain;
 
-    public Baseline(Settings settings, ActionHandler dispatcher, Choice choice) {
+    public BaselineStrategy(Settings settings, ActionHandler dispatcher, WorkerSelector choice) {
         this.settings = settings;
         this.dispatcher = dispatcher;
         this.choice = choice;
@@ -94,23 +94,23 @@
     }
 
     @Override
-    public Held take(Request submission) {
+    public Handle take(Request submission) {
         Settings.RequestClass offering = offerings.get(submission.requestClass());
         if (offering == null) {
             return null;
         }
-        Taken taken = new Taken(submission, offering);
+        AcceptedRequest taken = new AcceptedRequest(submission, offering);
         taken.place();
         return taken;
     }
 
     /** One launch: where, when, and what became of it. */
-    private static final class Sent {
+    private static final class SentAttempt {
         final Endpoint place;
         final double at;
         Outcome outcome;
 
-        Sent(Endpoint place, double at) {
+        SentAttempt(Endpoint place, double at) {
             this.place = place;
             this.at = at;
         }
@@ -120,14 +120,14 @@
         }
     }
 
-    private final class Taken implements Held {
+    private final class AcceptedRequest implements Handle {
         private final Request submission;
         private final Settings.RequestClass offering;
-        private final List<Sent> launches = new ArrayList<>(2);
+        private final List<SentAttempt> launches = new ArrayList<>(2);
         private int open;
         private boolean done;
 
-        Taken(Request submission, Settings.RequestClass offering) {
+        AcceptedRequest(Request submission, Settings.RequestClass offering) {
             this.submission = submission;
             this.offering = offering;
         }
@@ -139,7 +139,7 @@
                             ? null
                             : choice.choose(candidates, submission, out, random);
             if (worker != null) {
-                launches.add(new Sent(listed.get(worker), now));
+                launches.add(new SentAttempt(listed.get(worker), now));
                 open++;
                 out.merge(worker, 1, Integer::sum);
                 dispatcher.startAttempt(submission.id(), worker, 0);
@@ -150,7 +150,7 @@
                     offering.idempotency() == Idempotency.IDEMPOTENT
                             || (offering.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
                                     && offering.idempotencyScope() == IdempotencyScope.ALL)
-                            || launches.stream().noneMatch(Sent::mayHaveRun);
+                            || launches.stream().noneMatch(SentAttempt::mayHaveRun);
             if (harmless) {
                 dispatcher.reject(submission.id(), 0);
             } else {
@@ -159,7 +159,7 @@
         }
 
         private List<Endpoint> candidates() {
-            boolean again = launches.stream().anyMatch(Sent::mayHaveRun);
+            boolean again = launches.stream().anyMatch(SentAttempt::mayHaveRun);
             if (launches.size() >= settings.maxAttempts()
                     || now > submission.deadline() - LAST_CALL
                     || (again && offering.idempotency() == Idempotency.NON_IDEMPOTENT)) {
@@ -223,7 +223,7 @@
 
         @Override
         public void ended(int launch, Outcome outcome, boolean over, LoadReport report) {
-            Sent sent = launches.get(launch);
+            SentAttempt sent = launches.get(launch);
             if (sent.outcome != null) {
                 return;
             }
--- a/kit/src/main/java/wheelroute/kit/brain/PolicyBrain.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/PolicyStrategy.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.brain;
+package wheelroute.kit.strategy;
 
 import java.util.List;
 import wheelroute.decision.ActionHandler;
@@ -12,7 +12,7 @@
 import wheelroute.discovery.Backoff;
 
 /** The daemon's own module, and its own pauses between calls for the list. */
-public final class PolicyBrain implements Brain {
+public final class PolicyStrategy implements Strategy {
     /** Guards against a wake that the sums of times bring a breath too early. */
     private static final double BREATH = 1e-6;
 
@@ -22,7 +22,7 @@
     private double now;
     private double askAt = Double.POSITIVE_INFINITY;
 
-    public PolicyBrain(Settings settings, ActionHandler dispatcher) {
+    public PolicyStrategy(Settings settings, ActionHandler dispatcher) {
         this.dispatcher = dispatcher;
         policy = new Policy(settings, dispatcher);
         backoff = new Backoff(settings.seed());
@@ -57,12 +57,12 @@
     }
 
     @Override
-    public Held take(Request submission) {
+    public Handle take(Request submission) {
         RequestHandle handle = policy.accept(submission);
-        return handle == null ? null : new Handled(handle);
+        return handle == null ? null : new PolicyHandle(handle);
     }
 
-    private record Handled(RequestHandle handle) implements Held {
+    private record PolicyHandle(RequestHandle handle) implements Handle {
         @Override
         public boolean isOver() {
             return handle.isComplete();
--- a/kit/src/main/java/wheelroute/kit/brain/Brains.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.brain;
+package wheelroute.kit.strategy;
 
 import java.util.List;
 import java.util.Map;
@@ -8,12 +8,12 @@
 import wheelroute.decision.Endpoint;
 import wheelroute.decision.Ids;
 import wheelroute.decision.Request;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.WorkerModel;
-import wheelroute.kit.world.World;
 
 /** Everyone who can decide, by name. */
-public final class Brains {
+public final class Strategies {
     /** The daemon's module: what all others are compared with. */
     public static final String MODULE = "module";
 
@@ -23,11 +23,11 @@
     /** A late answer that earns less than this is not worth the time it takes from others. */
     private static final double WORTH_IT = 0.5;
 
-    private static final Map<String, Function<World, Brain.Maker>> ALL =
+    private static final Map<String, Function<ClusterModel, Strategy.Factory>> ALL =
             new TreeMap<>(
                     Map.of(
                             MODULE,
-                            world -> PolicyBrain::new,
+                            world -> PolicyStrategy::new,
                             "random",
                             world ->
                                     baseline(
@@ -55,7 +55,7 @@
                             world ->
                                     (settings, dispatcher) -> {
                                         int[] next = {0};
-                                        return new Baseline(
+                                        return new BaselineStrategy(
                                                 settings,
                                                 dispatcher,
                                                 (open, submission, out, random) ->
@@ -98,13 +98,13 @@
                                                             submission,
                                                             random.nextInt(open.size())))));
 
-    private Brains() {}
+    private Strategies() {}
 
     public static List<String> names() {
         return List.copyOf(ALL.keySet());
     }
 
-    public static Brain.Maker maker(String name, World world) {
+    public static Strategy.Factory maker(String name, ClusterModel world) {
         return ALL.get(name).apply(world);
     }
 
@@ -112,9 +112,10 @@
      * The earliest end, with what an error would cost in time; none where even that comes after the
      * outer limit, or too late to earn anything.
      */
-    private static Ids.Worker seen(World world, List<Endpoint> open, Request submission, int from) {
+    private static Ids.Worker seen(
+            ClusterModel world, List<Endpoint> open, Request submission, int from) {
         double work = Double.isNaN(submission.estimatedWork()) ? 0 : submission.estimatedWork();
-        Scenario.Offering offering =
+        Scenario.RequestClass offering =
                 world.scenario.offerings().stream()
                         .filter(o -> o.name().equals(submission.requestClass().name()))
                         .findFirst()
@@ -135,15 +136,15 @@
                 : best;
     }
 
-    private static Brain.Maker baseline(Baseline.Choice choice) {
-        return (settings, dispatcher) -> new Baseline(settings, dispatcher, choice);
+    private static Strategy.Factory baseline(BaselineStrategy.WorkerSelector choice) {
+        return (settings, dispatcher) -> new BaselineStrategy(settings, dispatcher, choice);
     }
 
-    private static WorkerModel model(World world, Endpoint listing) {
+    private static WorkerModel model(ClusterModel world, Endpoint listing) {
         return world.workers.get((int) listing.worker().value());
     }
 
-    private static double capacity(World world, Endpoint listing) {
+    private static double capacity(ClusterModel world, Endpoint listing) {
         WorkerModel model = model(world, listing);
         return model.group.speed() * model.group.slots();
     }
--- a/kit/src/main/java/wheelroute/kit/brain/Brain.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategy.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.brain;
+package wheelroute.kit.strategy;
 
 import java.util.List;
 import wheelroute.decision.ActionHandler;
@@ -9,10 +9,10 @@
 import wheelroute.decision.Settings;
 
 /** The decisions of one dispatcher, as the daemon's module is spoken to. */
-public interface Brain {
+public interface Strategy {
     /** Makes one for each dispatcher, and anew at its restarts. */
-    interface Maker {
-        Brain make(Settings settings, ActionHandler dispatcher);
+    interface Factory {
+        Strategy make(Settings settings, ActionHandler dispatcher);
     }
 
     void at(double time);
@@ -24,10 +24,10 @@
     void listFailed();
 
     /** Null when it knows no such offering. */
-    Held take(Request submission);
+    Handle take(Request submission);
 
     /** One submission, from its taking until its last launch has ended. */
-    interface Held {
+    interface Handle {
         boolean isOver();
 
         void gone();
--- a/kit/src/main/java/wheelroute/kit/brain/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/package-info.java
@@ -1,4 +1,4 @@
 /**
  * Who decides in a run on the virtual clock: the daemon's module, or something to compare it with.
  */
-package wheelroute.kit.brain;
+package wheelroute.kit.strategy;
--- a/kit/src/test/java/wheelroute/kit/Small.java
+++ b/kit/src/test/java/wheelroute/kit/SmallScenario.java
@@ -5,7 +5,7 @@
 import wheelroute.kit.scenario.ScenarioReader;
 
 /** Small scenarios to vary. */
-public final class Small {
+public final class SmallScenario {
     /** Two groups of workers in two zones, three offerings, a steady load. */
     public static final String TEXT =
             """
@@ -47,7 +47,7 @@
             rate = 40
             """;
 
-    private Small() {}
+    private SmallScenario() {}
 
     public static Scenario scenario(String more) {
         return scenario(more, 1);
--- a/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
@@ -9,18 +9,18 @@
 import java.util.function.Consumer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.kit.Small;
+import wheelroute.kit.SmallScenario;
+import wheelroute.kit.model.AttemptEnding;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.ClientRequest;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.EndpointRegistry;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.model.WorkerAttempt;
 import wheelroute.kit.report.Recorder;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.virtual.VirtualTime;
-import wheelroute.kit.world.Answer;
-import wheelroute.kit.world.Ask;
-import wheelroute.kit.world.Chance;
-import wheelroute.kit.world.Ending;
-import wheelroute.kit.world.Launch;
-import wheelroute.kit.world.Registry;
-import wheelroute.kit.world.Submitted;
-import wheelroute.kit.world.World;
+import wheelroute.kit.simulation.SimulatedTime;
 
 /**
  * Dispatchers that break a rule on purpose, each in one way: every one is caught, and an honest one
@@ -34,39 +34,41 @@
 
     /** A world of one submission and a dispatcher that does as the case says. */
     private static final class Play {
-        final VirtualTime time = new VirtualTime();
+        final SimulatedTime time = new SimulatedTime();
         final Scenario scenario;
         final Auditor auditor;
-        final World world;
-        final Submitted submitted;
-        final List<Ending> endings = new ArrayList<>();
+        final ClusterModel world;
+        final ClientAttempt submitted;
+        final List<AttemptEnding> endings = new ArrayList<>();
 
         Play(String offering, String more) {
-            scenario = Small.scenario(more);
+            scenario = SmallScenario.scenario(more);
             auditor = new Auditor(scenario, time, SLACK);
-            world = new World(scenario, time, new Chance(1), 5, auditor);
-            Scenario.Offering of =
+            world = new ClusterModel(scenario, time, new SeededRandom(1), 5, auditor);
+            Scenario.RequestClass of =
                     scenario.offerings().stream()
                             .filter(o -> o.name().equals(offering))
                             .findFirst()
                             .orElseThrow();
-            Ask ask = new Ask(0, 0, of, Scenario.Tenant.NONE, 0.05, 0.05, Double.POSITIVE_INFINITY);
-            submitted = new Submitted(ask, 0, 0, time.now(), of.outer());
+            ClientRequest ask =
+                    new ClientRequest(
+                            0, 0, of, Scenario.Tenant.NONE, 0.05, 0.05, Double.POSITIVE_INFINITY);
+            submitted = new ClientAttempt(ask, 0, 0, time.now(), of.outer());
             auditor.sent(submitted);
         }
 
-        Launch launch(int worker) {
+        WorkerAttempt launch(int worker) {
             return launch(worker, 0.05);
         }
 
-        Launch launch(int worker, double work) {
-            Launch launch =
-                    new Launch(
+        WorkerAttempt launch(int worker, double work) {
+            WorkerAttempt launch =
+                    new WorkerAttempt(
                             submitted.key(),
                             work,
                             1,
                             0,
-                            new Launch.Reply() {
+                            new WorkerAttempt.Reply() {
                                 @Override
                                 public void started() {
                                     // Of no interest here.
@@ -78,7 +80,7 @@
                                 }
 
                                 @Override
-                                public void ended(Ending ending, double freeSlots) {
+                                public void ended(AttemptEnding ending, double freeSlots) {
                                     endings.add(ending);
                                 }
                             });
@@ -86,7 +88,7 @@
             return launch;
         }
 
-        void answer(Answer answer) {
+        void answer(FinalResponse answer) {
             auditor.answered(submitted, answer);
         }
 
@@ -130,8 +132,8 @@
                     "free",
                     "",
                     p -> {
-                        p.answer(Answer.BOUNCED);
-                        p.answer(Answer.SCRAPPED);
+                        p.answer(FinalResponse.BOUNCED);
+                        p.answer(FinalResponse.SCRAPPED);
                     }),
             rogue(
                     "stands still, and launches too late as it goes on",
@@ -152,7 +154,7 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.told(0, NEAR, Registry.State.DRAINING);
+                        p.auditor.told(0, NEAR, EndpointRegistry.State.DRAINING);
                         p.pass(1.5);
                         p.auditor.dispatcherPaused(0);
                         p.pass(0.7);
@@ -166,7 +168,7 @@
                     "",
                     p -> {
                         p.auditor.dispatcherPaused(0);
-                        p.auditor.told(0, NEAR, Registry.State.DRAINING);
+                        p.auditor.told(0, NEAR, EndpointRegistry.State.DRAINING);
                         p.auditor.dispatcherWoke(0);
                         p.pass(2.2);
                         p.launch(NEAR);
@@ -188,14 +190,14 @@
                     "",
                     p -> {
                         p.pass(2.1);
-                        p.answer(Answer.BOUNCED);
+                        p.answer(FinalResponse.BOUNCED);
                     }),
             rogue(
                     "makes a result up",
                     Rule.ONE_ANSWER,
                     "free",
                     "",
-                    p -> p.answer(Answer.FULFILLED)),
+                    p -> p.answer(FinalResponse.FULFILLED)),
             rogue(
                     "drops the connection",
                     Rule.ONE_ANSWER,
@@ -208,7 +210,7 @@
                     "free",
                     "",
                     p -> {
-                        p.answer(Answer.BOUNCED);
+                        p.answer(FinalResponse.BOUNCED);
                         p.pass(0.1);
                         p.launch(NEAR);
                     }),
@@ -275,7 +277,7 @@
                         begin(p);
                         p.launch(NEAR);
                         p.pass(0.1);
-                        p.answer(Answer.BOUNCED);
+                        p.answer(FinalResponse.BOUNCED);
                     }),
             rogue(
                     "bounces what a zone alone would know",
@@ -286,7 +288,7 @@
                         begin(p);
                         p.launch(NEAR);
                         p.pass(0.1);
-                        p.answer(Answer.BOUNCED);
+                        p.answer(FinalResponse.BOUNCED);
                     }),
             rogue(
                     "repeats outside the group",
@@ -327,15 +329,15 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.told(0, NEAR, Registry.State.DRAINING);
+                        p.auditor.told(0, NEAR, EndpointRegistry.State.DRAINING);
                         // The grace is 2 s and the outer limit as long: one that waits longer is
                         // needed.
-                        Submitted later = later(p, 2.1);
+                        ClientAttempt later = later(p, 2.1);
                         p.auditor.sent(later);
                         p.world
                                 .workers
                                 .get(NEAR)
-                                .arrive(new Launch(later.key(), 0.05, 1, 0, NOBODY));
+                                .arrive(new WorkerAttempt(later.key(), 0.05, 1, 0, NOBODY));
                     }),
             rogue(
                     "launches to one told gone",
@@ -343,13 +345,13 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.told(0, FAR, Registry.State.GONE);
-                        Submitted later = later(p, 2.1);
+                        p.auditor.told(0, FAR, EndpointRegistry.State.GONE);
+                        ClientAttempt later = later(p, 2.1);
                         p.auditor.sent(later);
                         p.world
                                 .workers
                                 .get(FAR)
-                                .arrive(new Launch(later.key(), 0.05, 1, 0, NOBODY));
+                                .arrive(new WorkerAttempt(later.key(), 0.05, 1, 0, NOBODY));
                     }),
             rogue(
                     "ends, and nobody told it to",
@@ -365,7 +367,7 @@
                     p -> {
                         p.auditor.dispatcherHalved(0, true);
                         p.auditor.dispatcherHalved(0, false);
-                        Submitted next = later(p, 0.1);
+                        ClientAttempt next = later(p, 0.1);
                         p.auditor.sent(next);
                         p.auditor.cutOff(next);
                     }),
@@ -376,7 +378,7 @@
                     "",
                     p -> {
                         p.auditor.wayLater(0, NEAR, 1);
-                        p.answer(Answer.BOUNCED);
+                        p.answer(FinalResponse.BOUNCED);
                         p.pass(1.2);
                         p.launch(NEAR);
                     }),
@@ -389,7 +391,7 @@
                         p.auditor.wayLater(0, NEAR, 0.4);
                         p.auditor.wayLater(0, NEAR, 0);
                         p.pass(1);
-                        p.answer(Answer.BOUNCED);
+                        p.answer(FinalResponse.BOUNCED);
                         p.pass(0.3);
                         p.launch(NEAR);
                     }),
@@ -412,7 +414,7 @@
                     p -> {
                         p.auditor.clientsHarmed(0, true);
                         p.auditor.clientsHarmed(0, false);
-                        Submitted next = later(p, 0.1);
+                        ClientAttempt next = later(p, 0.1);
                         p.auditor.sent(next);
                         p.pass(2.1);
                         p.auditor.gaveUp(next, false);
@@ -437,14 +439,14 @@
         return rows;
     }
 
-    private static Submitted later(Play play, double after) {
-        play.answer(Answer.BOUNCED);
+    private static ClientAttempt later(Play play, double after) {
+        play.answer(FinalResponse.BOUNCED);
         play.pass(after);
-        return new Submitted(play.submitted.ask(), 1, 0, play.time.now(), 2);
+        return new ClientAttempt(play.submitted.ask(), 1, 0, play.time.now(), 2);
     }
 
-    private static final Launch.Reply NOBODY =
-            new Launch.Reply() {
+    private static final WorkerAttempt.Reply NOBODY =
+            new WorkerAttempt.Reply() {
                 @Override
                 public void started() {
                     // Nobody hears it.
@@ -456,13 +458,13 @@
                 }
 
                 @Override
-                public void ended(Ending ending, double freeSlots) {
+                public void ended(AttemptEnding ending, double freeSlots) {
                     // Nobody hears it.
                 }
             };
 
     /** Dispatchers that no fault is about. */
-    private static final class Idle implements World.Dispatchers {
+    private static final class Idle implements ClusterModel.DispatcherControl {
         @Override
         public void kill(int dispatcher) {
             throw new IllegalStateException();
@@ -509,7 +511,7 @@
                         p -> {
                             p.launch(NEAR);
                             p.pass(0.2);
-                            p.answer(Answer.FULFILLED);
+                            p.answer(FinalResponse.FULFILLED);
                         })
             },
             {
@@ -520,9 +522,12 @@
                         "",
                         p -> {
                             for (int i = 0; i < 5; i++) {
-                                p.world.workers.get(FAR).arrive(new Launch(-1, 10, 1, 0, NOBODY));
+                                p.world
+                                        .workers
+                                        .get(FAR)
+                                        .arrive(new WorkerAttempt(-1, 10, 1, 0, NOBODY));
                             }
-                            Launch full = p.launch(NEAR);
+                            WorkerAttempt full = p.launch(NEAR);
                             p.world.workers.get(NEAR).dropped(full);
                         })
             },
@@ -538,7 +543,7 @@
                             p.pass(0.5);
                             p.launch(ALSO_NEAR);
                             p.pass(0.5);
-                            p.answer(Answer.SCRAPPED);
+                            p.answer(FinalResponse.SCRAPPED);
                         })
             },
             {
@@ -548,11 +553,11 @@
                         "free",
                         NO_COPY,
                         p -> {
-                            Launch first = p.launch(NEAR, 1);
+                            WorkerAttempt first = p.launch(NEAR, 1);
                             p.auditor.closed(first);
                             p.launch(ALSO_NEAR);
                             p.pass(0.2);
-                            p.answer(Answer.FULFILLED);
+                            p.answer(FinalResponse.FULFILLED);
                         })
             },
             {
@@ -588,12 +593,12 @@
                         "",
                         p -> {
                             p.auditor.dispatcherPaused(0);
-                            p.auditor.told(0, NEAR, Registry.State.DRAINING);
+                            p.auditor.told(0, NEAR, EndpointRegistry.State.DRAINING);
                             p.pass(1);
                             p.auditor.dispatcherWoke(0);
                             p.launch(NEAR);
                             p.pass(0.2);
-                            p.answer(Answer.FULFILLED);
+                            p.answer(FinalResponse.FULFILLED);
                         })
             },
             {
@@ -607,7 +612,8 @@
                             p.pass(3.5);
                             p.auditor.gaveUp(p.submitted, false);
                             p.auditor.clientsHarmed(0, false);
-                            p.auditor.sent(new Submitted(p.submitted.ask(), 1, 1, p.time.now(), 2));
+                            p.auditor.sent(
+                                    new ClientAttempt(p.submitted.ask(), 1, 1, p.time.now(), 2));
                             p.launch(NEAR);
                         })
             },
@@ -619,7 +625,7 @@
                         "",
                         p -> {
                             p.auditor.wayLater(0, NEAR, 1);
-                            p.answer(Answer.BOUNCED);
+                            p.answer(FinalResponse.BOUNCED);
                             p.pass(0.9);
                             p.launch(NEAR);
                         })
@@ -647,7 +653,7 @@
                         "",
                         p -> {
                             p.auditor.dispatcherHalved(0, true);
-                            Submitted next = later(p, 0.01);
+                            ClientAttempt next = later(p, 0.01);
                             p.auditor.sent(next);
                             p.auditor.dispatcherHalved(0, false);
                             p.auditor.cutOff(next);
@@ -711,10 +717,10 @@
         Play play = new Play("once", "");
         play.launch(NEAR);
         play.pass(0.01);
-        play.answer(Answer.BOUNCED);
-        Submitted retry = new Submitted(play.submitted.ask(), 1, 0, play.time.now(), 1);
+        play.answer(FinalResponse.BOUNCED);
+        ClientAttempt retry = new ClientAttempt(play.submitted.ask(), 1, 0, play.time.now(), 1);
         play.auditor.sent(retry);
-        play.world.workers.get(FAR).arrive(new Launch(retry.key(), 0.05, 1, 0, NOBODY));
+        play.world.workers.get(FAR).arrive(new WorkerAttempt(retry.key(), 0.05, 1, 0, NOBODY));
         assertEquals(
                 play.auditor.count(Rule.NO_EFFECT_TWICE), 2, play.auditor.breaches().toString());
     }
@@ -725,12 +731,12 @@
     @Test
     public void oldSubmissionsAreForgotten() {
         Play play = new Play("free", "");
-        play.answer(Answer.BOUNCED);
+        play.answer(FinalResponse.BOUNCED);
         Recorder recorder = new Recorder(play.scenario, play.time, 5, play.auditor);
         for (int i = 1; i < 50; i++) {
             play.pass(1);
-            Ask ask =
-                    new Ask(
+            ClientRequest ask =
+                    new ClientRequest(
                             i,
                             i,
                             play.submitted.ask().offering(),
@@ -738,9 +744,9 @@
                             0.05,
                             0.05,
                             9);
-            Submitted next = new Submitted(ask, 0, 0, play.time.now(), 2);
+            ClientAttempt next = new ClientAttempt(ask, 0, 0, play.time.now(), 2);
             recorder.sent(next);
-            recorder.answered(next, Answer.BOUNCED);
+            recorder.answered(next, FinalResponse.BOUNCED);
         }
         play.auditor.finish();
         assertEquals(play.auditor.total(), 0, play.auditor.breaches().toString());
--- a/kit/src/test/java/wheelroute/kit/audit/LedgerTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/MetricsAuditorTest.java
@@ -8,20 +8,20 @@
 import java.util.function.Consumer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.kit.virtual.VirtualTime;
-import wheelroute.kit.world.Answer;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.simulation.SimulatedTime;
 
 /**
  * Doors that tell what is not so, each in one way: every one is found out, and honest ones are not.
  */
-public class LedgerTest {
+public class MetricsAuditorTest {
     private static final String OLD = "old";
     private static final String NEW = "new";
 
     /** A dispatcher that serves ten submissions a second, with a door. */
     private static final class Play {
-        final VirtualTime time = new VirtualTime();
-        final Ledger ledger = new Ledger(time, false);
+        final SimulatedTime time = new SimulatedTime();
+        final MetricsAuditor ledger = new MetricsAuditor(time, false);
         final Map<String, Long> counted = new HashMap<>();
 
         Play() {
@@ -37,13 +37,13 @@
             }
         }
 
-        void serve(int count, Answer answer) {
+        void serve(int count, FinalResponse answer) {
             for (int i = 0; i < count; i++) {
                 ledger.sent(0);
                 ledger.launched(0);
                 pass(0.05);
                 ledger.answered(0, "x", answer);
-                counted.merge(Ledger.name(answer, "x"), 1L, Long::sum);
+                counted.merge(MetricsAuditor.name(answer, "x"), 1L, Long::sum);
                 counted.merge("upstream_requests", 1L, Long::sum);
                 pass(0.05);
             }
@@ -66,15 +66,15 @@
                     "tells what was seen",
                     true,
                     p -> {
-                        p.serve(100, Answer.FULFILLED);
-                        p.serve(20, Answer.BOUNCED);
+                        p.serve(100, FinalResponse.FULFILLED);
+                        p.serve(20, FinalResponse.BOUNCED);
                         p.tell(OLD, p.counted);
                     }),
             row(
                     "counts a tenth too few",
                     false,
                     p -> {
-                        p.serve(100, Answer.FULFILLED);
+                        p.serve(100, FinalResponse.FULFILLED);
                         p.counted.merge("completed.x", -10L, Long::sum);
                         p.tell(OLD, p.counted);
                     }),
@@ -82,7 +82,7 @@
                     "counts bounces as scraps",
                     false,
                     p -> {
-                        p.serve(20, Answer.BOUNCED);
+                        p.serve(20, FinalResponse.BOUNCED);
                         p.counted.put("failed.x", p.counted.remove("rejected.x"));
                         p.tell(OLD, p.counted);
                     }),
@@ -90,7 +90,7 @@
                     "leaves one figure out",
                     false,
                     p -> {
-                        p.serve(20, Answer.SCRAPPED);
+                        p.serve(20, FinalResponse.SCRAPPED);
                         p.counted.remove("failed.x");
                         p.tell(OLD, p.counted);
                     }),
@@ -98,7 +98,7 @@
                     "counts launches twice",
                     false,
                     p -> {
-                        p.serve(100, Answer.FULFILLED);
+                        p.serve(100, FinalResponse.FULFILLED);
                         p.counted.merge("upstream_requests", 100L, Long::sum);
                         p.tell(OLD, p.counted);
                     }),
@@ -116,16 +116,16 @@
                     "is two seconds late",
                     false,
                     p -> {
-                        p.serve(100, Answer.FULFILLED);
+                        p.serve(100, FinalResponse.FULFILLED);
                         Map<String, Long> old = new HashMap<>(p.counted);
-                        p.serve(20, Answer.FULFILLED);
+                        p.serve(20, FinalResponse.FULFILLED);
                         p.tell(OLD, old);
                     }),
             row(
                     "counts what left in either way",
                     true,
                     p -> {
-                        p.serve(50, Answer.FULFILLED);
+                        p.serve(50, FinalResponse.FULFILLED);
                         for (int i = 0; i < 20; i++) {
                             p.ledger.sent(0);
                             p.ledger.unheard(0);
@@ -138,11 +138,11 @@
                     "goes on from 0 as another process, beside the old one",
                     true,
                     p -> {
-                        p.serve(100, Answer.FULFILLED);
+                        p.serve(100, FinalResponse.FULFILLED);
                         p.tell(OLD, p.counted);
                         p.ledger.began(0, NEW);
                         Map<String, Long> atOld = new HashMap<>(p.counted);
-                        p.serve(20, Answer.FULFILLED);
+                        p.serve(20, FinalResponse.FULFILLED);
                         Map<String, Long> atNew =
                                 new HashMap<>(
                                         Map.of(
@@ -162,7 +162,7 @@
                     "goes on from the old one's numbers",
                     false,
                     p -> {
-                        p.serve(100, Answer.FULFILLED);
+                        p.serve(100, FinalResponse.FULFILLED);
                         p.tell(OLD, p.counted);
                         p.ledger.began(0, NEW);
                         p.ledger.ended(0, OLD);
@@ -173,7 +173,7 @@
                     "begins anew after a kill",
                     true,
                     p -> {
-                        p.serve(100, Answer.FULFILLED);
+                        p.serve(100, FinalResponse.FULFILLED);
                         p.tell(OLD, p.counted);
                         p.ledger.ended(0, OLD);
                         p.ledger.began(0, NEW);
@@ -196,7 +196,7 @@
     @Test
     public void aDoorThatIsNotAnsweredCounts() {
         Play play = new Play();
-        play.serve(10, Answer.FULFILLED);
+        play.serve(10, FinalResponse.FULFILLED);
         play.tell(OLD, play.counted);
         play.ledger.silent(0);
         assertEquals(play.ledger.latePart(), 0.5);
--- a/kit/src/test/java/wheelroute/kit/cli/CommandLineTest.java
+++ b/kit/src/test/java/wheelroute/kit/cli/CommandLineTest.java
@@ -10,8 +10,8 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import picocli.CommandLine;
-import wheelroute.kit.Small;
-import wheelroute.kit.scenario.Library;
+import wheelroute.kit.SmallScenario;
+import wheelroute.kit.scenario.ScenarioLibrary;
 
 /** Commands, their exit codes, and what is said of input that cannot be used. */
 public class CommandLineTest {
@@ -111,7 +111,7 @@
         Path file = folder.resolve("s.toml");
         Path json = folder.resolve("out.json");
         Path html = folder.resolve("out.html");
-        Files.writeString(file, Small.TEXT + more);
+        Files.writeString(file, SmallScenario.TEXT + more);
         assertEquals(
                 run(
                         "rehearse",
@@ -142,6 +142,6 @@
     @Test
     public void everyShippedScenarioIsListed() {
         assertEquals(run("rehearse", "--list"), Exit.HOLDS);
-        Library.NAMES.forEach(name -> assertTrue(said.toString().contains(name + " ")));
+        ScenarioLibrary.NAMES.forEach(name -> assertTrue(said.toString().contains(name + " ")));
     }
 }
--- a/kit/src/test/java/wheelroute/kit/experiment/MatrixTest.java
+++ b/kit/src/test/java/wheelroute/kit/experiment/MatrixTest.java
@@ -9,16 +9,16 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.kit.Small;
+import wheelroute.kit.SmallScenario;
 import wheelroute.kit.report.JsonWriter;
 import wheelroute.kit.report.Report;
-import wheelroute.kit.scenario.Figures;
+import wheelroute.kit.scenario.FigureNames;
 
 /** Several runs: their order, their figures, what is said of them together. */
 public class MatrixTest {
     private static final Plan PLAN =
             new Plan(
-                    List.of(Small.scenario("")),
+                    List.of(SmallScenario.scenario("")),
                     List.of(1L, 2L, 3L),
                     List.of(Variant.USUAL, Variant.baseline("round-robin")),
                     Plan.Clock.VIRTUAL,
@@ -43,12 +43,13 @@
     @Test
     public void differencesArePaired() throws Exception {
         List<Report> reports = play(2);
-        double[] p99 = reports.stream().mapToDouble(r -> r.figures().get(Figures.P99)).toArray();
+        double[] p99 =
+                reports.stream().mapToDouble(r -> r.figures().get(FigureNames.P99)).toArray();
         Comparison.Cell cell =
                 Comparison.of(reports).stream()
                         .filter(
                                 c ->
-                                        c.figure().equals(Figures.P99)
+                                        c.figure().equals(FigureNames.P99)
                                                 && c.variant().equals("round-robin"))
                         .findFirst()
                         .orElseThrow();
--- /dev/null
+++ b/kit/src/test/java/wheelroute/kit/faults/ActiveLinkFaultsTest.java
@@ -0,0 +1,84 @@
+package wheelroute.kit.faults;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.expectThrows;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+
+/** Which way lets what through, while several harms lie over one another. */
+public class ActiveLinkFaultsTest {
+    private static final NetworkLink ONE = new NetworkLink(0, 3);
+    private static final double FULL = Double.POSITIVE_INFINITY;
+    private static final LinkState SHUT = new LinkState(false, false, false, 0, 0, 0, FULL, 0);
+
+    private final List<String> told = new ArrayList<>();
+
+    @DataProvider
+    public Object[][] harms() {
+        return new Object[][] {
+            {List.of(), LinkState.OPEN},
+            {List.of(LinkFault.CUT), SHUT},
+            {List.of(LinkFault.REFUSE), new LinkState(true, false, false, 0, 0, 0, FULL, 0)},
+            {List.of(LinkFault.ONE_WAY), new LinkState(false, true, false, 0, 0, 0, FULL, 0)},
+            {List.of(LinkFault.SLOW), new LinkState(false, true, true, 0.25, 0.5, 0, FULL, 0)},
+            {
+                List.of(LinkFault.SLOW, LinkFault.SLOW),
+                new LinkState(false, true, true, 0.5, 1, 0, FULL, 0)
+            },
+            {List.of(LinkFault.CUT, LinkFault.ONE_WAY), SHUT},
+            {List.of(LinkFault.UNHEARD), new LinkState(false, false, true, 0, 0, 0, FULL, 0)},
+            {List.of(LinkFault.UNHEARD, LinkFault.ONE_WAY), SHUT},
+            {
+                List.of(LinkFault.LOSS, LinkFault.LOSS),
+                new LinkState(false, true, true, 0, 0, 0.4375, FULL, 0)
+            },
+            {
+                List.of(LinkFault.TRICKLE, LinkFault.LOSS),
+                new LinkState(false, true, true, 0, 0, 0.25, 0.25, 0)
+            },
+            {
+                List.of(LinkFault.REFUSE, LinkFault.CUT, LinkFault.SLOW),
+                new LinkState(true, false, false, 0.25, 0.5, 0, FULL, 0)
+            },
+        };
+    }
+
+    /**
+     * Begun in one order, healed in the other: open at the end, and the other ways never touched.
+     */
+    @Test(dataProvider = "harms")
+    public void harmsAddUpAndHeal(List<LinkFault> harms, LinkState passage) {
+        ActiveLinkFaults links = new ActiveLinkFaults((way, now) -> assertEquals(way, ONE));
+        harms.forEach(harm -> links.begin(harm, 0.25, 0.5, List.of(ONE)));
+        assertEquals(links.passage(ONE), passage);
+        assertEquals(links.passage(new NetworkLink(1, 3)), LinkState.OPEN);
+        assertEquals(links.passage(NetworkLink.toList(0)), LinkState.OPEN);
+        harms.forEach(harm -> links.heal(harm, 0.25, 0.5, List.of(ONE)));
+        assertEquals(links.passage(ONE), LinkState.OPEN);
+    }
+
+    /** Whoever carries it out hears of each change once, and of nothing that changes nothing. */
+    @Test
+    public void onlyChangesAreTold() {
+        told.clear();
+        ActiveLinkFaults links =
+                new ActiveLinkFaults((way, now) -> told.add(way.worker() + " " + now.back()));
+        List<NetworkLink> both = List.of(new NetworkLink(0, 1), new NetworkLink(0, 2));
+        links.begin(LinkFault.CUT, 1, 0, both);
+        links.begin(LinkFault.ONE_WAY, 1, 0, both.subList(0, 1));
+        links.heal(LinkFault.CUT, 1, 0, both);
+        links.heal(LinkFault.ONE_WAY, 1, 0, both.subList(0, 1));
+        assertEquals(told, List.of("1 false", "2 false", "1 false", "2 true", "1 true"));
+    }
+
+    @Test
+    public void whatIsNotHarmedCannotHeal() {
+        ActiveLinkFaults links = new ActiveLinkFaults((way, now) -> {});
+        links.begin(LinkFault.SLOW, 1, 0, List.of(ONE));
+        expectThrows(
+                IllegalStateException.class, () -> links.heal(LinkFault.CUT, 1, 0, List.of(ONE)));
+    }
+}
--- a/kit/src/test/java/wheelroute/kit/many/DatagramRelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/DatagramRelayTest.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -16,13 +16,13 @@
 import wheelroute.net.DatagramSocket;
 
 /** A pair of ways for datagrams on loopback sockets: what passes, what is lost, late, doubled. */
-public class DatagramRelayTest extends LoopHarness {
+public class DatagramRelayTest extends EventLoopHarness {
     private static final double FULL = Double.POSITIVE_INFINITY;
-    private static final Passage CUT = new Passage(false, false, false, 0, 0, 0, FULL, 0);
-    private static final Passage HEARD_ONLY = new Passage(false, true, false, 0, 0, 0, FULL, 0);
-    private static final Passage LOSSY = new Passage(false, true, true, 0, 0, 0.5, FULL, 0);
-    private static final Passage DOUBLED = new Passage(false, true, true, 0, 0, 0, FULL, 0.5);
-    private static final Passage LATE = new Passage(false, true, true, 0.05, 0, 0, FULL, 0);
+    private static final LinkState CUT = new LinkState(false, false, false, 0, 0, 0, FULL, 0);
+    private static final LinkState HEARD_ONLY = new LinkState(false, true, false, 0, 0, 0, FULL, 0);
+    private static final LinkState LOSSY = new LinkState(false, true, true, 0, 0, 0.5, FULL, 0);
+    private static final LinkState DOUBLED = new LinkState(false, true, true, 0, 0, 0, FULL, 0.5);
+    private static final LinkState LATE = new LinkState(false, true, true, 0.05, 0, 0, FULL, 0);
 
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     private volatile double chance = 0;
@@ -70,7 +70,7 @@
                 });
     }
 
-    private void set(Passage nears, Passage fars) throws Exception {
+    private void set(LinkState nears, LinkState fars) throws Exception {
         onLoop(
                 () -> {
                     forth.set(nears, fars);
@@ -92,23 +92,23 @@
     public Object[][] harms() {
         return new Object[][] {
             // the near one's way, the far one's, chance, how many come of one there and one back
-            {Passage.OPEN, Passage.OPEN, 0.0, 1, 1},
-            {CUT, Passage.OPEN, 0.0, 0, 0},
-            {Passage.OPEN, CUT, 0.0, 0, 0},
-            {HEARD_ONLY, Passage.OPEN, 0.0, 1, 0},
-            {Passage.OPEN, HEARD_ONLY, 0.0, 0, 1},
-            {LOSSY, Passage.OPEN, 0.4, 0, 0},
-            {LOSSY, Passage.OPEN, 0.6, 1, 1},
-            {DOUBLED, Passage.OPEN, 0.4, 2, 2},
+            {LinkState.OPEN, LinkState.OPEN, 0.0, 1, 1},
+            {CUT, LinkState.OPEN, 0.0, 0, 0},
+            {LinkState.OPEN, CUT, 0.0, 0, 0},
+            {HEARD_ONLY, LinkState.OPEN, 0.0, 1, 0},
+            {LinkState.OPEN, HEARD_ONLY, 0.0, 0, 1},
+            {LOSSY, LinkState.OPEN, 0.4, 0, 0},
+            {LOSSY, LinkState.OPEN, 0.6, 1, 1},
+            {DOUBLED, LinkState.OPEN, 0.4, 2, 2},
             {DOUBLED, LOSSY, 0.4, 0, 0},
-            {LATE, Passage.OPEN, 0.0, 1, 1},
+            {LATE, LinkState.OPEN, 0.0, 1, 1},
         };
     }
 
     /** What passes is followed by one on an open way: whatever had not come by then is lost. */
     @Test(dataProvider = "harms", timeOut = 4 * PATIENCE)
     public void whatPassesIsAsManyAsItShouldBe(
-            Passage nears, Passage fars, double draw, int there, int hither) throws Exception {
+            LinkState nears, LinkState fars, double draw, int there, int hither) throws Exception {
         chance = draw;
         set(nears, fars);
         long from = System.nanoTime();
@@ -129,7 +129,7 @@
         }
         assertTrue(nears != LATE || System.nanoTime() - from >= 50_000_000L, "it came too soon");
         chance = 1;
-        set(Passage.OPEN, Passage.OPEN);
+        set(LinkState.OPEN, LinkState.OPEN);
         send(this.near, forth, "last");
         send(this.far, back, "last");
         for (int end = 0; end < 2; end++) {
--- a/kit/src/test/java/wheelroute/kit/many/LoopHarness.java
+++ b/kit/src/test/java/wheelroute/kit/faults/EventLoopHarness.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -6,7 +6,7 @@
 import wheelroute.net.EventLoop;
 
 /** A loop for what belongs on its thread. */
-abstract class LoopHarness {
+abstract class EventLoopHarness {
     protected static final int PATIENCE = 10_000;
     protected EventLoop loop;
 
--- a/kit/src/test/java/wheelroute/kit/many/RelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/RelayTest.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
@@ -22,16 +22,16 @@
 import org.testng.annotations.Test;
 
 /** A relay on loopback sockets, between a client and a far end that sends back what it hears. */
-public class RelayTest extends LoopHarness {
+public class RelayTest extends EventLoopHarness {
     /** Long enough that what passes would have come: a read that times out is what is asserted. */
     private static final int SILENCE = 300;
 
-    private static final Passage SHUT =
-            new Passage(false, false, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
-    private static final Passage ONE_WAY =
-            new Passage(false, true, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
-    private static final Passage REFUSES =
-            new Passage(true, false, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
+    private static final LinkState SHUT =
+            new LinkState(false, false, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
+    private static final LinkState ONE_WAY =
+            new LinkState(false, true, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
+    private static final LinkState REFUSES =
+            new LinkState(true, false, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
 
     private final List<AutoCloseable> open = new ArrayList<>();
     private Relay relay;
@@ -92,7 +92,7 @@
         }
     }
 
-    private void set(Passage passage) throws Exception {
+    private void set(LinkState passage) throws Exception {
         onLoop(
                 () -> {
                     relay.set(passage);
@@ -123,7 +123,7 @@
 
     /** Nothing comes back while it is harmed; healed, all of it comes, in its order. */
     @Test(dataProvider = "shut", timeOut = 2 * PATIENCE)
-    public void whatIsHeldBackGoesOnWhenHealed(Passage passage, boolean hears) throws Exception {
+    public void whatIsHeldBackGoesOnWhenHealed(LinkState passage, boolean hears) throws Exception {
         Socket socket = connect();
         assertEchoes(socket, "before");
         set(passage);
@@ -132,7 +132,7 @@
         socket.setSoTimeout(SILENCE);
         expectThrows(SocketTimeoutException.class, () -> socket.getInputStream().read());
         assertEquals(heard.get(), hears ? 18 : 6);
-        set(Passage.OPEN);
+        set(LinkState.OPEN);
         socket.setSoTimeout(PATIENCE);
         assertEquals(new String(socket.getInputStream().readNBytes(12), UTF_8), "first second");
     }
@@ -150,7 +150,7 @@
                     }
                 });
         expectThrows(IOException.class, this::connect);
-        set(Passage.OPEN);
+        set(LinkState.OPEN);
         assertEchoes(connect(), "after");
     }
 
@@ -158,7 +158,7 @@
     public void aSlowWayIsSlowBothWays() throws Exception {
         Socket socket = connect();
         assertEchoes(socket, "before");
-        set(new Passage(false, true, true, 0.1, 0, 0, Double.POSITIVE_INFINITY, 0));
+        set(new LinkState(false, true, true, 0.1, 0, 0, Double.POSITIVE_INFINITY, 0));
         long from = System.nanoTime();
         assertEchoes(socket, "slow");
         assertTrue(System.nanoTime() - from >= 200_000_000L, "came too soon");
@@ -206,7 +206,7 @@
         other.getOutputStream().write("held".getBytes(UTF_8));
         other.setSoTimeout(SILENCE);
         expectThrows(SocketTimeoutException.class, () -> other.getInputStream().read());
-        set(Passage.OPEN);
+        set(LinkState.OPEN);
         other.setSoTimeout(PATIENCE);
         assertEquals(new String(other.getInputStream().readNBytes(4), UTF_8), "held");
         assertEquals(heard.get(), 10);
--- a/kit/src/test/java/wheelroute/kit/many/CutDownTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/ScheduleMinimizerTest.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -11,7 +11,7 @@
 import wheelroute.kit.scenario.Scenario;
 
 /** Schedules made smaller, with players whose verdict is known. */
-public class CutDownTest {
+public class ScheduleMinimizerTest {
     private static List<Scenario.Fault> faults(int count) {
         List<Scenario.Fault> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -25,7 +25,7 @@
                             1,
                             i,
                             1,
-                            Scenario.Ends.WORKERS,
+                            Scenario.LinkKind.WORKERS,
                             "",
                             "",
                             0,
@@ -53,8 +53,9 @@
     /** What is left is what it takes, and all of it as small as it may be. */
     @Test(dataProvider = "needed")
     public void onlyWhatItTakesIsLeft(int count, List<Integer> needed) throws Exception {
-        CutDown.Result result =
-                CutDown.of(faults(count), 10_000, some -> picks(some).containsAll(needed));
+        ScheduleMinimizer.Result result =
+                ScheduleMinimizer.of(
+                        faults(count), 10_000, some -> picks(some).containsAll(needed));
         assertEquals(picks(result.faults()), needed);
         assertTrue(result.whole());
         result.faults()
@@ -68,8 +69,8 @@
 
     @Test
     public void whatMustBeLongStaysLong() throws Exception {
-        CutDown.Result result =
-                CutDown.of(
+        ScheduleMinimizer.Result result =
+                ScheduleMinimizer.of(
                         faults(4),
                         10_000,
                         some -> some.stream().anyMatch(f -> f.pick() == 2 && f.length() > 1));
@@ -81,8 +82,8 @@
     @Test
     public void itStopsAtItsBound() throws Exception {
         int[] plays = {0};
-        CutDown.Result result =
-                CutDown.of(
+        ScheduleMinimizer.Result result =
+                ScheduleMinimizer.of(
                         faults(32),
                         7,
                         some -> {
--- a/kit/src/test/java/wheelroute/kit/world/WorkerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/model/WorkerModelTest.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -8,41 +8,44 @@
 import java.util.Locale;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.kit.Small;
+import wheelroute.kit.SmallScenario;
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.scenario.ScenarioReader;
-import wheelroute.kit.virtual.VirtualTime;
+import wheelroute.kit.simulation.SimulatedTime;
 
 /** One worker, told what happens to it; what it says is noted with its time. */
 public class WorkerModelTest {
-    private VirtualTime time = new VirtualTime();
+    private SimulatedTime time = new SimulatedTime();
     private final List<String> said = new ArrayList<>();
 
     private WorkerModel worker(String more) {
-        return worker(Small.scenario(more));
+        return worker(SmallScenario.scenario(more));
     }
 
     private WorkerModel worker(Scenario scenario) {
         said.clear();
-        time = new VirtualTime();
-        World world = new World(scenario, time, new Chance(1), 5, new Auditor(scenario, time, 0));
+        time = new SimulatedTime();
+        ClusterModel world =
+                new ClusterModel(
+                        scenario, time, new SeededRandom(1), 5, new Auditor(scenario, time, 0));
         return world.workers.get(0);
     }
 
-    private Launch send(WorkerModel worker, String name, double work) {
+    private WorkerAttempt send(WorkerModel worker, String name, double work) {
         return send(worker, name, work, 1, 0);
     }
 
-    private Launch send(WorkerModel worker, String name, double work, int slots, double memory) {
+    private WorkerAttempt send(
+            WorkerModel worker, String name, double work, int slots, double memory) {
         double sentAt = time.now();
-        Launch launch =
-                new Launch(
+        WorkerAttempt launch =
+                new WorkerAttempt(
                         name.hashCode(),
                         work,
                         slots,
                         memory,
-                        new Launch.Reply() {
+                        new WorkerAttempt.Reply() {
                             private void note(String what) {
                                 said.add(
                                         name
@@ -63,7 +66,7 @@
                             }
 
                             @Override
-                            public void ended(Ending ending, double freeSlots) {
+                            public void ended(AttemptEnding ending, double freeSlots) {
                                 note(
                                         ending
                                                 + (Double.isNaN(freeSlots)
@@ -101,7 +104,7 @@
                 worker(
                         ScenarioReader.read(
                                 "small",
-                                Small.TEXT.replace(
+                                SmallScenario.TEXT.replace(
                                         "cold_for = 10",
                                         "cold_for = 10\ntip_request = " + request)));
         w.crash();
@@ -278,7 +281,7 @@
                         (t, w) -> {
                             t.send(w, "a", 0.2);
                             t.send(w, "b", 0.2);
-                            Launch c = t.send(w, "c", 9);
+                            WorkerAttempt c = t.send(w, "c", 9);
                             t.send(w, "d", 0.1);
                             w.dropped(c);
                         },
@@ -341,9 +344,11 @@
      */
     @Test
     public void theListLags() {
-        time = new VirtualTime();
-        Scenario scenario = Small.scenario("[terms]\nlist_lag = 1\n");
-        World world = new World(scenario, time, new Chance(1), 5, new Auditor(scenario, time, 0));
+        time = new SimulatedTime();
+        Scenario scenario = SmallScenario.scenario("[terms]\nlist_lag = 1\n");
+        ClusterModel world =
+                new ClusterModel(
+                        scenario, time, new SeededRandom(1), 5, new Auditor(scenario, time, 0));
         List<String> heard = new ArrayList<>();
         double from = time.now();
         world.registry.watch(
--- a/kit/src/test/java/wheelroute/kit/real/ListCallsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/DiscoveryCallCounterTest.java
@@ -1,14 +1,14 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import static org.testng.Assert.assertEquals;
 
 import org.testng.annotations.Test;
 
 /** A herd at the list service is counted as one, wherever its second begins. */
-public class ListCallsTest {
+public class DiscoveryCallCounterTest {
     @Test
     public void theBusiestSecondCounts() {
-        ListCalls calls = new ListCalls();
+        DiscoveryCallCounter calls = new DiscoveryCallCounter();
         calls.called(0.5);
         calls.beginsNow();
         for (int i = 0; i < 10; i++) {
--- a/kit/src/test/java/wheelroute/kit/real/StartsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/DispatcherStartTest.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -22,7 +22,7 @@
  * Processes that start together by the shipped script, while discovery is down: how soon they take
  * clients.
  */
-public class StartsTest {
+public class DispatcherStartTest {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
     /** Nine in ten of those that start together are to be ready within this. */
--- a/kit/src/test/java/wheelroute/kit/real/Judged.java
+++ b/kit/src/test/java/wheelroute/kit/process/JudgedRuns.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.util.Map;
 import org.testng.SkipException;
@@ -10,17 +10,17 @@
  * Plays for tests that assert on rules and figures: what the machine was too busy to judge is no
  * verdict.
  */
-final class Judged {
+final class JudgedRuns {
     private static final int TRIES = 3;
 
-    private Judged() {}
+    private JudgedRuns() {}
 
     /** The first play that can be judged; without one the test is skipped, and says why. */
     static Report play(Scenario scenario, long seed, double seconds) throws Exception {
         Report report = null;
         for (int i = 0; i < TRIES; i++) {
             report =
-                    RealRun.play(
+                    ProcessRun.play(
                             scenario,
                             seed,
                             seconds,
--- a/kit/src/test/java/wheelroute/kit/real/ManyTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
@@ -1,18 +1,18 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.kit.Small;
+import wheelroute.kit.SmallScenario;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
-import wheelroute.kit.scenario.Figures;
+import wheelroute.kit.scenario.FigureNames;
 import wheelroute.kit.scenario.ScenarioReader;
 
 /** Five processes of the program at once, and each kind of fault between them. */
-public class ManyTest {
+public class LinkFaultsTest {
     private static final int PROCESSES = 5;
 
     private static String fault(String kind, double at, double length, String more) {
@@ -90,7 +90,9 @@
     /** Every ask ends in one way and no rule breaks, over all processes together. */
     @Test(dataProvider = "faults")
     public void allTogetherKeepTheRules(String faults) throws Exception {
-        Report report = Judged.play(Small.scenario(faults, PROCESSES, "clocks = [\"real\"]"), 5, 5);
+        Report report =
+                JudgedRuns.play(
+                        SmallScenario.scenario(faults, PROCESSES, "clocks = [\"real\"]"), 5, 5);
         Report.Row all = report.total();
         assertEquals(
                 all.inTime()
@@ -102,7 +104,7 @@
                 all.asked());
         assertTrue(report.keepsRules(), TableWriter.text(report));
         assertTrue(all.inTime() > all.asked() / 3, TableWriter.text(report));
-        assertEquals(report.figures().get(Figures.NOT_REPLACED), 0.0, TableWriter.text(report));
+        assertEquals(report.figures().get(FigureNames.NOT_REPLACED), 0.0, TableWriter.text(report));
     }
 
     /**
@@ -111,8 +113,8 @@
     @Test
     public void figuresStayTrueThroughRestarts() throws Exception {
         Report report =
-                Judged.play(
-                        Small.scenario(
+                JudgedRuns.play(
+                        SmallScenario.scenario(
                                 fault("dispatcher-kill", 1, 1, "share = 0.2")
                                         + fault("dispatcher-replace", 1, 4, "share = 0.2\npick = 1")
                                         + fault("burst", 1, 2, "group = \"far\"\nlevel = 0.5"),
@@ -120,7 +122,7 @@
                                 "clocks = [\"real\"]"),
                         5,
                         5);
-        assertEquals(report.figures().get(Figures.UNTRUE), 0.0, TableWriter.text(report));
+        assertEquals(report.figures().get(FigureNames.UNTRUE), 0.0, TableWriter.text(report));
         assertTrue(report.keepsRules(), TableWriter.text(report));
     }
 
@@ -164,10 +166,10 @@
     @Test(dataProvider = "amongPeers")
     public void peersKeepTheRulesAndAgreeInTheEnd(String faults) throws Exception {
         Report report =
-                Judged.play(
+                JudgedRuns.play(
                         ScenarioReader.read(
                                 "peers",
-                                Small.TEXT
+                                SmallScenario.TEXT
                                                 .replace(
                                                         "cycle = 5",
                                                         "cycle = 20\nclocks = [\"real\"]\npeers = true")
@@ -178,7 +180,7 @@
                         5,
                         12);
         assertTrue(report.keepsRules(), TableWriter.text(report));
-        assertEquals(report.figures().get(Figures.PEERS_WRONG), 0.0, TableWriter.text(report));
+        assertEquals(report.figures().get(FigureNames.PEERS_WRONG), 0.0, TableWriter.text(report));
         assertTrue(report.total().inTime() > report.total().asked() / 3, TableWriter.text(report));
     }
 }
--- a/kit/src/test/java/wheelroute/kit/real/RealRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -9,17 +9,17 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.kit.Small;
-import wheelroute.kit.brain.Brains;
+import wheelroute.kit.SmallScenario;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.virtual.VirtualRun;
+import wheelroute.kit.simulation.SimulationRun;
+import wheelroute.kit.strategy.Strategies;
 
 /** Whole runs on sockets, each daemon a process of its own. */
-public class RealRunTest {
+public class ProcessRunTest {
     private static Report play(Scenario scenario, double seconds) throws Exception {
-        return Judged.play(scenario, 3, seconds);
+        return JudgedRuns.play(scenario, 3, seconds);
     }
 
     @DataProvider
@@ -64,7 +64,7 @@
         // answer in
         // time.
         int dispatchers = more.contains("dispatcher-") ? 2 : 1;
-        Report report = play(Small.scenario(more, dispatchers), 4);
+        Report report = play(SmallScenario.scenario(more, dispatchers), 4);
         Report.Row all = report.total();
         assertEquals(
                 all.inTime()
@@ -86,16 +86,16 @@
      */
     @Test
     public void theClocksAgree() throws Exception {
-        Scenario scenario = Small.scenario("");
+        Scenario scenario = SmallScenario.scenario("");
         Report real = play(scenario, 4);
         Report virtual =
-                VirtualRun.play(
+                SimulationRun.play(
                         scenario,
                         3,
                         4,
                         Map.of(),
                         "as-built",
-                        w -> Brains.maker(Brains.MODULE, w),
+                        w -> Strategies.maker(Strategies.MODULE, w),
                         () -> false);
         assertEquals(real.total().asked(), virtual.total().asked());
         assertEquals(real.total().service(), virtual.total().service(), 0.03);
@@ -108,8 +108,8 @@
                 expectThrows(
                         RehearsalException.class,
                         () ->
-                                RealRun.play(
-                                        Small.scenario(""),
+                                ProcessRun.play(
+                                        SmallScenario.scenario(""),
                                         3,
                                         5,
                                         Map.of(),
--- a/kit/src/test/java/wheelroute/kit/real/KeeperTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessSupervisorTest.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 
 /** Processes that are signalled, and that do not outlive who started them. */
-public class KeeperTest {
+public class ProcessSupervisorTest {
     private static final int PATIENCE = 20;
     private Process kept;
     private Process rig;
@@ -24,7 +24,7 @@
         folder = Files.createTempDirectory("keeper");
     }
 
-    private static Process sleeper(Keeper keeper) throws Exception {
+    private static Process sleeper(ProcessSupervisor keeper) throws Exception {
         return keeper.start(new ProcessBuilder("sleep", "600"));
     }
 
@@ -46,7 +46,7 @@
 
     @Test
     public void aProcessStandsStillAndGoesOn() throws Exception {
-        try (Keeper keeper = new Keeper(folder)) {
+        try (ProcessSupervisor keeper = new ProcessSupervisor(folder)) {
             kept = sleeper(keeper);
             keeper.pause(kept, true);
             assertEquals(state(kept, 'T'), 'T');
@@ -58,7 +58,7 @@
     /** Also one that stands still as its keeper goes. */
     @Test
     public void whatIsKeptGoesWithItsKeeper() throws Exception {
-        Keeper keeper = new Keeper(folder);
+        ProcessSupervisor keeper = new ProcessSupervisor(folder);
         kept = sleeper(keeper);
         Process other = sleeper(keeper);
         assertEquals(state(kept, 'S'), 'S');
@@ -93,11 +93,14 @@
                         .start();
         List<ProcessHandle> started = List.of();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE);
-        while (started.stream().noneMatch(KeeperTest::isDaemon) && System.nanoTime() < end) {
+        while (started.stream().noneMatch(ProcessSupervisorTest::isDaemon)
+                && System.nanoTime() < end) {
             started = rig.descendants().toList();
             Thread.onSpinWait();
         }
-        assertTrue(started.stream().anyMatch(KeeperTest::isDaemon), "no daemon was started");
+        assertTrue(
+                started.stream().anyMatch(ProcessSupervisorTest::isDaemon),
+                "no daemon was started");
         rig.destroyForcibly();
         for (ProcessHandle one : started) {
             one.onExit().get(PATIENCE, TimeUnit.SECONDS);
--- a/kit/src/test/java/wheelroute/kit/scale/CapacityPageTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/CapacityPageTest.java
@@ -40,8 +40,8 @@
             """;
 
     /** Exact lines: what comes of them can be reckoned in the head. */
-    private static Slopes slopes() {
-        Map<String, Fit> fits = new LinkedHashMap<>();
+    private static ScaleResults slopes() {
+        Map<String, LinearFit> fits = new LinkedHashMap<>();
         Object[][] lines = {
             {ScaleRun.REST_CPU, 0.001, 0.000001},
             {ScaleRun.LAUNCH_CPU, 0.001, 0.000002},
@@ -65,10 +65,11 @@
             {ScaleRun.IN_FORCE_WORST, 0.0, 0.0}
         };
         for (Object[] line : lines) {
-            Fit fit = FitTest.line((double) line[1], (double) line[2], 0, 1, 10, 20, 30, 40);
-            fits.put((String) line[0], Fit.of((String) line[0], "x", "y", fit.points()));
+            LinearFit fit =
+                    LinearFitTest.line((double) line[1], (double) line[2], 0, 1, 10, 20, 30, 40);
+            fits.put((String) line[0], LinearFit.of((String) line[0], "x", "y", fit.points()));
         }
-        return new Slopes(
+        return new ScaleResults(
                 "",
                 "a head",
                 fits,
@@ -91,21 +92,22 @@
     @Test
     public void ourOwnPageIsTrue() throws IOException {
         Path docs = Path.of("..", "docs");
-        Slopes slopes = Slopes.read(Files.readString(docs.resolve("capacity/slopes.json")));
-        Size size = Size.read(docs.resolve("capacity/size.toml"));
+        ScaleResults slopes =
+                ScaleResults.read(Files.readString(docs.resolve("capacity/slopes.json")));
+        DeploymentSize size = DeploymentSize.read(docs.resolve("capacity/size.toml"));
         assertEquals(
                 CapacityPage.faults(
                         Files.readString(docs.resolve("CAPACITY.md")),
-                        new Reckoning(slopes, size).tables()),
+                        new CapacityModel(slopes, size).tables()),
                 List.of());
     }
 
-    private static Size size() throws IOException {
-        return Size.read(Files.writeString(Files.createTempFile("size", ".toml"), SIZE));
+    private static DeploymentSize size() throws IOException {
+        return DeploymentSize.read(Files.writeString(Files.createTempFile("size", ".toml"), SIZE));
     }
 
     private static Map<String, String> tables() throws IOException {
-        return new Reckoning(slopes(), size()).tables();
+        return new CapacityModel(slopes(), size()).tables();
     }
 
     private static String cell(String table, int row, int column) {
@@ -130,14 +132,14 @@
         assertTrue(cell(list, 2, 4).startsWith("1.00 ") || cell(list, 2, 4).startsWith("1 "), list);
         assertTrue(cell(list, 2, 5).startsWith("0.100 "), list);
         assertTrue(cell(list, 2, 6).startsWith("0.250 "), list);
-        assertEquals(new Reckoning(slopes(), size()).verdict(), List.of());
+        assertEquals(new CapacityModel(slopes(), size()).verdict(), List.of());
     }
 
     @Test
     public void whatIsOverIsSaid() throws IOException {
         Path file = Files.createTempFile("size", ".toml");
         Files.writeString(file, SIZE.replace("core_share = 0.1", "core_share = 0.0175"));
-        List<String> over = new Reckoning(slopes(), Size.read(file)).verdict();
+        List<String> over = new CapacityModel(slopes(), DeploymentSize.read(file)).verdict();
         assertEquals(
                 over, List.of("processor time at the peak with 10 dispatchers: over, 2.00 times"));
     }
@@ -165,7 +167,8 @@
             throws IOException {
         Path file =
                 Files.writeString(Files.createTempFile("size", ".toml"), SIZE.replace(is, becomes));
-        String message = expectThrows(IOException.class, () -> Size.read(file)).getMessage();
+        String message =
+                expectThrows(IOException.class, () -> DeploymentSize.read(file)).getMessage();
         assertTrue(message.contains(words) && message.contains(file.toString()), message);
     }
 
@@ -175,19 +178,19 @@
     @Test
     public void slopesSurviveTheirFile() throws IOException {
         String json = slopes().json();
-        assertEquals(Slopes.read(json), slopes());
+        assertEquals(ScaleResults.read(json), slopes());
         String changed = json.replace("\"slope\" : 0.002", "\"slope\" : 0.003");
         assertTrue(!changed.equals(json), json);
-        assertEquals(Slopes.read(changed), slopes());
+        assertEquals(ScaleResults.read(changed), slopes());
         assertTrue(
-                expectThrows(IOException.class, () -> Slopes.read("{\"version\":9}"))
+                expectThrows(IOException.class, () -> ScaleResults.read("{\"version\":9}"))
                         .getMessage()
                         .contains("another version"));
         assertTrue(
                 expectThrows(
                                 IOException.class,
                                 () ->
-                                        Slopes.read(
+                                        ScaleResults.read(
                                                 "{\"fits\":[{\"name\":\"a\",\"points\":"
                                                         + "[[1,2]]}]}"))
                         .getMessage()
--- a/kit/src/test/java/wheelroute/kit/scale/FitTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/LinearFitTest.java
@@ -10,12 +10,12 @@
 import org.testng.annotations.Test;
 
 /** Lines through points, and what their errors promise. */
-public class FitTest {
+public class LinearFitTest {
     private static final double EXACT = 1e-9;
 
     @Test
     public void anExactLineHasNoError() {
-        Fit fit = line(3, 0.5, 0, 1, 10, 20, 30, 40);
+        LinearFit fit = line(3, 0.5, 0, 1, 10, 20, 30, 40);
         assertEquals(fit.intercept(), 3, EXACT);
         assertEquals(fit.slope(), 0.5, EXACT);
         assertEquals(fit.at(1000), 503, EXACT);
@@ -32,7 +32,7 @@
         int within = 0;
         int tries = 1000;
         for (int seed = 0; seed < tries; seed++) {
-            Fit fit = line(3, 0.5, 2, seed, 10, 20, 30, 40, 50, 60, 70, 80, 90, 100);
+            LinearFit fit = line(3, 0.5, 2, seed, 10, 20, 30, 40, 50, 60, 70, 80, 90, 100);
             within += Math.abs(fit.at(1000) - 503) <= 2 * fit.errorAt(1000) ? 1 : 0;
         }
         assertTrue(within >= 0.90 * tries && within <= 0.98 * tries, within + " of " + tries);
@@ -46,15 +46,16 @@
         assertTrue(message.contains("at 3 sizes, not 4"), message);
     }
 
-    static Fit line(double intercept, double slope, double noise, long seed, double... sizes) {
+    static LinearFit line(
+            double intercept, double slope, double noise, long seed, double... sizes) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Fit.Point> points = new ArrayList<>();
+        List<LinearFit.Point> points = new ArrayList<>();
         for (double size : sizes) {
             points.add(
-                    new Fit.Point(
+                    new LinearFit.Point(
                             size,
                             intercept + slope * size + noise * (2 * random.nextDouble() - 1)));
         }
-        return Fit.of("line", "x", "y", points);
+        return LinearFit.of("line", "x", "y", points);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
@@ -9,7 +9,7 @@
 import java.util.Collections;
 import java.util.List;
 import org.testng.annotations.Test;
-import wheelroute.kit.real.RehearsalException;
+import wheelroute.kit.process.RehearsalException;
 
 /** The whole run at sizes that take seconds, with processes and sockets as in the large one. */
 public class ScaleRunTest {
@@ -28,7 +28,7 @@
     @Test(timeOut = 180_000)
     public void measuresEachLineAtItsSizes() throws Exception {
         List<String> told = Collections.synchronizedList(new ArrayList<>());
-        Slopes slopes = ScaleRun.play(SMALL, () -> false, told::add);
+        ScaleResults slopes = ScaleRun.play(SMALL, () -> false, told::add);
         slopes.fits().forEach((name, fit) -> assertEquals(fit.points().size(), 4, name));
         // An entry of the list has so many bytes, whoever asks.
         assertEquals(slopes.fit(ScaleRun.WHOLE_BYTES).slope(), 123, 3);
@@ -72,12 +72,12 @@
     /** Half of the machine's memory, whatever is asked for. */
     @Test
     public void nothingIsStartedPastItsBounds() throws IOException, RehearsalException {
-        Guard guard = new Guard();
+        ResourceGuard guard = new ResourceGuard();
         guard.mayStart(1);
         String message =
                 expectThrows(
                                 RehearsalException.class,
-                                () -> guard.mayStart(ProcessAccount.machineMemory()))
+                                () -> guard.mayStart(ProcessStats.machineMemory()))
                         .getMessage();
         assertTrue(message.contains("half of the machine's"), message);
     }
--- a/kit/src/test/java/wheelroute/kit/scenario/DrawTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/FaultScheduleGeneratorTest.java
@@ -10,22 +10,26 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.kit.Small;
+import wheelroute.kit.SmallScenario;
 
 /** Schedules drawn from a seed, and scenarios written down and read again. */
-public class DrawTest {
+public class FaultScheduleGeneratorTest {
     private static final String DRAWN = "[drawn]\nfaults = 6\nlongest = 2\n";
 
     private static Scenario real(String more) {
-        return Small.scenario(more, 3, "clocks = [\"real\"]");
+        return SmallScenario.scenario(more, 3, "clocks = [\"real\"]");
     }
 
     @Test
     public void aScheduleDependsOnTheSeedAlone() {
         Scenario scenario = real(DRAWN);
-        assertEquals(Draw.drawn(scenario, 4), Draw.drawn(scenario, 4));
-        assertNotEquals(Draw.drawn(scenario, 4).faults(), Draw.drawn(scenario, 5).faults());
-        assertEquals(Draw.drawn(real(""), 4), real(""));
+        assertEquals(
+                FaultScheduleGenerator.drawn(scenario, 4),
+                FaultScheduleGenerator.drawn(scenario, 4));
+        assertNotEquals(
+                FaultScheduleGenerator.drawn(scenario, 4).faults(),
+                FaultScheduleGenerator.drawn(scenario, 5).faults());
+        assertEquals(FaultScheduleGenerator.drawn(real(""), 4), real(""));
     }
 
     /**
@@ -36,9 +40,9 @@
     public void whatIsDrawnIsSoundAndComesBackFromItsFile() throws Exception {
         Scenario scenario = real(DRAWN + "[[faults]]\nkind = \"burst\"\nat = 1\nfor = 1\n");
         Set<Scenario.Kind> kinds = EnumSet.noneOf(Scenario.Kind.class);
-        Set<Scenario.Ends> ends = EnumSet.noneOf(Scenario.Ends.class);
+        Set<Scenario.LinkKind> ends = EnumSet.noneOf(Scenario.LinkKind.class);
         for (int seed = 0; seed < 300; seed++) {
-            Scenario drawn = Draw.drawn(scenario, seed);
+            Scenario drawn = FaultScheduleGenerator.drawn(scenario, seed);
             assertEquals(drawn.faults().size(), 7);
             assertEquals(ScenarioReader.read(drawn.name(), ScenarioWriter.text(drawn)), drawn);
             for (Scenario.Fault fault : drawn.faults().subList(1, 7)) {
@@ -52,16 +56,16 @@
                             .size(),
                     7);
         }
-        assertEquals(kinds, EnumSet.copyOf(Draw.kinds(true)));
-        assertEquals(ends, EnumSet.complementOf(EnumSet.of(Scenario.Ends.PEERS)));
+        assertEquals(kinds, EnumSet.copyOf(FaultScheduleGenerator.kinds(true)));
+        assertEquals(ends, EnumSet.complementOf(EnumSet.of(Scenario.LinkKind.PEERS)));
     }
 
     @Test
     public void theVirtualClockIsSparedWhatItCannotPlay() {
-        Scenario scenario = Small.scenario(DRAWN, 3);
+        Scenario scenario = SmallScenario.scenario(DRAWN, 3);
         for (int seed = 0; seed < 100; seed++) {
             assertTrue(
-                    Draw.drawn(scenario, seed).faults().stream()
+                    FaultScheduleGenerator.drawn(scenario, seed).faults().stream()
                             .noneMatch(f -> f.kind().needsProcesses()),
                     "seed " + seed);
         }
@@ -72,7 +76,7 @@
         Scenario scenario = real("[drawn]\nfaults = 20\nkinds = [\"crash\", \"list-cut\"]\n");
         assertEquals(
                 EnumSet.copyOf(
-                        Draw.drawn(scenario, 1).faults().stream()
+                        FaultScheduleGenerator.drawn(scenario, 1).faults().stream()
                                 .map(Scenario.Fault::kind)
                                 .toList()),
                 EnumSet.of(Scenario.Kind.CRASH, Scenario.Kind.LIST_CUT));
@@ -81,7 +85,7 @@
     @DataProvider
     public Object[][] scenarios() {
         return java.util.stream.Stream.concat(
-                        Library.NAMES.stream(),
+                        ScenarioLibrary.NAMES.stream(),
                         List.of(
                                 "[clients]\nfresh = 0.25\nwrites = 0.5\n[limits]\nmemory_mb = 96\nsockets = 512\n"
                                         + "[changed]\n\"permissions.most_tries\" = \"4\"\n[expect.\"offering:free\"]\nleast = 0.1\n"
@@ -97,7 +101,9 @@
     @Test(dataProvider = "scenarios")
     public void whatIsWrittenIsReadAsTheSame(String nameOrText) throws Exception {
         Scenario scenario =
-                Library.NAMES.contains(nameOrText) ? Library.find(nameOrText) : real(nameOrText);
+                ScenarioLibrary.NAMES.contains(nameOrText)
+                        ? ScenarioLibrary.find(nameOrText)
+                        : real(nameOrText);
         assertEquals(ScenarioReader.read(scenario.name(), ScenarioWriter.text(scenario)), scenario);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
@@ -11,11 +11,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.decision.Settings;
-import wheelroute.kit.Small;
+import wheelroute.kit.SmallScenario;
 
 /** Scenario files: what is wrong is told, all of it, with its place. */
 public class ScenarioReaderTest {
-    private static final int NEXT_LINE = Small.TEXT.split("\n", -1).length;
+    private static final int NEXT_LINE = SmallScenario.TEXT.split("\n", -1).length;
 
     @DataProvider
     public Object[][] faults() {
@@ -126,7 +126,7 @@
         ScenarioException e =
                 expectThrows(
                         ScenarioException.class,
-                        () -> ScenarioReader.read("x.toml", Small.TEXT + more));
+                        () -> ScenarioReader.read("x.toml", SmallScenario.TEXT + more));
         assertTrue(e.faults().stream().anyMatch(fault -> fault.contains(told)), e.getMessage());
         if (line > 0) {
             String place = "line " + (NEXT_LINE + line) + ": ";
@@ -170,12 +170,14 @@
 
     @DataProvider
     public Object[][] shipped() {
-        return Library.NAMES.stream().map(name -> new Object[] {name}).toArray(Object[][]::new);
+        return ScenarioLibrary.NAMES.stream()
+                .map(name -> new Object[] {name})
+                .toArray(Object[][]::new);
     }
 
     @Test(dataProvider = "shipped")
     public void whatIsShippedCanBePlayed(String name) throws Exception {
-        Scenario scenario = Library.find(name);
+        Scenario scenario = ScenarioLibrary.find(name);
         assertTrue(scenario.expectations().size() > 0, "it expects nothing");
         Settings settings = DaemonSettings.settings(1, DaemonSettings.pairs(scenario, Map.of()));
         assertEquals(settings.requestClasses().size(), scenario.offerings().size());
@@ -188,7 +190,7 @@
     @Test
     public void theTermsReachTheDaemonsOwnWords() throws Exception {
         Scenario scenario =
-                Small.scenario(
+                SmallScenario.scenario(
                         "[terms]\nmost_launches = 4\nmay_copy = false\n"
                                 + "[[tenants]]\nname = \"t\"\nquota = 7\n[daemon]\n\"permissions.most_tries\" = \"5\"\n");
         Map<String, String> pairs =
--- a/kit/src/test/java/wheelroute/kit/virtual/VirtualRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.virtual;
+package wheelroute.kit.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
@@ -10,36 +10,42 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.kit.Small;
+import wheelroute.kit.SmallScenario;
 import wheelroute.kit.audit.Rule;
-import wheelroute.kit.brain.Brains;
 import wheelroute.kit.report.HtmlWriter;
 import wheelroute.kit.report.JsonWriter;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
-import wheelroute.kit.scenario.Figures;
-import wheelroute.kit.scenario.Library;
+import wheelroute.kit.scenario.FigureNames;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.scenario.ScenarioException;
+import wheelroute.kit.scenario.ScenarioLibrary;
+import wheelroute.kit.strategy.Strategies;
 
 /** Whole runs on the virtual clock. */
-public class VirtualRunTest {
+public class SimulationRunTest {
     private static final double QUICK = 30;
     private static final int SCHEDULES = 60;
     private static final int THIRTIES = 50;
 
     private static Report play(Scenario scenario, long seed, double seconds, String brain)
             throws Exception {
-        return VirtualRun.play(
-                scenario, seed, seconds, Map.of(), brain, w -> Brains.maker(brain, w), () -> false);
+        return SimulationRun.play(
+                scenario,
+                seed,
+                seconds,
+                Map.of(),
+                brain,
+                w -> Strategies.maker(brain, w),
+                () -> false);
     }
 
     @DataProvider
     public Object[][] shipped() throws ScenarioException {
         List<Object[]> rows = new ArrayList<>();
-        for (String name : Library.NAMES) {
+        for (String name : ScenarioLibrary.NAMES) {
             // What needs processes of its own is played by its rehearsal.
-            if (Library.find(name).clocks().contains("virtual")) {
+            if (ScenarioLibrary.find(name).clocks().contains("virtual")) {
                 rows.add(new Object[] {name});
             }
         }
@@ -49,10 +55,10 @@
     /** The module keeps the rules and what each shipped scenario expects, and beats chance. */
     @Test(dataProvider = "shipped")
     public void aShippedScenarioHolds(String name) throws Exception {
-        Scenario scenario = Library.find(name);
+        Scenario scenario = ScenarioLibrary.find(name);
         // A third of the largest is enough to see it hold, and keeps this test short.
         double seconds = scenario.dispatchers() > 10 ? QUICK / 3 : QUICK;
-        Report report = play(scenario, 7, seconds, Brains.MODULE);
+        Report report = play(scenario, 7, seconds, Strategies.MODULE);
         assertTrue(report.holds(), TableWriter.text(report));
     }
 
@@ -62,9 +68,9 @@
      */
     @Test
     public void thirtyDispatchersPushNoColdWorkerOver() throws Exception {
-        Scenario scenario = Library.find("cold-thirty");
+        Scenario scenario = ScenarioLibrary.find("cold-thirty");
         for (int seed = 1; seed <= THIRTIES; seed++) {
-            Report report = play(scenario, seed, QUICK / 2, Brains.MODULE);
+            Report report = play(scenario, seed, QUICK / 2, Strategies.MODULE);
             assertTrue(report.keepsRules(), seed + ": " + TableWriter.text(report));
         }
     }
@@ -72,13 +78,14 @@
     /** Textbook dispatching keeps the first three rules too: what it lacks is service. */
     @Test
     public void baselinesKeepTheRulesAndServeLess() throws Exception {
-        Scenario scenario = Library.find("overload");
-        double module = play(scenario, 3, QUICK, Brains.MODULE).figures().get(Figures.SERVICE);
-        for (String brain : Brains.names()) {
+        Scenario scenario = ScenarioLibrary.find("overload");
+        double module =
+                play(scenario, 3, QUICK, Strategies.MODULE).figures().get(FigureNames.SERVICE);
+        for (String brain : Strategies.names()) {
             Report report = play(scenario, 3, QUICK, brain);
             assertTrue(report.keepsRules(), TableWriter.text(report));
-            if (!brain.equals(Brains.MODULE) && !brain.equals(Brains.SEEING)) {
-                double service = report.figures().get(Figures.SERVICE);
+            if (!brain.equals(Strategies.MODULE) && !brain.equals(Strategies.SEEING)) {
+                double service = report.figures().get(FigureNames.SERVICE);
                 assertTrue(
                         service < module - 0.1, brain + " serves " + service + " beside " + module);
             }
@@ -92,9 +99,10 @@
     @Test
     public void drawnSchedulesKeepTheRules() throws Exception {
         Scenario scenario =
-                Small.scenario("[drawn]\nfaults = 5\nlongest = 2\n[clients]\nretries = 2\n", 4);
+                SmallScenario.scenario(
+                        "[drawn]\nfaults = 5\nlongest = 2\n[clients]\nretries = 2\n", 4);
         for (int seed = 0; seed < SCHEDULES; seed++) {
-            Report report = play(scenario, seed, 5, Brains.MODULE);
+            Report report = play(scenario, seed, 5, Strategies.MODULE);
             Report.Row all = report.total();
             assertTrue(report.keepsRules(), seed + ": " + TableWriter.text(report));
             assertEquals(
@@ -110,10 +118,10 @@
 
     @Test
     public void theSameSeedGivesTheSameReport() throws Exception {
-        Scenario scenario = Library.find("drain-in-burst");
-        String once = JsonWriter.text(List.of(play(scenario, 5, 12, Brains.MODULE)));
-        assertEquals(JsonWriter.text(List.of(play(scenario, 5, 12, Brains.MODULE))), once);
-        assertNotEquals(JsonWriter.text(List.of(play(scenario, 6, 12, Brains.MODULE))), once);
+        Scenario scenario = ScenarioLibrary.find("drain-in-burst");
+        String once = JsonWriter.text(List.of(play(scenario, 5, 12, Strategies.MODULE)));
+        assertEquals(JsonWriter.text(List.of(play(scenario, 5, 12, Strategies.MODULE))), once);
+        assertNotEquals(JsonWriter.text(List.of(play(scenario, 6, 12, Strategies.MODULE))), once);
     }
 
     /**
@@ -121,8 +129,8 @@
      */
     @Test
     public void allVariantsAreAskedTheSame() throws Exception {
-        Scenario scenario = Library.find("failures-overlap");
-        Report one = play(scenario, 5, 10, Brains.MODULE);
+        Scenario scenario = ScenarioLibrary.find("failures-overlap");
+        Report one = play(scenario, 5, 10, Strategies.MODULE);
         Report other = play(scenario, 5, 10, "round-robin");
         assertEquals(one.series().asked(), other.series().asked());
         for (int i = 0; i < one.offerings().size(); i++) {
@@ -134,11 +142,11 @@
     @Test
     public void everyAskEndsInOneWay() throws Exception {
         Scenario scenario =
-                Small.scenario(
+                SmallScenario.scenario(
                         "[clients]\nimpatient = 0.3\nretries = 2\n"
                                 + "[[faults]]\nkind = \"dispatcher-kill\"\nat = 1\nfor = 1\n"
                                 + "[[faults]]\nkind = \"list-down\"\nat = 1.5\nfor = 2\n");
-        Report report = play(scenario, 1, 5, Brains.MODULE);
+        Report report = play(scenario, 1, 5, Strategies.MODULE);
         Report.Row all = report.total();
         assertEquals(
                 all.inTime()
@@ -160,10 +168,11 @@
     public void whatDoesNotHoldIsSaid() throws Exception {
         Report report =
                 play(
-                        Small.scenario("[expect.service]\nleast = 1.01\n[expect.p99]\nmost = 10\n"),
+                        SmallScenario.scenario(
+                                "[expect.service]\nleast = 1.01\n[expect.p99]\nmost = 10\n"),
                         1,
                         5,
-                        Brains.MODULE);
+                        Strategies.MODULE);
         assertTrue(!report.holds());
         assertEquals(report.verdicts().stream().filter(Report.Verdict::holds).count(), 1);
         assertTrue(
@@ -181,16 +190,16 @@
 
     @Test
     public void aStoppedRunIsMarked() throws Exception {
-        Scenario scenario = Library.find("calm");
+        Scenario scenario = ScenarioLibrary.find("calm");
         int[] looks = {0};
         Report report =
-                VirtualRun.play(
+                SimulationRun.play(
                         scenario,
                         1,
                         60,
                         Map.of(),
                         "x",
-                        w -> Brains.maker("random", w),
+                        w -> Strategies.maker("random", w),
                         () -> ++looks[0] > 2);
         assertTrue(report.partial() && !report.holds());
         assertTrue(TableWriter.text(report).contains("PARTIAL"));
@@ -223,7 +232,7 @@
     @Test(dataProvider = "lags")
     public void aRunOnASlowMachineIsNotJudged(Report.Lag lag, Rule broken, Report.Judgement judged)
             throws Exception {
-        Report r = play(Small.scenario(""), 1, 5, Brains.MODULE);
+        Report r = play(SmallScenario.scenario(""), 1, 5, Strategies.MODULE);
         assertTrue(r.holds(), TableWriter.text(r));
         Map<Rule, Integer> counts = new LinkedHashMap<>(r.breachCounts());
         if (broken != null) {
