--- a/kit/src/main/java/wheelroute/kit/audit/CounterHistory.java
+++ b/kit/src/main/java/wheelroute/kit/audit/CounterHistory.java
@@ -4,9 +4,9 @@
 
 /** A number as it was over the last few seconds. */
 final class CounterHistory {
-    private static final double KEEP = 5;
+    private static final double RETENTION = 5;
 
-    private record Point(double at, long value) {}
+    private record Point(double time, long value) {}
 
     private final ArrayDeque<Point> points = new ArrayDeque<>();
     private long value;
@@ -14,19 +14,19 @@
     void add(double now, long by) {
         value += by;
         points.addLast(new Point(now, value));
-        while (points.size() > 1 && points.peekFirst().at < now - KEEP) {
+        while (points.size() > 1 && points.peekFirst().time < now - RETENTION) {
             points.pollFirst();
         }
     }
 
-    long now() {
+    long current() {
         return value;
     }
 
-    long at(double time) {
-        long was = points.isEmpty() || points.peekFirst().at > time ? first() : value;
+    long valueAt(double time) {
+        long was = points.isEmpty() || points.peekFirst().time > time ? firstValue() : value;
         for (Point point : points) {
-            if (point.at > time) {
+            if (point.time > time) {
                 break;
             }
             was = point.value;
@@ -35,24 +35,24 @@
     }
 
     /** What it was before all that is still known. */
-    private long first() {
+    private long firstValue() {
         return points.isEmpty() ? value : 0;
     }
 
-    long least(double from, double to) {
-        long least = at(from);
+    long min(double from, double to) {
+        long least = valueAt(from);
         for (Point point : points) {
-            if (point.at > from && point.at <= to) {
+            if (point.time > from && point.time <= to) {
                 least = Math.min(least, point.value);
             }
         }
         return least;
     }
 
-    long most(double from, double to) {
-        long most = at(from);
+    long max(double from, double to) {
+        long most = valueAt(from);
         for (Point point : points) {
-            if (point.at > from && point.at <= to) {
+            if (point.time > from && point.time <= to) {
                 most = Math.max(most, point.value);
             }
         }
--- a/kit/src/main/java/wheelroute/kit/audit/Rule.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Rule.java
@@ -8,9 +8,9 @@
     COLD_WORKER("a cold worker is not pushed over"),
     STAYS_UP("no process ends that nobody told to");
 
-    public final String text;
+    public final String description;
 
     Rule(String text) {
-        this.text = text;
+        this.description = text;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/Check.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Check.java
@@ -43,7 +43,7 @@
                     "a scenario of "
                             + scenario.workers()
                             + " workers, "
-                            + scenario.offerings().size()
+                            + scenario.requestClasses().size()
                             + " offerings, "
                             + scenario.faults().size()
                             + " faults";
--- a/kit/src/main/java/wheelroute/kit/cli/Load.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Load.java
@@ -113,7 +113,7 @@
             spec.commandLine()
                     .getOut()
                     .println(
-                            LoadRun.play(
+                            LoadRun.run(
                                             new LoadRun.Load(
                                                     to,
                                                     offering,
--- a/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
@@ -191,7 +191,7 @@
                                             err.println(text);
                                             err.flush();
                                         })
-                                .play();
+                                .run();
                 rounds.add(played);
                 if (round == 0) {
                     reports.addAll(played);
@@ -265,14 +265,15 @@
                 if (first == null || first.judgement() != Report.Judgement.DOES_NOT_HOLD) {
                     continue;
                 }
-                Scenario whole = FaultScheduleGenerator.drawn(item.scenario(), item.seed());
+                Scenario whole =
+                        FaultScheduleGenerator.withRandomFaults(item.scenario(), item.seed());
                 Matrix player = new Matrix(plan, 1, stop, text -> {});
                 ScheduleMinimizer.Result result =
                         ScheduleMinimizer.of(
                                 whole.faults(),
                                 MOST_CUTS,
                                 faults -> {
-                                    Report report = player.play(item.with(whole.with(faults)));
+                                    Report report = player.run(item.with(whole.with(faults)));
                                     spec.commandLine()
                                             .getErr()
                                             .println(
@@ -291,9 +292,9 @@
                                 + ", cut down from "
                                 + whole.faults().size()
                                 + " faults in "
-                                + result.plays()
+                                + result.runs()
                                 + " plays"
-                                + (result.whole() ? "" : ", not to its end")
+                                + (result.complete() ? "" : ", not to its end")
                                 + ": play it with this seed.\n"
                                 + ScenarioWriter.text(whole.with(result.faults())));
                 out.println(
@@ -303,7 +304,7 @@
                                 + " of "
                                 + whole.faults().size()
                                 + " faults in "
-                                + result.plays()
+                                + result.runs()
                                 + " plays");
                 return;
             }
@@ -365,7 +366,7 @@
         }
         if (baselines) {
             Strategies.names().stream()
-                    .filter(name -> !name.equals(Strategies.MODULE))
+                    .filter(name -> !name.equals(Strategies.POLICY))
                     .forEach(name -> all.add(Variant.baseline(name)));
         }
         Set<String> seen = new HashSet<>();
@@ -381,7 +382,7 @@
             throws CommandLineException {
         boolean realDaemons =
                 scenarios.stream().allMatch(s -> s.clocks().contains(REAL))
-                        && all.stream().allMatch(v -> v.brain().equals(Strategies.MODULE));
+                        && all.stream().allMatch(v -> v.brain().equals(Strategies.POLICY));
         String wanted =
                 clock == null ? realDaemons ? REAL : VIRTUAL : clock.toLowerCase(Locale.ROOT);
         if (!Set.of(REAL, VIRTUAL, BOTH).contains(wanted)) {
--- a/kit/src/main/java/wheelroute/kit/cli/Scale.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Scale.java
@@ -65,7 +65,7 @@
             htmlFile = OutputFile.open("--html", html);
             boolean full = kind != null && kind.full;
             ScaleResults slopes =
-                    ScaleRun.play(
+                    ScaleRun.run(
                             full ? ScaleRun.Sizes.full() : ScaleRun.Sizes.quick(),
                             stop,
                             text -> {
--- a/kit/src/main/java/wheelroute/kit/cli/StandIn.java
+++ b/kit/src/main/java/wheelroute/kit/cli/StandIn.java
@@ -56,7 +56,7 @@
     public Integer call() throws Exception {
         StopSignal stop = new StopSignal();
         try {
-            StubRun.play(
+            StubRun.run(
                     ScenarioLibrary.find(name),
                     seed,
                     seconds,
--- a/kit/src/main/java/wheelroute/kit/cli/StopSignal.java
+++ b/kit/src/main/java/wheelroute/kit/cli/StopSignal.java
@@ -12,15 +12,15 @@
     private static final int MOST_SECONDS = 15;
 
     private final CountDownLatch finished = new CountDownLatch(1);
-    private final Thread hook = new Thread(this::ask, "stop");
-    private volatile boolean asked;
+    private final Thread hook = new Thread(this::request, "stop");
+    private volatile boolean requested;
 
     StopSignal() {
         Runtime.getRuntime().addShutdownHook(hook);
     }
 
-    private void ask() {
-        asked = true;
+    private void request() {
+        requested = true;
         try {
             finished.await(MOST_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
@@ -30,18 +30,18 @@
 
     @Override
     public boolean getAsBoolean() {
-        return asked;
+        return requested;
     }
 
     /** All is written. */
     void finished() {
         finished.countDown();
-        if (!asked) {
+        if (!requested) {
             try {
                 Runtime.getRuntime().removeShutdownHook(hook);
             } catch (IllegalStateException e) {
                 // It is running already: asked in this very moment.
-                asked = true;
+                requested = true;
             }
         }
     }
--- a/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
@@ -70,7 +70,7 @@
         groups.forEach(
                 (name, places) ->
                         virtual.get(places.get(0)).figures().keySet().stream()
-                                .filter(figure -> figure.startsWith(FigureNames.OFFERING))
+                                .filter(figure -> figure.startsWith(FigureNames.REQUEST_CLASS))
                                 .forEach(
                                         figure -> {
                                             // Where all queues are full one launch decides where
--- a/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
@@ -20,10 +20,10 @@
             List.of(
                     FigureNames.SERVICE,
                     FigureNames.IN_TIME,
-                    FigureNames.BOUNCED,
-                    FigureNames.SCRAPPED,
+                    FigureNames.REJECTED,
+                    FigureNames.FAILED,
                     FigureNames.P99,
-                    FigureNames.LAUNCHES);
+                    FigureNames.ATTEMPTS);
 
     /**
      * Of one scenario and variant.
--- a/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
@@ -38,7 +38,7 @@
      * The reports in the plan's order, whatever order they were played in; fewer when it was
      * stopped.
      */
-    public List<Report> play() throws RehearsalException, ConfigException {
+    public List<Report> run() throws RehearsalException, ConfigException {
         List<Plan.Item> items = plan.items();
         ExecutorService pool = Executors.newFixedThreadPool(cores);
         AtomicInteger done = new AtomicInteger();
@@ -53,7 +53,7 @@
                                 }
                                 try {
                                     long begun = System.nanoTime();
-                                    Report report = play(item);
+                                    Report report = run(item);
                                     progress.accept(
                                             String.format(
                                                     Locale.ROOT,
@@ -62,7 +62,7 @@
                                                     done.incrementAndGet(),
                                                     items.size(),
                                                     item.text(),
-                                                    report.total().asked(),
+                                                    report.total().requested(),
                                                     (System.nanoTime() - begun) / NANOS,
                                                     report.judgement()
                                                             .name()
@@ -102,10 +102,10 @@
     }
 
     /** One of them alone. */
-    public Report play(Plan.Item item) throws RehearsalException, ConfigException {
+    public Report run(Plan.Item item) throws RehearsalException, ConfigException {
         Variant variant = item.variant();
         if (plan.clock() == Plan.Clock.REAL) {
-            return ProcessRun.play(
+            return ProcessRun.run(
                     item.scenario(),
                     item.seed(),
                     item.seconds(),
@@ -116,13 +116,13 @@
                     stop,
                     text -> progress.accept(item.text() + ": " + text));
         }
-        return SimulationRun.play(
+        return SimulationRun.run(
                 item.scenario(),
                 item.seed(),
                 item.seconds(),
                 variant.settings(),
                 variant.name(),
-                world -> Strategies.maker(variant.brain(), world),
+                cluster -> Strategies.factory(variant.brain(), cluster),
                 stop);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/experiment/Variant.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Variant.java
@@ -15,7 +15,7 @@
  */
 public record Variant(String name, String brain, Path jar, Map<String, String> settings) {
     /** The daemon as it is. */
-    public static final Variant USUAL = new Variant("as-built", Strategies.MODULE, null, Map.of());
+    public static final Variant USUAL = new Variant("as-built", Strategies.POLICY, null, Map.of());
 
     private static final String BRAIN = "brain";
     private static final String JAR = "daemon";
@@ -32,7 +32,7 @@
             throw new IllegalArgumentException(
                     "variant '" + text + "' has no name before its colon");
         }
-        String brain = Strategies.MODULE;
+        String brain = Strategies.POLICY;
         Path jar = null;
         Map<String, String> settings = new LinkedHashMap<>();
         for (String pair :
--- a/kit/src/main/java/wheelroute/kit/faults/ActiveLinkFaults.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ActiveLinkFaults.java
@@ -16,92 +16,94 @@
 public final class ActiveLinkFaults {
     /** Who carries it out. */
     public interface Listener {
-        void changed(NetworkLink way, LinkState passage);
+        void onLinkChanged(NetworkLink link, LinkState state);
     }
 
     /** One harm, of one fault. */
-    private record ActiveFault(LinkFault harm, double level, double spread) {}
+    private record ActiveFault(LinkFault fault, double level, double jitter) {}
 
-    private static LinkState passage(List<ActiveFault> all) {
-        boolean refuses = all.stream().anyMatch(l -> l.harm == LinkFault.REFUSE);
-        boolean open = !refuses && all.stream().noneMatch(l -> l.harm == LinkFault.CUT);
+    private static LinkState state(List<ActiveFault> all) {
+        boolean refuses = all.stream().anyMatch(active -> active.fault == LinkFault.REFUSE);
+        boolean open =
+                !refuses && all.stream().noneMatch(active -> active.fault == LinkFault.PARTITION);
         double through =
                 all.stream()
-                        .filter(l -> l.harm == LinkFault.LOSS)
-                        .mapToDouble(l -> 1 - l.level)
+                        .filter(active -> active.fault == LinkFault.LOSS)
+                        .mapToDouble(active -> 1 - active.level)
                         .reduce(1, (a, b) -> a * b);
         return new LinkState(
                 refuses,
-                open && all.stream().noneMatch(l -> l.harm == LinkFault.UNHEARD),
-                open && all.stream().noneMatch(l -> l.harm == LinkFault.ONE_WAY),
+                open && all.stream().noneMatch(active -> active.fault == LinkFault.UNHEARD),
+                open && all.stream().noneMatch(active -> active.fault == LinkFault.ONE_WAY),
                 all.stream()
-                        .filter(l -> l.harm == LinkFault.SLOW)
+                        .filter(active -> active.fault == LinkFault.SLOW)
                         .mapToDouble(ActiveFault::level)
                         .sum(),
                 all.stream()
-                        .filter(l -> l.harm == LinkFault.SLOW)
-                        .mapToDouble(ActiveFault::spread)
+                        .filter(active -> active.fault == LinkFault.SLOW)
+                        .mapToDouble(ActiveFault::jitter)
                         .sum(),
                 1 - through,
                 all.stream()
-                        .filter(l -> l.harm == LinkFault.TRICKLE)
+                        .filter(active -> active.fault == LinkFault.BANDWIDTH)
                         .mapToDouble(ActiveFault::level)
                         .min()
                         .orElse(Double.POSITIVE_INFINITY),
                 all.stream()
-                        .filter(l -> l.harm == LinkFault.DOUBLE)
+                        .filter(active -> active.fault == LinkFault.DUPLICATE)
                         .mapToDouble(ActiveFault::level)
                         .max()
                         .orElse(0));
     }
 
-    private final Listener hearer;
-    private final Map<NetworkLink, List<ActiveFault>> lying = new HashMap<>();
+    private final Listener listener;
+    private final Map<NetworkLink, List<ActiveFault>> activeFaults = new HashMap<>();
 
-    public ActiveLinkFaults(Listener hearer) {
-        this.hearer = hearer;
+    public ActiveLinkFaults(Listener listener) {
+        this.listener = listener;
     }
 
-    public void begin(LinkFault harm, double level, double spread, Collection<NetworkLink> ways) {
-        ActiveFault one = new ActiveFault(harm, level, spread);
-        ways.forEach(way -> change(way, all -> all.add(one)));
+    public void add(LinkFault fault, double level, double jitter, Collection<NetworkLink> links) {
+        ActiveFault activeFault = new ActiveFault(fault, level, jitter);
+        links.forEach(link -> notifyListener(link, all -> all.add(activeFault)));
     }
 
-    public void heal(LinkFault harm, double level, double spread, Collection<NetworkLink> ways) {
-        ActiveFault one = new ActiveFault(harm, level, spread);
-        for (NetworkLink way : ways) {
-            change(
-                    way,
+    public void remove(
+            LinkFault fault, double level, double jitter, Collection<NetworkLink> links) {
+        ActiveFault activeFault = new ActiveFault(fault, level, jitter);
+        for (NetworkLink link : links) {
+            notifyListener(
+                    link,
                     all -> {
-                        if (!all.remove(one)) {
+                        if (!all.remove(activeFault)) {
                             throw new IllegalStateException(
-                                    way + " heals of " + harm + ", which it does not have");
+                                    link + " heals of " + fault + ", which it does not have");
                         }
                     });
         }
     }
 
-    /** A fault's own harm begins or heals. */
-    public void set(Scenario.Fault fault, boolean begins, Collection<NetworkLink> ways) {
-        LinkFault harm = LinkFault.of(fault.kind());
+    /** Begins or ends what a scenario's fault does to these links. */
+    public void set(Scenario.Fault fault, boolean begins, Collection<NetworkLink> links) {
+        LinkFault linkFault = LinkFault.of(fault.kind());
         if (begins) {
-            begin(harm, fault.level(), fault.spread(), ways);
+            add(linkFault, fault.level(), fault.spread(), links);
         } else {
-            heal(harm, fault.level(), fault.spread(), ways);
+            remove(linkFault, fault.level(), fault.spread(), links);
         }
     }
 
-    private void change(NetworkLink way, Consumer<List<ActiveFault>> by) {
-        List<ActiveFault> all = lying.computeIfAbsent(way, w -> new ArrayList<>());
-        LinkState before = passage(all);
+    private void notifyListener(NetworkLink link, Consumer<List<ActiveFault>> by) {
+        List<ActiveFault> all = activeFaults.computeIfAbsent(link, w -> new ArrayList<>());
+        LinkState before = state(all);
         by.accept(all);
-        LinkState after = passage(all);
+        LinkState after = state(all);
         if (!after.equals(before)) {
-            hearer.changed(way, after);
+            listener.onLinkChanged(link, after);
         }
     }
 
-    public LinkState passage(NetworkLink way) {
-        return passage(lying.getOrDefault(way, List.of()));
+    public LinkState state(NetworkLink link) {
+        return state(activeFaults.getOrDefault(link, List.of()));
     }
 }
--- a/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
@@ -20,7 +20,7 @@
 
     private final EventLoop loop;
     private final Supplier<InetSocketAddress> target;
-    private final DoubleSupplier chance;
+    private final DoubleSupplier random;
     private final DatagramSocket socket;
     private DatagramRelay back;
     private long received;
@@ -36,17 +36,17 @@
             throws IOException {
         this.loop = loop;
         this.target = target;
-        this.chance = chance;
+        this.random = chance;
         socket =
                 new DatagramSocket(
                         loop,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         SIZE,
-                        (from, bytes) -> came(bytes));
+                        (from, bytes) -> onDatagram(bytes));
     }
 
     /** The direction that leads back. */
-    public void pairedWith(DatagramRelay other) {
+    public void pairWith(DatagramRelay other) {
         back = other;
     }
 
@@ -61,13 +61,13 @@
      * @param ofSender the way of who sends here: this is its way forth
      * @param ofReceiver the way of who is sent to: this is its way back
      */
-    public void set(LinkState ofSender, LinkState ofReceiver) {
+    public void apply(LinkState ofSender, LinkState ofReceiver) {
         sender = ofSender;
         receiver = ofReceiver;
     }
 
     private boolean isIn(double part) {
-        return part > 0 && chance.getAsDouble() < part;
+        return part > 0 && random.getAsDouble() < part;
     }
 
     /** How many have come here, whatever became of them. */
@@ -75,30 +75,33 @@
         return received;
     }
 
-    private void came(ByteBuffer bytes) {
+    private void onDatagram(ByteBuffer bytes) {
         received++;
-        if (!sender.forth() || !receiver.back() || isIn(sender.loss()) || isIn(receiver.loss())) {
+        if (!sender.outbound()
+                || !receiver.inbound()
+                || isIn(sender.loss())
+                || isIn(receiver.loss())) {
             return;
         }
-        int copies = isIn(sender.doubled()) || isIn(receiver.doubled()) ? 2 : 1;
+        int copies = isIn(sender.duplication()) || isIn(receiver.duplication()) ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             byte[] copy = new byte[bytes.remaining()];
             bytes.duplicate().get(copy);
-            double spread = sender.spread() + receiver.spread();
+            double spread = sender.jitter() + receiver.jitter();
             double later =
                     sender.delay()
                             + receiver.delay()
-                            + (spread > 0 ? spread * chance.getAsDouble() : 0);
+                            + (spread > 0 ? spread * random.getAsDouble() : 0);
             if (later > 0) {
                 // Each by itself: one that is sent later may come sooner.
-                loop.schedule(later, () -> goOn(copy));
+                loop.schedule(later, () -> forward(copy));
             } else {
-                goOn(copy);
+                forward(copy);
             }
         }
     }
 
-    private void goOn(byte[] bytes) {
+    private void forward(byte[] bytes) {
         InetSocketAddress to = target.get();
         if (to != null && back != null) {
             back.socket.send(to, ByteBuffer.wrap(bytes));
--- a/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
@@ -10,7 +10,7 @@
      * Nothing passes, and nobody is told: bytes wait, as they would for a network that resends
      * them.
      */
-    CUT,
+    PARTITION,
     /** What is open is reset, and what comes is refused. */
     REFUSE,
     /** The dispatcher's bytes arrive, the answers do not. */
@@ -28,9 +28,9 @@
      */
     LOSS,
     /** So many bytes a second pass in each direction. */
-    TRICKLE,
+    BANDWIDTH,
     /** Of all datagrams the part that the level says comes twice. */
-    DOUBLE;
+    DUPLICATE;
 
     public static LinkFault of(Scenario.Kind kind) {
         return switch (kind) {
@@ -39,9 +39,9 @@
             case LINK_UNHEARD -> UNHEARD;
             case LINK_SLOW -> SLOW;
             case LINK_LOSS -> LOSS;
-            case LINK_TRICKLE -> TRICKLE;
-            case LINK_DOUBLE -> DOUBLE;
-            case LINK_CUT, LIST_CUT -> CUT;
+            case LINK_TRICKLE -> BANDWIDTH;
+            case LINK_DOUBLE -> DUPLICATE;
+            case LINK_CUT, LIST_CUT -> PARTITION;
             default -> throw new IllegalArgumentException("no harm to a way: " + kind);
         };
     }
--- a/kit/src/main/java/wheelroute/kit/faults/LinkState.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkState.java
@@ -6,44 +6,44 @@
  * What a way lets through just now.
  *
  * @param refuses nothing is open, nothing is accepted
- * @param forth bytes from the dispatcher arrive
- * @param back bytes to the dispatcher arrive
+ * @param outbound bytes from the dispatcher arrive
+ * @param inbound bytes to the dispatcher arrive
  * @param delay by which they come later, in seconds
- * @param spread by which they come later still, by chance, at most
+ * @param jitter by which they come later still, by chance, at most
  * @param loss the part of the pieces that is lost on the way
  * @param rate bytes a second in each direction; infinite for no limit
- * @param doubled the part of the datagrams that comes twice
+ * @param duplication the part of the datagrams that comes twice
  */
 public record LinkState(
         boolean refuses,
-        boolean forth,
-        boolean back,
+        boolean outbound,
+        boolean inbound,
         double delay,
-        double spread,
+        double jitter,
         double loss,
         double rate,
-        double doubled) {
+        double duplication) {
     public static final LinkState OPEN =
             new LinkState(false, true, true, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
 
     /** A sender takes this long to find out that a piece was lost, and sends it again. */
-    public static final double RESEND = 0.2;
+    public static final double RETRANSMIT_DELAY = 0.2;
 
     /** After so many losses of one piece running the next one gets through. */
-    private static final int MOST_RESENDS = 3;
+    private static final int MAX_RETRANSMITS = 3;
 
     /** How much later a piece comes; each draw of chance, from 0 to 1, is asked for once. */
-    public double later(DoubleSupplier chance) {
-        double later = delay + (spread > 0 ? spread * chance.getAsDouble() : 0);
-        for (int i = 0; loss > 0 && i < MOST_RESENDS && chance.getAsDouble() < loss; i++) {
-            later += RESEND * (1 << i);
+    public double extraDelay(DoubleSupplier chance) {
+        double later = delay + (jitter > 0 ? jitter * chance.getAsDouble() : 0);
+        for (int i = 0; loss > 0 && i < MAX_RETRANSMITS && chance.getAsDouble() < loss; i++) {
+            later += RETRANSMIT_DELAY * (1 << i);
         }
         return later;
     }
 
     /** No message of this size, in bytes, comes later than by this. */
-    public double mostLater(int size) {
-        double resends = loss > 0 ? RESEND * ((1 << MOST_RESENDS) - 1) : 0;
-        return delay + spread + resends + size / rate;
+    public double maxDelay(int size) {
+        double resends = loss > 0 ? RETRANSMIT_DELAY * ((1 << MAX_RETRANSMITS) - 1) : 0;
+        return delay + jitter + resends + size / rate;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
+++ b/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
@@ -8,16 +8,16 @@
 /**
  * One way from a dispatcher to another process.
  *
- * @param worker which worker, {@link #LIST}, {@link #CLIENTS} or, from {@link #PEERS} down, which
- *     peer
+ * @param worker which worker, {@link #DISCOVERY}, {@link #CLIENTS} or, from {@link #FIRST_PEER}
+ *     down, which peer
  */
 public record NetworkLink(int dispatcher, int worker) {
-    public static final int LIST = -1;
+    public static final int DISCOVERY = -1;
     public static final int CLIENTS = -2;
-    private static final int PEERS = -3;
+    private static final int FIRST_PEER = -3;
 
-    public static NetworkLink toList(int dispatcher) {
-        return new NetworkLink(dispatcher, LIST);
+    public static NetworkLink toDiscovery(int dispatcher) {
+        return new NetworkLink(dispatcher, DISCOVERY);
     }
 
     public static NetworkLink toClients(int dispatcher) {
@@ -25,16 +25,16 @@
     }
 
     public static NetworkLink toPeer(int dispatcher, int peer) {
-        return new NetworkLink(dispatcher, PEERS - peer);
+        return new NetworkLink(dispatcher, FIRST_PEER - peer);
     }
 
     public boolean isToPeer() {
-        return worker <= PEERS;
+        return worker <= FIRST_PEER;
     }
 
     /** The number of the dispatcher at the far end of a way to a peer. */
     public int peer() {
-        return PEERS - worker;
+        return FIRST_PEER - worker;
     }
 
     public boolean isToWorker() {
@@ -54,18 +54,18 @@
             int[] targets,
             int dispatchers,
             List<Scenario.WorkerGroup> groups) {
-        return switch (fault.ends()) {
-            case LIST -> List.of(toList(dispatcher));
+        return switch (fault.affectedLinks()) {
+            case LIST -> List.of(toDiscovery(dispatcher));
             case CLIENTS -> List.of(toClients(dispatcher));
             case PEERS ->
                     IntStream.range(0, dispatchers)
                             .filter(n -> Arrays.stream(targets).noneMatch(t -> t == n))
-                            .limit((long) Math.ceil(fault.others() * dispatchers))
+                            .limit((long) Math.ceil(fault.peerFraction() * dispatchers))
                             .mapToObj(n -> toPeer(dispatcher, n))
                             .toList();
             case WORKERS ->
                     IntStream.range(0, groups.size())
-                            .filter(n -> fault.concerns(groups.get(n)))
+                            .filter(n -> fault.matches(groups.get(n)))
                             .mapToObj(n -> new NetworkLink(dispatcher, n))
                             .toList();
         };
--- a/kit/src/main/java/wheelroute/kit/faults/Relay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/Relay.java
@@ -33,22 +33,22 @@
      * Bytes held for one direction before the sender has to wait, as a socket's buffers would make
      * it.
      */
-    private static final int MOST_HELD = 1 << 20;
+    private static final int MAX_BUFFERED = 1 << 20;
 
     /** A port that was ours a moment ago is free again soon. */
-    private static final double LISTEN_AGAIN = 0.05;
+    private static final double RELISTEN_DELAY = 0.05;
 
     private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
 
     private final EventLoop loop;
     private final Supplier<InetSocketAddress> target;
     private final boolean dispatcherIsNear;
-    private final DoubleSupplier chance;
-    private IntConsumer nearClosed = port -> {};
-    private final Set<RelayedConnection> pairs = new HashSet<>();
+    private final DoubleSupplier random;
+    private IntConsumer nearCloseListener = port -> {};
+    private final Set<RelayedConnection> connections = new HashSet<>();
     private final InetSocketAddress address;
     private ServerSocketChannel server;
-    private LinkState passage = LinkState.OPEN;
+    private LinkState state = LinkState.OPEN;
 
     /**
      * The target is asked for anew at each connection: a process may come back elsewhere.
@@ -65,7 +65,7 @@
         this.loop = loop;
         this.target = target;
         this.dispatcherIsNear = dispatcherIsNear;
-        this.chance = chance;
+        this.random = chance;
         server = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), this);
         address = (InetSocketAddress) server.getLocalAddress();
     }
@@ -80,22 +80,22 @@
      * with the port by which the far end knows the connection.
      */
     public void onNearClosed(IntConsumer hearer) {
-        nearClosed = hearer;
+        nearCloseListener = hearer;
     }
 
     /** From the loop's thread only. */
-    public void set(LinkState now) {
-        passage = now;
+    public void apply(LinkState now) {
+        state = now;
         if (now.refuses()) {
             unlisten();
-            new HashSet<>(pairs).forEach(RelayedConnection::reset);
+            new HashSet<>(connections).forEach(RelayedConnection::reset);
         } else {
             listen();
-            new HashSet<>(pairs)
+            new HashSet<>(connections)
                     .forEach(
                             pair -> {
-                                pair.forth.flush();
-                                pair.back.flush();
+                                pair.outbound.flush();
+                                pair.inbound.flush();
                             });
         }
     }
@@ -103,7 +103,7 @@
     /** For good. */
     public void close() {
         unlisten();
-        new HashSet<>(pairs).forEach(RelayedConnection::reset);
+        new HashSet<>(connections).forEach(RelayedConnection::reset);
     }
 
     private void listen() {
@@ -113,9 +113,9 @@
             }
         } catch (IOException e) {
             loop.schedule(
-                    LISTEN_AGAIN,
+                    RELISTEN_DELAY,
                     () -> {
-                        if (!passage.refuses()) {
+                        if (!state.refuses()) {
                             listen();
                         }
                     });
@@ -136,7 +136,7 @@
     @Override
     public Connection onOpened(EndPoint endPoint) {
         RelayedConnection pair = new RelayedConnection(endPoint);
-        pairs.add(pair);
+        connections.add(pair);
         return pair.near;
     }
 
@@ -148,28 +148,28 @@
     /** A connection from whoever connects, and ours to the far end in its place. */
     private final class RelayedConnection implements EventLoop.ChannelHandler {
         final Side near;
-        final Direction forth = new Direction(true);
-        final Direction back = new Direction(false);
+        final Direction outbound = new Direction(true);
+        final Direction inbound = new Direction(false);
         private Side far;
-        private boolean over;
+        private boolean closed;
         private boolean nearIsClosed;
 
         RelayedConnection(EndPoint endPoint) {
-            near = new Side(endPoint, this, forth);
-            back.to = near;
+            near = new Side(endPoint, this, outbound);
+            inbound.receiver = near;
             loop.post(() -> loop.connect(target.get(), this));
         }
 
         @Override
         public Connection onOpened(EndPoint endPoint) {
-            far = new Side(endPoint, this, back);
+            far = new Side(endPoint, this, inbound);
             loop.post(
                     () -> {
-                        if (over) {
+                        if (closed) {
                             far.close();
                         } else {
-                            forth.to = far;
-                            forth.flush();
+                            outbound.receiver = far;
+                            outbound.flush();
                         }
                     });
             return far;
@@ -181,20 +181,20 @@
             reset();
         }
 
-        void nearCloses() {
+        void notifyNearClosed() {
             if (!nearIsClosed
                     && far != null
                     && far.getEndPoint().getLocalSocketAddress()
                             instanceof InetSocketAddress local) {
                 nearIsClosed = true;
-                nearClosed.accept(local.getPort());
+                nearCloseListener.accept(local.getPort());
             }
         }
 
         void reset() {
-            if (!over) {
-                over = true;
-                pairs.remove(this);
+            if (!closed) {
+                closed = true;
+                connections.remove(this);
                 near.reset();
                 if (far != null) {
                     far.reset();
@@ -202,10 +202,10 @@
             }
         }
 
-        void ended() {
-            if (!over && forth.isOver() && back.isOver()) {
-                over = true;
-                pairs.remove(this);
+        void closeIfComplete() {
+            if (!closed && outbound.isComplete() && inbound.isComplete()) {
+                closed = true;
+                connections.remove(this);
                 near.close();
                 far.close();
             }
@@ -215,62 +215,64 @@
     /** One direction: what has come and is not yet out, in its order. */
     private final class Direction {
         private final boolean fromNear;
-        private final ArrayDeque<Chunk> held = new ArrayDeque<>();
-        private Side to;
-        private int bytes;
+        private final ArrayDeque<Chunk> queue = new ArrayDeque<>();
+        private Side receiver;
+        private int bufferedBytes;
         private boolean writing;
-        private boolean ended;
-        private boolean endTold;
+        private boolean endReceived;
+        private boolean endForwarded;
         private EventLoop.Timer timer;
 
         /** When the last piece is due: nothing overtakes it. */
-        private double lastDue = Double.NEGATIVE_INFINITY;
+        private double lastDueAt = Double.NEGATIVE_INFINITY;
 
         Direction(boolean fromNear) {
             this.fromNear = fromNear;
         }
 
         boolean isFull() {
-            return bytes > MOST_HELD;
+            return bufferedBytes > MAX_BUFFERED;
         }
 
-        boolean isOver() {
-            return endTold;
+        boolean isComplete() {
+            return endForwarded;
         }
 
         private boolean isOpen() {
-            return fromNear == dispatcherIsNear ? passage.forth() : passage.back();
+            return fromNear == dispatcherIsNear ? state.outbound() : state.inbound();
         }
 
         void add(ByteBuffer in, Side from) {
             ByteBuffer copy = ByteBuffer.allocate(in.remaining());
             copy.put(in).flip();
-            bytes += copy.remaining();
-            held.addLast(new Chunk(copy, due(copy.remaining()), from));
+            bufferedBytes += copy.remaining();
+            queue.addLast(new Chunk(copy, dueAt(copy.remaining()), from));
             flush();
         }
 
-        private double due(int size) {
-            lastDue = Math.max(lastDue, loop.now() + passage.later(chance)) + size / passage.rate();
-            return lastDue;
+        private double dueAt(int size) {
+            lastDueAt =
+                    Math.max(lastDueAt, loop.now() + state.extraDelay(random))
+                            + size / state.rate();
+            return lastDueAt;
         }
 
         void end(Side from) {
-            ended = true;
+            endReceived = true;
             if (!isOpen()) {
-                held.forEach(piece -> bytes -= piece.size);
-                held.clear();
+                queue.forEach(piece -> bufferedBytes -= piece.size);
+                queue.clear();
             }
-            held.addLast(new Chunk(ByteBuffer.allocate(0), due(0), from));
+            queue.addLast(new Chunk(ByteBuffer.allocate(0), dueAt(0), from));
             flush();
         }
 
         void flush() {
-            if (writing || !isOpen() || to == null || held.isEmpty()) {
+            if (writing || !isOpen() || receiver == null || queue.isEmpty()) {
                 return;
             }
-            Chunk first = held.peekFirst();
-            double wait = first.due - loop.now();
+            Chunk first = queue.peekFirst();
+            double wait = first.dueAt - loop.now();
             if (wait > 0) {
                 if (timer == null) {
                     timer =
@@ -283,26 +285,26 @@
                 }
                 return;
             }
-            held.pollFirst();
-            if (ended && held.isEmpty()) {
-                endTold = true;
-                to.getEndPoint().shutdownOutput();
-                first.from.pair.ended();
+            queue.pollFirst();
+            if (endReceived && queue.isEmpty()) {
+                endForwarded = true;
+                receiver.getEndPoint().shutdownOutput();
+                first.from.connection.closeIfComplete();
                 return;
             }
             writing = true;
-            to.getEndPoint()
+            receiver.getEndPoint()
                     .write(
                             Callback.from(
                                     () ->
                                             loop.post(
                                                     () -> {
                                                         writing = false;
-                                                        bytes -= first.size;
-                                                        first.from.goOn();
+                                                        bufferedBytes -= first.size;
+                                                        first.from.resume();
                                                         flush();
                                                     }),
-                                    cause -> loop.post(first.from.pair::reset)),
+                                    cause -> loop.post(first.from.connection::reset)),
                             first.buffer);
         }
     }
@@ -311,38 +313,38 @@
     private static final class Chunk {
         final ByteBuffer buffer;
         final int size;
-        final double due;
+        final double dueAt;
         final Side from;
 
         Chunk(ByteBuffer buffer, double due, Side from) {
             this.buffer = buffer;
             this.size = buffer.remaining();
-            this.due = due;
+            this.dueAt = due;
             this.from = from;
         }
     }
 
     /** One end of a pair. */
     private final class Side extends StreamConnection {
-        private final RelayedConnection pair;
+        private final RelayedConnection connection;
         private final Direction out;
-        private boolean waits;
+        private boolean isBlocked;
 
         Side(EndPoint endPoint, RelayedConnection pair, Direction out) {
             super(endPoint, Relay.this.loop);
-            this.pair = pair;
+            this.connection = pair;
             this.out = out;
         }
 
         @Override
         protected boolean canRead() {
-            waits = out.isFull();
-            return !waits;
+            isBlocked = out.isFull();
+            return !isBlocked;
         }
 
-        void goOn() {
-            if (waits && !out.isFull() && getEndPoint().isOpen()) {
-                waits = false;
+        void resume() {
+            if (isBlocked && !out.isFull() && getEndPoint().isOpen()) {
+                isBlocked = false;
                 onFillable();
             }
         }
@@ -354,18 +356,18 @@
 
         @Override
         protected void onEndOfStream() {
-            if (this == pair.near) {
-                pair.nearCloses();
+            if (this == connection.near) {
+                connection.notifyNearClosed();
             }
             out.end(this);
         }
 
         @Override
         protected void onFailure(Throwable cause) {
-            if (this == pair.near) {
-                pair.nearCloses();
+            if (this == connection.near) {
+                connection.notifyNearClosed();
             }
-            pair.reset();
+            connection.reset();
         }
 
         /** So that the other side sees a reset, not an end. */
--- a/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
@@ -17,56 +17,56 @@
     }
 
     /** What is left, and after how many plays. */
-    public record Result(List<Scenario.Fault> faults, int plays, boolean whole) {}
+    public record Result(List<Scenario.Fault> faults, int runs, boolean complete) {}
 
     /** Shorter or less than this is no simpler. */
-    private static final double LEAST_LENGTH = 0.2;
+    private static final double MIN_LENGTH = 0.2;
 
-    private static final double LEAST_SHARE = 0.05;
+    private static final double MIN_SHARE = 0.05;
 
-    private final FailureCheck player;
-    private final int mostPlays;
+    private final FailureCheck failureCheck;
+    private final int maxRuns;
     private List<Scenario.Fault> faults;
-    private int plays;
+    private int runs;
 
     private ScheduleMinimizer(List<Scenario.Fault> faults, int mostPlays, FailureCheck player) {
         this.faults = faults;
-        this.mostPlays = mostPlays;
-        this.player = player;
+        this.maxRuns = mostPlays;
+        this.failureCheck = player;
     }
 
     /** The faults given are known to fail. */
     public static Result of(List<Scenario.Fault> faults, int mostPlays, FailureCheck player)
             throws Exception {
         ScheduleMinimizer cut = new ScheduleMinimizer(List.copyOf(faults), mostPlays, player);
-        cut.fewer();
-        cut.smaller(f -> with(f, f.length(), f.share(), 0));
-        cut.smaller(
+        cut.removeFaults();
+        cut.shrink(f -> with(f, f.length(), f.share(), 0));
+        cut.shrink(
                 f ->
                         with(
                                 f,
-                                Math.max(LEAST_LENGTH, rounded(f.length() / 2)),
+                                Math.max(MIN_LENGTH, round(f.length() / 2)),
                                 f.share(),
-                                f.within()));
-        cut.smaller(
+                                f.startSpread()));
+        cut.shrink(
                 f ->
                         with(
                                 f,
                                 f.length(),
-                                Math.max(LEAST_SHARE, rounded(f.share() / 2)),
-                                f.within()));
-        return new Result(cut.faults, cut.plays, cut.plays < mostPlays);
+                                Math.max(MIN_SHARE, round(f.share() / 2)),
+                                f.startSpread()));
+        return new Result(cut.faults, cut.runs, cut.runs < mostPlays);
     }
 
     private boolean fails(List<Scenario.Fault> some) throws Exception {
-        if (plays >= mostPlays) {
+        if (runs >= maxRuns) {
             return false;
         }
-        plays++;
-        return player.fails(some);
+        runs++;
+        return failureCheck.fails(some);
     }
 
-    private void fewer() throws Exception {
+    private void removeFaults() throws Exception {
         int size = (faults.size() + 1) / 2;
         while (size >= 1 && faults.size() > 1) {
             boolean cut = false;
@@ -85,7 +85,7 @@
         }
     }
 
-    private void smaller(UnaryOperator<Scenario.Fault> step) throws Exception {
+    private void shrink(UnaryOperator<Scenario.Fault> step) throws Exception {
         for (int i = 0; i < faults.size(); i++) {
             Scenario.Fault less = step.apply(faults.get(i));
             while (!less.equals(faults.get(i))) {
@@ -100,7 +100,7 @@
         }
     }
 
-    private static double rounded(double value) {
+    private static double round(double value) {
         return Math.rint(100 * value) / 100;
     }
 
@@ -108,18 +108,18 @@
             Scenario.Fault f, double length, double share, double within) {
         return new Scenario.Fault(
                 f.kind(),
-                f.at(),
+                f.start(),
                 length,
                 f.group(),
                 share,
                 f.level(),
                 f.pick(),
                 within,
-                f.to(),
+                f.linkKind(),
                 f.zone(),
                 f.from(),
                 f.spread(),
                 f.how(),
-                f.others());
+                f.peerFraction());
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/AttemptEnding.java
+++ b/kit/src/main/java/wheelroute/kit/model/AttemptEnding.java
@@ -1,18 +1,29 @@
 package wheelroute.kit.model;
 
-/** How a worker ends a launch. */
+/** How a worker ends an attempt. */
 public enum AttemptEnding {
-    DONE,
-    FAILED,
-    /** Handed back before it was begun. */
-    RETURNED,
-    /** Not taken: its queue or its memory is full. */
-    TURNED_AWAY,
-    /** The connection breaks: the process died, or the machine forgot it. */
-    BROKEN;
+    SUCCEEDED("done"),
+    FAILED("failed"),
+    /** Handed back by a draining worker before it was started. */
+    RETURNED("returned"),
+    /** Not accepted: the worker's queue or memory is full. */
+    REJECTED("turned_away"),
+    /** The connection was lost: the process died, or the machine dropped it. */
+    CONNECTION_LOST("broken");
 
-    /** The protocol proves that nothing was begun. */
+    private final String reportName;
+
+    AttemptEnding(String reportName) {
+        this.reportName = reportName;
+    }
+
+    /** The ending's name in reports. */
+    public String reportName() {
+        return reportName;
+    }
+
+    /** Whether the protocol proves that the attempt was never started. */
     public boolean provesNeverRan() {
-        return this == RETURNED || this == TURNED_AWAY;
+        return this == RETURNED || this == REJECTED;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/Clients.java
+++ b/kit/src/main/java/wheelroute/kit/model/Clients.java
@@ -11,69 +11,69 @@
  */
 public final class Clients implements ResponseListener {
     /** Who finds no dispatcher tries the next one after this long. */
-    private static final double RECONNECT = 0.2;
+    private static final double RECONNECT_DELAY = 0.2;
 
     /** How an ask ended for its client. */
     public enum Result {
         IN_TIME,
         LATE,
-        BOUNCED,
-        SCRAPPED,
+        REJECTED,
+        FAILED,
         /** No answer came before its time was up, or its connection was lost with no time left. */
         UNANSWERED,
         /** The client hung up before an answer; it counts for nobody. */
-        LEFT
+        CANCELLED
     }
 
     /** The way to the dispatchers. */
     public interface Transport {
-        void submit(ClientAttempt submitted);
+        void submit(ClientAttempt clientAttempt);
 
         /** Closes the connection of a submission that is still open. */
-        void hangUp(ClientAttempt submitted);
+        void cancel(ClientAttempt clientAttempt);
 
         boolean isOpen(int dispatcher);
     }
 
     /** Hears of each ask as it begins and ends, and of each submission. */
     public interface Observer {
-        void asked(ClientRequest ask);
+        void onRequest(ClientRequest request);
 
-        void finished(ClientRequest ask, Result result, double latency);
+        void onFinished(ClientRequest request, Result result, double latency);
 
-        void sent(ClientAttempt submitted);
+        void onSent(ClientAttempt clientAttempt);
 
-        void answered(ClientAttempt submitted, FinalResponse answer);
+        void onResponse(ClientAttempt clientAttempt, FinalResponse response);
 
         /** The client waits no longer; by its own wish, or as its time is up. */
-        void gaveUp(ClientAttempt submitted, boolean ownWish);
+        void onGaveUp(ClientAttempt clientAttempt, boolean ownWish);
 
         /** The connection ended with no answer. */
-        void cutOff(ClientAttempt submitted);
+        void onConnectionLost(ClientAttempt clientAttempt);
 
         /** It never reached a dispatcher. */
-        void refused(ClientAttempt submitted);
+        void onRefused(ClientAttempt clientAttempt);
     }
 
     private final Scenario scenario;
     private final Timeline timeline;
-    private final SeededRandom chance;
-    private final Transport door;
+    private final SeededRandom random;
+    private final Transport transport;
     private final Observer observer;
-    private final RequestGenerator traffic;
-    private final Map<Integer, PendingRequest> open = new HashMap<>();
+    private final RequestGenerator generator;
+    private final Map<Integer, PendingRequest> pending = new HashMap<>();
     private double start;
     private boolean allSent;
 
     /** One ask under way. */
     private static final class PendingRequest {
-        final ClientRequest ask;
+        final ClientRequest request;
         final double firstSent;
-        ClientAttempt out;
-        int attempts;
+        ClientAttempt openAttempt;
+        int attemptCount;
 
-        PendingRequest(ClientRequest ask, double firstSent) {
-            this.ask = ask;
+        PendingRequest(ClientRequest request, double firstSent) {
+            this.request = request;
             this.firstSent = firstSent;
         }
     }
@@ -81,182 +81,188 @@
     public Clients(
             Scenario scenario,
             Timeline timeline,
-            SeededRandom chance,
+            SeededRandom random,
             double seconds,
-            Transport door,
+            Transport transport,
             Observer observer) {
         this.scenario = scenario;
         this.timeline = timeline;
-        this.chance = chance;
-        this.door = door;
+        this.random = random;
+        this.transport = transport;
         this.observer = observer;
-        traffic = new RequestGenerator(scenario, chance, seconds);
+        generator = new RequestGenerator(scenario, random, seconds);
     }
 
-    public void begin() {
+    public void start() {
         start = timeline.now();
         sendNext();
     }
 
     /** All has been asked, and all of it has ended. */
     public boolean isOver() {
-        return allSent && open.isEmpty();
+        return allSent && pending.isEmpty();
     }
 
     private void sendNext() {
-        ClientRequest ask = traffic.next();
-        if (ask == null) {
+        ClientRequest request = generator.next();
+        if (request == null) {
             allSent = true;
             return;
         }
-        timeline.after(
-                Math.max(0, start + ask.at() - timeline.now()),
+        timeline.schedule(
+                Math.max(0, start + request.sendAt() - timeline.now()),
                 () -> {
                     // Counted from when it was meant to go: a sender that lags must not flatter who
                     // answers.
-                    PendingRequest state = new PendingRequest(ask, start + ask.at());
-                    open.put(ask.number(), state);
-                    observer.asked(ask);
+                    PendingRequest state = new PendingRequest(request, start + request.sendAt());
+                    pending.put(request.number(), state);
+                    observer.onRequest(request);
                     send(state);
-                    if (ask.leavesAfter() < ask.offering().outer()) {
-                        timeline.after(ask.leavesAfter(), () -> leave(state));
+                    if (request.cancelsAfter() < request.requestClass().deadline()) {
+                        timeline.schedule(request.cancelsAfter(), () -> cancel(state));
                     }
                     sendNext();
                 });
     }
 
     private void send(PendingRequest state) {
-        double left = state.firstSent + state.ask.offering().outer() - timeline.now();
+        double left = state.firstSent + state.request.requestClass().deadline() - timeline.now();
         int dispatcher = dispatcherFor(state);
         if (dispatcher < 0) {
             // Nobody listens: the front refuses, and the client knows it at once.
-            retryOrFinish(state, Result.UNANSWERED, RECONNECT, true);
+            retryOrFinish(state, Result.UNANSWERED, RECONNECT_DELAY, true);
             return;
         }
-        ClientAttempt submitted =
-                new ClientAttempt(state.ask, state.attempts++, dispatcher, timeline.now(), left);
-        state.out = submitted;
-        observer.sent(submitted);
-        timeline.after(
+        ClientAttempt clientAttempt =
+                new ClientAttempt(
+                        state.request, state.attemptCount++, dispatcher, timeline.now(), left);
+        state.openAttempt = clientAttempt;
+        observer.onSent(clientAttempt);
+        timeline.schedule(
                 left,
                 () -> {
-                    if (state.out == submitted) {
-                        state.out = null;
-                        observer.gaveUp(submitted, false);
-                        door.hangUp(submitted);
+                    if (state.openAttempt == clientAttempt) {
+                        state.openAttempt = null;
+                        observer.onGaveUp(clientAttempt, false);
+                        transport.cancel(clientAttempt);
                         finish(state, Result.UNANSWERED);
                     }
                 });
-        door.submit(submitted);
+        transport.submit(clientAttempt);
     }
 
     private int dispatcherFor(PendingRequest state) {
         int count = scenario.dispatchers();
         int first =
                 (int)
-                        (chance.once(
+                        (random.uniform(
                                         SeededRandom.Purpose.DISPATCHER,
-                                        state.ask.number(),
-                                        state.attempts)
+                                        state.request.number(),
+                                        state.attemptCount)
                                 * count);
         for (int i = 0; i < count; i++) {
-            if (door.isOpen((first + i) % count)) {
+            if (transport.isOpen((first + i) % count)) {
                 return (first + i) % count;
             }
         }
         return -1;
     }
 
-    private void leave(PendingRequest state) {
-        if (open.get(state.ask.number()) != state) {
+    private void cancel(PendingRequest state) {
+        if (pending.get(state.request.number()) != state) {
             return;
         }
-        ClientAttempt submitted = state.out;
-        state.out = null;
-        if (submitted != null) {
-            observer.gaveUp(submitted, true);
-            door.hangUp(submitted);
+        ClientAttempt clientAttempt = state.openAttempt;
+        state.openAttempt = null;
+        if (clientAttempt != null) {
+            observer.onGaveUp(clientAttempt, true);
+            transport.cancel(clientAttempt);
         }
-        finish(state, Result.LEFT);
+        finish(state, Result.CANCELLED);
     }
 
     /** An answer has come, whole; advice to return of 0 is none. */
     @Override
-    public void answered(ClientAttempt submitted, FinalResponse answer, double retryAfter) {
-        observer.answered(submitted, answer);
-        PendingRequest state = open.get(submitted.ask().number());
-        if (state == null || state.out != submitted) {
+    public void onResponse(ClientAttempt clientAttempt, FinalResponse response, double retryAfter) {
+        observer.onResponse(clientAttempt, response);
+        PendingRequest state = pending.get(clientAttempt.request().number());
+        if (state == null || state.openAttempt != clientAttempt) {
             return;
         }
-        state.out = null;
-        switch (answer) {
-            case FULFILLED ->
+        state.openAttempt = null;
+        switch (response) {
+            case SUCCEEDED ->
                     finish(
                             state,
-                            timeline.now() - state.firstSent <= state.ask.quoted()
+                            timeline.now() - state.firstSent <= state.request.latencyObjective()
                                     ? Result.IN_TIME
                                     : Result.LATE);
             // What may have run is asked for again only where a repeat does no harm.
-            case SCRAPPED ->
+            case FAILED ->
                     retryOrFinish(
                             state,
-                            Result.SCRAPPED,
+                            Result.FAILED,
                             0,
-                            state.ask.offering().effect() == Idempotency.IDEMPOTENT);
-            case BOUNCED -> retryOrFinish(state, Result.BOUNCED, retryAfter, true);
+                            state.request.requestClass().idempotency() == Idempotency.IDEMPOTENT);
+            case REJECTED -> retryOrFinish(state, Result.REJECTED, retryAfter, true);
         }
     }
 
     /** It reached nobody: trying again does no harm. */
     @Override
-    public void refused(ClientAttempt submitted) {
-        PendingRequest state = open.get(submitted.ask().number());
-        if (state != null && state.out == submitted) {
-            state.out = null;
-            observer.refused(submitted);
-            retryOrFinish(state, Result.UNANSWERED, RECONNECT, true);
+    public void onRefused(ClientAttempt clientAttempt) {
+        PendingRequest state = pending.get(clientAttempt.request().number());
+        if (state != null && state.openAttempt == clientAttempt) {
+            state.openAttempt = null;
+            observer.onRefused(clientAttempt);
+            retryOrFinish(state, Result.UNANSWERED, RECONNECT_DELAY, true);
         }
     }
 
     /** The connection ended before an answer. */
     @Override
-    public void cutOff(ClientAttempt submitted) {
-        PendingRequest state = open.get(submitted.ask().number());
-        if (state == null || state.out != submitted) {
+    public void onConnectionLost(ClientAttempt clientAttempt) {
+        PendingRequest state = pending.get(clientAttempt.request().number());
+        if (state == null || state.openAttempt != clientAttempt) {
             return;
         }
-        state.out = null;
-        observer.cutOff(submitted);
+        state.openAttempt = null;
+        observer.onConnectionLost(clientAttempt);
         retryOrFinish(
                 state,
                 Result.UNANSWERED,
                 0,
-                state.ask.offering().effect() == Idempotency.IDEMPOTENT);
+                state.request.requestClass().idempotency() == Idempotency.IDEMPOTENT);
     }
 
     private void retryOrFinish(
             PendingRequest state, Result result, double notBefore, boolean mayRetry) {
         double spread =
-                1 + chance.once(SeededRandom.Purpose.RETRY, state.ask.number(), state.attempts);
-        double wait = Math.max(notBefore, scenario.clients().pause() * spread);
-        double left = state.firstSent + state.ask.offering().outer() - timeline.now() - wait;
+                1
+                        + random.uniform(
+                                SeededRandom.Purpose.RETRY,
+                                state.request.number(),
+                                state.attemptCount);
+        double wait = Math.max(notBefore, scenario.clients().retryDelay() * spread);
+        double left =
+                state.firstSent + state.request.requestClass().deadline() - timeline.now() - wait;
         if (!mayRetry
-                || state.attempts > scenario.clients().retries()
-                || left < scenario.clients().leastWait()) {
+                || state.attemptCount > scenario.clients().retries()
+                || left < scenario.clients().minTimeout()) {
             finish(state, result);
             return;
         }
-        timeline.after(
+        timeline.schedule(
                 wait,
                 () -> {
-                    if (open.get(state.ask.number()) == state) {
+                    if (pending.get(state.request.number()) == state) {
                         send(state);
                     }
                 });
     }
 
     private void finish(PendingRequest state, Result result) {
-        open.remove(state.ask.number());
-        observer.finished(state.ask, result, timeline.now() - state.firstSent);
+        pending.remove(state.request.number());
+        observer.onFinished(state.request, result, timeline.now() - state.firstSent);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
@@ -22,12 +22,12 @@
     public interface DispatcherControl {
         void kill(int dispatcher);
 
-        void end(int dispatcher);
+        void terminate(int dispatcher);
 
         void start(int dispatcher, Scenario.How how);
 
         /** Its process stands still, or goes on. */
-        default void pause(int dispatcher, boolean begins) {
+        default void setPaused(int dispatcher, boolean begins) {
             throw new IllegalStateException("no process stands still here");
         }
 
@@ -35,12 +35,13 @@
          * The ways of a dispatcher that the fault is about are harmed, or heal; targets are all it
          * meets.
          */
-        default void harm(Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
+        default void setLinkFault(
+                Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
             throw new IllegalStateException("no ways are harmed here");
         }
 
         /** It gets a core for no more than this share of the time; 1 for as it likes. */
-        default void starve(int dispatcher, double share) {
+        default void limitCpu(int dispatcher, double share) {
             throw new IllegalStateException("no process shares a core here");
         }
 
@@ -50,39 +51,39 @@
         }
 
         /** So many more strangers a second come to it; under 0 so many fewer. */
-        default void crowd(int dispatcher, double rate) {
+        default void changeFloodRate(int dispatcher, double rate) {
             throw new IllegalStateException("no strangers come here");
         }
     }
 
     /** A fault with its time in the run and those it meets. */
-    public record ScheduledFault(Scenario.Fault fault, double from, double to, int[] targets) {}
+    public record ScheduledFault(Scenario.Fault fault, double start, double end, int[] targets) {}
 
     public final Scenario scenario;
     public final Timeline timeline;
-    public final SeededRandom chance;
+    public final SeededRandom random;
     public final EndpointRegistry registry;
     public final List<WorkerModel> workers = new ArrayList<>();
-    public final List<ScheduledFault> happenings;
+    public final List<ScheduledFault> scheduledFaults;
 
     /**
      * By dispatcher, the faults that keep it down, or still: it is up again when the last of them
      * is over.
      */
-    private final Map<Integer, Set<ScheduledFault>> downs = new HashMap<>();
+    private final Map<Integer, Set<ScheduledFault>> outages = new HashMap<>();
 
     private final Map<Integer, Set<ScheduledFault>> pauses = new HashMap<>();
-    private final Map<Integer, Set<ScheduledFault>> hungers = new HashMap<>();
+    private final Map<Integer, Set<ScheduledFault>> starvations = new HashMap<>();
 
     public ClusterModel(
             Scenario scenario,
             Timeline timeline,
-            SeededRandom chance,
+            SeededRandom random,
             double seconds,
-            EventListener witness) {
+            EventListener listener) {
         this.scenario = scenario;
         this.timeline = timeline;
-        this.chance = chance;
+        this.random = random;
         registry = new EndpointRegistry(timeline, scenario.terms().listLag());
         for (Scenario.WorkerGroup group : scenario.groups()) {
             for (int i = 0; i < group.count(); i++) {
@@ -93,34 +94,34 @@
                                 group,
                                 timeline,
                                 scenario.terms(),
-                                chance,
+                                random,
                                 registry,
-                                witness);
+                                listener);
                 workers.add(worker);
                 registry.add(worker);
             }
         }
-        happenings = happenings(seconds);
+        scheduledFaults = scheduleFaults(seconds);
     }
 
-    private List<ScheduledFault> happenings(double seconds) {
+    private List<ScheduledFault> scheduleFaults(double seconds) {
         List<ScheduledFault> all = new ArrayList<>();
         for (int cycle = 0; cycle * scenario.cycle() < seconds; cycle++) {
             for (Scenario.Fault fault : scenario.faults()) {
-                double from = cycle * scenario.cycle() + fault.at();
+                double from = cycle * scenario.cycle() + fault.start();
                 if (from >= seconds) {
                     continue;
                 }
                 int[] targets = targets(fault, cycle);
-                if (fault.within() == 0) {
+                if (fault.startSpread() == 0) {
                     all.add(new ScheduledFault(fault, from, from + fault.length(), targets));
                 } else {
                     // A moment of its own for each, which depends on the seed alone.
                     for (int target : targets) {
                         double at =
                                 from
-                                        + fault.within()
-                                                * chance.once(
+                                        + fault.startSpread()
+                                                * random.uniform(
                                                         SeededRandom.Purpose.FAULT,
                                                         fault.pick() * 1000L + cycle,
                                                         MOMENT - target);
@@ -131,7 +132,7 @@
                 }
             }
         }
-        all.sort(Comparator.comparingDouble(ScheduledFault::from));
+        all.sort(Comparator.comparingDouble(ScheduledFault::start));
         return all;
     }
 
@@ -140,51 +141,54 @@
      */
     private int[] targets(Scenario.Fault fault, int cycle) {
         List<Integer> open = new ArrayList<>();
-        if (fault.kind().isAboutDispatchers()) {
+        if (fault.kind().affectsDispatchers()) {
             for (int i = 0; i < scenario.dispatchers(); i++) {
                 if (fault.from().isEmpty() || fault.from().equals(scenario.zoneOf(i))) {
                     open.add(i);
                 }
             }
         } else {
-            workers.stream().filter(w -> fault.concerns(w.group)).forEach(w -> open.add(w.number));
+            workers.stream().filter(w -> fault.matches(w.group)).forEach(w -> open.add(w.number));
         }
         long pick = fault.pick() * 1000L + cycle;
-        open.sort(Comparator.comparingLong(i -> chance.key(SeededRandom.Purpose.FAULT, pick, i)));
+        open.sort(
+                Comparator.comparingLong(i -> random.seedOf(SeededRandom.Purpose.FAULT, pick, i)));
         int count = (int) Math.max(1, Math.round(fault.share() * open.size()));
         return open.stream().limit(count).mapToInt(i -> i).toArray();
     }
 
     /** Sets every fault on the timeline, which must stand at the start of the run. */
-    public void begin(DispatcherControl dispatchers) {
-        for (ScheduledFault happening : happenings) {
-            timeline.after(happening.from(), () -> set(happening, true, dispatchers));
+    public void start(DispatcherControl dispatchers) {
+        for (ScheduledFault happening : scheduledFaults) {
+            timeline.schedule(happening.start(), () -> apply(happening, true, dispatchers));
             // A replacement's own end is not ours to set.
             if (happening.fault().kind() != Scenario.Kind.DEPLOY
                     && happening.fault().kind() != Scenario.Kind.DISPATCHER_REPLACE) {
-                timeline.after(happening.to(), () -> set(happening, false, dispatchers));
+                timeline.schedule(happening.end(), () -> apply(happening, false, dispatchers));
             }
         }
     }
 
-    private void set(ScheduledFault happening, boolean begins, DispatcherControl dispatchers) {
+    private void apply(ScheduledFault happening, boolean begins, DispatcherControl dispatchers) {
         Scenario.Fault fault = happening.fault();
         switch (fault.kind()) {
-            case LIST_DOWN -> registry.down(begins);
-            case LIST_LATE -> registry.later(begins ? fault.level() : -fault.level());
+            case LIST_DOWN -> registry.setDown(begins);
+            case LIST_LATE -> registry.addLag(begins ? fault.level() : -fault.level());
             case DEPLOY -> deploy(happening);
             case DISPATCHER_KILL, DISPATCHER_RESTART ->
-                    each(happening, dispatcher -> down(happening, dispatcher, begins, dispatchers));
+                    forEachTarget(
+                            happening,
+                            dispatcher -> setDown(happening, dispatcher, begins, dispatchers));
             case DISPATCHER_PAUSE ->
-                    each(
+                    forEachTarget(
                             happening,
-                            dispatcher -> still(happening, dispatcher, begins, dispatchers));
+                            dispatcher -> setPaused(happening, dispatcher, begins, dispatchers));
             case DISPATCHER_STARVE ->
-                    each(
+                    forEachTarget(
                             happening,
-                            dispatcher -> hungry(happening, dispatcher, begins, dispatchers));
+                            dispatcher -> setStarved(happening, dispatcher, begins, dispatchers));
             case DISPATCHER_REPLACE ->
-                    each(
+                    forEachTarget(
                             happening,
                             dispatcher -> {
                                 if (begins) {
@@ -192,10 +196,10 @@
                                 }
                             });
             case CROWD ->
-                    each(
+                    forEachTarget(
                             happening,
                             dispatcher ->
-                                    dispatchers.crowd(
+                                    dispatchers.changeFloodRate(
                                             dispatcher,
                                             (begins ? 1 : -1)
                                                     * fault.level()
@@ -209,89 +213,89 @@
                     LINK_TRICKLE,
                     LINK_DOUBLE,
                     LIST_CUT ->
-                    each(
+                    forEachTarget(
                             happening,
                             dispatcher ->
-                                    dispatchers.harm(
+                                    dispatchers.setLinkFault(
                                             fault, dispatcher, happening.targets(), begins));
             default ->
                     Arrays.stream(happening.targets())
                             .mapToObj(workers::get)
-                            .forEach(worker -> set(worker, fault, begins));
+                            .forEach(worker -> apply(worker, fault, begins));
         }
     }
 
-    private static void each(ScheduledFault happening, IntConsumer task) {
+    private static void forEachTarget(ScheduledFault happening, IntConsumer task) {
         Arrays.stream(happening.targets()).forEach(task);
     }
 
-    private static Set<ScheduledFault> of(
+    private static Set<ScheduledFault> faultsOf(
             Map<Integer, Set<ScheduledFault>> faults, int dispatcher) {
         return faults.computeIfAbsent(dispatcher, d -> new LinkedHashSet<>());
     }
 
-    private void down(
+    private void setDown(
             ScheduledFault happening,
             int dispatcher,
             boolean begins,
             DispatcherControl dispatchers) {
-        Set<ScheduledFault> all = of(downs, dispatcher);
+        Set<ScheduledFault> all = faultsOf(outages, dispatcher);
         if (begins) {
             boolean first = all.isEmpty();
             all.add(happening);
             if (happening.fault().kind() == Scenario.Kind.DISPATCHER_KILL) {
                 // Also one that was told to end: it may still be at it.
-                of(pauses, dispatcher).clear();
+                faultsOf(pauses, dispatcher).clear();
                 dispatchers.kill(dispatcher);
             } else if (first) {
-                dispatchers.end(dispatcher);
+                dispatchers.terminate(dispatcher);
             }
         } else if (all.remove(happening) && all.isEmpty()) {
-            of(pauses, dispatcher).clear();
+            faultsOf(pauses, dispatcher).clear();
             dispatchers.start(dispatcher, happening.fault().how());
         }
     }
 
-    private void still(
+    private void setPaused(
             ScheduledFault happening,
             int dispatcher,
             boolean begins,
             DispatcherControl dispatchers) {
-        Set<ScheduledFault> all = of(pauses, dispatcher);
+        Set<ScheduledFault> all = faultsOf(pauses, dispatcher);
         // One that is down cannot stand still, nor does the next one at its start.
-        if (begins && of(downs, dispatcher).isEmpty()) {
+        if (begins && faultsOf(outages, dispatcher).isEmpty()) {
             all.add(happening);
             if (all.size() == 1) {
-                dispatchers.pause(dispatcher, true);
+                dispatchers.setPaused(dispatcher, true);
             }
         } else if (!begins && all.remove(happening) && all.isEmpty()) {
-            dispatchers.pause(dispatcher, false);
+            dispatchers.setPaused(dispatcher, false);
         }
     }
 
-    private void hungry(
+    private void setStarved(
             ScheduledFault happening,
             int dispatcher,
             boolean begins,
             DispatcherControl dispatchers) {
-        Set<ScheduledFault> all = of(hungers, dispatcher);
+        Set<ScheduledFault> all = faultsOf(starvations, dispatcher);
         if (begins) {
             all.add(happening);
         } else {
             all.remove(happening);
         }
-        dispatchers.starve(
+        dispatchers.limitCpu(
                 dispatcher, all.stream().mapToDouble(h -> h.fault().level()).min().orElse(1));
     }
 
-    private static void set(WorkerModel worker, Scenario.Fault fault, boolean begins) {
+    private static void apply(WorkerModel worker, Scenario.Fault fault, boolean begins) {
         double level = fault.level();
         switch (fault.kind()) {
-            case BURST -> worker.failing(begins ? level : -level);
-            case STALL -> worker.stalled(begins);
-            case SLOW -> worker.slowed(begins ? level : 1 / level);
-            case SILENCE -> worker.silent(begins);
-            case VANISH -> worker.cut(begins);
+            case BURST -> worker.changeFailureRate(begins ? level : -level);
+            case STALL -> worker.setStalled(begins);
+            case SLOW -> worker.changeSpeed(begins ? level : 1 / level);
+            case SILENCE -> worker.setSilent(begins);
+            case VANISH -> worker.setPartitioned(begins);
             case CRASH -> {
                 if (begins) {
                     worker.crash();
@@ -306,7 +310,7 @@
                     worker.start();
                 }
             }
-            case LATE_REPORTS -> worker.reportsLater(begins ? level : -level);
+            case LATE_REPORTS -> worker.delayReports(begins ? level : -level);
             default -> throw new IllegalStateException("no fault of a worker: " + fault.kind());
         }
     }
@@ -324,8 +328,8 @@
             WorkerModel worker = workers.get(targets[i]);
             int round = i / atOnce;
             double at = round * step;
-            timeline.after(at, worker::drain);
-            timeline.after(at + step, worker::start);
+            timeline.schedule(at, worker::drain);
+            timeline.schedule(at + step, worker::start);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/EndpointRegistry.java
+++ b/kit/src/main/java/wheelroute/kit/model/EndpointRegistry.java
@@ -10,7 +10,7 @@
 /** The list of workers, later than the truth: what is told to it counts only after the lag. */
 public final class EndpointRegistry {
     /** How often something slow is looked at again. */
-    static final double LOOK = 0.1;
+    static final double POLL_INTERVAL = 0.1;
 
     /** A worker's state in the list's eyes. */
     public enum State {
@@ -29,12 +29,12 @@
     private final List<Runnable> outages = new ArrayList<>();
 
     /** The number of the last word on each worker that has reached the list. */
-    private final Map<Integer, Long> heard = new HashMap<>();
+    private final Map<Integer, Long> appliedUpdates = new HashMap<>();
 
-    private long words;
+    private long updateCount;
     private long version;
     private double extraLag;
-    private int down;
+    private int activeOutages;
 
     EndpointRegistry(Timeline timeline, double lag) {
         this.timeline = timeline;
@@ -45,15 +45,15 @@
         entries.put(worker.number, new Entry(worker, State.READY, Double.NaN, 0));
     }
 
-    void tell(WorkerModel worker, State state, double startedAt) {
-        long word = ++words;
-        timeline.after(
+    void update(WorkerModel worker, State state, double startedAt) {
+        long word = ++updateCount;
+        timeline.schedule(
                 lag + extraLag,
                 () -> {
                     // One that is overtaken by a later word, as the lag changes, must not bring the
                     // past back.
-                    if (word > heard.getOrDefault(worker.number, 0L)) {
-                        heard.put(worker.number, word);
+                    if (word > appliedUpdates.getOrDefault(worker.number, 0L)) {
+                        appliedUpdates.put(worker.number, word);
                         Entry entry = new Entry(worker, state, startedAt, ++version);
                         entries.put(worker.number, entry);
                         new ArrayList<>(watchers).forEach(watcher -> watcher.accept(entry));
@@ -84,17 +84,17 @@
     }
 
     public boolean isDown() {
-        return down > 0;
+        return activeOutages > 0;
     }
 
-    void down(boolean begins) {
-        down += begins ? 1 : -1;
+    void setDown(boolean begins) {
+        activeOutages += begins ? 1 : -1;
         if (begins) {
             new ArrayList<>(outages).forEach(Runnable::run);
         }
     }
 
-    void later(double by) {
+    void addLag(double by) {
         extraLag += by;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/FinalResponse.java
+++ b/kit/src/main/java/wheelroute/kit/model/FinalResponse.java
@@ -1,8 +1,19 @@
 package wheelroute.kit.model;
 
-/** What a client hears in the end. */
+/** The final response of a dispatcher to a client's request. */
 public enum FinalResponse {
-    FULFILLED,
-    BOUNCED,
-    SCRAPPED
+    SUCCEEDED("fulfilled"),
+    REJECTED("bounced"),
+    FAILED("scrapped");
+
+    private final String reportName;
+
+    FinalResponse(String reportName) {
+        this.reportName = reportName;
+    }
+
+    /** The response's name in reports. */
+    public String reportName() {
+        return reportName;
+    }
 }
--- a/kit/src/main/java/wheelroute/kit/model/RequestGenerator.java
+++ b/kit/src/main/java/wheelroute/kit/model/RequestGenerator.java
@@ -9,84 +9,88 @@
  */
 public final class RequestGenerator {
     private final Scenario scenario;
-    private final SeededRandom chance;
+    private final SeededRandom random;
     private final double seconds;
-    private final double mostRate;
-    private final double[] offeringShares;
+    private final double maxRate;
+    private final double[] requestClassShares;
     private final double[] tenantShares;
     private double time;
-    private int drawn;
-    private int asks;
+    private int arrivalCount;
+    private int requestCount;
 
-    public RequestGenerator(Scenario scenario, SeededRandom chance, double seconds) {
+    public RequestGenerator(Scenario scenario, SeededRandom random, double seconds) {
         this.scenario = scenario;
-        this.chance = chance;
+        this.random = random;
         this.seconds = seconds;
-        mostRate = scenario.load().stream().mapToDouble(Scenario.LoadPoint::rate).max().orElse(0);
-        offeringShares =
-                summed(
-                        scenario.offerings().stream()
+        maxRate = scenario.load().stream().mapToDouble(Scenario.LoadPoint::rate).max().orElse(0);
+        requestClassShares =
+                cumulative(
+                        scenario.requestClasses().stream()
                                 .mapToDouble(Scenario.RequestClass::share)
                                 .toArray());
         tenantShares =
-                summed(scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray());
+                cumulative(
+                        scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray());
     }
 
     /** The next ask, or null when the run's time is over. */
     public ClientRequest next() {
-        while (mostRate > 0) {
-            SplittableRandom random = chance.of(SeededRandom.Purpose.ARRIVAL, drawn++, 0);
-            time -= Math.log(1 - random.nextDouble()) / mostRate;
+        while (maxRate > 0) {
+            SplittableRandom arrival =
+                    random.generator(SeededRandom.Purpose.ARRIVAL, arrivalCount++, 0);
+            time -= Math.log(1 - arrival.nextDouble()) / maxRate;
             if (time >= seconds) {
                 return null;
             }
             // Thinned: the stream of the highest rate, of which as much is kept as the rate of the
             // moment
             // says.
-            if (random.nextDouble() * mostRate < rateAt(time)) {
-                return ask(asks++);
+            if (arrival.nextDouble() * maxRate < rateAt(time)) {
+                return createRequest(requestCount++);
             }
         }
         return null;
     }
 
-    private ClientRequest ask(int number) {
-        Scenario.RequestClass offering =
-                scenario.offerings()
+    private ClientRequest createRequest(int number) {
+        Scenario.RequestClass requestClass =
+                scenario.requestClasses()
                         .get(
-                                index(
-                                        offeringShares,
-                                        chance.once(SeededRandom.Purpose.OFFERING, number, 0)));
+                                indexOf(
+                                        requestClassShares,
+                                        random.uniform(
+                                                SeededRandom.Purpose.REQUEST_CLASS, number, 0)));
         Scenario.Tenant tenant =
                 scenario.tenants().isEmpty()
                         ? Scenario.Tenant.NONE
                         : scenario.tenants()
                                 .get(
-                                        index(
+                                        indexOf(
                                                 tenantShares,
-                                                chance.once(
+                                                random.uniform(
                                                         SeededRandom.Purpose.TENANT, number, 0)));
         double work =
                 Math.max(
-                        Scenario.LEAST_WORK,
-                        offering.work()
+                        Scenario.MIN_WORK,
+                        requestClass.work()
                                 * SeededRandom.lognormal(
-                                        chance.of(SeededRandom.Purpose.WORK, number, 0),
-                                        offering.spread()));
+                                        random.generator(SeededRandom.Purpose.WORK, number, 0),
+                                        requestClass.spread()));
         double hint = Double.NaN;
-        if (offering.hintError() >= 0) {
+        if (requestClass.estimateError() >= 0) {
             hint =
                     work
                             * SeededRandom.lognormal(
-                                    chance.of(SeededRandom.Purpose.HINT, number, 0),
-                                    offering.hintError());
+                                    random.generator(SeededRandom.Purpose.COST_ESTIMATE, number, 0),
+                                    requestClass.estimateError());
         }
         double leaves = Double.POSITIVE_INFINITY;
-        SplittableRandom impatience = chance.of(SeededRandom.Purpose.IMPATIENCE, number, 0);
-        if (impatience.nextDouble() < scenario.clients().impatient()) {
-            leaves = impatience.nextDouble() * offering.outer();
+        SplittableRandom impatience =
+                random.generator(SeededRandom.Purpose.CANCELLATION, number, 0);
+        if (impatience.nextDouble() < scenario.clients().cancelFraction()) {
+            leaves = impatience.nextDouble() * requestClass.deadline();
         }
-        return new ClientRequest(number, time, offering, tenant, work, hint, leaves);
+        return new ClientRequest(number, time, requestClass, tenant, work, hint, leaves);
     }
 
     /** Asks a second at this moment; the schedule begins anew with each cycle. */
@@ -95,10 +99,11 @@
         List<Scenario.LoadPoint> points = scenario.load();
         Scenario.LoadPoint before = points.get(0);
         for (Scenario.LoadPoint point : points) {
-            if (point.at() > within) {
+            if (point.time() > within) {
                 double part =
-                        point.at() > before.at()
-                                ? Math.max(0, within - before.at()) / (point.at() - before.at())
+                        point.time() > before.time()
+                                ? Math.max(0, within - before.time())
+                                        / (point.time() - before.time())
                                 : 0;
                 return before.rate() + part * (point.rate() - before.rate());
             }
@@ -107,14 +112,14 @@
         return before.rate();
     }
 
-    private static double[] summed(double[] shares) {
+    private static double[] cumulative(double[] shares) {
         for (int i = 1; i < shares.length; i++) {
             shares[i] += shares[i - 1];
         }
         return shares;
     }
 
-    private static int index(double[] summed, double draw) {
+    private static int indexOf(double[] summed, double draw) {
         double at = draw * summed[summed.length - 1];
         for (int i = 0; i < summed.length - 1; i++) {
             if (at < summed[i]) {
--- a/kit/src/main/java/wheelroute/kit/model/SeededRandom.java
+++ b/kit/src/main/java/wheelroute/kit/model/SeededRandom.java
@@ -11,20 +11,20 @@
     /** What is drawn. The order is part of what a seed means: new ones go to the end. */
     public enum Purpose {
         ARRIVAL,
-        OFFERING,
+        REQUEST_CLASS,
         TENANT,
         WORK,
-        HINT,
+        COST_ESTIMATE,
         RETRY,
-        IMPATIENCE,
+        CANCELLATION,
         DISPATCHER,
         FAILURE,
         NETWORK,
         FAULT,
-        BRAIN,
+        STRATEGY,
         SCHEDULE,
         LINK,
-        CROWD,
+        CONNECTION_FLOOD,
         CLIENT
     }
 
@@ -39,20 +39,20 @@
         this.seed = seed;
     }
 
-    public SplittableRandom of(Purpose what, long a, long b) {
-        return new SplittableRandom(key(what, a, b));
+    public SplittableRandom generator(Purpose what, long a, long b) {
+        return new SplittableRandom(seedOf(what, a, b));
     }
 
     /** One draw, from 0 up to 1: cheaper than a generator where one is enough. */
-    public double once(Purpose what, long a, long b) {
-        return (mixed(key(what, a, b)) >>> 11) * 0x1.0p-53;
+    public double uniform(Purpose what, long a, long b) {
+        return (mix(seedOf(what, a, b)) >>> 11) * 0x1.0p-53;
     }
 
-    public long key(Purpose what, long a, long b) {
-        return mixed(mixed(mixed(seed + GOLDEN * (what.ordinal() + 1)) + a) + GOLDEN * b);
+    public long seedOf(Purpose what, long a, long b) {
+        return mix(mix(mix(seed + GOLDEN * (what.ordinal() + 1)) + a) + GOLDEN * b);
     }
 
-    private static long mixed(long value) {
+    private static long mix(long value) {
         long z = (value ^ value >>> 30) * MIX;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
         return z ^ z >>> 31;
--- a/kit/src/main/java/wheelroute/kit/model/Timeline.java
+++ b/kit/src/main/java/wheelroute/kit/model/Timeline.java
@@ -8,5 +8,5 @@
      * Once, after so long; tasks that are due together run in the order in which they were asked
      * for.
      */
-    void after(double delay, Runnable task);
+    void schedule(double delay, Runnable task);
 }
--- a/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
@@ -4,32 +4,32 @@
 public final class WorkerAttempt {
     /** How the worker speaks on the launch's connection. */
     public interface Reply {
-        void started();
+        void onStarted();
 
-        void progressed(double share);
+        void onProgress(double share);
 
         /** The last word; freeSlots is NaN where no report goes with it. */
-        void ended(AttemptEnding ending, double freeSlots);
+        void onEnded(AttemptEnding ending, double freeSlots);
     }
 
-    public final long submission;
+    public final long requestId;
     public final double work;
     final int slots;
     final double memory;
     final Reply reply;
     double remaining;
-    double since;
+    double progressedAt;
     double startedAt = Double.NaN;
-    int plan;
-    private Object mark;
+    int planVersion;
+    private Object attachment;
     boolean ended;
-    boolean dropped;
+    boolean cancelled;
 
     /** Something it should have been told was not. */
-    boolean kept;
+    boolean notificationLost;
 
-    public WorkerAttempt(long submission, double work, int slots, double memory, Reply reply) {
-        this.submission = submission;
+    public WorkerAttempt(long requestId, double work, int slots, double memory, Reply reply) {
+        this.requestId = requestId;
         this.work = work;
         this.slots = slots;
         this.memory = memory;
@@ -41,12 +41,12 @@
      * What its witness remembers of it: a table by launch would cost a look-up at each of its
      * events.
      */
-    public Object mark() {
-        return mark;
+    public Object attachment() {
+        return attachment;
     }
 
-    public void mark(Object newMark) {
-        mark = newMark;
+    public void attachment(Object newMark) {
+        attachment = newMark;
     }
 
     /** The worker has ended it, whether or not that could be told. */
--- a/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
@@ -11,10 +11,10 @@
  */
 public final class WorkerModel {
     /** An error comes at once: so long after the launch. */
-    private static final double ERROR_TIME = 0.002;
+    private static final double ERROR_DELAY = 0.002;
 
     /** A worker that fell over is back after so long. */
-    private static final double FALL = 3;
+    private static final double COLLAPSE_DURATION = 3;
 
     /** Who opens and closes its door; a closed one refuses connections. */
     public interface PortListener {
@@ -28,29 +28,29 @@
     public final Scenario.WorkerGroup group;
     private final Timeline timeline;
     private final Scenario.PlatformTerms terms;
-    private final SeededRandom chance;
+    private final SeededRandom random;
     private final EndpointRegistry registry;
-    private final EventListener witness;
+    private final EventListener listener;
     private final ArrayDeque<WorkerAttempt> waiting = new ArrayDeque<>();
     private final List<WorkerAttempt> running = new ArrayList<>();
 
     /** Those who were not told something: broken off when the worker can speak again. */
-    private final List<WorkerAttempt> untold = new ArrayList<>();
+    private final List<WorkerAttempt> unnotified = new ArrayList<>();
 
-    private final ArrayDeque<double[]> cameCold = new ArrayDeque<>();
-    private final ArrayDeque<double[]> freeBefore = new ArrayDeque<>();
-    private PortListener door;
+    private final ArrayDeque<double[]> coldArrivals = new ArrayDeque<>();
+    private final ArrayDeque<double[]> freeSlotHistory = new ArrayDeque<>();
+    private PortListener portListener;
     private int slotsInUse;
     private double memoryInUse;
     private boolean up = true;
     private double startedAt = Double.NaN;
-    private double slow = 1;
+    private double slowdown = 1;
     private int stalls;
     private int silences;
     private int cuts;
     private double failing;
     private double reportDelay;
-    private int lives;
+    private int incarnation;
 
     WorkerModel(
             int number,
@@ -58,21 +58,21 @@
             Scenario.WorkerGroup group,
             Timeline timeline,
             Scenario.PlatformTerms terms,
-            SeededRandom chance,
+            SeededRandom random,
             EndpointRegistry registry,
-            EventListener witness) {
+            EventListener listener) {
         this.number = number;
         this.name = name;
         this.group = group;
         this.timeline = timeline;
         this.terms = terms;
-        this.chance = chance;
+        this.random = random;
         this.registry = registry;
-        this.witness = witness;
+        this.listener = listener;
     }
 
-    public void door(PortListener newDoor) {
-        door = newDoor;
+    public void portListener(PortListener newDoor) {
+        portListener = newDoor;
     }
 
     // ---- what dispatchers do to it
@@ -83,70 +83,71 @@
     }
 
     /** A launch's last byte has come. */
-    public void arrive(WorkerAttempt launch) {
-        witness.arrived(launch, this);
+    public void accept(WorkerAttempt attempt) {
+        listener.onArrived(attempt, this);
         if (cuts > 0) {
-            launch.kept = true;
-            untold.add(launch);
+            attempt.notificationLost = true;
+            unnotified.add(attempt);
             return;
         }
-        if (tips(launch.work)) {
-            witness.fell(this);
-            end(launch, AttemptEnding.BROKEN);
+        if (wouldCollapse(attempt.work)) {
+            listener.onCollapsed(this);
+            end(attempt, AttemptEnding.CONNECTION_LOST);
             crash();
-            int life = lives;
-            timeline.after(
-                    FALL,
+            int life = incarnation;
+            timeline.schedule(
+                    COLLAPSE_DURATION,
                     () -> {
-                        if (life == lives) {
+                        if (life == incarnation) {
                             start();
                         }
                     });
             return;
         }
         if (failing > 0
-                && chance.once(SeededRandom.Purpose.FAILURE, launch.submission, number) < failing) {
-            int life = lives;
-            timeline.after(
-                    ERROR_TIME,
+                && random.uniform(SeededRandom.Purpose.FAILURE, attempt.requestId, number)
+                        < failing) {
+            int life = incarnation;
+            timeline.schedule(
+                    ERROR_DELAY,
                     () -> {
-                        if (life == lives && !launch.ended) {
-                            end(launch, AttemptEnding.FAILED);
+                        if (life == incarnation && !attempt.ended) {
+                            end(attempt, AttemptEnding.FAILED);
                         }
                     });
             return;
         }
-        if ((waiting.size() >= group.queue() && !mayBegin(launch))
-                || memoryInUse + launch.memory > group.memory()) {
-            end(launch, AttemptEnding.TURNED_AWAY);
+        if ((waiting.size() >= group.queue() && !canStart(attempt))
+                || memoryInUse + attempt.memory > group.memory()) {
+            end(attempt, AttemptEnding.REJECTED);
             return;
         }
-        memoryInUse += launch.memory;
-        waiting.addLast(launch);
-        beginNext();
+        memoryInUse += attempt.memory;
+        waiting.addLast(attempt);
+        startNext();
     }
 
     /**
      * Its connection was closed by the other side: what waits is forgotten, what runs goes on
      * unheard.
      */
-    public void dropped(WorkerAttempt launch) {
-        launch.dropped = true;
-        if (!launch.ended && waiting.remove(launch)) {
-            memoryInUse -= launch.memory;
-            launch.ended = true;
-            beginNext();
+    public void cancel(WorkerAttempt attempt) {
+        attempt.cancelled = true;
+        if (!attempt.ended && waiting.remove(attempt)) {
+            memoryInUse -= attempt.memory;
+            attempt.ended = true;
+            startNext();
         }
     }
 
     // ---- its work
 
-    private boolean mayBegin(WorkerAttempt launch) {
+    private boolean canStart(WorkerAttempt attempt) {
         return waiting.isEmpty()
-                && slotsInUse + Math.min(launch.slots, group.slots()) <= group.slots();
+                && slotsInUse + Math.min(attempt.slots, group.slots()) <= group.slots();
     }
 
-    private void beginNext() {
+    private void startNext() {
         while (!waiting.isEmpty() && stalls == 0) {
             WorkerAttempt next = waiting.peekFirst();
             int need = Math.min(next.slots, group.slots());
@@ -155,113 +156,114 @@
             }
             waiting.pollFirst();
             slotsInUse += need;
-            noteFree();
+            recordFreeSlots();
             running.add(next);
             next.startedAt = timeline.now();
-            next.since = next.startedAt;
+            next.progressedAt = next.startedAt;
             // The warmth of the start counts for the whole job, as if it were more work.
             next.remaining = next.work / warmth(next.startedAt);
-            witness.began(next, this);
-            if (terms.tellsStart()) {
-                speak(next, next.reply::started);
+            listener.onStarted(next, this);
+            if (terms.reportsStart()) {
+                deliver(next, next.reply::onStarted);
             }
             plan(next);
-            if (terms.progressEvery() > 0) {
+            if (terms.progressInterval() > 0) {
                 progress(next, next.remaining);
             }
         }
     }
 
     private double pace() {
-        return stalls > 0 ? 0 : group.speed() * slow;
+        return stalls > 0 ? 0 : group.speed() * slowdown;
     }
 
-    private void plan(WorkerAttempt launch) {
+    private void plan(WorkerAttempt attempt) {
         double pace = pace();
-        int plan = ++launch.plan;
+        int plan = ++attempt.planVersion;
         if (pace > 0) {
-            timeline.after(
-                    launch.remaining / pace,
+            timeline.schedule(
+                    attempt.remaining / pace,
                     () -> {
-                        if (plan == launch.plan && !launch.ended) {
-                            finish(launch);
+                        if (plan == attempt.planVersion && !attempt.ended) {
+                            finish(attempt);
                         }
                     });
         }
     }
 
-    private void finish(WorkerAttempt launch) {
-        running.remove(launch);
-        slotsInUse -= Math.min(launch.slots, group.slots());
-        memoryInUse -= launch.memory;
-        noteFree();
-        end(launch, AttemptEnding.DONE);
-        beginNext();
+    private void finish(WorkerAttempt attempt) {
+        running.remove(attempt);
+        slotsInUse -= Math.min(attempt.slots, group.slots());
+        memoryInUse -= attempt.memory;
+        recordFreeSlots();
+        end(attempt, AttemptEnding.SUCCEEDED);
+        startNext();
     }
 
-    private void progress(WorkerAttempt launch, double whole) {
-        timeline.after(
-                terms.progressEvery(),
+    private void progress(WorkerAttempt attempt, double whole) {
+        timeline.schedule(
+                terms.progressInterval(),
                 () -> {
-                    if (!launch.ended && !launch.dropped) {
+                    if (!attempt.ended && !attempt.cancelled) {
                         double left =
                                 Math.max(
                                         0,
-                                        launch.remaining
-                                                - (timeline.now() - launch.since) * pace());
-                        speak(launch, () -> launch.reply.progressed(1 - left / whole));
-                        progress(launch, whole);
+                                        attempt.remaining
+                                                - (timeline.now() - attempt.progressedAt) * pace());
+                        deliver(attempt, () -> attempt.reply.onProgress(1 - left / whole));
+                        progress(attempt, whole);
                     }
                 });
     }
 
     /** What runs goes on at the new pace. */
-    private void repaced(Runnable change) {
+    private void updatePace(Runnable change) {
         double before = pace();
         change.run();
         double now = timeline.now();
-        for (WorkerAttempt launch : running) {
-            launch.remaining = Math.max(0, launch.remaining - (now - launch.since) * before);
-            launch.since = now;
-            plan(launch);
+        for (WorkerAttempt attempt : running) {
+            attempt.remaining =
+                    Math.max(0, attempt.remaining - (now - attempt.progressedAt) * before);
+            attempt.progressedAt = now;
+            plan(attempt);
         }
-        beginNext();
+        startNext();
     }
 
-    private void end(WorkerAttempt launch, AttemptEnding ending) {
-        launch.ended = true;
-        boolean heard = ending == AttemptEnding.BROKEN || (silences == 0 && cuts == 0);
-        witness.ended(launch, this, ending, heard && !launch.dropped);
+    private void end(WorkerAttempt attempt, AttemptEnding ending) {
+        attempt.ended = true;
+        boolean heard = ending == AttemptEnding.CONNECTION_LOST || (silences == 0 && cuts == 0);
+        listener.onEnded(attempt, this, ending, heard && !attempt.cancelled);
         double free = reportedFree();
-        speak(launch, () -> launch.reply.ended(ending, free));
+        deliver(attempt, () -> attempt.reply.onEnded(ending, free));
     }
 
-    private void speak(WorkerAttempt launch, Runnable word) {
-        if (launch.dropped) {
+    private void deliver(WorkerAttempt attempt, Runnable word) {
+        if (attempt.cancelled) {
             return;
         }
         if (silences > 0 || cuts > 0) {
-            if (!launch.kept) {
-                launch.kept = true;
-                untold.add(launch);
+            if (!attempt.notificationLost) {
+                attempt.notificationLost = true;
+                unnotified.add(attempt);
             }
             return;
         }
-        if (!launch.kept) {
+        if (!attempt.notificationLost) {
             word.run();
         }
     }
 
     /** Connections on which something went unsaid are of no more use to anyone. */
-    private void breakUntold() {
-        List<WorkerAttempt> broken = new ArrayList<>(untold);
-        untold.clear();
-        for (WorkerAttempt launch : broken) {
-            if (!launch.dropped) {
+    private void dropUnnotified() {
+        List<WorkerAttempt> broken = new ArrayList<>(unnotified);
+        unnotified.clear();
+        for (WorkerAttempt attempt : broken) {
+            if (!attempt.cancelled) {
                 // Whatever becomes of the job, its connection ends here.
-                launch.dropped = true;
-                witness.ended(launch, this, AttemptEnding.BROKEN, true);
-                launch.reply.ended(AttemptEnding.BROKEN, Double.NaN);
+                attempt.cancelled = true;
+                listener.onEnded(attempt, this, AttemptEnding.CONNECTION_LOST, true);
+                attempt.reply.onEnded(AttemptEnding.CONNECTION_LOST, Double.NaN);
             }
         }
     }
@@ -271,37 +273,42 @@
     /** The part of its capacity it has, from coldShare at its start to 1. */
     public double warmth(double at) {
         double age = at - startedAt;
-        if (!(age < group.coldFor())) {
+        if (!(age < group.slowStartDuration())) {
             return 1;
         }
-        return group.coldShare() + (1 - group.coldShare()) * Math.max(0, age) / group.coldFor();
+        return group.slowStartShare()
+                + (1 - group.slowStartShare()) * Math.max(0, age) / group.slowStartDuration();
     }
 
-    private boolean tips(double work) {
+    private boolean wouldCollapse(double work) {
         double now = timeline.now();
-        double from = now - group.tipWindow();
+        double from = now - group.overloadWindow();
         double warm = warmth(from);
         if (warm >= 1) {
             return false;
         }
-        cameCold.addLast(new double[] {now, work});
-        while (cameCold.peekFirst()[0] <= from) {
-            cameCold.pollFirst();
+        coldArrivals.addLast(new double[] {now, work});
+        while (coldArrivals.peekFirst()[0] <= from) {
+            coldArrivals.pollFirst();
         }
-        double sum = cameCold.stream().mapToDouble(entry -> entry[1]).sum();
+        double sum = coldArrivals.stream().mapToDouble(entry -> entry[1]).sum();
         double most =
-                group.tipMultiple() * warm * group.speed() * group.slots() * group.tipWindow();
-        if (group.tipRequest() > 0) {
-            most += (2 * Math.sqrt(most / group.tipRequest()) + 2) * group.tipRequest();
+                group.overloadMultiple()
+                        * warm
+                        * group.speed()
+                        * group.slots()
+                        * group.overloadWindow();
+        if (group.overloadMeanWork() > 0) {
+            most += (2 * Math.sqrt(most / group.overloadMeanWork()) + 2) * group.overloadMeanWork();
         }
         return sum > most;
     }
 
     // ---- reports
 
-    private void noteFree() {
+    private void recordFreeSlots() {
         if (terms.reportLag() >= 0) {
-            freeBefore.addLast(new double[] {timeline.now(), group.slots() - slotsInUse});
+            freeSlotHistory.addLast(new double[] {timeline.now(), group.slots() - slotsInUse});
         }
     }
 
@@ -312,82 +319,82 @@
         }
         double as = timeline.now() - terms.reportLag() - reportDelay;
         double free = group.slots();
-        while (freeBefore.size() > 1 && freeBefore.peekFirst()[0] <= as) {
-            free = freeBefore.pollFirst()[1];
+        while (freeSlotHistory.size() > 1 && freeSlotHistory.peekFirst()[0] <= as) {
+            free = freeSlotHistory.pollFirst()[1];
         }
-        if (!freeBefore.isEmpty() && freeBefore.peekFirst()[0] <= as) {
-            free = freeBefore.peekFirst()[1];
+        if (!freeSlotHistory.isEmpty() && freeSlotHistory.peekFirst()[0] <= as) {
+            free = freeSlotHistory.peekFirst()[1];
         }
         return free;
     }
 
     // ---- faults
 
-    void failing(double part) {
+    void changeFailureRate(double part) {
         failing = Math.max(0, Math.min(1, failing + part));
     }
 
-    void stalled(boolean begins) {
-        repaced(() -> stalls += begins ? 1 : -1);
+    void setStalled(boolean begins) {
+        updatePace(() -> stalls += begins ? 1 : -1);
     }
 
-    void slowed(double factor) {
-        repaced(() -> slow *= factor);
+    void changeSpeed(double factor) {
+        updatePace(() -> slowdown *= factor);
     }
 
-    void reportsLater(double by) {
+    void delayReports(double by) {
         reportDelay += by;
     }
 
-    void silent(boolean begins) {
+    void setSilent(boolean begins) {
         silences += begins ? 1 : -1;
         if (silences == 0 && cuts == 0) {
-            breakUntold();
+            dropUnnotified();
         }
     }
 
-    void cut(boolean begins) {
+    void setPartitioned(boolean begins) {
         cuts += begins ? 1 : -1;
         if (cuts == 0 && silences == 0) {
-            breakUntold();
+            dropUnnotified();
         }
     }
 
     /** Told draining now; it ends when it is empty, but not before all have had time to hear it. */
     void drain() {
-        registry.tell(this, EndpointRegistry.State.DRAINING, startedAt);
-        int life = lives;
-        timeline.after(terms.listLag() + terms.grace(), () -> endIfEmpty(life));
+        registry.update(this, EndpointRegistry.State.DRAINING, startedAt);
+        int life = incarnation;
+        timeline.schedule(terms.listLag() + terms.grace(), () -> endIfEmpty(life));
     }
 
     private void endIfEmpty(int life) {
-        if (life != lives) {
+        if (life != incarnation) {
             return;
         }
         if (running.isEmpty() && waiting.isEmpty()) {
             crash();
         } else {
-            timeline.after(EndpointRegistry.LOOK, () -> endIfEmpty(life));
+            timeline.schedule(EndpointRegistry.POLL_INTERVAL, () -> endIfEmpty(life));
         }
     }
 
     /** The process ends with all it holds. */
     void crash() {
-        lives++;
+        incarnation++;
         up = false;
-        registry.tell(this, EndpointRegistry.State.GONE, startedAt);
+        registry.update(this, EndpointRegistry.State.GONE, startedAt);
         List<WorkerAttempt> lost = new ArrayList<>(running);
         lost.addAll(waiting);
         running.clear();
         waiting.clear();
         slotsInUse = 0;
         memoryInUse = 0;
-        cameCold.clear();
-        if (door != null) {
-            door.closed(this);
+        coldArrivals.clear();
+        if (portListener != null) {
+            portListener.closed(this);
         }
-        lost.forEach(launch -> end(launch, AttemptEnding.BROKEN));
-        breakUntold();
+        lost.forEach(attempt -> end(attempt, AttemptEnding.CONNECTION_LOST));
+        dropUnnotified();
     }
 
     /** A new process, cold. */
@@ -395,13 +402,13 @@
         if (up) {
             crash();
         }
-        lives++;
+        incarnation++;
         up = true;
         startedAt = timeline.now();
-        if (door != null) {
-            door.onOpened(this);
+        if (portListener != null) {
+            portListener.onOpened(this);
         }
-        registry.tell(this, EndpointRegistry.State.READY, startedAt);
+        registry.update(this, EndpointRegistry.State.READY, startedAt);
     }
 
     // ---- what those see who see all
@@ -415,23 +422,23 @@
     }
 
     /** The part of launches that end in an error now. */
-    public double failingPart() {
+    public double failureRate() {
         return failing;
     }
 
     /** When a job that came now would be done; infinite where it would not be. */
-    public double doneAt(double work) {
+    public double workDoneBy(double work) {
         double now = timeline.now();
         double pace = pace() * warmth(now);
         if (!up || cuts > 0 || silences > 0 || !(pace > 0) || waiting.size() >= group.queue()) {
             return Double.POSITIVE_INFINITY;
         }
         double ahead = 0;
-        for (WorkerAttempt launch : waiting) {
-            ahead += launch.work;
+        for (WorkerAttempt attempt : waiting) {
+            ahead += attempt.work;
         }
-        for (WorkerAttempt launch : running) {
-            ahead += Math.max(0, launch.remaining - (now - launch.since) * pace());
+        for (WorkerAttempt attempt : running) {
+            ahead += Math.max(0, attempt.remaining - (now - attempt.progressedAt) * pace());
         }
         double wait = slotsInUse < group.slots() && waiting.isEmpty() ? 0 : ahead / group.slots();
         return now + (wait + work) / pace;
--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -98,7 +98,7 @@
                             place(number),
                             millis,
                             places,
-                            chance.key(SeededRandom.Purpose.BRAIN, number, life),
+                            chance.seedOf(SeededRandom.Purpose.STRATEGY, number, life),
                             doubts,
                             this);
             event(membership::begin);
@@ -131,11 +131,11 @@
         private void starve() {
             if (slow > 0 && up) {
                 pause(true);
-                time.after(
+                time.schedule(
                         slow * (0.5 + draw()),
                         () -> {
                             pause(false);
-                            time.after(FED, this::starve);
+                            time.schedule(FED, this::starve);
                         });
             }
         }
@@ -177,7 +177,7 @@
             }
             for (int copies = draw() < doubled ? 2 : 1; copies > 0; copies--) {
                 ByteBuffer copy = datagram.duplicate();
-                time.after(
+                time.schedule(
                         DELAY + JITTER * draw() + spread * draw(),
                         () -> members.get(target).comes(number, copy));
             }
@@ -201,7 +201,7 @@
             if (at < wakeAt) {
                 wakeAt = at;
                 int of = life;
-                time.after(
+                time.schedule(
                         delay,
                         () -> {
                             if (of == life && wakeAt == at) {
@@ -247,7 +247,7 @@
 
     /** From 0 up to 1, in the order of asking. */
     public double draw() {
-        return chance.once(SeededRandom.Purpose.LINK, drawn++, 0);
+        return chance.uniform(SeededRandom.Purpose.LINK, drawn++, 0);
     }
 
     public void network(double newLoss, double newDoubled, double newSpread) {
@@ -264,13 +264,13 @@
     /** All of them within so long. */
     public void beginAll(double within) {
         for (Member member : members) {
-            time.after(within * draw(), () -> member.begin(0));
+            time.schedule(within * draw(), () -> member.begin(0));
         }
     }
 
     public void pass(double seconds) {
         boolean[] there = {false};
-        time.after(seconds, () -> there[0] = true);
+        time.schedule(seconds, () -> there[0] = true);
         while (!there[0] && time.step()) {
             // Each step moves the virtual clock on.
         }
--- a/kit/src/main/java/wheelroute/kit/process/AdminCall.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminCall.java
@@ -16,27 +16,27 @@
  */
 final class AdminCall implements EventLoop.ChannelHandler {
     private final EventLoop loop;
-    private final String word;
-    private final Consumer<String> hearer;
+    private final String command;
+    private final Consumer<String> listener;
     private final StringBuilder answer = new StringBuilder();
     private final EventLoop.Timer limit;
     private AdminConnection line;
-    private boolean over;
+    private boolean isDone;
 
-    private AdminCall(EventLoop loop, String word, double limit, Consumer<String> hearer) {
+    private AdminCall(EventLoop loop, String word, double limit, Consumer<String> listener) {
         this.loop = loop;
-        this.word = word;
-        this.hearer = hearer;
+        this.command = word;
+        this.listener = listener;
         this.limit = loop.schedule(limit, () -> end(null));
     }
 
-    static void ask(
+    static void call(
             EventLoop loop,
             InetSocketAddress door,
             String word,
             double limit,
-            Consumer<String> hearer) {
-        loop.connect(door, new AdminCall(loop, word, limit, hearer));
+            Consumer<String> listener) {
+        loop.connect(door, new AdminCall(loop, word, limit, listener));
     }
 
     @Override
@@ -51,13 +51,13 @@
     }
 
     private void end(String whole) {
-        if (!over) {
-            over = true;
+        if (!isDone) {
+            isDone = true;
             limit.cancel();
             if (line != null) {
                 line.close();
             }
-            hearer.accept(whole);
+            listener.accept(whole);
         }
     }
 
@@ -72,7 +72,7 @@
             getEndPoint()
                     .write(
                             Callback.from(() -> {}, cause -> loop.post(() -> end(null))),
-                            ByteBuffer.wrap((word + "\n").getBytes(StandardCharsets.US_ASCII)));
+                            ByteBuffer.wrap((command + "\n").getBytes(StandardCharsets.US_ASCII)));
         }
 
         @Override
--- a/kit/src/main/java/wheelroute/kit/process/AdminPoll.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminPoll.java
@@ -7,45 +7,45 @@
 
 /** Asks every process's door for its figures now and then, and hands them to the ledger. */
 final class AdminPoll {
-    private static final double EVERY = 0.5;
+    private static final double INTERVAL = 0.5;
 
     /** An answer is due within this, whatever the load. */
-    private static final double DUE = 1;
+    private static final double TIMEOUT = 1;
 
     private final EventLoop loop;
     private final Fleet fleet;
-    private final MetricsAuditor ledger;
+    private final MetricsAuditor metricsAuditor;
     private final int dispatchers;
 
-    AdminPoll(EventLoop loop, Fleet fleet, MetricsAuditor ledger, int dispatchers) {
+    AdminPoll(EventLoop loop, Fleet fleet, MetricsAuditor metricsAuditor, int dispatchers) {
         this.loop = loop;
         this.fleet = fleet;
-        this.ledger = ledger;
+        this.metricsAuditor = metricsAuditor;
         this.dispatchers = dispatchers;
     }
 
-    void begin() {
+    void poll() {
         for (int i = 0; i < dispatchers; i++) {
             for (DaemonProcess process : fleet.processes(i)) {
-                if (process.door() != 0 && process.isWanted() && !fleet.isStill(i)) {
-                    ask(i, process);
+                if (process.adminPort() != 0 && process.isWanted() && !fleet.isPaused(i)) {
+                    call(i, process);
                 }
             }
         }
-        loop.schedule(EVERY, this::begin);
+        loop.schedule(INTERVAL, this::poll);
     }
 
-    private void ask(int dispatcher, DaemonProcess process) {
-        AdminCall.ask(
+    private void call(int dispatcher, DaemonProcess process) {
+        AdminCall.call(
                 loop,
-                Fleet.address(process.door()),
+                Fleet.address(process.adminPort()),
                 "STATS",
-                DUE,
+                TIMEOUT,
                 answer -> {
                     if (answer != null && answer.endsWith("eof\n")) {
-                        ledger.told(dispatcher, process, figures(answer));
-                    } else if (process.isWanted() && !fleet.isStill(dispatcher)) {
-                        ledger.silent(dispatcher);
+                        metricsAuditor.onMetrics(dispatcher, process, figures(answer));
+                    } else if (process.isWanted() && !fleet.isPaused(dispatcher)) {
+                        metricsAuditor.onCallTimeout(dispatcher);
                     }
                 });
     }
--- a/kit/src/main/java/wheelroute/kit/process/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientPool.java
@@ -39,10 +39,10 @@
     /** How submissions come: see {@link wheelroute.kit.scenario.Scenario.Clients}. */
     interface ConnectionBehavior {
         /** It has a connection of its own. */
-        boolean isFresh(ClientAttempt submitted);
+        boolean isFresh(ClientAttempt clientAttempt);
 
         /** So long between the two pieces in which it is written; 0 for one piece. */
-        double pause(ClientAttempt submitted);
+        double pause(ClientAttempt clientAttempt);
     }
 
     /** All at once, on whatever connection is idle. */
@@ -74,9 +74,9 @@
         return address;
     }
 
-    void submit(ClientAttempt submitted) {
-        PendingSend sending = new PendingSend(submitted);
-        open.put(submitted.key(), sending);
+    void submit(ClientAttempt clientAttempt) {
+        PendingSend sending = new PendingSend(clientAttempt);
+        open.put(clientAttempt.key(), sending);
         if (sending.fresh) {
             loop.connect(address, sending);
             return;
@@ -90,8 +90,8 @@
         loop.connect(address, sending);
     }
 
-    void hangUp(ClientAttempt submitted) {
-        PendingSend sending = open.remove(submitted.key());
+    void hangUp(ClientAttempt clientAttempt) {
+        PendingSend sending = open.remove(clientAttempt.key());
         if (sending != null) {
             sending.over = true;
             if (sending.line != null) {
@@ -122,29 +122,31 @@
         idle.clear();
     }
 
-    private byte[] message(ClientAttempt submitted, double timeout) {
+    private byte[] message(ClientAttempt clientAttempt, double timeout) {
         HttpText text =
-                new HttpText("POST /" + submitted.ask().offering().name() + " HTTP/1.1")
+                new HttpText("POST /" + clientAttempt.request().requestClass().name() + " HTTP/1.1")
                         .field("Host", address.getAddress().getHostAddress())
-                        .field("X-Request-ID", JobCodec.id(submitted))
+                        .field("X-Request-ID", JobCodec.encodeId(clientAttempt))
                         .field("X-Timeout", String.format(Locale.ROOT, "%.3f", timeout));
-        if (!Double.isNaN(submitted.ask().hint())) {
-            text.field("X-Cost", Long.toString(Math.round(MICROS * submitted.ask().hint())));
+        if (!Double.isNaN(clientAttempt.request().costEstimate())) {
+            text.field(
+                    "X-Cost",
+                    Long.toString(Math.round(MICROS * clientAttempt.request().costEstimate())));
         }
-        if (!submitted.ask().tenant().name().isEmpty()) {
-            text.field("X-Tenant-ID", submitted.ask().tenant().name());
+        if (!clientAttempt.request().tenant().name().isEmpty()) {
+            text.field("X-Tenant-ID", clientAttempt.request().tenant().name());
         }
-        if (submitted.attempt() > 0) {
+        if (clientAttempt.number() > 0) {
             text.field("X-Retried", "1");
         }
-        int slots = submitted.ask().offering().slots();
+        int slots = clientAttempt.request().requestClass().slots();
         if (slots > 1) {
             text.field("X-Attrs", "slots=" + slots);
         }
-        if (submitted.ask().offering().effect() == Idempotency.IDEMPOTENT_BY_KEY) {
-            text.field("Idempotency-Key", "key-" + submitted.ask().number());
+        if (clientAttempt.request().requestClass().idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
+            text.field("Idempotency-Key", "key-" + clientAttempt.request().number());
         }
-        byte[] body = JobCodec.body(submitted);
+        byte[] body = JobCodec.encodeBody(clientAttempt);
         ByteBuffer[] parts = text.body(body);
         ByteBuffer whole = ByteBuffer.allocate(parts[0].remaining() + parts[1].remaining());
         whole.put(parts[0]).put(parts[1]);
@@ -160,10 +162,10 @@
         private boolean over;
         private boolean wasWritten;
 
-        PendingSend(ClientAttempt submitted) {
-            this.submitted = submitted;
-            fresh = manners.isFresh(submitted);
-            pause = manners.pause(submitted);
+        PendingSend(ClientAttempt clientAttempt) {
+            this.submitted = clientAttempt;
+            fresh = manners.isFresh(clientAttempt);
+            pause = manners.pause(clientAttempt);
         }
 
         @Override
@@ -186,9 +188,9 @@
                 open.remove(submitted.key());
                 over = true;
                 if (dead && wasWritten) {
-                    clients.cutOff(submitted);
+                    clients.onConnectionLost(submitted);
                 } else {
-                    clients.refused(submitted);
+                    clients.onRefused(submitted);
                 }
             }
         }
@@ -281,12 +283,12 @@
             } else {
                 close();
             }
-            clients.answered(
+            clients.onResponse(
                     done.submitted,
                     switch (status) {
-                        case 200 -> FinalResponse.FULFILLED;
-                        case 429, 503 -> FinalResponse.BOUNCED;
-                        default -> FinalResponse.SCRAPPED;
+                        case 200 -> FinalResponse.SUCCEEDED;
+                        case 429, 503 -> FinalResponse.REJECTED;
+                        default -> FinalResponse.FAILED;
                     },
                     retryAfter);
         }
@@ -322,7 +324,7 @@
             }
             last.over = true;
             open.remove(last.submitted.key());
-            clients.cutOff(last.submitted);
+            clients.onConnectionLost(last.submitted);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/DaemonProcess.java
+++ b/kit/src/main/java/wheelroute/kit/process/DaemonProcess.java
@@ -36,10 +36,10 @@
     /** What becomes of it; each word comes on a thread of its own. */
     interface Listener {
         /** It takes clients; its port is known. */
-        void up(DaemonProcess process);
+        void onReady(DaemonProcess process);
 
         /** It is gone, with or without ever having been up. */
-        void ended(DaemonProcess process);
+        void onEnded(DaemonProcess process);
     }
 
     private static final Pattern LISTENS = Pattern.compile("listens on .*:(\\d+)$");
@@ -58,7 +58,7 @@
     private final ArrayDeque<String> log = new ArrayDeque<>();
     private final Process process;
     private volatile int port;
-    private volatile int door;
+    private volatile int adminPort;
     private volatile int peers;
 
     /** Nobody has asked it to end. */
@@ -70,7 +70,7 @@
         this.port = port;
     }
 
-    static DaemonProcess start(Spec spec, ProcessSupervisor keeper, Listener hearer)
+    static DaemonProcess start(Spec spec, ProcessSupervisor supervisor, Listener listener)
             throws IOException {
         List<String> command =
                 new ArrayList<>(
@@ -116,8 +116,8 @@
         builder.environment().put("LB_DISCOVERY", host() + ":" + spec.discovery.getPort());
         builder.environment().put("LB_ADMIN", host() + ":0");
         builder.environment().put("TMPDIR", spec.temporary.toString());
-        DaemonProcess daemon = new DaemonProcess(spec, keeper.start(builder), port);
-        Thread reader = new Thread(() -> daemon.read(hearer), spec.name + "-log");
+        DaemonProcess daemon = new DaemonProcess(spec, supervisor.start(builder), port);
+        Thread reader = new Thread(() -> daemon.read(listener), spec.name + "-log");
         reader.setDaemon(true);
         reader.start();
         return daemon;
@@ -139,7 +139,7 @@
         return InetAddress.getLoopbackAddress().getHostAddress();
     }
 
-    private void read(Listener hearer) {
+    private void read(Listener listener) {
         boolean listens = false;
         try (BufferedReader lines =
                 new BufferedReader(
@@ -148,7 +148,7 @@
                 keep(line);
                 Matcher doorAt = DOOR.matcher(line);
                 if (doorAt.find()) {
-                    door = Integer.parseInt(doorAt.group(1));
+                    adminPort = Integer.parseInt(doorAt.group(1));
                 }
                 Matcher peersAt = PEERS.matcher(line);
                 if (peersAt.find()) {
@@ -158,13 +158,13 @@
                 if (!listens && listensAt.find()) {
                     listens = true;
                     port = Integer.parseInt(listensAt.group(1));
-                    whenWell(() -> hearer.up(this));
+                    whenWell(() -> listener.onReady(this));
                 }
             }
         } catch (IOException e) {
             keep(e.toString());
         }
-        process.onExit().thenRun(() -> hearer.ended(this));
+        process.onExit().thenRun(() -> listener.onEnded(this));
     }
 
     /**
@@ -220,8 +220,8 @@
     }
 
     /** The operators' door; 0 where it has none. */
-    int door() {
-        return door;
+    int adminPort() {
+        return adminPort;
     }
 
     /** Where it hears peers; 0 where it does not. */
@@ -238,7 +238,7 @@
         process.destroyForcibly();
     }
 
-    void end() {
+    void terminate() {
         wanted = false;
         process.destroy();
     }
--- a/kit/src/main/java/wheelroute/kit/process/DiscoveryCallCounter.java
+++ b/kit/src/main/java/wheelroute/kit/process/DiscoveryCallCounter.java
@@ -4,31 +4,31 @@
 
 /** Calls to the list service by all dispatchers: the most of them in any one second counts. */
 final class DiscoveryCallCounter {
-    private final ArrayDeque<Double> last = new ArrayDeque<>();
-    private long all;
-    private int most;
+    private final ArrayDeque<Double> recentCalls = new ArrayDeque<>();
+    private long total;
+    private int maxPerSecond;
 
-    void called(double now) {
-        all++;
-        last.addLast(now);
-        while (last.peekFirst() <= now - 1) {
-            last.pollFirst();
+    void record(double now) {
+        total++;
+        recentCalls.addLast(now);
+        while (recentCalls.peekFirst() <= now - 1) {
+            recentCalls.pollFirst();
         }
-        most = Math.max(most, last.size());
+        maxPerSecond = Math.max(maxPerSecond, recentCalls.size());
     }
 
     /** What was before the run's own time does not count: all start at once then. */
-    void beginsNow() {
-        all = 0;
-        most = 0;
-        last.clear();
+    void reset() {
+        total = 0;
+        maxPerSecond = 0;
+        recentCalls.clear();
     }
 
-    long all() {
-        return all;
+    long total() {
+        return total;
     }
 
-    int most() {
-        return most;
+    int maxPerSecond() {
+        return maxPerSecond;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
+++ b/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public void after(double delay, Runnable task) {
+    public void schedule(double delay, Runnable task) {
         loop.schedule(Math.max(0, delay), task);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/process/Fleet.java
@@ -28,27 +28,27 @@
     /** What others have to know of the processes. */
     interface Listener {
         /** It takes clients, at this address. */
-        void up(int dispatcher, InetSocketAddress clients);
+        void onReady(int dispatcher, InetSocketAddress clients);
 
         /** One more process of it. */
-        void began(int dispatcher, DaemonProcess process);
+        void onStarted(int dispatcher, DaemonProcess process);
 
         /** One less. */
-        void ended(int dispatcher, DaemonProcess process);
+        void onEnded(int dispatcher, DaemonProcess process);
 
         /** All of its processes are gone; what they held is lost. */
-        void down(int dispatcher);
+        void onStopped(int dispatcher);
 
         /**
          * One of its two processes is killed from here until it is gone, or both stand still for a
          * while.
          */
-        void halves(int dispatcher, boolean begins);
+        void onSplit(int dispatcher, boolean begins);
 
         /** It ended, and nobody had told it to; it is started again, as a supervisor would. */
-        void crashed(int dispatcher, String lastWords);
+        void onCrash(int dispatcher, String lastWords);
 
-        void failed(String why);
+        void onFailure(String why);
     }
 
     /** So long a process may take from its start until it takes clients. */
@@ -59,13 +59,13 @@
 
     private static final int CLOSE_SECONDS = 6;
     private static final int DELETE_TRIES = 5;
-    private static final double READY_LOOK = 0.05;
+    private static final double READY_POLL = 0.05;
 
     /**
      * A starved process is let run and stopped in turn, once in each of these: short against any
      * limit.
      */
-    private static final double HUNGER_ROUND = 0.02;
+    private static final double STARVATION_PERIOD = 0.02;
 
     /** The first process of a replacement that is killed dies within this of its start. */
     private static final double NEW_KILLED_WITHIN = 0.6;
@@ -77,16 +77,16 @@
 
     private final EventLoop loop;
     private final Scenario scenario;
-    private final SeededRandom chance;
+    private final SeededRandom random;
     private final Map<String, String> pairs;
     private final Path jar;
     private final Path older;
     private final IntFunction<InetSocketAddress> lists;
     private final IntFunction<List<String>> peers;
-    private final Listener hearer;
+    private final Listener listener;
     private final Path folder;
-    private final ProcessSupervisor keeper;
-    private final List<DispatcherSlot> places = new ArrayList<>();
+    private final ProcessSupervisor supervisor;
+    private final List<DispatcherSlot> slots = new ArrayList<>();
     private int notReplaced;
     private int replacements;
 
@@ -121,27 +121,27 @@
     Fleet(
             EventLoop loop,
             Scenario scenario,
-            SeededRandom chance,
+            SeededRandom random,
             Map<String, String> pairs,
             Path jar,
             Path older,
             IntFunction<InetSocketAddress> lists,
             IntFunction<List<String>> peers,
-            Listener hearer)
+            Listener listener)
             throws IOException {
         this.loop = loop;
         this.scenario = scenario;
-        this.chance = chance;
+        this.random = random;
         this.pairs = pairs;
         this.jar = jar;
         this.older = older;
         this.lists = lists;
         this.peers = peers;
-        this.hearer = hearer;
+        this.listener = listener;
         folder = Files.createTempDirectory("wheelroute");
-        keeper = new ProcessSupervisor(folder);
+        supervisor = new ProcessSupervisor(folder);
         for (int i = 0; i < scenario.dispatchers(); i++) {
-            places.add(new DispatcherSlot(i));
+            slots.add(new DispatcherSlot(i));
         }
     }
 
@@ -156,57 +156,57 @@
 
     /** Those that run now, of this dispatcher. */
     List<DaemonProcess> processes(int dispatcher) {
-        return List.copyOf(places.get(dispatcher).alive);
+        return List.copyOf(slots.get(dispatcher).alive);
     }
 
     /** Where its newest process hears peers; null while there is none. */
     InetSocketAddress peersOf(int dispatcher) {
-        DispatcherSlot place = places.get(dispatcher);
+        DispatcherSlot slot = slots.get(dispatcher);
         DaemonProcess speaks =
-                place.next != null && place.next.peers() != 0 ? place.next : place.current;
+                slot.next != null && slot.next.peers() != 0 ? slot.next : slot.current;
         return speaks == null || speaks.peers() == 0 ? null : address(speaks.peers());
     }
 
-    boolean isStill(int dispatcher) {
-        return places.get(dispatcher).paused;
+    boolean isPaused(int dispatcher) {
+        return slots.get(dispatcher).paused;
     }
 
     // ---- starts and ends
 
     void start(int dispatcher, Scenario.How how) {
-        DispatcherSlot place = places.get(dispatcher);
-        if (!place.alive.isEmpty()) {
+        DispatcherSlot slot = slots.get(dispatcher);
+        if (!slot.alive.isEmpty()) {
             // The old one may still be at its end.
-            place.startsAs = how;
+            slot.startsAs = how;
             loop.schedule(
                     GONE,
                     () -> {
-                        if (place.startsAs != null) {
-                            place.alive.forEach(DaemonProcess::kill);
+                        if (slot.startsAs != null) {
+                            slot.alive.forEach(DaemonProcess::kill);
                         }
                     });
             return;
         }
-        place.startsAs = null;
-        place.current =
+        slot.startsAs = null;
+        slot.current =
                 launch(
-                        place,
+                        slot,
                         how,
                         new DaemonProcess.Listener() {
                             @Override
-                            public void up(DaemonProcess process) {
+                            public void onReady(DaemonProcess process) {
                                 loop.post(
                                         () -> {
-                                            if (place.current == process) {
-                                                place.port = process.port();
-                                                hearer.up(dispatcher, address(place.port));
+                                            if (slot.current == process) {
+                                                slot.port = process.port();
+                                                listener.onReady(dispatcher, address(slot.port));
                                             }
                                         });
                             }
 
                             @Override
-                            public void ended(DaemonProcess process) {
-                                loop.post(() -> gone(place, process));
+                            public void onEnded(DaemonProcess process) {
+                                loop.post(() -> onGone(slot, process));
                             }
                         });
     }
@@ -216,41 +216,42 @@
     }
 
     private DaemonProcess launch(
-            DispatcherSlot place, Scenario.How how, DaemonProcess.Listener processHearer) {
+            DispatcherSlot slot, Scenario.How how, DaemonProcess.Listener processHearer) {
         try {
-            Map<String, String> own = DaemonSettings.pairsOf(scenario, place.number, pairs);
+            Map<String, String> own = DaemonSettings.pairsOf(scenario, slot.number, pairs);
             if (how == Scenario.How.CHANGED) {
-                own.putAll(scenario.changed());
+                own.putAll(scenario.changedSettings());
             }
-            Path config = place.home.resolve("config-" + place.starts + ".json");
-            long seed = chance.key(SeededRandom.Purpose.BRAIN, place.number, place.starts++);
+            Path config = slot.home.resolve("config-" + slot.starts + ".json");
+            long seed = random.seedOf(SeededRandom.Purpose.STRATEGY, slot.number, slot.starts++);
             Files.writeString(
                     config,
                     DaemonSettings.file(
-                            "n" + place.number,
+                            "n" + slot.number,
                             seed,
                             scenario.limits().memoryMb(),
                             scenario.limits().sockets(),
                             own,
-                            peers.apply(place.number)));
+                            peers.apply(slot.number)));
             Path from = how == Scenario.How.OLDER && older != null ? older : jar;
             DaemonProcess process =
                     DaemonProcess.start(
                             new DaemonProcess.Spec(
-                                    "n" + place.number,
+                                    "n" + slot.number,
                                     config,
-                                    lists.apply(place.number),
-                                    place.port,
-                                    place.home,
+                                    lists.apply(slot.number),
+                                    slot.port,
+                                    slot.home,
                                     from,
                                     heapMb()),
-                            keeper,
+                            supervisor,
                             processHearer);
-            place.alive.add(process);
-            hearer.began(place.number, process);
+            slot.alive.add(process);
+            listener.onStarted(slot.number, process);
             return process;
         } catch (IOException e) {
-            hearer.failed("dispatcher n" + place.number + " cannot be started: " + e.getMessage());
+            listener.onFailure(
+                    "dispatcher n" + slot.number + " cannot be started: " + e.getMessage());
             throw new UncheckedIOException(e);
         }
     }
@@ -260,85 +261,86 @@
         return Math.max(16, Math.min(96, scenario.limits().memoryMb() - 45));
     }
 
-    private void gone(DispatcherSlot place, DaemonProcess process) {
-        place.alive.remove(process);
-        hearer.ended(place.number, process);
-        if (process == place.killedBeside) {
-            place.killedBeside = null;
-            hearer.halves(place.number, false);
+    private void onGone(DispatcherSlot slot, DaemonProcess process) {
+        slot.alive.remove(process);
+        listener.onEnded(slot.number, process);
+        if (process == slot.killedBeside) {
+            slot.killedBeside = null;
+            listener.onSplit(slot.number, false);
         }
         boolean crashed = process.isWanted();
-        if (crashed && place.port == 0) {
-            hearer.failed("dispatcher n" + place.number + " did not start; " + process.lastLines());
+        if (crashed && slot.port == 0) {
+            listener.onFailure(
+                    "dispatcher n" + slot.number + " did not start; " + process.lastLines());
             return;
         }
         if (crashed) {
-            hearer.crashed(place.number, process.lastLines());
+            listener.onCrash(slot.number, process.lastLines());
         }
-        if (!place.alive.isEmpty()) {
+        if (!slot.alive.isEmpty()) {
             return;
         }
-        hearer.down(place.number);
-        if (place.startsAs != null || crashed) {
-            start(place.number, crashed ? Scenario.How.USUAL : place.startsAs);
+        listener.onStopped(slot.number);
+        if (slot.startsAs != null || crashed) {
+            start(slot.number, crashed ? Scenario.How.USUAL : slot.startsAs);
         }
     }
 
     void kill(int dispatcher) {
-        DispatcherSlot place = places.get(dispatcher);
-        place.paused = false;
-        place.next = null;
-        place.startsAs = null;
-        place.alive.forEach(DaemonProcess::kill);
+        DispatcherSlot slot = slots.get(dispatcher);
+        slot.paused = false;
+        slot.next = null;
+        slot.startsAs = null;
+        slot.alive.forEach(DaemonProcess::kill);
     }
 
-    void end(int dispatcher) {
-        DispatcherSlot place = places.get(dispatcher);
-        place.next = null;
-        place.alive.forEach(DaemonProcess::end);
+    void terminate(int dispatcher) {
+        DispatcherSlot slot = slots.get(dispatcher);
+        slot.next = null;
+        slot.alive.forEach(DaemonProcess::terminate);
     }
 
     // ---- standing still, and sharing a core
 
-    void pause(int dispatcher, boolean begins) {
-        DispatcherSlot place = places.get(dispatcher);
-        place.paused = begins;
-        place.alive.forEach(process -> signal(place, process, begins));
+    void setPaused(int dispatcher, boolean begins) {
+        DispatcherSlot slot = slots.get(dispatcher);
+        slot.paused = begins;
+        slot.alive.forEach(process -> signal(slot, process, begins));
     }
 
-    private void signal(DispatcherSlot place, DaemonProcess process, boolean stop) {
+    private void signal(DispatcherSlot slot, DaemonProcess process, boolean stop) {
         try {
-            keeper.pause(process.process(), stop);
+            supervisor.setPaused(process.process(), stop);
         } catch (IOException e) {
-            hearer.failed(
+            listener.onFailure(
                     "dispatcher n"
-                            + place.number
+                            + slot.number
                             + " cannot be stopped or let go on: "
                             + e.getMessage());
         }
     }
 
     /** From here on it runs for this part of the time; 1 for as it likes. */
-    void starve(int dispatcher, double share) {
-        DispatcherSlot place = places.get(dispatcher);
-        place.share = share;
-        if (share < 1 && !place.hungry) {
-            place.hungry = true;
-            round(place, true);
+    void limitCpu(int dispatcher, double share) {
+        DispatcherSlot slot = slots.get(dispatcher);
+        slot.share = share;
+        if (share < 1 && !slot.hungry) {
+            slot.hungry = true;
+            round(slot, true);
         }
     }
 
-    private void round(DispatcherSlot place, boolean runs) {
-        boolean fed = place.share >= 1;
-        if (!place.paused) {
-            place.alive.forEach(process -> signal(place, process, !runs && !fed));
+    private void round(DispatcherSlot slot, boolean runs) {
+        boolean fed = slot.share >= 1;
+        if (!slot.paused) {
+            slot.alive.forEach(process -> signal(slot, process, !runs && !fed));
         }
         if (fed) {
-            place.hungry = false;
+            slot.hungry = false;
         } else {
             loop.schedule(
-                    HUNGER_ROUND * (runs ? place.share : 1 - place.share),
-                    () -> round(place, !runs));
+                    STARVATION_PERIOD * (runs ? slot.share : 1 - slot.share),
+                    () -> round(slot, !runs));
         }
     }
 
@@ -346,124 +348,124 @@
 
     /** It is to be through within the limit; what is not counts as {@link #notReplaced}. */
     void replace(int dispatcher, Scenario.How how, double limit) {
-        DispatcherSlot place = places.get(dispatcher);
-        if (place.alive.size() != 1 || place.startsAs != null || place.port == 0) {
+        DispatcherSlot slot = slots.get(dispatcher);
+        if (slot.alive.size() != 1 || slot.startsAs != null || slot.port == 0) {
             // Down, or in the middle of another: an operator would wait too.
             return;
         }
         replacements++;
-        DaemonProcess old = place.current;
+        DaemonProcess old = slot.current;
         DaemonProcess next =
                 launch(
-                        place,
+                        slot,
                         how,
                         new DaemonProcess.Listener() {
                             @Override
-                            public void up(DaemonProcess process) {
+                            public void onReady(DaemonProcess process) {
                                 // Its door is asked: see below.
                             }
 
                             @Override
-                            public void ended(DaemonProcess process) {
-                                loop.post(() -> gone(place, process));
+                            public void onEnded(DaemonProcess process) {
+                                loop.post(() -> onGone(slot, process));
                             }
                         });
-        place.next = next;
+        slot.next = next;
         double due = loop.now() + limit;
         if (how == Scenario.How.NEW_KILLED) {
             double after =
                     NEW_KILLED_WITHIN
-                            * chance.once(SeededRandom.Purpose.FAULT, place.number, place.starts);
+                            * random.uniform(SeededRandom.Purpose.FAULT, slot.number, slot.starts);
             loop.schedule(
                     after,
                     () -> {
-                        if (place.next == next) {
-                            place.next = null;
-                            killBeside(place, next);
+                        if (slot.next == next) {
+                            slot.next = null;
+                            killBeside(slot, next);
                         }
                     });
             return;
         }
-        awaitReady(place, old, next, how, due);
+        awaitReady(slot, old, next, how, due);
     }
 
     private void awaitReady(
-            DispatcherSlot place,
+            DispatcherSlot slot,
             DaemonProcess old,
             DaemonProcess next,
             Scenario.How how,
             double due) {
-        if (place.next != next) {
+        if (slot.next != next) {
             return;
         }
         if (loop.now() > due) {
             notReplaced++;
-            place.next = null;
-            killBeside(place, next);
+            slot.next = null;
+            killBeside(slot, next);
             return;
         }
         Runnable again =
-                () -> loop.schedule(READY_LOOK, () -> awaitReady(place, old, next, how, due));
-        if (next.door() == 0) {
+                () -> loop.schedule(READY_POLL, () -> awaitReady(slot, old, next, how, due));
+        if (next.adminPort() == 0) {
             again.run();
             return;
         }
-        AdminCall.ask(
+        AdminCall.call(
                 loop,
-                address(next.door()),
+                address(next.adminPort()),
                 "READY",
                 due - loop.now(),
                 answer -> {
                     if (answer == null || !answer.startsWith("ok")) {
                         again.run();
-                    } else if (place.next == next) {
-                        ready(place, old, next, how, due);
+                    } else if (slot.next == next) {
+                        ready(slot, old, next, how, due);
                     }
                 });
     }
 
     private void ready(
-            DispatcherSlot place,
+            DispatcherSlot slot,
             DaemonProcess old,
             DaemonProcess next,
             Scenario.How how,
             double due) {
-        place.current = next;
-        place.next = null;
+        slot.current = next;
+        slot.next = null;
         if (how == Scenario.How.BOTH_STOPPED) {
-            hearer.halves(place.number, true);
-            pause(place.number, true);
+            listener.onSplit(slot.number, true);
+            setPaused(slot.number, true);
             loop.schedule(
                     BOTH_STOPPED,
                     () -> {
-                        if (place.current == next && place.paused) {
-                            pause(place.number, false);
-                            loop.schedule(GOES_ON, () -> hearer.halves(place.number, false));
-                            endOld(place, old, due);
+                        if (slot.current == next && slot.paused) {
+                            setPaused(slot.number, false);
+                            loop.schedule(GOES_ON, () -> listener.onSplit(slot.number, false));
+                            endOld(slot, old, due);
                         }
                     });
         } else if (how == Scenario.How.OLD_KILLED) {
-            killBeside(place, old);
+            killBeside(slot, old);
         } else {
-            endOld(place, old, due);
+            endOld(slot, old, due);
         }
     }
 
     /** The other one goes on. */
-    private void killBeside(DispatcherSlot place, DaemonProcess process) {
-        place.killedBeside = process;
-        hearer.halves(place.number, true);
+    private void killBeside(DispatcherSlot slot, DaemonProcess process) {
+        slot.killedBeside = process;
+        listener.onSplit(slot.number, true);
         process.kill();
     }
 
-    private void endOld(DispatcherSlot place, DaemonProcess old, double due) {
-        old.end();
+    private void endOld(DispatcherSlot slot, DaemonProcess old, double due) {
+        old.terminate();
         loop.schedule(
                 Math.max(0, due - loop.now()),
                 () -> {
-                    if (place.alive.contains(old)) {
+                    if (slot.alive.contains(old)) {
                         notReplaced++;
-                        killBeside(place, old);
+                        killBeside(slot, old);
                     }
                 });
     }
@@ -472,12 +474,12 @@
 
     /** From any thread: told to end, waited for, killed. */
     void close() {
-        List<DaemonProcess> all = places.stream().flatMap(place -> place.alive.stream()).toList();
-        for (DispatcherSlot place : places) {
-            place.share = 1;
-            place.alive.forEach(process -> signal(place, process, false));
+        List<DaemonProcess> all = slots.stream().flatMap(slot -> slot.alive.stream()).toList();
+        for (DispatcherSlot slot : slots) {
+            slot.share = 1;
+            slot.alive.forEach(process -> signal(slot, process, false));
         }
-        all.forEach(DaemonProcess::end);
+        all.forEach(DaemonProcess::terminate);
         for (DaemonProcess process : all) {
             try {
                 if (!process.process().waitFor(CLOSE_SECONDS, TimeUnit.SECONDS)) {
@@ -488,7 +490,7 @@
                 Thread.currentThread().interrupt();
             }
         }
-        keeper.close();
+        supervisor.close();
         delete(folder);
     }
 
--- a/kit/src/main/java/wheelroute/kit/process/IdleConnectionFlood.java
+++ b/kit/src/main/java/wheelroute/kit/process/IdleConnectionFlood.java
@@ -16,10 +16,10 @@
  */
 final class IdleConnectionFlood {
     /** Longer than the program has patience for. */
-    private static final double STAY = 4;
+    private static final double CONNECTION_LIFETIME = 4;
 
     /** In turn: nothing, half a head, a head with half a body. */
-    private static final String[] HALVES = {
+    private static final String[] PARTIAL_REQUESTS = {
         "",
         "POST /statement HTTP/1.1\r\nHost: x\r\nX-Req",
         "POST /statement HTTP/1.1\r\nHost: x\r\nX-Request-ID: none\r\nX-Timeout: 2\r\nContent-Length: 99\r\n"
@@ -29,7 +29,7 @@
     private final EventLoop loop;
     private final IntFunction<InetSocketAddress> addresses;
     private final Map<Integer, Double> rates = new HashMap<>();
-    private long came;
+    private long connectionCount;
 
     /** An address of null is nobody's just now. */
     IdleConnectionFlood(EventLoop loop, IntFunction<InetSocketAddress> addresses) {
@@ -38,15 +38,15 @@
     }
 
     /** So many more a second, or fewer. */
-    void change(int dispatcher, double rate) {
+    void changeRate(int dispatcher, double rate) {
         boolean comes = rates.getOrDefault(dispatcher, 0.0) > 0;
         rates.merge(dispatcher, rate, Double::sum);
         if (!comes && rates.get(dispatcher) > 0) {
-            next(dispatcher);
+            connectNext(dispatcher);
         }
     }
 
-    private void next(int dispatcher) {
+    private void connectNext(int dispatcher) {
         // Sums of what came and went again leave a rest that is no rate.
         double rate = rates.get(dispatcher);
         if (rate < 1e-9) {
@@ -55,7 +55,7 @@
         }
         InetSocketAddress address = addresses.apply(dispatcher);
         if (address != null) {
-            String says = HALVES[(int) (came++ % HALVES.length)];
+            String says = PARTIAL_REQUESTS[(int) (connectionCount++ % PARTIAL_REQUESTS.length)];
             loop.connect(
                     address,
                     new EventLoop.ChannelHandler() {
@@ -70,24 +70,24 @@
                         }
                     });
         }
-        loop.schedule(1 / rate, () -> next(dispatcher));
+        loop.schedule(1 / rate, () -> connectNext(dispatcher));
     }
 
     private final class IdleConnection extends StreamConnection {
-        private final String says;
+        private final String partialRequest;
 
         IdleConnection(EndPoint endPoint, String says) {
             super(endPoint, IdleConnectionFlood.this.loop);
-            this.says = says;
+            this.partialRequest = says;
         }
 
         @Override
         public void onOpen() {
             super.onOpen();
-            loop.schedule(STAY, this::close);
-            if (!says.isEmpty()) {
+            loop.schedule(CONNECTION_LIFETIME, this::close);
+            if (!partialRequest.isEmpty()) {
                 new WriteQueue(getEndPoint(), this::close)
-                        .send(ByteBuffer.wrap(says.getBytes(StandardCharsets.US_ASCII)));
+                        .send(ByteBuffer.wrap(partialRequest.getBytes(StandardCharsets.US_ASCII)));
             }
         }
 
--- a/kit/src/main/java/wheelroute/kit/process/JobCodec.java
+++ b/kit/src/main/java/wheelroute/kit/process/JobCodec.java
@@ -17,31 +17,31 @@
  */
 public final class JobCodec {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final String MARK = "wr-";
+    private static final String ID_PREFIX = "wr-";
     private static final int HEX = 16;
 
     /** What a worker reads off a message. */
-    public record Job(long submission, double work, int slots, double memory) {}
+    public record Job(long requestId, double work, int slots, double memory) {}
 
     private JobCodec() {}
 
-    static String id(ClientAttempt submitted) {
-        return MARK + Long.toHexString(submitted.key());
+    static String encodeId(ClientAttempt clientAttempt) {
+        return ID_PREFIX + Long.toHexString(clientAttempt.key());
     }
 
-    static byte[] body(ClientAttempt submitted) {
-        Scenario.RequestClass offering = submitted.ask().offering();
+    static byte[] encodeBody(ClientAttempt clientAttempt) {
+        Scenario.RequestClass requestClass = clientAttempt.request().requestClass();
         return String.format(
                         Locale.ROOT,
                         "{\"work\":%.6f,\"slots\":%d,\"memory\":%.3f}",
-                        submitted.ask().work(),
-                        offering.slots(),
-                        offering.memory())
+                        clientAttempt.request().work(),
+                        requestClass.slots(),
+                        requestClass.memory())
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     /** A message of somebody else's is a job of the usual work. */
-    public static Job read(ClientRequest message, double usualWork) {
+    public static Job decode(ClientRequest message, double usualWork) {
         double work = usualWork;
         int slots = 1;
         double memory = 0;
@@ -51,8 +51,7 @@
                     String name = parser.currentName();
                     boolean number = parser.nextToken().isNumeric();
                     switch (number ? name : "") {
-                        case "work" ->
-                                work = Math.max(Scenario.LEAST_WORK, parser.getDoubleValue());
+                        case "work" -> work = Math.max(Scenario.MIN_WORK, parser.getDoubleValue());
                         case "slots" -> slots = Math.max(1, parser.getIntValue());
                         case "memory" -> memory = Math.max(0, parser.getDoubleValue());
                         default -> parser.skipChildren();
@@ -62,13 +61,13 @@
         } catch (IOException e) {
             work = usualWork;
         }
-        return new Job(key(message.id()), work, slots, memory);
+        return new Job(decodeId(message.id()), work, slots, memory);
     }
 
-    private static long key(String id) {
-        if (id.startsWith(MARK)) {
+    private static long decodeId(String id) {
+        if (id.startsWith(ID_PREFIX)) {
             try {
-                return Long.parseLong(id.substring(MARK.length()), HEX);
+                return Long.parseLong(id.substring(ID_PREFIX.length()), HEX);
             } catch (NumberFormatException e) {
                 // Somebody else's after all.
                 return -1;
--- a/kit/src/main/java/wheelroute/kit/process/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadRun.java
@@ -100,7 +100,7 @@
     }
 
     /** Plays it to its end, or until it is told to stop. */
-    public static Result play(Load load, BooleanSupplier stop) throws RehearsalException {
+    public static Result run(Load load, BooleanSupplier stop) throws RehearsalException {
         LoadRun run = new LoadRun(load);
         try {
             run.loop.start();
@@ -119,7 +119,7 @@
                             result.complete(
                                     new Result(
                                             run.sent,
-                                            run.answers.getOrDefault(FinalResponse.FULFILLED, 0L),
+                                            run.answers.getOrDefault(FinalResponse.SUCCEEDED, 0L),
                                             run.text())));
             Result report = result.get();
             run.loop.stop();
@@ -149,7 +149,7 @@
     private void next(double before) {
         double at =
                 before
-                        - Math.log(1 - chance.once(SeededRandom.Purpose.ARRIVAL, sent, 0))
+                        - Math.log(1 - chance.uniform(SeededRandom.Purpose.ARRIVAL, sent, 0))
                                 / load.rate();
         if (at < start + load.seconds()) {
             loop.schedule(
@@ -166,8 +166,9 @@
         double work =
                 load.work()
                         * SeededRandom.lognormal(
-                                chance.of(SeededRandom.Purpose.WORK, number, 0), load.spread());
-        ClientRequest ask =
+                                chance.generator(SeededRandom.Purpose.WORK, number, 0),
+                                load.spread());
+        ClientRequest request =
                 new ClientRequest(
                         number,
                         at - start,
@@ -176,18 +177,18 @@
                         work,
                         work,
                         Double.POSITIVE_INFINITY);
-        ClientAttempt submitted = new ClientAttempt(ask, 0, 0, at, load.timeout());
-        open.add(submitted.key());
+        ClientAttempt clientAttempt = new ClientAttempt(request, 0, 0, at, load.timeout());
+        open.add(clientAttempt.key());
         loop.schedule(
                 load.timeout(),
                 () -> {
-                    if (open.remove(submitted.key())) {
+                    if (open.remove(clientAttempt.key())) {
                         timedOut++;
-                        pool.hangUp(submitted);
+                        pool.hangUp(clientAttempt);
                         again(0);
                     }
                 });
-        pool.submit(submitted);
+        pool.submit(clientAttempt);
     }
 
     private Scenario.Tenant tenant(int number) {
@@ -205,29 +206,29 @@
     }
 
     @Override
-    public void answered(ClientAttempt submitted, FinalResponse answer, double retryAfter) {
-        if (open.remove(submitted.key())) {
-            answers.merge(answer, 1L, Long::sum);
+    public void onResponse(ClientAttempt clientAttempt, FinalResponse response, double retryAfter) {
+        if (open.remove(clientAttempt.key())) {
+            answers.merge(response, 1L, Long::sum);
             // From when it was meant to go, not from when we came round to it.
             latencies.recordValue(
                     Math.min(
                             MOST_MICROS,
-                            Math.round(MICROS * Math.max(0, loop.now() - submitted.sentAt()))));
+                            Math.round(MICROS * Math.max(0, loop.now() - clientAttempt.sentAt()))));
             again(0);
         }
     }
 
     @Override
-    public void refused(ClientAttempt submitted) {
-        if (open.remove(submitted.key())) {
+    public void onRefused(ClientAttempt clientAttempt) {
+        if (open.remove(clientAttempt.key())) {
             refused++;
             again(RECONNECT);
         }
     }
 
     @Override
-    public void cutOff(ClientAttempt submitted) {
-        if (open.remove(submitted.key())) {
+    public void onConnectionLost(ClientAttempt clientAttempt) {
+        if (open.remove(clientAttempt.key())) {
             cutOff++;
             again(RECONNECT);
         }
@@ -239,11 +240,8 @@
         lines.add(
                 String.format(
                         Locale.ROOT, "%d sent in %.1f s, %.0f a second", sent, took, sent / took));
-        for (FinalResponse answer : FinalResponse.values()) {
-            lines.add(
-                    answer.name().toLowerCase(Locale.ROOT)
-                            + ": "
-                            + answers.getOrDefault(answer, 0L));
+        for (FinalResponse response : FinalResponse.values()) {
+            lines.add(response.reportName() + ": " + answers.getOrDefault(response, 0L));
         }
         lines.add(
                 "refused: "
--- a/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
+++ b/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
@@ -20,36 +20,38 @@
 final class NetworkLinks {
     /** Hears of each change before it is made. */
     interface Listener {
-        void changes(NetworkLink way, LinkState passage);
+        void onLinkChange(NetworkLink link, LinkState state);
     }
 
     private final EventLoop loop;
-    private final SeededRandom chance;
-    private final Listener hearer;
+    private final SeededRandom random;
+    private final Listener listener;
     private final boolean relayed;
     private final List<Scenario.WorkerGroup> groups;
     private final int dispatchers;
     private final Map<NetworkLink, Relay> relays = new HashMap<>();
     private final Map<NetworkLink, DatagramRelay> datagrams = new HashMap<>();
     private final Map<Integer, InetSocketAddress> clients = new HashMap<>();
-    private final ActiveLinkFaults links = new ActiveLinkFaults(this::changed);
+    private final ActiveLinkFaults links = new ActiveLinkFaults(this::onLinkChanged);
     private long pieces;
 
     NetworkLinks(
             EventLoop loop,
             Scenario scenario,
-            SeededRandom chance,
+            SeededRandom random,
             List<Scenario.WorkerGroup> groups,
-            Listener hearer) {
+            Listener listener) {
         this.loop = loop;
-        this.chance = chance;
+        this.random = random;
         this.groups = groups;
         dispatchers = scenario.dispatchers();
-        this.hearer = hearer;
+        this.listener = listener;
         relayed =
                 scenario.faults().stream()
                         .anyMatch(
-                                f -> f.kind().isAboutWays() && f.ends() != Scenario.LinkKind.PEERS);
+                                f ->
+                                        f.kind().affectsLinks()
+                                                && f.affectedLinks() != Scenario.LinkKind.PEERS);
     }
 
     boolean areRelayed() {
@@ -57,7 +59,7 @@
     }
 
     private double draw() {
-        return chance.once(SeededRandom.Purpose.LINK, pieces++, 0);
+        return random.uniform(SeededRandom.Purpose.LINK, pieces++, 0);
     }
 
     /** Where this worker is reached by this dispatcher. */
@@ -65,19 +67,19 @@
         if (!relayed) {
             return far.address();
         }
-        NetworkLink way = new NetworkLink(dispatcher, worker);
+        NetworkLink link = new NetworkLink(dispatcher, worker);
         Relay relay = new Relay(loop, far::address, true, this::draw);
         relay.onNearClosed(far::nearClosed);
-        relays.put(way, relay);
+        relays.put(link, relay);
         return relay.address();
     }
 
-    InetSocketAddress toList(int dispatcher, StubDiscovery far) throws IOException {
+    InetSocketAddress toDiscovery(int dispatcher, StubDiscovery far) throws IOException {
         if (!relayed) {
             return far.address();
         }
         Relay relay = new Relay(loop, far::address, true, this::draw);
-        relays.put(NetworkLink.toList(dispatcher), relay);
+        relays.put(NetworkLink.toDiscovery(dispatcher), relay);
         return relay.address();
     }
 
@@ -87,11 +89,11 @@
         if (!relayed) {
             return own;
         }
-        NetworkLink way = NetworkLink.toClients(dispatcher);
-        if (!relays.containsKey(way)) {
-            relays.put(way, new Relay(loop, () -> clients.get(dispatcher), false, this::draw));
+        NetworkLink link = NetworkLink.toClients(dispatcher);
+        if (!relays.containsKey(link)) {
+            relays.put(link, new Relay(loop, () -> clients.get(dispatcher), false, this::draw));
         }
-        return relays.get(way).address();
+        return relays.get(link).address();
     }
 
     /** The addresses of all dispatchers as this one knows them: each is a way of its own. */
@@ -103,8 +105,8 @@
             datagrams.put(NetworkLink.toPeer(dispatcher, peer), relay);
             DatagramRelay back = datagrams.get(NetworkLink.toPeer(peer, dispatcher));
             if (back != null) {
-                relay.pairedWith(back);
-                back.pairedWith(relay);
+                relay.pairWith(back);
+                back.pairWith(relay);
             }
             book.add(
                     relay.address().getAddress().getHostAddress()
@@ -114,29 +116,30 @@
         return book;
     }
 
-    boolean isOpen(NetworkLink way) {
-        return links.passage(way).equals(LinkState.OPEN);
+    boolean isOpen(NetworkLink link) {
+        return links.state(link).equals(LinkState.OPEN);
     }
 
-    void harm(Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
+    void setFault(Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
         links.set(fault, begins, NetworkLink.of(fault, dispatcher, targets, dispatchers, groups));
     }
 
-    private void changed(NetworkLink way, LinkState passage) {
-        hearer.changes(way, passage);
-        if (way.isToPeer()) {
+    private void onLinkChanged(NetworkLink link, LinkState state) {
+        listener.onLinkChange(link, state);
+        if (link.isToPeer()) {
             NetworkLink back =
-                    NetworkLink.toPeer(/* dispatcher= */ way.peer(), /* peer= */ way.dispatcher());
-            if (datagrams.containsKey(way)) {
-                datagrams.get(way).set(passage, links.passage(back));
-                datagrams.get(back).set(links.passage(back), passage);
+                    NetworkLink.toPeer(
+                            /* dispatcher= */ link.peer(), /* peer= */ link.dispatcher());
+            if (datagrams.containsKey(link)) {
+                datagrams.get(link).apply(state, links.state(back));
+                datagrams.get(back).apply(links.state(back), state);
             }
             return;
         }
-        Relay relay = relays.get(way);
+        Relay relay = relays.get(link);
         // One that has never been up has no way to it yet.
         if (relay != null) {
-            relay.set(passage);
+            relay.apply(state);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
@@ -73,7 +73,7 @@
     private final boolean peers;
     private final Path jar;
     private final Path older;
-    private final SeededRandom chance;
+    private final SeededRandom random;
     private final EventLoop loop = new EventLoop(new Clock(), CONNECT);
     private final EventLoopTimeline time = new EventLoopTimeline(loop);
     private final ClientPool[] pools;
@@ -83,13 +83,13 @@
     private final DiscoveryCallCounter listCalls = new DiscoveryCallCounter();
     private final Histogram lags = new Histogram(MOST_MICROS, 3);
     private Auditor auditor;
-    private MetricsAuditor ledger;
+    private MetricsAuditor metricsAuditor;
     private Recorder recorder;
-    private ClusterModel world;
+    private ClusterModel cluster;
     private Clients clients;
-    private NetworkLinks ways;
+    private NetworkLinks links;
     private Fleet fleet;
-    private IdleConnectionFlood crowd;
+    private IdleConnectionFlood flood;
     private MachineMonitor machine;
     private RelayCost.Cost relayCost = RelayCost.Cost.NONE;
     private volatile boolean over;
@@ -106,7 +106,7 @@
         this.seconds = seconds;
         this.jar = jar;
         this.older = older;
-        chance = new SeededRandom(seed);
+        random = new SeededRandom(seed);
         // A variant may do without, to be compared with.
         peers = scenario.peers() && !variant.containsKey(NO_PEERS);
         Map<String, String> settings = new LinkedHashMap<>(variant);
@@ -122,7 +122,7 @@
      * @param jar another build's; null for this one
      * @param older the build that faults call older; null for none
      */
-    public static Report play(
+    public static Report run(
             Scenario written,
             long seed,
             double seconds,
@@ -135,7 +135,7 @@
             throws RehearsalException, ConfigException {
         ProcessRun run =
                 new ProcessRun(
-                        FaultScheduleGenerator.drawn(written, seed),
+                        FaultScheduleGenerator.withRandomFaults(written, seed),
                         seed,
                         seconds,
                         variant,
@@ -189,7 +189,7 @@
         onLoop(
                 () -> {
                     beginStandIns();
-                    if (ways.areRelayed()) {
+                    if (links.areRelayed()) {
                         RelayCost.measure(loop, cost::complete);
                     } else {
                         cost.complete(RelayCost.Cost.NONE);
@@ -224,58 +224,58 @@
 
     private void beginStandIns() throws IOException {
         auditor = new Auditor(scenario, time, SLACK);
-        ledger = new MetricsAuditor(time, scenario.clients().writes() > 0);
-        recorder = new Recorder(scenario, time, seconds, auditor, ledger);
-        world = new ClusterModel(scenario, time, chance, seconds, recorder);
-        clients = new Clients(scenario, time, chance, seconds, new ClientTransport(), recorder);
+        metricsAuditor = new MetricsAuditor(time, scenario.clients().writePause() > 0);
+        recorder = new Recorder(scenario, time, seconds, auditor, metricsAuditor);
+        cluster = new ClusterModel(scenario, time, random, seconds, recorder);
+        clients = new Clients(scenario, time, random, seconds, new ClientTransport(), recorder);
         List<StubWorker> workers = new ArrayList<>();
-        for (WorkerModel model : world.workers) {
+        for (WorkerModel model : cluster.workers) {
             workers.add(new StubWorker(loop, model, auditor, anyPort()));
         }
-        ways =
+        links =
                 new NetworkLinks(
                         loop,
                         scenario,
-                        chance,
-                        world.workers.stream().map(w -> w.group).toList(),
-                        this::wayChanges);
+                        random,
+                        cluster.workers.stream().map(w -> w.group).toList(),
+                        this::onLinkChange);
         InetSocketAddress[] discoveries = new InetSocketAddress[scenario.dispatchers()];
         for (int i = 0; i < scenario.dispatchers(); i++) {
             int dispatcher = i;
             InetSocketAddress[] book = new InetSocketAddress[workers.size()];
             for (int j = 0; j < book.length; j++) {
-                book[j] = ways.toWorker(i, j, workers.get(j));
+                book[j] = links.toWorker(i, j, workers.get(j));
             }
             // Each is told addresses of its own: no message has to be written anew on the way.
             StubDiscovery list =
                     new StubDiscovery(
                             loop,
                             i,
-                            world.registry,
+                            cluster.registry,
                             auditor,
                             scenario,
                             n -> book[n],
                             anyPort(),
                             listCalls,
-                            () -> ways.isOpen(NetworkLink.toList(dispatcher)));
-            discoveries[i] = ways.toList(i, list);
+                            () -> links.isOpen(NetworkLink.toDiscovery(dispatcher)));
+            discoveries[i] = links.toDiscovery(i, list);
         }
         List<List<String>> books = new ArrayList<>();
         for (int i = 0; i < scenario.dispatchers(); i++) {
-            books.add(peers ? ways.toPeers(i, n -> fleet.peersOf(n)) : List.of());
+            books.add(peers ? links.toPeers(i, n -> fleet.peersOf(n)) : List.of());
         }
         fleet =
                 new Fleet(
                         loop,
                         scenario,
-                        chance,
+                        random,
                         pairs,
                         jar,
                         older,
                         i -> discoveries[i],
                         books::get,
                         new FleetListener());
-        crowd = new IdleConnectionFlood(loop, i -> listens[i] ? pools[i].address() : null);
+        flood = new IdleConnectionFlood(loop, i -> listens[i] ? pools[i].address() : null);
     }
 
     private static InetSocketAddress anyPort() {
@@ -283,30 +283,30 @@
     }
 
     /** What a change of a way excuses, told to the judges before it is made. */
-    private void wayChanges(NetworkLink way, LinkState passage) {
-        if (way.isToPeer()) {
+    private void onLinkChange(NetworkLink link, LinkState state) {
+        if (link.isToPeer()) {
             return;
         }
-        boolean open = passage.equals(LinkState.OPEN);
-        ledger.unsure(way.dispatcher(), !open);
-        if (way.isToWorker()) {
+        boolean open = state.equals(LinkState.OPEN);
+        metricsAuditor.suspendChecks(link.dispatcher(), !open);
+        if (link.isToWorker()) {
             if (!open) {
-                ledger.launchesLost(way.dispatcher());
+                metricsAuditor.onAttemptsLost(link.dispatcher());
             }
-            auditor.wayLater(way.dispatcher(), way.worker(), passage.mostLater(MESSAGE_SIZE));
-        } else if (way.worker() == NetworkLink.CLIENTS) {
-            auditor.clientsHarmed(way.dispatcher(), !open);
-            if (passage.refuses()) {
-                pools[way.dispatcher()].severed();
+            auditor.setLinkDelay(link.dispatcher(), link.worker(), state.maxDelay(MESSAGE_SIZE));
+        } else if (link.worker() == NetworkLink.CLIENTS) {
+            auditor.setClientsImpaired(link.dispatcher(), !open);
+            if (state.refuses()) {
+                pools[link.dispatcher()].severed();
             }
         }
     }
 
     private void beginAsking() {
-        listCalls.beginsNow();
-        world.begin(new FaultInjector());
-        recorder.begins(world, clients);
-        new AdminPoll(loop, fleet, ledger, scenario.dispatchers()).begin();
+        listCalls.reset();
+        cluster.start(new FaultInjector());
+        recorder.start(cluster, clients);
+        new AdminPoll(loop, fleet, metricsAuditor, scenario.dispatchers()).poll();
         tick(loop.now() + TICK);
         look();
     }
@@ -314,7 +314,7 @@
     private void look() {
         if (clients.isOver()) {
             if (peers) {
-                askWhoIsThere();
+                askForMembership();
             }
             loop.schedule(AFTERWARDS, () -> over = true);
         } else {
@@ -323,16 +323,16 @@
     }
 
     /** Each is to hold just those to be there that are. */
-    private void askWhoIsThere() {
+    private void askForMembership() {
         for (int i = 0; i < scenario.dispatchers(); i++) {
             int dispatcher = i;
             for (DaemonProcess process : fleet.processes(i)) {
-                if (process.door() == 0 || fleet.isStill(i)) {
+                if (process.adminPort() == 0 || fleet.isPaused(i)) {
                     continue;
                 }
-                AdminCall.ask(
+                AdminCall.call(
                         loop,
-                        Fleet.address(process.door()),
+                        Fleet.address(process.adminPort()),
                         "PEERS",
                         AFTERWARDS / 2,
                         answer -> {
@@ -415,7 +415,7 @@
                                                 "%.0f s of %.0f s: %d asked",
                                                 passed,
                                                 seconds,
-                                                recorder.tally().asks())));
+                                                recorder.tally().requestCount())));
             }
         }
         return false;
@@ -429,7 +429,7 @@
 
     private Report report(String variantName, long seed, boolean partial)
             throws RehearsalException {
-        if (recorder.tally().asks() == 0) {
+        if (recorder.tally().requestCount() == 0) {
             throw new RehearsalException("it was stopped before anything was asked");
         }
         auditor.finish();
@@ -449,14 +449,14 @@
                         lags.getMaxValue() / MICROS,
                         machine.p99(),
                         machine.most());
-        return Report.of(run, recorder, auditor, world, lag, extra(), partial);
+        return Report.of(run, recorder, auditor, cluster, lag, extra(), partial);
     }
 
     private Report.Extra extra() {
         Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put(FigureNames.LIST_CALLS, (double) listCalls.most());
-        figures.put(FigureNames.UNTRUE, ledger.untruePart());
-        figures.put(FigureNames.DOORS_LATE, ledger.latePart());
+        figures.put(FigureNames.LIST_CALLS, (double) listCalls.maxPerSecond());
+        figures.put(FigureNames.METRICS_MISMATCH, metricsAuditor.mismatchFraction());
+        figures.put(FigureNames.ADMIN_CALLS_LATE, metricsAuditor.lateCallFraction());
         figures.put(FigureNames.NOT_REPLACED, (double) fleet.notReplaced());
         figures.put(FigureNames.PEERS_WRONG, (double) peersWrong.size());
         List<String> notes = new ArrayList<>();
@@ -464,17 +464,17 @@
                 String.format(
                         Locale.ROOT,
                         "calls for the list: %d, %d in the busiest second",
-                        listCalls.all(),
-                        listCalls.most()));
+                        listCalls.total(),
+                        listCalls.maxPerSecond()));
         notes.add(
                 String.format(
                         Locale.ROOT,
                         "operators' figures: %d held against what was seen, %.2f%%"
                                 + " untrue; doors late: %.2f%%",
-                        ledger.checks(),
-                        100 * ledger.untruePart(),
-                        100 * ledger.latePart()));
-        ledger.untrue().forEach(line -> notes.add("  " + line));
+                        metricsAuditor.checkCount(),
+                        100 * metricsAuditor.mismatchFraction(),
+                        100 * metricsAuditor.lateCallFraction()));
+        metricsAuditor.mismatches().forEach(line -> notes.add("  " + line));
         notes.addAll(peersWrong);
         if (fleet.replacements() > 0) {
             notes.add(
@@ -483,7 +483,7 @@
                             + fleet.notReplaced()
                             + " not through in time");
         }
-        if (ways.areRelayed()) {
+        if (links.areRelayed()) {
             notes.add(
                     String.format(
                             Locale.ROOT,
@@ -519,19 +519,19 @@
     /** What becomes of the daemons' processes. */
     private final class FleetListener implements Fleet.Listener {
         @Override
-        public void up(int dispatcher, InetSocketAddress own) {
+        public void onReady(int dispatcher, InetSocketAddress own) {
             try {
                 pools[dispatcher] =
                         new ClientPool(
                                 loop,
-                                ways.toClients(dispatcher, own),
+                                links.toClients(dispatcher, own),
                                 clients,
                                 new ScenarioBehavior());
             } catch (IOException e) {
-                failed("no relay for clients: " + e.getMessage());
+                onFailure("no relay for clients: " + e.getMessage());
                 return;
             }
-            auditor.dispatcherBorn(dispatcher);
+            auditor.onDispatcherStarted(dispatcher);
             listens[dispatcher] = true;
             for (int i = 0; i < listens.length; i++) {
                 if (pools[i] == null) {
@@ -542,72 +542,72 @@
         }
 
         @Override
-        public void began(int dispatcher, DaemonProcess process) {
-            ledger.began(dispatcher, process);
+        public void onStarted(int dispatcher, DaemonProcess process) {
+            metricsAuditor.onProcessStarted(dispatcher, process);
         }
 
         @Override
-        public void ended(int dispatcher, DaemonProcess process) {
-            ledger.ended(dispatcher, process);
+        public void onEnded(int dispatcher, DaemonProcess process) {
+            metricsAuditor.onProcessEnded(dispatcher, process);
         }
 
         @Override
-        public void halves(int dispatcher, boolean begins) {
+        public void onSplit(int dispatcher, boolean begins) {
             // Which of its connections were that one's the kernel alone knows.
-            auditor.dispatcherHalved(dispatcher, begins);
+            auditor.setDispatcherSplit(dispatcher, begins);
             pools[dispatcher].severed();
-            ledger.unsure(dispatcher);
+            metricsAuditor.suspendChecks(dispatcher);
         }
 
         @Override
-        public void down(int dispatcher) {
+        public void onStopped(int dispatcher) {
             listens[dispatcher] = false;
-            auditor.dispatcherDied(dispatcher);
+            auditor.onDispatcherStopped(dispatcher);
         }
 
         @Override
-        public void crashed(int dispatcher, String lastWords) {
-            auditor.crashed(dispatcher, lastWords);
+        public void onCrash(int dispatcher, String lastWords) {
+            auditor.onCrash(dispatcher, lastWords);
         }
 
         @Override
-        public void failed(String why) {
+        public void onFailure(String why) {
             failure = why;
         }
     }
 
     private final class ScenarioBehavior implements ClientPool.ConnectionBehavior {
         @Override
-        public boolean isFresh(ClientAttempt submitted) {
-            return chance.once(
+        public boolean isFresh(ClientAttempt clientAttempt) {
+            return random.uniform(
                             SeededRandom.Purpose.CLIENT,
-                            submitted.ask().number(),
-                            2L * submitted.attempt())
-                    < scenario.clients().fresh();
+                            clientAttempt.request().number(),
+                            2L * clientAttempt.number())
+                    < scenario.clients().newConnectionFraction();
         }
 
         @Override
-        public double pause(ClientAttempt submitted) {
-            double most = Math.min(scenario.clients().writes(), submitted.timeout() / 2);
-            return most <= 0 || !isFresh(submitted)
+        public double pause(ClientAttempt clientAttempt) {
+            double most = Math.min(scenario.clients().writePause(), clientAttempt.timeout() / 2);
+            return most <= 0 || !isFresh(clientAttempt)
                     ? 0
                     : most
-                            * chance.once(
+                            * random.uniform(
                                     SeededRandom.Purpose.CLIENT,
-                                    submitted.ask().number(),
-                                    2L * submitted.attempt() + 1);
+                                    clientAttempt.request().number(),
+                                    2L * clientAttempt.number() + 1);
         }
     }
 
     private final class ClientTransport implements Clients.Transport {
         @Override
-        public void submit(ClientAttempt submitted) {
-            pools[submitted.dispatcher()].submit(submitted);
+        public void submit(ClientAttempt clientAttempt) {
+            pools[clientAttempt.dispatcher()].submit(clientAttempt);
         }
 
         @Override
-        public void hangUp(ClientAttempt submitted) {
-            pools[submitted.dispatcher()].hangUp(submitted);
+        public void cancel(ClientAttempt clientAttempt) {
+            pools[clientAttempt.dispatcher()].hangUp(clientAttempt);
         }
 
         @Override
@@ -618,32 +618,33 @@
 
     private final class FaultInjector implements ClusterModel.DispatcherControl {
         @Override
-        public void pause(int dispatcher, boolean begins) {
+        public void setPaused(int dispatcher, boolean begins) {
             if (begins) {
-                auditor.dispatcherPaused(dispatcher);
-                ledger.unsure(dispatcher, true);
-                fleet.pause(dispatcher, true);
+                auditor.onDispatcherPaused(dispatcher);
+                metricsAuditor.suspendChecks(dispatcher, true);
+                fleet.setPaused(dispatcher, true);
             } else {
-                fleet.pause(dispatcher, false);
+                fleet.setPaused(dispatcher, false);
                 // The signal takes a moment, and what the process then reads another one.
                 loop.schedule(
                         SLACK,
                         () -> {
-                            auditor.dispatcherWoke(dispatcher);
-                            ledger.unsure(dispatcher, false);
+                            auditor.onDispatcherResumed(dispatcher);
+                            metricsAuditor.suspendChecks(dispatcher, false);
                         });
             }
         }
 
         @Override
-        public void harm(Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
-            ways.harm(fault, dispatcher, targets, begins);
+        public void setLinkFault(
+                Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
+            links.setFault(fault, dispatcher, targets, begins);
         }
 
         @Override
-        public void starve(int dispatcher, double share) {
-            ledger.unsure(dispatcher, share < 1);
-            fleet.starve(dispatcher, share);
+        public void limitCpu(int dispatcher, double share) {
+            metricsAuditor.suspendChecks(dispatcher, share < 1);
+            fleet.limitCpu(dispatcher, share);
         }
 
         @Override
@@ -652,22 +653,22 @@
         }
 
         @Override
-        public void crowd(int dispatcher, double rate) {
-            crowd.change(dispatcher, rate);
+        public void changeFloodRate(int dispatcher, double rate) {
+            flood.changeRate(dispatcher, rate);
         }
 
         @Override
         public void kill(int dispatcher) {
             listens[dispatcher] = false;
-            auditor.dispatcherDied(dispatcher);
+            auditor.onDispatcherStopped(dispatcher);
             pools[dispatcher].died();
             fleet.kill(dispatcher);
         }
 
         @Override
-        public void end(int dispatcher) {
+        public void terminate(int dispatcher) {
             listens[dispatcher] = false;
-            fleet.end(dispatcher);
+            fleet.terminate(dispatcher);
         }
 
         @Override
