--- a/kit/src/main/java/wheelroute/kit/process/ProcessSupervisor.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessSupervisor.java
@@ -34,14 +34,14 @@
      * too late: either the shell above finds the note, or this finds its mark. Noted from here it
      * could be missed.
      */
-    private static final String NOTED =
+    private static final String START_SCRIPT =
             "echo $$ > \"$0/$$.pid\"; [ ! -e \"$0/closed\" ] || exit 1;" + " exec \"$@\"";
 
     private static final int END_SECONDS = 5;
 
     private final Path folder;
     private final Process shell;
-    private final BufferedWriter words;
+    private final BufferedWriter commands;
 
     /** Notes lie in this folder, which is nobody else's. */
     public ProcessSupervisor(Path folder) throws IOException {
@@ -50,12 +50,13 @@
                 new ProcessBuilder("sh", "-c", SCRIPT, folder.toString())
                         .redirectErrorStream(true)
                         .start();
-        words = shell.outputWriter();
+        commands = shell.outputWriter();
     }
 
     /** Should this process die first, the one started goes with it. */
     public Process start(ProcessBuilder builder) throws IOException {
-        List<String> command = new ArrayList<>(List.of("sh", "-c", NOTED, folder.toString()));
+        List<String> command =
+                new ArrayList<>(List.of("sh", "-c", START_SCRIPT, folder.toString()));
         command.addAll(builder.command());
         Process process = builder.command(command).start();
         // Its number may be another's soon.
@@ -64,22 +65,22 @@
     }
 
     /** Stands still, or goes on. */
-    void pause(Process process, boolean begins) throws IOException {
+    void setPaused(Process process, boolean begins) throws IOException {
         if (process.isAlive()) {
-            say(begins ? "STOP" : "CONT", process);
+            signal(begins ? "STOP" : "CONT", process);
         }
     }
 
-    private synchronized void say(String word, Process about) throws IOException {
-        words.write(word + " " + about.pid() + "\n");
-        words.flush();
+    private synchronized void signal(String word, Process about) throws IOException {
+        commands.write(word + " " + about.pid() + "\n");
+        commands.flush();
     }
 
     /** Whatever still runs is killed. */
     @Override
     public void close() {
         try {
-            words.close();
+            commands.close();
         } catch (IOException e) {
             // It ends all the same: its pipe has ended.
             shell.destroy();
--- a/kit/src/main/java/wheelroute/kit/process/RelayCost.java
+++ b/kit/src/main/java/wheelroute/kit/process/RelayCost.java
@@ -33,9 +33,9 @@
     private final ServerSocketChannel server;
     private final Relay relay;
 
-    private RelayCost(EventLoop loop, Consumer<Cost> hearer) throws IOException {
+    private RelayCost(EventLoop loop, Consumer<Cost> listener) throws IOException {
         this.loop = loop;
-        this.hearer = hearer;
+        this.hearer = listener;
         server =
                 loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -54,8 +54,8 @@
         relay = new Relay(loop, () -> far, true, () -> 1);
     }
 
-    static void measure(EventLoop loop, Consumer<Cost> hearer) throws IOException {
-        RelayCost cost = new RelayCost(loop, hearer);
+    static void measure(EventLoop loop, Consumer<Cost> listener) throws IOException {
+        RelayCost cost = new RelayCost(loop, listener);
         loop.connect(
                 Fleet.address(cost.server.socket().getLocalPort()),
                 new EchoClient(
--- a/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
+++ b/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
@@ -27,10 +27,10 @@
         out = new WriteQueue(endPoint, () -> onFailure(null));
     }
 
-    protected abstract void message(ClientRequest message);
+    protected abstract void onRequest(ClientRequest message);
 
     /** The connection is over, whoever ended it; called once. */
-    protected abstract void over();
+    protected abstract void onClosed();
 
     @Override
     protected void onBytes(ByteBuffer in) {
@@ -38,7 +38,7 @@
             while (in.hasRemaining()) {
                 ClientRequest message = decoder.decode(in);
                 if (message != null) {
-                    message(message);
+                    onRequest(message);
                 }
             }
         } catch (BadRequestException e) {
@@ -49,20 +49,20 @@
 
     @Override
     protected void onEndOfStream() throws IOException {
-        end();
+        closeNow();
     }
 
     @Override
     protected void onFailure(Throwable cause) {
-        end();
+        closeNow();
     }
 
     /** Ends it now: what is not out yet is lost. */
-    protected final void end() {
+    protected final void closeNow() {
         if (!ended) {
             ended = true;
             close();
-            over();
+            onClosed();
         }
     }
 
@@ -71,7 +71,7 @@
         super.onClose(cause);
         if (!ended) {
             ended = true;
-            loop.post(this::over);
+            loop.post(this::onClosed);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
@@ -94,7 +94,7 @@
                 TOLD_AT_LAST,
                 () -> {
                     if (registry.entries().contains(entry)) {
-                        auditor.told(dispatcher, entry.worker().number, entry.state());
+                        auditor.onNotified(dispatcher, entry.worker().number, entry.state());
                     }
                 });
     }
@@ -112,7 +112,7 @@
             // What need not arrive counts as told only at last; that one is back can only be in its
             // favour.
             if (heard.getAsBoolean() || entry.state() == EndpointRegistry.State.READY) {
-                auditor.told(dispatcher, entry.worker().number, entry.state());
+                auditor.onNotified(dispatcher, entry.worker().number, entry.state());
             }
             if (whole && entry.state() == EndpointRegistry.State.GONE) {
                 continue;
@@ -160,9 +160,9 @@
         }
 
         @Override
-        protected void message(ClientRequest message) {
+        protected void onRequest(ClientRequest message) {
             Matcher watch = WATCH.matcher(message.target());
-            calls.called(loop.now());
+            calls.record(loop.now());
             if (registry.isDown()) {
                 outage();
             } else if (message.target().equals("/v1/servers")) {
@@ -212,7 +212,7 @@
         }
 
         @Override
-        protected void over() {
+        protected void onClosed() {
             lines.remove(this);
             heldFrom = -1;
             if (hold != null) {
--- a/kit/src/main/java/wheelroute/kit/process/StubRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubRun.java
@@ -28,7 +28,7 @@
     private StubRun() {}
 
     /** Until the time is over or it is told to stop. Ports of 0 are the system's choice. */
-    public static void play(
+    public static void run(
             Scenario scenario,
             long seed,
             double seconds,
@@ -82,14 +82,14 @@
         // Somebody else's submissions are unknown to it: what it finds says nothing here, and is
         // not told.
         Auditor auditor = new Auditor(scenario, time, 0);
-        ClusterModel world =
+        ClusterModel cluster =
                 new ClusterModel(scenario, time, new SeededRandom(seed), seconds, auditor);
         List<StubWorker> workers = new ArrayList<>();
-        for (int i = 0; i < world.workers.size(); i++) {
+        for (int i = 0; i < cluster.workers.size(); i++) {
             workers.add(
                     new StubWorker(
                             loop,
-                            world.workers.get(i),
+                            cluster.workers.get(i),
                             auditor,
                             local(firstWorker == 0 ? 0 : firstWorker + i)));
         }
@@ -97,14 +97,14 @@
                 new StubDiscovery(
                         loop,
                         0,
-                        world.registry,
+                        cluster.registry,
                         auditor,
                         scenario,
                         n -> workers.get(n).address(),
                         local(discoveryPort),
                         new DiscoveryCallCounter(),
                         () -> true);
-        world.begin(
+        cluster.start(
                 new ClusterModel.DispatcherControl() {
                     @Override
                     public void kill(int dispatcher) {
@@ -112,7 +112,7 @@
                     }
 
                     @Override
-                    public void end(int dispatcher) {
+                    public void terminate(int dispatcher) {
                         // Not ours.
                     }
 
@@ -126,7 +126,7 @@
         for (int i = 0; i < workers.size(); i++) {
             lines.add(
                     "worker "
-                            + world.workers.get(i).name
+                            + cluster.workers.get(i).name
                             + " at "
                             + text(workers.get(i).address()));
         }
--- a/kit/src/main/java/wheelroute/kit/process/StubWorker.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubWorker.java
@@ -45,7 +45,7 @@
         address =
                 new InetSocketAddress(
                         InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
-        model.door(this);
+        model.portListener(this);
     }
 
     InetSocketAddress address() {
@@ -99,7 +99,7 @@
                                 .forEach(
                                         line -> {
                                             if (line.launch == null) {
-                                                line.end();
+                                                line.closeNow();
                                             }
                                         }));
     }
@@ -113,7 +113,7 @@
             if (line.launch != null
                     && line.getEndPoint().getRemoteSocketAddress() instanceof InetSocketAddress from
                     && from.getPort() == port) {
-                auditor.closed(line.launch);
+                auditor.onClosed(line.launch);
             }
         }
     }
@@ -130,7 +130,7 @@
         }
 
         @Override
-        protected void message(ClientRequest message) {
+        protected void onRequest(ClientRequest message) {
             if (launch != null || message.id() == null) {
                 out.send(
                         "HTTP/1.1 "
@@ -139,13 +139,12 @@
                 out.close();
                 return;
             }
-            JobCodec.Job job = JobCodec.read(message, USUAL_WORK);
+            JobCodec.Job job = JobCodec.decode(message, USUAL_WORK);
             id = message.id();
             headSent = false;
             launch =
-                    new WorkerAttempt(
-                            job.submission(), job.work(), job.slots(), job.memory(), this);
-            model.arrive(launch);
+                    new WorkerAttempt(job.requestId(), job.work(), job.slots(), job.memory(), this);
+            model.accept(launch);
         }
 
         private void line(String rest) {
@@ -162,23 +161,23 @@
         }
 
         @Override
-        public void started() {
+        public void onStarted() {
             line("\"state\":\"started\"");
         }
 
         @Override
-        public void progressed(double share) {
+        public void onProgress(double share) {
             line(String.format(Locale.ROOT, "\"state\":\"running\",\"share\":%.3f", share));
         }
 
         @Override
-        public void ended(AttemptEnding ending, double freeSlots) {
+        public void onEnded(AttemptEnding ending, double freeSlots) {
             launch = null;
             boolean reports = !Double.isNaN(freeSlots);
             String load = reports ? ",\"load\":{\"x0\":" + freeSlots + "}" : "";
             String header = reports ? "X-Server-Load: x0=" + freeSlots + "\r\n" : "";
             switch (ending) {
-                case DONE ->
+                case SUCCEEDED ->
                         last(
                                 "\"state\":\"done\",\"result\":\""
                                         + id
@@ -194,12 +193,12 @@
                         out.send("HTTP/1.1 500 Failed\r\n" + header + "Content-Length: 0\r\n\r\n");
                     }
                 }
-                case TURNED_AWAY ->
+                case REJECTED ->
                         out.send(
                                 "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\n"
                                         + header
                                         + "Content-Length: 0\r\n\r\n");
-                case BROKEN -> end();
+                case CONNECTION_LOST -> closeNow();
             }
         }
 
@@ -209,11 +208,11 @@
         }
 
         @Override
-        protected void over() {
+        protected void onClosed() {
             lines.remove(this);
             if (launch != null) {
-                auditor.closed(launch);
-                model.dropped(launch);
+                auditor.onClosed(launch);
+                model.cancel(launch);
                 launch = null;
             }
         }
--- a/kit/src/main/java/wheelroute/kit/process/WriteQueue.java
+++ b/kit/src/main/java/wheelroute/kit/process/WriteQueue.java
@@ -9,14 +9,14 @@
 /** What goes out on one connection, in order, one write at a time. */
 public final class WriteQueue {
     private final EndPoint endPoint;
-    private final Runnable broken;
-    private final ArrayDeque<ByteBuffer> waiting = new ArrayDeque<>();
+    private final Runnable failureHandler;
+    private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
     private boolean writing;
-    private boolean closesAfter;
+    private boolean closesWhenEmpty;
 
     public WriteQueue(EndPoint endPoint, Runnable broken) {
         this.endPoint = endPoint;
-        this.broken = broken;
+        this.failureHandler = broken;
     }
 
     public void send(String text) {
@@ -25,14 +25,14 @@
 
     public void send(ByteBuffer... buffers) {
         for (ByteBuffer buffer : buffers) {
-            waiting.addLast(buffer);
+            queue.addLast(buffer);
         }
         flush();
     }
 
     /** Once all of it is out. */
     public void close() {
-        closesAfter = true;
+        closesWhenEmpty = true;
         flush();
     }
 
@@ -40,15 +40,15 @@
         if (writing || !endPoint.isOpen()) {
             return;
         }
-        if (waiting.isEmpty()) {
-            if (closesAfter) {
+        if (queue.isEmpty()) {
+            if (closesWhenEmpty) {
                 endPoint.close();
             }
             return;
         }
         writing = true;
-        ByteBuffer[] all = waiting.toArray(new ByteBuffer[0]);
-        waiting.clear();
+        ByteBuffer[] all = queue.toArray(new ByteBuffer[0]);
+        queue.clear();
         endPoint.write(
                 Callback.from(
                         () -> {
@@ -57,7 +57,7 @@
                         },
                         cause -> {
                             writing = false;
-                            broken.run();
+                            failureHandler.run();
                         }),
                 all);
     }
--- a/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
@@ -56,9 +56,9 @@
         json.writeStringField("why_not_judged", report.whyNotJudged());
         json.writeObjectFieldStart("lag");
         number(json, "p99", report.lag().p99());
-        number(json, "most", report.lag().most());
+        number(json, "most", report.lag().max());
         number(json, "core_wait_p99", report.lag().waitP99());
-        number(json, "core_wait_most", report.lag().waitMost());
+        number(json, "core_wait_most", report.lag().waitMax());
         json.writeEndObject();
         json.writeArrayFieldStart("notes");
         for (String note : report.notes()) {
@@ -70,7 +70,7 @@
             number(json, figure.getKey(), figure.getValue());
         }
         json.writeEndObject();
-        rows(json, "offerings", report.offerings());
+        rows(json, "offerings", report.requestClasses());
         rows(json, "tenants", report.tenants());
         rows(json, "total", List.of(report.total()));
         json.writeObjectFieldStart("rules");
@@ -82,7 +82,7 @@
         for (Auditor.Breach breach : report.breaches()) {
             json.writeStartObject();
             json.writeStringField("rule", breach.rule().name().toLowerCase(Locale.ROOT));
-            json.writeStringField("what", breach.what());
+            json.writeStringField("what", breach.description());
             json.writeArrayFieldStart("history");
             for (String line : breach.history()) {
                 json.writeString(line);
@@ -95,8 +95,8 @@
         for (Report.Verdict verdict : report.verdicts()) {
             json.writeStartObject();
             json.writeStringField("figure", verdict.figure());
-            number(json, "least", verdict.least());
-            number(json, "most", verdict.most());
+            number(json, "least", verdict.min());
+            number(json, "most", verdict.max());
             number(json, "value", verdict.value());
             json.writeBooleanField("holds", verdict.holds());
             json.writeEndObject();
@@ -104,8 +104,8 @@
         json.writeEndArray();
         json.writeObjectFieldStart("over_time");
         numbers(json, "seconds", report.series().times());
-        numbers(json, "asked_per_s", report.series().asked());
-        numbers(json, "launched_per_s", report.series().launched());
+        numbers(json, "asked_per_s", report.series().requested());
+        numbers(json, "launched_per_s", report.series().attempted());
         numbers(json, "service", report.series().service());
         json.writeObjectFieldStart("jobs_at_a_worker");
         for (Map.Entry<String, double[]> queue : report.series().queues().entrySet()) {
@@ -136,13 +136,13 @@
         for (Report.Row row : rows) {
             json.writeStartObject();
             json.writeStringField("name", row.name());
-            json.writeNumberField("asked", row.asked());
+            json.writeNumberField("asked", row.requested());
             json.writeNumberField("in_time", row.inTime());
             json.writeNumberField("late", row.late());
-            json.writeNumberField("bounced", row.bounced());
-            json.writeNumberField("scrapped", row.scrapped());
+            json.writeNumberField("bounced", row.rejected());
+            json.writeNumberField("scrapped", row.failed());
             json.writeNumberField("unanswered", row.unanswered());
-            json.writeNumberField("left", row.left());
+            json.writeNumberField("left", row.cancelled());
             number(json, "service", row.service());
             number(json, "p50", row.p50());
             number(json, "p99", row.p99());
--- a/kit/src/main/java/wheelroute/kit/report/Recorder.java
+++ b/kit/src/main/java/wheelroute/kit/report/Recorder.java
@@ -18,10 +18,10 @@
 public final class Recorder implements Clients.Observer, EventListener {
     private final Tally tally;
     private final Auditor auditor;
-    private final MetricsAuditor ledger;
+    private final MetricsAuditor metricsAuditor;
     private final Timeline timeline;
-    private long submissions;
-    private long launches;
+    private long requestCount;
+    private long attemptCount;
 
     /** Without operators' doors. */
     public Recorder(Scenario scenario, Timeline timeline, double seconds, Auditor auditor) {
@@ -33,10 +33,10 @@
             Timeline timeline,
             double seconds,
             Auditor auditor,
-            MetricsAuditor ledger) {
+            MetricsAuditor metricsAuditor) {
         this.timeline = timeline;
         this.auditor = auditor;
-        this.ledger = ledger;
+        this.metricsAuditor = metricsAuditor;
         tally = new Tally(scenario, seconds);
     }
 
@@ -44,95 +44,98 @@
         return tally;
     }
 
-    public double launchesPerSubmission() {
-        return (double) launches / Math.max(1, submissions);
+    public double attemptsPerRequest() {
+        return (double) attemptCount / Math.max(1, requestCount);
     }
 
     /** The first ask goes now. */
-    public void begins(ClusterModel world, Clients clients) {
-        tally.beginsAt(timeline.now());
-        auditor.beginsNow();
-        clients.begin();
-        sampleQueues(world, clients);
+    public void start(ClusterModel cluster, Clients clients) {
+        tally.startAt(timeline.now());
+        auditor.start();
+        clients.start();
+        sampleQueues(cluster, clients);
     }
 
     /** Looks at the queues now and then, until the asks have ended. */
-    private void sampleQueues(ClusterModel world, Clients clients) {
-        tally.sample(world);
-        timeline.after(
+    private void sampleQueues(ClusterModel cluster, Clients clients) {
+        tally.sample(cluster);
+        timeline.schedule(
                 tally.step(),
                 () -> {
                     if (!clients.isOver()) {
-                        sampleQueues(world, clients);
+                        sampleQueues(cluster, clients);
                     }
                 });
     }
 
     @Override
-    public void asked(ClientRequest ask) {
-        tally.asked(ask);
+    public void onRequest(ClientRequest request) {
+        tally.onRequest(request);
     }
 
     @Override
-    public void finished(ClientRequest ask, Clients.Result result, double latency) {
-        tally.finished(ask, result, latency);
+    public void onFinished(ClientRequest request, Clients.Result result, double latency) {
+        tally.onFinished(request, result, latency);
     }
 
     @Override
-    public void sent(ClientAttempt submitted) {
-        submissions++;
-        auditor.sent(submitted);
-        ledger.sent(submitted.dispatcher());
+    public void onSent(ClientAttempt clientAttempt) {
+        requestCount++;
+        auditor.onSent(clientAttempt);
+        metricsAuditor.onSent(clientAttempt.dispatcher());
     }
 
     @Override
-    public void answered(ClientAttempt submitted, FinalResponse answer) {
-        auditor.answered(submitted, answer);
-        ledger.answered(submitted.dispatcher(), submitted.ask().offering().name(), answer);
+    public void onResponse(ClientAttempt clientAttempt, FinalResponse response) {
+        auditor.onResponse(clientAttempt, response);
+        metricsAuditor.onResponse(
+                clientAttempt.dispatcher(),
+                clientAttempt.request().requestClass().name(),
+                response);
     }
 
     @Override
-    public void gaveUp(ClientAttempt submitted, boolean ownWish) {
-        auditor.gaveUp(submitted, ownWish);
-        ledger.unheard(submitted.dispatcher());
+    public void onGaveUp(ClientAttempt clientAttempt, boolean ownWish) {
+        auditor.onGaveUp(clientAttempt, ownWish);
+        metricsAuditor.onResponseLost(clientAttempt.dispatcher());
     }
 
     @Override
-    public void cutOff(ClientAttempt submitted) {
-        auditor.cutOff(submitted);
-        ledger.unheard(submitted.dispatcher());
+    public void onConnectionLost(ClientAttempt clientAttempt) {
+        auditor.onConnectionLost(clientAttempt);
+        metricsAuditor.onResponseLost(clientAttempt.dispatcher());
     }
 
     @Override
-    public void refused(ClientAttempt submitted) {
-        auditor.refused(submitted);
-        ledger.unheard(submitted.dispatcher());
+    public void onRefused(ClientAttempt clientAttempt) {
+        auditor.onRefused(clientAttempt);
+        metricsAuditor.onResponseLost(clientAttempt.dispatcher());
     }
 
     @Override
-    public void arrived(WorkerAttempt launch, WorkerModel worker) {
-        launches++;
-        tally.launched(timeline.now());
-        auditor.arrived(launch, worker);
-        ClientAttempt submitted = auditor.submitted(launch.submission);
-        if (submitted != null) {
-            ledger.launched(submitted.dispatcher());
+    public void onArrived(WorkerAttempt attempt, WorkerModel worker) {
+        attemptCount++;
+        tally.onAttempt(timeline.now());
+        auditor.onArrived(attempt, worker);
+        ClientAttempt clientAttempt = auditor.clientAttempt(attempt.requestId);
+        if (clientAttempt != null) {
+            metricsAuditor.onAttempt(clientAttempt.dispatcher());
         }
     }
 
     @Override
-    public void began(WorkerAttempt launch, WorkerModel worker) {
-        auditor.began(launch, worker);
+    public void onStarted(WorkerAttempt attempt, WorkerModel worker) {
+        auditor.onStarted(attempt, worker);
     }
 
     @Override
-    public void ended(
-            WorkerAttempt launch, WorkerModel worker, AttemptEnding ending, boolean told) {
-        auditor.ended(launch, worker, ending, told);
+    public void onEnded(
+            WorkerAttempt attempt, WorkerModel worker, AttemptEnding ending, boolean told) {
+        auditor.onEnded(attempt, worker, ending, told);
     }
 
     @Override
-    public void fell(WorkerModel worker) {
-        auditor.fell(worker);
+    public void onCollapsed(WorkerModel worker) {
+        auditor.onCollapsed(worker);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -15,7 +15,7 @@
 public record Report(
         Run run,
         Row total,
-        List<Row> offerings,
+        List<Row> requestClasses,
         List<Row> tenants,
         Map<String, Double> figures,
         List<Verdict> verdicts,
@@ -28,10 +28,10 @@
         List<String> notes,
         boolean partial) {
     /** Past this lateness of the machine, in seconds at the 99th percentile, a run says nothing. */
-    public static final double MOST_LAG = 0.05;
+    public static final double MAX_LAG = 0.05;
 
     /** A machine that was once so late may itself be why something came too late. */
-    public static final double MOST_LAG_ONCE = 0.1;
+    public static final double MAX_SINGLE_LAG = 0.1;
 
     /** What was played. */
     public record Run(
@@ -47,24 +47,24 @@
     /** Counts of asks; times in seconds, NaN where nothing was fulfilled. */
     public record Row(
             String name,
-            long asked,
+            long requested,
             long inTime,
             long late,
-            long bounced,
-            long scrapped,
+            long rejected,
+            long failed,
             long unanswered,
-            long left,
+            long cancelled,
             double service,
             double p50,
             double p99,
             double p999) {}
 
     /** One expectation, and whether it holds. */
-    public record Verdict(String figure, double least, double most, double value, boolean holds) {
+    public record Verdict(String figure, double min, double max, double value, boolean holds) {
         public String text() {
             return figure
-                    + (Double.isInfinite(least) ? "" : " at least " + least)
-                    + (Double.isInfinite(most) ? "" : " at most " + most)
+                    + (Double.isInfinite(min) ? "" : " at least " + min)
+                    + (Double.isInfinite(max) ? "" : " at most " + max)
                     + ": "
                     + String.format(Locale.ROOT, "%.4f", value)
                     + (holds ? "" : "  DOES NOT HOLD");
@@ -74,8 +74,8 @@
     /** Over time; queues by group of workers. */
     public record Series(
             double[] times,
-            double[] asked,
-            double[] launched,
+            double[] requested,
+            double[] attempted,
             double[] service,
             Map<String, double[]> queues) {}
 
@@ -89,7 +89,7 @@
      * @param waitP99 of each tenth of a second, how long a dispatcher was ready to run and had no
      *     core
      */
-    public record Lag(double p99, double most, double waitP99, double waitMost) {
+    public record Lag(double p99, double max, double waitP99, double waitMax) {
         public static final Lag NONE = new Lag(0, 0, 0, 0);
     }
 
@@ -113,7 +113,7 @@
             Run run,
             Recorder recorder,
             Auditor auditor,
-            ClusterModel world,
+            ClusterModel cluster,
             Lag lag,
             Extra extra,
             boolean partial) {
@@ -121,38 +121,38 @@
         Row total = tally.total();
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put(FigureNames.SERVICE, total.service());
-        double counted = Math.max(1, total.asked() - total.left());
+        double counted = Math.max(1, total.requested() - total.cancelled());
         figures.put(FigureNames.IN_TIME, total.inTime() / counted);
-        figures.put(FigureNames.BOUNCED, total.bounced() / counted);
-        figures.put(FigureNames.SCRAPPED, total.scrapped() / counted);
+        figures.put(FigureNames.REJECTED, total.rejected() / counted);
+        figures.put(FigureNames.FAILED, total.failed() / counted);
         figures.put(FigureNames.UNANSWERED, total.unanswered() / counted);
         figures.put(FigureNames.BREACHES, (double) auditor.total());
-        figures.put(FigureNames.LAUNCHES, recorder.launchesPerSubmission());
+        figures.put(FigureNames.ATTEMPTS, recorder.attemptsPerRequest());
         figures.put(FigureNames.P50, total.p50());
         figures.put(FigureNames.P99, total.p99());
         figures.put(FigureNames.P999, total.p999());
-        tally.offeringRows()
-                .forEach(row -> figures.put(FigureNames.OFFERING + row.name(), row.service()));
+        tally.requestClassRows()
+                .forEach(row -> figures.put(FigureNames.REQUEST_CLASS + row.name(), row.service()));
         tally.tenantRows()
                 .forEach(row -> figures.put(FigureNames.TENANT + row.name(), row.service()));
         figures.putAll(extra.figures());
         List<Verdict> verdicts = new ArrayList<>();
-        for (Scenario.Expectation e : world.scenario.expectations()) {
+        for (Scenario.Expectation e : cluster.scenario.expectations()) {
             double value = figures.getOrDefault(e.figure(), Double.NaN);
             verdicts.add(
                     new Verdict(
                             e.figure(),
-                            e.least(),
-                            e.most(),
+                            e.min(),
+                            e.max(),
                             value,
-                            value >= e.least() && value <= e.most()));
+                            value >= e.min() && value <= e.max()));
         }
         Map<Rule, Integer> counts = new LinkedHashMap<>();
         for (Rule rule : Rule.values()) {
             counts.put(rule, auditor.count(rule));
         }
         List<Band> bands =
-                world.happenings.stream()
+                cluster.scheduledFaults.stream()
                         .map(
                                 h ->
                                         new Band(
@@ -161,19 +161,19 @@
                                                         .name()
                                                         .toLowerCase(Locale.ROOT)
                                                         .replace('_', '-'),
-                                                h.from(),
-                                                h.to()))
+                                                h.start(),
+                                                h.end()))
                         .toList();
         return new Report(
                 run,
                 total,
-                tally.offeringRows(),
+                tally.requestClassRows(),
                 tally.tenantRows(),
                 figures,
                 verdicts,
                 counts,
                 auditor.breaches(),
-                tally.series(world),
+                tally.series(cluster),
                 tally.distribution(),
                 bands,
                 lag,
@@ -183,17 +183,17 @@
 
     /** Null where the machine kept up; else why this run cannot be judged. */
     public String whyNotJudged() {
-        if (lag.p99() > MOST_LAG) {
+        if (lag.p99() > MAX_LAG) {
             return "the stand-ins were late";
         }
-        if (lag.waitP99() > MOST_LAG) {
+        if (lag.waitP99() > MAX_LAG) {
             return "dispatchers waited for a core";
         }
         boolean fails = !keepsRules() || !verdicts.stream().allMatch(Verdict::holds);
         // What happens twice does so on any machine; what comes too late may be the machine's
         // doing.
         boolean onlyLate = breachCounts.getOrDefault(Rule.NO_EFFECT_TWICE, 0) == 0;
-        if (fails && onlyLate && Math.max(lag.most(), lag.waitMost()) > MOST_LAG_ONCE) {
+        if (fails && onlyLate && Math.max(lag.max(), lag.waitMax()) > MAX_SINGLE_LAG) {
             return "the machine stood still for a moment, and what fails may come of that";
         }
         return null;
--- a/kit/src/main/java/wheelroute/kit/report/TableWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/TableWriter.java
@@ -47,7 +47,7 @@
                     "p99 ms",
                     "p99.9 ms"
                 });
-        report.offerings().forEach(row -> rows.add(cells(row)));
+        report.requestClasses().forEach(row -> rows.add(cells(row)));
         report.tenants().forEach(row -> rows.add(cells(row)));
         rows.add(cells(report.total()));
         out.append(aligned(rows)).append('\n');
@@ -63,20 +63,24 @@
                             "lateness of this machine: %.1f ms at p99, %.1f ms at"
                                     + " most; dispatchers waited for a core: %.1f and %.1f ms%n",
                             MILLIS * report.lag().p99(),
-                            MILLIS * report.lag().most(),
+                            MILLIS * report.lag().max(),
                             MILLIS * report.lag().waitP99(),
-                            MILLIS * report.lag().waitMost()));
+                            MILLIS * report.lag().waitMax()));
         }
         report.notes().forEach(note -> out.append(note).append('\n'));
         for (Map.Entry<Rule, Integer> rule : report.breachCounts().entrySet()) {
             out.append("rule: ")
-                    .append(rule.getKey().text)
+                    .append(rule.getKey().description)
                     .append(": ")
                     .append(rule.getValue() == 0 ? "kept" : "BROKEN " + rule.getValue() + " times")
                     .append('\n');
         }
         for (Auditor.Breach breach : report.breaches()) {
-            out.append("  ").append(breach.rule()).append(": ").append(breach.what()).append('\n');
+            out.append("  ")
+                    .append(breach.rule())
+                    .append(": ")
+                    .append(breach.description())
+                    .append('\n');
             breach.history().forEach(line -> out.append("      ").append(line).append('\n'));
         }
         report.verdicts()
@@ -95,13 +99,13 @@
     private static String[] cells(Report.Row row) {
         return new String[] {
             row.name(),
-            Long.toString(row.asked()),
+            Long.toString(row.requested()),
             Long.toString(row.inTime()),
             Long.toString(row.late()),
-            Long.toString(row.bounced()),
-            Long.toString(row.scrapped()),
+            Long.toString(row.rejected()),
+            Long.toString(row.failed()),
             Long.toString(row.unanswered()),
-            Long.toString(row.left()),
+            Long.toString(row.cancelled()),
             String.format(Locale.ROOT, "%.4f", row.service()),
             millis(row.p50()),
             millis(row.p99()),
--- a/kit/src/main/java/wheelroute/kit/report/Tally.java
+++ b/kit/src/main/java/wheelroute/kit/report/Tally.java
@@ -14,33 +14,33 @@
 /** Counts as a run goes on: by offering, by tenant, over time. */
 public final class Tally {
     /** Latencies are kept to a tenth of a percent, up to a day. */
-    private static final long MOST_MICROS = 86_400_000_000L;
+    private static final long MAX_MICROS = 86_400_000_000L;
 
     private static final int DIGITS = 3;
     private static final double MICROS = 1e6;
 
     /** Points of a plot: more cannot be told apart. */
-    private static final int MOST_POINTS = 600;
+    private static final int MAX_POINTS = 600;
 
     /** One line of a report while it grows. */
     private static final class OutcomeCounter {
         final long[] results = new long[Clients.Result.values().length];
-        final Histogram latencies = new Histogram(MOST_MICROS, DIGITS);
-        long asked;
-        double valueAsked;
+        final Histogram latencies = new Histogram(MAX_MICROS, DIGITS);
+        long requestCount;
+        double valueRequested;
         double valueEarned;
 
         Report.Row row(String name) {
             return new Report.Row(
                     name,
-                    asked,
+                    requestCount,
                     count(Clients.Result.IN_TIME),
                     count(Clients.Result.LATE),
-                    count(Clients.Result.BOUNCED),
-                    count(Clients.Result.SCRAPPED),
+                    count(Clients.Result.REJECTED),
+                    count(Clients.Result.FAILED),
                     count(Clients.Result.UNANSWERED),
-                    count(Clients.Result.LEFT),
-                    valueAsked > 0 ? valueEarned / valueAsked : 1,
+                    count(Clients.Result.CANCELLED),
+                    valueRequested > 0 ? valueEarned / valueRequested : 1,
                     percentile(50),
                     percentile(99),
                     percentile(99.9));
@@ -61,28 +61,30 @@
     private double start;
     private final double step;
     private final OutcomeCounter all = new OutcomeCounter();
-    private final Map<String, OutcomeCounter> offerings = new LinkedHashMap<>();
+    private final Map<String, OutcomeCounter> requestClasses = new LinkedHashMap<>();
     private final Map<String, OutcomeCounter> tenants = new LinkedHashMap<>();
-    private final double[] asked;
-    private final double[] valueAsked;
+    private final double[] requestCounts;
+    private final double[] valueRequested;
     private final double[] valueEarned;
-    private final double[] launches;
+    private final double[] attemptCounts;
     private final List<double[]> queues = new ArrayList<>();
 
     public Tally(Scenario scenario, double seconds) {
         this.scenario = scenario;
-        step = Math.max(1, Math.ceil(seconds / MOST_POINTS));
+        step = Math.max(1, Math.ceil(seconds / MAX_POINTS));
         int points = (int) Math.ceil(seconds / step);
-        asked = new double[points];
-        valueAsked = new double[points];
+        requestCounts = new double[points];
+        valueRequested = new double[points];
         valueEarned = new double[points];
-        launches = new double[points];
-        scenario.offerings()
-                .forEach(offering -> offerings.put(offering.name(), new OutcomeCounter()));
+        attemptCounts = new double[points];
+        scenario.requestClasses()
+                .forEach(
+                        requestClass ->
+                                requestClasses.put(requestClass.name(), new OutcomeCounter()));
         scenario.tenants().forEach(tenant -> tenants.put(tenant.name(), new OutcomeCounter()));
     }
 
-    void beginsAt(double time) {
+    void startAt(double time) {
         start = time;
     }
 
@@ -91,101 +93,102 @@
         return step;
     }
 
-    public void asked(ClientRequest ask) {
-        all.asked++;
-        offerings.get(ask.offering().name()).asked++;
-        if (tenants.containsKey(ask.tenant().name())) {
-            tenants.get(ask.tenant().name()).asked++;
+    public void onRequest(ClientRequest request) {
+        all.requestCount++;
+        requestClasses.get(request.requestClass().name()).requestCount++;
+        if (tenants.containsKey(request.tenant().name())) {
+            tenants.get(request.tenant().name()).requestCount++;
         }
-        asked[point(ask.at())]++;
+        requestCounts[point(request.sendAt())]++;
     }
 
     private int point(double at) {
-        return (int) Math.max(0, Math.min(asked.length - 1, at / step));
+        return (int) Math.max(0, Math.min(requestCounts.length - 1, at / step));
     }
 
-    public void finished(ClientRequest ask, Clients.Result result, double latency) {
-        finished(all, ask, result, latency);
-        finished(offerings.get(ask.offering().name()), ask, result, latency);
-        if (tenants.containsKey(ask.tenant().name())) {
-            finished(tenants.get(ask.tenant().name()), ask, result, latency);
+    public void onFinished(ClientRequest request, Clients.Result result, double latency) {
+        onFinished(all, request, result, latency);
+        onFinished(requestClasses.get(request.requestClass().name()), request, result, latency);
+        if (tenants.containsKey(request.tenant().name())) {
+            onFinished(tenants.get(request.tenant().name()), request, result, latency);
         }
-        if (result != Clients.Result.LEFT) {
-            valueAsked[point(ask.at())] += ask.offering().value();
-            valueEarned[point(ask.at())] += earned(ask, result);
+        if (result != Clients.Result.CANCELLED) {
+            valueRequested[point(request.sendAt())] += request.requestClass().priorityWeight();
+            valueEarned[point(request.sendAt())] += earned(request, result);
         }
     }
 
-    private static void finished(
-            OutcomeCounter line, ClientRequest ask, Clients.Result result, double latency) {
+    private static void onFinished(
+            OutcomeCounter line, ClientRequest request, Clients.Result result, double latency) {
         line.results[result.ordinal()]++;
-        if (result == Clients.Result.LEFT) {
+        if (result == Clients.Result.CANCELLED) {
             return;
         }
-        line.valueAsked += ask.offering().value();
-        line.valueEarned += earned(ask, result);
+        line.valueRequested += request.requestClass().priorityWeight();
+        line.valueEarned += earned(request, result);
         if (result == Clients.Result.IN_TIME || result == Clients.Result.LATE) {
-            line.latencies.recordValue(Math.min(MOST_MICROS, Math.round(latency * MICROS)));
+            line.latencies.recordValue(Math.min(MAX_MICROS, Math.round(latency * MICROS)));
         }
     }
 
-    private static double earned(ClientRequest ask, Clients.Result result) {
+    private static double earned(ClientRequest request, Clients.Result result) {
         return switch (result) {
-            case IN_TIME -> ask.offering().value();
-            case LATE -> ask.offering().value() * ask.offering().lateValue();
+            case IN_TIME -> request.requestClass().priorityWeight();
+            case LATE ->
+                    request.requestClass().priorityWeight() * request.requestClass().lateValue();
             default -> 0;
         };
     }
 
-    public void launched(double now) {
-        launches[point(now - start)]++;
+    public void onAttempt(double now) {
+        attemptCounts[point(now - start)]++;
     }
 
     /** How many jobs each worker holds now. */
-    public void sample(ClusterModel world) {
-        if (queues.size() < asked.length) {
-            double[] sample = new double[world.workers.size()];
-            for (WorkerModel worker : world.workers) {
+    public void sample(ClusterModel cluster) {
+        if (queues.size() < requestCounts.length) {
+            double[] sample = new double[cluster.workers.size()];
+            for (WorkerModel worker : cluster.workers) {
                 sample[worker.number] = worker.waiting() + worker.running();
             }
             queues.add(sample);
         }
     }
 
-    public long asks() {
-        return all.asked;
+    public long requestCount() {
+        return all.requestCount;
     }
 
     Report.Row total() {
         return all.row("all");
     }
 
-    List<Report.Row> offeringRows() {
-        return offerings.entrySet().stream().map(e -> e.getValue().row(e.getKey())).toList();
+    List<Report.Row> requestClassRows() {
+        return requestClasses.entrySet().stream().map(e -> e.getValue().row(e.getKey())).toList();
     }
 
     List<Report.Row> tenantRows() {
         return tenants.entrySet().stream().map(e -> e.getValue().row(e.getKey())).toList();
     }
 
-    Report.Series series(ClusterModel world) {
-        int points = asked.length;
+    Report.Series series(ClusterModel cluster) {
+        int points = requestCounts.length;
         double[] times = new double[points];
         double[] service = new double[points];
         double[] rate = new double[points];
         double[] sent = new double[points];
         for (int i = 0; i < points; i++) {
             times[i] = i * step;
-            rate[i] = asked[i] / step;
-            sent[i] = launches[i] / step;
-            service[i] = valueAsked[i] > 0 ? valueEarned[i] / valueAsked[i] : Double.NaN;
+            rate[i] = requestCounts[i] / step;
+            sent[i] = attemptCounts[i] / step;
+            service[i] = valueRequested[i] > 0 ? valueEarned[i] / valueRequested[i] : Double.NaN;
         }
         Map<String, double[]> byGroup = new LinkedHashMap<>();
         for (Scenario.WorkerGroup group : scenario.groups()) {
             double[] mean = new double[points];
             double[] most = new double[points];
             for (int i = 0; i < points && i < queues.size(); i++) {
-                for (WorkerModel worker : world.workers) {
+                for (WorkerModel worker : cluster.workers) {
                     if (worker.group == group) {
                         mean[i] += queues.get(i)[worker.number] / group.count();
                         most[i] = Math.max(most[i], queues.get(i)[worker.number]);
--- a/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
@@ -252,7 +252,7 @@
         }
 
         @Override
-        protected void message(ClientRequest message) {
+        protected void onRequest(ClientRequest message) {
             account.calls++;
             Matcher watch = WATCH.matcher(message.target());
             if (!watch.matches()) {
@@ -301,11 +301,11 @@
         }
 
         private void cut() {
-            end();
+            closeNow();
         }
 
         @Override
-        protected void over() {
+        protected void onClosed() {
             ended = true;
             lines.remove(this);
             if (hold != null) {
--- a/kit/src/main/java/wheelroute/kit/scale/MeasuredDaemon.java
+++ b/kit/src/main/java/wheelroute/kit/scale/MeasuredDaemon.java
@@ -39,7 +39,8 @@
     }
 
     /** Returns at once; {@link #awaitReady} waits. */
-    static MeasuredDaemon start(Path folder, String name, String config, ProcessSupervisor keeper)
+    static MeasuredDaemon start(
+            Path folder, String name, String config, ProcessSupervisor supervisor)
             throws IOException, RehearsalException {
         Path file = Files.writeString(folder.resolve(name + ".json"), config);
         Path log = folder.resolve(name + ".log");
@@ -48,7 +49,8 @@
         builder.environment().put("LB_CONFIG", file.toString());
         builder.environment().put("TMPDIR", folder.toString());
         return new MeasuredDaemon(
-                keeper.start(builder.redirectErrorStream(true).redirectOutput(log.toFile())), log);
+                supervisor.start(builder.redirectErrorStream(true).redirectOutput(log.toFile())),
+                log);
     }
 
     /** The repository, built: the shipped command is run from there. */
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
@@ -184,7 +184,7 @@
         guard = new ResourceGuard();
     }
 
-    public static ScaleResults play(Sizes sizes, BooleanSupplier stop, Consumer<String> tell)
+    public static ScaleResults run(Sizes sizes, BooleanSupplier stop, Consumer<String> tell)
             throws RehearsalException {
         // Hundreds of dispatchers in this process would each say where they listen.
         QUIET.get(0).setLevel(Level.WARNING);
@@ -194,7 +194,7 @@
             MeasuredDaemon.root();
             ScaleRun run = new ScaleRun(sizes, stop, tell);
             try {
-                return run.play();
+                return run.run();
             } finally {
                 run.end();
             }
@@ -203,7 +203,7 @@
         }
     }
 
-    private ScaleResults play() throws IOException, RehearsalException {
+    private ScaleResults run() throws IOException, RehearsalException {
         try {
             loop.start();
         } catch (Exception e) {
@@ -449,7 +449,7 @@
 
         private double each(LoadRun.Load load) throws IOException, RehearsalException {
             double before = daemon.cpu();
-            LoadRun.Result result = LoadRun.play(load, stop);
+            LoadRun.Result result = LoadRun.run(load, stop);
             if (!stop.getAsBoolean() && result.fulfilled() < result.sent()) {
                 throw new RehearsalException(
                         result.fulfilled()
@@ -561,7 +561,7 @@
                 Future<LoadRun.Result> asked =
                         clients.submit(
                                 () ->
-                                        LoadRun.play(
+                                        LoadRun.run(
                                                 bench.load(
                                                         HELD_RATE,
                                                         0,
--- a/kit/src/main/java/wheelroute/kit/scale/StubWorkers.java
+++ b/kit/src/main/java/wheelroute/kit/scale/StubWorkers.java
@@ -71,12 +71,12 @@
         }
 
         @Override
-        protected void message(ClientRequest message) {
+        protected void onRequest(ClientRequest message) {
             out.send(HEAD + line(message.id(), "started"));
             running++;
             job =
                     loop.schedule(
-                            JobCodec.read(message, USUAL_WORK).work(),
+                            JobCodec.decode(message, USUAL_WORK).work(),
                             () -> {
                                 jobOver();
                                 out.send(
@@ -99,7 +99,7 @@
         }
 
         @Override
-        protected void over() {
+        protected void onClosed() {
             if (job != null) {
                 job.cancel();
                 jobOver();
--- a/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
@@ -31,40 +31,40 @@
                 new WireSettingsWriter()
                         .text("az", s.groups().get(0).zone())
                         .number("balancers", s.dispatchers())
-                        .number("over_share_worth", terms.overShareValue())
-                        .flag("family_info.tells_start", terms.tellsStart())
-                        .seconds("family_info.progress_us", terms.progressEvery())
+                        .number("over_share_worth", terms.overQuotaValue())
+                        .flag("family_info.tells_start", terms.reportsStart())
+                        .seconds("family_info.progress_us", terms.progressInterval())
                         .flag("permissions.cancel", terms.mayCancel())
-                        .flag("permissions.may_duplicate", terms.mayCopy())
-                        .flag("permissions.retry_after", terms.retryAfter())
-                        .seconds("permissions.max_retry_after_us", terms.longestRetryAfter())
-                        .number("permissions.most_tries", terms.mostLaunches())
-                        .seconds("permissions.connect_timeout_us", terms.connectLimit())
+                        .flag("permissions.may_duplicate", terms.mayHedge())
+                        .flag("permissions.retry_after", terms.sendsRetryAfter())
+                        .seconds("permissions.max_retry_after_us", terms.maxRetryAfter())
+                        .number("permissions.most_tries", terms.maxAttempts())
+                        .seconds("permissions.connect_timeout_us", terms.connectTimeout())
                         .number("prices.cross_zone", terms.crossZonePrice());
         if (terms.reportLag() >= 0) {
             settings.text("family_info.report_x0", "free_slots");
         }
         Scenario.WorkerGroup cold =
                 s.groups().stream()
-                        .filter(g -> g.coldFor() > 0)
+                        .filter(g -> g.slowStartDuration() > 0)
                         .findFirst()
                         .orElse(s.groups().get(0));
-        settings.number("rules.cold_from", cold.coldShare())
-                .seconds("rules.cold_us", cold.coldFor())
-                .number("rules.tip_multiple", cold.tipMultiple())
-                .seconds("rules.fall_us", cold.tipWindow());
-        for (Scenario.RequestClass o : s.offerings()) {
+        settings.number("rules.cold_from", cold.slowStartShare())
+                .seconds("rules.cold_us", cold.slowStartDuration())
+                .number("rules.tip_multiple", cold.overloadMultiple())
+                .seconds("rules.fall_us", cold.overloadWindow());
+        for (Scenario.RequestClass o : s.requestClasses()) {
             settings.requestClass(
                     new RequestClassSettings(
                             o.name(),
-                            o.effect(),
-                            o.group(),
-                            o.quoted(),
-                            o.stretch(),
-                            o.outer(),
-                            o.value(),
+                            o.idempotency(),
+                            o.idempotencyScope(),
+                            o.latencyObjective(),
+                            o.objectivePerWork(),
+                            o.deadline(),
+                            o.priorityWeight(),
                             o.lateValue(),
-                            o.window(),
+                            o.idempotencyWindow(),
                             false));
         }
         s.tenants().forEach(tenant -> settings.tenant(tenant.name(), tenant.quota()));
--- a/kit/src/main/java/wheelroute/kit/scenario/FaultScheduleGenerator.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultScheduleGenerator.java
@@ -15,22 +15,22 @@
  */
 public final class FaultScheduleGenerator {
     /** Shorter than this nobody would notice. */
-    static final double SHORTEST = 0.1;
+    static final double MIN_LENGTH = 0.1;
 
     /** Before the first fault all is as usual for so long, and so long after the last one. */
-    private static final double QUIET = 0.5;
+    private static final double QUIET_TIME = 0.5;
 
     /** Times and levels have two decimals: a person may read what is written down. */
     private static final double STEPS = 100;
 
     /** Faults drawn have picks of their own, so that taking one out moves none of the others. */
-    private static final int FIRST_PICK = 100;
+    private static final int FIRST_RANDOM_PICK = 100;
 
     /** The most of its dispatchers or workers that a drawn fault meets. */
-    private static final double MOST_SHARE = 0.6;
+    private static final double MAX_SHARE = 0.6;
 
     /** Whatever the share, one of them is met. */
-    private static final double LEAST_SHARE = 0.01;
+    private static final double MIN_SHARE = 0.01;
 
     private static final Set<Scenario.Kind> PLANNED =
             EnumSet.of(Scenario.Kind.DEPLOY, Scenario.Kind.LATE_REPORTS, Scenario.Kind.LINK_DOUBLE);
@@ -50,58 +50,66 @@
     }
 
     /** All faults of a run with this seed: those that the scenario names, and those drawn. */
-    public static Scenario drawn(Scenario scenario, long seed) {
-        if (scenario.drawn().faults() == 0) {
+    public static Scenario withRandomFaults(Scenario scenario, long seed) {
+        if (scenario.randomFaults().perCycle() == 0) {
             return scenario;
         }
         List<Scenario.Fault> all = new ArrayList<>(scenario.faults());
         List<Scenario.Fault> drawn = new ArrayList<>();
-        SeededRandom chance = new SeededRandom(seed);
-        for (int i = 0; i < scenario.drawn().faults(); i++) {
+        SeededRandom random = new SeededRandom(seed);
+        for (int i = 0; i < scenario.randomFaults().perCycle(); i++) {
             drawn.add(
-                    one(scenario, chance.of(SeededRandom.Purpose.SCHEDULE, i, 0), FIRST_PICK + i));
+                    randomFault(
+                            scenario,
+                            random.generator(SeededRandom.Purpose.SCHEDULE, i, 0),
+                            FIRST_RANDOM_PICK + i));
         }
-        drawn.sort(Comparator.comparingDouble(Scenario.Fault::at));
+        drawn.sort(Comparator.comparingDouble(Scenario.Fault::start));
         all.addAll(drawn);
         return scenario.with(all);
     }
 
-    private static Scenario.Fault one(Scenario scenario, SplittableRandom random, int pick) {
-        Scenario.RandomFaults bounds = scenario.drawn();
-        Scenario.Kind kind = any(bounds.kinds(), random);
-        double most = Math.min(bounds.longest(), scenario.cycle() - 2 * QUIET);
-        double length = rounded(SHORTEST + (most - SHORTEST) * random.nextDouble());
+    private static Scenario.Fault randomFault(
+            Scenario scenario, SplittableRandom random, int pick) {
+        Scenario.RandomFaults bounds = scenario.randomFaults();
+        Scenario.Kind kind = randomItem(bounds.kinds(), random);
+        double most = Math.min(bounds.maxLength(), scenario.cycle() - 2 * QUIET_TIME);
+        double length = round(MIN_LENGTH + (most - MIN_LENGTH) * random.nextDouble());
         // Half of them strike all at one moment, the others one after another.
         double within =
-                kind.isAboutDispatchers() && random.nextBoolean()
-                        ? rounded(random.nextDouble() * Math.max(0, most - length))
+                kind.affectsDispatchers() && random.nextBoolean()
+                        ? round(random.nextDouble() * Math.max(0, most - length))
                         : 0;
         double at =
-                rounded(
-                        QUIET
+                round(
+                        QUIET_TIME
                                 + random.nextDouble()
                                         * Math.max(
-                                                0, scenario.cycle() - 2 * QUIET - length - within));
+                                                0,
+                                                scenario.cycle()
+                                                        - 2 * QUIET_TIME
+                                                        - length
+                                                        - within));
         String group =
-                !kind.isAboutDispatchers() || (kind.isAboutWays() && random.nextBoolean())
-                        ? any(scenario.groups(), random).name()
+                !kind.affectsDispatchers() || (kind.affectsLinks() && random.nextBoolean())
+                        ? randomItem(scenario.groups(), random).name()
                         : "";
-        double share = rounded(LEAST_SHARE + (MOST_SHARE - LEAST_SHARE) * random.nextDouble());
+        double share = round(MIN_SHARE + (MAX_SHARE - MIN_SHARE) * random.nextDouble());
         Scenario.LinkKind ends =
-                kind.isAboutWays() && kind != Scenario.Kind.LIST_CUT
-                        ? any(ENDS, random)
+                kind.affectsLinks() && kind != Scenario.Kind.LIST_CUT
+                        ? randomItem(ENDS, random)
                         : Scenario.LinkKind.WORKERS;
         Scenario.How how =
-                any(
-                        kind.hows().stream()
+                randomItem(
+                        kind.allowedHows().stream()
                                 .filter(h -> h != Scenario.How.OLDER)
                                 .filter(
                                         h ->
                                                 h != Scenario.How.CHANGED
-                                                        || !scenario.changed().isEmpty())
+                                                        || !scenario.changedSettings().isEmpty())
                                 .toList(),
                         random);
-        double spread = kind == Scenario.Kind.LINK_SLOW ? rounded(random.nextDouble() * 0.1) : 0;
+        double spread = kind == Scenario.Kind.LINK_SLOW ? round(random.nextDouble() * 0.1) : 0;
         return new Scenario.Fault(
                 kind,
                 at,
@@ -122,22 +130,22 @@
     private static double level(Scenario.Kind kind, SplittableRandom random) {
         double part = random.nextDouble();
         return switch (kind) {
-            case BURST, LINK_LOSS -> rounded(0.1 + 0.9 * part);
-            case SLOW -> rounded(0.05 + 0.6 * part);
-            case LIST_LATE -> rounded(0.2 + 3 * part);
-            case LINK_SLOW -> rounded(0.02 + 0.4 * part);
+            case BURST, LINK_LOSS -> round(0.1 + 0.9 * part);
+            case SLOW -> round(0.05 + 0.6 * part);
+            case LIST_LATE -> round(0.2 + 3 * part);
+            case LINK_SLOW -> round(0.02 + 0.4 * part);
             case LINK_TRICKLE -> Math.rint(500 + 20_000 * part);
-            case DISPATCHER_STARVE -> rounded(0.1 + 0.5 * part);
+            case DISPATCHER_STARVE -> round(0.1 + 0.5 * part);
             case CROWD -> Math.rint(20 + 200 * part);
             default -> ScenarioReader.levels(kind)[0];
         };
     }
 
-    private static <T> T any(List<T> open, SplittableRandom random) {
+    private static <T> T randomItem(List<T> open, SplittableRandom random) {
         return open.get(random.nextInt(open.size()));
     }
 
-    private static double rounded(double value) {
+    private static double round(double value) {
         return Math.rint(value * STEPS) / STEPS;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
@@ -6,13 +6,13 @@
     public static final String SERVICE = "service";
 
     public static final String IN_TIME = "in_time";
-    public static final String BOUNCED = "bounced";
-    public static final String SCRAPPED = "scrapped";
+    public static final String REJECTED = "bounced";
+    public static final String FAILED = "scrapped";
     public static final String UNANSWERED = "unanswered";
     public static final String BREACHES = "breaches";
 
     /** Launches over submissions. */
-    public static final String LAUNCHES = "launches_per_submission";
+    public static final String ATTEMPTS = "launches_per_submission";
 
     public static final String P50 = "p50";
     public static final String P99 = "p99";
@@ -22,10 +22,10 @@
     public static final String LIST_CALLS = "list_calls_most";
 
     /** Of the operators' figures the part that was not true, or missing. */
-    public static final String UNTRUE = "figures_untrue";
+    public static final String METRICS_MISMATCH = "figures_untrue";
 
     /** Of the calls at operators' doors the part that was not answered within a second. */
-    public static final String DOORS_LATE = "doors_late";
+    public static final String ADMIN_CALLS_LATE = "doors_late";
 
     /** Replacements that were not through in time. */
     public static final String NOT_REPLACED = "not_replaced";
@@ -34,7 +34,7 @@
     public static final String PEERS_WRONG = "peers_wrong";
 
     /** The service of one offering or tenant: the name follows. */
-    public static final String OFFERING = "offering:";
+    public static final String REQUEST_CLASS = "offering:";
 
     public static final String TENANT = "tenant:";
     static final String KNOWN =
@@ -42,20 +42,20 @@
                     ", ",
                     SERVICE,
                     IN_TIME,
-                    BOUNCED,
-                    SCRAPPED,
+                    REJECTED,
+                    FAILED,
                     UNANSWERED,
                     BREACHES,
-                    LAUNCHES,
+                    ATTEMPTS,
                     P50,
                     P99,
                     P999,
                     LIST_CALLS,
-                    UNTRUE,
-                    DOORS_LATE,
+                    METRICS_MISMATCH,
+                    ADMIN_CALLS_LATE,
                     NOT_REPLACED,
                     PEERS_WRONG,
-                    OFFERING + "NAME",
+                    REQUEST_CLASS + "NAME",
                     TENANT + "NAME");
 
     private FigureNames() {}
@@ -64,21 +64,21 @@
         return switch (name) {
             case SERVICE,
                     IN_TIME,
-                    BOUNCED,
-                    SCRAPPED,
+                    REJECTED,
+                    FAILED,
                     UNANSWERED,
                     BREACHES,
-                    LAUNCHES,
+                    ATTEMPTS,
                     P50,
                     P99,
                     P999,
                     LIST_CALLS,
-                    UNTRUE,
-                    DOORS_LATE,
+                    METRICS_MISMATCH,
+                    ADMIN_CALLS_LATE,
                     NOT_REPLACED,
                     PEERS_WRONG ->
                     true;
-            default -> name.startsWith(OFFERING) || name.startsWith(TENANT);
+            default -> name.startsWith(REQUEST_CLASS) || name.startsWith(TENANT);
         };
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
@@ -14,8 +14,8 @@
  * @param zones of the dispatchers, dealt to them in turn; empty: all stand in the first workers'
  *     zone
  * @param peers whether dispatchers know each other; real clock only
- * @param drawn faults that chance adds, by the seed alone
- * @param changed settings of processes that are started with another configuration
+ * @param randomFaults faults that chance adds, by the seed alone
+ * @param changedSettings settings of processes that are started with another configuration
  */
 public record Scenario(
         String name,
@@ -28,31 +28,31 @@
         boolean peers,
         Limits limits,
         List<WorkerGroup> groups,
-        List<RequestClass> offerings,
+        List<RequestClass> requestClasses,
         List<Tenant> tenants,
         List<LoadPoint> load,
         Clients clients,
         Network network,
         PlatformTerms terms,
         List<Fault> faults,
-        RandomFaults drawn,
+        RandomFaults randomFaults,
         List<Expectation> expectations,
         Map<String, String> overrides,
-        Map<String, String> changed) {
+        Map<String, String> changedSettings) {
     /** No job is smaller: the model's own steps would drown it. */
-    public static final double LEAST_WORK = 1e-6;
+    public static final double MIN_WORK = 1e-6;
 
     /**
      * Workers that are alike.
      *
      * @param queue how many may wait at one before it turns launches away
      * @param memory in the unit of the offerings' memory; infinite for no limit
-     * @param coldShare the part of its capacity that a worker just started has
-     * @param coldFor how long it takes to warm up
-     * @param tipMultiple a cold worker falls over when, in tipWindow, so many times its capacity
-     *     comes
-     * @param tipRequest the mean work of the requests for which chance is allowed for, N becoming N
-     *     + 2 root N + 2 of them; 0 where nothing is
+     * @param slowStartShare the part of its capacity that a worker just started has
+     * @param slowStartDuration how long it takes to warm up
+     * @param overloadMultiple a cold worker falls over when, in tipWindow, so many times its
+     *     capacity comes
+     * @param overloadMeanWork the mean work of the requests for which chance is allowed for, N
+     *     becoming N + 2 root N + 2 of them; 0 where nothing is
      */
     public record WorkerGroup(
             String name,
@@ -63,34 +63,34 @@
             String zone,
             int queue,
             double memory,
-            double coldShare,
-            double coldFor,
-            double tipMultiple,
-            double tipWindow,
-            double tipRequest) {}
+            double slowStartShare,
+            double slowStartDuration,
+            double overloadMultiple,
+            double overloadWindow,
+            double overloadMeanWork) {}
 
     /**
      * A kind of job.
      *
      * @param share of the asks, beside the other offerings' shares
      * @param spread of the work's logarithm; 0 for work that is always the same
-     * @param hintError of the hint's logarithm; under 0 for no hint
-     * @param outer how long a client waits for the answer
+     * @param estimateError of the hint's logarithm; under 0 for no hint
+     * @param deadline how long a client waits for the answer
      */
     public record RequestClass(
             String name,
-            Idempotency effect,
-            IdempotencyScope group,
+            Idempotency idempotency,
+            IdempotencyScope idempotencyScope,
             double share,
             double work,
             double spread,
-            double hintError,
-            double quoted,
-            double stretch,
-            double outer,
-            double value,
+            double estimateError,
+            double latencyObjective,
+            double objectivePerWork,
+            double deadline,
+            double priorityWeight,
             double lateValue,
-            double window,
+            double idempotencyWindow,
             int slots,
             double memory) {}
 
@@ -100,26 +100,27 @@
     }
 
     /** The rate of asks runs straight from one point to the next. */
-    public record LoadPoint(double at, double rate) {}
+    public record LoadPoint(double time, double rate) {}
 
     /**
      * What clients do.
      *
      * @param retries more submissions of one ask after the first
-     * @param pause before a retry; up to twice that by chance, more where the answer says so
-     * @param leastWait nothing is retried with less than this left: no answer is hoped for in so
+     * @param retryDelay before a retry; up to twice that by chance, more where the answer says so
+     * @param minTimeout nothing is retried with less than this left: no answer is hoped for in so
      *     short a time
-     * @param impatient the part of asks whose client hangs up before its time
-     * @param fresh the part of submissions that come on a connection of their own; real clock only
-     * @param writes such a one is written in two pieces, so far apart at most
+     * @param cancelFraction the part of asks whose client hangs up before its time
+     * @param newConnectionFraction the part of submissions that come on a connection of their own;
+     *     real clock only
+     * @param writePause such a one is written in two pieces, so far apart at most
      */
     public record Clients(
             int retries,
-            double pause,
-            double leastWait,
-            double impatient,
-            double fresh,
-            double writes) {}
+            double retryDelay,
+            double minTimeout,
+            double cancelFraction,
+            double newConnectionFraction,
+            double writePause) {}
 
     /** What a dispatcher's process may take. */
     public record Limits(int memoryMb, int sockets) {}
@@ -135,19 +136,19 @@
      * @param grace after which nothing may go to a worker that was told draining or gone
      */
     public record PlatformTerms(
-            boolean tellsStart,
-            double progressEvery,
+            boolean reportsStart,
+            double progressInterval,
             boolean mayCancel,
-            boolean mayCopy,
-            int mostLaunches,
-            boolean retryAfter,
-            double longestRetryAfter,
+            boolean mayHedge,
+            int maxAttempts,
+            boolean sendsRetryAfter,
+            double maxRetryAfter,
             double listLag,
             double reportLag,
             double grace,
-            double connectLimit,
+            double connectTimeout,
             double crossZonePrice,
-            double overShareValue) {}
+            double overQuotaValue) {}
 
     /** What can go wrong. */
     public enum Kind {
@@ -213,7 +214,7 @@
         CROWD;
 
         /** It meets dispatchers, each or with its ways. */
-        public boolean isAboutDispatchers() {
+        public boolean affectsDispatchers() {
             return switch (this) {
                 case DISPATCHER_KILL,
                         DISPATCHER_RESTART,
@@ -222,12 +223,12 @@
                         DISPATCHER_REPLACE,
                         CROWD ->
                         true;
-                default -> isAboutWays();
+                default -> affectsLinks();
             };
         }
 
         /** It harms ways between processes. */
-        public boolean isAboutWays() {
+        public boolean affectsLinks() {
             return switch (this) {
                 case LINK_CUT,
                         LINK_REFUSE,
@@ -253,7 +254,7 @@
         }
 
         /** In which ways it may be done, the usual one first. */
-        public List<How> hows() {
+        public List<How> allowedHows() {
             return switch (this) {
                 case DISPATCHER_KILL, DISPATCHER_RESTART ->
                         List.of(How.USUAL, How.CHANGED, How.OLDER);
@@ -266,7 +267,7 @@
     /** In which way a fault is done. */
     public enum How {
         USUAL,
-        /** What is started has another configuration: see {@link Scenario#changed}. */
+        /** What is started has another configuration: see {@link Scenario#changedSettings}. */
         CHANGED,
         /** What is started is another build. */
         OLDER,
@@ -292,64 +293,65 @@
     /**
      * One fault.
      *
-     * @param at from the start of each cycle
+     * @param start from the start of each cycle
      * @param group the name of the workers it meets; empty for all
      * @param share of those that it meets; which, is chance's choice, the same for all faults of
      *     one pick
      * @param pick faults of the same pick meet the same workers first: so they can lie inside each
      *     other
-     * @param within each of those it meets is met at a moment of its own, so much later at most
-     * @param to which ways of those dispatchers it meets
+     * @param startSpread each of those it meets is met at a moment of its own, so much later at
+     *     most
+     * @param linkKind which ways of those dispatchers it meets
      * @param zone only workers of this zone; empty for all
      * @param from only dispatchers of this zone; empty for all
-     * @param others the part of the other dispatchers to which ways to peers are met, by their
-     *     numbers
+     * @param peerFraction the part of the other dispatchers to which ways to peers are met, by
+     *     their numbers
      * @param spread of a way's delay: each piece comes later by chance, so much at most
      */
     public record Fault(
             Kind kind,
-            double at,
+            double start,
             double length,
             String group,
             double share,
             double level,
             int pick,
-            double within,
-            LinkKind to,
+            double startSpread,
+            LinkKind linkKind,
             String zone,
             String from,
             double spread,
             How how,
-            double others) {
+            double peerFraction) {
         /** Workers that it is about, as far as group and zone say. */
-        public boolean concerns(WorkerGroup workers) {
+        public boolean matches(WorkerGroup workers) {
             return (group.isEmpty() || group.equals(workers.name()))
                     && (zone.isEmpty() || zone.equals(workers.zone()));
         }
 
         /** The list's ways have a kind of their own, from before there were others. */
-        public LinkKind ends() {
-            return kind == Kind.LIST_CUT ? LinkKind.LIST : to;
+        public LinkKind affectedLinks() {
+            return kind == Kind.LIST_CUT ? LinkKind.LIST : linkKind;
         }
 
-        public double until() {
-            return at + within + length;
+        public double end() {
+            return start + startSpread + length;
         }
     }
 
     /**
      * Faults that chance adds.
      *
-     * @param faults so many each cycle; 0 for none
-     * @param longest no fault is longer
+     * @param perCycle so many each cycle; 0 for none
+     * @param maxLength no fault is longer
      * @param kinds from which they are drawn
      */
-    public record RandomFaults(int faults, double longest, List<Kind> kinds) {
+    public record RandomFaults(int perCycle, double maxLength, List<Kind> kinds) {
         public static final RandomFaults NONE = new RandomFaults(0, 1, List.of());
     }
 
     /** What must hold: the figure of that name is at least, or at most, so much. */
-    public record Expectation(String figure, double least, double most) {}
+    public record Expectation(String figure, double min, double max) {}
 
     /** The zone that a dispatcher stands in. */
     public String zoneOf(int dispatcher) {
@@ -369,7 +371,7 @@
                 peers,
                 limits,
                 groups,
-                offerings,
+                requestClasses,
                 tenants,
                 load,
                 clients,
@@ -379,7 +381,7 @@
                 RandomFaults.NONE,
                 expectations,
                 overrides,
-                changed);
+                changedSettings);
     }
 
     public int workers() {
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -24,15 +24,15 @@
  */
 public final class ScenarioReader {
     private static final double REQUIRED = Double.NaN;
-    private static final double MOST_TIME = 86_400;
-    private static final double MOST_RATE = 1e6;
-    private static final double MOST = 1e9;
-    private static final int MOST_WORKERS = 100_000;
-    private static final int MOST_DISPATCHERS = 10_000;
-    private static final int MOST_RETRIES = 50;
+    private static final double MAX_TIME = 86_400;
+    private static final double MAX_RATE = 1e6;
+    private static final double MAX_NUMBER = 1e9;
+    private static final int MAX_WORKERS = 100_000;
+    private static final int MAX_DISPATCHERS = 10_000;
+    private static final int MAX_RETRIES = 50;
 
     /** A larger file is none that a person wrote. */
-    private static final long MOST_BYTES = 1 << 20;
+    private static final long MAX_BYTES = 1 << 20;
 
     private final List<TomlFields.Fault> faults = new ArrayList<>();
 
@@ -41,9 +41,9 @@
     /** A file of the operator's. */
     public static Scenario read(Path file) throws ScenarioException {
         try {
-            if (Files.size(file) > MOST_BYTES) {
+            if (Files.size(file) > MAX_BYTES) {
                 throw new ScenarioException(
-                        file.toString(), List.of("is over " + MOST_BYTES + " bytes"));
+                        file.toString(), List.of("is over " + MAX_BYTES + " bytes"));
             }
             return read(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
         } catch (IOException | InvalidPathException e) {
@@ -73,11 +73,11 @@
     private Scenario scenario(String name, TomlFields root) {
         String title = root.text("title", "");
         TomlFields run = root.table("run");
-        double seconds = run.number("seconds", 60, 1, MOST_TIME);
-        double cycle = run.number("cycle", seconds, 1, MOST_TIME);
+        double seconds = run.number("seconds", 60, 1, MAX_TIME);
+        double cycle = run.number("cycle", seconds, 1, MAX_TIME);
         List<String> clocks =
                 run.textList("clocks", List.of("virtual", "real"), List.of("virtual", "real"));
-        int dispatchers = run.integer("dispatchers", 1, 1, MOST_DISPATCHERS);
+        int dispatchers = run.integer("dispatchers", 1, 1, MAX_DISPATCHERS);
         List<Scenario.WorkerGroup> groups = new ArrayList<>();
         root.tables("workers").forEach(f -> groups.add(group(f)));
         List<String> zones =
@@ -107,20 +107,21 @@
         Map<String, String> overrides = texts(root.table("daemon"));
         Map<String, String> changed = texts(root.table("changed"));
         root.rejectUnknownKeys();
-        needsSome(root, "workers", groups.isEmpty());
-        needsSome(root, "offerings", offerings.isEmpty());
-        needsSome(root, "load", load.isEmpty());
-        unique(root, "workers", groups.stream().map(Scenario.WorkerGroup::name).toList());
-        unique(root, "offerings", offerings.stream().map(Scenario.RequestClass::name).toList());
-        unique(root, "tenants", tenants.stream().map(Scenario.Tenant::name).toList());
+        requireSome(root, "workers", groups.isEmpty());
+        requireSome(root, "offerings", offerings.isEmpty());
+        requireSome(root, "load", load.isEmpty());
+        requireUnique(root, "workers", groups.stream().map(Scenario.WorkerGroup::name).toList());
+        requireUnique(
+                root, "offerings", offerings.stream().map(Scenario.RequestClass::name).toList());
+        requireUnique(root, "tenants", tenants.stream().map(Scenario.Tenant::name).toList());
         for (int i = 1; i < load.size(); i++) {
-            if (load.get(i).at() < load.get(i - 1).at()) {
+            if (load.get(i).time() < load.get(i - 1).time()) {
                 root.addFault(
-                        "load", "has a point before the one above it, at " + load.get(i).at());
+                        "load", "has a point before the one above it, at " + load.get(i).time());
             }
         }
-        if (groups.stream().mapToInt(Scenario.WorkerGroup::count).sum() > MOST_WORKERS) {
-            root.addFault("workers", "are more than " + MOST_WORKERS);
+        if (groups.stream().mapToInt(Scenario.WorkerGroup::count).sum() > MAX_WORKERS) {
+            root.addFault("workers", "are more than " + MAX_WORKERS);
         }
         return new Scenario(
                 name,
@@ -154,13 +155,13 @@
         return texts;
     }
 
-    private static void needsSome(TomlFields root, String key, boolean none) {
+    private static void requireSome(TomlFields root, String key, boolean none) {
         if (none) {
             root.addFault(key, root.contains(key) ? "has none" : "is missing");
         }
     }
 
-    private static void unique(TomlFields root, String key, List<String> names) {
+    private static void requireUnique(TomlFields root, String key, List<String> names) {
         Set<String> seen = new HashSet<>();
         for (String name : names) {
             if (!seen.add(name)) {
@@ -183,54 +184,54 @@
                 new Scenario.WorkerGroup(
                         name,
                         f.text("model", name),
-                        f.integer("count", 1, 1, MOST_WORKERS),
+                        f.integer("count", 1, 1, MAX_WORKERS),
                         f.integer("slots", 1, 1, 1024),
                         f.number("speed", 1, 0.001, 1000),
                         f.text("zone", "a"),
                         f.integer("queue", 100, 0, 1_000_000),
-                        f.number("memory", MOST, 0, MOST),
+                        f.number("memory", MAX_NUMBER, 0, MAX_NUMBER),
                         f.number("cold_share", 1, 0.01, 1),
-                        f.number("cold_for", 0, 0, MOST_TIME),
+                        f.number("cold_for", 0, 0, MAX_TIME),
                         f.number("tip_multiple", 4, 0.1, 1000),
                         f.number("tip_window", 3, 0.1, 60),
-                        f.number("tip_request", 0, 0, MOST_TIME));
+                        f.number("tip_request", 0, 0, MAX_TIME));
         f.rejectUnknownKeys();
         return group;
     }
 
     private static Scenario.RequestClass offering(TomlFields f) {
         String name = name(f);
-        double quoted = f.number("quoted", REQUIRED, 0.001, MOST_TIME);
-        Scenario.RequestClass offering =
+        double quoted = f.number("quoted", REQUIRED, 0.001, MAX_TIME);
+        Scenario.RequestClass requestClass =
                 new Scenario.RequestClass(
                         name,
                         f.enumConstant("effect", Idempotency.IDEMPOTENT, Idempotency.class),
                         f.enumConstant("group", IdempotencyScope.ALL, IdempotencyScope.class),
-                        f.number("share", 1, 0, MOST),
-                        f.number("work", REQUIRED, Scenario.LEAST_WORK, MOST_TIME),
+                        f.number("share", 1, 0, MAX_NUMBER),
+                        f.number("work", REQUIRED, Scenario.MIN_WORK, MAX_TIME),
                         f.number("spread", 0.5, 0, 4),
                         f.number("hint_error", 0.3, -1, 4),
                         quoted,
                         f.number("stretch", 0, 0, 1000),
-                        f.number("outer", REQUIRED, 0.01, MOST_TIME),
-                        f.number("value", 1, 0.001, MOST),
+                        f.number("outer", REQUIRED, 0.01, MAX_TIME),
+                        f.number("value", 1, 0.001, MAX_NUMBER),
                         f.number("late_value", 0, 0, 1),
-                        f.number("window", 20, 0, MOST_TIME),
+                        f.number("window", 20, 0, MAX_TIME),
                         f.integer("slots", 1, 1, 1024),
-                        f.number("memory", 0, 0, MOST));
-        if (offering.outer() < quoted) {
+                        f.number("memory", 0, 0, MAX_NUMBER));
+        if (requestClass.deadline() < quoted) {
             f.addFault("outer", "is under quoted: no answer could be late");
         }
         f.rejectUnknownKeys();
-        return offering;
+        return requestClass;
     }
 
     private static Scenario.Tenant tenant(TomlFields f) {
         Scenario.Tenant tenant =
                 new Scenario.Tenant(
                         name(f),
-                        f.number("share", 1, 0.000001, MOST),
-                        f.number("quota", 0, 0, MOST_RATE));
+                        f.number("share", 1, 0.000001, MAX_NUMBER),
+                        f.number("quota", 0, 0, MAX_RATE));
         f.rejectUnknownKeys();
         return tenant;
     }
@@ -238,7 +239,7 @@
     private static Scenario.LoadPoint point(TomlFields f, double cycle) {
         Scenario.LoadPoint point =
                 new Scenario.LoadPoint(
-                        f.number("at", 0, 0, cycle), f.number("rate", REQUIRED, 0, MOST_RATE));
+                        f.number("at", 0, 0, cycle), f.number("rate", REQUIRED, 0, MAX_RATE));
         f.rejectUnknownKeys();
         return point;
     }
@@ -246,7 +247,7 @@
     private static Scenario.Clients clients(TomlFields f) {
         Scenario.Clients clients =
                 new Scenario.Clients(
-                        f.integer("retries", 0, 0, MOST_RETRIES),
+                        f.integer("retries", 0, 0, MAX_RETRIES),
                         f.number("pause", 0.1, 0, 60),
                         f.number("least_wait", 0.25, 0.01, 60),
                         f.number("impatient", 0, 0, 1),
@@ -275,13 +276,13 @@
                         f.number(
                                 "longest",
                                 Math.min(4, cycle / 2),
-                                FaultScheduleGenerator.SHORTEST,
-                                Math.max(FaultScheduleGenerator.SHORTEST, cycle / 2)),
+                                FaultScheduleGenerator.MIN_LENGTH,
+                                Math.max(FaultScheduleGenerator.MIN_LENGTH, cycle / 2)),
                         open.stream()
                                 .filter(kind -> kinds.contains(TomlFields.configuredName(kind)))
                                 .toList());
         f.rejectUnknownKeys();
-        return drawn.faults() == 0 ? Scenario.RandomFaults.NONE : drawn;
+        return drawn.perCycle() == 0 ? Scenario.RandomFaults.NONE : drawn;
     }
 
     private static Scenario.Network network(TomlFields f) {
@@ -328,42 +329,42 @@
                 new Scenario.Fault(
                         kind,
                         f.number("at", REQUIRED, 0, cycle),
-                        f.number("for", REQUIRED, 0.01, MOST_TIME),
+                        f.number("for", REQUIRED, 0.01, MAX_TIME),
                         group,
                         f.number("share", 1, 0, 1),
                         f.number("level", level[0], level[1], level[2]),
                         f.integer("pick", 0, 0, 1000),
-                        f.number("within", 0, 0, MOST_TIME),
+                        f.number("within", 0, 0, MAX_TIME),
                         f.enumConstant("to", Scenario.LinkKind.WORKERS, Scenario.LinkKind.class),
                         f.text("zone", ""),
                         f.text("from", ""),
                         f.number("spread", 0, 0, 60),
                         f.enumConstant("how", Scenario.How.USUAL, Scenario.How.class),
                         f.number("others", 1, 0, 1));
-        if (fault.until() > cycle) {
+        if (fault.end() > cycle) {
             f.addFault("for", "goes on past the end of the cycle, " + cycle + " s");
         }
-        if (fault.within() > 0 && !kind.isAboutDispatchers()) {
+        if (fault.startSpread() > 0 && !kind.affectsDispatchers()) {
             f.addFault("within", "is for faults of dispatchers only");
         }
-        if (f.contains("to") && (!kind.isAboutWays() || kind == Scenario.Kind.LIST_CUT)) {
+        if (f.contains("to") && (!kind.affectsLinks() || kind == Scenario.Kind.LIST_CUT)) {
             f.addFault("to", "is for links only");
         }
-        if (kind == Scenario.Kind.LINK_DOUBLE && fault.to() != Scenario.LinkKind.PEERS) {
+        if (kind == Scenario.Kind.LINK_DOUBLE && fault.linkKind() != Scenario.LinkKind.PEERS) {
             f.addFault("kind", "is for ways to peers only: to must be \"peers\"");
         }
-        if (!fault.zone().isEmpty() && groups.stream().noneMatch(fault::concerns)) {
+        if (!fault.zone().isEmpty() && groups.stream().noneMatch(fault::matches)) {
             f.addFault("zone", "names no zone of those workers: " + fault.zone());
         }
         if (!fault.from().isEmpty()
-                && (!kind.isAboutDispatchers() || !zones.contains(fault.from()))) {
+                && (!kind.affectsDispatchers() || !zones.contains(fault.from()))) {
             f.addFault(
                     "from",
-                    kind.isAboutDispatchers()
+                    kind.affectsDispatchers()
                             ? "is none of run.zones: " + fault.from()
                             : "is for faults of dispatchers only");
         }
-        if (!kind.hows().contains(fault.how())) {
+        if (!kind.allowedHows().contains(fault.how())) {
             f.addFault(
                     "how",
                     "is no way of "
@@ -404,8 +405,9 @@
                 continue;
             }
             TomlFields bounds = f.table(figure);
-            double least = bounds.number("least", Double.NEGATIVE_INFINITY, -MOST, MOST);
-            double most = bounds.number("most", Double.POSITIVE_INFINITY, -MOST, MOST);
+            double least =
+                    bounds.number("least", Double.NEGATIVE_INFINITY, -MAX_NUMBER, MAX_NUMBER);
+            double most = bounds.number("most", Double.POSITIVE_INFINITY, -MAX_NUMBER, MAX_NUMBER);
             bounds.rejectUnknownKeys();
             all.add(new Scenario.Expectation(figure, least, most));
         }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -32,7 +32,7 @@
                 .number("memory_mb", s.limits().memoryMb())
                 .number("sockets", s.limits().sockets());
         s.groups().forEach(this::write);
-        s.offerings().forEach(this::write);
+        s.requestClasses().forEach(this::write);
         for (Scenario.Tenant tenant : s.tenants()) {
             item("tenants")
                     .text("name", tenant.name())
@@ -40,52 +40,54 @@
                     .number("quota", tenant.quota());
         }
         for (Scenario.LoadPoint point : s.load()) {
-            item("load").number("at", point.at()).number("rate", point.rate());
+            item("load").number("at", point.time()).number("rate", point.rate());
         }
         Scenario.Clients c = s.clients();
         table("clients")
                 .number("retries", c.retries())
-                .number("pause", c.pause())
-                .number("least_wait", c.leastWait())
-                .number("impatient", c.impatient())
-                .number("fresh", c.fresh())
-                .number("writes", c.writes());
+                .number("pause", c.retryDelay())
+                .number("least_wait", c.minTimeout())
+                .number("impatient", c.cancelFraction())
+                .number("fresh", c.newConnectionFraction())
+                .number("writes", c.writePause());
         table("network")
                 .number("delay", s.network().delay())
                 .number("jitter", s.network().jitter());
         Scenario.PlatformTerms t = s.terms();
         table("terms")
-                .flag("tells_start", t.tellsStart())
-                .number("progress_every", t.progressEvery())
+                .flag("tells_start", t.reportsStart())
+                .number("progress_every", t.progressInterval())
                 .flag("may_cancel", t.mayCancel())
-                .flag("may_copy", t.mayCopy())
-                .number("most_launches", t.mostLaunches())
-                .flag("retry_after", t.retryAfter())
-                .number("longest_retry_after", t.longestRetryAfter())
+                .flag("may_copy", t.mayHedge())
+                .number("most_launches", t.maxAttempts())
+                .flag("retry_after", t.sendsRetryAfter())
+                .number("longest_retry_after", t.maxRetryAfter())
                 .number("list_lag", t.listLag())
                 .number("report_lag", t.reportLag())
                 .number("grace", t.grace())
-                .number("connect_limit", t.connectLimit())
+                .number("connect_limit", t.connectTimeout())
                 .number("cross_zone_price", t.crossZonePrice())
-                .number("over_share_value", t.overShareValue());
+                .number("over_share_value", t.overQuotaValue());
         s.faults().forEach(this::write);
-        if (s.drawn().faults() > 0) {
+        if (s.randomFaults().perCycle() > 0) {
             table("drawn")
-                    .number("faults", s.drawn().faults())
-                    .number("longest", s.drawn().longest())
+                    .number("faults", s.randomFaults().perCycle())
+                    .number("longest", s.randomFaults().maxLength())
                     .texts(
                             "kinds",
-                            s.drawn().kinds().stream().map(TomlFields::configuredName).toList());
+                            s.randomFaults().kinds().stream()
+                                    .map(TomlFields::configuredName)
+                                    .toList());
         }
         map("daemon", s.overrides());
-        map("changed", s.changed());
+        map("changed", s.changedSettings());
         for (Scenario.Expectation e : s.expectations()) {
             table("expect." + quoted(e.figure()));
-            if (Double.isFinite(e.least())) {
-                number("least", e.least());
+            if (Double.isFinite(e.min())) {
+                number("least", e.min());
             }
-            if (Double.isFinite(e.most())) {
-                number("most", e.most());
+            if (Double.isFinite(e.max())) {
+                number("most", e.max());
             }
         }
     }
@@ -100,28 +102,28 @@
                 .text("zone", g.zone())
                 .number("queue", g.queue())
                 .number("memory", g.memory())
-                .number("cold_share", g.coldShare())
-                .number("cold_for", g.coldFor())
-                .number("tip_multiple", g.tipMultiple())
-                .number("tip_window", g.tipWindow())
-                .number("tip_request", g.tipRequest());
+                .number("cold_share", g.slowStartShare())
+                .number("cold_for", g.slowStartDuration())
+                .number("tip_multiple", g.overloadMultiple())
+                .number("tip_window", g.overloadWindow())
+                .number("tip_request", g.overloadMeanWork());
     }
 
     private void write(Scenario.RequestClass o) {
         item("offerings")
                 .text("name", o.name())
-                .text("effect", TomlFields.configuredName(o.effect()))
-                .text("group", TomlFields.configuredName(o.group()))
+                .text("effect", TomlFields.configuredName(o.idempotency()))
+                .text("group", TomlFields.configuredName(o.idempotencyScope()))
                 .number("share", o.share())
                 .number("work", o.work())
                 .number("spread", o.spread())
-                .number("hint_error", o.hintError())
-                .number("quoted", o.quoted())
-                .number("stretch", o.stretch())
-                .number("outer", o.outer())
-                .number("value", o.value())
+                .number("hint_error", o.estimateError())
+                .number("quoted", o.latencyObjective())
+                .number("stretch", o.objectivePerWork())
+                .number("outer", o.deadline())
+                .number("value", o.priorityWeight())
                 .number("late_value", o.lateValue())
-                .number("window", o.window())
+                .number("window", o.idempotencyWindow())
                 .number("slots", o.slots())
                 .number("memory", o.memory());
     }
@@ -130,17 +132,17 @@
     private void write(Scenario.Fault f) {
         item("faults")
                 .text("kind", TomlFields.configuredName(f.kind()))
-                .number("at", f.at())
+                .number("at", f.start())
                 .number("for", f.length());
         if (!f.group().isEmpty()) {
             text("group", f.group());
         }
         number("share", f.share()).number("level", f.level()).number("pick", f.pick());
-        if (f.within() > 0) {
-            number("within", f.within());
+        if (f.startSpread() > 0) {
+            number("within", f.startSpread());
         }
-        if (f.to() != Scenario.LinkKind.WORKERS) {
-            text("to", TomlFields.configuredName(f.to()));
+        if (f.linkKind() != Scenario.LinkKind.WORKERS) {
+            text("to", TomlFields.configuredName(f.linkKind()));
         }
         if (!f.zone().isEmpty()) {
             text("zone", f.zone());
@@ -151,8 +153,8 @@
         if (f.spread() > 0) {
             number("spread", f.spread());
         }
-        if (f.others() < 1) {
-            number("others", f.others());
+        if (f.peerFraction() < 1) {
+            number("others", f.peerFraction());
         }
         if (f.how() != Scenario.How.USUAL) {
             text("how", TomlFields.configuredName(f.how()));
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
@@ -37,175 +37,175 @@
  */
 final class SimulatedDispatcher implements ActionHandler {
     /** As the daemon keeps back of what a client says it will wait. */
-    private static final double ANSWER_MARGIN = 0.08;
+    private static final double RESPONSE_MARGIN = 0.08;
 
-    private static final double ANSWER_MARGIN_PART = 0.1;
+    private static final double RESPONSE_MARGIN_FRACTION = 0.1;
 
     /** After the signal to end what is left is given up after so long. */
-    private static final double DRAIN = 3.5;
+    private static final double DRAIN_TIMEOUT = 3.5;
 
     /**
      * A watch of which nothing is heard counts as failed so long after it began: its hold, and 1.5
      * s.
      */
-    private static final double WATCH_SILENT = 6.5;
+    private static final double WATCH_TIMEOUT = 6.5;
 
     /** A call for the whole list, which is not held. */
-    private static final double CALL_SILENT = 1.5;
+    private static final double CALL_TIMEOUT = 1.5;
 
-    private static final double LEFT_FOR = 60;
+    private static final double CANCELLATION_MEMORY = 60;
 
     private final int number;
-    private final ClusterModel world;
+    private final ClusterModel cluster;
     private final Scenario scenario;
     private final Settings settings;
-    private final Strategy.Factory maker;
+    private final Strategy.Factory strategyFactory;
     private final Auditor auditor;
-    private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
-    private final Map<Ids.Request, PendingRequest> open = new HashMap<>();
-    private final Consumer<EndpointRegistry.Entry> watcher = this::changed;
+    private final ArrayDeque<Runnable> eventQueue = new ArrayDeque<>();
+    private final Map<Ids.Request, PendingRequest> pending = new HashMap<>();
+    private final Consumer<EndpointRegistry.Entry> watcher = this::onEndpointChanged;
     private Clients clients;
-    private Strategy brain;
-    private boolean deciding;
-    private boolean listens;
-    private boolean watching;
-    private int life;
-    private long messages;
-    private final Map<NetworkLink, SimulatedLink> lanes = new HashMap<>();
+    private Strategy strategy;
+    private boolean isDeciding;
+    private boolean isListening;
+    private boolean isWatching;
+    private int incarnation;
+    private long messageCount;
+    private final Map<NetworkLink, SimulatedLink> links = new HashMap<>();
 
     /**
      * While the process stands still: what would have happened, timers before what came from
      * outside.
      */
-    private boolean still;
+    private boolean isPaused;
 
-    private final ArrayDeque<Runnable> dueMeanwhile = new ArrayDeque<>();
-    private final ArrayDeque<Runnable> cameMeanwhile = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> timersDuringPause = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> inputDuringPause = new ArrayDeque<>();
 
     /** Sent to us and not read yet, by clients that still wait for it. */
     private final Map<Long, ClientAttempt> unread = new HashMap<>();
 
-    private final Set<Long> left = new HashSet<>();
+    private final Set<Long> cancelled = new HashSet<>();
 
     SimulatedDispatcher(
             int number,
-            ClusterModel world,
+            ClusterModel cluster,
             Settings settings,
-            Strategy.Factory maker,
+            Strategy.Factory factory,
             Auditor auditor) {
         this.number = number;
-        this.world = world;
-        this.scenario = world.scenario;
+        this.cluster = cluster;
+        this.scenario = cluster.scenario;
         this.settings = settings;
-        this.maker = maker;
+        this.strategyFactory = factory;
         this.auditor = auditor;
-        world.registry.onOutage(this::outage);
+        cluster.registry.onOutage(this::onOutage);
     }
 
     void clients(Clients newClients) {
         clients = newClients;
     }
 
-    boolean listens() {
-        return listens;
+    boolean isListening() {
+        return isListening;
     }
 
     void start() {
-        if (listens || !open.isEmpty()) {
+        if (isListening || !pending.isEmpty()) {
             kill();
         }
-        life++;
-        listens = true;
-        auditor.dispatcherBorn(number);
-        turn(() -> brain = maker.make(settings, this));
+        incarnation++;
+        isListening = true;
+        auditor.onDispatcherStarted(number);
+        dispatch(() -> strategy = strategyFactory.create(settings, this));
     }
 
     /** SIGKILL: connections on both sides break. */
     void kill() {
-        life++;
-        listens = false;
-        still = false;
-        dueMeanwhile.clear();
-        cameMeanwhile.clear();
-        auditor.dispatcherDied(number);
-        world.registry.unwatch(watcher);
-        watching = false;
-        List<PendingRequest> lost = new ArrayList<>(open.values());
-        open.clear();
-        for (PendingRequest exchange : lost) {
-            exchange.launches.forEach(InFlightAttempt::close);
-            travel(() -> clients.cutOff(exchange.submitted));
+        incarnation++;
+        isListening = false;
+        isPaused = false;
+        timersDuringPause.clear();
+        inputDuringPause.clear();
+        auditor.onDispatcherStopped(number);
+        cluster.registry.unwatch(watcher);
+        isWatching = false;
+        List<PendingRequest> lost = new ArrayList<>(pending.values());
+        pending.clear();
+        for (PendingRequest pendingRequest : lost) {
+            pendingRequest.attempts.forEach(InFlightAttempt::close);
+            transmit(() -> clients.onConnectionLost(pendingRequest.clientAttempt));
         }
         List<ClientAttempt> neverRead = new ArrayList<>(unread.values());
         unread.clear();
-        neverRead.forEach(submitted -> travel(() -> clients.cutOff(submitted)));
+        neverRead.forEach(clientAttempt -> transmit(() -> clients.onConnectionLost(clientAttempt)));
     }
 
     /** SIGTERM: nothing new, what is held is answered, then the end. */
-    void end() {
-        listens = false;
-        later(
-                DRAIN,
+    void terminate() {
+        isListening = false;
+        schedule(
+                DRAIN_TIMEOUT,
                 () -> {
-                    new ArrayList<>(open.values()).forEach(PendingRequest::outOfTime);
+                    new ArrayList<>(pending.values()).forEach(PendingRequest::onDeadline);
                     kill();
                 });
     }
 
     /** SIGSTOP and SIGCONT: what would have happened meanwhile happens when it goes on. */
-    void pause(boolean begins) {
-        still = begins;
+    void setPaused(boolean begins) {
+        isPaused = begins;
         if (begins) {
-            auditor.dispatcherPaused(number);
+            auditor.onDispatcherPaused(number);
             return;
         }
         // As the loop does: timers that are due run before anything is read.
-        while (!still && !(dueMeanwhile.isEmpty() && cameMeanwhile.isEmpty())) {
-            (dueMeanwhile.isEmpty() ? cameMeanwhile : dueMeanwhile).pollFirst().run();
+        while (!isPaused && !(timersDuringPause.isEmpty() && inputDuringPause.isEmpty())) {
+            (timersDuringPause.isEmpty() ? inputDuringPause : timersDuringPause).pollFirst().run();
         }
-        auditor.dispatcherWoke(number);
+        auditor.onDispatcherResumed(number);
     }
 
-    void harmed(NetworkLink way, LinkState passage) {
-        if (way.worker() == NetworkLink.CLIENTS) {
-            auditor.clientsHarmed(number, !passage.equals(LinkState.OPEN));
+    void onLinkChanged(NetworkLink link, LinkState state) {
+        if (link.worker() == NetworkLink.CLIENTS) {
+            auditor.setClientsImpaired(number, !state.equals(LinkState.OPEN));
         }
-        if (way.isToWorker()) {
-            auditor.wayLater(number, way.worker(), passage.mostLater(0));
+        if (link.isToWorker()) {
+            auditor.setLinkDelay(number, link.worker(), state.maxDelay(0));
         }
-        LinkState before = lane(way).passage();
-        lane(way).set(passage);
-        if (way.worker() == NetworkLink.LIST) {
-            boolean shut = !passage.forth() || !passage.back();
-            if (passage.refuses()) {
-                listLost();
-            } else if (shut && before.forth() && before.back()) {
-                later(
-                        WATCH_SILENT,
+        LinkState before = link(link).state();
+        link(link).apply(state);
+        if (link.worker() == NetworkLink.DISCOVERY) {
+            boolean shut = !state.outbound() || !state.inbound();
+            if (state.refuses()) {
+                onWatchLost();
+            } else if (shut && before.outbound() && before.inbound()) {
+                schedule(
+                        WATCH_TIMEOUT,
                         () -> {
-                            if (!lane(way).passage().back() || !lane(way).passage().forth()) {
-                                listLost();
+                            if (!link(link).state().inbound() || !link(link).state().outbound()) {
+                                onWatchLost();
                             }
                         });
             }
         }
     }
 
-    private SimulatedLink lane(NetworkLink way) {
-        return lanes.computeIfAbsent(way, w -> new SimulatedLink(world.timeline));
+    private SimulatedLink link(NetworkLink link) {
+        return links.computeIfAbsent(link, w -> new SimulatedLink(cluster.timeline));
     }
 
     /** A timer of this process; it is gone with it, and late if that stands still. */
-    private void later(double delay, Runnable task) {
-        int from = life;
-        world.timeline.after(
+    private void schedule(double delay, Runnable task) {
+        int from = incarnation;
+        cluster.timeline.schedule(
                 delay,
                 () -> {
-                    if (from != life) {
+                    if (from != incarnation) {
                         return;
                     }
-                    if (still) {
-                        dueMeanwhile.addLast(task);
+                    if (isPaused) {
+                        timersDuringPause.addLast(task);
                     } else {
                         task.run();
                     }
@@ -213,193 +213,202 @@
     }
 
     /** What reaches this process from outside. */
-    private void comes(Runnable event) {
-        if (still) {
-            cameMeanwhile.addLast(event);
+    private void receive(Runnable event) {
+        if (isPaused) {
+            inputDuringPause.addLast(event);
         } else {
             event.run();
         }
     }
 
     /** A message's way: never at once, so that no event reaches a decision that is being made. */
-    private void travel(Runnable arrival) {
-        travel(LinkState.OPEN, arrival);
+    private void transmit(Runnable arrival) {
+        transmit(LinkState.OPEN, arrival);
     }
 
-    private void travel(LinkState passage, Runnable arrival) {
+    private void transmit(LinkState state, Runnable arrival) {
         Scenario.Network network = scenario.network();
         double delay = network.delay();
         if (network.jitter() > 0) {
             delay +=
                     network.jitter()
-                            * world.chance.once(SeededRandom.Purpose.NETWORK, number, messages++);
+                            * cluster.random.uniform(
+                                    SeededRandom.Purpose.NETWORK, number, messageCount++);
         }
-        if (!passage.equals(LinkState.OPEN)) {
+        if (!state.equals(LinkState.OPEN)) {
             delay +=
-                    passage.later(
-                            () -> world.chance.once(SeededRandom.Purpose.LINK, number, messages++));
+                    state.extraDelay(
+                            () ->
+                                    cluster.random.uniform(
+                                            SeededRandom.Purpose.LINK, number, messageCount++));
         }
-        world.timeline.after(delay, arrival);
+        cluster.timeline.schedule(delay, arrival);
     }
 
-    private void turn(Runnable event) {
-        turns.add(event);
-        if (deciding) {
+    private void dispatch(Runnable event) {
+        eventQueue.add(event);
+        if (isDeciding) {
             return;
         }
-        deciding = true;
-        for (Runnable next = turns.poll(); next != null; next = turns.poll()) {
-            if (brain != null) {
-                brain.at(world.timeline.now());
+        isDeciding = true;
+        for (Runnable next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
+            if (strategy != null) {
+                strategy.advanceTo(cluster.timeline.now());
             }
             next.run();
         }
-        deciding = false;
+        isDeciding = false;
     }
 
     // ---- from the clients
 
-    void submit(ClientAttempt submitted) {
-        int sentTo = life;
-        SimulatedLink lane = lane(NetworkLink.toClients(number));
-        if (lane.passage().refuses()) {
-            travel(() -> clients.refused(submitted));
+    void submit(ClientAttempt clientAttempt) {
+        int sentTo = incarnation;
+        SimulatedLink link = link(NetworkLink.toClients(number));
+        if (link.state().refuses()) {
+            transmit(() -> clients.onRefused(clientAttempt));
             return;
         }
-        travel(
-                lane.passage(),
+        transmit(
+                link.state(),
                 () ->
-                        lane.back(
+                        link.sendInbound(
                                 () -> {
-                                    if (sentTo != life || !listens) {
-                                        clients.refused(submitted);
+                                    if (sentTo != incarnation || !isListening) {
+                                        clients.onRefused(clientAttempt);
                                         return;
                                     }
-                                    unread.put(submitted.key(), submitted);
-                                    comes(() -> read(submitted));
+                                    unread.put(clientAttempt.key(), clientAttempt);
+                                    receive(() -> read(clientAttempt));
                                 },
-                                () -> !left.contains(submitted.key())));
+                                () -> !cancelled.contains(clientAttempt.key())));
     }
 
-    private void read(ClientAttempt submitted) {
+    private void read(ClientAttempt clientAttempt) {
         // Whose client has left while it lay unread is not taken.
-        if (unread.remove(submitted.key()) == null || left.contains(submitted.key())) {
+        if (unread.remove(clientAttempt.key()) == null || cancelled.contains(clientAttempt.key())) {
             return;
         }
-        PendingRequest exchange = new PendingRequest(submitted);
-        open.put(exchange.submission.id(), exchange);
-        lane(NetworkLink.toClients(number)).open(exchange);
-        turn(exchange::begin);
-        later(exchange.submission.deadline() - world.timeline.now(), exchange::outOfTime);
+        PendingRequest pendingRequest = new PendingRequest(clientAttempt);
+        pending.put(pendingRequest.request.id(), pendingRequest);
+        link(NetworkLink.toClients(number)).add(pendingRequest);
+        dispatch(pendingRequest::start);
+        schedule(
+                pendingRequest.request.deadline() - cluster.timeline.now(),
+                pendingRequest::onDeadline);
     }
 
-    void hangUp(ClientAttempt submitted) {
-        left.add(submitted.key());
+    void cancel(ClientAttempt clientAttempt) {
+        cancelled.add(clientAttempt.key());
         // An answer may be under way for as long as a process can stand still.
-        world.timeline.after(LEFT_FOR, () -> left.remove(submitted.key()));
-        travel(
+        cluster.timeline.schedule(CANCELLATION_MEMORY, () -> cancelled.remove(clientAttempt.key()));
+        transmit(
                 () ->
-                        lane(NetworkLink.toClients(number))
-                                .back(
+                        link(NetworkLink.toClients(number))
+                                .sendInbound(
                                         () ->
-                                                comes(
+                                                receive(
                                                         () -> {
-                                                            unread.remove(submitted.key());
-                                                            PendingRequest exchange =
-                                                                    open.get(
+                                                            unread.remove(clientAttempt.key());
+                                                            PendingRequest pendingRequest =
+                                                                    pending.get(
                                                                             new Ids.Request(
-                                                                                    submitted
+                                                                                    clientAttempt
                                                                                             .key()));
-                                                            if (exchange != null) {
-                                                                turn(exchange::clientGone);
+                                                            if (pendingRequest != null) {
+                                                                dispatch(
+                                                                        pendingRequest
+                                                                                ::onClientGone);
                                                             }
                                                         }),
                                         () -> true));
     }
 
     private final class PendingRequest implements SimulatedLink.Connection {
-        final ClientAttempt submitted;
-        final Request submission;
-        final List<InFlightAttempt> launches = new ArrayList<>(2);
-        private Strategy.Handle held;
+        final ClientAttempt clientAttempt;
+        final Request request;
+        final List<InFlightAttempt> attempts = new ArrayList<>(2);
+        private Strategy.Handle handle;
         private boolean answered;
 
-        PendingRequest(ClientAttempt submitted) {
-            this.submitted = submitted;
-            double margin = Math.min(ANSWER_MARGIN, ANSWER_MARGIN_PART * submitted.timeout());
-            Scenario.RequestClass offering = submitted.ask().offering();
-            submission =
+        PendingRequest(ClientAttempt clientAttempt) {
+            this.clientAttempt = clientAttempt;
+            double margin =
+                    Math.min(RESPONSE_MARGIN, RESPONSE_MARGIN_FRACTION * clientAttempt.timeout());
+            Scenario.RequestClass requestClass = clientAttempt.request().requestClass();
+            request =
                     new Request(
-                            new Ids.Request(submitted.key()),
-                            new Ids.RequestClass(offering.name()),
-                            new Ids.Tenant(submitted.ask().tenant().name()),
-                            world.timeline.now() + submitted.timeout() - margin,
-                            submitted.ask().hint(),
-                            offering.slots(),
-                            offering.memory(),
-                            submitted.attempt() > 0,
+                            new Ids.Request(clientAttempt.key()),
+                            new Ids.RequestClass(requestClass.name()),
+                            new Ids.Tenant(clientAttempt.request().tenant().name()),
+                            cluster.timeline.now() + clientAttempt.timeout() - margin,
+                            clientAttempt.request().costEstimate(),
+                            requestClass.slots(),
+                            requestClass.memory(),
+                            clientAttempt.number() > 0,
                             null);
         }
 
-        void begin() {
-            held = brain.take(submission);
-            closeIfOver();
+        void start() {
+            handle = strategy.accept(request);
+            closeIfComplete();
         }
 
-        void answer(FinalResponse answer, double retryAfter) {
+        void respond(FinalResponse response, double retryAfter) {
             if (!answered) {
                 answered = true;
-                SimulatedLink lane = lane(NetworkLink.toClients(number));
-                travel(
-                        lane.passage(),
+                SimulatedLink link = link(NetworkLink.toClients(number));
+                transmit(
+                        link.state(),
                         () ->
-                                lane.forth(
+                                link.sendOutbound(
                                         () -> {
                                             // Who has left reads nothing more.
-                                            if (!left.contains(submitted.key())) {
-                                                clients.answered(submitted, answer, retryAfter);
+                                            if (!cancelled.contains(clientAttempt.key())) {
+                                                clients.onResponse(
+                                                        clientAttempt, response, retryAfter);
                                             }
                                         },
                                         () -> true));
-                lane.closed(this);
+                link.remove(this);
             }
         }
 
         /** The way to its client breaks. */
         @Override
         public void reset() {
-            travel(() -> clients.cutOff(submitted));
-            comes(() -> turn(this::clientGone));
+            transmit(() -> clients.onConnectionLost(clientAttempt));
+            receive(() -> dispatch(this::onClientGone));
         }
 
-        void clientGone() {
+        void onClientGone() {
             if (!answered) {
                 answered = true;
-                lane(NetworkLink.toClients(number)).closed(this);
-                held.gone();
-                closeIfOver();
+                link(NetworkLink.toClients(number)).remove(this);
+                handle.onClientGone();
+                closeIfComplete();
             }
         }
 
-        void outOfTime() {
-            if (open.get(submission.id()) != this) {
+        void onDeadline() {
+            if (pending.get(request.id()) != this) {
                 return;
             }
-            for (InFlightAttempt flight : new ArrayList<>(launches)) {
-                flight.giveUp(Outcome.TIMED_OUT);
+            for (InFlightAttempt attempt : new ArrayList<>(attempts)) {
+                attempt.abort(Outcome.TIMED_OUT);
             }
-            turn(
+            dispatch(
                     () -> {
                         if (!answered) {
-                            answer(FinalResponse.SCRAPPED, 0);
+                            respond(FinalResponse.FAILED, 0);
                         }
-                        open.remove(submission.id());
+                        pending.remove(request.id());
                     });
         }
 
-        void closeIfOver() {
-            if (answered && held != null && held.isOver()) {
-                open.remove(submission.id());
+        void closeIfComplete() {
+            if (answered && handle != null && handle.isComplete()) {
+                pending.remove(request.id());
             }
         }
     }
@@ -407,12 +416,12 @@
     // ---- one launch
 
     private final class InFlightAttempt implements WorkerAttempt.Reply, SimulatedLink.Connection {
-        private final PendingRequest exchange;
+        private final PendingRequest pendingRequest;
         private final int number;
         private final WorkerModel worker;
-        private final int from = life;
-        private final SimulatedLink lane;
-        private WorkerAttempt launch;
+        private final int startedIn = incarnation;
+        private final SimulatedLink link;
+        private WorkerAttempt workerAttempt;
         private boolean ended;
 
         /**
@@ -420,43 +429,44 @@
          */
         private boolean closed;
 
-        InFlightAttempt(PendingRequest exchange, int number, WorkerModel worker) {
-            this.exchange = exchange;
+        InFlightAttempt(PendingRequest pendingRequest, int number, WorkerModel worker) {
+            this.pendingRequest = pendingRequest;
             this.number = number;
             this.worker = worker;
-            lane = lane(new NetworkLink(SimulatedDispatcher.this.number, worker.number));
+            link = link(new NetworkLink(SimulatedDispatcher.this.number, worker.number));
         }
 
         /**
          * On the way it cannot be taken back; whether the worker is there is seen when it arrives.
          */
         void send() {
-            if (lane.passage().refuses()) {
-                travel(() -> hears(() -> end(Outcome.CONNECT_FAILED, Double.NaN)));
+            if (link.state().refuses()) {
+                transmit(() -> receiveBack(() -> end(Outcome.CONNECT_FAILED, Double.NaN)));
                 return;
             }
-            lane.open(this);
-            travel(lane.passage(), () -> lane.forth(this::arrive, () -> !closed));
+            link.add(this);
+            transmit(link.state(), () -> link.sendOutbound(this::onArrival, () -> !closed));
         }
 
-        private void arrive() {
-            if (closed && !lane.passage().equals(LinkState.OPEN)) {
+        private void onArrival() {
+            if (closed && !link.state().equals(LinkState.OPEN)) {
                 // Reset on the way, or called off while the way was harmed.
                 return;
             }
             if (!worker.isUp()) {
-                back(() -> end(Outcome.CONNECT_FAILED, Double.NaN));
+                sendBack(() -> end(Outcome.CONNECT_FAILED, Double.NaN));
                 return;
             }
-            Scenario.RequestClass offering = exchange.submitted.ask().offering();
-            launch =
+            Scenario.RequestClass requestClass =
+                    pendingRequest.clientAttempt.request().requestClass();
+            workerAttempt =
                     new WorkerAttempt(
-                            exchange.submitted.key(),
-                            exchange.submitted.ask().work(),
-                            offering.slots(),
-                            offering.memory(),
+                            pendingRequest.clientAttempt.key(),
+                            pendingRequest.clientAttempt.request().work(),
+                            requestClass.slots(),
+                            requestClass.memory(),
                             this);
-            worker.arrive(launch);
+            worker.accept(workerAttempt);
             if (ended) {
                 closeAtWorker();
             }
@@ -465,15 +475,15 @@
         /**
          * What the worker says comes back by the same way, and waits on it while nothing passes.
          */
-        private void back(Runnable word) {
-            travel(lane.passage(), () -> lane.back(() -> hears(word), () -> !closed));
+        private void sendBack(Runnable word) {
+            transmit(link.state(), () -> link.sendInbound(() -> receiveBack(word), () -> !closed));
         }
 
-        private void hears(Runnable word) {
-            if (from == life) {
-                comes(
+        private void receiveBack(Runnable word) {
+            if (startedIn == incarnation) {
+                receive(
                         () -> {
-                            if (from == life) {
+                            if (startedIn == incarnation) {
                                 word.run();
                             }
                         });
@@ -481,61 +491,64 @@
         }
 
         @Override
-        public void started() {
-            back(
+        public void onStarted() {
+            sendBack(
                     () -> {
                         if (!ended) {
-                            turn(() -> exchange.held.started(number));
+                            dispatch(() -> pendingRequest.handle.onStarted(number));
                         }
                     });
         }
 
         @Override
-        public void progressed(double share) {
-            back(
+        public void onProgress(double share) {
+            sendBack(
                     () -> {
                         if (!ended) {
-                            turn(() -> exchange.held.progressed(number, share));
+                            dispatch(() -> pendingRequest.handle.onProgress(number, share));
                         }
                     });
         }
 
         @Override
-        public void ended(AttemptEnding ending, double freeSlots) {
-            back(
+        public void onEnded(AttemptEnding ending, double freeSlots) {
+            sendBack(
                     () ->
                             end(
                                     switch (ending) {
-                                        case DONE -> Outcome.SUCCEEDED;
+                                        case SUCCEEDED -> Outcome.SUCCEEDED;
                                         case FAILED -> Outcome.FAILED;
-                                        case RETURNED, TURNED_AWAY -> Outcome.REJECTED;
-                                        case BROKEN -> Outcome.CONNECTION_LOST;
+                                        case RETURNED, REJECTED -> Outcome.REJECTED;
+                                        case CONNECTION_LOST -> Outcome.CONNECTION_LOST;
                                     },
                                     freeSlots));
         }
 
         private void end(Outcome outcome, double freeSlots) {
-            if (ended || from != life) {
+            if (ended || startedIn != incarnation) {
                 return;
             }
             ended = true;
-            lane.closed(this);
-            turn(
+            link.remove(this);
+            dispatch(
                     () -> {
                         if (outcome == Outcome.SUCCEEDED) {
-                            exchange.answer(FinalResponse.FULFILLED, 0);
+                            pendingRequest.respond(FinalResponse.SUCCEEDED, 0);
                         }
-                        exchange.held.ended(
-                                number, outcome, exchange.answered, new LoadReport(freeSlots));
-                        exchange.closeIfOver();
+                        pendingRequest.handle.onEnded(
+                                number,
+                                outcome,
+                                pendingRequest.answered,
+                                new LoadReport(freeSlots));
+                        pendingRequest.closeIfComplete();
                     });
         }
 
-        void calledOff() {
-            giveUp(Outcome.CANCELLED);
+        void cancel() {
+            abort(Outcome.CANCELLED);
         }
 
-        void giveUp(Outcome outcome) {
+        void abort(Outcome outcome) {
             if (!ended) {
                 close();
                 end(outcome, Double.NaN);
@@ -546,31 +559,31 @@
         @Override
         public void reset() {
             closed = true;
-            if (launch != null) {
+            if (workerAttempt != null) {
                 closeAtWorker();
             }
-            travel(() -> hears(() -> end(Outcome.CONNECTION_LOST, Double.NaN)));
+            transmit(() -> receiveBack(() -> end(Outcome.CONNECTION_LOST, Double.NaN)));
         }
 
         /** The connection ends now; the worker sees it one way later. */
         void close() {
             closed = true;
-            lane.closed(this);
-            if (launch != null) {
-                auditor.closed(launch);
-                travel(() -> lane.forth(this::closeAtWorker, () -> true));
+            link.remove(this);
+            if (workerAttempt != null) {
+                auditor.onClosed(workerAttempt);
+                transmit(() -> link.sendOutbound(this::closeAtWorker, () -> true));
             }
         }
 
         private void closeAtWorker() {
-            auditor.closed(launch);
-            worker.dropped(launch);
+            auditor.onClosed(workerAttempt);
+            worker.cancel(workerAttempt);
         }
     }
 
     // ---- from the list
 
-    private Endpoint listing(EndpointRegistry.Entry entry) {
+    private Endpoint toEndpoint(EndpointRegistry.Entry entry) {
         WorkerModel worker = entry.worker();
         return new Endpoint(
                 new Ids.Worker(worker.number),
@@ -586,110 +599,110 @@
                 });
     }
 
-    private void changed(EndpointRegistry.Entry entry) {
-        hear(List.of(entry), false);
+    private void onEndpointChanged(EndpointRegistry.Entry entry) {
+        sendEndpoints(List.of(entry), false);
     }
 
-    private void hear(List<EndpointRegistry.Entry> entries, boolean whole) {
-        int to = life;
-        SimulatedLink lane = lane(NetworkLink.toList(number));
-        travel(
-                lane.passage(),
+    private void sendEndpoints(List<EndpointRegistry.Entry> entries, boolean whole) {
+        int to = incarnation;
+        SimulatedLink link = link(NetworkLink.toDiscovery(number));
+        transmit(
+                link.state(),
                 () ->
-                        lane.back(
-                                () -> comes(() -> heard(entries, whole, to)),
-                                () -> to == life && watching));
+                        link.sendInbound(
+                                () -> receive(() -> onEndpointsReceived(entries, whole, to)),
+                                () -> to == incarnation && isWatching));
     }
 
-    private void heard(List<EndpointRegistry.Entry> entries, boolean whole, int to) {
-        if (to != life) {
+    private void onEndpointsReceived(List<EndpointRegistry.Entry> entries, boolean whole, int to) {
+        if (to != incarnation) {
             return;
         }
         List<Endpoint> listings = new ArrayList<>();
         for (EndpointRegistry.Entry entry : entries) {
-            auditor.told(number, entry.worker().number, entry.state());
+            auditor.onNotified(number, entry.worker().number, entry.state());
             if (!whole || entry.state() != EndpointRegistry.State.GONE) {
-                listings.add(listing(entry));
+                listings.add(toEndpoint(entry));
             }
         }
-        turn(() -> brain.listed(listings, whole));
+        dispatch(() -> strategy.onEndpoints(listings, whole));
     }
 
-    private void outage() {
-        if (lane(NetworkLink.toList(number)).passage().back()) {
-            listLost();
+    private void onOutage() {
+        if (link(NetworkLink.toDiscovery(number)).state().inbound()) {
+            onWatchLost();
         }
     }
 
-    private void listLost() {
-        if (watching) {
-            world.registry.unwatch(watcher);
-            watching = false;
-            failed(0);
+    private void onWatchLost() {
+        if (isWatching) {
+            cluster.registry.unwatch(watcher);
+            isWatching = false;
+            failWatch(0);
         }
     }
 
-    private void failed(double after) {
-        int to = life;
-        world.timeline.after(
+    private void failWatch(double after) {
+        int to = incarnation;
+        cluster.timeline.schedule(
                 after,
                 () ->
-                        travel(
+                        transmit(
                                 () -> {
-                                    if (to == life) {
-                                        comes(() -> turn(brain::listFailed));
+                                    if (to == incarnation) {
+                                        receive(() -> dispatch(strategy::onEndpointsFailed));
                                     }
                                 }));
     }
 
     @Override
     public void watchEndpoints() {
-        LinkState passage = lane(NetworkLink.toList(number)).passage();
-        if (world.registry.isDown() || passage.refuses()) {
-            failed(0);
-        } else if (!passage.forth() || !passage.back()) {
-            failed(CALL_SILENT);
-        } else if (!watching) {
-            watching = true;
-            world.registry.watch(watcher);
-            hear(world.registry.entries(), true);
+        LinkState state = link(NetworkLink.toDiscovery(number)).state();
+        if (cluster.registry.isDown() || state.refuses()) {
+            failWatch(0);
+        } else if (!state.outbound() || !state.inbound()) {
+            failWatch(CALL_TIMEOUT);
+        } else if (!isWatching) {
+            isWatching = true;
+            cluster.registry.watch(watcher);
+            sendEndpoints(cluster.registry.entries(), true);
         }
     }
 
     // ---- from the decisions
 
     @Override
-    public void startAttempt(Ids.Request submission, Ids.Worker worker, double limit) {
-        PendingRequest exchange = open.get(submission);
-        InFlightAttempt flight =
+    public void startAttempt(Ids.Request request, Ids.Worker worker, double limit) {
+        PendingRequest pendingRequest = pending.get(request);
+        InFlightAttempt attempt =
                 new InFlightAttempt(
-                        exchange,
-                        exchange.launches.size(),
-                        world.workers.get((int) worker.value()));
-        exchange.launches.add(flight);
-        flight.send();
+                        pendingRequest,
+                        pendingRequest.attempts.size(),
+                        cluster.workers.get((int) worker.value()));
+        pendingRequest.attempts.add(attempt);
+        attempt.send();
     }
 
     @Override
-    public void reject(Ids.Request submission, double retryAfter) {
-        open.get(submission).answer(FinalResponse.BOUNCED, retryAfter);
+    public void reject(Ids.Request request, double retryAfter) {
+        pending.get(request).respond(FinalResponse.REJECTED, retryAfter);
     }
 
     @Override
-    public void fail(Ids.Request submission) {
-        open.get(submission).answer(FinalResponse.SCRAPPED, 0);
+    public void fail(Ids.Request request) {
+        pending.get(request).respond(FinalResponse.FAILED, 0);
     }
 
     @Override
-    public void cancelAttempt(Ids.Request submission, int launch) {
-        PendingRequest exchange = open.get(submission);
-        if (exchange != null) {
-            exchange.launches.get(launch).calledOff();
+    public void cancelAttempt(Ids.Request request, int attempt) {
+        PendingRequest pendingRequest = pending.get(request);
+        if (pendingRequest != null) {
+            pendingRequest.attempts.get(attempt).cancel();
         }
     }
 
     @Override
     public void scheduleWakeup(double delay) {
-        later(delay, () -> turn(brain::woken));
+        schedule(delay, () -> dispatch(strategy::onWakeup));
     }
 }
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedLink.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedLink.java
@@ -24,41 +24,41 @@
     private record Message(Runnable arrival, BooleanSupplier stillWanted) {}
 
     private final Timeline timeline;
-    private final Set<Connection> lines = new HashSet<>();
-    private final ArrayDeque<Message> heldForth = new ArrayDeque<>();
-    private final ArrayDeque<Message> heldBack = new ArrayDeque<>();
-    private LinkState passage = LinkState.OPEN;
+    private final Set<Connection> connections = new HashSet<>();
+    private final ArrayDeque<Message> heldOutbound = new ArrayDeque<>();
+    private final ArrayDeque<Message> heldInbound = new ArrayDeque<>();
+    private LinkState state = LinkState.OPEN;
 
     SimulatedLink(Timeline timeline) {
         this.timeline = timeline;
     }
 
-    LinkState passage() {
-        return passage;
+    LinkState state() {
+        return state;
     }
 
-    void open(Connection line) {
-        lines.add(line);
+    void add(Connection line) {
+        connections.add(line);
     }
 
-    void closed(Connection line) {
-        lines.remove(line);
+    void remove(Connection line) {
+        connections.remove(line);
     }
 
-    void set(LinkState now) {
-        passage = now;
+    void apply(LinkState now) {
+        state = now;
         if (now.refuses()) {
-            heldForth.clear();
-            heldBack.clear();
-            List<Connection> broken = new ArrayList<>(lines);
-            lines.clear();
+            heldOutbound.clear();
+            heldInbound.clear();
+            List<Connection> broken = new ArrayList<>(connections);
+            connections.clear();
             broken.forEach(Connection::reset);
         }
-        if (now.forth()) {
-            flush(heldForth);
+        if (now.outbound()) {
+            flush(heldOutbound);
         }
-        if (now.back()) {
-            flush(heldBack);
+        if (now.inbound()) {
+            flush(heldInbound);
         }
     }
 
@@ -68,21 +68,21 @@
             if (first.stillWanted().getAsBoolean()) {
                 // As an event of its own: whoever heals the way must not be in the middle of
                 // another.
-                timeline.after(0, first.arrival());
+                timeline.schedule(0, first.arrival());
             }
         }
     }
 
     /** At the far end of the usual delay; what is held goes on in its order when the way heals. */
-    void forth(Runnable arrival, BooleanSupplier stillWanted) {
-        pass(passage.forth(), heldForth, arrival, stillWanted);
+    void sendOutbound(Runnable arrival, BooleanSupplier stillWanted) {
+        deliver(state.outbound(), heldOutbound, arrival, stillWanted);
     }
 
-    void back(Runnable arrival, BooleanSupplier stillWanted) {
-        pass(passage.back(), heldBack, arrival, stillWanted);
+    void sendInbound(Runnable arrival, BooleanSupplier stillWanted) {
+        deliver(state.inbound(), heldInbound, arrival, stillWanted);
     }
 
-    private static void pass(
+    private static void deliver(
             boolean open, ArrayDeque<Message> held, Runnable arrival, BooleanSupplier stillWanted) {
         if (open) {
             arrival.run();
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedTime.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedTime.java
@@ -16,17 +16,17 @@
     private static final double START = 1e6;
 
     private static final int CHILDREN = 4;
-    private static final int FIRST_ROOM = 1024;
+    private static final int INITIAL_CAPACITY = 1024;
 
-    private double[] due = new double[FIRST_ROOM];
+    private double[] dueTimes = new double[INITIAL_CAPACITY];
 
     /** Tasks due together run in the order in which they were asked for. */
-    private long[] numbers = new long[FIRST_ROOM];
+    private long[] numbers = new long[INITIAL_CAPACITY];
 
-    private Runnable[] tasks = new Runnable[FIRST_ROOM];
+    private Runnable[] tasks = new Runnable[INITIAL_CAPACITY];
     private int size;
     private double now = START;
-    private long last;
+    private long lastNumber;
 
     @Override
     public double now() {
@@ -34,9 +34,9 @@
     }
 
     @Override
-    public void after(double delay, Runnable task) {
-        if (size == due.length) {
-            due = Arrays.copyOf(due, 2 * size);
+    public void schedule(double delay, Runnable task) {
+        if (size == dueTimes.length) {
+            dueTimes = Arrays.copyOf(dueTimes, 2 * size);
             numbers = Arrays.copyOf(numbers, 2 * size);
             tasks = Arrays.copyOf(tasks, 2 * size);
         }
@@ -45,13 +45,13 @@
         int hole = size++;
         while (hole > 0) {
             int parent = (hole - 1) / CHILDREN;
-            if (due[parent] <= at) {
+            if (dueTimes[parent] <= at) {
                 break;
             }
             move(parent, hole);
             hole = parent;
         }
-        put(hole, at, ++last, task);
+        put(hole, at, ++lastNumber, task);
     }
 
     /** Runs the next task; false when there is none. */
@@ -59,11 +59,11 @@
         if (size == 0) {
             return false;
         }
-        now = due[0];
+        now = dueTimes[0];
         Runnable task = tasks[0];
         size--;
         if (size > 0) {
-            sink(due[size], numbers[size], tasks[size]);
+            siftDown(dueTimes[size], numbers[size], tasks[size]);
         }
         tasks[size] = null;
         task.run();
@@ -71,7 +71,7 @@
     }
 
     /** Finds the place, from the top, of what was last. */
-    private void sink(double at, long number, Runnable task) {
+    private void siftDown(double at, long number, Runnable task) {
         int hole = 0;
         while (true) {
             int first = CHILDREN * hole + 1;
@@ -81,11 +81,11 @@
             int least = first;
             int end = Math.min(first + CHILDREN, size);
             for (int child = first + 1; child < end; child++) {
-                if (before(due[child], numbers[child], due[least], numbers[least])) {
+                if (isBefore(dueTimes[child], numbers[child], dueTimes[least], numbers[least])) {
                     least = child;
                 }
             }
-            if (before(at, number, due[least], numbers[least])) {
+            if (isBefore(at, number, dueTimes[least], numbers[least])) {
                 break;
             }
             move(least, hole);
@@ -94,16 +94,16 @@
         put(hole, at, number, task);
     }
 
-    private static boolean before(double at, long number, double otherAt, long otherNumber) {
+    private static boolean isBefore(double at, long number, double otherAt, long otherNumber) {
         return at < otherAt || (at == otherAt && number < otherNumber);
     }
 
     private void move(int from, int to) {
-        put(to, due[from], numbers[from], tasks[from]);
+        put(to, dueTimes[from], numbers[from], tasks[from]);
     }
 
     private void put(int place, double at, long number, Runnable task) {
-        due[place] = at;
+        dueTimes[place] = at;
         numbers[place] = number;
         tasks[place] = task;
     }
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
@@ -25,18 +25,18 @@
     /**
      * After the last ask has ended the world goes on for so long: what comes too late must be seen.
      */
-    private static final double AFTERWARDS = 2;
+    private static final double SETTLE_TIME = 2;
 
     /** Ways that cross: a launch and an answer, each there and back. */
-    private static final double CROSSINGS = 4;
+    private static final double LINK_CROSSINGS = 4;
 
     /** How often a run looks whether it is to stop. */
-    private static final int LOOK = 4096;
+    private static final int STOP_CHECK_STEPS = 4096;
 
     private SimulationRun() {}
 
     /** Plays it to its end, or until it is told to stop. */
-    public static Report play(
+    public static Report run(
             Scenario written,
             long seed,
             double seconds,
@@ -45,40 +45,41 @@
             Function<ClusterModel, Strategy.Factory> maker,
             BooleanSupplier stop)
             throws ConfigException {
-        Scenario scenario = FaultScheduleGenerator.drawn(written, seed);
+        Scenario scenario = FaultScheduleGenerator.withRandomFaults(written, seed);
         SimulatedTime time = new SimulatedTime();
-        SeededRandom chance = new SeededRandom(seed);
-        double slack = CROSSINGS * (scenario.network().delay() + scenario.network().jitter());
+        SeededRandom random = new SeededRandom(seed);
+        double slack = LINK_CROSSINGS * (scenario.network().delay() + scenario.network().jitter());
         Auditor auditor = new Auditor(scenario, time, slack);
         Recorder recorder = new Recorder(scenario, time, seconds, auditor);
-        ClusterModel world = new ClusterModel(scenario, time, chance, seconds, recorder);
+        ClusterModel cluster = new ClusterModel(scenario, time, random, seconds, recorder);
         Map<String, String> pairs = DaemonSettings.pairs(scenario, variant);
         List<SimulatedDispatcher> dispatchers = new ArrayList<>();
-        Strategy.Factory brains = maker.apply(world);
+        Strategy.Factory strategies = maker.apply(cluster);
         for (int i = 0; i < scenario.dispatchers(); i++) {
             dispatchers.add(
                     new SimulatedDispatcher(
                             i,
-                            world,
+                            cluster,
                             DaemonSettings.settings(
-                                    chance.key(SeededRandom.Purpose.BRAIN, i, 0),
+                                    random.seedOf(SeededRandom.Purpose.STRATEGY, i, 0),
                                     DaemonSettings.pairsOf(scenario, i, pairs)),
-                            brains,
+                            strategies,
                             auditor));
         }
-        Clients clients = new Clients(scenario, time, chance, seconds, door(dispatchers), recorder);
+        Clients clients =
+                new Clients(scenario, time, random, seconds, transport(dispatchers), recorder);
         dispatchers.forEach(dispatcher -> dispatcher.clients(clients));
         dispatchers.forEach(SimulatedDispatcher::start);
-        world.begin(faults(world, dispatchers));
-        recorder.begins(world, clients);
+        cluster.start(dispatcherControl(cluster, dispatchers));
+        recorder.start(cluster, clients);
         boolean partial = false;
         int steps = 0;
         while (!clients.isOver() && !partial && time.step()) {
-            partial = ++steps % LOOK == 0 && stop.getAsBoolean();
+            partial = ++steps % STOP_CHECK_STEPS == 0 && stop.getAsBoolean();
         }
-        double end = time.now() + AFTERWARDS;
+        double end = time.now() + SETTLE_TIME;
         while (!partial && time.now() < end && time.step()) {
-            partial = ++steps % LOOK == 0 && stop.getAsBoolean();
+            partial = ++steps % STOP_CHECK_STEPS == 0 && stop.getAsBoolean();
         }
         auditor.finish();
         Report.Run run =
@@ -92,10 +93,10 @@
                         scenario.workers(),
                         scenario.dispatchers());
         return Report.of(
-                run, recorder, auditor, world, Report.Lag.NONE, Report.Extra.NONE, partial);
+                run, recorder, auditor, cluster, Report.Lag.NONE, Report.Extra.NONE, partial);
     }
 
-    private static Clients.Transport door(List<SimulatedDispatcher> dispatchers) {
+    private static Clients.Transport transport(List<SimulatedDispatcher> dispatchers) {
         return new Clients.Transport() {
             @Override
             public void submit(ClientAttempt submitted) {
@@ -103,24 +104,25 @@
             }
 
             @Override
-            public void hangUp(ClientAttempt submitted) {
-                dispatchers.get(submitted.dispatcher()).hangUp(submitted);
+            public void cancel(ClientAttempt submitted) {
+                dispatchers.get(submitted.dispatcher()).cancel(submitted);
             }
 
             @Override
             public boolean isOpen(int dispatcher) {
-                return dispatchers.get(dispatcher).listens();
+                return dispatchers.get(dispatcher).isListening();
             }
         };
     }
 
-    private static ClusterModel.DispatcherControl faults(
-            ClusterModel world, List<SimulatedDispatcher> dispatchers) {
+    private static ClusterModel.DispatcherControl dispatcherControl(
+            ClusterModel cluster, List<SimulatedDispatcher> dispatchers) {
         ActiveLinkFaults links =
                 new ActiveLinkFaults(
-                        (way, passage) -> dispatchers.get(way.dispatcher()).harmed(way, passage));
+                        (link, state) ->
+                                dispatchers.get(link.dispatcher()).onLinkChanged(link, state));
         List<Scenario.WorkerGroup> groups =
-                world.workers.stream().map(worker -> worker.group).toList();
+                cluster.workers.stream().map(worker -> worker.group).toList();
         return new ClusterModel.DispatcherControl() {
             @Override
             public void kill(int dispatcher) {
@@ -128,8 +130,8 @@
             }
 
             @Override
-            public void end(int dispatcher) {
-                dispatchers.get(dispatcher).end();
+            public void terminate(int dispatcher) {
+                dispatchers.get(dispatcher).terminate();
             }
 
             @Override
@@ -138,12 +140,13 @@
             }
 
             @Override
-            public void pause(int dispatcher, boolean begins) {
-                dispatchers.get(dispatcher).pause(begins);
+            public void setPaused(int dispatcher, boolean begins) {
+                dispatchers.get(dispatcher).setPaused(begins);
             }
 
             @Override
-            public void harm(Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
+            public void setLinkFault(
+                    Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
                 links.set(
                         fault,
                         begins,
--- a/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
@@ -23,96 +23,97 @@
  */
 public final class BaselineStrategy implements Strategy {
     /** Nothing is launched with less than this left. */
-    private static final double LAST_CALL = 0.02;
+    private static final double MIN_TIME_LEFT = 0.02;
 
     /** Taken off the window in which repeats are known, for the way to the worker. */
-    private static final double TRANSIT = 0.5;
+    private static final double TRANSIT_MARGIN = 0.5;
 
     /** A failed watch is asked for again after this long. */
-    private static final double ASK = 0.5;
+    private static final double POLL_DELAY = 0.5;
 
     /** How a worker is chosen. */
     public interface WorkerSelector {
         /** One of the workers, of which there is at least one; null where none is worth it. */
         Ids.Worker choose(
                 List<Endpoint> open,
-                Request submission,
+                Request request,
                 Map<Ids.Worker, Integer> out,
                 SplittableRandom random);
     }
 
     private final Settings settings;
-    private final ActionHandler dispatcher;
-    private final WorkerSelector choice;
+    private final ActionHandler actions;
+    private final WorkerSelector selector;
     private final SplittableRandom random;
-    private final Map<Ids.Worker, Endpoint> listed = new LinkedHashMap<>();
-    private final Map<Ids.Worker, Integer> out = new HashMap<>();
-    private final Map<Ids.RequestClass, Settings.RequestClass> offerings = new HashMap<>();
+    private final Map<Ids.Worker, Endpoint> readyEndpoints = new LinkedHashMap<>();
+    private final Map<Ids.Worker, Integer> inFlight = new HashMap<>();
+    private final Map<Ids.RequestClass, Settings.RequestClass> requestClasses = new HashMap<>();
     private double now;
-    private boolean askAgain;
+    private boolean pollPending;
 
     public BaselineStrategy(Settings settings, ActionHandler dispatcher, WorkerSelector choice) {
         this.settings = settings;
-        this.dispatcher = dispatcher;
-        this.choice = choice;
+        this.actions = dispatcher;
+        this.selector = choice;
         random = new SplittableRandom(settings.seed());
-        settings.requestClasses().forEach(offering -> offerings.put(offering.id(), offering));
+        settings.requestClasses()
+                .forEach(requestClass -> requestClasses.put(requestClass.id(), requestClass));
         dispatcher.watchEndpoints();
     }
 
     @Override
-    public void at(double time) {
+    public void advanceTo(double time) {
         now = time;
     }
 
     @Override
-    public void woken() {
-        if (askAgain) {
-            askAgain = false;
-            dispatcher.watchEndpoints();
+    public void onWakeup() {
+        if (pollPending) {
+            pollPending = false;
+            actions.watchEndpoints();
         }
     }
 
     @Override
-    public void listFailed() {
-        askAgain = true;
-        dispatcher.scheduleWakeup(ASK);
+    public void onEndpointsFailed() {
+        pollPending = true;
+        actions.scheduleWakeup(POLL_DELAY);
     }
 
     @Override
-    public void listed(List<Endpoint> entries, boolean whole) {
+    public void onEndpoints(List<Endpoint> entries, boolean whole) {
         if (whole) {
-            listed.clear();
+            readyEndpoints.clear();
         }
         for (Endpoint entry : entries) {
             if (entry.state() == Endpoint.State.READY) {
-                listed.put(entry.worker(), entry);
+                readyEndpoints.put(entry.worker(), entry);
             } else {
-                listed.remove(entry.worker());
+                readyEndpoints.remove(entry.worker());
             }
         }
     }
 
     @Override
-    public Handle take(Request submission) {
-        Settings.RequestClass offering = offerings.get(submission.requestClass());
-        if (offering == null) {
+    public Handle accept(Request request) {
+        Settings.RequestClass requestClass = requestClasses.get(request.requestClass());
+        if (requestClass == null) {
             return null;
         }
-        AcceptedRequest taken = new AcceptedRequest(submission, offering);
-        taken.place();
+        AcceptedRequest taken = new AcceptedRequest(request, requestClass);
+        taken.startAttempt();
         return taken;
     }
 
     /** One launch: where, when, and what became of it. */
     private static final class SentAttempt {
-        final Endpoint place;
-        final double at;
+        final Endpoint endpoint;
+        final double sentAt;
         Outcome outcome;
 
         SentAttempt(Endpoint place, double at) {
-            this.place = place;
-            this.at = at;
+            this.endpoint = place;
+            this.sentAt = at;
         }
 
         boolean mayHaveRun() {
@@ -121,75 +122,75 @@
     }
 
     private final class AcceptedRequest implements Handle {
-        private final Request submission;
-        private final Settings.RequestClass offering;
-        private final List<SentAttempt> launches = new ArrayList<>(2);
-        private int open;
-        private boolean done;
-
-        AcceptedRequest(Request submission, Settings.RequestClass offering) {
-            this.submission = submission;
-            this.offering = offering;
+        private final Request request;
+        private final Settings.RequestClass requestClass;
+        private final List<SentAttempt> attempts = new ArrayList<>(2);
+        private int openAttempts;
+        private boolean answered;
+
+        AcceptedRequest(Request request, Settings.RequestClass requestClass) {
+            this.request = request;
+            this.requestClass = requestClass;
         }
 
-        void place() {
+        void startAttempt() {
             List<Endpoint> candidates = candidates();
             Ids.Worker worker =
                     candidates.isEmpty()
                             ? null
-                            : choice.choose(candidates, submission, out, random);
+                            : selector.choose(candidates, request, inFlight, random);
             if (worker != null) {
-                launches.add(new SentAttempt(listed.get(worker), now));
-                open++;
-                out.merge(worker, 1, Integer::sum);
-                dispatcher.startAttempt(submission.id(), worker, 0);
+                attempts.add(new SentAttempt(readyEndpoints.get(worker), now));
+                openAttempts++;
+                inFlight.merge(worker, 1, Integer::sum);
+                actions.startAttempt(request.id(), worker, 0);
                 return;
             }
-            done = true;
+            answered = true;
             boolean harmless =
-                    offering.idempotency() == Idempotency.IDEMPOTENT
-                            || (offering.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                                    && offering.idempotencyScope() == IdempotencyScope.ALL)
-                            || launches.stream().noneMatch(SentAttempt::mayHaveRun);
+                    requestClass.idempotency() == Idempotency.IDEMPOTENT
+                            || (requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                                    && requestClass.idempotencyScope() == IdempotencyScope.ALL)
+                            || attempts.stream().noneMatch(SentAttempt::mayHaveRun);
             if (harmless) {
-                dispatcher.reject(submission.id(), 0);
+                actions.reject(request.id(), 0);
             } else {
-                dispatcher.fail(submission.id());
+                actions.fail(request.id());
             }
         }
 
         private List<Endpoint> candidates() {
-            boolean again = launches.stream().anyMatch(SentAttempt::mayHaveRun);
-            if (launches.size() >= settings.maxAttempts()
-                    || now > submission.deadline() - LAST_CALL
-                    || (again && offering.idempotency() == Idempotency.NON_IDEMPOTENT)) {
+            boolean again = attempts.stream().anyMatch(SentAttempt::mayHaveRun);
+            if (attempts.size() >= settings.maxAttempts()
+                    || now > request.deadline() - MIN_TIME_LEFT
+                    || (again && requestClass.idempotency() == Idempotency.NON_IDEMPOTENT)) {
                 return List.of();
             }
-            List<Endpoint> all = new ArrayList<>(listed.values());
-            if (again && offering.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
+            List<Endpoint> all = new ArrayList<>(readyEndpoints.values());
+            if (again && requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
                 all.removeIf(
                         to ->
-                                launches.stream()
+                                attempts.stream()
                                         .anyMatch(
                                                 sent ->
                                                         sent.mayHaveRun()
-                                                                && (!sameGroup(sent.place, to)
+                                                                && (!isSameScope(sent.endpoint, to)
                                                                         || now
-                                                                                > sent.at
-                                                                                        + offering
+                                                                                > sent.sentAt
+                                                                                        + requestClass
                                                                                                 .idempotencyWindow()
-                                                                                        - TRANSIT)));
+                                                                                        - TRANSIT_MARGIN)));
             }
             List<Endpoint> fresh = new ArrayList<>(all);
             fresh.removeIf(
                     to ->
-                            launches.stream()
-                                    .anyMatch(sent -> sent.place.worker().equals(to.worker())));
+                            attempts.stream()
+                                    .anyMatch(sent -> sent.endpoint.worker().equals(to.worker())));
             return fresh.isEmpty() ? all : fresh;
         }
 
-        private boolean sameGroup(Endpoint a, Endpoint b) {
-            return switch (offering.idempotencyScope()) {
+        private boolean isSameScope(Endpoint a, Endpoint b) {
+            return switch (requestClass.idempotencyScope()) {
                 case ALL -> true;
                 case ZONE -> a.zone().equals(b.zone());
                 case CELL -> a.cell().equals(b.cell());
@@ -197,46 +198,46 @@
         }
 
         @Override
-        public boolean isOver() {
-            return done && open == 0;
+        public boolean isComplete() {
+            return answered && openAttempts == 0;
         }
 
         @Override
-        public void gone() {
-            done = true;
-            for (int i = 0; i < launches.size() && settings.mayCancel(); i++) {
-                if (launches.get(i).outcome == null) {
-                    dispatcher.cancelAttempt(submission.id(), i);
+        public void onClientGone() {
+            answered = true;
+            for (int i = 0; i < attempts.size() && settings.mayCancel(); i++) {
+                if (attempts.get(i).outcome == null) {
+                    actions.cancelAttempt(request.id(), i);
                 }
             }
         }
 
         @Override
-        public void started(int launch) {
+        public void onStarted(int attempt) {
             // Choices like these look at nothing but their own launches.
         }
 
         @Override
-        public void progressed(int launch, double share) {
+        public void onProgress(int attempt, double share) {
             // As above.
         }
 
         @Override
-        public void ended(int launch, Outcome outcome, boolean over, LoadReport report) {
-            SentAttempt sent = launches.get(launch);
+        public void onEnded(int attempt, Outcome outcome, boolean over, LoadReport report) {
+            SentAttempt sent = attempts.get(attempt);
             if (sent.outcome != null) {
                 return;
             }
             sent.outcome = outcome;
-            open--;
-            out.merge(sent.place.worker(), -1, Integer::sum);
+            openAttempts--;
+            inFlight.merge(sent.endpoint.worker(), -1, Integer::sum);
             if (over || outcome == Outcome.SUCCEEDED) {
-                done = true;
-            } else if (outcome == Outcome.INVALID_REQUEST && !done) {
-                done = true;
-                dispatcher.fail(submission.id());
-            } else if (!done) {
-                place();
+                answered = true;
+            } else if (outcome == Outcome.INVALID_REQUEST && !answered) {
+                answered = true;
+                actions.fail(request.id());
+            } else if (!answered) {
+                startAttempt();
             }
         }
     }
--- a/kit/src/main/java/wheelroute/kit/strategy/PolicyStrategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/PolicyStrategy.java
@@ -14,78 +14,78 @@
 /** The daemon's own module, and its own pauses between calls for the list. */
 public final class PolicyStrategy implements Strategy {
     /** Guards against a wake that the sums of times bring a breath too early. */
-    private static final double BREATH = 1e-6;
+    private static final double TIME_TOLERANCE = 1e-6;
 
     private final Policy policy;
-    private final ActionHandler dispatcher;
+    private final ActionHandler actions;
     private final Backoff backoff;
     private double now;
-    private double askAt = Double.POSITIVE_INFINITY;
+    private double pollAt = Double.POSITIVE_INFINITY;
 
     public PolicyStrategy(Settings settings, ActionHandler dispatcher) {
-        this.dispatcher = dispatcher;
+        this.actions = dispatcher;
         policy = new Policy(settings, dispatcher);
         backoff = new Backoff(settings.seed());
     }
 
     @Override
-    public void at(double time) {
+    public void advanceTo(double time) {
         now = time;
         policy.advanceTo(time);
     }
 
     @Override
-    public void woken() {
-        if (now > askAt - BREATH) {
-            askAt = Double.POSITIVE_INFINITY;
-            dispatcher.watchEndpoints();
+    public void onWakeup() {
+        if (now > pollAt - TIME_TOLERANCE) {
+            pollAt = Double.POSITIVE_INFINITY;
+            actions.watchEndpoints();
         }
         policy.onWakeup();
     }
 
     @Override
-    public void listed(List<Endpoint> entries, boolean whole) {
+    public void onEndpoints(List<Endpoint> entries, boolean whole) {
         backoff.reset();
         policy.onEndpoints(entries, whole);
     }
 
     @Override
-    public void listFailed() {
+    public void onEndpointsFailed() {
         double pause = backoff.nextDelay(0);
-        askAt = now + pause;
-        dispatcher.scheduleWakeup(pause);
+        pollAt = now + pause;
+        actions.scheduleWakeup(pause);
     }
 
     @Override
-    public Handle take(Request submission) {
-        RequestHandle handle = policy.accept(submission);
+    public Handle accept(Request request) {
+        RequestHandle handle = policy.accept(request);
         return handle == null ? null : new PolicyHandle(handle);
     }
 
     private record PolicyHandle(RequestHandle handle) implements Handle {
         @Override
-        public boolean isOver() {
+        public boolean isComplete() {
             return handle.isComplete();
         }
 
         @Override
-        public void gone() {
+        public void onClientGone() {
             handle.onClientGone();
         }
 
         @Override
-        public void started(int launch) {
-            handle.onStarted(launch);
+        public void onStarted(int attempt) {
+            handle.onStarted(attempt);
         }
 
         @Override
-        public void progressed(int launch, double share) {
-            handle.onProgress(launch, share);
+        public void onProgress(int attempt, double share) {
+            handle.onProgress(attempt, share);
         }
 
         @Override
-        public void ended(int launch, Outcome outcome, boolean over, LoadReport report) {
-            handle.onEnded(launch, outcome, over, report);
+        public void onEnded(int attempt, Outcome outcome, boolean over, LoadReport report) {
+            handle.onEnded(attempt, outcome, over, report);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
@@ -15,23 +15,23 @@
 /** Everyone who can decide, by name. */
 public final class Strategies {
     /** The daemon's module: what all others are compared with. */
-    public static final String MODULE = "module";
+    public static final String POLICY = "module";
 
     /** Sees the true state of all workers, which no dispatcher can. */
-    public static final String SEEING = "seeing";
+    public static final String OMNISCIENT = "seeing";
 
     /** A late answer that earns less than this is not worth the time it takes from others. */
-    private static final double WORTH_IT = 0.5;
+    private static final double MIN_LATE_VALUE = 0.5;
 
     private static final Map<String, Function<ClusterModel, Strategy.Factory>> ALL =
             new TreeMap<>(
                     Map.of(
-                            MODULE,
-                            world -> PolicyStrategy::new,
+                            POLICY,
+                            cluster -> PolicyStrategy::new,
                             "random",
-                            world ->
+                            cluster ->
                                     baseline(
-                                            (open, submission, out, random) -> {
+                                            (open, request, out, random) -> {
                                                 // By speed, as the paper's basic policy: in
                                                 // proportion to what each can do.
                                                 double draw =
@@ -40,11 +40,11 @@
                                                                         .mapToDouble(
                                                                                 w ->
                                                                                         capacity(
-                                                                                                world,
+                                                                                                cluster,
                                                                                                 w))
                                                                         .sum();
                                                 for (Endpoint worker : open) {
-                                                    draw -= capacity(world, worker);
+                                                    draw -= capacity(cluster, worker);
                                                     if (draw < 0) {
                                                         return worker.worker();
                                                     }
@@ -52,31 +52,31 @@
                                                 return open.get(open.size() - 1).worker();
                                             }),
                             "round-robin",
-                            world ->
+                            cluster ->
                                     (settings, dispatcher) -> {
                                         int[] next = {0};
                                         return new BaselineStrategy(
                                                 settings,
                                                 dispatcher,
-                                                (open, submission, out, random) ->
+                                                (open, request, out, random) ->
                                                         open.get(next[0]++ % open.size()).worker());
                                     },
                             "least-outstanding",
-                            world ->
+                            cluster ->
                                     baseline(
-                                            (open, submission, out, random) -> {
+                                            (open, request, out, random) -> {
                                                 // From a place drawn by chance: ties must not all
                                                 // go to the first.
                                                 int from = random.nextInt(open.size());
-                                                return least(
+                                                return leastBy(
                                                         open,
                                                         from,
                                                         w -> out.getOrDefault(w.worker(), 0));
                                             }),
                             "two-choices",
-                            world ->
+                            cluster ->
                                     baseline(
-                                            (open, submission, out, random) -> {
+                                            (open, request, out, random) -> {
                                                 Ids.Worker one =
                                                         open.get(random.nextInt(open.size()))
                                                                 .worker();
@@ -88,14 +88,14 @@
                                                         ? one
                                                         : other;
                                             }),
-                            SEEING,
-                            world ->
+                            OMNISCIENT,
+                            cluster ->
                                     baseline(
-                                            (open, submission, out, random) ->
+                                            (open, request, out, random) ->
                                                     seen(
-                                                            world,
+                                                            cluster,
                                                             open,
-                                                            submission,
+                                                            request,
                                                             random.nextInt(open.size())))));
 
     private Strategies() {}
@@ -104,8 +104,8 @@
         return List.copyOf(ALL.keySet());
     }
 
-    public static Strategy.Factory maker(String name, ClusterModel world) {
-        return ALL.get(name).apply(world);
+    public static Strategy.Factory factory(String name, ClusterModel cluster) {
+        return ALL.get(name).apply(cluster);
     }
 
     /**
@@ -113,25 +113,26 @@
      * outer limit, or too late to earn anything.
      */
     private static Ids.Worker seen(
-            ClusterModel world, List<Endpoint> open, Request submission, int from) {
-        double work = Double.isNaN(submission.estimatedWork()) ? 0 : submission.estimatedWork();
-        Scenario.RequestClass offering =
-                world.scenario.offerings().stream()
-                        .filter(o -> o.name().equals(submission.requestClass().name()))
+            ClusterModel cluster, List<Endpoint> open, Request request, int from) {
+        double work = Double.isNaN(request.estimatedWork()) ? 0 : request.estimatedWork();
+        Scenario.RequestClass requestClass =
+                cluster.scenario.requestClasses().stream()
+                        .filter(o -> o.name().equals(request.requestClass().name()))
                         .findFirst()
                         .orElseThrow();
         ToDoubleFunction<Endpoint> end =
                 w ->
-                        model(world, w).doneAt(work)
-                                + model(world, w).failingPart() * offering.quoted();
-        Ids.Worker best = least(open, from, end);
-        double done = world.workers.get((int) best.value()).doneAt(work);
+                        model(cluster, w).workDoneBy(work)
+                                + model(cluster, w).failureRate() * requestClass.latencyObjective();
+        Ids.Worker best = leastBy(open, from, end);
+        double done = cluster.workers.get((int) best.value()).workDoneBy(work);
         double quotedAt =
-                submission.deadline()
-                        - offering.outer()
-                        + offering.quoted()
-                        + offering.stretch() * work;
-        return done > submission.deadline() || (offering.lateValue() < WORTH_IT && done > quotedAt)
+                request.deadline()
+                        - requestClass.deadline()
+                        + requestClass.latencyObjective()
+                        + requestClass.objectivePerWork() * work;
+        return done > request.deadline()
+                        || (requestClass.lateValue() < MIN_LATE_VALUE && done > quotedAt)
                 ? null
                 : best;
     }
@@ -140,16 +141,16 @@
         return (settings, dispatcher) -> new BaselineStrategy(settings, dispatcher, choice);
     }
 
-    private static WorkerModel model(ClusterModel world, Endpoint listing) {
-        return world.workers.get((int) listing.worker().value());
+    private static WorkerModel model(ClusterModel cluster, Endpoint listing) {
+        return cluster.workers.get((int) listing.worker().value());
     }
 
-    private static double capacity(ClusterModel world, Endpoint listing) {
-        WorkerModel model = model(world, listing);
+    private static double capacity(ClusterModel cluster, Endpoint listing) {
+        WorkerModel model = model(cluster, listing);
         return model.group.speed() * model.group.slots();
     }
 
-    private static Ids.Worker least(
+    private static Ids.Worker leastBy(
             List<Endpoint> open, int from, ToDoubleFunction<Endpoint> figure) {
         Endpoint best = null;
         double least = Double.POSITIVE_INFINITY;
--- a/kit/src/main/java/wheelroute/kit/strategy/Strategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategy.java
@@ -12,30 +12,30 @@
 public interface Strategy {
     /** Makes one for each dispatcher, and anew at its restarts. */
     interface Factory {
-        Strategy make(Settings settings, ActionHandler dispatcher);
+        Strategy create(Settings settings, ActionHandler dispatcher);
     }
 
-    void at(double time);
+    void advanceTo(double time);
 
-    void woken();
+    void onWakeup();
 
-    void listed(List<Endpoint> entries, boolean whole);
+    void onEndpoints(List<Endpoint> entries, boolean whole);
 
-    void listFailed();
+    void onEndpointsFailed();
 
     /** Null when it knows no such offering. */
-    Handle take(Request submission);
+    Handle accept(Request request);
 
     /** One submission, from its taking until its last launch has ended. */
     interface Handle {
-        boolean isOver();
+        boolean isComplete();
 
-        void gone();
+        void onClientGone();
 
-        void started(int launch);
+        void onStarted(int attempt);
 
-        void progressed(int launch, double share);
+        void onProgress(int attempt, double share);
 
-        void ended(int launch, Outcome outcome, boolean over, LoadReport report);
+        void onEnded(int attempt, Outcome outcome, boolean over, LoadReport report);
     }
 }
