--- a/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
@@ -41,20 +41,20 @@
         final ClientAttempt submitted;
         final List<AttemptEnding> endings = new ArrayList<>();
 
-        Play(String offering, String more) {
+        Play(String requestClass, String more) {
             scenario = SmallScenario.scenario(more);
             auditor = new Auditor(scenario, time, SLACK);
             world = new ClusterModel(scenario, time, new SeededRandom(1), 5, auditor);
             Scenario.RequestClass of =
-                    scenario.offerings().stream()
-                            .filter(o -> o.name().equals(offering))
+                    scenario.requestClasses().stream()
+                            .filter(o -> o.name().equals(requestClass))
                             .findFirst()
                             .orElseThrow();
-            ClientRequest ask =
+            ClientRequest request =
                     new ClientRequest(
                             0, 0, of, Scenario.Tenant.NONE, 0.05, 0.05, Double.POSITIVE_INFINITY);
-            submitted = new ClientAttempt(ask, 0, 0, time.now(), of.outer());
-            auditor.sent(submitted);
+            submitted = new ClientAttempt(request, 0, 0, time.now(), of.deadline());
+            auditor.onSent(submitted);
         }
 
         WorkerAttempt launch(int worker) {
@@ -62,7 +62,7 @@
         }
 
         WorkerAttempt launch(int worker, double work) {
-            WorkerAttempt launch =
+            WorkerAttempt attempt =
                     new WorkerAttempt(
                             submitted.key(),
                             work,
@@ -70,32 +70,32 @@
                             0,
                             new WorkerAttempt.Reply() {
                                 @Override
-                                public void started() {
+                                public void onStarted() {
                                     // Of no interest here.
                                 }
 
                                 @Override
-                                public void progressed(double share) {
+                                public void onProgress(double share) {
                                     // Of no interest here.
                                 }
 
                                 @Override
-                                public void ended(AttemptEnding ending, double freeSlots) {
+                                public void onEnded(AttemptEnding ending, double freeSlots) {
                                     endings.add(ending);
                                 }
                             });
-            world.workers.get(worker).arrive(launch);
-            return launch;
+            world.workers.get(worker).accept(attempt);
+            return attempt;
         }
 
-        void answer(FinalResponse answer) {
-            auditor.answered(submitted, answer);
+        void answer(FinalResponse response) {
+            auditor.onResponse(submitted, response);
         }
 
         /** Until so long after the start. */
         void pass(double seconds) {
             boolean[] there = {false};
-            time.after(seconds, () -> there[0] = true);
+            time.schedule(seconds, () -> there[0] = true);
             while (!there[0] && time.step()) {
                 // Each step moves the virtual clock on.
             }
@@ -111,15 +111,15 @@
     }
 
     private static Rogue rogue(
-            String name, Rule rule, String offering, String more, Consumer<Play> does) {
-        return new Rogue(name, rule, offering, more, does);
+            String name, Rule rule, String requestClass, String more, Consumer<Play> does) {
+        return new Rogue(name, rule, requestClass, more, does);
     }
 
     private static final String ERRS = "[[faults]]\nkind = \"burst\"\nat = 0\nfor = 4\n";
     private static final String NO_COPY = "[terms]\nmay_copy = false\n";
 
     private static void begin(Play play) {
-        play.world.begin(new Idle());
+        play.world.start(new Idle());
         play.pass(0.001);
     }
 
@@ -132,8 +132,8 @@
                     "free",
                     "",
                     p -> {
-                        p.answer(FinalResponse.BOUNCED);
-                        p.answer(FinalResponse.SCRAPPED);
+                        p.answer(FinalResponse.REJECTED);
+                        p.answer(FinalResponse.FAILED);
                     }),
             rogue(
                     "stands still, and launches too late as it goes on",
@@ -142,10 +142,10 @@
                     "",
                     p -> {
                         p.pass(0.03);
-                        p.auditor.dispatcherPaused(0);
+                        p.auditor.onDispatcherPaused(0);
                         p.pass(2.3);
-                        p.auditor.gaveUp(p.submitted, false);
-                        p.auditor.dispatcherWoke(0);
+                        p.auditor.onGaveUp(p.submitted, false);
+                        p.auditor.onDispatcherResumed(0);
                         p.launch(NEAR);
                     }),
             rogue(
@@ -154,11 +154,11 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.told(0, NEAR, EndpointRegistry.State.DRAINING);
+                        p.auditor.onNotified(0, NEAR, EndpointRegistry.State.DRAINING);
                         p.pass(1.5);
-                        p.auditor.dispatcherPaused(0);
+                        p.auditor.onDispatcherPaused(0);
                         p.pass(0.7);
-                        p.auditor.dispatcherWoke(0);
+                        p.auditor.onDispatcherResumed(0);
                         p.launch(NEAR);
                     }),
             rogue(
@@ -167,9 +167,9 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.dispatcherPaused(0);
-                        p.auditor.told(0, NEAR, EndpointRegistry.State.DRAINING);
-                        p.auditor.dispatcherWoke(0);
+                        p.auditor.onDispatcherPaused(0);
+                        p.auditor.onNotified(0, NEAR, EndpointRegistry.State.DRAINING);
+                        p.auditor.onDispatcherResumed(0);
                         p.pass(2.2);
                         p.launch(NEAR);
                     }),
@@ -180,7 +180,7 @@
                     "",
                     p -> {
                         p.pass(2.001);
-                        p.auditor.gaveUp(p.submitted, false);
+                        p.auditor.onGaveUp(p.submitted, false);
                     }),
             rogue("never answers, and nobody waits", Rule.ONE_ANSWER, "free", "", p -> p.pass(2.1)),
             rogue(
@@ -190,27 +190,27 @@
                     "",
                     p -> {
                         p.pass(2.1);
-                        p.answer(FinalResponse.BOUNCED);
+                        p.answer(FinalResponse.REJECTED);
                     }),
             rogue(
                     "makes a result up",
                     Rule.ONE_ANSWER,
                     "free",
                     "",
-                    p -> p.answer(FinalResponse.FULFILLED)),
+                    p -> p.answer(FinalResponse.SUCCEEDED)),
             rogue(
                     "drops the connection",
                     Rule.ONE_ANSWER,
                     "free",
                     "",
-                    p -> p.auditor.cutOff(p.submitted)),
+                    p -> p.auditor.onConnectionLost(p.submitted)),
             rogue(
                     "launches after the answer",
                     Rule.ONE_ANSWER,
                     "free",
                     "",
                     p -> {
-                        p.answer(FinalResponse.BOUNCED);
+                        p.answer(FinalResponse.REJECTED);
                         p.pass(0.1);
                         p.launch(NEAR);
                     }),
@@ -230,7 +230,7 @@
                     "",
                     p -> {
                         p.pass(0.1);
-                        p.auditor.gaveUp(p.submitted, true);
+                        p.auditor.onGaveUp(p.submitted, true);
                         p.pass(0.32);
                         p.launch(NEAR);
                     }),
@@ -241,10 +241,10 @@
                     "",
                     p -> {
                         p.pass(0.1);
-                        p.auditor.dispatcherPaused(0);
-                        p.auditor.gaveUp(p.submitted, true);
+                        p.auditor.onDispatcherPaused(0);
+                        p.auditor.onGaveUp(p.submitted, true);
                         p.pass(0.4);
-                        p.auditor.dispatcherWoke(0);
+                        p.auditor.onDispatcherResumed(0);
                         p.launch(NEAR);
                     }),
             rogue(
@@ -277,7 +277,7 @@
                         begin(p);
                         p.launch(NEAR);
                         p.pass(0.1);
-                        p.answer(FinalResponse.BOUNCED);
+                        p.answer(FinalResponse.REJECTED);
                     }),
             rogue(
                     "bounces what a zone alone would know",
@@ -288,7 +288,7 @@
                         begin(p);
                         p.launch(NEAR);
                         p.pass(0.1);
-                        p.answer(FinalResponse.BOUNCED);
+                        p.answer(FinalResponse.REJECTED);
                     }),
             rogue(
                     "repeats outside the group",
@@ -329,15 +329,15 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.told(0, NEAR, EndpointRegistry.State.DRAINING);
+                        p.auditor.onNotified(0, NEAR, EndpointRegistry.State.DRAINING);
                         // The grace is 2 s and the outer limit as long: one that waits longer is
                         // needed.
                         ClientAttempt later = later(p, 2.1);
-                        p.auditor.sent(later);
+                        p.auditor.onSent(later);
                         p.world
                                 .workers
                                 .get(NEAR)
-                                .arrive(new WorkerAttempt(later.key(), 0.05, 1, 0, NOBODY));
+                                .accept(new WorkerAttempt(later.key(), 0.05, 1, 0, NOBODY));
                     }),
             rogue(
                     "launches to one told gone",
@@ -345,31 +345,31 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.told(0, FAR, EndpointRegistry.State.GONE);
+                        p.auditor.onNotified(0, FAR, EndpointRegistry.State.GONE);
                         ClientAttempt later = later(p, 2.1);
-                        p.auditor.sent(later);
+                        p.auditor.onSent(later);
                         p.world
                                 .workers
                                 .get(FAR)
-                                .arrive(new WorkerAttempt(later.key(), 0.05, 1, 0, NOBODY));
+                                .accept(new WorkerAttempt(later.key(), 0.05, 1, 0, NOBODY));
                     }),
             rogue(
                     "ends, and nobody told it to",
                     Rule.STAYS_UP,
                     "free",
                     "",
-                    p -> p.auditor.crashed(0, "")),
+                    p -> p.auditor.onCrash(0, "")),
             rogue(
                     "drops one when its other process is long gone",
                     Rule.ONE_ANSWER,
                     "free",
                     "",
                     p -> {
-                        p.auditor.dispatcherHalved(0, true);
-                        p.auditor.dispatcherHalved(0, false);
+                        p.auditor.setDispatcherSplit(0, true);
+                        p.auditor.setDispatcherSplit(0, false);
                         ClientAttempt next = later(p, 0.1);
-                        p.auditor.sent(next);
-                        p.auditor.cutOff(next);
+                        p.auditor.onSent(next);
+                        p.auditor.onConnectionLost(next);
                     }),
             rogue(
                     "launches later than its slow way explains",
@@ -377,8 +377,8 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.wayLater(0, NEAR, 1);
-                        p.answer(FinalResponse.BOUNCED);
+                        p.auditor.setLinkDelay(0, NEAR, 1);
+                        p.answer(FinalResponse.REJECTED);
                         p.pass(1.2);
                         p.launch(NEAR);
                     }),
@@ -388,10 +388,10 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.wayLater(0, NEAR, 0.4);
-                        p.auditor.wayLater(0, NEAR, 0);
+                        p.auditor.setLinkDelay(0, NEAR, 0.4);
+                        p.auditor.setLinkDelay(0, NEAR, 0);
                         p.pass(1);
-                        p.answer(FinalResponse.BOUNCED);
+                        p.answer(FinalResponse.REJECTED);
                         p.pass(0.3);
                         p.launch(NEAR);
                     }),
@@ -401,7 +401,7 @@
                     "once",
                     "",
                     p -> {
-                        p.auditor.clientsHarmed(0, true);
+                        p.auditor.setClientsImpaired(0, true);
                         p.launch(NEAR);
                         p.pass(0.1);
                         p.launch(ALSO_NEAR);
@@ -412,12 +412,12 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.clientsHarmed(0, true);
-                        p.auditor.clientsHarmed(0, false);
+                        p.auditor.setClientsImpaired(0, true);
+                        p.auditor.setClientsImpaired(0, false);
                         ClientAttempt next = later(p, 0.1);
-                        p.auditor.sent(next);
+                        p.auditor.onSent(next);
                         p.pass(2.1);
-                        p.auditor.gaveUp(next, false);
+                        p.auditor.onGaveUp(next, false);
                     }),
             rogue(
                     "pushes a cold worker over",
@@ -425,7 +425,7 @@
                     "free",
                     "[[faults]]\nkind = \"crash\"\nat = 0.1\nfor = 0.1\ngroup = \"near\"\n",
                     p -> {
-                        p.world.begin(new Idle());
+                        p.world.start(new Idle());
                         p.pass(0.3);
                         for (int i = 0; i < 40; i++) {
                             p.launch(NEAR, 0.2);
@@ -440,25 +440,25 @@
     }
 
     private static ClientAttempt later(Play play, double after) {
-        play.answer(FinalResponse.BOUNCED);
+        play.answer(FinalResponse.REJECTED);
         play.pass(after);
-        return new ClientAttempt(play.submitted.ask(), 1, 0, play.time.now(), 2);
+        return new ClientAttempt(play.submitted.request(), 1, 0, play.time.now(), 2);
     }
 
     private static final WorkerAttempt.Reply NOBODY =
             new WorkerAttempt.Reply() {
                 @Override
-                public void started() {
+                public void onStarted() {
                     // Nobody hears it.
                 }
 
                 @Override
-                public void progressed(double share) {
+                public void onProgress(double share) {
                     // Nobody hears it.
                 }
 
                 @Override
-                public void ended(AttemptEnding ending, double freeSlots) {
+                public void onEnded(AttemptEnding ending, double freeSlots) {
                     // Nobody hears it.
                 }
             };
@@ -471,7 +471,7 @@
         }
 
         @Override
-        public void end(int dispatcher) {
+        public void terminate(int dispatcher) {
             throw new IllegalStateException();
         }
 
@@ -511,7 +511,7 @@
                         p -> {
                             p.launch(NEAR);
                             p.pass(0.2);
-                            p.answer(FinalResponse.FULFILLED);
+                            p.answer(FinalResponse.SUCCEEDED);
                         })
             },
             {
@@ -525,10 +525,10 @@
                                 p.world
                                         .workers
                                         .get(FAR)
-                                        .arrive(new WorkerAttempt(-1, 10, 1, 0, NOBODY));
+                                        .accept(new WorkerAttempt(-1, 10, 1, 0, NOBODY));
                             }
                             WorkerAttempt full = p.launch(NEAR);
-                            p.world.workers.get(NEAR).dropped(full);
+                            p.world.workers.get(NEAR).cancel(full);
                         })
             },
             {
@@ -543,7 +543,7 @@
                             p.pass(0.5);
                             p.launch(ALSO_NEAR);
                             p.pass(0.5);
-                            p.answer(FinalResponse.SCRAPPED);
+                            p.answer(FinalResponse.FAILED);
                         })
             },
             {
@@ -554,10 +554,10 @@
                         NO_COPY,
                         p -> {
                             WorkerAttempt first = p.launch(NEAR, 1);
-                            p.auditor.closed(first);
+                            p.auditor.onClosed(first);
                             p.launch(ALSO_NEAR);
                             p.pass(0.2);
-                            p.answer(FinalResponse.FULFILLED);
+                            p.answer(FinalResponse.SUCCEEDED);
                         })
             },
             {
@@ -567,8 +567,8 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.dispatcherDied(0);
-                            p.auditor.cutOff(p.submitted);
+                            p.auditor.onDispatcherStopped(0);
+                            p.auditor.onConnectionLost(p.submitted);
                             p.pass(3);
                         })
             },
@@ -579,10 +579,10 @@
                         "once",
                         "",
                         p -> {
-                            p.auditor.dispatcherPaused(0);
+                            p.auditor.onDispatcherPaused(0);
                             p.pass(3);
-                            p.auditor.gaveUp(p.submitted, false);
-                            p.auditor.dispatcherWoke(0);
+                            p.auditor.onGaveUp(p.submitted, false);
+                            p.auditor.onDispatcherResumed(0);
                         })
             },
             {
@@ -592,13 +592,13 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.dispatcherPaused(0);
-                            p.auditor.told(0, NEAR, EndpointRegistry.State.DRAINING);
+                            p.auditor.onDispatcherPaused(0);
+                            p.auditor.onNotified(0, NEAR, EndpointRegistry.State.DRAINING);
                             p.pass(1);
-                            p.auditor.dispatcherWoke(0);
+                            p.auditor.onDispatcherResumed(0);
                             p.launch(NEAR);
                             p.pass(0.2);
-                            p.answer(FinalResponse.FULFILLED);
+                            p.answer(FinalResponse.SUCCEEDED);
                         })
             },
             {
@@ -608,12 +608,13 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.clientsHarmed(0, true);
+                            p.auditor.setClientsImpaired(0, true);
                             p.pass(3.5);
-                            p.auditor.gaveUp(p.submitted, false);
-                            p.auditor.clientsHarmed(0, false);
-                            p.auditor.sent(
-                                    new ClientAttempt(p.submitted.ask(), 1, 1, p.time.now(), 2));
+                            p.auditor.onGaveUp(p.submitted, false);
+                            p.auditor.setClientsImpaired(0, false);
+                            p.auditor.onSent(
+                                    new ClientAttempt(
+                                            p.submitted.request(), 1, 1, p.time.now(), 2));
                             p.launch(NEAR);
                         })
             },
@@ -624,8 +625,8 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.wayLater(0, NEAR, 1);
-                            p.answer(FinalResponse.BOUNCED);
+                            p.auditor.setLinkDelay(0, NEAR, 1);
+                            p.answer(FinalResponse.REJECTED);
                             p.pass(0.9);
                             p.launch(NEAR);
                         })
@@ -638,10 +639,10 @@
                         "",
                         p -> {
                             p.pass(0.01);
-                            p.auditor.dispatcherPaused(0);
+                            p.auditor.onDispatcherPaused(0);
                             p.pass(2.5);
-                            p.auditor.gaveUp(p.submitted, false);
-                            p.auditor.dispatcherWoke(0);
+                            p.auditor.onGaveUp(p.submitted, false);
+                            p.auditor.onDispatcherResumed(0);
                             p.launch(NEAR);
                         })
             },
@@ -652,11 +653,11 @@
                         "once",
                         "",
                         p -> {
-                            p.auditor.dispatcherHalved(0, true);
+                            p.auditor.setDispatcherSplit(0, true);
                             ClientAttempt next = later(p, 0.01);
-                            p.auditor.sent(next);
-                            p.auditor.dispatcherHalved(0, false);
-                            p.auditor.cutOff(next);
+                            p.auditor.onSent(next);
+                            p.auditor.setDispatcherSplit(0, false);
+                            p.auditor.onConnectionLost(next);
                         })
             },
             {
@@ -666,7 +667,7 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.refused(p.submitted);
+                            p.auditor.onRefused(p.submitted);
                             p.pass(3);
                         })
             },
@@ -678,7 +679,7 @@
                         "",
                         p -> {
                             p.pass(0.1);
-                            p.auditor.gaveUp(p.submitted, true);
+                            p.auditor.onGaveUp(p.submitted, true);
                             p.pass(0.3);
                             p.launch(NEAR);
                         })
@@ -690,7 +691,7 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.gaveUp(p.submitted, true);
+                            p.auditor.onGaveUp(p.submitted, true);
                             p.pass(3);
                         })
             },
@@ -717,10 +718,10 @@
         Play play = new Play("once", "");
         play.launch(NEAR);
         play.pass(0.01);
-        play.answer(FinalResponse.BOUNCED);
-        ClientAttempt retry = new ClientAttempt(play.submitted.ask(), 1, 0, play.time.now(), 1);
-        play.auditor.sent(retry);
-        play.world.workers.get(FAR).arrive(new WorkerAttempt(retry.key(), 0.05, 1, 0, NOBODY));
+        play.answer(FinalResponse.REJECTED);
+        ClientAttempt retry = new ClientAttempt(play.submitted.request(), 1, 0, play.time.now(), 1);
+        play.auditor.onSent(retry);
+        play.world.workers.get(FAR).accept(new WorkerAttempt(retry.key(), 0.05, 1, 0, NOBODY));
         assertEquals(
                 play.auditor.count(Rule.NO_EFFECT_TWICE), 2, play.auditor.breaches().toString());
     }
@@ -731,25 +732,25 @@
     @Test
     public void oldSubmissionsAreForgotten() {
         Play play = new Play("free", "");
-        play.answer(FinalResponse.BOUNCED);
+        play.answer(FinalResponse.REJECTED);
         Recorder recorder = new Recorder(play.scenario, play.time, 5, play.auditor);
         for (int i = 1; i < 50; i++) {
             play.pass(1);
-            ClientRequest ask =
+            ClientRequest request =
                     new ClientRequest(
                             i,
                             i,
-                            play.submitted.ask().offering(),
+                            play.submitted.request().requestClass(),
                             Scenario.Tenant.NONE,
                             0.05,
                             0.05,
                             9);
-            ClientAttempt next = new ClientAttempt(ask, 0, 0, play.time.now(), 2);
-            recorder.sent(next);
-            recorder.answered(next, FinalResponse.BOUNCED);
+            ClientAttempt next = new ClientAttempt(request, 0, 0, play.time.now(), 2);
+            recorder.onSent(next);
+            recorder.onResponse(next, FinalResponse.REJECTED);
         }
         play.auditor.finish();
         assertEquals(play.auditor.total(), 0, play.auditor.breaches().toString());
-        assertTrue(play.auditor.remembered() < 10, play.auditor.remembered() + " are kept");
+        assertTrue(play.auditor.recordCount() < 10, play.auditor.recordCount() + " are kept");
     }
 }
--- a/kit/src/test/java/wheelroute/kit/audit/MetricsAuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/MetricsAuditorTest.java
@@ -25,32 +25,32 @@
         final Map<String, Long> counted = new HashMap<>();
 
         Play() {
-            ledger.began(0, OLD);
+            ledger.onProcessStarted(0, OLD);
             counted.put("pending", 0L);
         }
 
         void pass(double seconds) {
             boolean[] there = {false};
-            time.after(seconds, () -> there[0] = true);
+            time.schedule(seconds, () -> there[0] = true);
             while (!there[0] && time.step()) {
                 // Each step moves the virtual clock on.
             }
         }
 
-        void serve(int count, FinalResponse answer) {
+        void serve(int count, FinalResponse response) {
             for (int i = 0; i < count; i++) {
-                ledger.sent(0);
-                ledger.launched(0);
+                ledger.onSent(0);
+                ledger.onAttempt(0);
                 pass(0.05);
-                ledger.answered(0, "x", answer);
-                counted.merge(MetricsAuditor.name(answer, "x"), 1L, Long::sum);
+                ledger.onResponse(0, "x", response);
+                counted.merge(MetricsAuditor.metricName(response, "x"), 1L, Long::sum);
                 counted.merge("upstream_requests", 1L, Long::sum);
                 pass(0.05);
             }
         }
 
         void tell(Object process, Map<String, Long> figures) {
-            ledger.told(0, process, figures);
+            ledger.onMetrics(0, process, figures);
             pass(1);
         }
     }
@@ -66,15 +66,15 @@
                     "tells what was seen",
                     true,
                     p -> {
-                        p.serve(100, FinalResponse.FULFILLED);
-                        p.serve(20, FinalResponse.BOUNCED);
+                        p.serve(100, FinalResponse.SUCCEEDED);
+                        p.serve(20, FinalResponse.REJECTED);
                         p.tell(OLD, p.counted);
                     }),
             row(
                     "counts a tenth too few",
                     false,
                     p -> {
-                        p.serve(100, FinalResponse.FULFILLED);
+                        p.serve(100, FinalResponse.SUCCEEDED);
                         p.counted.merge("completed.x", -10L, Long::sum);
                         p.tell(OLD, p.counted);
                     }),
@@ -82,7 +82,7 @@
                     "counts bounces as scraps",
                     false,
                     p -> {
-                        p.serve(20, FinalResponse.BOUNCED);
+                        p.serve(20, FinalResponse.REJECTED);
                         p.counted.put("failed.x", p.counted.remove("rejected.x"));
                         p.tell(OLD, p.counted);
                     }),
@@ -90,7 +90,7 @@
                     "leaves one figure out",
                     false,
                     p -> {
-                        p.serve(20, FinalResponse.SCRAPPED);
+                        p.serve(20, FinalResponse.FAILED);
                         p.counted.remove("failed.x");
                         p.tell(OLD, p.counted);
                     }),
@@ -98,7 +98,7 @@
                     "counts launches twice",
                     false,
                     p -> {
-                        p.serve(100, FinalResponse.FULFILLED);
+                        p.serve(100, FinalResponse.SUCCEEDED);
                         p.counted.merge("upstream_requests", 100L, Long::sum);
                         p.tell(OLD, p.counted);
                     }),
@@ -107,7 +107,7 @@
                     false,
                     p -> {
                         for (int i = 0; i < 20; i++) {
-                            p.ledger.sent(0);
+                            p.ledger.onSent(0);
                         }
                         p.pass(2);
                         p.tell(OLD, p.counted);
@@ -116,19 +116,19 @@
                     "is two seconds late",
                     false,
                     p -> {
-                        p.serve(100, FinalResponse.FULFILLED);
+                        p.serve(100, FinalResponse.SUCCEEDED);
                         Map<String, Long> old = new HashMap<>(p.counted);
-                        p.serve(20, FinalResponse.FULFILLED);
+                        p.serve(20, FinalResponse.SUCCEEDED);
                         p.tell(OLD, old);
                     }),
             row(
                     "counts what left in either way",
                     true,
                     p -> {
-                        p.serve(50, FinalResponse.FULFILLED);
+                        p.serve(50, FinalResponse.SUCCEEDED);
                         for (int i = 0; i < 20; i++) {
-                            p.ledger.sent(0);
-                            p.ledger.unheard(0);
+                            p.ledger.onSent(0);
+                            p.ledger.onResponseLost(0);
                         }
                         p.pass(1);
                         p.counted.merge("completed.x", 12L, Long::sum);
@@ -138,11 +138,11 @@
                     "goes on from 0 as another process, beside the old one",
                     true,
                     p -> {
-                        p.serve(100, FinalResponse.FULFILLED);
+                        p.serve(100, FinalResponse.SUCCEEDED);
                         p.tell(OLD, p.counted);
-                        p.ledger.began(0, NEW);
+                        p.ledger.onProcessStarted(0, NEW);
                         Map<String, Long> atOld = new HashMap<>(p.counted);
-                        p.serve(20, FinalResponse.FULFILLED);
+                        p.serve(20, FinalResponse.SUCCEEDED);
                         Map<String, Long> atNew =
                                 new HashMap<>(
                                         Map.of(
@@ -152,9 +152,9 @@
                                                 20L,
                                                 "pending",
                                                 0L));
-                        p.ledger.told(0, OLD, atOld);
+                        p.ledger.onMetrics(0, OLD, atOld);
                         p.tell(NEW, atNew);
-                        p.ledger.ended(0, OLD);
+                        p.ledger.onProcessEnded(0, OLD);
                         p.pass(3);
                         p.tell(NEW, atNew);
                     }),
@@ -162,10 +162,10 @@
                     "goes on from the old one's numbers",
                     false,
                     p -> {
-                        p.serve(100, FinalResponse.FULFILLED);
+                        p.serve(100, FinalResponse.SUCCEEDED);
                         p.tell(OLD, p.counted);
-                        p.ledger.began(0, NEW);
-                        p.ledger.ended(0, OLD);
+                        p.ledger.onProcessStarted(0, NEW);
+                        p.ledger.onProcessEnded(0, OLD);
                         p.pass(3);
                         p.tell(NEW, p.counted);
                     }),
@@ -173,10 +173,10 @@
                     "begins anew after a kill",
                     true,
                     p -> {
-                        p.serve(100, FinalResponse.FULFILLED);
+                        p.serve(100, FinalResponse.SUCCEEDED);
                         p.tell(OLD, p.counted);
-                        p.ledger.ended(0, OLD);
-                        p.ledger.began(0, NEW);
+                        p.ledger.onProcessEnded(0, OLD);
+                        p.ledger.onProcessStarted(0, NEW);
                         p.tell(
                                 NEW,
                                 Map.of("completed.x", 0L, "upstream_requests", 0L, "pending", 0L));
@@ -188,20 +188,21 @@
     public void whatIsNotSoIsFoundOut(String name, boolean honest, Consumer<Play> does) {
         Play play = new Play();
         does.accept(play);
-        assertTrue(play.ledger.checks() > 0, "nothing was compared");
-        assertEquals(play.ledger.untrue().isEmpty(), honest, name + ": " + play.ledger.untrue());
+        assertTrue(play.ledger.checkCount() > 0, "nothing was compared");
+        assertEquals(
+                play.ledger.mismatches().isEmpty(), honest, name + ": " + play.ledger.mismatches());
     }
 
     /** What stands still, or has no way, owes no answer; else one is due. */
     @Test
     public void aDoorThatIsNotAnsweredCounts() {
         Play play = new Play();
-        play.serve(10, FinalResponse.FULFILLED);
+        play.serve(10, FinalResponse.SUCCEEDED);
         play.tell(OLD, play.counted);
-        play.ledger.silent(0);
-        assertEquals(play.ledger.latePart(), 0.5);
-        play.ledger.unsure(0, true);
-        play.ledger.silent(0);
-        assertEquals(play.ledger.latePart(), 0.5);
+        play.ledger.onCallTimeout(0);
+        assertEquals(play.ledger.lateCallFraction(), 0.5);
+        play.ledger.suspendChecks(0, true);
+        play.ledger.onCallTimeout(0);
+        assertEquals(play.ledger.lateCallFraction(), 0.5);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/experiment/MatrixTest.java
+++ b/kit/src/test/java/wheelroute/kit/experiment/MatrixTest.java
@@ -27,7 +27,7 @@
                     null);
 
     private static List<Report> play(int cores) throws Exception {
-        return new Matrix(PLAN, cores, () -> false, text -> {}).play();
+        return new Matrix(PLAN, cores, () -> false, text -> {}).run();
     }
 
     @Test
@@ -73,7 +73,7 @@
 
     @Test
     public void aStoppedMatrixPlaysNoMore() throws Exception {
-        assertEquals(new Matrix(PLAN, 1, () -> true, text -> {}).play().size(), 0);
+        assertEquals(new Matrix(PLAN, 1, () -> true, text -> {}).run().size(), 0);
     }
 
     @DataProvider
--- a/kit/src/test/java/wheelroute/kit/faults/ActiveLinkFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/ActiveLinkFaultsTest.java
@@ -20,7 +20,7 @@
     public Object[][] harms() {
         return new Object[][] {
             {List.of(), LinkState.OPEN},
-            {List.of(LinkFault.CUT), SHUT},
+            {List.of(LinkFault.PARTITION), SHUT},
             {List.of(LinkFault.REFUSE), new LinkState(true, false, false, 0, 0, 0, FULL, 0)},
             {List.of(LinkFault.ONE_WAY), new LinkState(false, true, false, 0, 0, 0, FULL, 0)},
             {List.of(LinkFault.SLOW), new LinkState(false, true, true, 0.25, 0.5, 0, FULL, 0)},
@@ -28,7 +28,7 @@
                 List.of(LinkFault.SLOW, LinkFault.SLOW),
                 new LinkState(false, true, true, 0.5, 1, 0, FULL, 0)
             },
-            {List.of(LinkFault.CUT, LinkFault.ONE_WAY), SHUT},
+            {List.of(LinkFault.PARTITION, LinkFault.ONE_WAY), SHUT},
             {List.of(LinkFault.UNHEARD), new LinkState(false, false, true, 0, 0, 0, FULL, 0)},
             {List.of(LinkFault.UNHEARD, LinkFault.ONE_WAY), SHUT},
             {
@@ -36,11 +36,11 @@
                 new LinkState(false, true, true, 0, 0, 0.4375, FULL, 0)
             },
             {
-                List.of(LinkFault.TRICKLE, LinkFault.LOSS),
+                List.of(LinkFault.BANDWIDTH, LinkFault.LOSS),
                 new LinkState(false, true, true, 0, 0, 0.25, 0.25, 0)
             },
             {
-                List.of(LinkFault.REFUSE, LinkFault.CUT, LinkFault.SLOW),
+                List.of(LinkFault.REFUSE, LinkFault.PARTITION, LinkFault.SLOW),
                 new LinkState(true, false, false, 0.25, 0.5, 0, FULL, 0)
             },
         };
@@ -50,14 +50,14 @@
      * Begun in one order, healed in the other: open at the end, and the other ways never touched.
      */
     @Test(dataProvider = "harms")
-    public void harmsAddUpAndHeal(List<LinkFault> harms, LinkState passage) {
-        ActiveLinkFaults links = new ActiveLinkFaults((way, now) -> assertEquals(way, ONE));
-        harms.forEach(harm -> links.begin(harm, 0.25, 0.5, List.of(ONE)));
-        assertEquals(links.passage(ONE), passage);
-        assertEquals(links.passage(new NetworkLink(1, 3)), LinkState.OPEN);
-        assertEquals(links.passage(NetworkLink.toList(0)), LinkState.OPEN);
-        harms.forEach(harm -> links.heal(harm, 0.25, 0.5, List.of(ONE)));
-        assertEquals(links.passage(ONE), LinkState.OPEN);
+    public void harmsAddUpAndHeal(List<LinkFault> harms, LinkState state) {
+        ActiveLinkFaults links = new ActiveLinkFaults((link, now) -> assertEquals(link, ONE));
+        harms.forEach(fault -> links.add(fault, 0.25, 0.5, List.of(ONE)));
+        assertEquals(links.state(ONE), state);
+        assertEquals(links.state(new NetworkLink(1, 3)), LinkState.OPEN);
+        assertEquals(links.state(NetworkLink.toDiscovery(0)), LinkState.OPEN);
+        harms.forEach(fault -> links.remove(fault, 0.25, 0.5, List.of(ONE)));
+        assertEquals(links.state(ONE), LinkState.OPEN);
     }
 
     /** Whoever carries it out hears of each change once, and of nothing that changes nothing. */
@@ -65,20 +65,21 @@
     public void onlyChangesAreTold() {
         told.clear();
         ActiveLinkFaults links =
-                new ActiveLinkFaults((way, now) -> told.add(way.worker() + " " + now.back()));
+                new ActiveLinkFaults((link, now) -> told.add(link.worker() + " " + now.inbound()));
         List<NetworkLink> both = List.of(new NetworkLink(0, 1), new NetworkLink(0, 2));
-        links.begin(LinkFault.CUT, 1, 0, both);
-        links.begin(LinkFault.ONE_WAY, 1, 0, both.subList(0, 1));
-        links.heal(LinkFault.CUT, 1, 0, both);
-        links.heal(LinkFault.ONE_WAY, 1, 0, both.subList(0, 1));
+        links.add(LinkFault.PARTITION, 1, 0, both);
+        links.add(LinkFault.ONE_WAY, 1, 0, both.subList(0, 1));
+        links.remove(LinkFault.PARTITION, 1, 0, both);
+        links.remove(LinkFault.ONE_WAY, 1, 0, both.subList(0, 1));
         assertEquals(told, List.of("1 false", "2 false", "1 false", "2 true", "1 true"));
     }
 
     @Test
     public void whatIsNotHarmedCannotHeal() {
-        ActiveLinkFaults links = new ActiveLinkFaults((way, now) -> {});
-        links.begin(LinkFault.SLOW, 1, 0, List.of(ONE));
+        ActiveLinkFaults links = new ActiveLinkFaults((link, now) -> {});
+        links.add(LinkFault.SLOW, 1, 0, List.of(ONE));
         expectThrows(
-                IllegalStateException.class, () -> links.heal(LinkFault.CUT, 1, 0, List.of(ONE)));
+                IllegalStateException.class,
+                () -> links.remove(LinkFault.PARTITION, 1, 0, List.of(ONE)));
     }
 }
--- a/kit/src/test/java/wheelroute/kit/faults/DatagramRelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/DatagramRelayTest.java
@@ -55,8 +55,8 @@
                     far = socket("far");
                     forth = new DatagramRelay(loop, () -> far.address(), () -> chance);
                     back = new DatagramRelay(loop, () -> near.address(), () -> chance);
-                    forth.pairedWith(back);
-                    back.pairedWith(forth);
+                    forth.pairWith(back);
+                    back.pairWith(forth);
                     return null;
                 });
     }
@@ -73,8 +73,8 @@
     private void set(LinkState nears, LinkState fars) throws Exception {
         onLoop(
                 () -> {
-                    forth.set(nears, fars);
-                    back.set(fars, nears);
+                    forth.apply(nears, fars);
+                    back.apply(fars, nears);
                     return null;
                 });
     }
--- a/kit/src/test/java/wheelroute/kit/faults/RelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/RelayTest.java
@@ -92,10 +92,10 @@
         }
     }
 
-    private void set(LinkState passage) throws Exception {
+    private void set(LinkState state) throws Exception {
         onLoop(
                 () -> {
-                    relay.set(passage);
+                    relay.apply(state);
                     return null;
                 });
     }
@@ -123,10 +123,10 @@
 
     /** Nothing comes back while it is harmed; healed, all of it comes, in its order. */
     @Test(dataProvider = "shut", timeOut = 2 * PATIENCE)
-    public void whatIsHeldBackGoesOnWhenHealed(LinkState passage, boolean hears) throws Exception {
+    public void whatIsHeldBackGoesOnWhenHealed(LinkState state, boolean hears) throws Exception {
         Socket socket = connect();
         assertEchoes(socket, "before");
-        set(passage);
+        set(state);
         socket.getOutputStream().write("first ".getBytes(UTF_8));
         socket.getOutputStream().write("second".getBytes(UTF_8));
         socket.setSoTimeout(SILENCE);
--- a/kit/src/test/java/wheelroute/kit/faults/ScheduleMinimizerTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/ScheduleMinimizerTest.java
@@ -57,13 +57,13 @@
                 ScheduleMinimizer.of(
                         faults(count), 10_000, some -> picks(some).containsAll(needed));
         assertEquals(picks(result.faults()), needed);
-        assertTrue(result.whole());
+        assertTrue(result.complete());
         result.faults()
                 .forEach(
                         fault -> {
                             assertEquals(fault.length(), 0.2);
                             assertEquals(fault.share(), 0.05);
-                            assertEquals(fault.within(), 0.0);
+                            assertEquals(fault.startSpread(), 0.0);
                         });
     }
 
@@ -91,7 +91,7 @@
                             return picks(some).containsAll(List.of(5, 20));
                         });
         assertEquals(plays[0], 7);
-        assertFalse(result.whole());
+        assertFalse(result.complete());
         assertTrue(picks(result.faults()).containsAll(List.of(5, 20)));
         assertTrue(result.faults().size() < 32);
     }
--- a/kit/src/test/java/wheelroute/kit/model/WorkerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/model/WorkerModelTest.java
@@ -26,10 +26,10 @@
     private WorkerModel worker(Scenario scenario) {
         said.clear();
         time = new SimulatedTime();
-        ClusterModel world =
+        ClusterModel cluster =
                 new ClusterModel(
                         scenario, time, new SeededRandom(1), 5, new Auditor(scenario, time, 0));
-        return world.workers.get(0);
+        return cluster.workers.get(0);
     }
 
     private WorkerAttempt send(WorkerModel worker, String name, double work) {
@@ -39,7 +39,7 @@
     private WorkerAttempt send(
             WorkerModel worker, String name, double work, int slots, double memory) {
         double sentAt = time.now();
-        WorkerAttempt launch =
+        WorkerAttempt attempt =
                 new WorkerAttempt(
                         name.hashCode(),
                         work,
@@ -56,17 +56,17 @@
                             }
 
                             @Override
-                            public void started() {
+                            public void onStarted() {
                                 note("started");
                             }
 
                             @Override
-                            public void progressed(double share) {
+                            public void onProgress(double share) {
                                 note(String.format(Locale.ROOT, "at %.2f", share));
                             }
 
                             @Override
-                            public void ended(AttemptEnding ending, double freeSlots) {
+                            public void onEnded(AttemptEnding ending, double freeSlots) {
                                 note(
                                         ending
                                                 + (Double.isNaN(freeSlots)
@@ -74,13 +74,13 @@
                                                         : " free " + (int) freeSlots));
                             }
                         });
-        worker.arrive(launch);
-        return launch;
+        worker.accept(attempt);
+        return attempt;
     }
 
     private void pass(double seconds) {
         boolean[] there = {false};
-        time.after(seconds, () -> there[0] = true);
+        time.schedule(seconds, () -> there[0] = true);
         while (!there[0] && time.step()) {
             // Each step moves the virtual clock on.
         }
@@ -130,7 +130,7 @@
                             t.send(w, "b", 0.2);
                             t.send(w, "c", 0.1);
                         },
-                "a started 0.00, b started 0.00, b DONE 0.20, c started 0.20, c DONE 0.30, a DONE 0.40"
+                "a started 0.00, b started 0.00, b SUCCEEDED 0.20, c started 0.20, c SUCCEEDED 0.30, a SUCCEEDED 0.40"
             },
             {
                 "a full queue turns away",
@@ -141,7 +141,7 @@
                                 t.send(w, name, 9);
                             }
                         },
-                "a started 0.00, b started 0.00, f TURNED_AWAY 0.00"
+                "a started 0.00, b started 0.00, f REJECTED 0.00"
             },
             {
                 "a wide job waits for its slots",
@@ -151,7 +151,7 @@
                             t.send(w, "a", 0.1);
                             t.send(w, "b", 0.1, 2, 0);
                         },
-                "a started 0.00, a DONE 0.10, b started 0.10, b DONE 0.20"
+                "a started 0.00, a SUCCEEDED 0.10, b started 0.10, b SUCCEEDED 0.20"
             },
             {
                 "a stall holds what runs and what waits",
@@ -160,12 +160,12 @@
                         (t, w) -> {
                             t.send(w, "a", 0.25);
                             t.pass(0.1);
-                            w.stalled(true);
+                            w.setStalled(true);
                             t.send(w, "b", 0.1);
                             t.pass(1);
-                            w.stalled(false);
+                            w.setStalled(false);
                         },
-                "a started 0.00, b started 1.00, b DONE 1.10, a DONE 1.25"
+                "a started 0.00, b started 1.00, b SUCCEEDED 1.10, a SUCCEEDED 1.25"
             },
             {
                 "a slow neighbour stretches what is left",
@@ -174,16 +174,16 @@
                         (t, w) -> {
                             t.send(w, "a", 0.2);
                             t.pass(0.1);
-                            w.slowed(0.5);
+                            w.changeSpeed(0.5);
                         },
-                "a started 0.00, a DONE 0.30"
+                "a started 0.00, a SUCCEEDED 0.30"
             },
             {
                 "errors come at once",
                 "",
                 (Deed)
                         (t, w) -> {
-                            w.failing(1);
+                            w.changeFailureRate(1);
                             t.send(w, "a", 5);
                         },
                 "a FAILED 0.00"
@@ -193,13 +193,13 @@
                 "",
                 (Deed)
                         (t, w) -> {
-                            w.silent(true);
+                            w.setSilent(true);
                             t.send(w, "a", 0.1);
                             t.pass(0.5);
-                            w.silent(false);
+                            w.setSilent(false);
                             t.send(w, "b", 0.1);
                         },
-                "a BROKEN 0.50, b started 0.00, b DONE 0.10"
+                "a CONNECTION_LOST 0.50, b started 0.00, b SUCCEEDED 0.10"
             },
             {
                 "a cut hides what came before and during it",
@@ -207,27 +207,27 @@
                 (Deed)
                         (t, w) -> {
                             t.send(w, "a", 0.1);
-                            w.cut(true);
+                            w.setPartitioned(true);
                             t.send(w, "b", 0.1);
                             t.pass(1);
-                            w.cut(false);
+                            w.setPartitioned(false);
                         },
-                "a started 0.00, b BROKEN 1.00, a BROKEN 1.00"
+                "a started 0.00, b CONNECTION_LOST 1.00, a CONNECTION_LOST 1.00"
             },
             {
                 "faults of two kinds overlap",
                 "",
                 (Deed)
                         (t, w) -> {
-                            w.silent(true);
-                            w.stalled(true);
+                            w.setSilent(true);
+                            w.setStalled(true);
                             t.send(w, "a", 0.1);
                             t.pass(0.3);
-                            w.silent(false);
+                            w.setSilent(false);
                             t.pass(0.2);
-                            w.stalled(false);
+                            w.setStalled(false);
                         },
-                "a started 0.50, a DONE 0.60"
+                "a started 0.50, a SUCCEEDED 0.60"
             },
             {
                 "a crash breaks all, and nothing comes after it",
@@ -242,7 +242,7 @@
                             t.pass(1);
                             w.start();
                         },
-                "a started 0.00, b started 0.00, a BROKEN 0.00, b BROKEN 0.00, c BROKEN 0.00"
+                "a started 0.00, b started 0.00, a CONNECTION_LOST 0.00, b CONNECTION_LOST 0.00, c CONNECTION_LOST 0.00"
             },
             {
                 "cold, a job takes longer",
@@ -253,7 +253,7 @@
                             w.start();
                             t.send(w, "a", 0.1);
                         },
-                "a started 0.00, a DONE 0.50"
+                "a started 0.00, a SUCCEEDED 0.50"
             },
             {
                 "too much while cold pushes it over",
@@ -266,13 +266,13 @@
                             t.send(w, "b", 0.2);
                             assertTrue(!w.isUp());
                         },
-                "a started 0.00, b BROKEN 0.00, a BROKEN 0.00"
+                "a started 0.00, b CONNECTION_LOST 0.00, a CONNECTION_LOST 0.00"
             },
             {
                 "progress is told as it is made",
                 "[terms]\nprogress_every = 0.1\n",
                 (Deed) (t, w) -> t.send(w, "a", 0.25),
-                "a started 0.00, a at 0.40 0.10, a at 0.80 0.20, a DONE 0.25"
+                "a started 0.00, a at 0.40 0.10, a at 0.80 0.20, a SUCCEEDED 0.25"
             },
             {
                 "what waits is forgotten when its connection ends",
@@ -283,9 +283,9 @@
                             t.send(w, "b", 0.2);
                             WorkerAttempt c = t.send(w, "c", 9);
                             t.send(w, "d", 0.1);
-                            w.dropped(c);
+                            w.cancel(c);
                         },
-                "a started 0.00, b started 0.00, a DONE 0.20, d started 0.20, b DONE 0.20, d DONE 0.30"
+                "a started 0.00, b started 0.00, a SUCCEEDED 0.20, d started 0.20, b SUCCEEDED 0.20, d SUCCEEDED 0.30"
             },
             {
                 "reports are as old as they say",
@@ -298,8 +298,8 @@
                             t.pass(0.15);
                             t.send(w, "c", 0.1);
                         },
-                "a started 0.00, a DONE free 2 0.10, b started 0.00, b DONE free 1 0.10, c started 0.00, "
-                        + "c DONE free 2 0.10"
+                "a started 0.00, a SUCCEEDED free 2 0.10, b started 0.00, b SUCCEEDED free 1 0.10, c started 0.00, "
+                        + "c SUCCEEDED free 2 0.10"
             },
             {
                 "late reports are older",
@@ -309,9 +309,9 @@
                             t.send(w, "a", 0.5);
                             t.send(w, "b", 0.1);
                             t.pass(0.1);
-                            w.reportsLater(5);
+                            w.delayReports(5);
                         },
-                "a started 0.00, b started 0.00, b DONE free 1 0.10, a DONE free 2 0.50"
+                "a started 0.00, b started 0.00, b SUCCEEDED free 1 0.10, a SUCCEEDED free 2 0.50"
             },
         };
     }
@@ -334,7 +334,7 @@
         assertTrue(worker.isUp(), "it went with a job running");
         pass(0.5);
         assertTrue(!worker.isUp(), "it stayed though empty");
-        assertEquals(said.get(1), "a DONE 2.80");
+        assertEquals(said.get(1), "a SUCCEEDED 2.80");
         worker.start();
         assertTrue(worker.isUp() && worker.warmth(time.now()) < 1, "it came back warm");
     }
@@ -346,24 +346,24 @@
     public void theListLags() {
         time = new SimulatedTime();
         Scenario scenario = SmallScenario.scenario("[terms]\nlist_lag = 1\n");
-        ClusterModel world =
+        ClusterModel cluster =
                 new ClusterModel(
                         scenario, time, new SeededRandom(1), 5, new Auditor(scenario, time, 0));
         List<String> heard = new ArrayList<>();
         double from = time.now();
-        world.registry.watch(
+        cluster.registry.watch(
                 entry ->
                         heard.add(
                                 entry.worker().name
                                         + " "
                                         + entry.state()
                                         + String.format(Locale.ROOT, " %.1f", time.now() - from)));
-        WorkerModel worker = world.workers.get(0);
+        WorkerModel worker = cluster.workers.get(0);
         worker.crash();
         pass(0.5);
-        world.registry.later(2);
+        cluster.registry.addLag(2);
         worker.start();
-        world.registry.later(-2);
+        cluster.registry.addLag(-2);
         pass(0.1);
         worker.crash();
         pass(5);
--- a/kit/src/test/java/wheelroute/kit/process/DiscoveryCallCounterTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/DiscoveryCallCounterTest.java
@@ -9,14 +9,14 @@
     @Test
     public void theBusiestSecondCounts() {
         DiscoveryCallCounter calls = new DiscoveryCallCounter();
-        calls.called(0.5);
-        calls.beginsNow();
+        calls.record(0.5);
+        calls.reset();
         for (int i = 0; i < 10; i++) {
-            calls.called(3.75 + i / 20.0);
+            calls.record(3.75 + i / 20.0);
         }
-        calls.called(4.8);
-        calls.called(9);
-        assertEquals(calls.all(), 12);
-        assertEquals(calls.most(), 10);
+        calls.record(4.8);
+        calls.record(9);
+        assertEquals(calls.total(), 12);
+        assertEquals(calls.maxPerSecond(), 10);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/process/JudgedRuns.java
+++ b/kit/src/test/java/wheelroute/kit/process/JudgedRuns.java
@@ -20,7 +20,7 @@
         Report report = null;
         for (int i = 0; i < TRIES; i++) {
             report =
-                    ProcessRun.play(
+                    ProcessRun.run(
                             scenario,
                             seed,
                             seconds,
--- a/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
@@ -97,13 +97,13 @@
         assertEquals(
                 all.inTime()
                         + all.late()
-                        + all.bounced()
-                        + all.scrapped()
+                        + all.rejected()
+                        + all.failed()
                         + all.unanswered()
-                        + all.left(),
-                all.asked());
+                        + all.cancelled(),
+                all.requested());
         assertTrue(report.keepsRules(), TableWriter.text(report));
-        assertTrue(all.inTime() > all.asked() / 3, TableWriter.text(report));
+        assertTrue(all.inTime() > all.requested() / 3, TableWriter.text(report));
         assertEquals(report.figures().get(FigureNames.NOT_REPLACED), 0.0, TableWriter.text(report));
     }
 
@@ -122,7 +122,8 @@
                                 "clocks = [\"real\"]"),
                         5,
                         5);
-        assertEquals(report.figures().get(FigureNames.UNTRUE), 0.0, TableWriter.text(report));
+        assertEquals(
+                report.figures().get(FigureNames.METRICS_MISMATCH), 0.0, TableWriter.text(report));
         assertTrue(report.keepsRules(), TableWriter.text(report));
     }
 
@@ -181,6 +182,7 @@
                         12);
         assertTrue(report.keepsRules(), TableWriter.text(report));
         assertEquals(report.figures().get(FigureNames.PEERS_WRONG), 0.0, TableWriter.text(report));
-        assertTrue(report.total().inTime() > report.total().asked() / 3, TableWriter.text(report));
+        assertTrue(
+                report.total().inTime() > report.total().requested() / 3, TableWriter.text(report));
     }
 }
--- a/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
@@ -69,15 +69,15 @@
         assertEquals(
                 all.inTime()
                         + all.late()
-                        + all.bounced()
-                        + all.scrapped()
+                        + all.rejected()
+                        + all.failed()
                         + all.unanswered()
-                        + all.left(),
-                all.asked(),
+                        + all.cancelled(),
+                all.requested(),
                 trouble);
-        assertTrue(all.asked() > 120, TableWriter.text(report));
+        assertTrue(all.requested() > 120, TableWriter.text(report));
         assertTrue(report.keepsRules(), TableWriter.text(report));
-        assertTrue(all.inTime() > all.asked() / 4, TableWriter.text(report));
+        assertTrue(all.inTime() > all.requested() / 4, TableWriter.text(report));
     }
 
     /**
@@ -89,15 +89,15 @@
         Scenario scenario = SmallScenario.scenario("");
         Report real = play(scenario, 4);
         Report virtual =
-                SimulationRun.play(
+                SimulationRun.run(
                         scenario,
                         3,
                         4,
                         Map.of(),
                         "as-built",
-                        w -> Strategies.maker(Strategies.MODULE, w),
+                        w -> Strategies.factory(Strategies.POLICY, w),
                         () -> false);
-        assertEquals(real.total().asked(), virtual.total().asked());
+        assertEquals(real.total().requested(), virtual.total().requested());
         assertEquals(real.total().service(), virtual.total().service(), 0.03);
     }
 
@@ -108,7 +108,7 @@
                 expectThrows(
                         RehearsalException.class,
                         () ->
-                                ProcessRun.play(
+                                ProcessRun.run(
                                         SmallScenario.scenario(""),
                                         3,
                                         5,
--- a/kit/src/test/java/wheelroute/kit/process/ProcessSupervisorTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessSupervisorTest.java
@@ -24,8 +24,8 @@
         folder = Files.createTempDirectory("keeper");
     }
 
-    private static Process sleeper(ProcessSupervisor keeper) throws Exception {
-        return keeper.start(new ProcessBuilder("sleep", "600"));
+    private static Process sleeper(ProcessSupervisor supervisor) throws Exception {
+        return supervisor.start(new ProcessBuilder("sleep", "600"));
     }
 
     /**
@@ -46,11 +46,11 @@
 
     @Test
     public void aProcessStandsStillAndGoesOn() throws Exception {
-        try (ProcessSupervisor keeper = new ProcessSupervisor(folder)) {
-            kept = sleeper(keeper);
-            keeper.pause(kept, true);
+        try (ProcessSupervisor supervisor = new ProcessSupervisor(folder)) {
+            kept = sleeper(supervisor);
+            supervisor.setPaused(kept, true);
             assertEquals(state(kept, 'T'), 'T');
-            keeper.pause(kept, false);
+            supervisor.setPaused(kept, false);
             assertEquals(state(kept, 'S'), 'S');
         }
     }
@@ -58,18 +58,18 @@
     /** Also one that stands still as its keeper goes. */
     @Test
     public void whatIsKeptGoesWithItsKeeper() throws Exception {
-        ProcessSupervisor keeper = new ProcessSupervisor(folder);
-        kept = sleeper(keeper);
-        Process other = sleeper(keeper);
+        ProcessSupervisor supervisor = new ProcessSupervisor(folder);
+        kept = sleeper(supervisor);
+        Process other = sleeper(supervisor);
         assertEquals(state(kept, 'S'), 'S');
-        keeper.pause(kept, true);
+        supervisor.setPaused(kept, true);
         other.destroy();
         assertTrue(other.waitFor(PATIENCE, TimeUnit.SECONDS));
-        keeper.close();
+        supervisor.close();
         assertTrue(kept.waitFor(PATIENCE, TimeUnit.SECONDS), "it outlived its keeper");
         // One that is late, as its starter was killed in the middle of starting it, does not even
         // begin.
-        rig = keeper.start(new ProcessBuilder("sleep", "600"));
+        rig = supervisor.start(new ProcessBuilder("sleep", "600"));
         assertTrue(rig.waitFor(PATIENCE, TimeUnit.SECONDS), "it began after its keeper had gone");
         assertEquals(rig.exitValue(), 1);
     }
--- a/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
@@ -28,7 +28,7 @@
     @Test(timeOut = 180_000)
     public void measuresEachLineAtItsSizes() throws Exception {
         List<String> told = Collections.synchronizedList(new ArrayList<>());
-        ScaleResults slopes = ScaleRun.play(SMALL, () -> false, told::add);
+        ScaleResults slopes = ScaleRun.run(SMALL, () -> false, told::add);
         slopes.fits().forEach((name, fit) -> assertEquals(fit.points().size(), 4, name));
         // An entry of the list has so many bytes, whoever asks.
         assertEquals(slopes.fit(ScaleRun.WHOLE_BYTES).slope(), 123, 3);
@@ -64,7 +64,7 @@
         assertTrue(
                 expectThrows(
                                 RehearsalException.class,
-                                () -> ScaleRun.play(SMALL, () -> true, text -> {}))
+                                () -> ScaleRun.run(SMALL, () -> true, text -> {}))
                         .getMessage()
                         .contains("stopped"));
     }
--- a/kit/src/test/java/wheelroute/kit/scenario/FaultScheduleGeneratorTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/FaultScheduleGeneratorTest.java
@@ -24,12 +24,12 @@
     public void aScheduleDependsOnTheSeedAlone() {
         Scenario scenario = real(DRAWN);
         assertEquals(
-                FaultScheduleGenerator.drawn(scenario, 4),
-                FaultScheduleGenerator.drawn(scenario, 4));
+                FaultScheduleGenerator.withRandomFaults(scenario, 4),
+                FaultScheduleGenerator.withRandomFaults(scenario, 4));
         assertNotEquals(
-                FaultScheduleGenerator.drawn(scenario, 4).faults(),
-                FaultScheduleGenerator.drawn(scenario, 5).faults());
-        assertEquals(FaultScheduleGenerator.drawn(real(""), 4), real(""));
+                FaultScheduleGenerator.withRandomFaults(scenario, 4).faults(),
+                FaultScheduleGenerator.withRandomFaults(scenario, 5).faults());
+        assertEquals(FaultScheduleGenerator.withRandomFaults(real(""), 4), real(""));
     }
 
     /**
@@ -42,14 +42,14 @@
         Set<Scenario.Kind> kinds = EnumSet.noneOf(Scenario.Kind.class);
         Set<Scenario.LinkKind> ends = EnumSet.noneOf(Scenario.LinkKind.class);
         for (int seed = 0; seed < 300; seed++) {
-            Scenario drawn = FaultScheduleGenerator.drawn(scenario, seed);
+            Scenario drawn = FaultScheduleGenerator.withRandomFaults(scenario, seed);
             assertEquals(drawn.faults().size(), 7);
             assertEquals(ScenarioReader.read(drawn.name(), ScenarioWriter.text(drawn)), drawn);
             for (Scenario.Fault fault : drawn.faults().subList(1, 7)) {
-                assertTrue(fault.at() >= 0.5 && fault.until() <= 4.5 + 1e-9, fault.toString());
+                assertTrue(fault.start() >= 0.5 && fault.end() <= 4.5 + 1e-9, fault.toString());
                 assertTrue(fault.length() <= 2, fault.toString());
                 kinds.add(fault.kind());
-                ends.add(fault.ends());
+                ends.add(fault.affectedLinks());
             }
             assertEquals(
                     new HashSet<>(drawn.faults().stream().map(Scenario.Fault::pick).toList())
@@ -65,7 +65,7 @@
         Scenario scenario = SmallScenario.scenario(DRAWN, 3);
         for (int seed = 0; seed < 100; seed++) {
             assertTrue(
-                    FaultScheduleGenerator.drawn(scenario, seed).faults().stream()
+                    FaultScheduleGenerator.withRandomFaults(scenario, seed).faults().stream()
                             .noneMatch(f -> f.kind().needsProcesses()),
                     "seed " + seed);
         }
@@ -76,7 +76,7 @@
         Scenario scenario = real("[drawn]\nfaults = 20\nkinds = [\"crash\", \"list-cut\"]\n");
         assertEquals(
                 EnumSet.copyOf(
-                        FaultScheduleGenerator.drawn(scenario, 1).faults().stream()
+                        FaultScheduleGenerator.withRandomFaults(scenario, 1).faults().stream()
                                 .map(Scenario.Fault::kind)
                                 .toList()),
                 EnumSet.of(Scenario.Kind.CRASH, Scenario.Kind.LIST_CUT));
--- a/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
@@ -180,7 +180,7 @@
         Scenario scenario = ScenarioLibrary.find(name);
         assertTrue(scenario.expectations().size() > 0, "it expects nothing");
         Settings settings = DaemonSettings.settings(1, DaemonSettings.pairs(scenario, Map.of()));
-        assertEquals(settings.requestClasses().size(), scenario.offerings().size());
+        assertEquals(settings.requestClasses().size(), scenario.requestClasses().size());
     }
 
     /**
--- a/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
@@ -30,13 +30,13 @@
 
     private static Report play(Scenario scenario, long seed, double seconds, String brain)
             throws Exception {
-        return SimulationRun.play(
+        return SimulationRun.run(
                 scenario,
                 seed,
                 seconds,
                 Map.of(),
                 brain,
-                w -> Strategies.maker(brain, w),
+                w -> Strategies.factory(brain, w),
                 () -> false);
     }
 
@@ -58,7 +58,7 @@
         Scenario scenario = ScenarioLibrary.find(name);
         // A third of the largest is enough to see it hold, and keeps this test short.
         double seconds = scenario.dispatchers() > 10 ? QUICK / 3 : QUICK;
-        Report report = play(scenario, 7, seconds, Strategies.MODULE);
+        Report report = play(scenario, 7, seconds, Strategies.POLICY);
         assertTrue(report.holds(), TableWriter.text(report));
     }
 
@@ -70,7 +70,7 @@
     public void thirtyDispatchersPushNoColdWorkerOver() throws Exception {
         Scenario scenario = ScenarioLibrary.find("cold-thirty");
         for (int seed = 1; seed <= THIRTIES; seed++) {
-            Report report = play(scenario, seed, QUICK / 2, Strategies.MODULE);
+            Report report = play(scenario, seed, QUICK / 2, Strategies.POLICY);
             assertTrue(report.keepsRules(), seed + ": " + TableWriter.text(report));
         }
     }
@@ -80,11 +80,11 @@
     public void baselinesKeepTheRulesAndServeLess() throws Exception {
         Scenario scenario = ScenarioLibrary.find("overload");
         double module =
-                play(scenario, 3, QUICK, Strategies.MODULE).figures().get(FigureNames.SERVICE);
+                play(scenario, 3, QUICK, Strategies.POLICY).figures().get(FigureNames.SERVICE);
         for (String brain : Strategies.names()) {
             Report report = play(scenario, 3, QUICK, brain);
             assertTrue(report.keepsRules(), TableWriter.text(report));
-            if (!brain.equals(Strategies.MODULE) && !brain.equals(Strategies.SEEING)) {
+            if (!brain.equals(Strategies.POLICY) && !brain.equals(Strategies.OMNISCIENT)) {
                 double service = report.figures().get(FigureNames.SERVICE);
                 assertTrue(
                         service < module - 0.1, brain + " serves " + service + " beside " + module);
@@ -102,26 +102,26 @@
                 SmallScenario.scenario(
                         "[drawn]\nfaults = 5\nlongest = 2\n[clients]\nretries = 2\n", 4);
         for (int seed = 0; seed < SCHEDULES; seed++) {
-            Report report = play(scenario, seed, 5, Strategies.MODULE);
+            Report report = play(scenario, seed, 5, Strategies.POLICY);
             Report.Row all = report.total();
             assertTrue(report.keepsRules(), seed + ": " + TableWriter.text(report));
             assertEquals(
                     all.inTime()
                             + all.late()
-                            + all.bounced()
-                            + all.scrapped()
+                            + all.rejected()
+                            + all.failed()
                             + all.unanswered()
-                            + all.left(),
-                    all.asked());
+                            + all.cancelled(),
+                    all.requested());
         }
     }
 
     @Test
     public void theSameSeedGivesTheSameReport() throws Exception {
         Scenario scenario = ScenarioLibrary.find("drain-in-burst");
-        String once = JsonWriter.text(List.of(play(scenario, 5, 12, Strategies.MODULE)));
-        assertEquals(JsonWriter.text(List.of(play(scenario, 5, 12, Strategies.MODULE))), once);
-        assertNotEquals(JsonWriter.text(List.of(play(scenario, 6, 12, Strategies.MODULE))), once);
+        String once = JsonWriter.text(List.of(play(scenario, 5, 12, Strategies.POLICY)));
+        assertEquals(JsonWriter.text(List.of(play(scenario, 5, 12, Strategies.POLICY))), once);
+        assertNotEquals(JsonWriter.text(List.of(play(scenario, 6, 12, Strategies.POLICY))), once);
     }
 
     /**
@@ -130,11 +130,13 @@
     @Test
     public void allVariantsAreAskedTheSame() throws Exception {
         Scenario scenario = ScenarioLibrary.find("failures-overlap");
-        Report one = play(scenario, 5, 10, Strategies.MODULE);
+        Report one = play(scenario, 5, 10, Strategies.POLICY);
         Report other = play(scenario, 5, 10, "round-robin");
-        assertEquals(one.series().asked(), other.series().asked());
-        for (int i = 0; i < one.offerings().size(); i++) {
-            assertEquals(one.offerings().get(i).asked(), other.offerings().get(i).asked());
+        assertEquals(one.series().requested(), other.series().requested());
+        for (int i = 0; i < one.requestClasses().size(); i++) {
+            assertEquals(
+                    one.requestClasses().get(i).requested(),
+                    other.requestClasses().get(i).requested());
         }
         assertNotEquals(one.total().p99(), other.total().p99());
     }
@@ -146,20 +148,20 @@
                         "[clients]\nimpatient = 0.3\nretries = 2\n"
                                 + "[[faults]]\nkind = \"dispatcher-kill\"\nat = 1\nfor = 1\n"
                                 + "[[faults]]\nkind = \"list-down\"\nat = 1.5\nfor = 2\n");
-        Report report = play(scenario, 1, 5, Strategies.MODULE);
+        Report report = play(scenario, 1, 5, Strategies.POLICY);
         Report.Row all = report.total();
         assertEquals(
                 all.inTime()
                         + all.late()
-                        + all.bounced()
-                        + all.scrapped()
+                        + all.rejected()
+                        + all.failed()
                         + all.unanswered()
-                        + all.left(),
-                all.asked());
+                        + all.cancelled(),
+                all.requested());
         assertTrue(
-                all.asked() > 150 && all.asked() < 250,
-                all.asked() + " asked at 40 a second for 5 s");
-        assertTrue(all.left() > 0, "nobody hung up");
+                all.requested() > 150 && all.requested() < 250,
+                all.requested() + " asked at 40 a second for 5 s");
+        assertTrue(all.cancelled() > 0, "nobody hung up");
         assertTrue(report.keepsRules(), TableWriter.text(report));
     }
 
@@ -172,7 +174,7 @@
                                 "[expect.service]\nleast = 1.01\n[expect.p99]\nmost = 10\n"),
                         1,
                         5,
-                        Strategies.MODULE);
+                        Strategies.POLICY);
         assertTrue(!report.holds());
         assertEquals(report.verdicts().stream().filter(Report.Verdict::holds).count(), 1);
         assertTrue(
@@ -193,13 +195,13 @@
         Scenario scenario = ScenarioLibrary.find("calm");
         int[] looks = {0};
         Report report =
-                SimulationRun.play(
+                SimulationRun.run(
                         scenario,
                         1,
                         60,
                         Map.of(),
                         "x",
-                        w -> Strategies.maker("random", w),
+                        w -> Strategies.factory("random", w),
                         () -> ++looks[0] > 2);
         assertTrue(report.partial() && !report.holds());
         assertTrue(TableWriter.text(report).contains("PARTIAL"));
@@ -207,8 +209,8 @@
 
     @DataProvider
     public Object[][] lags() {
-        double much = Report.MOST_LAG * 1.01;
-        double once = Report.MOST_LAG_ONCE * 1.01;
+        double much = Report.MAX_LAG * 1.01;
+        double once = Report.MAX_SINGLE_LAG * 1.01;
         return new Object[][] {
             // lateness, what breaks a rule, the judgement
             {new Report.Lag(much, 1, 0, 0), null, Report.Judgement.NOT_JUDGED},
@@ -232,7 +234,7 @@
     @Test(dataProvider = "lags")
     public void aRunOnASlowMachineIsNotJudged(Report.Lag lag, Rule broken, Report.Judgement judged)
             throws Exception {
-        Report r = play(SmallScenario.scenario(""), 1, 5, Strategies.MODULE);
+        Report r = play(SmallScenario.scenario(""), 1, 5, Strategies.POLICY);
         assertTrue(r.holds(), TableWriter.text(r));
         Map<Rule, Integer> counts = new LinkedHashMap<>(r.breachCounts());
         if (broken != null) {
@@ -242,7 +244,7 @@
                 new Report(
                         r.run(),
                         r.total(),
-                        r.offerings(),
+                        r.requestClasses(),
                         r.tenants(),
                         r.figures(),
                         r.verdicts(),
