--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedNetwork.java
@@ -0,0 +1,63 @@
+package wheelroute.kit.simulation;
+
+import java.util.HashMap;
+import java.util.Map;
+import wheelroute.kit.faults.LinkState;
+import wheelroute.kit.faults.NetworkLink;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.scenario.Scenario;
+
+/** The links of one simulated dispatcher, and the delays of the messages on them. */
+final class SimulatedNetwork {
+    private final int dispatcher;
+    private final ClusterModel cluster;
+    private final Map<NetworkLink, SimulatedLink> links = new HashMap<>();
+    private long drawCount;
+
+    SimulatedNetwork(int dispatcher, ClusterModel cluster) {
+        this.dispatcher = dispatcher;
+        this.cluster = cluster;
+    }
+
+    SimulatedLink link(NetworkLink link) {
+        return links.computeIfAbsent(link, key -> new SimulatedLink(cluster.timeline));
+    }
+
+    SimulatedLink toClients() {
+        return link(NetworkLink.toClients(dispatcher));
+    }
+
+    SimulatedLink toDiscovery() {
+        return link(NetworkLink.toDiscovery(dispatcher));
+    }
+
+    SimulatedLink toWorker(int worker) {
+        return link(new NetworkLink(dispatcher, worker));
+    }
+
+    /** Delivers a message over a link without faults. */
+    void transmit(Runnable arrival) {
+        transmit(LinkState.OPEN, arrival);
+    }
+
+    /**
+     * Delivers a message after the network's delay and that of the link. Never runs the arrival
+     * before it returns, so no event reaches a strategy during a decision.
+     */
+    void transmit(LinkState state, Runnable arrival) {
+        Scenario.Network network = cluster.scenario.network();
+        double delay = network.delay();
+        if (network.jitter() > 0) {
+            delay += network.jitter() * draw(SeededRandom.Purpose.NETWORK);
+        }
+        if (!state.equals(LinkState.OPEN)) {
+            delay += state.extraDelay(() -> draw(SeededRandom.Purpose.LINK));
+        }
+        cluster.timeline.schedule(delay, arrival);
+    }
+
+    private double draw(SeededRandom.Purpose purpose) {
+        return cluster.random.uniform(purpose, dispatcher, drawCount++);
+    }
+}
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedRequest.java
@@ -0,0 +1,126 @@
+package wheelroute.kit.simulation;
+
+import java.util.ArrayList;
+import java.util.List;
+import wheelroute.decision.Ids;
+import wheelroute.decision.Outcome;
+import wheelroute.decision.Request;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.scenario.Scenario;
+import wheelroute.kit.strategy.Strategy;
+
+/** A request that a simulated dispatcher has read, until its last attempt has ended. */
+final class SimulatedRequest implements SimulatedLink.Connection {
+    /** What the daemon subtracts from the client's timeout, for the way of the response. */
+    private static final double RESPONSE_MARGIN = 0.08;
+
+    /** The margin is at most this fraction of the timeout. */
+    private static final double RESPONSE_MARGIN_FRACTION = 0.1;
+
+    private final SimulatedDispatcher dispatcher;
+    private final ClientAttempt clientAttempt;
+    private final Request request;
+    private final List<SimulatedAttempt> attempts = new ArrayList<>(2);
+
+    /** Null until the strategy has accepted the request. */
+    private Strategy.Handle handle;
+
+    /** Whether the client has its final response, or is gone. */
+    private boolean isAnswered;
+
+    SimulatedRequest(SimulatedDispatcher dispatcher, ClientAttempt clientAttempt) {
+        this.dispatcher = dispatcher;
+        this.clientAttempt = clientAttempt;
+        double timeout = clientAttempt.timeout();
+        double margin = Math.min(RESPONSE_MARGIN, RESPONSE_MARGIN_FRACTION * timeout);
+        Scenario.RequestClass requestClass = clientAttempt.request().requestClass();
+        request =
+                new Request(
+                        new Ids.Request(clientAttempt.key()),
+                        new Ids.RequestClass(requestClass.name()),
+                        new Ids.Tenant(clientAttempt.request().tenant().name()),
+                        dispatcher.now() + timeout - margin,
+                        clientAttempt.request().costEstimate(),
+                        requestClass.slots(),
+                        requestClass.memory(),
+                        clientAttempt.number() > 0,
+                        null);
+    }
+
+    ClientAttempt clientAttempt() {
+        return clientAttempt;
+    }
+
+    Ids.Request id() {
+        return request.id();
+    }
+
+    double deadline() {
+        return request.deadline();
+    }
+
+    Strategy.Handle handle() {
+        return handle;
+    }
+
+    boolean isAnswered() {
+        return isAnswered;
+    }
+
+    List<SimulatedAttempt> attempts() {
+        return attempts;
+    }
+
+    /** Passes the request to the strategy. */
+    void start() {
+        handle = dispatcher.strategy().accept(request);
+        closeIfComplete();
+    }
+
+    /** Sends the final response, unless the client has one or is gone. */
+    void respond(FinalResponse response, double retryAfter) {
+        if (!isAnswered) {
+            isAnswered = true;
+            dispatcher.sendResponse(this, response, retryAfter);
+        }
+    }
+
+    /** The link to the client resets the connection. */
+    @Override
+    public void reset() {
+        dispatcher.onClientConnectionReset(this);
+    }
+
+    void onClientGone() {
+        if (!isAnswered) {
+            isAnswered = true;
+            dispatcher.network().toClients().remove(this);
+            handle.onClientGone();
+            closeIfComplete();
+        }
+    }
+
+    /** Ends all attempts, and fails the request unless an attempt's end is answered otherwise. */
+    void onDeadline() {
+        if (!dispatcher.isPending(this)) {
+            return;
+        }
+        for (SimulatedAttempt attempt : new ArrayList<>(attempts)) {
+            attempt.abort(Outcome.TIMED_OUT);
+        }
+        dispatcher.dispatch(
+                () -> {
+                    if (!isAnswered) {
+                        respond(FinalResponse.FAILED, 0);
+                    }
+                    dispatcher.removePending(this);
+                });
+    }
+
+    void closeIfComplete() {
+        if (isAnswered && handle != null && handle.isComplete()) {
+            dispatcher.removePending(this);
+        }
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
@@ -6,6 +6,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 import wheelroute.config.ConfigException;
+import wheelroute.decision.Settings;
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.faults.ActiveLinkFaults;
 import wheelroute.kit.faults.NetworkLink;
@@ -20,68 +21,47 @@
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.strategy.Strategy;
 
-/** One run on the virtual clock. */
+/** A run of a scenario in simulated time. */
 public final class SimulationRun {
-    /**
-     * After the last ask has ended the world goes on for so long: what comes too late must be seen.
-     */
+    /** The run continues for so long after the last request, to observe what comes too late. */
     private static final double SETTLE_TIME = 2;
 
-    /** Ways that cross: a launch and an answer, each there and back. */
+    /** Link crossings of a request: attempt and response, each there and back. */
     private static final double LINK_CROSSINGS = 4;
 
-    /** How often a run looks whether it is to stop. */
+    /** Steps between two checks of whether the run is to stop. */
     private static final int STOP_CHECK_STEPS = 4096;
 
-    private SimulationRun() {}
+    private final SimulatedTime time = new SimulatedTime();
+    private final BooleanSupplier stop;
+    private int stepCount;
+    private boolean isStopped;
+
+    private SimulationRun(BooleanSupplier stop) {
+        this.stop = stop;
+    }
 
-    /** Plays it to its end, or until it is told to stop. */
+    /**
+     * Runs a scenario to its end.
+     *
+     * @param written the scenario, random faults not yet drawn
+     * @param seconds how long requests arrive
+     * @param variant settings that differ from the scenario's
+     * @param variantName of the variant, for the report
+     * @param strategies creates the dispatchers' strategies
+     * @param stop ends the run early when it returns true; the report is partial then
+     * @throws ConfigException if the settings cannot be used
+     */
     public static Report run(
             Scenario written,
             long seed,
             double seconds,
             Map<String, String> variant,
             String variantName,
-            Function<ClusterModel, Strategy.Factory> maker,
+            Function<ClusterModel, Strategy.Factory> strategies,
             BooleanSupplier stop)
             throws ConfigException {
         Scenario scenario = FaultScheduleGenerator.withRandomFaults(written, seed);
-        SimulatedTime time = new SimulatedTime();
-        SeededRandom random = new SeededRandom(seed);
-        double slack = LINK_CROSSINGS * (scenario.network().delay() + scenario.network().jitter());
-        Auditor auditor = new Auditor(scenario, time, slack);
-        Recorder recorder = new Recorder(scenario, time, seconds, auditor);
-        ClusterModel cluster = new ClusterModel(scenario, time, random, seconds, recorder);
-        Map<String, String> pairs = DaemonSettings.pairs(scenario, variant);
-        List<SimulatedDispatcher> dispatchers = new ArrayList<>();
-        Strategy.Factory strategies = maker.apply(cluster);
-        for (int i = 0; i < scenario.dispatchers(); i++) {
-            dispatchers.add(
-                    new SimulatedDispatcher(
-                            i,
-                            cluster,
-                            DaemonSettings.settings(
-                                    random.seedOf(SeededRandom.Purpose.STRATEGY, i, 0),
-                                    DaemonSettings.pairsOf(scenario, i, pairs)),
-                            strategies,
-                            auditor));
-        }
-        Clients clients =
-                new Clients(scenario, time, random, seconds, transport(dispatchers), recorder);
-        dispatchers.forEach(dispatcher -> dispatcher.clients(clients));
-        dispatchers.forEach(SimulatedDispatcher::start);
-        cluster.start(dispatcherControl(cluster, dispatchers));
-        recorder.start(cluster, clients);
-        boolean partial = false;
-        int steps = 0;
-        while (!clients.isOver() && !partial && time.step()) {
-            partial = ++steps % STOP_CHECK_STEPS == 0 && stop.getAsBoolean();
-        }
-        double end = time.now() + SETTLE_TIME;
-        while (!partial && time.now() < end && time.step()) {
-            partial = ++steps % STOP_CHECK_STEPS == 0 && stop.getAsBoolean();
-        }
-        auditor.finish();
         Report.Run run =
                 new Report.Run(
                         scenario.name(),
@@ -92,8 +72,62 @@
                         seconds,
                         scenario.workers(),
                         scenario.dispatchers());
+        return new SimulationRun(stop).run(scenario, run, variant, strategies);
+    }
+
+    private Report run(
+            Scenario scenario,
+            Report.Run run,
+            Map<String, String> variant,
+            Function<ClusterModel, Strategy.Factory> strategies)
+            throws ConfigException {
+        SeededRandom random = new SeededRandom(run.seed());
+        double slack = LINK_CROSSINGS * (scenario.network().delay() + scenario.network().jitter());
+        Auditor auditor = new Auditor(scenario, time, slack);
+        Recorder recorder = new Recorder(scenario, time, run.seconds(), auditor);
+        ClusterModel cluster = new ClusterModel(scenario, time, random, run.seconds(), recorder);
+        Map<String, String> pairs = DaemonSettings.pairs(scenario, variant);
+        List<SimulatedDispatcher> dispatchers =
+                dispatchers(cluster, pairs, strategies.apply(cluster), auditor);
+        Clients clients =
+                new Clients(
+                        scenario, time, random, run.seconds(), transport(dispatchers), recorder);
+        dispatchers.forEach(dispatcher -> dispatcher.clients(clients));
+        dispatchers.forEach(SimulatedDispatcher::start);
+        cluster.start(dispatcherControl(cluster, dispatchers));
+        recorder.start(cluster, clients);
+        advanceWhile(() -> !clients.isOver());
+        double end = time.now() + SETTLE_TIME;
+        advanceWhile(() -> time.now() < end);
+        auditor.finish();
         return Report.of(
-                run, recorder, auditor, cluster, Report.Lag.NONE, Report.Extra.NONE, partial);
+                run, recorder, auditor, cluster, Report.Lag.NONE, Report.Extra.NONE, isStopped);
+    }
+
+    private static List<SimulatedDispatcher> dispatchers(
+            ClusterModel cluster,
+            Map<String, String> pairs,
+            Strategy.Factory factory,
+            Auditor auditor)
+            throws ConfigException {
+        Scenario scenario = cluster.scenario;
+        List<SimulatedDispatcher> dispatchers = new ArrayList<>();
+        for (int i = 0; i < scenario.dispatchers(); i++) {
+            Settings settings =
+                    DaemonSettings.settings(
+                            cluster.random.seedOf(SeededRandom.Purpose.STRATEGY, i, 0),
+                            DaemonSettings.pairsOf(scenario, i, pairs));
+            dispatchers.add(new SimulatedDispatcher(i, cluster, settings, factory, auditor));
+        }
+        return dispatchers;
+    }
+
+    /** Runs tasks while the condition holds, there are any, and the run is not stopped. */
+    private void advanceWhile(BooleanSupplier condition) {
+        while (condition.getAsBoolean() && !isStopped && time.step()) {
+            stepCount++;
+            isStopped = stepCount % STOP_CHECK_STEPS == 0 && stop.getAsBoolean();
+        }
     }
 
     private static Clients.Transport transport(List<SimulatedDispatcher> dispatchers) {
