--- a/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
@@ -12,11 +12,11 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import wheelroute.config.ConfigException;
-import wheelroute.kit.brain.Brains;
-import wheelroute.kit.real.RealRun;
-import wheelroute.kit.real.RehearsalException;
+import wheelroute.kit.process.ProcessRun;
+import wheelroute.kit.process.RehearsalException;
 import wheelroute.kit.report.Report;
-import wheelroute.kit.virtual.VirtualRun;
+import wheelroute.kit.simulation.SimulationRun;
+import wheelroute.kit.strategy.Strategies;
 
 /** Plays a plan, so many runs side by side. */
 public final class Matrix {
@@ -38,7 +38,7 @@
      * The reports in the plan's order, whatever order they were played in; fewer when it was
      * stopped.
      */
-    public List<Report> play() throws RehearsalException, ConfigException {
+    public List<Report> run() throws RehearsalException, ConfigException {
         List<Plan.Item> items = plan.items();
         ExecutorService pool = Executors.newFixedThreadPool(cores);
         AtomicInteger done = new AtomicInteger();
@@ -53,7 +53,7 @@
                                 }
                                 try {
                                     long begun = System.nanoTime();
-                                    Report report = play(item);
+                                    Report report = run(item);
                                     progress.accept(
                                             String.format(
                                                     Locale.ROOT,
@@ -62,7 +62,7 @@
                                                     done.incrementAndGet(),
                                                     items.size(),
                                                     item.text(),
-                                                    report.total().asked(),
+                                                    report.total().requested(),
                                                     (System.nanoTime() - begun) / NANOS,
                                                     report.judgement()
                                                             .name()
@@ -102,10 +102,10 @@
     }
 
     /** One of them alone. */
-    public Report play(Plan.Item item) throws RehearsalException, ConfigException {
+    public Report run(Plan.Item item) throws RehearsalException, ConfigException {
         Variant variant = item.variant();
         if (plan.clock() == Plan.Clock.REAL) {
-            return RealRun.play(
+            return ProcessRun.run(
                     item.scenario(),
                     item.seed(),
                     item.seconds(),
@@ -116,13 +116,13 @@
                     stop,
                     text -> progress.accept(item.text() + ": " + text));
         }
-        return VirtualRun.play(
+        return SimulationRun.run(
                 item.scenario(),
                 item.seed(),
                 item.seconds(),
                 variant.settings(),
                 variant.name(),
-                world -> Brains.maker(variant.brain(), world),
+                cluster -> Strategies.factory(variant.brain(), cluster),
                 stop);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/many/Harm.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
@@ -1,16 +1,16 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import wheelroute.kit.scenario.Scenario;
 
 /**
  * What can be done to a way. Each heals on its own; what was held back then goes on in its order.
  */
-public enum Harm {
+public enum LinkFault {
     /**
      * Nothing passes, and nobody is told: bytes wait, as they would for a network that resends
      * them.
      */
-    CUT,
+    PARTITION,
     /** What is open is reset, and what comes is refused. */
     REFUSE,
     /** The dispatcher's bytes arrive, the answers do not. */
@@ -28,20 +28,20 @@
      */
     LOSS,
     /** So many bytes a second pass in each direction. */
-    TRICKLE,
+    BANDWIDTH,
     /** Of all datagrams the part that the level says comes twice. */
-    DOUBLE;
+    DUPLICATE;
 
-    public static Harm of(Scenario.Kind kind) {
+    public static LinkFault of(Scenario.Kind kind) {
         return switch (kind) {
             case LINK_REFUSE -> REFUSE;
             case LINK_ONE_WAY -> ONE_WAY;
             case LINK_UNHEARD -> UNHEARD;
             case LINK_SLOW -> SLOW;
             case LINK_LOSS -> LOSS;
-            case LINK_TRICKLE -> TRICKLE;
-            case LINK_DOUBLE -> DOUBLE;
-            case LINK_CUT, LIST_CUT -> CUT;
+            case LINK_TRICKLE -> BANDWIDTH;
+            case LINK_DOUBLE -> DUPLICATE;
+            case LINK_CUT, LIST_CUT -> PARTITION;
             default -> throw new IllegalArgumentException("no harm to a way: " + kind);
         };
     }
--- a/kit/src/main/java/wheelroute/kit/many/Way.java
+++ b/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.many;
+package wheelroute.kit.faults;
 
 import java.util.Arrays;
 import java.util.List;
@@ -8,33 +8,33 @@
 /**
  * One way from a dispatcher to another process.
  *
- * @param worker which worker, {@link #LIST}, {@link #CLIENTS} or, from {@link #PEERS} down, which
- *     peer
+ * @param worker which worker, {@link #DISCOVERY}, {@link #CLIENTS} or, from {@link #FIRST_PEER}
+ *     down, which peer
  */
-public record Way(int dispatcher, int worker) {
-    public static final int LIST = -1;
+public record NetworkLink(int dispatcher, int worker) {
+    public static final int DISCOVERY = -1;
     public static final int CLIENTS = -2;
-    private static final int PEERS = -3;
+    private static final int FIRST_PEER = -3;
 
-    public static Way toList(int dispatcher) {
-        return new Way(dispatcher, LIST);
+    public static NetworkLink toDiscovery(int dispatcher) {
+        return new NetworkLink(dispatcher, DISCOVERY);
     }
 
-    public static Way toClients(int dispatcher) {
-        return new Way(dispatcher, CLIENTS);
+    public static NetworkLink toClients(int dispatcher) {
+        return new NetworkLink(dispatcher, CLIENTS);
     }
 
-    public static Way toPeer(int dispatcher, int peer) {
-        return new Way(dispatcher, PEERS - peer);
+    public static NetworkLink toPeer(int dispatcher, int peer) {
+        return new NetworkLink(dispatcher, FIRST_PEER - peer);
     }
 
     public boolean isToPeer() {
-        return worker <= PEERS;
+        return worker <= FIRST_PEER;
     }
 
     /** The number of the dispatcher at the far end of a way to a peer. */
     public int peer() {
-        return PEERS - worker;
+        return FIRST_PEER - worker;
     }
 
     public boolean isToWorker() {
@@ -48,25 +48,25 @@
      * @param dispatchers how many there are
      * @param groups the group of each worker, by its number
      */
-    public static List<Way> of(
+    public static List<NetworkLink> of(
             Scenario.Fault fault,
             int dispatcher,
             int[] targets,
             int dispatchers,
             List<Scenario.WorkerGroup> groups) {
-        return switch (fault.ends()) {
-            case LIST -> List.of(toList(dispatcher));
+        return switch (fault.affectedLinks()) {
+            case LIST -> List.of(toDiscovery(dispatcher));
             case CLIENTS -> List.of(toClients(dispatcher));
             case PEERS ->
                     IntStream.range(0, dispatchers)
                             .filter(n -> Arrays.stream(targets).noneMatch(t -> t == n))
-                            .limit((long) Math.ceil(fault.others() * dispatchers))
+                            .limit((long) Math.ceil(fault.peerFraction() * dispatchers))
                             .mapToObj(n -> toPeer(dispatcher, n))
                             .toList();
             case WORKERS ->
                     IntStream.range(0, groups.size())
-                            .filter(n -> fault.concerns(groups.get(n)))
-                            .mapToObj(n -> new Way(dispatcher, n))
+                            .filter(n -> fault.matches(groups.get(n)))
+                            .mapToObj(n -> new NetworkLink(dispatcher, n))
                             .toList();
         };
     }
--- a/kit/src/main/java/wheelroute/kit/world/World.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -12,22 +12,22 @@
 import wheelroute.kit.scenario.Scenario;
 
 /** Workers, their list and their faults, put together from a scenario and a seed. */
-public final class World {
+public final class ClusterModel {
     /** Draws of moments lie far from those of targets, which are numbered from 0. */
     private static final long MOMENT = -1;
 
     /**
      * Who can end a dispatcher and start it again, and do more to real processes and their ways.
      */
-    public interface Dispatchers {
+    public interface DispatcherControl {
         void kill(int dispatcher);
 
-        void end(int dispatcher);
+        void terminate(int dispatcher);
 
         void start(int dispatcher, Scenario.How how);
 
         /** Its process stands still, or goes on. */
-        default void pause(int dispatcher, boolean begins) {
+        default void setPaused(int dispatcher, boolean begins) {
             throw new IllegalStateException("no process stands still here");
         }
 
@@ -35,12 +35,13 @@
          * The ways of a dispatcher that the fault is about are harmed, or heal; targets are all it
          * meets.
          */
-        default void harm(Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
+        default void setLinkFault(
+                Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
             throw new IllegalStateException("no ways are harmed here");
         }
 
         /** It gets a core for no more than this share of the time; 1 for as it likes. */
-        default void starve(int dispatcher, double share) {
+        default void limitCpu(int dispatcher, double share) {
             throw new IllegalStateException("no process shares a core here");
         }
 
@@ -50,36 +51,40 @@
         }
 
         /** So many more strangers a second come to it; under 0 so many fewer. */
-        default void crowd(int dispatcher, double rate) {
+        default void changeFloodRate(int dispatcher, double rate) {
             throw new IllegalStateException("no strangers come here");
         }
     }
 
     /** A fault with its time in the run and those it meets. */
-    public record Happening(Scenario.Fault fault, double from, double to, int[] targets) {}
+    public record ScheduledFault(Scenario.Fault fault, double start, double end, int[] targets) {}
 
     public final Scenario scenario;
     public final Timeline timeline;
-    public final Chance chance;
-    public final Registry registry;
+    public final SeededRandom random;
+    public final EndpointRegistry registry;
     public final List<WorkerModel> workers = new ArrayList<>();
-    public final List<Happening> happenings;
+    public final List<ScheduledFault> scheduledFaults;
 
     /**
      * By dispatcher, the faults that keep it down, or still: it is up again when the last of them
      * is over.
      */
-    private final Map<Integer, Set<Happening>> downs = new HashMap<>();
+    private final Map<Integer, Set<ScheduledFault>> outages = new HashMap<>();
 
-    private final Map<Integer, Set<Happening>> pauses = new HashMap<>();
-    private final Map<Integer, Set<Happening>> hungers = new HashMap<>();
+    private final Map<Integer, Set<ScheduledFault>> pauses = new HashMap<>();
+    private final Map<Integer, Set<ScheduledFault>> starvations = new HashMap<>();
 
-    public World(
-            Scenario scenario, Timeline timeline, Chance chance, double seconds, Witness witness) {
+    public ClusterModel(
+            Scenario scenario,
+            Timeline timeline,
+            SeededRandom random,
+            double seconds,
+            EventListener listener) {
         this.scenario = scenario;
         this.timeline = timeline;
-        this.chance = chance;
-        registry = new Registry(timeline, scenario.terms().listLag());
+        this.random = random;
+        registry = new EndpointRegistry(timeline, scenario.terms().listLag());
         for (Scenario.WorkerGroup group : scenario.groups()) {
             for (int i = 0; i < group.count(); i++) {
                 WorkerModel worker =
@@ -89,43 +94,45 @@
                                 group,
                                 timeline,
                                 scenario.terms(),
-                                chance,
+                                random,
                                 registry,
-                                witness);
+                                listener);
                 workers.add(worker);
                 registry.add(worker);
             }
         }
-        happenings = happenings(seconds);
+        scheduledFaults = scheduleFaults(seconds);
     }
 
-    private List<Happening> happenings(double seconds) {
-        List<Happening> all = new ArrayList<>();
+    private List<ScheduledFault> scheduleFaults(double seconds) {
+        List<ScheduledFault> all = new ArrayList<>();
         for (int cycle = 0; cycle * scenario.cycle() < seconds; cycle++) {
             for (Scenario.Fault fault : scenario.faults()) {
-                double from = cycle * scenario.cycle() + fault.at();
+                double from = cycle * scenario.cycle() + fault.start();
                 if (from >= seconds) {
                     continue;
                 }
                 int[] targets = targets(fault, cycle);
-                if (fault.within() == 0) {
-                    all.add(new Happening(fault, from, from + fault.length(), targets));
+                if (fault.startSpread() == 0) {
+                    all.add(new ScheduledFault(fault, from, from + fault.length(), targets));
                 } else {
                     // A moment of its own for each, which depends on the seed alone.
                     for (int target : targets) {
                         double at =
                                 from
-                                        + fault.within()
-                                                * chance.once(
-                                                        Chance.Of.FAULT,
+                                        + fault.startSpread()
+                                                * random.uniform(
+                                                        SeededRandom.Purpose.FAULT,
                                                         fault.pick() * 1000L + cycle,
                                                         MOMENT - target);
-                        all.add(new Happening(fault, at, at + fault.length(), new int[] {target}));
+                        all.add(
+                                new ScheduledFault(
+                                        fault, at, at + fault.length(), new int[] {target}));
                     }
                 }
             }
         }
-        all.sort(Comparator.comparingDouble(Happening::from));
+        all.sort(Comparator.comparingDouble(ScheduledFault::start));
         return all;
     }
 
@@ -134,51 +141,54 @@
      */
     private int[] targets(Scenario.Fault fault, int cycle) {
         List<Integer> open = new ArrayList<>();
-        if (fault.kind().isAboutDispatchers()) {
+        if (fault.kind().affectsDispatchers()) {
             for (int i = 0; i < scenario.dispatchers(); i++) {
                 if (fault.from().isEmpty() || fault.from().equals(scenario.zoneOf(i))) {
                     open.add(i);
                 }
             }
         } else {
-            workers.stream().filter(w -> fault.concerns(w.group)).forEach(w -> open.add(w.number));
+            workers.stream().filter(w -> fault.matches(w.group)).forEach(w -> open.add(w.number));
         }
         long pick = fault.pick() * 1000L + cycle;
-        open.sort(Comparator.comparingLong(i -> chance.key(Chance.Of.FAULT, pick, i)));
+        open.sort(
+                Comparator.comparingLong(i -> random.seedOf(SeededRandom.Purpose.FAULT, pick, i)));
         int count = (int) Math.max(1, Math.round(fault.share() * open.size()));
         return open.stream().limit(count).mapToInt(i -> i).toArray();
     }
 
     /** Sets every fault on the timeline, which must stand at the start of the run. */
-    public void begin(Dispatchers dispatchers) {
-        for (Happening happening : happenings) {
-            timeline.after(happening.from(), () -> set(happening, true, dispatchers));
+    public void start(DispatcherControl dispatchers) {
+        for (ScheduledFault happening : scheduledFaults) {
+            timeline.schedule(happening.start(), () -> apply(happening, true, dispatchers));
             // A replacement's own end is not ours to set.
             if (happening.fault().kind() != Scenario.Kind.DEPLOY
                     && happening.fault().kind() != Scenario.Kind.DISPATCHER_REPLACE) {
-                timeline.after(happening.to(), () -> set(happening, false, dispatchers));
+                timeline.schedule(happening.end(), () -> apply(happening, false, dispatchers));
             }
         }
     }
 
-    private void set(Happening happening, boolean begins, Dispatchers dispatchers) {
+    private void apply(ScheduledFault happening, boolean begins, DispatcherControl dispatchers) {
         Scenario.Fault fault = happening.fault();
         switch (fault.kind()) {
-            case LIST_DOWN -> registry.down(begins);
-            case LIST_LATE -> registry.later(begins ? fault.level() : -fault.level());
+            case LIST_DOWN -> registry.setDown(begins);
+            case LIST_LATE -> registry.addLag(begins ? fault.level() : -fault.level());
             case DEPLOY -> deploy(happening);
             case DISPATCHER_KILL, DISPATCHER_RESTART ->
-                    each(happening, dispatcher -> down(happening, dispatcher, begins, dispatchers));
+                    forEachTarget(
+                            happening,
+                            dispatcher -> setDown(happening, dispatcher, begins, dispatchers));
             case DISPATCHER_PAUSE ->
-                    each(
+                    forEachTarget(
                             happening,
-                            dispatcher -> still(happening, dispatcher, begins, dispatchers));
+                            dispatcher -> setPaused(happening, dispatcher, begins, dispatchers));
             case DISPATCHER_STARVE ->
-                    each(
+                    forEachTarget(
                             happening,
-                            dispatcher -> hungry(happening, dispatcher, begins, dispatchers));
+                            dispatcher -> setStarved(happening, dispatcher, begins, dispatchers));
             case DISPATCHER_REPLACE ->
-                    each(
+                    forEachTarget(
                             happening,
                             dispatcher -> {
                                 if (begins) {
@@ -186,10 +196,10 @@
                                 }
                             });
             case CROWD ->
-                    each(
+                    forEachTarget(
                             happening,
                             dispatcher ->
-                                    dispatchers.crowd(
+                                    dispatchers.changeFloodRate(
                                             dispatcher,
                                             (begins ? 1 : -1)
                                                     * fault.level()
@@ -203,79 +213,89 @@
                     LINK_TRICKLE,
                     LINK_DOUBLE,
                     LIST_CUT ->
-                    each(
+                    forEachTarget(
                             happening,
                             dispatcher ->
-                                    dispatchers.harm(
+                                    dispatchers.setLinkFault(
                                             fault, dispatcher, happening.targets(), begins));
             default ->
                     Arrays.stream(happening.targets())
                             .mapToObj(workers::get)
-                            .forEach(worker -> set(worker, fault, begins));
+                            .forEach(worker -> apply(worker, fault, begins));
         }
     }
 
-    private static void each(Happening happening, IntConsumer task) {
+    private static void forEachTarget(ScheduledFault happening, IntConsumer task) {
         Arrays.stream(happening.targets()).forEach(task);
     }
 
-    private static Set<Happening> of(Map<Integer, Set<Happening>> faults, int dispatcher) {
+    private static Set<ScheduledFault> faultsOf(
+            Map<Integer, Set<ScheduledFault>> faults, int dispatcher) {
         return faults.computeIfAbsent(dispatcher, d -> new LinkedHashSet<>());
     }
 
-    private void down(
-            Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
-        Set<Happening> all = of(downs, dispatcher);
+    private void setDown(
+            ScheduledFault happening,
+            int dispatcher,
+            boolean begins,
+            DispatcherControl dispatchers) {
+        Set<ScheduledFault> all = faultsOf(outages, dispatcher);
         if (begins) {
             boolean first = all.isEmpty();
             all.add(happening);
             if (happening.fault().kind() == Scenario.Kind.DISPATCHER_KILL) {
                 // Also one that was told to end: it may still be at it.
-                of(pauses, dispatcher).clear();
+                faultsOf(pauses, dispatcher).clear();
                 dispatchers.kill(dispatcher);
             } else if (first) {
-                dispatchers.end(dispatcher);
+                dispatchers.terminate(dispatcher);
             }
         } else if (all.remove(happening) && all.isEmpty()) {
-            of(pauses, dispatcher).clear();
+            faultsOf(pauses, dispatcher).clear();
             dispatchers.start(dispatcher, happening.fault().how());
         }
     }
 
-    private void still(
-            Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
-        Set<Happening> all = of(pauses, dispatcher);
+    private void setPaused(
+            ScheduledFault happening,
+            int dispatcher,
+            boolean begins,
+            DispatcherControl dispatchers) {
+        Set<ScheduledFault> all = faultsOf(pauses, dispatcher);
         // One that is down cannot stand still, nor does the next one at its start.
-        if (begins && of(downs, dispatcher).isEmpty()) {
+        if (begins && faultsOf(outages, dispatcher).isEmpty()) {
             all.add(happening);
             if (all.size() == 1) {
-                dispatchers.pause(dispatcher, true);
+                dispatchers.setPaused(dispatcher, true);
             }
         } else if (!begins && all.remove(happening) && all.isEmpty()) {
-            dispatchers.pause(dispatcher, false);
+            dispatchers.setPaused(dispatcher, false);
         }
     }
 
-    private void hungry(
-            Happening happening, int dispatcher, boolean begins, Dispatchers dispatchers) {
-        Set<Happening> all = of(hungers, dispatcher);
+    private void setStarved(
+            ScheduledFault happening,
+            int dispatcher,
+            boolean begins,
+            DispatcherControl dispatchers) {
+        Set<ScheduledFault> all = faultsOf(starvations, dispatcher);
         if (begins) {
             all.add(happening);
         } else {
             all.remove(happening);
         }
-        dispatchers.starve(
+        dispatchers.limitCpu(
                 dispatcher, all.stream().mapToDouble(h -> h.fault().level()).min().orElse(1));
     }
 
-    private static void set(WorkerModel worker, Scenario.Fault fault, boolean begins) {
+    private static void apply(WorkerModel worker, Scenario.Fault fault, boolean begins) {
         double level = fault.level();
         switch (fault.kind()) {
-            case BURST -> worker.failing(begins ? level : -level);
-            case STALL -> worker.stalled(begins);
-            case SLOW -> worker.slowed(begins ? level : 1 / level);
-            case SILENCE -> worker.silent(begins);
-            case VANISH -> worker.cut(begins);
+            case BURST -> worker.changeFailureRate(begins ? level : -level);
+            case STALL -> worker.setStalled(begins);
+            case SLOW -> worker.changeSpeed(begins ? level : 1 / level);
+            case SILENCE -> worker.setSilent(begins);
+            case VANISH -> worker.setPartitioned(begins);
             case CRASH -> {
                 if (begins) {
                     worker.crash();
@@ -290,7 +310,7 @@
                     worker.start();
                 }
             }
-            case LATE_REPORTS -> worker.reportsLater(begins ? level : -level);
+            case LATE_REPORTS -> worker.delayReports(begins ? level : -level);
             default -> throw new IllegalStateException("no fault of a worker: " + fault.kind());
         }
     }
@@ -299,7 +319,7 @@
      * One group after the other, each of so many workers as the level says, in equal parts of the
      * length.
      */
-    private void deploy(Happening happening) {
+    private void deploy(ScheduledFault happening) {
         int atOnce = (int) Math.max(1, Math.round(happening.fault().level()));
         int[] targets = happening.targets();
         int steps = (targets.length + atOnce - 1) / atOnce;
@@ -308,8 +328,8 @@
             WorkerModel worker = workers.get(targets[i]);
             int round = i / atOnce;
             double at = round * step;
-            timeline.after(at, worker::drain);
-            timeline.after(at + step, worker::start);
+            timeline.schedule(at, worker::drain);
+            timeline.schedule(at + step, worker::start);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/world/Chance.java
+++ b/kit/src/main/java/wheelroute/kit/model/SeededRandom.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 import java.util.SplittableRandom;
 
@@ -7,24 +7,24 @@
  * happened before. So both clocks, and any two builds, are asked the same questions, whatever they
  * did in between.
  */
-public final class Chance {
+public final class SeededRandom {
     /** What is drawn. The order is part of what a seed means: new ones go to the end. */
-    public enum Of {
+    public enum Purpose {
         ARRIVAL,
-        OFFERING,
+        REQUEST_CLASS,
         TENANT,
         WORK,
-        HINT,
+        COST_ESTIMATE,
         RETRY,
-        IMPATIENCE,
+        CANCELLATION,
         DISPATCHER,
         FAILURE,
         NETWORK,
         FAULT,
-        BRAIN,
+        STRATEGY,
         SCHEDULE,
         LINK,
-        CROWD,
+        CONNECTION_FLOOD,
         CLIENT
     }
 
@@ -35,24 +35,24 @@
 
     private final long seed;
 
-    public Chance(long seed) {
+    public SeededRandom(long seed) {
         this.seed = seed;
     }
 
-    public SplittableRandom of(Of what, long a, long b) {
-        return new SplittableRandom(key(what, a, b));
+    public SplittableRandom generator(Purpose what, long a, long b) {
+        return new SplittableRandom(seedOf(what, a, b));
     }
 
     /** One draw, from 0 up to 1: cheaper than a generator where one is enough. */
-    public double once(Of what, long a, long b) {
-        return (mixed(key(what, a, b)) >>> 11) * 0x1.0p-53;
+    public double uniform(Purpose what, long a, long b) {
+        return (mix(seedOf(what, a, b)) >>> 11) * 0x1.0p-53;
     }
 
-    public long key(Of what, long a, long b) {
-        return mixed(mixed(mixed(seed + GOLDEN * (what.ordinal() + 1)) + a) + GOLDEN * b);
+    public long seedOf(Purpose what, long a, long b) {
+        return mix(mix(mix(seed + GOLDEN * (what.ordinal() + 1)) + a) + GOLDEN * b);
     }
 
-    private static long mixed(long value) {
+    private static long mix(long value) {
         long z = (value ^ value >>> 30) * MIX;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
         return z ^ z >>> 31;
--- a/kit/src/main/java/wheelroute/kit/world/Timeline.java
+++ b/kit/src/main/java/wheelroute/kit/model/Timeline.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 /** The time that a world lives in: virtual or real, the model cannot tell. Seconds. */
 public interface Timeline {
@@ -8,5 +8,5 @@
      * Once, after so long; tasks that are due together run in the order in which they were asked
      * for.
      */
-    void after(double delay, Runnable task);
+    void schedule(double delay, Runnable task);
 }
--- a/kit/src/main/java/wheelroute/kit/world/Launch.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
@@ -1,35 +1,35 @@
-package wheelroute.kit.world;
+package wheelroute.kit.model;
 
 /** One launch at a worker, from its last byte to the end of its connection. */
-public final class Launch {
+public final class WorkerAttempt {
     /** How the worker speaks on the launch's connection. */
     public interface Reply {
-        void started();
+        void onStarted();
 
-        void progressed(double share);
+        void onProgress(double share);
 
         /** The last word; freeSlots is NaN where no report goes with it. */
-        void ended(Ending ending, double freeSlots);
+        void onEnded(AttemptEnding ending, double freeSlots);
     }
 
-    public final long submission;
+    public final long requestId;
     public final double work;
     final int slots;
     final double memory;
     final Reply reply;
     double remaining;
-    double since;
+    double progressedAt;
     double startedAt = Double.NaN;
-    int plan;
-    private Object mark;
+    int planVersion;
+    private Object attachment;
     boolean ended;
-    boolean dropped;
+    boolean cancelled;
 
     /** Something it should have been told was not. */
-    boolean kept;
+    boolean notificationLost;
 
-    public Launch(long submission, double work, int slots, double memory, Reply reply) {
-        this.submission = submission;
+    public WorkerAttempt(long requestId, double work, int slots, double memory, Reply reply) {
+        this.requestId = requestId;
         this.work = work;
         this.slots = slots;
         this.memory = memory;
@@ -41,12 +41,12 @@
      * What its witness remembers of it: a table by launch would cost a look-up at each of its
      * events.
      */
-    public Object mark() {
-        return mark;
+    public Object attachment() {
+        return attachment;
     }
 
-    public void mark(Object newMark) {
-        mark = newMark;
+    public void attachment(Object newMark) {
+        attachment = newMark;
     }
 
     /** The worker has ended it, whether or not that could be told. */
--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.function.BiPredicate;
 import java.util.function.BooleanSupplier;
-import wheelroute.kit.virtual.VirtualTime;
-import wheelroute.kit.world.Chance;
+import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.simulation.SimulatedTime;
 import wheelroute.peers.MalformedMessageException;
 import wheelroute.peers.MemberAddress;
 import wheelroute.peers.MemberUpdate;
@@ -48,12 +48,12 @@
     private static final String NAME_PREFIX = "n";
 
     /** The clock of the whole model. */
-    public final VirtualTime time = new VirtualTime();
+    public final SimulatedTime time = new SimulatedTime();
 
     /** All members, up or not, in the order of their numbers. */
     public final List<Member> members = new ArrayList<>();
 
-    private final Chance random;
+    private final SeededRandom random;
     private final int seeds;
     private final boolean localHealthAware;
     private final double startTime = time.now();
@@ -134,7 +134,8 @@
                                     address(number),
                                     incarnation,
                                     seedAddresses,
-                                    random.key(Chance.Of.BRAIN, number, processCount),
+                                    random.seedOf(
+                                            SeededRandom.Purpose.STRATEGY, number, processCount),
                                     localHealthAware),
                             this);
             runEvent(membership::start);
@@ -170,11 +171,11 @@
         private void stallRepeatedly() {
             if (stallSeconds > 0 && up) {
                 pause(true);
-                time.after(
+                time.schedule(
                         stallSeconds * (0.5 + draw()),
                         () -> {
                             pause(false);
-                            time.after(RUN_BETWEEN_STALLS, this::stallRepeatedly);
+                            time.schedule(RUN_BETWEEN_STALLS, this::stallRepeatedly);
                         });
             }
         }
@@ -216,7 +217,7 @@
             }
             for (int copies = draw() < duplication ? 2 : 1; copies > 0; copies--) {
                 ByteBuffer copy = datagram.duplicate();
-                time.after(
+                time.schedule(
                         DELAY + JITTER * draw() + spread * draw(),
                         () -> members.get(receiver).receive(number, copy));
             }
@@ -240,7 +241,7 @@
             if (at < timerAt) {
                 timerAt = at;
                 int process = processCount;
-                time.after(
+                time.schedule(
                         delay,
                         () -> {
                             if (process == processCount && timerAt == at) {
@@ -299,7 +300,7 @@
     public PeerModel(int count, int seeds, long seed, boolean localHealthAware) {
         this.seeds = seeds;
         this.localHealthAware = localHealthAware;
-        random = new Chance(seed);
+        random = new SeededRandom(seed);
         for (int i = 0; i < count; i++) {
             members.add(new Member(i));
         }
@@ -321,7 +322,7 @@
 
     /** The next random number, from 0 inclusive to 1 exclusive. */
     public double draw() {
-        return random.once(Chance.Of.LINK, draws++, 0);
+        return random.uniform(SeededRandom.Purpose.LINK, draws++, 0);
     }
 
     /**
@@ -345,14 +346,14 @@
     /** Starts all members at random times within so many seconds. */
     public void startAll(double within) {
         for (Member member : members) {
-            time.after(within * draw(), () -> member.start(0));
+            time.schedule(within * draw(), () -> member.start(0));
         }
     }
 
     /** Runs the model for so many seconds. */
     public void advance(double seconds) {
         boolean[] elapsed = {false};
-        time.after(seconds, () -> elapsed[0] = true);
+        time.schedule(seconds, () -> elapsed[0] = true);
         while (!elapsed[0] && time.step()) {
             // Each step moves the virtual clock on.
         }
--- a/kit/src/main/java/wheelroute/kit/real/DoorCall.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminCall.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -14,34 +14,34 @@
 /**
  * One call at an operators' door: a line goes, an answer comes, or null when none comes in time.
  */
-final class DoorCall implements EventLoop.ChannelHandler {
+final class AdminCall implements EventLoop.ChannelHandler {
     private final EventLoop loop;
-    private final String word;
-    private final Consumer<String> hearer;
+    private final String command;
+    private final Consumer<String> listener;
     private final StringBuilder answer = new StringBuilder();
     private final EventLoop.Timer limit;
-    private Line line;
-    private boolean over;
+    private AdminConnection line;
+    private boolean isDone;
 
-    private DoorCall(EventLoop loop, String word, double limit, Consumer<String> hearer) {
+    private AdminCall(EventLoop loop, String word, double limit, Consumer<String> listener) {
         this.loop = loop;
-        this.word = word;
-        this.hearer = hearer;
+        this.command = word;
+        this.listener = listener;
         this.limit = loop.schedule(limit, () -> end(null));
     }
 
-    static void ask(
+    static void call(
             EventLoop loop,
             InetSocketAddress door,
             String word,
             double limit,
-            Consumer<String> hearer) {
-        loop.connect(door, new DoorCall(loop, word, limit, hearer));
+            Consumer<String> listener) {
+        loop.connect(door, new AdminCall(loop, word, limit, listener));
     }
 
     @Override
     public Connection onOpened(EndPoint endPoint) {
-        line = new Line(endPoint);
+        line = new AdminConnection(endPoint);
         return line;
     }
 
@@ -51,19 +51,19 @@
     }
 
     private void end(String whole) {
-        if (!over) {
-            over = true;
+        if (!isDone) {
+            isDone = true;
             limit.cancel();
             if (line != null) {
                 line.close();
             }
-            hearer.accept(whole);
+            listener.accept(whole);
         }
     }
 
-    private final class Line extends StreamConnection {
-        Line(EndPoint endPoint) {
-            super(endPoint, DoorCall.this.loop);
+    private final class AdminConnection extends StreamConnection {
+        AdminConnection(EndPoint endPoint) {
+            super(endPoint, AdminCall.this.loop);
         }
 
         @Override
@@ -72,7 +72,7 @@
             getEndPoint()
                     .write(
                             Callback.from(() -> {}, cause -> loop.post(() -> end(null))),
-                            ByteBuffer.wrap((word + "\n").getBytes(StandardCharsets.US_ASCII)));
+                            ByteBuffer.wrap((command + "\n").getBytes(StandardCharsets.US_ASCII)));
         }
 
         @Override
--- a/kit/src/main/java/wheelroute/kit/real/RealTime.java
+++ b/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
@@ -1,13 +1,13 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
-import wheelroute.kit.world.Timeline;
+import wheelroute.kit.model.Timeline;
 import wheelroute.net.EventLoop;
 
 /** The time of the stand-ins' own thread; used on that thread only. */
-final class RealTime implements Timeline {
+final class EventLoopTimeline implements Timeline {
     private final EventLoop loop;
 
-    RealTime(EventLoop loop) {
+    EventLoopTimeline(EventLoop loop) {
         this.loop = loop;
     }
 
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public void after(double delay, Runnable task) {
+    public void schedule(double delay, Runnable task) {
         loop.schedule(Math.max(0, delay), task);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/real/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadRun.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.net.InetSocketAddress;
 import java.net.NetworkInterface;
@@ -15,17 +15,17 @@
 import org.HdrHistogram.Histogram;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.IdempotencyScope;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.ClientRequest;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.model.ResponseListener;
+import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.Answer;
-import wheelroute.kit.world.Answers;
-import wheelroute.kit.world.Ask;
-import wheelroute.kit.world.Chance;
-import wheelroute.kit.world.Submitted;
 import wheelroute.net.Clock;
 import wheelroute.net.EventLoop;
 
 /** Clients alone: a load on one address, and how it was answered. Nothing is retried. */
-public final class LoadRun implements Answers {
+public final class LoadRun implements ResponseListener {
     private static final double MICROS = 1e6;
     private static final double MILLIS = 1e3;
     private static final long MOST_MICROS = 3_600_000_000L;
@@ -64,10 +64,10 @@
 
     private final Load load;
     private final EventLoop loop = new EventLoop(new Clock(), CONNECT);
-    private final Chance chance;
+    private final SeededRandom chance;
     private final ClientPool pool;
-    private final Scenario.Offering offering;
-    private final Map<Answer, Long> answers = new EnumMap<>(Answer.class);
+    private final Scenario.RequestClass offering;
+    private final Map<FinalResponse, Long> answers = new EnumMap<>(FinalResponse.class);
     private final Histogram latencies = new Histogram(MOST_MICROS, 3);
     private double start;
     private int sent;
@@ -78,10 +78,10 @@
 
     private LoadRun(Load load) {
         this.load = load;
-        chance = new Chance(load.seed());
+        chance = new SeededRandom(load.seed());
         pool = new ClientPool(loop, load.address(), this, ClientPool.USUAL);
         offering =
-                new Scenario.Offering(
+                new Scenario.RequestClass(
                         load.offering(),
                         load.effect(),
                         IdempotencyScope.ALL,
@@ -100,7 +100,7 @@
     }
 
     /** Plays it to its end, or until it is told to stop. */
-    public static Result play(Load load, BooleanSupplier stop) throws RehearsalException {
+    public static Result run(Load load, BooleanSupplier stop) throws RehearsalException {
         LoadRun run = new LoadRun(load);
         try {
             run.loop.start();
@@ -119,7 +119,7 @@
                             result.complete(
                                     new Result(
                                             run.sent,
-                                            run.answers.getOrDefault(Answer.FULFILLED, 0L),
+                                            run.answers.getOrDefault(FinalResponse.SUCCEEDED, 0L),
                                             run.text())));
             Result report = result.get();
             run.loop.stop();
@@ -147,7 +147,10 @@
 
     /** The open loop: when the next goes does not depend on any answer. */
     private void next(double before) {
-        double at = before - Math.log(1 - chance.once(Chance.Of.ARRIVAL, sent, 0)) / load.rate();
+        double at =
+                before
+                        - Math.log(1 - chance.uniform(SeededRandom.Purpose.ARRIVAL, sent, 0))
+                                / load.rate();
         if (at < start + load.seconds()) {
             loop.schedule(
                     Math.max(0, at - loop.now()),
@@ -161,9 +164,12 @@
     private void send(double at) {
         int number = sent++;
         double work =
-                load.work() * Chance.lognormal(chance.of(Chance.Of.WORK, number, 0), load.spread());
-        Ask ask =
-                new Ask(
+                load.work()
+                        * SeededRandom.lognormal(
+                                chance.generator(SeededRandom.Purpose.WORK, number, 0),
+                                load.spread());
+        ClientRequest request =
+                new ClientRequest(
                         number,
                         at - start,
                         offering,
@@ -171,18 +177,18 @@
                         work,
                         work,
                         Double.POSITIVE_INFINITY);
-        Submitted submitted = new Submitted(ask, 0, 0, at, load.timeout());
-        open.add(submitted.key());
+        ClientAttempt clientAttempt = new ClientAttempt(request, 0, 0, at, load.timeout());
+        open.add(clientAttempt.key());
         loop.schedule(
                 load.timeout(),
                 () -> {
-                    if (open.remove(submitted.key())) {
+                    if (open.remove(clientAttempt.key())) {
                         timedOut++;
-                        pool.hangUp(submitted);
+                        pool.hangUp(clientAttempt);
                         again(0);
                     }
                 });
-        pool.submit(submitted);
+        pool.submit(clientAttempt);
     }
 
     private Scenario.Tenant tenant(int number) {
@@ -200,29 +206,29 @@
     }
 
     @Override
-    public void answered(Submitted submitted, Answer answer, double retryAfter) {
-        if (open.remove(submitted.key())) {
-            answers.merge(answer, 1L, Long::sum);
+    public void onResponse(ClientAttempt clientAttempt, FinalResponse response, double retryAfter) {
+        if (open.remove(clientAttempt.key())) {
+            answers.merge(response, 1L, Long::sum);
             // From when it was meant to go, not from when we came round to it.
             latencies.recordValue(
                     Math.min(
                             MOST_MICROS,
-                            Math.round(MICROS * Math.max(0, loop.now() - submitted.sentAt()))));
+                            Math.round(MICROS * Math.max(0, loop.now() - clientAttempt.sentAt()))));
             again(0);
         }
     }
 
     @Override
-    public void refused(Submitted submitted) {
-        if (open.remove(submitted.key())) {
+    public void onRefused(ClientAttempt clientAttempt) {
+        if (open.remove(clientAttempt.key())) {
             refused++;
             again(RECONNECT);
         }
     }
 
     @Override
-    public void cutOff(Submitted submitted) {
-        if (open.remove(submitted.key())) {
+    public void onConnectionLost(ClientAttempt clientAttempt) {
+        if (open.remove(clientAttempt.key())) {
             cutOff++;
             again(RECONNECT);
         }
@@ -234,11 +240,8 @@
         lines.add(
                 String.format(
                         Locale.ROOT, "%d sent in %.1f s, %.0f a second", sent, took, sent / took));
-        for (Answer answer : Answer.values()) {
-            lines.add(
-                    answer.name().toLowerCase(Locale.ROOT)
-                            + ": "
-                            + answers.getOrDefault(answer, 0L));
+        for (FinalResponse response : FinalResponse.values()) {
+            lines.add(response.reportName() + ": " + answers.getOrDefault(response, 0L));
         }
         lines.add(
                 "refused: "
--- a/kit/src/main/java/wheelroute/kit/real/ServerLink.java
+++ b/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -14,23 +14,23 @@
  * A connection that a stand-in has accepted: it reads messages as the daemon itself would, and
  * strictly.
  */
-public abstract class ServerLink extends StreamConnection {
+public abstract class ServerConnection extends StreamConnection {
     /** Bodies held at once by all of one kind of stand-in. */
     private static final long ROOM = 64L << 20;
 
-    protected final Outbox out;
+    protected final WriteQueue out;
     private final ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(ROOM));
     private boolean ended;
 
-    protected ServerLink(EndPoint endPoint, EventLoop loop) {
+    protected ServerConnection(EndPoint endPoint, EventLoop loop) {
         super(endPoint, loop);
-        out = new Outbox(endPoint, () -> onFailure(null));
+        out = new WriteQueue(endPoint, () -> onFailure(null));
     }
 
-    protected abstract void message(ClientRequest message);
+    protected abstract void onRequest(ClientRequest message);
 
     /** The connection is over, whoever ended it; called once. */
-    protected abstract void over();
+    protected abstract void onClosed();
 
     @Override
     protected void onBytes(ByteBuffer in) {
@@ -38,7 +38,7 @@
             while (in.hasRemaining()) {
                 ClientRequest message = decoder.decode(in);
                 if (message != null) {
-                    message(message);
+                    onRequest(message);
                 }
             }
         } catch (BadRequestException e) {
@@ -49,20 +49,20 @@
 
     @Override
     protected void onEndOfStream() throws IOException {
-        end();
+        closeNow();
     }
 
     @Override
     protected void onFailure(Throwable cause) {
-        end();
+        closeNow();
     }
 
     /** Ends it now: what is not out yet is lost. */
-    protected final void end() {
+    protected final void closeNow() {
         if (!ended) {
             ended = true;
             close();
-            over();
+            onClosed();
         }
     }
 
@@ -71,7 +71,7 @@
         super.onClose(cause);
         if (!ended) {
             ended = true;
-            loop.post(this::over);
+            loop.post(this::onClosed);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/real/StandInWorker.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubWorker.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -13,30 +13,30 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wheelroute.kit.audit.Auditor;
-import wheelroute.kit.world.Ending;
-import wheelroute.kit.world.Launch;
-import wheelroute.kit.world.WorkerModel;
+import wheelroute.kit.model.AttemptEnding;
+import wheelroute.kit.model.WorkerAttempt;
+import wheelroute.kit.model.WorkerModel;
 import wheelroute.net.EventLoop;
 import wheelroute.net.clients.ClientRequest;
 
 /** A worker of the model behind a socket: the protocol's words for what the model does. */
-final class StandInWorker implements EventLoop.ChannelHandler, WorkerModel.Door {
+final class StubWorker implements EventLoop.ChannelHandler, WorkerModel.PortListener {
     /** Work of a job that does not say how much it is. */
     private static final double USUAL_WORK = 0.05;
 
     /** A port that was ours a moment ago is free again soon. */
     private static final double LISTEN_AGAIN = 0.05;
 
-    private static final Logger LOG = LoggerFactory.getLogger(StandInWorker.class);
+    private static final Logger LOG = LoggerFactory.getLogger(StubWorker.class);
 
     private final EventLoop loop;
     private final WorkerModel model;
     private final Auditor auditor;
-    private final Set<Line> lines = new HashSet<>();
+    private final Set<DispatcherConnection> lines = new HashSet<>();
     private InetSocketAddress address;
     private ServerSocketChannel server;
 
-    StandInWorker(EventLoop loop, WorkerModel model, Auditor auditor, InetSocketAddress wanted)
+    StubWorker(EventLoop loop, WorkerModel model, Auditor auditor, InetSocketAddress wanted)
             throws IOException {
         this.loop = loop;
         this.model = model;
@@ -45,7 +45,7 @@
         address =
                 new InetSocketAddress(
                         InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
-        model.door(this);
+        model.portListener(this);
     }
 
     InetSocketAddress address() {
@@ -54,7 +54,7 @@
 
     @Override
     public Connection onOpened(EndPoint endPoint) {
-        Line line = new Line(endPoint);
+        DispatcherConnection line = new DispatcherConnection(endPoint);
         lines.add(line);
         return line;
     }
@@ -99,7 +99,7 @@
                                 .forEach(
                                         line -> {
                                             if (line.launch == null) {
-                                                line.end();
+                                                line.closeNow();
                                             }
                                         }));
     }
@@ -109,27 +109,28 @@
      * more.
      */
     void nearClosed(int port) {
-        for (Line line : lines) {
+        for (DispatcherConnection line : lines) {
             if (line.launch != null
                     && line.getEndPoint().getRemoteSocketAddress() instanceof InetSocketAddress from
                     && from.getPort() == port) {
-                auditor.closed(line.launch);
+                auditor.onClosed(line.launch);
             }
         }
     }
 
     /** One connection: a launch at a time. */
-    private final class Line extends ServerLink implements Launch.Reply {
-        private Launch launch;
+    private final class DispatcherConnection extends ServerConnection
+            implements WorkerAttempt.Reply {
+        private WorkerAttempt launch;
         private String id;
         private boolean headSent;
 
-        Line(EndPoint endPoint) {
-            super(endPoint, StandInWorker.this.loop);
+        DispatcherConnection(EndPoint endPoint) {
+            super(endPoint, StubWorker.this.loop);
         }
 
         @Override
-        protected void message(ClientRequest message) {
+        protected void onRequest(ClientRequest message) {
             if (launch != null || message.id() == null) {
                 out.send(
                         "HTTP/1.1 "
@@ -138,11 +139,12 @@
                 out.close();
                 return;
             }
-            Jobs.Job job = Jobs.read(message, USUAL_WORK);
+            JobCodec.Job job = JobCodec.decode(message, USUAL_WORK);
             id = message.id();
             headSent = false;
-            launch = new Launch(job.submission(), job.work(), job.slots(), job.memory(), this);
-            model.arrive(launch);
+            launch =
+                    new WorkerAttempt(job.requestId(), job.work(), job.slots(), job.memory(), this);
+            model.accept(launch);
         }
 
         private void line(String rest) {
@@ -159,23 +161,23 @@
         }
 
         @Override
-        public void started() {
+        public void onStarted() {
             line("\"state\":\"started\"");
         }
 
         @Override
-        public void progressed(double share) {
+        public void onProgress(double share) {
             line(String.format(Locale.ROOT, "\"state\":\"running\",\"share\":%.3f", share));
         }
 
         @Override
-        public void ended(Ending ending, double freeSlots) {
+        public void onEnded(AttemptEnding ending, double freeSlots) {
             launch = null;
             boolean reports = !Double.isNaN(freeSlots);
             String load = reports ? ",\"load\":{\"x0\":" + freeSlots + "}" : "";
             String header = reports ? "X-Server-Load: x0=" + freeSlots + "\r\n" : "";
             switch (ending) {
-                case DONE ->
+                case SUCCEEDED ->
                         last(
                                 "\"state\":\"done\",\"result\":\""
                                         + id
@@ -191,12 +193,12 @@
                         out.send("HTTP/1.1 500 Failed\r\n" + header + "Content-Length: 0\r\n\r\n");
                     }
                 }
-                case TURNED_AWAY ->
+                case REJECTED ->
                         out.send(
                                 "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\n"
                                         + header
                                         + "Content-Length: 0\r\n\r\n");
-                case BROKEN -> end();
+                case CONNECTION_LOST -> closeNow();
             }
         }
 
@@ -206,11 +208,11 @@
         }
 
         @Override
-        protected void over() {
+        protected void onClosed() {
             lines.remove(this);
             if (launch != null) {
-                auditor.closed(launch);
-                model.dropped(launch);
+                auditor.onClosed(launch);
+                model.cancel(launch);
                 launch = null;
             }
         }
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
@@ -0,0 +1,321 @@
+package wheelroute.kit.simulation;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.Endpoint;
+import wheelroute.decision.Ids;
+import wheelroute.decision.Settings;
+import wheelroute.kit.audit.Auditor;
+import wheelroute.kit.faults.LinkState;
+import wheelroute.kit.faults.NetworkLink;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.Clients;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.model.WorkerModel;
+import wheelroute.kit.strategy.Strategy;
+
+/**
+ * A dispatcher without sockets: what the daemon does around its policy, event by event, with links
+ * that only delay messages. The daemon's order of events is kept: a client has its response before
+ * the strategy is told of the attempt's end.
+ */
+final class SimulatedDispatcher implements ActionHandler {
+    /** What is pending this long after SIGTERM is failed. */
+    private static final double DRAIN_TIMEOUT = 3.5;
+
+    /** A response may be under way for as long as a process can be paused. */
+    private static final double CANCELLATION_MEMORY = 60;
+
+    private final int number;
+    private final ClusterModel cluster;
+    private final Settings settings;
+    private final Strategy.Factory strategyFactory;
+    private final Auditor auditor;
+    private final SimulatedProcess process;
+    private final SimulatedNetwork network;
+    private final SimulatedDiscoveryWatch discoveryWatch;
+
+    /** Events wait here while the strategy decides on another one. */
+    private final Deque<Runnable> eventQueue = new ArrayDeque<>();
+
+    private final Map<Ids.Request, SimulatedRequest> pending = new HashMap<>();
+
+    /** Attempts that have arrived but are not read yet, by key. */
+    private final Map<Long, ClientAttempt> unread = new HashMap<>();
+
+    /** Keys of attempts whose clients wait no longer. */
+    private final Set<Long> cancelled = new HashSet<>();
+
+    private Clients clients;
+    private Strategy strategy;
+    private boolean isDeciding;
+    private boolean isListening;
+
+    SimulatedDispatcher(
+            int number,
+            ClusterModel cluster,
+            Settings settings,
+            Strategy.Factory factory,
+            Auditor auditor) {
+        this.number = number;
+        this.cluster = cluster;
+        this.settings = settings;
+        this.strategyFactory = factory;
+        this.auditor = auditor;
+        process = new SimulatedProcess(cluster.timeline);
+        network = new SimulatedNetwork(number, cluster);
+        discoveryWatch =
+                new SimulatedDiscoveryWatch(number, this, cluster, network, process, auditor);
+    }
+
+    /** Sets who gets the responses; once, before the start. */
+    void clients(Clients newClients) {
+        clients = newClients;
+    }
+
+    boolean isListening() {
+        return isListening;
+    }
+
+    SimulatedProcess process() {
+        return process;
+    }
+
+    SimulatedNetwork network() {
+        return network;
+    }
+
+    Strategy strategy() {
+        return strategy;
+    }
+
+    double now() {
+        return cluster.timeline.now();
+    }
+
+    // ---- lifecycle
+
+    /** Starts the process, after killing one that still runs. */
+    void start() {
+        if (isListening || !pending.isEmpty()) {
+            kill();
+        }
+        process.start();
+        isListening = true;
+        auditor.onDispatcherStarted(number);
+        dispatch(() -> strategy = strategyFactory.create(settings, this));
+    }
+
+    /** SIGKILL: connections on both sides break. */
+    void kill() {
+        process.kill();
+        isListening = false;
+        auditor.onDispatcherStopped(number);
+        discoveryWatch.stop();
+        List<SimulatedRequest> lost = new ArrayList<>(pending.values());
+        pending.clear();
+        for (SimulatedRequest request : lost) {
+            request.attempts().forEach(SimulatedAttempt::close);
+            network.transmit(() -> clients.onConnectionLost(request.clientAttempt()));
+        }
+        List<ClientAttempt> neverRead = new ArrayList<>(unread.values());
+        unread.clear();
+        for (ClientAttempt clientAttempt : neverRead) {
+            network.transmit(() -> clients.onConnectionLost(clientAttempt));
+        }
+    }
+
+    /** SIGTERM: accepts nothing new, completes what is pending, then ends. */
+    void terminate() {
+        isListening = false;
+        process.schedule(
+                DRAIN_TIMEOUT,
+                () -> {
+                    new ArrayList<>(pending.values()).forEach(SimulatedRequest::onDeadline);
+                    kill();
+                });
+    }
+
+    /** SIGSTOP and SIGCONT. */
+    void setPaused(boolean paused) {
+        process.setPaused(paused);
+        if (paused) {
+            auditor.onDispatcherPaused(number);
+        } else {
+            auditor.onDispatcherResumed(number);
+        }
+    }
+
+    void onLinkChanged(NetworkLink networkLink, LinkState state) {
+        if (networkLink.worker() == NetworkLink.CLIENTS) {
+            auditor.setClientsImpaired(number, !state.equals(LinkState.OPEN));
+        }
+        if (networkLink.isToWorker()) {
+            auditor.setLinkDelay(number, networkLink.worker(), state.maxDelay(0));
+        }
+        SimulatedLink link = network.link(networkLink);
+        LinkState before = link.state();
+        link.apply(state);
+        if (networkLink.worker() == NetworkLink.DISCOVERY) {
+            discoveryWatch.onLinkChanged(before, state);
+        }
+    }
+
+    // ---- events for the strategy
+
+    /** Runs an event at once, or after those that were dispatched during the current decision. */
+    void dispatch(Runnable event) {
+        eventQueue.add(event);
+        if (isDeciding) {
+            return;
+        }
+        isDeciding = true;
+        for (Runnable next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
+            if (strategy != null) {
+                strategy.advanceTo(now());
+            }
+            next.run();
+        }
+        isDeciding = false;
+    }
+
+    void onEndpoints(List<Endpoint> endpoints, boolean isComplete) {
+        dispatch(() -> strategy.onEndpoints(endpoints, isComplete));
+    }
+
+    void onEndpointsFailed() {
+        dispatch(strategy::onEndpointsFailed);
+    }
+
+    // ---- clients
+
+    void submit(ClientAttempt clientAttempt) {
+        int sentTo = process.incarnation();
+        SimulatedLink link = network.toClients();
+        if (link.state().refuses()) {
+            network.transmit(() -> clients.onRefused(clientAttempt));
+            return;
+        }
+        network.transmit(
+                link.state(),
+                () ->
+                        link.sendInbound(
+                                () -> onArrival(clientAttempt, sentTo),
+                                () -> !cancelled.contains(clientAttempt.key())));
+    }
+
+    private void onArrival(ClientAttempt clientAttempt, int sentTo) {
+        if (sentTo != process.incarnation() || !isListening) {
+            clients.onRefused(clientAttempt);
+            return;
+        }
+        unread.put(clientAttempt.key(), clientAttempt);
+        process.receive(() -> read(clientAttempt));
+    }
+
+    private void read(ClientAttempt clientAttempt) {
+        // An attempt that was cancelled before it is read is not accepted.
+        if (unread.remove(clientAttempt.key()) == null || cancelled.contains(clientAttempt.key())) {
+            return;
+        }
+        SimulatedRequest request = new SimulatedRequest(this, clientAttempt);
+        pending.put(request.id(), request);
+        network.toClients().add(request);
+        dispatch(request::start);
+        process.schedule(request.deadline() - now(), request::onDeadline);
+    }
+
+    /** The client closes the connection of its attempt. */
+    void cancel(ClientAttempt clientAttempt) {
+        long key = clientAttempt.key();
+        cancelled.add(key);
+        cluster.timeline.schedule(CANCELLATION_MEMORY, () -> cancelled.remove(key));
+        SimulatedLink link = network.toClients();
+        network.transmit(
+                () -> link.sendInbound(() -> process.receive(() -> onCancelled(key)), () -> true));
+    }
+
+    private void onCancelled(long key) {
+        unread.remove(key);
+        SimulatedRequest request = pending.get(new Ids.Request(key));
+        if (request != null) {
+            dispatch(request::onClientGone);
+        }
+    }
+
+    void onClientConnectionReset(SimulatedRequest request) {
+        network.transmit(() -> clients.onConnectionLost(request.clientAttempt()));
+        process.receive(() -> dispatch(request::onClientGone));
+    }
+
+    /** Sends the final response; a client that has cancelled does not read it. */
+    void sendResponse(SimulatedRequest request, FinalResponse response, double retryAfter) {
+        ClientAttempt clientAttempt = request.clientAttempt();
+        SimulatedLink link = network.toClients();
+        Runnable arrival =
+                () -> {
+                    if (!cancelled.contains(clientAttempt.key())) {
+                        clients.onResponse(clientAttempt, response, retryAfter);
+                    }
+                };
+        network.transmit(link.state(), () -> link.sendOutbound(arrival, () -> true));
+        link.remove(request);
+    }
+
+    boolean isPending(SimulatedRequest request) {
+        return pending.get(request.id()) == request;
+    }
+
+    void removePending(SimulatedRequest request) {
+        pending.remove(request.id());
+    }
+
+    // ---- actions of the strategy
+
+    @Override
+    public void startAttempt(Ids.Request id, Ids.Worker workerId, double timeout) {
+        SimulatedRequest request = pending.get(id);
+        List<SimulatedAttempt> attempts = request.attempts();
+        WorkerModel worker = cluster.workers.get((int) workerId.value());
+        SimulatedAttempt attempt =
+                new SimulatedAttempt(this, request, attempts.size(), worker, auditor);
+        attempts.add(attempt);
+        attempt.send();
+    }
+
+    @Override
+    public void reject(Ids.Request id, double retryAfter) {
+        pending.get(id).respond(FinalResponse.REJECTED, retryAfter);
+    }
+
+    @Override
+    public void fail(Ids.Request id) {
+        pending.get(id).respond(FinalResponse.FAILED, 0);
+    }
+
+    @Override
+    public void cancelAttempt(Ids.Request id, int attempt) {
+        SimulatedRequest request = pending.get(id);
+        if (request != null) {
+            request.attempts().get(attempt).cancel();
+        }
+    }
+
+    @Override
+    public void scheduleWakeup(double delay) {
+        process.schedule(delay, () -> dispatch(strategy::onWakeup));
+    }
+
+    @Override
+    public void watchEndpoints() {
+        discoveryWatch.start();
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/virtual/Lane.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedLink.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.virtual;
+package wheelroute.kit.simulation;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
-import wheelroute.kit.many.Passage;
-import wheelroute.kit.world.Timeline;
+import wheelroute.kit.faults.LinkState;
+import wheelroute.kit.model.Timeline;
 
 /**
  * One way of a dispatcher on the virtual clock: messages wait on it while it is cut, as on the
  * relays of the real one, and what was lost when its sender closed never comes.
  */
-final class Lane {
+final class SimulatedLink {
     /** What is on a way at one time belongs to a connection, which a refusing way breaks. */
-    interface Line {
+    interface Connection {
         /** Reset: both ends find out. */
         void reset();
     }
@@ -24,41 +24,41 @@
     private record Message(Runnable arrival, BooleanSupplier stillWanted) {}
 
     private final Timeline timeline;
-    private final Set<Line> lines = new HashSet<>();
-    private final ArrayDeque<Message> heldForth = new ArrayDeque<>();
-    private final ArrayDeque<Message> heldBack = new ArrayDeque<>();
-    private Passage passage = Passage.OPEN;
+    private final Set<Connection> connections = new HashSet<>();
+    private final ArrayDeque<Message> heldOutbound = new ArrayDeque<>();
+    private final ArrayDeque<Message> heldInbound = new ArrayDeque<>();
+    private LinkState state = LinkState.OPEN;
 
-    Lane(Timeline timeline) {
+    SimulatedLink(Timeline timeline) {
         this.timeline = timeline;
     }
 
-    Passage passage() {
-        return passage;
+    LinkState state() {
+        return state;
     }
 
-    void open(Line line) {
-        lines.add(line);
+    void add(Connection line) {
+        connections.add(line);
     }
 
-    void closed(Line line) {
-        lines.remove(line);
+    void remove(Connection line) {
+        connections.remove(line);
     }
 
-    void set(Passage now) {
-        passage = now;
+    void apply(LinkState now) {
+        state = now;
         if (now.refuses()) {
-            heldForth.clear();
-            heldBack.clear();
-            List<Line> broken = new ArrayList<>(lines);
-            lines.clear();
-            broken.forEach(Line::reset);
+            heldOutbound.clear();
+            heldInbound.clear();
+            List<Connection> broken = new ArrayList<>(connections);
+            connections.clear();
+            broken.forEach(Connection::reset);
         }
-        if (now.forth()) {
-            flush(heldForth);
+        if (now.outbound()) {
+            flush(heldOutbound);
         }
-        if (now.back()) {
-            flush(heldBack);
+        if (now.inbound()) {
+            flush(heldInbound);
         }
     }
 
@@ -68,21 +68,21 @@
             if (first.stillWanted().getAsBoolean()) {
                 // As an event of its own: whoever heals the way must not be in the middle of
                 // another.
-                timeline.after(0, first.arrival());
+                timeline.schedule(0, first.arrival());
             }
         }
     }
 
     /** At the far end of the usual delay; what is held goes on in its order when the way heals. */
-    void forth(Runnable arrival, BooleanSupplier stillWanted) {
-        pass(passage.forth(), heldForth, arrival, stillWanted);
+    void sendOutbound(Runnable arrival, BooleanSupplier stillWanted) {
+        deliver(state.outbound(), heldOutbound, arrival, stillWanted);
     }
 
-    void back(Runnable arrival, BooleanSupplier stillWanted) {
-        pass(passage.back(), heldBack, arrival, stillWanted);
+    void sendInbound(Runnable arrival, BooleanSupplier stillWanted) {
+        deliver(state.inbound(), heldInbound, arrival, stillWanted);
     }
 
-    private static void pass(
+    private static void deliver(
             boolean open, ArrayDeque<Message> held, Runnable arrival, BooleanSupplier stillWanted) {
         if (open) {
             arrival.run();
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
@@ -0,0 +1,191 @@
+package wheelroute.kit.simulation;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BooleanSupplier;
+import java.util.function.Function;
+import wheelroute.config.ConfigException;
+import wheelroute.decision.Settings;
+import wheelroute.kit.audit.Auditor;
+import wheelroute.kit.faults.ActiveLinkFaults;
+import wheelroute.kit.faults.NetworkLink;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.Clients;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.report.Recorder;
+import wheelroute.kit.report.Report;
+import wheelroute.kit.scenario.DaemonSettings;
+import wheelroute.kit.scenario.FaultScheduleGenerator;
+import wheelroute.kit.scenario.Scenario;
+import wheelroute.kit.strategy.Strategy;
+
+/** A run of a scenario in simulated time. */
+public final class SimulationRun {
+    /** The run continues for so long after the last request, to observe what comes too late. */
+    private static final double SETTLE_TIME = 2;
+
+    /** Link crossings of a request: attempt and response, each there and back. */
+    private static final double LINK_CROSSINGS = 4;
+
+    /** Steps between two checks of whether the run is to stop. */
+    private static final int STOP_CHECK_STEPS = 4096;
+
+    private final SimulatedTime time = new SimulatedTime();
+    private final BooleanSupplier stop;
+    private int stepCount;
+    private boolean isStopped;
+
+    private SimulationRun(BooleanSupplier stop) {
+        this.stop = stop;
+    }
+
+    /**
+     * Runs a scenario to its end.
+     *
+     * @param written the scenario, random faults not yet drawn
+     * @param seconds how long requests arrive
+     * @param variant settings that differ from the scenario's
+     * @param variantName of the variant, for the report
+     * @param strategies creates the dispatchers' strategies
+     * @param stop ends the run early when it returns true; the report is partial then
+     * @throws ConfigException if the settings cannot be used
+     */
+    public static Report run(
+            Scenario written,
+            long seed,
+            double seconds,
+            Map<String, String> variant,
+            String variantName,
+            Function<ClusterModel, Strategy.Factory> strategies,
+            BooleanSupplier stop)
+            throws ConfigException {
+        Scenario scenario = FaultScheduleGenerator.withRandomFaults(written, seed);
+        Report.Run run =
+                new Report.Run(
+                        scenario.name(),
+                        scenario.title(),
+                        "virtual",
+                        variantName,
+                        seed,
+                        seconds,
+                        scenario.workers(),
+                        scenario.dispatchers());
+        return new SimulationRun(stop).run(scenario, run, variant, strategies);
+    }
+
+    private Report run(
+            Scenario scenario,
+            Report.Run run,
+            Map<String, String> variant,
+            Function<ClusterModel, Strategy.Factory> strategies)
+            throws ConfigException {
+        SeededRandom random = new SeededRandom(run.seed());
+        double slack = LINK_CROSSINGS * (scenario.network().delay() + scenario.network().jitter());
+        Auditor auditor = new Auditor(scenario, time, slack);
+        Recorder recorder = new Recorder(scenario, time, run.seconds(), auditor);
+        ClusterModel cluster = new ClusterModel(scenario, time, random, run.seconds(), recorder);
+        Map<String, String> pairs = DaemonSettings.pairs(scenario, variant);
+        List<SimulatedDispatcher> dispatchers =
+                dispatchers(cluster, pairs, strategies.apply(cluster), auditor);
+        Clients clients =
+                new Clients(
+                        scenario, time, random, run.seconds(), transport(dispatchers), recorder);
+        dispatchers.forEach(dispatcher -> dispatcher.clients(clients));
+        dispatchers.forEach(SimulatedDispatcher::start);
+        cluster.start(dispatcherControl(cluster, dispatchers));
+        recorder.start(cluster, clients);
+        advanceWhile(() -> !clients.isOver());
+        double end = time.now() + SETTLE_TIME;
+        advanceWhile(() -> time.now() < end);
+        auditor.finish();
+        return Report.of(
+                run, recorder, auditor, cluster, Report.Lag.NONE, Report.Extra.NONE, isStopped);
+    }
+
+    private static List<SimulatedDispatcher> dispatchers(
+            ClusterModel cluster,
+            Map<String, String> pairs,
+            Strategy.Factory factory,
+            Auditor auditor)
+            throws ConfigException {
+        Scenario scenario = cluster.scenario;
+        List<SimulatedDispatcher> dispatchers = new ArrayList<>();
+        for (int i = 0; i < scenario.dispatchers(); i++) {
+            Settings settings =
+                    DaemonSettings.settings(
+                            cluster.random.seedOf(SeededRandom.Purpose.STRATEGY, i, 0),
+                            DaemonSettings.pairsOf(scenario, i, pairs));
+            dispatchers.add(new SimulatedDispatcher(i, cluster, settings, factory, auditor));
+        }
+        return dispatchers;
+    }
+
+    /** Runs tasks while the condition holds, there are any, and the run is not stopped. */
+    private void advanceWhile(BooleanSupplier condition) {
+        while (condition.getAsBoolean() && !isStopped && time.step()) {
+            stepCount++;
+            isStopped = stepCount % STOP_CHECK_STEPS == 0 && stop.getAsBoolean();
+        }
+    }
+
+    private static Clients.Transport transport(List<SimulatedDispatcher> dispatchers) {
+        return new Clients.Transport() {
+            @Override
+            public void submit(ClientAttempt submitted) {
+                dispatchers.get(submitted.dispatcher()).submit(submitted);
+            }
+
+            @Override
+            public void cancel(ClientAttempt submitted) {
+                dispatchers.get(submitted.dispatcher()).cancel(submitted);
+            }
+
+            @Override
+            public boolean isOpen(int dispatcher) {
+                return dispatchers.get(dispatcher).isListening();
+            }
+        };
+    }
+
+    private static ClusterModel.DispatcherControl dispatcherControl(
+            ClusterModel cluster, List<SimulatedDispatcher> dispatchers) {
+        ActiveLinkFaults links =
+                new ActiveLinkFaults(
+                        (link, state) ->
+                                dispatchers.get(link.dispatcher()).onLinkChanged(link, state));
+        List<Scenario.WorkerGroup> groups =
+                cluster.workers.stream().map(worker -> worker.group).toList();
+        return new ClusterModel.DispatcherControl() {
+            @Override
+            public void kill(int dispatcher) {
+                dispatchers.get(dispatcher).kill();
+            }
+
+            @Override
+            public void terminate(int dispatcher) {
+                dispatchers.get(dispatcher).terminate();
+            }
+
+            @Override
+            public void start(int dispatcher, Scenario.How how) {
+                dispatchers.get(dispatcher).start();
+            }
+
+            @Override
+            public void setPaused(int dispatcher, boolean begins) {
+                dispatchers.get(dispatcher).setPaused(begins);
+            }
+
+            @Override
+            public void setLinkFault(
+                    Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
+                links.set(
+                        fault,
+                        begins,
+                        NetworkLink.of(fault, dispatcher, targets, dispatchers.size(), groups));
+            }
+        };
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/brain/Brains.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.brain;
+package wheelroute.kit.strategy;
 
 import java.util.List;
 import java.util.Map;
@@ -8,30 +8,30 @@
 import wheelroute.decision.Endpoint;
 import wheelroute.decision.Ids;
 import wheelroute.decision.Request;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.world.WorkerModel;
-import wheelroute.kit.world.World;
 
 /** Everyone who can decide, by name. */
-public final class Brains {
+public final class Strategies {
     /** The daemon's module: what all others are compared with. */
-    public static final String MODULE = "module";
+    public static final String POLICY = "module";
 
     /** Sees the true state of all workers, which no dispatcher can. */
-    public static final String SEEING = "seeing";
+    public static final String OMNISCIENT = "seeing";
 
     /** A late answer that earns less than this is not worth the time it takes from others. */
-    private static final double WORTH_IT = 0.5;
+    private static final double MIN_LATE_VALUE = 0.5;
 
-    private static final Map<String, Function<World, Brain.Maker>> ALL =
+    private static final Map<String, Function<ClusterModel, Strategy.Factory>> ALL =
             new TreeMap<>(
                     Map.of(
-                            MODULE,
-                            world -> PolicyBrain::new,
+                            POLICY,
+                            cluster -> PolicyStrategy::new,
                             "random",
-                            world ->
+                            cluster ->
                                     baseline(
-                                            (open, submission, out, random) -> {
+                                            (open, request, out, random) -> {
                                                 // By speed, as the paper's basic policy: in
                                                 // proportion to what each can do.
                                                 double draw =
@@ -40,11 +40,11 @@
                                                                         .mapToDouble(
                                                                                 w ->
                                                                                         capacity(
-                                                                                                world,
+                                                                                                cluster,
                                                                                                 w))
                                                                         .sum();
                                                 for (Endpoint worker : open) {
-                                                    draw -= capacity(world, worker);
+                                                    draw -= capacity(cluster, worker);
                                                     if (draw < 0) {
                                                         return worker.worker();
                                                     }
@@ -52,31 +52,31 @@
                                                 return open.get(open.size() - 1).worker();
                                             }),
                             "round-robin",
-                            world ->
+                            cluster ->
                                     (settings, dispatcher) -> {
                                         int[] next = {0};
-                                        return new Baseline(
+                                        return new BaselineStrategy(
                                                 settings,
                                                 dispatcher,
-                                                (open, submission, out, random) ->
+                                                (open, request, out, random) ->
                                                         open.get(next[0]++ % open.size()).worker());
                                     },
                             "least-outstanding",
-                            world ->
+                            cluster ->
                                     baseline(
-                                            (open, submission, out, random) -> {
+                                            (open, request, out, random) -> {
                                                 // From a place drawn by chance: ties must not all
                                                 // go to the first.
                                                 int from = random.nextInt(open.size());
-                                                return least(
+                                                return leastBy(
                                                         open,
                                                         from,
                                                         w -> out.getOrDefault(w.worker(), 0));
                                             }),
                             "two-choices",
-                            world ->
+                            cluster ->
                                     baseline(
-                                            (open, submission, out, random) -> {
+                                            (open, request, out, random) -> {
                                                 Ids.Worker one =
                                                         open.get(random.nextInt(open.size()))
                                                                 .worker();
@@ -88,67 +88,69 @@
                                                         ? one
                                                         : other;
                                             }),
-                            SEEING,
-                            world ->
+                            OMNISCIENT,
+                            cluster ->
                                     baseline(
-                                            (open, submission, out, random) ->
+                                            (open, request, out, random) ->
                                                     seen(
-                                                            world,
+                                                            cluster,
                                                             open,
-                                                            submission,
+                                                            request,
                                                             random.nextInt(open.size())))));
 
-    private Brains() {}
+    private Strategies() {}
 
     public static List<String> names() {
         return List.copyOf(ALL.keySet());
     }
 
-    public static Brain.Maker maker(String name, World world) {
-        return ALL.get(name).apply(world);
+    public static Strategy.Factory factory(String name, ClusterModel cluster) {
+        return ALL.get(name).apply(cluster);
     }
 
     /**
      * The earliest end, with what an error would cost in time; none where even that comes after the
      * outer limit, or too late to earn anything.
      */
-    private static Ids.Worker seen(World world, List<Endpoint> open, Request submission, int from) {
-        double work = Double.isNaN(submission.estimatedWork()) ? 0 : submission.estimatedWork();
-        Scenario.Offering offering =
-                world.scenario.offerings().stream()
-                        .filter(o -> o.name().equals(submission.requestClass().name()))
+    private static Ids.Worker seen(
+            ClusterModel cluster, List<Endpoint> open, Request request, int from) {
+        double work = Double.isNaN(request.estimatedWork()) ? 0 : request.estimatedWork();
+        Scenario.RequestClass requestClass =
+                cluster.scenario.requestClasses().stream()
+                        .filter(o -> o.name().equals(request.requestClass().name()))
                         .findFirst()
                         .orElseThrow();
         ToDoubleFunction<Endpoint> end =
                 w ->
-                        model(world, w).doneAt(work)
-                                + model(world, w).failingPart() * offering.quoted();
-        Ids.Worker best = least(open, from, end);
-        double done = world.workers.get((int) best.value()).doneAt(work);
+                        model(cluster, w).workDoneBy(work)
+                                + model(cluster, w).failureRate() * requestClass.latencyObjective();
+        Ids.Worker best = leastBy(open, from, end);
+        double done = cluster.workers.get((int) best.value()).workDoneBy(work);
         double quotedAt =
-                submission.deadline()
-                        - offering.outer()
-                        + offering.quoted()
-                        + offering.stretch() * work;
-        return done > submission.deadline() || (offering.lateValue() < WORTH_IT && done > quotedAt)
+                request.deadline()
+                        - requestClass.deadline()
+                        + requestClass.latencyObjective()
+                        + requestClass.objectivePerWork() * work;
+        return done > request.deadline()
+                        || (requestClass.lateValue() < MIN_LATE_VALUE && done > quotedAt)
                 ? null
                 : best;
     }
 
-    private static Brain.Maker baseline(Baseline.Choice choice) {
-        return (settings, dispatcher) -> new Baseline(settings, dispatcher, choice);
+    private static Strategy.Factory baseline(BaselineStrategy.WorkerSelector choice) {
+        return (settings, dispatcher) -> new BaselineStrategy(settings, dispatcher, choice);
     }
 
-    private static WorkerModel model(World world, Endpoint listing) {
-        return world.workers.get((int) listing.worker().value());
+    private static WorkerModel model(ClusterModel cluster, Endpoint listing) {
+        return cluster.workers.get((int) listing.worker().value());
     }
 
-    private static double capacity(World world, Endpoint listing) {
-        WorkerModel model = model(world, listing);
+    private static double capacity(ClusterModel cluster, Endpoint listing) {
+        WorkerModel model = model(cluster, listing);
         return model.group.speed() * model.group.slots();
     }
 
-    private static Ids.Worker least(
+    private static Ids.Worker leastBy(
             List<Endpoint> open, int from, ToDoubleFunction<Endpoint> figure) {
         Endpoint best = null;
         double least = Double.POSITIVE_INFINITY;
--- a/kit/src/main/java/wheelroute/kit/world/Answer.java
+++ /dev/null
@@ -1,8 +0,0 @@
-package wheelroute.kit.world;
-
-/** What a client hears in the end. */
-public enum Answer {
-    FULFILLED,
-    BOUNCED,
-    SCRAPPED
-}
--- a/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
@@ -9,18 +9,18 @@
 import java.util.function.Consumer;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.kit.Small;
+import wheelroute.kit.SmallScenario;
+import wheelroute.kit.model.AttemptEnding;
+import wheelroute.kit.model.ClientAttempt;
+import wheelroute.kit.model.ClientRequest;
+import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.model.EndpointRegistry;
+import wheelroute.kit.model.FinalResponse;
+import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.model.WorkerAttempt;
 import wheelroute.kit.report.Recorder;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.kit.virtual.VirtualTime;
-import wheelroute.kit.world.Answer;
-import wheelroute.kit.world.Ask;
-import wheelroute.kit.world.Chance;
-import wheelroute.kit.world.Ending;
-import wheelroute.kit.world.Launch;
-import wheelroute.kit.world.Registry;
-import wheelroute.kit.world.Submitted;
-import wheelroute.kit.world.World;
+import wheelroute.kit.simulation.SimulatedTime;
 
 /**
  * Dispatchers that break a rule on purpose, each in one way: every one is caught, and an honest one
@@ -34,66 +34,68 @@
 
     /** A world of one submission and a dispatcher that does as the case says. */
     private static final class Play {
-        final VirtualTime time = new VirtualTime();
+        final SimulatedTime time = new SimulatedTime();
         final Scenario scenario;
         final Auditor auditor;
-        final World world;
-        final Submitted submitted;
-        final List<Ending> endings = new ArrayList<>();
+        final ClusterModel world;
+        final ClientAttempt submitted;
+        final List<AttemptEnding> endings = new ArrayList<>();
 
-        Play(String offering, String more) {
-            scenario = Small.scenario(more);
+        Play(String requestClass, String more) {
+            scenario = SmallScenario.scenario(more);
             auditor = new Auditor(scenario, time, SLACK);
-            world = new World(scenario, time, new Chance(1), 5, auditor);
-            Scenario.Offering of =
-                    scenario.offerings().stream()
-                            .filter(o -> o.name().equals(offering))
+            world = new ClusterModel(scenario, time, new SeededRandom(1), 5, auditor);
+            Scenario.RequestClass of =
+                    scenario.requestClasses().stream()
+                            .filter(o -> o.name().equals(requestClass))
                             .findFirst()
                             .orElseThrow();
-            Ask ask = new Ask(0, 0, of, Scenario.Tenant.NONE, 0.05, 0.05, Double.POSITIVE_INFINITY);
-            submitted = new Submitted(ask, 0, 0, time.now(), of.outer());
-            auditor.sent(submitted);
+            ClientRequest request =
+                    new ClientRequest(
+                            0, 0, of, Scenario.Tenant.NONE, 0.05, 0.05, Double.POSITIVE_INFINITY);
+            submitted = new ClientAttempt(request, 0, 0, time.now(), of.deadline());
+            auditor.onSent(submitted);
         }
 
-        Launch launch(int worker) {
+        WorkerAttempt launch(int worker) {
             return launch(worker, 0.05);
         }
 
-        Launch launch(int worker, double work) {
-            Launch launch =
-                    new Launch(
+        WorkerAttempt launch(int worker, double work) {
+            WorkerAttempt attempt =
+                    new WorkerAttempt(
                             submitted.key(),
                             work,
                             1,
                             0,
-                            new Launch.Reply() {
+                            new WorkerAttempt.Reply() {
                                 @Override
-                                public void started() {
+                                public void onStarted() {
                                     // Of no interest here.
                                 }
 
                                 @Override
-                                public void progressed(double share) {
+                                public void onProgress(double share) {
                                     // Of no interest here.
                                 }
 
                                 @Override
-                                public void ended(Ending ending, double freeSlots) {
+                                public void onEnded(AttemptEnding ending, double freeSlots) {
                                     endings.add(ending);
                                 }
                             });
-            world.workers.get(worker).arrive(launch);
-            return launch;
+            world.workers.get(worker).accept(attempt);
+            return attempt;
         }
 
-        void answer(Answer answer) {
-            auditor.answered(submitted, answer);
+        void answer(FinalResponse response) {
+            auditor.onResponse(submitted, response);
         }
 
         /** Until so long after the start. */
         void pass(double seconds) {
             boolean[] there = {false};
-            time.after(seconds, () -> there[0] = true);
+            time.schedule(seconds, () -> there[0] = true);
             while (!there[0] && time.step()) {
                 // Each step moves the virtual clock on.
             }
@@ -109,15 +111,15 @@
     }
 
     private static Rogue rogue(
-            String name, Rule rule, String offering, String more, Consumer<Play> does) {
-        return new Rogue(name, rule, offering, more, does);
+            String name, Rule rule, String requestClass, String more, Consumer<Play> does) {
+        return new Rogue(name, rule, requestClass, more, does);
     }
 
     private static final String ERRS = "[[faults]]\nkind = \"burst\"\nat = 0\nfor = 4\n";
     private static final String NO_COPY = "[terms]\nmay_copy = false\n";
 
     private static void begin(Play play) {
-        play.world.begin(new Idle());
+        play.world.start(new Idle());
         play.pass(0.001);
     }
 
@@ -130,8 +132,8 @@
                     "free",
                     "",
                     p -> {
-                        p.answer(Answer.BOUNCED);
-                        p.answer(Answer.SCRAPPED);
+                        p.answer(FinalResponse.REJECTED);
+                        p.answer(FinalResponse.FAILED);
                     }),
             rogue(
                     "stands still, and launches too late as it goes on",
@@ -140,10 +142,10 @@
                     "",
                     p -> {
                         p.pass(0.03);
-                        p.auditor.dispatcherPaused(0);
+                        p.auditor.onDispatcherPaused(0);
                         p.pass(2.3);
-                        p.auditor.gaveUp(p.submitted, false);
-                        p.auditor.dispatcherWoke(0);
+                        p.auditor.onGaveUp(p.submitted, false);
+                        p.auditor.onDispatcherResumed(0);
                         p.launch(NEAR);
                     }),
             rogue(
@@ -152,11 +154,11 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.told(0, NEAR, Registry.State.DRAINING);
+                        p.auditor.onNotified(0, NEAR, EndpointRegistry.State.DRAINING);
                         p.pass(1.5);
-                        p.auditor.dispatcherPaused(0);
+                        p.auditor.onDispatcherPaused(0);
                         p.pass(0.7);
-                        p.auditor.dispatcherWoke(0);
+                        p.auditor.onDispatcherResumed(0);
                         p.launch(NEAR);
                     }),
             rogue(
@@ -165,9 +167,9 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.dispatcherPaused(0);
-                        p.auditor.told(0, NEAR, Registry.State.DRAINING);
-                        p.auditor.dispatcherWoke(0);
+                        p.auditor.onDispatcherPaused(0);
+                        p.auditor.onNotified(0, NEAR, EndpointRegistry.State.DRAINING);
+                        p.auditor.onDispatcherResumed(0);
                         p.pass(2.2);
                         p.launch(NEAR);
                     }),
@@ -178,7 +180,7 @@
                     "",
                     p -> {
                         p.pass(2.001);
-                        p.auditor.gaveUp(p.submitted, false);
+                        p.auditor.onGaveUp(p.submitted, false);
                     }),
             rogue("never answers, and nobody waits", Rule.ONE_ANSWER, "free", "", p -> p.pass(2.1)),
             rogue(
@@ -188,27 +190,27 @@
                     "",
                     p -> {
                         p.pass(2.1);
-                        p.answer(Answer.BOUNCED);
+                        p.answer(FinalResponse.REJECTED);
                     }),
             rogue(
                     "makes a result up",
                     Rule.ONE_ANSWER,
                     "free",
                     "",
-                    p -> p.answer(Answer.FULFILLED)),
+                    p -> p.answer(FinalResponse.SUCCEEDED)),
             rogue(
                     "drops the connection",
                     Rule.ONE_ANSWER,
                     "free",
                     "",
-                    p -> p.auditor.cutOff(p.submitted)),
+                    p -> p.auditor.onConnectionLost(p.submitted)),
             rogue(
                     "launches after the answer",
                     Rule.ONE_ANSWER,
                     "free",
                     "",
                     p -> {
-                        p.answer(Answer.BOUNCED);
+                        p.answer(FinalResponse.REJECTED);
                         p.pass(0.1);
                         p.launch(NEAR);
                     }),
@@ -228,7 +230,7 @@
                     "",
                     p -> {
                         p.pass(0.1);
-                        p.auditor.gaveUp(p.submitted, true);
+                        p.auditor.onGaveUp(p.submitted, true);
                         p.pass(0.32);
                         p.launch(NEAR);
                     }),
@@ -239,10 +241,10 @@
                     "",
                     p -> {
                         p.pass(0.1);
-                        p.auditor.dispatcherPaused(0);
-                        p.auditor.gaveUp(p.submitted, true);
+                        p.auditor.onDispatcherPaused(0);
+                        p.auditor.onGaveUp(p.submitted, true);
                         p.pass(0.4);
-                        p.auditor.dispatcherWoke(0);
+                        p.auditor.onDispatcherResumed(0);
                         p.launch(NEAR);
                     }),
             rogue(
@@ -275,7 +277,7 @@
                         begin(p);
                         p.launch(NEAR);
                         p.pass(0.1);
-                        p.answer(Answer.BOUNCED);
+                        p.answer(FinalResponse.REJECTED);
                     }),
             rogue(
                     "bounces what a zone alone would know",
@@ -286,7 +288,7 @@
                         begin(p);
                         p.launch(NEAR);
                         p.pass(0.1);
-                        p.answer(Answer.BOUNCED);
+                        p.answer(FinalResponse.REJECTED);
                     }),
             rogue(
                     "repeats outside the group",
@@ -327,15 +329,15 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.told(0, NEAR, Registry.State.DRAINING);
+                        p.auditor.onNotified(0, NEAR, EndpointRegistry.State.DRAINING);
                         // The grace is 2 s and the outer limit as long: one that waits longer is
                         // needed.
-                        Submitted later = later(p, 2.1);
-                        p.auditor.sent(later);
+                        ClientAttempt later = later(p, 2.1);
+                        p.auditor.onSent(later);
                         p.world
                                 .workers
                                 .get(NEAR)
-                                .arrive(new Launch(later.key(), 0.05, 1, 0, NOBODY));
+                                .accept(new WorkerAttempt(later.key(), 0.05, 1, 0, NOBODY));
                     }),
             rogue(
                     "launches to one told gone",
@@ -343,31 +345,31 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.told(0, FAR, Registry.State.GONE);
-                        Submitted later = later(p, 2.1);
-                        p.auditor.sent(later);
+                        p.auditor.onNotified(0, FAR, EndpointRegistry.State.GONE);
+                        ClientAttempt later = later(p, 2.1);
+                        p.auditor.onSent(later);
                         p.world
                                 .workers
                                 .get(FAR)
-                                .arrive(new Launch(later.key(), 0.05, 1, 0, NOBODY));
+                                .accept(new WorkerAttempt(later.key(), 0.05, 1, 0, NOBODY));
                     }),
             rogue(
                     "ends, and nobody told it to",
                     Rule.STAYS_UP,
                     "free",
                     "",
-                    p -> p.auditor.crashed(0, "")),
+                    p -> p.auditor.onCrash(0, "")),
             rogue(
                     "drops one when its other process is long gone",
                     Rule.ONE_ANSWER,
                     "free",
                     "",
                     p -> {
-                        p.auditor.dispatcherHalved(0, true);
-                        p.auditor.dispatcherHalved(0, false);
-                        Submitted next = later(p, 0.1);
-                        p.auditor.sent(next);
-                        p.auditor.cutOff(next);
+                        p.auditor.setDispatcherSplit(0, true);
+                        p.auditor.setDispatcherSplit(0, false);
+                        ClientAttempt next = later(p, 0.1);
+                        p.auditor.onSent(next);
+                        p.auditor.onConnectionLost(next);
                     }),
             rogue(
                     "launches later than its slow way explains",
@@ -375,8 +377,8 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.wayLater(0, NEAR, 1);
-                        p.answer(Answer.BOUNCED);
+                        p.auditor.setLinkDelay(0, NEAR, 1);
+                        p.answer(FinalResponse.REJECTED);
                         p.pass(1.2);
                         p.launch(NEAR);
                     }),
@@ -386,10 +388,10 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.wayLater(0, NEAR, 0.4);
-                        p.auditor.wayLater(0, NEAR, 0);
+                        p.auditor.setLinkDelay(0, NEAR, 0.4);
+                        p.auditor.setLinkDelay(0, NEAR, 0);
                         p.pass(1);
-                        p.answer(Answer.BOUNCED);
+                        p.answer(FinalResponse.REJECTED);
                         p.pass(0.3);
                         p.launch(NEAR);
                     }),
@@ -399,7 +401,7 @@
                     "once",
                     "",
                     p -> {
-                        p.auditor.clientsHarmed(0, true);
+                        p.auditor.setClientsImpaired(0, true);
                         p.launch(NEAR);
                         p.pass(0.1);
                         p.launch(ALSO_NEAR);
@@ -410,12 +412,12 @@
                     "free",
                     "",
                     p -> {
-                        p.auditor.clientsHarmed(0, true);
-                        p.auditor.clientsHarmed(0, false);
-                        Submitted next = later(p, 0.1);
-                        p.auditor.sent(next);
+                        p.auditor.setClientsImpaired(0, true);
+                        p.auditor.setClientsImpaired(0, false);
+                        ClientAttempt next = later(p, 0.1);
+                        p.auditor.onSent(next);
                         p.pass(2.1);
-                        p.auditor.gaveUp(next, false);
+                        p.auditor.onGaveUp(next, false);
                     }),
             rogue(
                     "pushes a cold worker over",
@@ -423,7 +425,7 @@
                     "free",
                     "[[faults]]\nkind = \"crash\"\nat = 0.1\nfor = 0.1\ngroup = \"near\"\n",
                     p -> {
-                        p.world.begin(new Idle());
+                        p.world.start(new Idle());
                         p.pass(0.3);
                         for (int i = 0; i < 40; i++) {
                             p.launch(NEAR, 0.2);
@@ -437,39 +439,39 @@
         return rows;
     }
 
-    private static Submitted later(Play play, double after) {
-        play.answer(Answer.BOUNCED);
+    private static ClientAttempt later(Play play, double after) {
+        play.answer(FinalResponse.REJECTED);
         play.pass(after);
-        return new Submitted(play.submitted.ask(), 1, 0, play.time.now(), 2);
+        return new ClientAttempt(play.submitted.request(), 1, 0, play.time.now(), 2);
     }
 
-    private static final Launch.Reply NOBODY =
-            new Launch.Reply() {
+    private static final WorkerAttempt.Reply NOBODY =
+            new WorkerAttempt.Reply() {
                 @Override
-                public void started() {
+                public void onStarted() {
                     // Nobody hears it.
                 }
 
                 @Override
-                public void progressed(double share) {
+                public void onProgress(double share) {
                     // Nobody hears it.
                 }
 
                 @Override
-                public void ended(Ending ending, double freeSlots) {
+                public void onEnded(AttemptEnding ending, double freeSlots) {
                     // Nobody hears it.
                 }
             };
 
     /** Dispatchers that no fault is about. */
-    private static final class Idle implements World.Dispatchers {
+    private static final class Idle implements ClusterModel.DispatcherControl {
         @Override
         public void kill(int dispatcher) {
             throw new IllegalStateException();
         }
 
         @Override
-        public void end(int dispatcher) {
+        public void terminate(int dispatcher) {
             throw new IllegalStateException();
         }
 
@@ -509,7 +511,7 @@
                         p -> {
                             p.launch(NEAR);
                             p.pass(0.2);
-                            p.answer(Answer.FULFILLED);
+                            p.answer(FinalResponse.SUCCEEDED);
                         })
             },
             {
@@ -520,10 +522,13 @@
                         "",
                         p -> {
                             for (int i = 0; i < 5; i++) {
-                                p.world.workers.get(FAR).arrive(new Launch(-1, 10, 1, 0, NOBODY));
+                                p.world
+                                        .workers
+                                        .get(FAR)
+                                        .accept(new WorkerAttempt(-1, 10, 1, 0, NOBODY));
                             }
-                            Launch full = p.launch(NEAR);
-                            p.world.workers.get(NEAR).dropped(full);
+                            WorkerAttempt full = p.launch(NEAR);
+                            p.world.workers.get(NEAR).cancel(full);
                         })
             },
             {
@@ -538,7 +543,7 @@
                             p.pass(0.5);
                             p.launch(ALSO_NEAR);
                             p.pass(0.5);
-                            p.answer(Answer.SCRAPPED);
+                            p.answer(FinalResponse.FAILED);
                         })
             },
             {
@@ -548,11 +553,11 @@
                         "free",
                         NO_COPY,
                         p -> {
-                            Launch first = p.launch(NEAR, 1);
-                            p.auditor.closed(first);
+                            WorkerAttempt first = p.launch(NEAR, 1);
+                            p.auditor.onClosed(first);
                             p.launch(ALSO_NEAR);
                             p.pass(0.2);
-                            p.answer(Answer.FULFILLED);
+                            p.answer(FinalResponse.SUCCEEDED);
                         })
             },
             {
@@ -562,8 +567,8 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.dispatcherDied(0);
-                            p.auditor.cutOff(p.submitted);
+                            p.auditor.onDispatcherStopped(0);
+                            p.auditor.onConnectionLost(p.submitted);
                             p.pass(3);
                         })
             },
@@ -574,10 +579,10 @@
                         "once",
                         "",
                         p -> {
-                            p.auditor.dispatcherPaused(0);
+                            p.auditor.onDispatcherPaused(0);
                             p.pass(3);
-                            p.auditor.gaveUp(p.submitted, false);
-                            p.auditor.dispatcherWoke(0);
+                            p.auditor.onGaveUp(p.submitted, false);
+                            p.auditor.onDispatcherResumed(0);
                         })
             },
             {
@@ -587,13 +592,13 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.dispatcherPaused(0);
-                            p.auditor.told(0, NEAR, Registry.State.DRAINING);
+                            p.auditor.onDispatcherPaused(0);
+                            p.auditor.onNotified(0, NEAR, EndpointRegistry.State.DRAINING);
                             p.pass(1);
-                            p.auditor.dispatcherWoke(0);
+                            p.auditor.onDispatcherResumed(0);
                             p.launch(NEAR);
                             p.pass(0.2);
-                            p.answer(Answer.FULFILLED);
+                            p.answer(FinalResponse.SUCCEEDED);
                         })
             },
             {
@@ -603,11 +608,13 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.clientsHarmed(0, true);
+                            p.auditor.setClientsImpaired(0, true);
                             p.pass(3.5);
-                            p.auditor.gaveUp(p.submitted, false);
-                            p.auditor.clientsHarmed(0, false);
-                            p.auditor.sent(new Submitted(p.submitted.ask(), 1, 1, p.time.now(), 2));
+                            p.auditor.onGaveUp(p.submitted, false);
+                            p.auditor.setClientsImpaired(0, false);
+                            p.auditor.onSent(
+                                    new ClientAttempt(
+                                            p.submitted.request(), 1, 1, p.time.now(), 2));
                             p.launch(NEAR);
                         })
             },
@@ -618,8 +625,8 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.wayLater(0, NEAR, 1);
-                            p.answer(Answer.BOUNCED);
+                            p.auditor.setLinkDelay(0, NEAR, 1);
+                            p.answer(FinalResponse.REJECTED);
                             p.pass(0.9);
                             p.launch(NEAR);
                         })
@@ -632,10 +639,10 @@
                         "",
                         p -> {
                             p.pass(0.01);
-                            p.auditor.dispatcherPaused(0);
+                            p.auditor.onDispatcherPaused(0);
                             p.pass(2.5);
-                            p.auditor.gaveUp(p.submitted, false);
-                            p.auditor.dispatcherWoke(0);
+                            p.auditor.onGaveUp(p.submitted, false);
+                            p.auditor.onDispatcherResumed(0);
                             p.launch(NEAR);
                         })
             },
@@ -646,11 +653,11 @@
                         "once",
                         "",
                         p -> {
-                            p.auditor.dispatcherHalved(0, true);
-                            Submitted next = later(p, 0.01);
-                            p.auditor.sent(next);
-                            p.auditor.dispatcherHalved(0, false);
-                            p.auditor.cutOff(next);
+                            p.auditor.setDispatcherSplit(0, true);
+                            ClientAttempt next = later(p, 0.01);
+                            p.auditor.onSent(next);
+                            p.auditor.setDispatcherSplit(0, false);
+                            p.auditor.onConnectionLost(next);
                         })
             },
             {
@@ -660,7 +667,7 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.refused(p.submitted);
+                            p.auditor.onRefused(p.submitted);
                             p.pass(3);
                         })
             },
@@ -672,7 +679,7 @@
                         "",
                         p -> {
                             p.pass(0.1);
-                            p.auditor.gaveUp(p.submitted, true);
+                            p.auditor.onGaveUp(p.submitted, true);
                             p.pass(0.3);
                             p.launch(NEAR);
                         })
@@ -684,7 +691,7 @@
                         "free",
                         "",
                         p -> {
-                            p.auditor.gaveUp(p.submitted, true);
+                            p.auditor.onGaveUp(p.submitted, true);
                             p.pass(3);
                         })
             },
@@ -711,10 +718,10 @@
         Play play = new Play("once", "");
         play.launch(NEAR);
         play.pass(0.01);
-        play.answer(Answer.BOUNCED);
-        Submitted retry = new Submitted(play.submitted.ask(), 1, 0, play.time.now(), 1);
-        play.auditor.sent(retry);
-        play.world.workers.get(FAR).arrive(new Launch(retry.key(), 0.05, 1, 0, NOBODY));
+        play.answer(FinalResponse.REJECTED);
+        ClientAttempt retry = new ClientAttempt(play.submitted.request(), 1, 0, play.time.now(), 1);
+        play.auditor.onSent(retry);
+        play.world.workers.get(FAR).accept(new WorkerAttempt(retry.key(), 0.05, 1, 0, NOBODY));
         assertEquals(
                 play.auditor.count(Rule.NO_EFFECT_TWICE), 2, play.auditor.breaches().toString());
     }
@@ -725,25 +732,25 @@
     @Test
     public void oldSubmissionsAreForgotten() {
         Play play = new Play("free", "");
-        play.answer(Answer.BOUNCED);
+        play.answer(FinalResponse.REJECTED);
         Recorder recorder = new Recorder(play.scenario, play.time, 5, play.auditor);
         for (int i = 1; i < 50; i++) {
             play.pass(1);
-            Ask ask =
-                    new Ask(
+            ClientRequest request =
+                    new ClientRequest(
                             i,
                             i,
-                            play.submitted.ask().offering(),
+                            play.submitted.request().requestClass(),
                             Scenario.Tenant.NONE,
                             0.05,
                             0.05,
                             9);
-            Submitted next = new Submitted(ask, 0, 0, play.time.now(), 2);
-            recorder.sent(next);
-            recorder.answered(next, Answer.BOUNCED);
+            ClientAttempt next = new ClientAttempt(request, 0, 0, play.time.now(), 2);
+            recorder.onSent(next);
+            recorder.onResponse(next, FinalResponse.REJECTED);
         }
         play.auditor.finish();
         assertEquals(play.auditor.total(), 0, play.auditor.breaches().toString());
-        assertTrue(play.auditor.remembered() < 10, play.auditor.remembered() + " are kept");
+        assertTrue(play.auditor.recordCount() < 10, play.auditor.recordCount() + " are kept");
     }
 }
--- /dev/null
+++ b/kit/src/test/java/wheelroute/kit/process/DiscoveryCallCounterTest.java
@@ -0,0 +1,22 @@
+package wheelroute.kit.process;
+
+import static org.testng.Assert.assertEquals;
+
+import org.testng.annotations.Test;
+
+/** A herd at the list service is counted as one, wherever its second begins. */
+public class DiscoveryCallCounterTest {
+    @Test
+    public void theBusiestSecondCounts() {
+        DiscoveryCallCounter calls = new DiscoveryCallCounter();
+        calls.record(0.5);
+        calls.reset();
+        for (int i = 0; i < 10; i++) {
+            calls.record(3.75 + i / 20.0);
+        }
+        calls.record(4.8);
+        calls.record(9);
+        assertEquals(calls.total(), 12);
+        assertEquals(calls.maxPerSecond(), 10);
+    }
+}
--- a/kit/src/test/java/wheelroute/kit/real/KeeperTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessSupervisorTest.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.real;
+package wheelroute.kit.process;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -13,7 +13,7 @@
 import org.testng.annotations.Test;
 
 /** Processes that are signalled, and that do not outlive who started them. */
-public class KeeperTest {
+public class ProcessSupervisorTest {
     private static final int PATIENCE = 20;
     private Process kept;
     private Process rig;
@@ -24,8 +24,8 @@
         folder = Files.createTempDirectory("keeper");
     }
 
-    private static Process sleeper(Keeper keeper) throws Exception {
-        return keeper.start(new ProcessBuilder("sleep", "600"));
+    private static Process sleeper(ProcessSupervisor supervisor) throws Exception {
+        return supervisor.start(new ProcessBuilder("sleep", "600"));
     }
 
     /**
@@ -46,11 +46,11 @@
 
     @Test
     public void aProcessStandsStillAndGoesOn() throws Exception {
-        try (Keeper keeper = new Keeper(folder)) {
-            kept = sleeper(keeper);
-            keeper.pause(kept, true);
+        try (ProcessSupervisor supervisor = new ProcessSupervisor(folder)) {
+            kept = sleeper(supervisor);
+            supervisor.setPaused(kept, true);
             assertEquals(state(kept, 'T'), 'T');
-            keeper.pause(kept, false);
+            supervisor.setPaused(kept, false);
             assertEquals(state(kept, 'S'), 'S');
         }
     }
@@ -58,18 +58,18 @@
     /** Also one that stands still as its keeper goes. */
     @Test
     public void whatIsKeptGoesWithItsKeeper() throws Exception {
-        Keeper keeper = new Keeper(folder);
-        kept = sleeper(keeper);
-        Process other = sleeper(keeper);
+        ProcessSupervisor supervisor = new ProcessSupervisor(folder);
+        kept = sleeper(supervisor);
+        Process other = sleeper(supervisor);
         assertEquals(state(kept, 'S'), 'S');
-        keeper.pause(kept, true);
+        supervisor.setPaused(kept, true);
         other.destroy();
         assertTrue(other.waitFor(PATIENCE, TimeUnit.SECONDS));
-        keeper.close();
+        supervisor.close();
         assertTrue(kept.waitFor(PATIENCE, TimeUnit.SECONDS), "it outlived its keeper");
         // One that is late, as its starter was killed in the middle of starting it, does not even
         // begin.
-        rig = keeper.start(new ProcessBuilder("sleep", "600"));
+        rig = supervisor.start(new ProcessBuilder("sleep", "600"));
         assertTrue(rig.waitFor(PATIENCE, TimeUnit.SECONDS), "it began after its keeper had gone");
         assertEquals(rig.exitValue(), 1);
     }
@@ -93,11 +93,14 @@
                         .start();
         List<ProcessHandle> started = List.of();
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE);
-        while (started.stream().noneMatch(KeeperTest::isDaemon) && System.nanoTime() < end) {
+        while (started.stream().noneMatch(ProcessSupervisorTest::isDaemon)
+                && System.nanoTime() < end) {
             started = rig.descendants().toList();
             Thread.onSpinWait();
         }
-        assertTrue(started.stream().anyMatch(KeeperTest::isDaemon), "no daemon was started");
+        assertTrue(
+                started.stream().anyMatch(ProcessSupervisorTest::isDaemon),
+                "no daemon was started");
         rig.destroyForcibly();
         for (ProcessHandle one : started) {
             one.onExit().get(PATIENCE, TimeUnit.SECONDS);
--- a/kit/src/test/java/wheelroute/kit/virtual/VirtualRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
@@ -1,4 +1,4 @@
-package wheelroute.kit.virtual;
+package wheelroute.kit.simulation;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
@@ -10,36 +10,42 @@
 import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.kit.Small;
+import wheelroute.kit.SmallScenario;
 import wheelroute.kit.audit.Rule;
-import wheelroute.kit.brain.Brains;
 import wheelroute.kit.report.HtmlWriter;
 import wheelroute.kit.report.JsonWriter;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
-import wheelroute.kit.scenario.Figures;
-import wheelroute.kit.scenario.Library;
+import wheelroute.kit.scenario.FigureNames;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.scenario.ScenarioException;
+import wheelroute.kit.scenario.ScenarioLibrary;
+import wheelroute.kit.strategy.Strategies;
 
 /** Whole runs on the virtual clock. */
-public class VirtualRunTest {
+public class SimulationRunTest {
     private static final double QUICK = 30;
     private static final int SCHEDULES = 60;
     private static final int THIRTIES = 50;
 
     private static Report play(Scenario scenario, long seed, double seconds, String brain)
             throws Exception {
-        return VirtualRun.play(
-                scenario, seed, seconds, Map.of(), brain, w -> Brains.maker(brain, w), () -> false);
+        return SimulationRun.run(
+                scenario,
+                seed,
+                seconds,
+                Map.of(),
+                brain,
+                w -> Strategies.factory(brain, w),
+                () -> false);
     }
 
     @DataProvider
     public Object[][] shipped() throws ScenarioException {
         List<Object[]> rows = new ArrayList<>();
-        for (String name : Library.NAMES) {
+        for (String name : ScenarioLibrary.NAMES) {
             // What needs processes of its own is played by its rehearsal.
-            if (Library.find(name).clocks().contains("virtual")) {
+            if (ScenarioLibrary.find(name).clocks().contains("virtual")) {
                 rows.add(new Object[] {name});
             }
         }
@@ -49,10 +55,10 @@
     /** The module keeps the rules and what each shipped scenario expects, and beats chance. */
     @Test(dataProvider = "shipped")
     public void aShippedScenarioHolds(String name) throws Exception {
-        Scenario scenario = Library.find(name);
+        Scenario scenario = ScenarioLibrary.find(name);
         // A third of the largest is enough to see it hold, and keeps this test short.
         double seconds = scenario.dispatchers() > 10 ? QUICK / 3 : QUICK;
-        Report report = play(scenario, 7, seconds, Brains.MODULE);
+        Report report = play(scenario, 7, seconds, Strategies.POLICY);
         assertTrue(report.holds(), TableWriter.text(report));
     }
 
@@ -62,9 +68,9 @@
      */
     @Test
     public void thirtyDispatchersPushNoColdWorkerOver() throws Exception {
-        Scenario scenario = Library.find("cold-thirty");
+        Scenario scenario = ScenarioLibrary.find("cold-thirty");
         for (int seed = 1; seed <= THIRTIES; seed++) {
-            Report report = play(scenario, seed, QUICK / 2, Brains.MODULE);
+            Report report = play(scenario, seed, QUICK / 2, Strategies.POLICY);
             assertTrue(report.keepsRules(), seed + ": " + TableWriter.text(report));
         }
     }
@@ -72,13 +78,14 @@
     /** Textbook dispatching keeps the first three rules too: what it lacks is service. */
     @Test
     public void baselinesKeepTheRulesAndServeLess() throws Exception {
-        Scenario scenario = Library.find("overload");
-        double module = play(scenario, 3, QUICK, Brains.MODULE).figures().get(Figures.SERVICE);
-        for (String brain : Brains.names()) {
+        Scenario scenario = ScenarioLibrary.find("overload");
+        double module =
+                play(scenario, 3, QUICK, Strategies.POLICY).figures().get(FigureNames.SERVICE);
+        for (String brain : Strategies.names()) {
             Report report = play(scenario, 3, QUICK, brain);
             assertTrue(report.keepsRules(), TableWriter.text(report));
-            if (!brain.equals(Brains.MODULE) && !brain.equals(Brains.SEEING)) {
-                double service = report.figures().get(Figures.SERVICE);
+            if (!brain.equals(Strategies.POLICY) && !brain.equals(Strategies.OMNISCIENT)) {
+                double service = report.figures().get(FigureNames.SERVICE);
                 assertTrue(
                         service < module - 0.1, brain + " serves " + service + " beside " + module);
             }
@@ -92,28 +99,29 @@
     @Test
     public void drawnSchedulesKeepTheRules() throws Exception {
         Scenario scenario =
-                Small.scenario("[drawn]\nfaults = 5\nlongest = 2\n[clients]\nretries = 2\n", 4);
+                SmallScenario.scenario(
+                        "[drawn]\nfaults = 5\nlongest = 2\n[clients]\nretries = 2\n", 4);
         for (int seed = 0; seed < SCHEDULES; seed++) {
-            Report report = play(scenario, seed, 5, Brains.MODULE);
+            Report report = play(scenario, seed, 5, Strategies.POLICY);
             Report.Row all = report.total();
             assertTrue(report.keepsRules(), seed + ": " + TableWriter.text(report));
             assertEquals(
                     all.inTime()
                             + all.late()
-                            + all.bounced()
-                            + all.scrapped()
+                            + all.rejected()
+                            + all.failed()
                             + all.unanswered()
-                            + all.left(),
-                    all.asked());
+                            + all.cancelled(),
+                    all.requested());
         }
     }
 
     @Test
     public void theSameSeedGivesTheSameReport() throws Exception {
-        Scenario scenario = Library.find("drain-in-burst");
-        String once = JsonWriter.text(List.of(play(scenario, 5, 12, Brains.MODULE)));
-        assertEquals(JsonWriter.text(List.of(play(scenario, 5, 12, Brains.MODULE))), once);
-        assertNotEquals(JsonWriter.text(List.of(play(scenario, 6, 12, Brains.MODULE))), once);
+        Scenario scenario = ScenarioLibrary.find("drain-in-burst");
+        String once = JsonWriter.text(List.of(play(scenario, 5, 12, Strategies.POLICY)));
+        assertEquals(JsonWriter.text(List.of(play(scenario, 5, 12, Strategies.POLICY))), once);
+        assertNotEquals(JsonWriter.text(List.of(play(scenario, 6, 12, Strategies.POLICY))), once);
     }
 
     /**
@@ -121,12 +129,14 @@
      */
     @Test
     public void allVariantsAreAskedTheSame() throws Exception {
-        Scenario scenario = Library.find("failures-overlap");
-        Report one = play(scenario, 5, 10, Brains.MODULE);
+        Scenario scenario = ScenarioLibrary.find("failures-overlap");
+        Report one = play(scenario, 5, 10, Strategies.POLICY);
         Report other = play(scenario, 5, 10, "round-robin");
-        assertEquals(one.series().asked(), other.series().asked());
-        for (int i = 0; i < one.offerings().size(); i++) {
-            assertEquals(one.offerings().get(i).asked(), other.offerings().get(i).asked());
+        assertEquals(one.series().requested(), other.series().requested());
+        for (int i = 0; i < one.requestClasses().size(); i++) {
+            assertEquals(
+                    one.requestClasses().get(i).requested(),
+                    other.requestClasses().get(i).requested());
         }
         assertNotEquals(one.total().p99(), other.total().p99());
     }
@@ -134,24 +144,24 @@
     @Test
     public void everyAskEndsInOneWay() throws Exception {
         Scenario scenario =
-                Small.scenario(
+                SmallScenario.scenario(
                         "[clients]\nimpatient = 0.3\nretries = 2\n"
                                 + "[[faults]]\nkind = \"dispatcher-kill\"\nat = 1\nfor = 1\n"
                                 + "[[faults]]\nkind = \"list-down\"\nat = 1.5\nfor = 2\n");
-        Report report = play(scenario, 1, 5, Brains.MODULE);
+        Report report = play(scenario, 1, 5, Strategies.POLICY);
         Report.Row all = report.total();
         assertEquals(
                 all.inTime()
                         + all.late()
-                        + all.bounced()
-                        + all.scrapped()
+                        + all.rejected()
+                        + all.failed()
                         + all.unanswered()
-                        + all.left(),
-                all.asked());
+                        + all.cancelled(),
+                all.requested());
         assertTrue(
-                all.asked() > 150 && all.asked() < 250,
-                all.asked() + " asked at 40 a second for 5 s");
-        assertTrue(all.left() > 0, "nobody hung up");
+                all.requested() > 150 && all.requested() < 250,
+                all.requested() + " asked at 40 a second for 5 s");
+        assertTrue(all.cancelled() > 0, "nobody hung up");
         assertTrue(report.keepsRules(), TableWriter.text(report));
     }
 
@@ -160,10 +170,11 @@
     public void whatDoesNotHoldIsSaid() throws Exception {
         Report report =
                 play(
-                        Small.scenario("[expect.service]\nleast = 1.01\n[expect.p99]\nmost = 10\n"),
+                        SmallScenario.scenario(
+                                "[expect.service]\nleast = 1.01\n[expect.p99]\nmost = 10\n"),
                         1,
                         5,
-                        Brains.MODULE);
+                        Strategies.POLICY);
         assertTrue(!report.holds());
         assertEquals(report.verdicts().stream().filter(Report.Verdict::holds).count(), 1);
         assertTrue(
@@ -181,16 +192,16 @@
 
     @Test
     public void aStoppedRunIsMarked() throws Exception {
-        Scenario scenario = Library.find("calm");
+        Scenario scenario = ScenarioLibrary.find("calm");
         int[] looks = {0};
         Report report =
-                VirtualRun.play(
+                SimulationRun.run(
                         scenario,
                         1,
                         60,
                         Map.of(),
                         "x",
-                        w -> Brains.maker("random", w),
+                        w -> Strategies.factory("random", w),
                         () -> ++looks[0] > 2);
         assertTrue(report.partial() && !report.holds());
         assertTrue(TableWriter.text(report).contains("PARTIAL"));
@@ -198,8 +209,8 @@
 
     @DataProvider
     public Object[][] lags() {
-        double much = Report.MOST_LAG * 1.01;
-        double once = Report.MOST_LAG_ONCE * 1.01;
+        double much = Report.MAX_LAG * 1.01;
+        double once = Report.MAX_SINGLE_LAG * 1.01;
         return new Object[][] {
             // lateness, what breaks a rule, the judgement
             {new Report.Lag(much, 1, 0, 0), null, Report.Judgement.NOT_JUDGED},
@@ -223,7 +234,7 @@
     @Test(dataProvider = "lags")
     public void aRunOnASlowMachineIsNotJudged(Report.Lag lag, Rule broken, Report.Judgement judged)
             throws Exception {
-        Report r = play(Small.scenario(""), 1, 5, Brains.MODULE);
+        Report r = play(SmallScenario.scenario(""), 1, 5, Strategies.POLICY);
         assertTrue(r.holds(), TableWriter.text(r));
         Map<Rule, Integer> counts = new LinkedHashMap<>(r.breachCounts());
         if (broken != null) {
@@ -233,7 +244,7 @@
                 new Report(
                         r.run(),
                         r.total(),
-                        r.offerings(),
+                        r.requestClasses(),
                         r.tenants(),
                         r.figures(),
                         r.verdicts(),
