--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -28,12 +28,6 @@
 
     private static final int FIRST_PORT = 10_000;
 
-    /** Least delay of a datagram in seconds. */
-    private static final double DELAY = 0.0005;
-
-    /** Random part of the delay in seconds, from 0 on. */
-    private static final double JITTER = 0.001;
-
     /** How long a member that stalls repeatedly runs in between, in seconds. */
     private static final double RUN_BETWEEN_STALLS = 0.3;
 
@@ -58,17 +52,8 @@
     private final boolean localHealthAware;
     private final double startTime = time.now();
     private long draws;
-    private double loss;
-    private double duplication;
-
-    /** Further random delay in seconds, from 0 on, by which datagrams overtake each other. */
-    private double spread;
-
-    private BiPredicate<Integer, Integer> blocked = (from, to) -> false;
-    private long datagrams;
-    private long bytes;
+    private final PeerNetwork network = new PeerNetwork(time, this::draw, this::deliver);
     private long falsePositives;
-    private int largestDatagram;
 
     /** One member: a process that runs, is paused, or is down. */
     public final class Member implements Membership.Transport {
@@ -204,22 +189,9 @@
         @Override
         public void send(MemberAddress to, Message message) {
             ByteBuffer datagram = MessageCodec.encode(message);
-            datagrams++;
-            bytes += datagram.remaining();
-            largestDatagram = Math.max(largestDatagram, datagram.remaining());
             int receiver = to.port() - FIRST_PORT;
-            if (receiver < 0
-                    || receiver >= members.size()
-                    || blocked.test(number, receiver)
-                    || draw() < loss) {
-                return;
-            }
-            for (int copies = draw() < duplication ? 2 : 1; copies > 0; copies--) {
-                ByteBuffer copy = datagram.duplicate();
-                time.after(
-                        DELAY + JITTER * draw() + spread * draw(),
-                        () -> members.get(receiver).receive(number, copy));
-            }
+            boolean exists = receiver >= 0 && receiver < members.size();
+            network.send(number, receiver, exists, datagram);
         }
 
         private void receive(int from, ByteBuffer datagram) {
@@ -305,6 +277,10 @@
         }
     }
 
+    private void deliver(int from, int to, ByteBuffer datagram) {
+        members.get(to).receive(from, datagram);
+    }
+
     private Member memberOf(MemberUpdate update) {
         String number = update.id().name().substring(NAME_PREFIX.length());
         return members.get(Integer.parseInt(number));
@@ -332,14 +308,12 @@
      * @param newSpread further random delay in seconds at most
      */
     public void setNetwork(double newLoss, double newDuplication, double newSpread) {
-        loss = newLoss;
-        duplication = newDuplication;
-        spread = newSpread;
+        network.configure(newLoss, newDuplication, newSpread);
     }
 
     /** Loses from here on the datagrams for whose sender and receiver this holds. */
     public void block(BiPredicate<Integer, Integer> newBlocked) {
-        blocked = newBlocked;
+        network.block(newBlocked);
     }
 
     /** Starts all members at random times within so many seconds. */
@@ -397,23 +371,22 @@
 
     /** Bytes sent since the last reset, by all members. */
     public long bytes() {
-        return bytes;
+        return network.bytes();
     }
 
     /** Datagrams sent since the last reset, by all members. */
     public long datagrams() {
-        return datagrams;
+        return network.datagrams();
     }
 
     /** Size of the largest datagram of the whole run in bytes. */
     public int largestDatagram() {
-        return largestDatagram;
+        return network.largestDatagram();
     }
 
     /** Resets the counters of bytes, datagrams and false positives. */
     public void resetCounters() {
-        bytes = 0;
-        datagrams = 0;
+        network.resetCounters();
         falsePositives = 0;
     }
 }
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerNetwork.java
@@ -0,0 +1,101 @@
+package wheelroute.kit.peers;
+
+import java.nio.ByteBuffer;
+import java.util.function.BiPredicate;
+import java.util.function.DoubleSupplier;
+import wheelroute.kit.virtual.VirtualTime;
+
+/**
+ * The datagram network of a {@link PeerModel}: delays, reorders, duplicates, loses and blocks
+ * datagrams, and counts what is sent.
+ */
+final class PeerNetwork {
+    /** Least delay of a datagram in seconds. */
+    private static final double DELAY = 0.0005;
+
+    /** Random part of the delay in seconds, from 0 on. */
+    private static final double JITTER = 0.001;
+
+    private final VirtualTime time;
+    private final DoubleSupplier random;
+    private final Receiver receiver;
+    private double loss;
+    private double duplication;
+
+    /** Further random delay in seconds, from 0 on, by which datagrams overtake each other. */
+    private double spread;
+
+    private BiPredicate<Integer, Integer> blocked = (from, to) -> false;
+    private long datagrams;
+    private long bytes;
+    private int largestDatagram;
+
+    /** Takes the datagrams that arrive. */
+    interface Receiver {
+        void onDatagram(int from, int to, ByteBuffer datagram);
+    }
+
+    /**
+     * Creates a network that loses nothing.
+     *
+     * @param random draws from 0 inclusive to 1 exclusive
+     */
+    PeerNetwork(VirtualTime time, DoubleSupplier random, Receiver receiver) {
+        this.time = time;
+        this.random = random;
+        this.receiver = receiver;
+    }
+
+    /** See {@link PeerModel#setNetwork}. */
+    void configure(double newLoss, double newDuplication, double newSpread) {
+        loss = newLoss;
+        duplication = newDuplication;
+        spread = newSpread;
+    }
+
+    /** Loses from here on the datagrams for whose sender and receiver this holds. */
+    void block(BiPredicate<Integer, Integer> newBlocked) {
+        blocked = newBlocked;
+    }
+
+    /**
+     * Sends a datagram.
+     *
+     * @param exists whether the receiver's address is a member's; a datagram to none is only
+     *     counted
+     */
+    void send(int from, int to, boolean exists, ByteBuffer datagram) {
+        datagrams++;
+        bytes += datagram.remaining();
+        largestDatagram = Math.max(largestDatagram, datagram.remaining());
+        if (!exists || blocked.test(from, to) || random.getAsDouble() < loss) {
+            return;
+        }
+        for (int copies = random.getAsDouble() < duplication ? 2 : 1; copies > 0; copies--) {
+            ByteBuffer copy = datagram.duplicate();
+            double delay = DELAY + JITTER * random.getAsDouble() + spread * random.getAsDouble();
+            time.after(delay, () -> receiver.onDatagram(from, to, copy));
+        }
+    }
+
+    /** Datagrams sent since the last reset. */
+    long datagrams() {
+        return datagrams;
+    }
+
+    /** Bytes sent since the last reset. */
+    long bytes() {
+        return bytes;
+    }
+
+    /** Size of the largest datagram of the whole run in bytes. */
+    int largestDatagram() {
+        return largestDatagram;
+    }
+
+    /** Resets the counters of datagrams and bytes. */
+    void resetCounters() {
+        datagrams = 0;
+        bytes = 0;
+    }
+}
