--- a/daemon/src/main/java/wheelroute/decision/Attempt.java
+++ b/daemon/src/main/java/wheelroute/decision/Attempt.java
@@ -33,7 +33,7 @@
     private double totalRun;
     private Outcome outcome;
     private boolean cancelled;
-    private boolean rescued;
+    private boolean retried;
 
     Attempt(TrackedRequest request, int number, WorkerState worker, double sentAt) {
         this.request = request;
@@ -106,12 +106,12 @@
     }
 
     /** Marks that a retry elsewhere has been tried because of this attempt; once is enough. */
-    void markRescued() {
-        rescued = true;
+    void markRetried() {
+        retried = true;
     }
 
-    boolean isRescued() {
-        return rescued;
+    boolean isRetried() {
+        return retried;
     }
 
     /** Seconds of waiting, up to a moment, that this dispatcher's attempts ahead do not explain. */
@@ -121,9 +121,9 @@
 
     /** Seconds until it will have ended, once it has begun, at a worker of this speed. */
     double remaining(double now, double speed) {
-        boolean told = totalRun > 0;
-        double run = told ? totalRun : request.work() / speed;
-        double had = hasStarted() ? now - startedAt : Math.max(0, now - sentAt - expectedWait);
-        return Math.max(run - had, told ? 0 : OVERRUN_FRACTION * had);
+        boolean hasProgress = totalRun > 0;
+        double run = hasProgress ? totalRun : request.work() / speed;
+        double elapsed = hasStarted() ? now - startedAt : Math.max(0, now - sentAt - expectedWait);
+        return Math.max(run - elapsed, hasProgress ? 0 : OVERRUN_FRACTION * elapsed);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -76,7 +76,7 @@
      */
     public void onEndpoints(List<Endpoint> changed, boolean complete) {
         for (WorkerState worker : endpoints.apply(changed, complete)) {
-            silence.rescueAll(worker, !worker.isUnlisted(), attempt -> true);
+            silence.retryElsewhere(worker, !worker.isUnlisted(), attempt -> true);
         }
         state.workers().forgetRemoved();
     }
--- a/daemon/src/main/java/wheelroute/decision/SilenceDetector.java
+++ b/daemon/src/main/java/wheelroute/decision/SilenceDetector.java
@@ -62,10 +62,10 @@
             if (!worker.health().isSilent()) {
                 ejection.onSilence(worker);
             }
-            rescueAll(worker, false, attempt -> true);
+            retryElsewhere(worker, false, attempt -> true);
         } else if (progressInterval > 0) {
             // One connection may fall silent beside others that go on.
-            rescueAll(
+            retryElsewhere(
                     worker,
                     false,
                     attempt -> now - attempt.heardAt() > allowance(nextMessage(attempt)));
@@ -107,21 +107,21 @@
      *
      * @param lost they have ended for certain, so that a retry is no hedged request
      */
-    void rescueAll(WorkerState worker, boolean lost, Predicate<Attempt> which) {
+    void retryElsewhere(WorkerState worker, boolean lost, Predicate<Attempt> which) {
         for (Attempt attempt : new ArrayList<>(worker.inFlight())) {
-            if ((lost || hedgesLeft >= 1) && which.test(attempt) && rescue(attempt)) {
+            if ((lost || hedgesLeft >= 1) && which.test(attempt) && retry(attempt)) {
                 hedgesLeft -= lost ? 0 : 1;
             }
         }
     }
 
     /** Where hedging is forbidden the attempt is cancelled first; its end leads to the retry. */
-    private boolean rescue(Attempt attempt) {
+    private boolean retry(Attempt attempt) {
         TrackedRequest request = attempt.request;
-        if (attempt.isRescued() || request.isDone() || request.isStreaming()) {
+        if (attempt.isRetried() || request.isDone() || request.isStreaming()) {
             return false;
         }
-        attempt.markRescued();
+        attempt.markRetried();
         int before = request.attempts().size();
         if (state.settings().mayHedge()) {
             placer.place(request);
