--- a/daemon/src/main/java/wheelroute/net/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/Exchange.java
@@ -15,32 +15,42 @@
 import wheelroute.net.workers.InFlightAttempt;
 
 /**
- * One submission: its handle, its launches and its single final answer. Client and worker side meet
- * here.
+ * One accepted request: its handle in the policy, its attempts and its single final response. The
+ * client's and the workers' side meet here. Only for the event loop's thread.
  */
 final class Exchange implements RequestAcceptor.AcceptedRequest {
-    private final RequestDispatcher exchanges;
-    private final Request submission;
+    private static final int USUAL_ATTEMPTS = 2;
+
+    private final RequestDispatcher dispatcher;
+    private final Request request;
     private final AttemptRequest message;
     private final RequestAcceptor.ResponseSender client;
-    private final List<ExchangeAttempt> launches = new ArrayList<>(2);
-    private final EventLoop.Timer limit;
+    private final List<Attempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+    private final EventLoop.Timer deadlineTimer;
+
+    /** Null until the policy has accepted the request. */
     private RequestHandle handle;
 
-    /** It has just been taken: that its client is there was seen a moment ago. */
-    private boolean beginning;
+    /** The policy is accepting it: that its client is connected was checked a moment ago. */
+    private boolean beingAccepted;
 
+    /** The client has its response, or has gone. */
     private boolean answered;
 
+    /**
+     * Starts the deadline's timer; {@link #begin} has to follow.
+     *
+     * @param atMostOnce whether a second run on a worker might do harm
+     */
     Exchange(
-            RequestDispatcher exchanges,
+            RequestDispatcher dispatcher,
             EventLoop loop,
-            Request submission,
+            Request request,
             ClientRequest message,
             RequestAcceptor.ResponseSender client,
-            boolean onceOnly) {
-        this.exchanges = exchanges;
-        this.submission = submission;
+            boolean atMostOnce) {
+        this.dispatcher = dispatcher;
+        this.request = request;
         this.client = client;
         this.message =
                 new AttemptRequest(
@@ -50,80 +60,83 @@
                         message.idempotencyKey(),
                         message.routeKey(),
                         message.body(),
-                        onceOnly);
-        limit = loop.schedule(submission.deadline() - loop.now(), this::outOfTime);
+                        atMostOnce);
+        deadlineTimer = loop.schedule(request.deadline() - loop.now(), this::onDeadline);
     }
 
-    /** Decides where it goes. */
+    /** Hands the request to the policy, as an event of its own. */
     void begin(Policy policy) {
-        beginning = true;
-        handle = policy.accept(submission);
-        beginning = false;
+        beingAccepted = true;
+        handle = policy.accept(request);
+        beingAccepted = false;
     }
 
-    /** One launch, from its number to its end. */
-    private final class ExchangeAttempt implements AttemptListener {
+    /** One attempt, from its number to its end. */
+    private final class Attempt implements AttemptListener {
         private final int number;
-        private InFlightAttempt flight;
 
-        ExchangeAttempt(int number) {
+        /** Null until it is sent. */
+        private InFlightAttempt inFlight;
+
+        Attempt(int number) {
             this.number = number;
         }
 
-        void giveUp(AttemptResult end) {
-            if (flight != null) {
-                flight.giveUp(end);
+        void giveUp(AttemptResult result) {
+            if (inFlight != null) {
+                inFlight.giveUp(result);
             }
         }
 
         @Override
         public boolean isStillWanted() {
-            return !answered && !clientLeft();
+            return !answered && !hasClientLeft();
         }
 
         @Override
         public void onStarted() {
-            exchanges.turn(() -> handle.onStarted(number));
+            dispatcher.turn(() -> handle.onStarted(number));
         }
 
         @Override
         public void onProgress(double share) {
-            exchanges.turn(() -> handle.onProgress(number, share));
+            dispatcher.turn(() -> handle.onProgress(number, share));
         }
 
         @Override
-        public void onEnded(AttemptResult end, byte[] result, double freeSlots) {
-            exchanges.counters().count(end);
-            exchanges.turn(
+        public void onEnded(AttemptResult result, byte[] body, double freeSlots) {
+            dispatcher.counters().count(result);
+            dispatcher.turn(
                     () -> {
-                        if (end == AttemptResult.SUCCEEDED && !answered) {
-                            answer(
-                                    Counters.FinalAnswer.SUCCEEDED,
-                                    ClientResponse.fulfilled(result));
+                        if (result == AttemptResult.SUCCEEDED && !answered) {
+                            answer(Counters.FinalAnswer.SUCCEEDED, ClientResponse.fulfilled(body));
                         }
-                        handle.onEnded(number, end.outcome(), answered, new LoadReport(freeSlots));
-                        closeIfOver();
+                        LoadReport report = new LoadReport(freeSlots);
+                        handle.onEnded(number, result.outcome(), answered, report);
+                        removeIfComplete();
                     });
         }
     }
 
-    void launch(Ids.Worker worker) {
-        ExchangeAttempt launch = new ExchangeAttempt(launches.size());
-        launches.add(launch);
-        if (exchanges.hasEnded() || (!beginning && clientLeft())) {
-            launch.onEnded(AttemptResult.NOT_SENT, AttemptListener.NO_RESULT, Double.NaN);
+    /** Sends the next attempt to this worker. */
+    void startAttempt(Ids.Worker worker) {
+        Attempt attempt = new Attempt(attempts.size());
+        attempts.add(attempt);
+        if (dispatcher.hasEnded() || (!beingAccepted && hasClientLeft())) {
+            attempt.onEnded(AttemptResult.NOT_SENT, AttemptListener.NO_RESULT, Double.NaN);
         } else {
-            exchanges.counters().count(Counters.Counter.ATTEMPTS);
-            launch.flight =
-                    exchanges.workers().send(worker, message, submission.deadline(), launch);
+            dispatcher.counters().count(Counters.Counter.ATTEMPTS);
+            attempt.inFlight =
+                    dispatcher.workers().send(worker, message, request.deadline(), attempt);
         }
     }
 
     /**
-     * Guards against work for nobody: while a submission waited for its turn, for another launch's
-     * end or for a connection, the client's end may lie unread behind what was read first.
+     * Checks for a client that has left, so that no attempt runs for nobody: while the request
+     * waited for another attempt's end or for a connection, the client's end of stream may have
+     * stayed unread.
      */
-    private boolean clientLeft() {
+    private boolean hasClientLeft() {
         boolean left = client.hasClientLeft();
         if (left) {
             onClientGone();
@@ -131,71 +144,71 @@
         return left;
     }
 
-    void cancel(int number) {
-        launches.get(number).giveUp(AttemptResult.CANCELLED);
+    /** Cancels the attempt of this number, if it has not ended. */
+    void cancelAttempt(int number) {
+        attempts.get(number).giveUp(AttemptResult.CANCELLED);
     }
 
-    void answer(Counters.FinalAnswer kind, ClientResponse answer) {
+    /** Sends the final response, unless there has been one or the client has gone. */
+    void answer(Counters.FinalAnswer kind, ClientResponse response) {
         if (!answered) {
-            over();
-            exchanges.counters().count(submission.requestClass(), kind);
-            client.send(answer);
+            markAnswered();
+            dispatcher.counters().count(request.requestClass(), kind);
+            client.send(response);
         }
     }
 
-    /** After the end nothing more may go out: what is not written yet is ended now. */
-    private void over() {
+    /** From here on nothing more may be sent: attempts that are not written yet are ended. */
+    private void markAnswered() {
         answered = true;
-        exchanges.noLongerPending();
-        // It may be another submission's event that answers this one: one that waits for its turn
-        // has none.
-        exchanges.turn(this::closeIfOver);
-        for (ExchangeAttempt launch : launches) {
-            if (launch.flight != null && !launch.flight.isWritten()) {
-                launch.giveUp(AttemptResult.CANCELLED);
+        dispatcher.noLongerPending();
+        // Another request's event may have answered this one, which then has no event of its own.
+        dispatcher.turn(this::removeIfComplete);
+        for (Attempt attempt : attempts) {
+            if (attempt.inFlight != null && !attempt.inFlight.isWritten()) {
+                attempt.giveUp(AttemptResult.CANCELLED);
             }
         }
     }
 
     @Override
     public void onClientGone() {
-        exchanges.turn(
+        dispatcher.turn(
                 () -> {
                     if (!answered) {
-                        over();
-                        exchanges.counters().count(Counters.Counter.CLIENTS_GONE);
+                        markAnswered();
+                        dispatcher.counters().count(Counters.Counter.CLIENTS_GONE);
                         handle.onClientGone();
                     }
                 });
     }
 
-    /** Ends what is still out; the decisions then say what the client is told. */
-    void outOfTime() {
-        for (ExchangeAttempt launch : new ArrayList<>(launches)) {
-            launch.giveUp(AttemptResult.TIMED_OUT);
+    /** Ends the attempts in flight; the policy then decides on the client's response. */
+    void onDeadline() {
+        for (Attempt attempt : new ArrayList<>(attempts)) {
+            attempt.giveUp(AttemptResult.TIMED_OUT);
         }
-        exchanges.turn(
+        dispatcher.turn(
                 () -> {
                     if (!answered) {
                         handle.onDeadline();
                     }
                 });
-        // A turn of its own: a fault in the decisions must not take the answer with it.
-        exchanges.turn(
+        // An event of its own: a failure in the policy must not take the response with it.
+        dispatcher.turn(
                 () -> {
                     if (!answered) {
-                        // Only such a fault leaves it open here; nothing is promised about the
-                        // effect.
+                        // Only such a failure leaves it open here; whether it ran is not known.
                         answer(Counters.FinalAnswer.FAILED, ClientResponse.scrapped());
                     }
-                    exchanges.remove(submission.id(), message.id());
+                    dispatcher.remove(request.id(), message.id());
                 });
     }
 
-    private void closeIfOver() {
+    private void removeIfComplete() {
         if (answered && handle.isComplete()) {
-            limit.cancel();
-            exchanges.remove(submission.id(), message.id());
+            deadlineTimer.cancel();
+            dispatcher.remove(request.id(), message.id());
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/RequestDispatcher.java
@@ -1,22 +1,12 @@
 package wheelroute.net;
 
-import java.io.IOException;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import org.eclipse.jetty.http.HttpStatus;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import wheelroute.decision.ActionHandler;
 import wheelroute.decision.DispatcherShares;
-import wheelroute.decision.Endpoint;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.Ids;
-import wheelroute.decision.LearnedState;
 import wheelroute.decision.Policy;
 import wheelroute.decision.Request;
 import wheelroute.decision.Settings;
@@ -28,129 +18,100 @@
 import wheelroute.net.discovery.EndpointList;
 import wheelroute.net.discovery.EndpointWatch;
 import wheelroute.net.handover.Handover;
-import wheelroute.net.handover.LearnedStateCodec;
 import wheelroute.net.workers.WorkerConnectionPools;
 
 /**
- * Drives the decisions: every event is one turn, and what a turn brings about waits for the next.
+ * Connects the policy with the sockets: turns what happens there into events for the policy, and
+ * carries out the actions that it decides on. Only for the event loop's thread.
  */
-final class RequestDispatcher
-        implements ActionHandler,
-                RequestAcceptor,
-                EndpointWatch.Listener,
-                Handover.TransferableState {
+final class RequestDispatcher implements ActionHandler, RequestAcceptor, EndpointWatch.Listener {
     /**
-     * Kept back of what a client says it will wait, but no more than that part of it: on a busy
-     * core the message may have lain unread for tens of milliseconds, and the answer must still
-     * reach the client.
+     * Seconds kept back of a client's timeout, so that the response reaches it in time: on a busy
+     * core the message may have lain unread for tens of milliseconds.
      */
-    private static final double ANSWER_MARGIN = 0.08;
+    private static final double RESPONSE_MARGIN = 0.08;
 
-    private static final double ANSWER_MARGIN_PART = 0.1;
+    /** The margin is at most this fraction of the timeout. */
+    private static final double MAX_RESPONSE_MARGIN_FRACTION = 0.1;
 
-    /**
-     * While draining, a submission is taken if so many times its hint still fit in: hints are off
-     * by a factor of two either way, and one that can be bounced in the end loses nothing by the
-     * try.
-     */
-    private static final double DRAIN_STRETCH = 0.6;
-
-    private static final double DRAIN_STRETCH_ONCE = 1.5;
-    private static final double DRAIN_WAIT = 0.1;
-
-    /**
-     * From the drain's end until a restarted dispatcher serves again, with the platform's share of
-     * it.
-     */
-    private static final double RESTART = 2;
-
-    private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
+    /** Tenants without a quota share one: clients must not fill memory with names. */
+    private static final Ids.Tenant OTHER_TENANTS = new Ids.Tenant("");
 
     private final EventLoop loop;
     private final Counters counters;
     private final WorkerConnectionPools workers;
-    private final Settings settings;
-
-    /** Guards against a client that would have its place held for ever. */
-    private final double longestOuterLimit;
-
-    private final Policy policy;
-    private final ArrayDeque<Runnable> turns = new ArrayDeque<>();
-    private final Map<Ids.Request, Exchange> open = new HashMap<>();
-    private final Map<String, Member> members = new HashMap<>();
-
-    /** The ids under which clients know the open ones. */
-    private final Set<String> openIds = new HashSet<>();
-
-    private final Map<String, Settings.RequestClass> offerings = new HashMap<>();
+    private final double maxTimeout;
+    private final Map<String, Settings.RequestClass> requestClasses = new HashMap<>();
     private final Map<String, Ids.Tenant> tenants = new HashMap<>();
+    private final Policy policy;
+    private final TurnQueue turns;
+    private final OpenRequests open = new OpenRequests();
+    private final EndpointDirectory endpoints;
+    private final DrainAdmission admission;
+    private final StateTransfer stateTransfer;
     private EndpointWatch watch;
-
-    /** Taken, and neither answered nor left by their clients. */
-    private int pending;
-
-    private boolean deciding;
-    private boolean draining;
-    private double drainEnd;
-    private boolean ended;
-    private long lastSubmission;
-    private long lastWorker;
     private ClientServer clients;
 
-    /** Null where no process can take another's place. */
-    private Handover handover;
-
-    private long version = EndpointWatch.NOTHING;
+    /** Requests accepted, and neither answered nor abandoned by their clients. */
+    private int pending;
 
-    /** A worker on the list: its entry there, and the name that the decisions have for it. */
-    private record Member(Ids.Worker worker, EndpointList.Entry entry) {}
+    private long lastRequestId;
 
+    /**
+     * Makes the policy, too.
+     *
+     * @param maxTimeout the longest timeout, in seconds, that a client is granted
+     */
     RequestDispatcher(
             EventLoop loop,
             Counters counters,
             WorkerConnectionPools workers,
             Settings settings,
-            double longestOuterLimit) {
+            double maxTimeout) {
         this.loop = loop;
         this.counters = counters;
         this.workers = workers;
-        this.settings = settings;
-        this.longestOuterLimit = longestOuterLimit;
-        for (Settings.RequestClass offering : settings.requestClasses()) {
-            offerings.put(offering.id().name(), offering);
+        this.maxTimeout = maxTimeout;
+        for (Settings.RequestClass requestClass : settings.requestClasses()) {
+            requestClasses.put(requestClass.id().name(), requestClass);
         }
         settings.quotas().keySet().forEach(tenant -> tenants.put(tenant.name(), tenant));
         policy = new Policy(settings, this);
         policy.advanceTo(loop.now());
+        turns = new TurnQueue(() -> policy.advanceTo(loop.now()));
+        endpoints = new EndpointDirectory(workers);
+        admission = new DrainAdmission(loop, settings, open::hasSuccessor);
+        stateTransfer =
+                new StateTransfer(
+                        loop, policy, turns, endpoints, open.clientIds(), this::onEndpoints);
     }
 
-    /**
-     * Runs an event as soon as no other is being decided on: at once, or after the one that caused
-     * it.
-     */
-    void turn(Runnable event) {
-        turns.add(event);
-        if (deciding) {
-            return;
-        }
-        deciding = true;
-        try {
-            for (Runnable next = turns.poll(); next != null; next = turns.poll()) {
-                policy.advanceTo(loop.now());
-                run(next);
-            }
-        } finally {
-            deciding = false;
+    /** Replaces the watch; the old one is stopped. */
+    void setWatch(EndpointWatch newWatch) {
+        if (watch != null) {
+            watch.stop();
         }
+        watch = newWatch;
     }
 
-    /** Guards against one faulty decision that takes all other submissions with it. */
-    private static void run(Runnable event) {
-        try {
-            event.run();
-        } catch (RuntimeException e) {
-            LOG.warn("a decision failed", e);
-        }
+    void setClients(ClientServer newClients) {
+        clients = newClients;
+    }
+
+    void setHandover(Handover newHandover) {
+        open.setHandover(newHandover);
+    }
+
+    /** What a successor process is given, and a predecessor's goes to. */
+    Handover.TransferableState transferableState() {
+        return stateTransfer;
+    }
+
+    // ---- for the exchanges
+
+    /** Runs an event for the policy: at once, or after the one that is being decided on. */
+    void turn(Runnable event) {
+        turns.run(event);
     }
 
     Counters counters() {
@@ -161,247 +122,156 @@
         return workers;
     }
 
-    void remove(Ids.Request id, String clientsId) {
-        if (open.remove(id) != null) {
-            openIds.remove(clientsId);
-            if (handover != null) {
-                handover.over(clientsId);
-            }
-        }
+    /** Forgets a request that has nothing outstanding. */
+    void remove(Ids.Request id, String clientId) {
+        open.remove(id, clientId);
+    }
+
+    void noLongerPending() {
+        pending--;
     }
 
     // ---- from the clients
 
     @Override
-    public AcceptedRequest accept(ClientRequest message, double cameAt, ResponseSender answers)
+    public AcceptedRequest accept(ClientRequest message, double cameAt, ResponseSender responses)
             throws BadRequestException {
-        Settings.RequestClass offering = offerings.get(message.requestClass());
-        if (offering == null) {
-            throw new BadRequestException(HttpStatus.NOT_FOUND_404, "no such offering");
-        }
-        if (offering.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                && message.idempotencyKey() == null) {
-            throw new BadRequestException(
-                    HttpStatus.BAD_REQUEST_400, "this offering needs an Idempotency-Key");
-        }
-        if (openIds.contains(message.id())
-                || (handover != null && handover.isOpenElsewhere(message.id()))) {
-            // Workers know jobs by it: a second would be told the first one's end, or spoil its
-            // connection.
-            throw new BadRequestException(
-                    HttpStatus.CONFLICT_409, "a submission with this id is open");
-        }
-        double margin = Math.min(ANSWER_MARGIN, ANSWER_MARGIN_PART * message.timeout());
-        double limit = cameAt + Math.min(message.timeout(), longestOuterLimit) - margin;
-        if (limit <= loop.now() || mustComeBack(message, offering)) {
+        Settings.RequestClass requestClass = validated(message);
+        double deadline = deadline(message, cameAt);
+        if (deadline <= loop.now() || admission.mustReject(message, requestClass.idempotency())) {
             onRejected(message);
-            answers.send(ClientResponse.bounced(adviceFor(0)));
+            responses.send(ClientResponse.bounced(admission.retryAfter(0)));
             return () -> {};
         }
-        // Tenants without a share need no name of their own: a client must not fill memory with
-        // names.
-        Ids.Tenant tenant = tenants.getOrDefault(message.tenant(), new Ids.Tenant(""));
-        Request submission =
-                new Request(
-                        new Ids.Request(++lastSubmission),
-                        offering.id(),
-                        tenant,
-                        limit,
-                        message.estimatedWork(),
-                        message.slots(),
-                        message.memory(),
-                        message.clientRetry(),
-                        message.routeKey() == null ? null : new Ids.Key(message.routeKey()));
-        Exchange exchange =
-                new Exchange(
-                        this,
-                        loop,
-                        submission,
-                        message,
-                        answers,
-                        offering.idempotency() != Idempotency.IDEMPOTENT);
-        open.put(submission.id(), exchange);
-        openIds.add(message.id());
-        if (handover != null) {
-            handover.opened(message.id());
-        }
+        Request request = request(message, requestClass, deadline);
+        boolean atMostOnce = requestClass.idempotency() != Idempotency.IDEMPOTENT;
+        Exchange exchange = new Exchange(this, loop, request, message, responses, atMostOnce);
+        open.add(request.id(), message.id(), exchange);
         counters.count(Counters.Counter.REQUESTS_ACCEPTED);
         pending++;
         turn(() -> exchange.begin(policy));
         return exchange;
     }
 
-    @Override
-    public boolean isDraining() {
-        return draining;
+    private Settings.RequestClass validated(ClientRequest message) throws BadRequestException {
+        Settings.RequestClass requestClass = requestClasses.get(message.requestClass());
+        if (requestClass == null) {
+            throw new BadRequestException(HttpStatus.NOT_FOUND_404, "no such offering");
+        }
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                && message.idempotencyKey() == null) {
+            throw new BadRequestException(
+                    HttpStatus.BAD_REQUEST_400, "this offering needs an Idempotency-Key");
+        }
+        if (open.contains(message.id())) {
+            // Workers know requests by this id: a second one might be taken for the first.
+            throw new BadRequestException(
+                    HttpStatus.CONFLICT_409, "a submission with this id is open");
+        }
+        return requestClass;
     }
 
-    @Override
-    public String metrics() {
-        return counters.text(gauges());
+    private double deadline(ClientRequest message, double cameAt) {
+        double margin = Math.min(RESPONSE_MARGIN, MAX_RESPONSE_MARGIN_FRACTION * message.timeout());
+        return cameAt + Math.min(message.timeout(), maxTimeout) - margin;
     }
 
-    Gauges gauges() {
-        policy.advanceTo(loop.now());
-        return new Gauges(
-                open.size(),
-                pending,
-                clients.open(),
-                workers.open(),
-                members.size(),
-                policy.avoidedEndpoints());
+    private Request request(
+            ClientRequest message, Settings.RequestClass requestClass, double deadline) {
+        return new Request(
+                new Ids.Request(++lastRequestId),
+                requestClass.id(),
+                tenants.getOrDefault(message.tenant(), OTHER_TENANTS),
+                deadline,
+                message.estimatedWork(),
+                message.slots(),
+                message.memory(),
+                message.clientRetry(),
+                message.routeKey() == null ? null : new Ids.Key(message.routeKey()));
     }
 
     @Override
     public void onRejected(ClientRequest message) {
         counters.count(Counters.Counter.REQUESTS_NOT_ACCEPTED);
-        Settings.RequestClass offering = offerings.get(message.requestClass());
-        if (offering != null) {
-            counters.count(offering.id(), Counters.FinalAnswer.REJECTED);
+        Settings.RequestClass requestClass = requestClasses.get(message.requestClass());
+        if (requestClass != null) {
+            counters.count(requestClass.id(), Counters.FinalAnswer.REJECTED);
         }
     }
 
-    // ---- from discovery
-
-    /** The watch from now on: what another one may still bring counts for nothing. */
-    void watch(EndpointWatch newWatch) {
-        if (watch != null) {
-            watch.stop();
-        }
-        watch = newWatch;
-    }
-
-    void clients(ClientServer newClients) {
-        clients = newClients;
-    }
-
     @Override
-    public void onEndpoints(EndpointList list) {
-        List<Endpoint> entries = new ArrayList<>();
-        Map<String, Ids.Worker> lost = new HashMap<>();
-        List<Ids.Worker> draining = new ArrayList<>();
-        if (list.complete()) {
-            members.forEach((name, member) -> lost.put(name, member.worker));
-        }
-        version = list.version();
-        for (EndpointList.Entry entry : list.entries()) {
-            Member known = members.get(entry.id());
-            Ids.Worker worker = known != null ? known.worker : new Ids.Worker(++lastWorker);
-            members.put(entry.id(), new Member(worker, entry));
-            if (entry.state() == Endpoint.State.REMOVED) {
-                lost.put(entry.id(), worker);
-            } else {
-                lost.remove(entry.id());
-                workers.listed(worker, entry.address(), entry.startedAt());
-                if (entry.state() == Endpoint.State.DRAINING) {
-                    draining.add(worker);
-                }
-            }
-            entries.add(
-                    new Endpoint(
-                            worker,
-                            new Ids.Model(entry.model()),
-                            entry.weight(),
-                            new Ids.Zone(entry.zone()),
-                            entry.startedAt(),
-                            new Ids.Cell(entry.cell()),
-                            entry.state()));
-        }
-        turn(() -> policy.onEndpoints(entries, list.complete()));
-        workers.settle(draining);
-        lost.forEach(
-                (name, worker) -> {
-                    workers.gone(worker);
-                    // Releases bring new names for ever; one that comes back is a new worker to the
-                    // decisions.
-                    members.remove(name);
-                });
-    }
-
-    // ---- from another process of this dispatcher
-
-    void handover(Handover newHandover) {
-        handover = newHandover;
-    }
-
-    /** Another process takes clients in this one's place. */
-    boolean isSucceeded() {
-        return handover != null && handover.hasSuccessor();
+    public boolean isDraining() {
+        return admission.isDraining();
     }
 
     @Override
-    public String exportEndpoints() {
-        return version == EndpointWatch.NOTHING
-                ? null
-                : new EndpointList(
-                                version,
-                                true,
-                                members.values().stream().map(Member::entry).toList())
-                        .encode();
+    public boolean closesAfterResponse() {
+        return admission.closesAfterResponse();
     }
 
-    /** Discovery's own word may have come in the meantime, and is the newer one. */
     @Override
-    public void importEndpoints(byte[] list) throws IOException {
-        EndpointList told = EndpointList.decode(list);
-        if (told.version() > version) {
-            onEndpoints(told);
-        }
+    public String metrics() {
+        return counters.text(gauges());
     }
 
-    @Override
-    public String exportLearnedState() {
+    Gauges gauges() {
         policy.advanceTo(loop.now());
-        Map<Ids.Worker, String> names = new HashMap<>();
-        members.forEach((name, member) -> names.put(member.worker, name));
-        return LearnedStateCodec.encode(policy.exportState(), names::get);
+        return new Gauges(
+                open.size(),
+                pending,
+                clients.open(),
+                workers.open(),
+                endpoints.size(),
+                policy.avoidedEndpoints());
     }
 
+    // ---- from discovery, and from the other processes and dispatchers
+
     @Override
-    public void importLearnedState(byte[] learned) throws IOException {
-        LearnedState told =
-                LearnedStateCodec.decode(
-                        learned,
-                        name -> members.containsKey(name) ? members.get(name).worker : null);
-        turn(() -> policy.importState(told));
+    public void onEndpoints(EndpointList list) {
+        EndpointDirectory.Update update = endpoints.apply(list);
+        turn(() -> policy.onEndpoints(update.endpoints(), list.complete()));
+        endpoints.settle(update);
     }
 
-    @Override
-    public Iterable<String> openRequestIds() {
-        return new ArrayList<>(openIds);
+    /** Whether another process accepts clients in this one's place. */
+    boolean hasSuccessor() {
+        return open.hasSuccessor();
     }
 
-    void sharedIn(DispatcherShares division) {
-        policy.setShares(division);
+    /** Divides the common budgets among the dispatchers. */
+    void setShares(DispatcherShares shares) {
+        policy.setShares(shares);
     }
 
-    void sharedBy(int processes) {
+    /** Divides this dispatcher's budgets among its processes. */
+    void setProcessCount(int processes) {
         turn(() -> policy.setProcessCount(processes));
     }
 
-    // ---- from the decisions
+    // ---- from the policy
 
     @Override
-    public void startAttempt(Ids.Request submission, Ids.Worker worker, double limit) {
-        open.get(submission).launch(worker);
+    public void startAttempt(Ids.Request request, Ids.Worker worker, double deadline) {
+        open.get(request).startAttempt(worker);
     }
 
     @Override
-    public void reject(Ids.Request submission, double retryAfter) {
-        open.get(submission)
+    public void reject(Ids.Request request, double retryAfter) {
+        open.get(request)
                 .answer(
                         Counters.FinalAnswer.REJECTED,
-                        ClientResponse.bounced(adviceFor(retryAfter)));
+                        ClientResponse.bounced(admission.retryAfter(retryAfter)));
     }
 
     @Override
-    public void fail(Ids.Request submission) {
-        open.get(submission).answer(Counters.FinalAnswer.FAILED, ClientResponse.scrapped());
+    public void fail(Ids.Request request) {
+        open.get(request).answer(Counters.FinalAnswer.FAILED, ClientResponse.scrapped());
     }
 
     @Override
-    public void cancelAttempt(Ids.Request submission, int launch) {
-        open.get(submission).cancel(launch);
+    public void cancelAttempt(Ids.Request request, int attempt) {
+        open.get(request).cancelAttempt(attempt);
     }
 
     @Override
@@ -411,78 +281,34 @@
 
     @Override
     public void watchEndpoints() {
-        // The first comes while the policy is being made, before there is a watch.
+        // The first call comes while the policy is being made, before there is a watch.
         loop.post(() -> watch.watch());
     }
 
-    // ---- the end
-
-    void drain(double end) {
-        draining = true;
-        drainEnd = end;
-    }
-
-    /**
-     * Where there are other dispatchers clients are sent to them. One that is alone serves on until
-     * its end: who loses a connection to it finds nobody else, and cannot come back before it is up
-     * again.
-     */
-    private boolean servesOn() {
-        return draining && settings.dispatchers() <= 1 && !isSucceeded();
-    }
-
-    @Override
-    public boolean closesAfterResponse() {
-        return draining && (!servesOn() || ended);
-    }
-
-    /**
-     * Whether it had better come back when this drain of a dispatcher alone is over, or ask the
-     * process that has taken this one's place: the hint is rough and there may be a queue, but it
-     * is unlikely to end here.
-     */
-    private boolean mustComeBack(ClientRequest message, Settings.RequestClass offering) {
-        if ((!servesOn() && !(draining && isSucceeded())) || ended) {
-            return false;
-        }
-        double stretch =
-                offering.idempotency() == Idempotency.IDEMPOTENT
-                        ? DRAIN_STRETCH
-                        : DRAIN_STRETCH_ONCE;
-        double run =
-                Double.isNaN(message.estimatedWork())
-                        ? Double.POSITIVE_INFINITY
-                        : message.estimatedWork();
-        return loop.now() + stretch * run + DRAIN_WAIT > drainEnd;
-    }
+    // ---- graceful shutdown
 
     /**
-     * Guards against retries used up while nobody listens: who is bounced may come back when we are
-     * up.
+     * Starts to drain.
+     *
+     * @param end Unix time in seconds at which requests in flight are given up
      */
-    private double adviceFor(double retryAfter) {
-        if (!servesOn() || !settings.sendsRetryAfter()) {
-            return retryAfter;
-        }
-        return Math.min(settings.maxRetryAfter(), drainEnd + RESTART - loop.now());
+    void drain(double end) {
+        admission.begin(end);
     }
 
+    /** Requests that are neither answered nor abandoned by their clients. */
     int unanswered() {
         return pending;
     }
 
-    void noLongerPending() {
-        pending--;
-    }
-
-    /** From here on every launch ends unsent, so that the decisions are left with an answer. */
+    /** From here on every attempt ends unsent, so that the policy has to answer. */
     boolean hasEnded() {
-        return ended;
+        return admission.hasEnded();
     }
 
-    /** No more time: what is out is ended, and the decisions say what each client is told. */
+    /** Ends all attempts in flight; the policy then decides on each client's response. */
     void giveUpAll() {
-        ended = true;
-        new ArrayList<>(open.values()).forEach(Exchange::outOfTime);
+        admission.end();
+        open.all().forEach(Exchange::onDeadline);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/Service.java
+++ b/daemon/src/main/java/wheelroute/net/Service.java
@@ -133,23 +133,29 @@
         exchanges =
                 new RequestDispatcher(
                         loop, counters, workers, config.settings(), config.longestOuterLimit());
-        long version = EndpointWatch.NOTHING;
+        long version = EndpointWatch.NO_VERSION;
         if (config.known() != null) {
             EndpointList known = known();
             version = known.version();
             exchanges.onEndpoints(known);
         }
-        exchanges.watch(new EndpointWatch(loop, discovery, counters, exchanges, version, manner()));
+        exchanges.setWatch(
+                new EndpointWatch(loop, discovery, counters, exchanges, version, manner()));
         clients = new ClientServer(loop, exchanges, counters, part(CLIENTS_PART));
-        exchanges.clients(clients);
+        exchanges.setClients(clients);
         if (config.admin() != null) {
             openDoor();
         }
         if (config.meeting() != null) {
             String name = config.name() + " " + config.listen();
             handover =
-                    new Handover(loop, config.meeting(), name, exchanges, new HandoverListener());
-            exchanges.handover(handover);
+                    new Handover(
+                            loop,
+                            config.meeting(),
+                            name,
+                            exchanges.transferableState(),
+                            new HandoverListener());
+            exchanges.setHandover(handover);
         }
         if (config.peers() != null) {
             joinPeers();
@@ -172,7 +178,7 @@
         } catch (IOException e) {
             throw new ConfigException("peering.listen", "cannot be used: " + e.getMessage());
         }
-        exchanges.sharedIn(peers);
+        exchanges.setShares(peers);
     }
 
     /** Last of all: from here on clients come. */
@@ -284,8 +290,8 @@
         LOG.info("read again: discovery is {} now", discovery);
         EndpointWatch next =
                 new EndpointWatch(
-                        loop, discovery, counters, exchanges, EndpointWatch.NOTHING, manner());
-        exchanges.watch(next);
+                        loop, discovery, counters, exchanges, EndpointWatch.NO_VERSION, manner());
+        exchanges.setWatch(next);
         next.hurry();
     }
 
@@ -314,7 +320,7 @@
         exchanges.drain(end);
         // Where another one listens already, new connections are better off with it at once.
         loop.schedule(
-                exchanges.isSucceeded() ? 0 : STILL_LISTENING,
+                exchanges.hasSuccessor() ? 0 : STILL_LISTENING,
                 () -> {
                     clients.stopListening();
                     look(end);
@@ -351,7 +357,7 @@
 
     /** Nothing is unanswered, and nobody is about to hand over more. */
     private boolean isQuiet() {
-        boolean mustWaitForClients = !exchanges.closesAfterResponse() || exchanges.isSucceeded();
+        boolean mustWaitForClients = !exchanges.closesAfterResponse() || exchanges.hasSuccessor();
         return exchanges.unanswered() == 0
                 && !clients.expects()
                 && (!mustWaitForClients || clients.open() == 0);
@@ -377,7 +383,7 @@
 
         @Override
         public void onProcessesChanged() {
-            exchanges.sharedBy(handover.processes());
+            exchanges.setProcessCount(handover.processes());
             workers.sharedBy(handover.processes());
             clients.sharedBy(handover.processes());
             if (peers != null && listensToClients) {
--- a/daemon/src/main/java/wheelroute/net/discovery/EndpointWatch.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/EndpointWatch.java
@@ -64,7 +64,7 @@
     private static final double MILLIS = 1e3;
 
     /** The version of who knows nothing yet. */
-    public static final long NOTHING = -1;
+    public static final long NO_VERSION = -1;
 
     /**
      * A new address must have told the whole list within 4 s: until then failures are not waited
@@ -127,7 +127,7 @@
         this.manner = manner;
         random = new SplittableRandom(manner.seed);
         backoff = new Backoff(random.nextLong());
-        wantsWhole = version == NOTHING;
+        wantsWhole = version == NO_VERSION;
     }
 
     /** Begins to watch, unless it is under way. */
--- a/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
+++ b/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
@@ -633,7 +633,7 @@
     public void aFaultOfTheDecisionsTakesNoAnswerWithIt() throws Exception {
         wantsFaults = true;
         serve(Idempotency.IDEMPOTENT);
-        RequestDispatcher exchanges =
+        RequestDispatcher dispatcher =
                 new RequestDispatcher(
                         loop,
                         new Counters(List.of(new Ids.RequestClass("job"))),
@@ -671,7 +671,7 @@
                 () -> {
                     Exchange exchange =
                             new Exchange(
-                                    exchanges,
+                                    dispatcher,
                                     loop,
                                     submission,
                                     message,
@@ -688,8 +688,8 @@
                                     },
                                     false);
                     // There is no policy: its call fails as one would that throws.
-                    exchanges.turn(() -> exchange.begin(null));
-                    exchange.outOfTime();
+                    dispatcher.turn(() -> exchange.begin(null));
+                    exchange.onDeadline();
                 });
         assertEquals(status.get().intValue(), 502);
     }
