--- /dev/null
+++ b/daemon/src/main/java/wheelroute/net/ServiceComponents.java
@@ -0,0 +1,146 @@
+package wheelroute.net;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import wheelroute.config.Config;
+import wheelroute.config.ConfigException;
+import wheelroute.net.admin.AdminServer;
+import wheelroute.net.admin.ServiceStatus;
+import wheelroute.net.clients.ClientServer;
+import wheelroute.net.discovery.EndpointList;
+import wheelroute.net.discovery.EndpointWatch;
+import wheelroute.net.handover.Handover;
+import wheelroute.net.peers.MembershipService;
+import wheelroute.net.workers.WorkerConnectionPools;
+
+/** The parts of one dispatcher, made and connected with each other. */
+final class ServiceComponents {
+    private static final Logger LOG = LoggerFactory.getLogger(ServiceComponents.class);
+
+    final RequestDispatcher dispatcher;
+    final ClientServer clients;
+
+    /** Null where no address is configured for it. */
+    final AdminServer admin;
+
+    /** Null where no other process can take over. */
+    final Handover handover;
+
+    /** Null where this dispatcher knows no others. */
+    final MembershipService peers;
+
+    private final Config config;
+    private final EventLoop loop;
+    private final Counters counters;
+
+    /**
+     * Makes all parts. Only the administrative socket listens already; clients are not accepted
+     * yet.
+     *
+     * @throws ConfigException if a configured value cannot be used, such as an address in use
+     */
+    ServiceComponents(
+            Config config,
+            EventLoop loop,
+            Counters counters,
+            WorkerConnectionPools workers,
+            ServiceStatus status,
+            Handover.Listener handoverListener)
+            throws ConfigException {
+        this.config = config;
+        this.loop = loop;
+        this.counters = counters;
+        dispatcher =
+                new RequestDispatcher(
+                        loop, counters, workers, config.settings(), config.longestOuterLimit());
+        dispatcher.setWatch(newWatch(config.discovery(), importKnownEndpoints()));
+        clients =
+                new ClientServer(
+                        loop, dispatcher, counters, DescriptorBudget.clientConnections(config));
+        dispatcher.setClients(clients);
+        admin = config.admin() == null ? null : openAdminServer(status);
+        handover = config.meeting() == null ? null : newHandover(handoverListener);
+        dispatcher.setHandover(handover);
+        peers = config.peers() == null ? null : newMembershipService();
+        if (peers != null) {
+            dispatcher.setShares(peers);
+        }
+    }
+
+    /**
+     * Makes a watch on discovery.
+     *
+     * @param version the version of the list that is known, or {@link EndpointWatch#NO_VERSION}
+     */
+    EndpointWatch newWatch(InetSocketAddress discovery, long version) {
+        EndpointWatch.WatchOptions options =
+                new EndpointWatch.WatchOptions(config.settings().seed(), config.listIsPushed());
+        return new EndpointWatch(loop, discovery, counters, dispatcher, version, options);
+    }
+
+    /** Takes over the configured list, if there is one, and returns its version. */
+    private long importKnownEndpoints() throws ConfigException {
+        if (config.known() == null) {
+            return EndpointWatch.NO_VERSION;
+        }
+        EndpointList known;
+        try {
+            known = EndpointList.decode(config.known());
+        } catch (IOException e) {
+            throw new ConfigException("known", "is no list of workers: " + e.getMessage());
+        }
+        dispatcher.onEndpoints(known);
+        return known.version();
+    }
+
+    private AdminServer openAdminServer(ServiceStatus status) throws ConfigException {
+        AdminServer server = new AdminServer(loop, status);
+        try {
+            server.listen(config.admin());
+        } catch (IOException e) {
+            throw new ConfigException("admin", "cannot be used: " + e.getMessage());
+        }
+        LOG.info("operators call {}:{}", config.admin().getHostString(), server.port());
+        return server;
+    }
+
+    private Handover newHandover(Handover.Listener listener) {
+        String name = config.name() + " " + config.listen();
+        return new Handover(loop, config.meeting(), name, dispatcher.transferableState(), listener);
+    }
+
+    private MembershipService newMembershipService() throws ConfigException {
+        try {
+            return new MembershipService(
+                    loop,
+                    config.peers(),
+                    config.name(),
+                    config.settings().seed(),
+                    config.meeting() != null);
+        } catch (IOException e) {
+            throw new ConfigException("peering.listen", "cannot be used: " + e.getMessage());
+        }
+    }
+
+    /**
+     * Accepts clients from here on, beside another process of this dispatcher if there is one.
+     *
+     * @throws ConfigException if the address cannot be used
+     */
+    void listen() throws ConfigException {
+        try {
+            // Shared where a successor process can be started: that takes an administrative socket.
+            clients.listen(config.listen(), config.admin() != null);
+        } catch (IOException e) {
+            throw new ConfigException("listen", "cannot be used: " + e.getMessage());
+        }
+        // With the port that it got: 0 leaves the choice to the system.
+        LOG.info(
+                "{} listens on {}:{}",
+                config.name(),
+                config.listen().getHostString(),
+                clients.port());
+    }
+}
--- a/daemon/src/main/java/wheelroute/net/discovery/EndpointWatch.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/EndpointWatch.java
@@ -140,7 +140,7 @@
     }
 
     /** Begins to watch in place of another that has ended: the whole list is wanted, and soon. */
-    public void hurry() {
+    public void watchUrgently() {
         hurryUntil = loop.now() + HURRY;
         watch();
     }
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -385,7 +385,7 @@
         if (service != null) {
             loop.goOn();
             service.drain();
-            figures = service.figuresAtTheEnd();
+            figures = service.finalMetrics();
         }
         open.clear();
         // Before anything may fail: the next test begins anew.
