--- a/daemon/src/main/java/wheelroute/net/handover/Handover.java
+++ b/daemon/src/main/java/wheelroute/net/handover/Handover.java
@@ -1,19 +1,10 @@
 package wheelroute.net.handover;
 
 import java.io.IOException;
-import java.net.UnixDomainSocketAddress;
-import java.nio.channels.ServerSocketChannel;
 import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.nio.file.attribute.BasicFileAttributes;
-import java.nio.file.attribute.PosixFilePermissions;
 import java.util.EnumMap;
-import java.util.Locale;
 import java.util.Map;
-import java.util.concurrent.atomic.AtomicInteger;
-import java.util.zip.CRC32;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import org.slf4j.Logger;
@@ -21,351 +12,301 @@
 import wheelroute.net.EventLoop;
 
 /**
- * This process among the others of the same dispatcher: the one whose place it takes, and the one
- * that takes its own. They meet on a Unix socket in a directory that they share;
- * docs/design/handover.md has the words.
+ * Replaces a running process of one dispatcher by the next without losing a request: a process
+ * imports the state of its predecessor, and exports its own to its successor. The protocol is in
+ * docs/design/handover.md. Only for the event loop's thread.
  */
-public final class Handover implements NeighborProcess.Listener {
-    /** What this process knows, to be told to the next, and what it is told by the one before. */
+public final class Handover implements PeerProcess.Listener {
+    /** The state that goes from one process to the next. */
     public interface TransferableState {
-        /** The list as last told, in discovery's form; null for none. */
+        /** The endpoint list as discovery sends it; null before the first. */
         String exportEndpoints();
 
+        /** What the policy has learned, as one line. */
         String exportLearnedState();
 
+        /** The clients' ids of the requests that are open in this process. */
         Iterable<String> openRequestIds();
 
+        /**
+         * Takes over a predecessor's list.
+         *
+         * @throws IOException if it is not a list
+         */
         void importEndpoints(byte[] list) throws IOException;
 
+        /**
+         * Takes over what a predecessor has learned.
+         *
+         * @throws IOException if it is not as this version writes it
+         */
         void importLearnedState(byte[] learned) throws IOException;
     }
 
-    /** What follows for this process. */
+    /** Hears what follows for this process. */
     public interface Listener {
-        /** All is told that will be told: clients may be listened to. */
+        /** All state that can be imported has been: clients may be accepted. Comes once. */
         void onStateTransferred();
 
-        /** Others have come, spoken or gone: see {@link #processes} and {@link #hasSuccessor}. */
+        /** See {@link #processes} and {@link #hasSuccessor}. */
         void onProcessesChanged();
     }
 
-    /** The listening socket, a neighbour on either side, and one that is being greeted. */
+    /** The listening socket, a peer on either side, and one that has not greeted yet. */
     public static final int DESCRIPTORS = 4;
 
-    /**
-     * What a predecessor has not told by then is done without: it may be stuck, or of another kind.
-     */
-    private static final double PATIENCE = 0.5;
-
-    /** Well before anybody could have begun to replace a process that has just begun itself. */
-    private static final double SOON = 0.05;
+    /** Seconds to wait for a predecessor: it may be stuck, or speak another protocol. */
+    private static final double PEER_TIMEOUT = 0.5;
 
-    private static final String GREETING = "wheelroute-handover";
-
-    /** No two files of one process may have one name. */
-    private static final AtomicInteger ANNOUNCED = new AtomicInteger();
+    /** Seconds until this process can be found: well before anybody could begin to replace it. */
+    private static final double LISTEN_DELAY = 0.05;
 
     private static final Logger LOG = LoggerFactory.getLogger(Handover.class);
 
     private final EventLoop loop;
-    private final Path path;
-    private final String name;
-    private final TransferableState knowledge;
-    private final Listener hearer;
-    private final ProcessChain places = new ProcessChain();
-    private final Map<ProcessChain.Role, NeighborProcess> neighbours =
+    private final String dispatcherName;
+    private final TransferableState state;
+    private final Listener listener;
+    private final HandoverSocket socket;
+    private final ProcessChain chain = new ProcessChain();
+
+    /** A predecessor from its connection on, a successor from its greeting on. */
+    private final Map<ProcessChain.Role, PeerProcess> peers =
             new EnumMap<>(ProcessChain.Role.class);
-    private ServerSocketChannel server;
-    private boolean waiting;
-    private boolean serving;
 
-    /** By which the file that stands there is known as ours. */
-    private Object fileKey;
+    private boolean awaitsState;
+    private boolean serving;
 
     /**
-     * Of one dispatcher, by its name and its clients' address, in a directory that its processes
-     * share.
+     * Prepares a handover; {@link #begin} has to follow.
+     *
+     * @param directory shared by all processes of the dispatcher
+     * @param dispatcherName the same for all of them, and different from other dispatchers'
      */
     public Handover(
             EventLoop loop,
             Path directory,
-            String name,
-            TransferableState knowledge,
-            Listener hearer) {
+            String dispatcherName,
+            TransferableState state,
+            Listener listener) {
         this.loop = loop;
-        this.knowledge = knowledge;
-        this.hearer = hearer;
-        this.name = name;
-        CRC32 crc = new CRC32();
-        crc.update(name.getBytes(StandardCharsets.UTF_8));
-        path =
-                directory.resolve(
-                        String.format(Locale.ROOT, "wheelroute-%08x.sock", crc.getValue()));
+        this.dispatcherName = dispatcherName;
+        this.state = state;
+        this.listener = listener;
+        socket = new HandoverSocket(loop, directory, dispatcherName);
     }
 
+    // ---- what this process does
+
     /**
-     * Asks a predecessor for what it knows, if there is one; {@link Listener#onStateTransferred}
-     * follows in any case.
+     * Asks a predecessor for its state, if there is one; {@link Listener#onStateTransferred}
+     * follows in any case, possibly at once.
      */
     public void begin() {
-        waiting = true;
-        if (!Files.exists(path)) {
-            // Nobody has ever been there: clients need not wait for what it takes to ask.
-            told();
+        awaitsState = true;
+        if (!socket.exists()) {
+            // There has never been a predecessor: clients need not wait for a failed connect.
+            finishTransfer();
             return;
         }
-        loop.connect(
-                UnixDomainSocketAddress.of(path),
-                new EventLoop.ChannelHandler() {
-                    @Override
-                    public Connection onOpened(EndPoint endPoint) {
-                        NeighborProcess neighbour =
-                                new NeighborProcess(
-                                        endPoint,
-                                        loop,
-                                        ProcessChain.Role.PREDECESSOR,
-                                        Handover.this);
-                        neighbours.put(ProcessChain.Role.PREDECESSOR, neighbour);
-                        return neighbour;
-                    }
-
-                    @Override
-                    public void onFailed(Throwable cause) {
-                        // Nobody there, or what a dead process left.
-                        told();
-                    }
-                });
-        loop.schedule(PATIENCE, this::told);
+        loop.connect(socket.address(), new PredecessorHandler());
+        loop.schedule(PEER_TIMEOUT, this::finishTransfer);
     }
 
-    private void told() {
-        if (waiting) {
-            waiting = false;
-            hearer.onStateTransferred();
+    private void finishTransfer() {
+        if (awaitsState) {
+            awaitsState = false;
+            listener.onStateTransferred();
         }
     }
 
-    /** This process takes clients: its predecessor may end, and its own successor may find it. */
+    /** This process accepts clients: its predecessor may end, and a successor may find it. */
     public void serving() {
         serving = true;
-        NeighborProcess predecessor = neighbours.get(ProcessChain.Role.PREDECESSOR);
+        PeerProcess predecessor = peers.get(ProcessChain.Role.PREDECESSOR);
         if (predecessor != null) {
-            predecessor.say("serving", "");
-        }
-        // After the clients that wait: a process that is to take our place comes later.
-        loop.schedule(SOON, this::announceFirst);
-    }
-
-    private void announceFirst() {
-        if (serving && server == null) {
-            announce();
+            predecessor.send(MessageType.SERVING);
         }
+        // After the clients that wait: a successor comes later.
+        loop.schedule(LISTEN_DELAY, this::listenFirst);
     }
 
-    /**
-     * Under a name of its own first: whoever looks finds the old socket or the new one, and always
-     * one.
-     */
-    private void announce() {
-        // Asking the system for the process's number costs a start more than all the rest of this.
-        Path own =
-                path.resolveSibling(
-                        path.getFileName()
-                                + "."
-                                + Long.toHexString(System.nanoTime())
-                                + "-"
-                                + ANNOUNCED.incrementAndGet());
-        try {
-            withdraw();
-            server =
-                    loop.listen(
-                            UnixDomainSocketAddress.of(own),
-                            new EventLoop.ChannelHandler() {
-                                @Override
-                                public Connection onOpened(EndPoint endPoint) {
-                                    return new NeighborProcess(
-                                            endPoint,
-                                            loop,
-                                            ProcessChain.Role.SUCCESSOR,
-                                            Handover.this);
-                                }
-
-                                @Override
-                                public void onFailed(Throwable cause) {
-                                    // Whoever it was has gone: it will begin without us.
-                                }
-                            });
-            Files.setPosixFilePermissions(own, PosixFilePermissions.fromString("rw-------"));
-            fileKey = keyOf(own);
-            Files.move(
-                    own, path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        } catch (IOException | RuntimeException e) {
-            LOG.warn("a process that is to replace this one will not find it: {}", e.toString());
-            withdraw();
-            remove(own);
+    private void listenFirst() {
+        if (serving && !socket.isOpen()) {
+            listen();
         }
     }
 
-    private static Object keyOf(Path file) throws IOException {
-        return Files.readAttributes(file, BasicFileAttributes.class).fileKey();
-    }
-
-    private void withdraw() {
-        try {
-            if (server != null) {
-                loop.unlisten(server);
-            }
-        } catch (IOException e) {
-            LOG.debug("the handover's socket did not close", e);
-        }
-        server = null;
+    private void listen() {
+        socket.open(new SuccessorHandler());
     }
 
-    /**
-     * The process is about to end: nobody needs its file any more, unless it is another's by now.
-     */
+    /** The process is about to end: it cannot be found any more. */
     public void end() {
-        // From here on a neighbour that leaves is no reason to be found again.
+        // From here on a peer that leaves is no reason to listen again.
         serving = false;
-        try {
-            if (server != null && Files.exists(path) && keyOf(path).equals(fileKey)) {
-                remove(path);
-            }
-        } catch (IOException e) {
-            LOG.debug("whose file stands there cannot be told", e);
-        }
-        withdraw();
-    }
-
-    private static void remove(Path file) {
-        try {
-            Files.deleteIfExists(file);
-        } catch (IOException e) {
-            LOG.debug("the handover's file stays", e);
-        }
+        socket.close();
     }
 
-    /** What is one dispatcher's is shared by so many. */
+    /** How many processes share what the dispatcher has, this one included. */
     public int processes() {
-        return places.processes();
+        return chain.processes();
     }
 
-    /** Another process takes clients in this one's place. */
+    /** Whether another process accepts clients in this one's place. */
     public boolean hasSuccessor() {
-        return places.hasSuccessor();
+        return chain.hasSuccessor();
     }
 
-    public boolean isOpenElsewhere(String id) {
-        for (NeighborProcess neighbour : neighbours.values()) {
-            if (neighbour.openIds.contains(id)) {
+    /** Whether a request with this client's id is open in another process. */
+    public boolean isOpenElsewhere(String clientId) {
+        for (PeerProcess peer : peers.values()) {
+            if (peer.openRequestIds().contains(clientId)) {
                 return true;
             }
         }
         return false;
     }
 
-    public void opened(String id) {
-        sayToAll("open", id);
+    /** A request with this client's id is open here. */
+    public void opened(String clientId) {
+        sendToAll(MessageType.REQUEST_OPENED, clientId);
     }
 
-    public void over(String id) {
-        sayToAll("over", id);
+    /** The request with this client's id is not open here any more. */
+    public void over(String clientId) {
+        sendToAll(MessageType.REQUEST_CLOSED, clientId);
     }
 
-    private void sayToAll(String word, String about) {
-        for (NeighborProcess neighbour : neighbours.values()) {
-            neighbour.say(word, about);
+    private void sendToAll(MessageType type, String body) {
+        for (PeerProcess peer : peers.values()) {
+            peer.send(type, body);
+        }
+    }
+
+    // ---- what the peers do
+
+    private final class PredecessorHandler implements EventLoop.ChannelHandler {
+        @Override
+        public Connection onOpened(EndPoint endPoint) {
+            ProcessChain.Role role = ProcessChain.Role.PREDECESSOR;
+            PeerProcess peer = new PeerProcess(endPoint, loop, role, Handover.this);
+            peers.put(role, peer);
+            return peer;
+        }
+
+        @Override
+        public void onFailed(Throwable cause) {
+            // Nobody listens: the file is left over from a process that was killed.
+            finishTransfer();
+        }
+    }
+
+    private final class SuccessorHandler implements EventLoop.ChannelHandler {
+        @Override
+        public Connection onOpened(EndPoint endPoint) {
+            return new PeerProcess(endPoint, loop, ProcessChain.Role.SUCCESSOR, Handover.this);
+        }
+
+        @Override
+        public void onFailed(Throwable cause) {
+            // The peer has gone: it will start without our state.
         }
     }
 
     @Override
-    public void opened(NeighborProcess neighbour) {
-        neighbour.say(GREETING, name);
+    public void onOpened(PeerProcess peer) {
+        peer.send(MessageType.GREETING, dispatcherName);
         loop.schedule(
-                PATIENCE,
+                PEER_TIMEOUT,
                 () -> {
-                    if (!neighbour.greeted) {
-                        neighbour.close();
+                    if (!peer.isGreeted()) {
+                        peer.close();
                     }
                 });
-        if (neighbour.side == ProcessChain.Role.PREDECESSOR) {
-            knowledge.openRequestIds().forEach(id -> neighbour.say("open", id));
+        if (peer.role() == ProcessChain.Role.PREDECESSOR) {
+            sendOpenRequests(peer);
         }
     }
 
+    private void sendOpenRequests(PeerProcess peer) {
+        state.openRequestIds().forEach(id -> peer.send(MessageType.REQUEST_OPENED, id));
+    }
+
     @Override
-    public void said(NeighborProcess neighbour, String word, String about) throws IOException {
-        if (!neighbour.greeted) {
-            greet(neighbour, word, about);
+    public void onMessage(PeerProcess peer, HandoverMessage message) throws IOException {
+        if (!peer.isGreeted()) {
+            onGreeting(peer, message);
             return;
         }
-        switch (word) {
-            case "open" -> neighbour.openIds.add(about);
-            case "over" -> neighbour.openIds.remove(about);
-            case "beyond" -> {
-                places.beyond(neighbour.side, number(about));
-                changed();
+        switch (message.type()) {
+            case REQUEST_OPENED -> peer.openRequestIds().add(message.body());
+            case REQUEST_CLOSED -> peer.openRequestIds().remove(message.body());
+            case PROCESSES_BEHIND -> {
+                chain.setBehind(peer.role(), number(message.body()));
+                onChainChanged();
             }
-            case "serving" -> {
-                if (neighbour.side == ProcessChain.Role.SUCCESSOR) {
-                    places.serves();
-                    changed();
+            case SERVING -> {
+                if (peer.role() == ProcessChain.Role.SUCCESSOR) {
+                    chain.onSuccessorServes();
+                    onChainChanged();
                 }
             }
-            case "list", "learned", "told" -> {
-                if (neighbour.side == ProcessChain.Role.PREDECESSOR) {
-                    predecessorTells(word, about);
+            case ENDPOINTS, LEARNED_STATE, TRANSFER_COMPLETE -> {
+                if (peer.role() == ProcessChain.Role.PREDECESSOR) {
+                    importState(message);
                 }
             }
-            default -> LOG.debug("a neighbour says what this version has no word for: {}", word);
+            case GREETING, UNKNOWN -> LOG.debug("a message that is not expected: {}", message);
         }
     }
 
-    private void greet(NeighborProcess neighbour, String word, String about) throws IOException {
-        // Two names may make one file's name; an older version does not say its own.
-        if (!word.equals(GREETING) || (!about.isEmpty() && !about.equals(name))) {
+    private void onGreeting(PeerProcess peer, HandoverMessage message) throws IOException {
+        // Two dispatchers' names may lead to one file's name; older versions send no name.
+        if (message.type() != MessageType.GREETING
+                || (!message.body().isEmpty() && !message.body().equals(dispatcherName))) {
             throw new IOException("not a process of this dispatcher");
         }
-        neighbour.greeted = true;
-        if (neighbour.side == ProcessChain.Role.SUCCESSOR) {
-            succeededBy(neighbour);
+        peer.setGreeted();
+        if (peer.role() == ProcessChain.Role.SUCCESSOR) {
+            exportState(peer);
         }
-        places.came(neighbour.side);
-        changed();
+        chain.join(peer.role());
+        onChainChanged();
     }
 
-    /** Tells the one that is to take our place all that is known; the newest of several counts. */
-    private void succeededBy(NeighborProcess neighbour) {
-        NeighborProcess older = neighbours.get(ProcessChain.Role.SUCCESSOR);
+    /** Sends a successor all state; the newest successor replaces an older one. */
+    private void exportState(PeerProcess successor) {
+        PeerProcess older = peers.get(ProcessChain.Role.SUCCESSOR);
         if (older != null) {
             older.close();
         }
-        neighbours.put(ProcessChain.Role.SUCCESSOR, neighbour);
-        String list = knowledge.exportEndpoints();
-        if (list != null) {
-            neighbour.say("list", list);
+        peers.put(ProcessChain.Role.SUCCESSOR, successor);
+        String endpoints = state.exportEndpoints();
+        if (endpoints != null) {
+            successor.send(MessageType.ENDPOINTS, endpoints);
         }
-        neighbour.say("learned", knowledge.exportLearnedState());
-        knowledge.openRequestIds().forEach(id -> neighbour.say("open", id));
-        neighbour.say("told", "");
+        successor.send(MessageType.LEARNED_STATE, state.exportLearnedState());
+        sendOpenRequests(successor);
+        successor.send(MessageType.TRANSFER_COMPLETE);
         LOG.info("another process is about to take this one's place");
     }
 
-    private void predecessorTells(String word, String about) {
-        if (!waiting) {
-            // Too late: what this process has learned by now is the newer.
+    private void importState(HandoverMessage message) {
+        if (!awaitsState) {
+            // Too late: what this process has learned by now is newer.
             return;
         }
-        byte[] text = about.getBytes(StandardCharsets.UTF_8);
+        byte[] body = message.body().getBytes(StandardCharsets.UTF_8);
         try {
-            switch (word) {
-                case "list" -> knowledge.importEndpoints(text);
-                case "learned" -> knowledge.importLearnedState(text);
-                default -> told();
+            switch (message.type()) {
+                case ENDPOINTS -> state.importEndpoints(body);
+                case LEARNED_STATE -> state.importLearnedState(body);
+                default -> finishTransfer();
             }
         } catch (IOException e) {
-            // Of another version, say: the rest may do, and discovery and the workers tell it all
-            // again.
+            // Perhaps of another version: the rest may do, and discovery and the workers will
+            // supply it again.
             LOG.info("what the predecessor tells is not used: {}", e.getMessage());
         }
     }
@@ -379,22 +320,21 @@
     }
 
     @Override
-    public void left(NeighborProcess neighbour) {
-        if (neighbours.remove(neighbour.side, neighbour)) {
-            boolean wasLast =
-                    neighbour.side == ProcessChain.Role.SUCCESSOR && places.endsAfterNext();
-            places.left(neighbour.side);
-            changed();
+    public void onClosed(PeerProcess peer) {
+        if (peers.remove(peer.role(), peer)) {
+            boolean wasLast = peer.role() == ProcessChain.Role.SUCCESSOR && chain.isSuccessorLast();
+            chain.leave(peer.role());
+            onChainChanged();
             if (wasLast && serving) {
                 // Its file may stand where ours stood.
-                announce();
+                listen();
             }
         }
-        told();
+        finishTransfer();
     }
 
-    private void changed() {
-        neighbours.forEach((side, neighbour) -> neighbour.tellBehind(places.behind(side)));
-        hearer.onProcessesChanged();
+    private void onChainChanged() {
+        peers.forEach((role, peer) -> peer.sendProcessesBehind(chain.countBehindThisFor(role)));
+        listener.onProcessesChanged();
     }
 }
--- a/daemon/src/main/java/wheelroute/net/handover/LearnedStateCodec.java
+++ b/daemon/src/main/java/wheelroute/net/handover/LearnedStateCodec.java
@@ -14,48 +14,41 @@
 import wheelroute.decision.Ids;
 import wheelroute.decision.LearnedState;
 
-/** What was learned, as one line of JSON, under the list's names of workers. */
+/**
+ * Reads and writes what the policy has learned as one line of JSON. Workers have discovery's names
+ * there, as each process has its own ids for them.
+ */
 public final class LearnedStateCodec {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Three figures a sample, and no measurement keeps more samples than this. */
-    private static final int MOST_FIGURES = 3 * 64;
+    /** How many numbers one sample has. */
+    private static final int SAMPLE_SIZE = 3;
+
+    /** No measurement keeps more than 64 samples. */
+    private static final int MAX_NUMBERS = SAMPLE_SIZE * 64;
+
+    private static final String WORKERS = "workers";
+    private static final String MODELS = "models";
+    private static final String ESTIMATES = "hints";
+    private static final String SLOTS = "slots";
+    private static final String RUNS = "runs";
+    private static final String WAITS = "waits";
+    private static final String FAILURES = "failures";
 
     private LearnedStateCodec() {}
 
-    /** Workers that have no name any more are left out. */
+    /**
+     * Writes the state.
+     *
+     * @param names discovery's name of a worker, or null; workers without a name are left out
+     */
     public static String encode(LearnedState learned, Function<Ids.Worker, String> names) {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(out)) {
             json.writeStartObject();
-            json.writeObjectFieldStart("workers");
-            for (Map.Entry<Ids.Worker, LearnedState.WorkerSamples> worker :
-                    learned.workers().entrySet()) {
-                String name = names.apply(worker.getKey());
-                if (name != null) {
-                    json.writeObjectFieldStart(name);
-                    figures(json, "runs", worker.getValue().runs());
-                    figures(json, "waits", worker.getValue().waits());
-                    figures(json, "failures", worker.getValue().failures());
-                    json.writeEndObject();
-                }
-            }
-            json.writeEndObject();
-            json.writeObjectFieldStart("models");
-            for (Map.Entry<Ids.Model, LearnedState.ModelSamples> model :
-                    learned.models().entrySet()) {
-                json.writeObjectFieldStart(model.getKey().name());
-                json.writeNumberField("slots", model.getValue().slots());
-                figures(json, "runs", model.getValue().runs());
-                figures(json, "waits", model.getValue().waits());
-                json.writeEndObject();
-            }
-            json.writeEndObject();
-            json.writeObjectFieldStart("hints");
-            for (Map.Entry<Ids.RequestClass, double[]> offering : learned.estimates().entrySet()) {
-                figures(json, offering.getKey().name(), offering.getValue());
-            }
-            json.writeEndObject();
+            encodeWorkers(json, learned, names);
+            encodeModels(json, learned);
+            encodeEstimates(json, learned);
             json.writeEndObject();
         } catch (IOException e) {
             throw new IllegalStateException("writing to memory failed", e);
@@ -63,29 +56,74 @@
         return out.toString();
     }
 
-    private static void figures(JsonGenerator json, String name, double[] figures)
+    private static void encodeWorkers(
+            JsonGenerator json, LearnedState learned, Function<Ids.Worker, String> names)
+            throws IOException {
+        json.writeObjectFieldStart(WORKERS);
+        for (Map.Entry<Ids.Worker, LearnedState.WorkerSamples> worker :
+                learned.workers().entrySet()) {
+            String name = names.apply(worker.getKey());
+            if (name != null) {
+                json.writeObjectFieldStart(name);
+                encodeNumbers(json, RUNS, worker.getValue().runs());
+                encodeNumbers(json, WAITS, worker.getValue().waits());
+                encodeNumbers(json, FAILURES, worker.getValue().failures());
+                json.writeEndObject();
+            }
+        }
+        json.writeEndObject();
+    }
+
+    private static void encodeModels(JsonGenerator json, LearnedState learned) throws IOException {
+        json.writeObjectFieldStart(MODELS);
+        for (Map.Entry<Ids.Model, LearnedState.ModelSamples> model : learned.models().entrySet()) {
+            json.writeObjectFieldStart(model.getKey().name());
+            json.writeNumberField(SLOTS, model.getValue().slots());
+            encodeNumbers(json, RUNS, model.getValue().runs());
+            encodeNumbers(json, WAITS, model.getValue().waits());
+            json.writeEndObject();
+        }
+        json.writeEndObject();
+    }
+
+    private static void encodeEstimates(JsonGenerator json, LearnedState learned)
+            throws IOException {
+        json.writeObjectFieldStart(ESTIMATES);
+        for (Map.Entry<Ids.RequestClass, double[]> requestClass : learned.estimates().entrySet()) {
+            encodeNumbers(json, requestClass.getKey().name(), requestClass.getValue());
+        }
+        json.writeEndObject();
+    }
+
+    private static void encodeNumbers(JsonGenerator json, String name, double[] numbers)
             throws IOException {
         json.writeFieldName(name);
-        json.writeArray(figures, 0, figures.length);
+        json.writeArray(numbers, 0, numbers.length);
     }
 
-    /** Workers that are not on the list by now are left out; any fault makes all of it unusable. */
+    /**
+     * Reads a state.
+     *
+     * @param names the worker of a name, or null; such workers are left out
+     * @throws IOException if anything is not as this version writes it; then nothing is usable
+     */
     public static LearnedState decode(byte[] text, Function<String, Ids.Worker> names)
             throws IOException {
         LearnedState learned = new LearnedState(new HashMap<>(), new HashMap<>(), new HashMap<>());
         try (JsonParser json = JSON.createParser(text)) {
             expect(json.nextToken() == JsonToken.START_OBJECT);
             while (json.nextToken() == JsonToken.FIELD_NAME) {
-                String part = json.currentName();
+                String section = json.currentName();
                 expect(json.nextToken() == JsonToken.START_OBJECT);
                 while (json.nextToken() == JsonToken.FIELD_NAME) {
                     String name = json.currentName();
                     json.nextToken();
-                    switch (part) {
-                        case "workers" -> worker(json, names.apply(name), learned);
-                        case "models" -> model(json, new Ids.Model(name), learned);
-                        case "hints" ->
-                                learned.estimates().put(new Ids.RequestClass(name), figures(json));
+                    switch (section) {
+                        case WORKERS -> decodeWorker(json, names.apply(name), learned);
+                        case MODELS -> decodeModel(json, new Ids.Model(name), learned);
+                        case ESTIMATES ->
+                                learned.estimates()
+                                        .put(new Ids.RequestClass(name), decodeNumbers(json));
                         default -> json.skipChildren();
                     }
                 }
@@ -94,36 +132,37 @@
         return learned;
     }
 
-    private static void worker(JsonParser json, Ids.Worker worker, LearnedState learned)
+    private static void decodeWorker(JsonParser json, Ids.Worker worker, LearnedState learned)
             throws IOException {
-        Map<String, double[]> figures = new HashMap<>();
-        fields(json, figures);
+        Map<String, double[]> numbers = new HashMap<>();
+        decodeFields(json, numbers);
         if (worker != null) {
             learned.workers()
                     .put(
                             worker,
                             new LearnedState.WorkerSamples(
-                                    positive(figures.get("runs")),
-                                    known(figures.get("waits")),
-                                    known(figures.get("failures"))));
+                                    positiveTimes(numbers.get(RUNS)),
+                                    required(numbers.get(WAITS)),
+                                    required(numbers.get(FAILURES))));
         }
     }
 
-    private static void model(JsonParser json, Ids.Model model, LearnedState learned)
+    private static void decodeModel(JsonParser json, Ids.Model model, LearnedState learned)
             throws IOException {
-        Map<String, double[]> figures = new HashMap<>();
-        int slots = fields(json, figures);
+        Map<String, double[]> numbers = new HashMap<>();
+        int slots = decodeFields(json, numbers);
         learned.models()
                 .put(
                         model,
                         new LearnedState.ModelSamples(
-                                slots, positive(figures.get("runs")), known(figures.get("waits"))));
+                                slots,
+                                positiveTimes(numbers.get(RUNS)),
+                                required(numbers.get(WAITS))));
     }
 
-    /**
-     * The arrays of an object by their names; the one whole number, if there is one, is returned.
-     */
-    private static int fields(JsonParser json, Map<String, double[]> figures) throws IOException {
+    /** Adds the arrays of an object by their names; returns its one integer, the slots, or 0. */
+    private static int decodeFields(JsonParser json, Map<String, double[]> numbers)
+            throws IOException {
         int slots = 0;
         expect(json.currentToken() == JsonToken.START_OBJECT);
         while (json.nextToken() == JsonToken.FIELD_NAME) {
@@ -132,35 +171,35 @@
                 slots = json.getIntValue();
                 expect(slots >= 0);
             } else {
-                figures.put(name, figures(json));
+                numbers.put(name, decodeNumbers(json));
             }
         }
         return slots;
     }
 
-    private static double[] figures(JsonParser json) throws IOException {
+    private static double[] decodeNumbers(JsonParser json) throws IOException {
         expect(json.currentToken() == JsonToken.START_ARRAY);
-        List<Double> figures = new ArrayList<>();
+        List<Double> numbers = new ArrayList<>();
         while (json.nextToken() != JsonToken.END_ARRAY) {
-            expect(json.currentToken().isNumeric() && figures.size() < MOST_FIGURES);
-            figures.add(json.getDoubleValue());
-            expect(Double.isFinite(figures.get(figures.size() - 1)));
+            expect(json.currentToken().isNumeric() && numbers.size() < MAX_NUMBERS);
+            numbers.add(json.getDoubleValue());
+            expect(Double.isFinite(numbers.get(numbers.size() - 1)));
         }
-        expect(figures.size() % 3 == 0);
-        return figures.stream().mapToDouble(Double::doubleValue).toArray();
+        expect(numbers.size() % SAMPLE_SIZE == 0);
+        return numbers.stream().mapToDouble(Double::doubleValue).toArray();
     }
 
-    private static double[] known(double[] figures) throws IOException {
-        expect(figures != null);
-        return figures;
+    private static double[] required(double[] numbers) throws IOException {
+        expect(numbers != null);
+        return numbers;
     }
 
-    /** Work and the time it took: speeds are quotients of them. */
-    private static double[] positive(double[] figures) throws IOException {
-        for (int i = 0; i < known(figures).length; i++) {
-            expect(i % 3 == 0 || figures[i] > 0);
+    /** All numbers of a sample but the first must be positive: speeds are quotients of them. */
+    private static double[] positiveTimes(double[] numbers) throws IOException {
+        for (int i = 0; i < required(numbers).length; i++) {
+            expect(i % SAMPLE_SIZE == 0 || numbers[i] > 0);
         }
-        return figures;
+        return numbers;
     }
 
     private static void expect(boolean holds) throws IOException {
--- a/daemon/src/main/java/wheelroute/net/handover/ProcessChain.java
+++ b/daemon/src/main/java/wheelroute/net/handover/ProcessChain.java
@@ -1,11 +1,12 @@
 package wheelroute.net.handover;
 
 /**
- * How many processes of this dispatcher run, as far as this one knows, and whether another one has
- * taken its place. No I/O and no clock: it is told of neighbours that come, speak and go.
+ * How many processes of this dispatcher run, as far as this one knows, and whether a successor
+ * accepts clients in its place. Each process sees its predecessor and its successor, which report
+ * how many there are behind them. No I/O and no clock.
  */
 final class ProcessChain {
-    /** The process whose place this one takes, and the one that takes this one's. */
+    /** What a peer is to this process. */
     enum Role {
         PREDECESSOR,
         SUCCESSOR;
@@ -15,53 +16,53 @@
         }
     }
 
-    /** Guards against a neighbour's nonsense: shares must not become nothing. */
-    private static final int MOST_BEYOND = 7;
+    /** A faulty report must not divide the quotas down to nothing. */
+    private static final int MAX_BEHIND = 7;
 
-    private final boolean[] here = new boolean[Role.values().length];
-    private final int[] beyond = new int[Role.values().length];
-    private boolean succeeded;
+    private final boolean[] present = new boolean[Role.values().length];
+    private final int[] behind = new int[Role.values().length];
+    private boolean successorServes;
 
-    void came(Role side) {
-        here[side.ordinal()] = true;
+    void join(Role role) {
+        present[role.ordinal()] = true;
     }
 
-    /** So many more stand on that neighbour's far side. */
-    void beyond(Role side, int more) {
-        beyond[side.ordinal()] = Math.max(0, Math.min(MOST_BEYOND, more));
+    void leave(Role role) {
+        present[role.ordinal()] = false;
+        behind[role.ordinal()] = 0;
+        successorServes &= role != Role.SUCCESSOR;
     }
 
-    /** The one after this takes clients. */
-    void serves() {
-        succeeded = here[Role.SUCCESSOR.ordinal()];
+    /** The peer reports how many processes stand behind it, as seen from here. */
+    void setBehind(Role role, int count) {
+        behind[role.ordinal()] = Math.max(0, Math.min(MAX_BEHIND, count));
     }
 
-    void left(Role side) {
-        here[side.ordinal()] = false;
-        beyond[side.ordinal()] = 0;
-        succeeded &= side != Role.SUCCESSOR;
+    /** The successor accepts clients. */
+    void onSuccessorServes() {
+        successorServes = present[Role.SUCCESSOR.ordinal()];
     }
 
-    private int on(Role side) {
-        return here[side.ordinal()] ? 1 + beyond[side.ordinal()] : 0;
+    private int countOn(Role role) {
+        return present[role.ordinal()] ? 1 + behind[role.ordinal()] : 0;
     }
 
-    /** Whether the neighbour after this one is the last of all. */
-    boolean endsAfterNext() {
-        return on(Role.SUCCESSOR) == 1;
+    /** Whether there is a successor, and none behind it. */
+    boolean isSuccessorLast() {
+        return countOn(Role.SUCCESSOR) == 1;
     }
 
-    /** What is one dispatcher's is divided by this. */
+    /** How many processes share what the dispatcher has. */
     int processes() {
-        return 1 + on(Role.PREDECESSOR) + on(Role.SUCCESSOR);
+        return 1 + countOn(Role.PREDECESSOR) + countOn(Role.SUCCESSOR);
     }
 
-    /** What that neighbour is to be told: how many it cannot see for this process. */
-    int behind(Role side) {
-        return on(side.other());
+    /** What to report to that peer: how many processes it cannot see behind this one. */
+    int countBehindThisFor(Role role) {
+        return countOn(role.other());
     }
 
     boolean hasSuccessor() {
-        return succeeded;
+        return successorServes;
     }
 }
--- a/daemon/src/test/java/wheelroute/net/handover/ProcessChainTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/ProcessChainTest.java
@@ -35,22 +35,22 @@
     @Test(dataProvider = "histories")
     public void countsWhoIsThere(
             String history, int processes, int before, int after, boolean succeeded) {
-        ProcessChain places = new ProcessChain();
+        ProcessChain chain = new ProcessChain();
         for (String event : history.isEmpty() ? new String[0] : history.split(" ")) {
             Role side = event.startsWith("before") ? Role.PREDECESSOR : Role.SUCCESSOR;
             if (event.equals("serves")) {
-                places.serves();
+                chain.onSuccessorServes();
             } else if (event.endsWith("+")) {
-                places.came(side);
+                chain.join(side);
             } else if (event.endsWith("-")) {
-                places.left(side);
+                chain.leave(side);
             } else {
-                places.beyond(side, Integer.parseInt(event.substring(event.indexOf(':') + 1)));
+                chain.setBehind(side, Integer.parseInt(event.substring(event.indexOf(':') + 1)));
             }
         }
-        assertEquals(places.processes(), processes);
-        assertEquals(places.behind(Role.PREDECESSOR), before);
-        assertEquals(places.behind(Role.SUCCESSOR), after);
-        assertEquals(places.hasSuccessor(), succeeded);
+        assertEquals(chain.processes(), processes);
+        assertEquals(chain.countBehindThisFor(Role.PREDECESSOR), before);
+        assertEquals(chain.countBehindThisFor(Role.SUCCESSOR), after);
+        assertEquals(chain.hasSuccessor(), succeeded);
     }
 }
