--- a/daemon/src/main/java/wheelroute/net/workers/AttemptListener.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptListener.java
@@ -2,17 +2,32 @@
 
 import wheelroute.net.AttemptResult;
 
-/** What one launch tells whoever made it; exactly one end. */
+/**
+ * Hears what happens to one attempt. {@link #onEnded} comes exactly once, and last. Only for the
+ * event loop's thread.
+ */
 public interface AttemptListener {
+    /** The body of an attempt that has no result. */
     byte[] NO_RESULT = {};
 
-    /** Whether it should still go out, asked after it has waited for a connection. */
+    /** Whether to send it still; asked after it has waited for a connection. */
     boolean isStillWanted();
 
+    /** The worker has begun to run it. */
     void onStarted();
 
+    /**
+     * The worker reports progress.
+     *
+     * @param share the part of the work that is done, from 0 to 1
+     */
     void onProgress(double share);
 
-    /** The result is empty but for a DONE; NaN for no report of free slots. */
-    void onEnded(AttemptResult end, byte[] result, double freeSlots);
+    /**
+     * The attempt has ended.
+     *
+     * @param body what goes to the client; empty unless it succeeded
+     * @param freeSlots from the worker's load report; NaN for none
+     */
+    void onEnded(AttemptResult result, byte[] body, double freeSlots);
 }
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
@@ -5,11 +5,14 @@
 import wheelroute.net.HttpText;
 
 /**
- * What goes to a worker: the client's message, and how long its answer is waited for, in seconds.
+ * What is sent to a worker on behalf of a client.
  *
- * @param idempotencyKey by which a deduplicated submission is known; null for the others
- * @param atMostOnce a second run might do harm, so that what is heard of it has to be of it for
- *     certain
+ * @param target path and query, as the client sent them
+ * @param id the client's id of the request
+ * @param idempotencyKey null when the client sent none
+ * @param routeKey null when the client sent none
+ * @param atMostOnce whether a second run might do harm, so that a response has to be to this
+ *     attempt for certain
  */
 public record AttemptRequest(
         String method,
@@ -19,13 +22,18 @@
         String routeKey,
         byte[] body,
         boolean atMostOnce) {
-    public ByteBuffer[] encode(String host, double limit) {
+    /**
+     * Writes the HTTP request.
+     *
+     * @param timeout how long the response is waited for, in seconds
+     */
+    public ByteBuffer[] encode(String host, double timeout) {
         return new HttpText(method + " " + target + " HTTP/1.1")
                 .field("Host", host)
                 .field("X-Request-ID", id)
                 .field("Idempotency-Key", idempotencyKey)
                 .field("X-Route-Key", routeKey)
-                .field("X-Timeout", String.format(Locale.ROOT, "%.3f", limit))
+                .field("X-Timeout", String.format(Locale.ROOT, "%.3f", timeout))
                 .body(body);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
@@ -9,45 +9,52 @@
 import wheelroute.net.LineBuffer;
 import wheelroute.net.ResponseParser;
 
-/** Decodes what a worker answers to one launch after the other on a connection. */
+/** Decodes the responses to the attempts on one connection. */
 final class AttemptResponseDecoder implements ResponseParser.Reader {
-    /** What a launch is told by its decoder. */
+    /** Hears what the responses say. */
     interface Listener {
-        void started();
+        void onStarted();
 
-        void progressed(double share);
+        void onProgress(double share);
 
-        void ended(AttemptResult end, byte[] result, double freeSlots);
+        /** The attempt has ended; its response may have bytes to come. */
+        void onEnded(AttemptResult result, byte[] body, double freeSlots);
 
-        /** The last byte of the answer has come. */
-        void complete(boolean keepsOpen);
+        /** The last byte of the response has come. */
+        void onComplete(boolean keepsOpen);
     }
 
-    /** The protocol's limit on bodies, of which a line is a part. */
-    private static final int MOST_LINE = 64 * 1024;
+    /** In bytes: the protocol's limit on bodies, of which a line is a part. */
+    private static final int MAX_LINE = 64 * 1024;
 
     private final ResponseParser parser = new ResponseParser(this);
-    private final LineBuffer lines = new LineBuffer(MOST_LINE);
-    private final Listener hearer;
+    private final LineBuffer lines = new LineBuffer(MAX_LINE);
+    private final Listener listener;
+
+    /** The request of the attempt that is expected to be responded to. */
     private String id;
-    private boolean inLines;
-    private boolean over = true;
 
-    AttemptResponseDecoder(Listener hearer) {
-        this.hearer = hearer;
+    /** The body consists of status lines. */
+    private boolean hasStatusLines;
+
+    /** The attempt has ended; or there has been none. */
+    private boolean ended = true;
+
+    AttemptResponseDecoder(Listener listener) {
+        this.listener = listener;
     }
 
-    /** The next answer is to the launch of this submission. */
-    void expect(String submission) {
-        id = submission;
-        over = false;
-        inLines = false;
+    /** The next response is to an attempt for the request of this id. */
+    void expect(String requestId) {
+        id = requestId;
+        ended = false;
+        hasStatusLines = false;
         lines.clear();
     }
 
-    /** What it tells of an answer is certain to be of the launch that was expected. */
-    boolean namesItsLaunch() {
-        return inLines;
+    /** Whether the response says which attempt it is for; it has been checked then. */
+    boolean identifiesAttempt() {
+        return hasStatusLines;
     }
 
     void decode(ByteBuffer in) throws IOException {
@@ -60,32 +67,35 @@
 
     @Override
     public void head(int status, Map<String, String> fields) throws IOException {
-        if (over) {
+        if (ended) {
             throw new IOException("an answer to nothing");
         }
-        inLines = status == HttpStatus.OK_200;
-        if (!inLines) {
-            boolean notBegun =
-                    (status == HttpStatus.SERVICE_UNAVAILABLE_503
-                                    || status == HttpStatus.GATEWAY_TIMEOUT_504)
-                            && "1".equals(fields.get("x-not-processed"));
-            AttemptResult end =
-                    notBegun
-                            ? AttemptResult.REJECTED
-                            : status == HttpStatus.INTERNAL_SERVER_ERROR_500
-                                    ? AttemptResult.FAILED
-                                    : blamesTheMessage(status)
-                                            ? AttemptResult.INVALID_REQUEST
-                                            : AttemptResult.UNEXPECTED_STATUS;
+        hasStatusLines = status == HttpStatus.OK_200;
+        if (!hasStatusLines) {
             finish(
-                    end,
+                    resultOf(status, "1".equals(fields.get("x-not-processed"))),
                     AttemptListener.NO_RESULT,
                     WorkerStatusLine.freeSlots(fields.get("x-server-load")));
         }
     }
 
-    /** The two that speak of the moment, not of the message, are left out. */
-    private static boolean blamesTheMessage(int status) {
+    private static AttemptResult resultOf(int status, boolean notProcessed) {
+        boolean unavailable =
+                status == HttpStatus.SERVICE_UNAVAILABLE_503
+                        || status == HttpStatus.GATEWAY_TIMEOUT_504;
+        if (unavailable && notProcessed) {
+            return AttemptResult.REJECTED;
+        }
+        if (status == HttpStatus.INTERNAL_SERVER_ERROR_500) {
+            return AttemptResult.FAILED;
+        }
+        return isInvalidRequest(status)
+                ? AttemptResult.INVALID_REQUEST
+                : AttemptResult.UNEXPECTED_STATUS;
+    }
+
+    /** 408 and 429 are about the moment, not about the request. */
+    private static boolean isInvalidRequest(int status) {
         return HttpStatus.isClientError(status)
                 && status != HttpStatus.REQUEST_TIMEOUT_408
                 && status != HttpStatus.TOO_MANY_REQUESTS_429;
@@ -93,56 +103,56 @@
 
     @Override
     public void piece(ByteBuffer bytes) throws IOException {
-        if (inLines) {
+        if (hasStatusLines) {
             for (byte[] line = lines.next(bytes); line != null; line = lines.next(bytes)) {
-                endLine(line);
+                onLine(line);
             }
         }
         bytes.position(bytes.limit());
     }
 
-    private void endLine(byte[] bytes) throws IOException {
-        if (over || new String(bytes, StandardCharsets.UTF_8).isBlank()) {
+    private void onLine(byte[] bytes) throws IOException {
+        if (ended || new String(bytes, StandardCharsets.UTF_8).isBlank()) {
             return;
         }
-        WorkerStatusLine note = WorkerStatusLine.decode(bytes);
-        if (!note.id().equals(id)) {
+        WorkerStatusLine line = WorkerStatusLine.decode(bytes);
+        if (!line.id().equals(id)) {
             throw new IOException("a line of another launch");
         }
-        switch (note.state()) {
-            case STARTED -> hearer.started();
-            case RUNNING -> hearer.progressed(note.share());
+        switch (line.state()) {
+            case STARTED -> listener.onStarted();
+            case RUNNING -> listener.onProgress(line.share());
             case DONE -> {
-                if (note.result() == null) {
+                if (line.result() == null) {
                     throw new IOException("done without a result");
                 }
-                finish(AttemptResult.SUCCEEDED, note.result(), note.freeSlots());
+                finish(AttemptResult.SUCCEEDED, line.result(), line.freeSlots());
             }
             case FAILED ->
-                    finish(AttemptResult.FAILED, AttemptListener.NO_RESULT, note.freeSlots());
+                    finish(AttemptResult.FAILED, AttemptListener.NO_RESULT, line.freeSlots());
             case RETURNED ->
-                    finish(AttemptResult.HANDED_BACK, AttemptListener.NO_RESULT, note.freeSlots());
-            case LOST -> finish(AttemptResult.KILLED, AttemptListener.NO_RESULT, note.freeSlots());
+                    finish(AttemptResult.HANDED_BACK, AttemptListener.NO_RESULT, line.freeSlots());
+            case LOST -> finish(AttemptResult.KILLED, AttemptListener.NO_RESULT, line.freeSlots());
             case UNKNOWN -> {
-                // A state that came after this version: the launch still has its last line to come.
+                // A state of a later version: the attempt's last line is still to come.
             }
         }
     }
 
-    private void finish(AttemptResult end, byte[] result, double freeSlots) {
-        over = true;
-        hearer.ended(end, result, freeSlots);
+    private void finish(AttemptResult result, byte[] body, double freeSlots) {
+        ended = true;
+        listener.onEnded(result, body, freeSlots);
     }
 
     @Override
     public void end(boolean keepsOpen) throws IOException {
-        if (inLines && !lines.isEmpty()) {
+        if (hasStatusLines && !lines.isEmpty()) {
             // A last line needs no line feed when the body ends with it.
-            endLine(lines.rest());
+            onLine(lines.rest());
         }
-        if (!over) {
+        if (!ended) {
             throw new IOException("the answer ends without its last line");
         }
-        hearer.complete(keepsOpen);
+        listener.onComplete(keepsOpen);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
+++ b/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
@@ -3,89 +3,101 @@
 import wheelroute.net.AttemptResult;
 import wheelroute.net.Counters;
 
-/** One launch on its way: connecting, written, ended. */
+/** One attempt from its start to its end. Only for the event loop's thread. */
 public final class InFlightAttempt {
-    final AttemptRequest message;
-    final double outerLimit;
-    private final AttemptListener launches;
+    private final AttemptRequest message;
+
+    /** Unix time in seconds. */
+    private final double deadline;
+
+    private final AttemptListener listener;
     private final Counters counters;
-    private WorkerConnection on;
+
+    /** Null until it has a connection. */
+    private WorkerConnection connection;
+
     private boolean written;
     private boolean ended;
 
     InFlightAttempt(
-            AttemptRequest message,
-            double outerLimit,
-            AttemptListener launches,
-            Counters counters) {
+            AttemptRequest message, double deadline, AttemptListener listener, Counters counters) {
         this.message = message;
-        this.outerLimit = outerLimit;
-        this.launches = launches;
+        this.deadline = deadline;
+        this.listener = listener;
         this.counters = counters;
     }
 
-    boolean hasEnded() {
-        return ended;
+    AttemptRequest message() {
+        return message;
+    }
+
+    double deadline() {
+        return deadline;
     }
 
-    /** True once its last byte has been handed to the network: from then on it may run. */
+    /** Whether its last byte has been handed to the network: from then on it may run. */
     public boolean isWritten() {
         return written;
     }
 
-    /** It has waited for a connection: the client, or its time, may have gone meanwhile. */
-    boolean mayGo(double now) {
-        if (!ended && now >= outerLimit) {
+    /** Whether to send it after it has waited for a connection; ends it if it is too late. */
+    boolean mayBeSent(double now) {
+        if (!ended && now >= deadline) {
             giveUp(AttemptResult.TIMED_OUT);
         }
-        // The answer may end it, too.
-        return !ended && launches.isStillWanted() && !ended;
+        // The listener may end it, too.
+        return !ended && listener.isStillWanted() && !ended;
     }
 
-    void boarded(WorkerConnection connection) {
-        on = connection;
+    /** It is sent on this connection, which is closed if it is given up. */
+    void setConnection(WorkerConnection newConnection) {
+        connection = newConnection;
     }
 
-    void written() {
+    void onWritten() {
         written = true;
         counters.count(Counters.Counter.ATTEMPTS_WRITTEN);
     }
 
-    void started() {
+    void onStarted() {
         if (!ended) {
-            launches.onStarted();
+            listener.onStarted();
         }
     }
 
-    void progressed(double share) {
+    void onProgress(double share) {
         if (!ended) {
-            launches.onProgress(share);
+            listener.onProgress(share);
         }
     }
 
-    void end(AttemptResult end, byte[] result, double freeSlots) {
+    /** Does nothing when it has ended already. */
+    void end(AttemptResult result, byte[] body, double freeSlots) {
         if (!ended) {
             ended = true;
-            launches.onEnded(end, result, freeSlots);
+            listener.onEnded(result, body, freeSlots);
         }
     }
 
-    void end(AttemptResult end) {
-        end(end, AttemptListener.NO_RESULT, Double.NaN);
+    void end(AttemptResult result) {
+        end(result, AttemptListener.NO_RESULT, Double.NaN);
     }
 
     /**
-     * Gives it up: its connection is closed before the end is told, so that no copy can overlap it.
+     * Gives it up, unless it has ended. Its connection is closed before the listener is called, so
+     * that no other attempt can overlap it.
      */
-    public void giveUp(AttemptResult end) {
+    public void giveUp(AttemptResult result) {
         if (!ended) {
-            // Ended already for the connection, whose close would else be taken for a break.
+            // First of all: closing the connection would otherwise count as a lost one.
             ended = true;
-            if (on != null) {
-                on.close();
+            if (connection != null) {
+                connection.close();
             }
-            launches.onEnded(
-                    written ? end : AttemptResult.NOT_SENT, AttemptListener.NO_RESULT, Double.NaN);
+            listener.onEnded(
+                    written ? result : AttemptResult.NOT_SENT,
+                    AttemptListener.NO_RESULT,
+                    Double.NaN);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
@@ -9,74 +9,82 @@
 import wheelroute.net.EventLoop;
 import wheelroute.net.StreamConnection;
 
-/** One connection to a worker: one launch at a time, idle in between. */
+/**
+ * One connection to a worker: one attempt at a time, idle in between. Only for the event loop's
+ * thread.
+ */
 final class WorkerConnection extends StreamConnection implements AttemptResponseDecoder.Listener {
-    /**
-     * For the last chunk after a last line: past it the connection is no use, and there may be many
-     * such.
-     */
-    private static final double TAIL = 1;
+    /** Seconds from an attempt's end to its response's last byte; then the connection is closed. */
+    private static final double TAIL_TIMEOUT = 1;
 
     /**
-     * A worker at fault may answer a launch twice, the second time some milliseconds late, and an
-     * answer that is no 200 does not say whose it is. A connection that was silent for so long
-     * after its last answer is taken to have no more of it on the way: many times a way there and
-     * back, and little beside a job.
+     * A faulty worker may respond to an attempt twice, the second time some milliseconds late, and
+     * a response that is no 200 does not say what it responds to. A connection that has been silent
+     * for this many seconds is taken to have nothing more on the way: many round trips, and little
+     * beside the time of a job.
      */
-    private static final double REST = 0.1;
+    private static final double QUIESCENCE_TIME = 0.1;
 
-    private final WorkerConnectionPool station;
+    private final WorkerConnectionPool pool;
     private final AttemptResponseDecoder decoder = new AttemptResponseDecoder(this);
-    private InFlightAttempt flight;
-    private EventLoop.Timer tail;
 
-    /** It has served a launch before, and nothing has come for the next one yet. */
-    private boolean kept;
+    /** Null while idle. */
+    private InFlightAttempt attempt;
+
+    /** Set when the attempt ends before its response. */
+    private EventLoop.Timer tailTimer;
+
+    /** It has served an attempt before. */
+    private boolean reused;
+
+    /** It is reused, and nothing has come since: the worker may have closed it meanwhile. */
+    private boolean maybeStale;
 
-    private boolean unheard;
+    /** Unix time in seconds of the last response's end. */
     private double answeredAt = Double.NEGATIVE_INFINITY;
 
-    /** What is heard may be of the launch before. */
-    private boolean doubtful;
+    /** What comes may be a second response to the attempt before. */
+    private boolean ambiguous;
 
-    /** An answer's last byte is still to come, or it will not be used again. */
+    /** A response is outstanding, or the connection will not be used again. */
     private boolean busy;
 
-    WorkerConnection(EndPoint endPoint, EventLoop loop, WorkerConnectionPool station) {
+    WorkerConnection(EndPoint endPoint, EventLoop loop, WorkerConnectionPool pool) {
         super(endPoint, loop);
-        this.station = station;
+        this.pool = pool;
     }
 
+    /** Sends the next attempt; the connection must be new or idle. */
     void send(InFlightAttempt next) {
-        flight = next;
+        attempt = next;
         busy = true;
-        unheard = kept;
-        doubtful = !isRested();
-        kept = true;
-        next.boarded(this);
-        double limit = next.outerLimit - loop.now();
-        if (limit <= 0) {
-            // The process may have stood still since this was decided.
+        maybeStale = reused;
+        ambiguous = !isQuiescent();
+        reused = true;
+        next.setConnection(this);
+        double timeout = next.deadline() - loop.now();
+        if (timeout <= 0) {
+            // The process may have stood still since the policy decided.
             next.giveUp(AttemptResult.TIMED_OUT);
             return;
         }
-        decoder.expect(next.message.id());
+        decoder.expect(next.message().id());
         getEndPoint()
                 .write(
                         Callback.from(
-                                next::written,
+                                next::onWritten,
                                 cause -> onFailure(AttemptResult.BROKEN_BEFORE_SENT)),
-                        next.message.encode(station.host(), limit));
+                        next.message().encode(pool.host(), timeout));
     }
 
-    /** Nothing of an earlier launch is on its way here any more. */
-    boolean isRested() {
-        return loop.now() - answeredAt >= REST;
+    /** Whether nothing of an earlier attempt can be on its way here any more. */
+    boolean isQuiescent() {
+        return loop.now() - answeredAt >= QUIESCENCE_TIME;
     }
 
     /**
-     * Looks for an end that has come but was not told yet: a launch written after it may count as
-     * run.
+     * Whether it is idle and open. Checks for a close that has not been read yet: an attempt
+     * written after it might count as having run.
      */
     boolean isUsable() {
         try {
@@ -88,10 +96,9 @@
 
     @Override
     protected void onBytes(ByteBuffer in) {
-        unheard = false;
-        if (flight == null) {
-            // It answers twice, or says something of its own, which would be taken for the next
-            // answer.
+        maybeStale = false;
+        if (attempt == null) {
+            // A second response, or none at all: it would be taken for the next one.
             close();
             return;
         }
@@ -113,54 +120,54 @@
         onFailure(AttemptResult.CONNECTION_LOST);
     }
 
-    /** Before the last byte is written nothing can have run, however the connection ends. */
-    private void onFailure(AttemptResult end) {
+    /** Before its last byte is written an attempt cannot have run, however the connection ends. */
+    private void onFailure(AttemptResult result) {
         close();
-        if (flight != null) {
-            // Workers end connections when they like: as failures these would put all on probation.
-            AttemptResult told =
-                    unheard && end == AttemptResult.CONNECTION_LOST
+        if (attempt != null) {
+            // Workers may close idle connections: as failures these would eject all of them.
+            AttemptResult actual =
+                    maybeStale && result == AttemptResult.CONNECTION_LOST
                             ? AttemptResult.STALE_CONNECTION
-                            : end;
-            flight.end(flight.isWritten() ? told : AttemptResult.BROKEN_BEFORE_SENT);
+                            : result;
+            attempt.end(attempt.isWritten() ? actual : AttemptResult.BROKEN_BEFORE_SENT);
         }
     }
 
     @Override
-    public void started() {
-        flight.started();
+    public void onStarted() {
+        attempt.onStarted();
     }
 
     @Override
-    public void progressed(double share) {
-        flight.progressed(share);
+    public void onProgress(double share) {
+        attempt.onProgress(share);
     }
 
     @Override
-    public void ended(AttemptResult end, byte[] result, double freeSlots) {
-        tail = loop.schedule(TAIL, this::close);
-        if (doubtful && !decoder.namesItsLaunch()) {
-            // It may be told of the one before, and this one run: ended first, it is no copy beside
-            // the next.
+    public void onEnded(AttemptResult result, byte[] body, double freeSlots) {
+        tailTimer = loop.schedule(TAIL_TIMEOUT, this::close);
+        if (ambiguous && !decoder.identifiesAttempt()) {
+            // It may be a response to the attempt before, while this one runs: closed first, it
+            // cannot overlap the next attempt.
             close();
         }
-        flight.end(end, result, freeSlots);
+        attempt.end(result, body, freeSlots);
     }
 
     @Override
-    public void complete(boolean keepsOpen) {
-        tail.cancel();
-        if (!keepsOpen || !flight.isWritten()) {
+    public void onComplete(boolean keepsOpen) {
+        tailTimer.cancel();
+        if (!keepsOpen || !attempt.isWritten()) {
             close();
         } else if (getEndPoint().isOpen()) {
-            flight = null;
+            attempt = null;
             busy = false;
             answeredAt = loop.now();
-            station.idle(this);
+            pool.onIdle(this);
         }
     }
 
-    /** Only the idle expire: how long an answer may take is the outer limit's affair. */
+    /** Only idle connections expire: the deadline limits how long a response may take. */
     @Override
     public boolean onIdleExpired(TimeoutException timeout) {
         if (!busy) {
@@ -173,12 +180,12 @@
     public void close() {
         busy = true;
         super.close();
-        station.closed(this);
+        pool.onClosed(this);
     }
 
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        station.closed(this);
+        pool.onClosed(this);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPool.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPool.java
@@ -14,104 +14,110 @@
 import wheelroute.net.AttemptResult;
 import wheelroute.net.EventLoop;
 
-/** One worker's address and our connections to it. */
+/** The connections to one worker. Only for the event loop's thread. */
 final class WorkerConnectionPool {
     private final EventLoop loop;
-    private final WorkerConnectionPools workers;
+    private final WorkerConnectionPools pools;
     private final InetSocketAddress address;
+
+    /** Unix time in seconds; NaN when it is unknown, or long ago. */
     private final double startedAt;
+
     private final Set<WorkerConnection> open = new HashSet<>();
 
-    /** The one used last is used next, so that those not needed grow old and expire. */
+    /** The one used last comes last, and is used next: those that are not needed expire. */
     private final ArrayDeque<WorkerConnection> idle = new ArrayDeque<>();
 
-    /** Those that wait for a connection. */
-    private final Set<InFlightAttempt> boarding = new LinkedHashSet<>();
+    /** Attempts that wait for a connection, in the order of their start. */
+    private final Set<InFlightAttempt> connecting = new LinkedHashSet<>();
 
-    private boolean left;
+    /** The worker has left the list or been replaced: no connection is used again. */
+    private boolean retired;
 
     WorkerConnectionPool(
             EventLoop loop,
-            WorkerConnectionPools workers,
+            WorkerConnectionPools pools,
             InetSocketAddress address,
             double startedAt) {
         this.loop = loop;
-        this.workers = workers;
+        this.pools = pools;
         this.address = address;
         this.startedAt = startedAt;
     }
 
-    boolean isStill(InetSocketAddress listed, double listedStart) {
+    /** Whether this is the pool of a worker listed like this. */
+    boolean matches(InetSocketAddress listed, double listedStart) {
         return address.equals(listed) && Double.compare(startedAt, listedStart) == 0;
     }
 
+    /** For the Host field. */
     String host() {
         return ConfigReader.text(address);
     }
 
-    void send(InFlightAttempt flight) {
-        WorkerConnection kept = kept(flight.message.atMostOnce());
-        if (kept != null) {
-            kept.send(flight);
-        } else if (workers.mayOpen()) {
-            workers.opening();
-            boarding.add(flight);
-            loop.connect(address, new ConnectHandler(flight));
+    /** Sends the attempt on an idle connection, or opens one for it within the limit. */
+    void send(InFlightAttempt attempt) {
+        WorkerConnection idleConnection = takeIdle(attempt.message().atMostOnce());
+        if (idleConnection != null) {
+            idleConnection.send(attempt);
+        } else if (pools.mayOpen()) {
+            pools.onConnecting();
+            connecting.add(attempt);
+            loop.connect(address, new ConnectHandler(attempt));
         } else {
-            flight.end(AttemptResult.NO_DESCRIPTOR);
+            attempt.end(AttemptResult.NO_DESCRIPTOR);
         }
     }
 
     /**
-     * An idle connection that can be used, a rested one if there is one; null for none. What must
-     * not run twice goes on a rested or a new one: on another it might be told the end of the
-     * launch before it.
+     * Takes an idle connection that can be used, a quiescent one if there is one; null for none.
+     * What must not run twice needs a quiescent or a new one: on another it might receive a second
+     * response to the attempt before it.
      */
-    private WorkerConnection kept(boolean onlyRested) {
-        WorkerConnection unrested = null;
-        // From the one used last on. One that turns out to be unusable takes itself out as it is
-        // closed.
+    private WorkerConnection takeIdle(boolean onlyQuiescent) {
+        WorkerConnection active = null;
+        // A copy: a connection that turns out to be unusable is removed as it is closed.
         Iterator<WorkerConnection> newestFirst = new ArrayDeque<>(idle).descendingIterator();
         while (newestFirst.hasNext()) {
             WorkerConnection next = newestFirst.next();
-            boolean rested = next.isRested();
-            if (!rested && (onlyRested || unrested != null)) {
+            boolean quiescent = next.isQuiescent();
+            if (!quiescent && (onlyQuiescent || active != null)) {
                 continue;
             }
             if (!next.isUsable()) {
                 next.close();
-            } else if (rested) {
+            } else if (quiescent) {
                 idle.remove(next);
                 return next;
             } else {
-                unrested = next;
+                active = next;
             }
         }
-        idle.remove(unrested);
-        return unrested;
+        idle.remove(active);
+        return active;
     }
 
-    /** A connection that is being made for one launch. */
+    /** Opens a connection for one attempt. */
     private final class ConnectHandler implements EventLoop.ChannelHandler {
-        private final InFlightAttempt flight;
+        private final InFlightAttempt attempt;
 
-        ConnectHandler(InFlightAttempt flight) {
-            this.flight = flight;
+        ConnectHandler(InFlightAttempt attempt) {
+            this.attempt = attempt;
         }
 
         @Override
         public Connection onOpened(EndPoint endPoint) {
-            endPoint.setIdleTimeout(workers.idleMillis());
+            endPoint.setIdleTimeout(pools.idleMillis());
             WorkerConnection connection =
                     new WorkerConnection(endPoint, loop, WorkerConnectionPool.this);
             open.add(connection);
             loop.post(
                     () -> {
-                        boarding.remove(flight);
-                        if (flight.mayGo(loop.now())) {
-                            connection.send(flight);
+                        connecting.remove(attempt);
+                        if (attempt.mayBeSent(loop.now())) {
+                            connection.send(attempt);
                         } else {
-                            // Ended while it connected: nothing may go out for it any more.
+                            // It ended while it was connecting.
                             connection.close();
                         }
                     });
@@ -120,24 +126,26 @@
 
         @Override
         public void onFailed(Throwable cause) {
-            workers.closed();
-            boarding.remove(flight);
-            flight.end(
+            pools.onClosed();
+            connecting.remove(attempt);
+            attempt.end(
                     cause instanceof SocketTimeoutException
                             ? AttemptResult.CONNECT_TIMEOUT
                             : AttemptResult.CONNECTION_REFUSED);
         }
     }
 
-    void idle(WorkerConnection connection) {
-        if (left) {
+    /** The connection can be used again. */
+    void onIdle(WorkerConnection connection) {
+        if (retired) {
             connection.close();
         } else {
             idle.addLast(connection);
         }
     }
 
-    boolean closeOldestIdle() {
+    /** Evicts the connection that has been idle longest; false for none. */
+    boolean evictOldestIdle() {
         WorkerConnection oldest = idle.pollFirst();
         if (oldest != null) {
             oldest.close();
@@ -145,29 +153,31 @@
         return oldest != null;
     }
 
-    void closed(WorkerConnection connection) {
+    /** May be called more than once. */
+    void onClosed(WorkerConnection connection) {
         if (open.remove(connection)) {
             idle.remove(connection);
-            workers.closed();
+            pools.onClosed();
         }
     }
 
     /**
-     * It has left the list, or is another process now: what is out may end, nothing is used again.
+     * The worker has left the list, or has been replaced by another process: attempts that were
+     * sent may complete, but no connection is used again.
      */
-    void leave() {
-        left = true;
+    void retire() {
+        retired = true;
         new ArrayList<>(idle).forEach(WorkerConnection::close);
-        withdraw();
+        endConnecting();
     }
 
     /**
-     * Nothing new may go out to it: what it was chosen for, and has no connection yet, is decided
-     * on anew. The grace after the list's word may be less than what a connection takes to come up.
+     * Ends all attempts without a connection unsent, so that the policy decides on them anew. A
+     * worker that drains may accept requests for a shorter time than a connection takes to open.
      */
-    void withdraw() {
-        for (InFlightAttempt flight : new ArrayList<>(boarding)) {
-            flight.giveUp(AttemptResult.NOT_SENT);
+    void endConnecting() {
+        for (InFlightAttempt attempt : new ArrayList<>(connecting)) {
+            attempt.giveUp(AttemptResult.NOT_SENT);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPools.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPools.java
@@ -11,107 +11,125 @@
 import wheelroute.net.EventLoop;
 
 /**
- * The worker side: an address for each worker on the list, and a bound on the connections to all of
- * them.
+ * The connections to all workers on the endpoint list, one pool each, within a common limit. Only
+ * for the event loop's thread.
  */
 public final class WorkerConnectionPools {
     /**
-     * A connection is dropped at this part of the worker's own limit: what crosses that may have
-     * run.
+     * An idle connection is closed at this fraction of the worker's own limit: a request that
+     * crosses the worker's close may have run.
      */
-    private static final double PART_OF_IDLE = 0.5;
+    private static final double IDLE_LIMIT_FRACTION = 0.5;
 
-    private static final double MILLIS = 1e3;
+    private static final double MILLIS_PER_SECOND = 1e3;
 
     private final EventLoop loop;
     private final Counters counters;
-    private final int mostAlone;
-    private int most;
+
+    /** The limit of the whole dispatcher. */
+    private final int dispatcherLimit;
+
+    /** The limit of this process. */
+    private int limit;
+
     private final long idleMillis;
-    private final Map<Ids.Worker, WorkerConnectionPool> stations = new HashMap<>();
+    private final Map<Ids.Worker, WorkerConnectionPool> pools = new HashMap<>();
 
-    /** Those of workers that were listed as started anew, or elsewhere, since the last settling. */
+    /** Pools of workers that have been listed as restarted or moved since {@link #settle}. */
     private final List<WorkerConnectionPool> replaced = new ArrayList<>();
 
     private int open;
 
-    public WorkerConnectionPools(EventLoop loop, Counters counters, int most, double idleLimit) {
+    /**
+     * Begins without workers.
+     *
+     * @param limit on open connections
+     * @param idleLimit after how many idle seconds workers close a connection
+     */
+    public WorkerConnectionPools(EventLoop loop, Counters counters, int limit, double idleLimit) {
         this.loop = loop;
         this.counters = counters;
-        mostAlone = most;
-        this.most = most;
-        idleMillis = Math.max(1, (long) (PART_OF_IDLE * idleLimit * MILLIS));
+        dispatcherLimit = limit;
+        this.limit = limit;
+        idleMillis = Math.max(1, (long) (IDLE_LIMIT_FRACTION * idleLimit * MILLIS_PER_SECOND));
     }
 
     /**
-     * So many processes share the bound; idle connections over it make room as others are opened.
+     * So many processes share the dispatcher's limit. Idle connections over it are evicted when
+     * others are opened.
      */
     public void sharedBy(int processes) {
-        most = mostAlone / processes;
+        limit = dispatcherLimit / processes;
     }
 
     /**
-     * A worker as listed, NaN for one up long since; connections from before a restart are left.
+     * A worker is listed, ready or draining. If it has been restarted or has moved it gets a new
+     * pool.
+     *
+     * @param startedAt Unix time in seconds; NaN when it is unknown, or long ago
      */
     public void listed(Ids.Worker worker, InetSocketAddress address, double startedAt) {
-        WorkerConnectionPool station = stations.get(worker);
-        if (station == null || !station.isStill(address, startedAt)) {
-            stations.put(worker, new WorkerConnectionPool(loop, this, address, startedAt));
-            if (station != null) {
-                replaced.add(station);
+        WorkerConnectionPool pool = pools.get(worker);
+        if (pool == null || !pool.matches(address, startedAt)) {
+            pools.put(worker, new WorkerConnectionPool(loop, this, address, startedAt));
+            if (pool != null) {
+                replaced.add(pool);
             }
         }
     }
 
     /**
-     * The decisions know the list: what still waits for a connection to a worker that drains, or
-     * that is another process now, is decided on anew. Before, it would be sent there again.
+     * The policy knows the list now: attempts that wait for a connection to a worker that drains,
+     * or has been replaced, end unsent. Earlier, the policy would choose the same worker again.
      */
     public void settle(Iterable<Ids.Worker> draining) {
         for (Ids.Worker worker : draining) {
-            WorkerConnectionPool station = stations.get(worker);
-            if (station != null) {
-                station.withdraw();
+            WorkerConnectionPool pool = pools.get(worker);
+            if (pool != null) {
+                pool.endConnecting();
             }
         }
-        new ArrayList<>(replaced).forEach(WorkerConnectionPool::leave);
+        new ArrayList<>(replaced).forEach(WorkerConnectionPool::retire);
         replaced.clear();
     }
 
+    /** The worker has left the list: attempts in attempt may complete, nothing new is sent. */
     public void gone(Ids.Worker worker) {
-        WorkerConnectionPool station = stations.remove(worker);
-        if (station != null) {
-            station.leave();
+        WorkerConnectionPool pool = pools.remove(worker);
+        if (pool != null) {
+            pool.retire();
         }
     }
 
-    /** Sends a launch; its end may be told before this returns. */
+    /**
+     * Sends an attempt. It may end before this returns.
+     *
+     * @param deadline Unix time in seconds
+     */
     public InFlightAttempt send(
-            Ids.Worker worker,
-            AttemptRequest message,
-            double outerLimit,
-            AttemptListener launches) {
-        InFlightAttempt flight = new InFlightAttempt(message, outerLimit, launches, counters);
-        WorkerConnectionPool station = stations.get(worker);
-        if (station == null) {
-            flight.end(AttemptResult.CONNECTION_REFUSED);
+            Ids.Worker worker, AttemptRequest message, double deadline, AttemptListener listener) {
+        InFlightAttempt attempt = new InFlightAttempt(message, deadline, listener, counters);
+        WorkerConnectionPool pool = pools.get(worker);
+        if (pool == null) {
+            attempt.end(AttemptResult.CONNECTION_REFUSED);
         } else {
-            station.send(flight);
+            pool.send(attempt);
         }
-        return flight;
+        return attempt;
     }
 
+    /** Whether one more connection may be opened; evicts an idle one if needed. */
     boolean mayOpen() {
-        return open < most
-                || stations.values().stream().anyMatch(WorkerConnectionPool::closeOldestIdle);
+        return open < limit
+                || pools.values().stream().anyMatch(WorkerConnectionPool::evictOldestIdle);
     }
 
-    void opening() {
+    void onConnecting() {
         open++;
         counters.count(Counters.Counter.WORKER_CONNECTIONS);
     }
 
-    void closed() {
+    void onClosed() {
         open--;
     }
 
@@ -119,6 +137,7 @@
         return idleMillis;
     }
 
+    /** How many connections are open, or being opened. */
     public int open() {
         return open;
     }
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerStatusLine.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerStatusLine.java
@@ -9,13 +9,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One line of a worker's answer, decoded.
+ * One line of a worker's response.
  *
- * @param share the part that is done; 0 when not told
- * @param result what goes to the client; null when not told
- * @param freeSlots from a load report; NaN when not told
+ * @param id of the request
+ * @param share the part of the work that is done, from 0 to 1; 0 when not given
+ * @param result what goes to the client; null when not given
+ * @param freeSlots from a load report; NaN when not given
  */
 record WorkerStatusLine(String id, State state, double share, byte[] result, double freeSlots) {
+    /** What the line says of the attempt. */
     enum State {
         STARTED,
         RUNNING,
@@ -29,6 +31,11 @@
     private static final JsonFactory JSON = new JsonFactory();
     private static final String FREE_SLOTS = "x0";
 
+    /**
+     * Reads a line. Unknown fields are ignored.
+     *
+     * @throws IOException if it is not one JSON object with an id
+     */
     static WorkerStatusLine decode(byte[] line) throws IOException {
         String id = null;
         State state = State.UNKNOWN;
@@ -61,8 +68,8 @@
         return new WorkerStatusLine(id, state, share, result, freeSlots);
     }
 
-    private static State state(String word) {
-        return switch (word) {
+    private static State state(String name) {
+        return switch (name) {
             case "started" -> State.STARTED;
             case "running" -> State.RUNNING;
             case "done" -> State.DONE;
@@ -73,7 +80,7 @@
         };
     }
 
-    /** A text goes on as it is, anything else as its JSON. */
+    /** A string goes to the client as its text, anything else as its JSON. */
     private static byte[] result(JsonParser parser, JsonToken value) throws IOException {
         if (value == JsonToken.VALUE_STRING) {
             return parser.getText().getBytes(StandardCharsets.UTF_8);
@@ -102,13 +109,13 @@
         return freeSlots;
     }
 
-    /** The same from an answer's header; what is not name=number is no report. */
+    /** Reads a load report from a header field; null, and what is malformed, is no report. */
     static double freeSlots(String header) {
         for (String pair : header == null ? new String[0] : header.split(",")) {
-            int eq = pair.indexOf('=');
-            if (eq > 0 && pair.substring(0, eq).trim().equals(FREE_SLOTS)) {
+            int equals = pair.indexOf('=');
+            if (equals > 0 && pair.substring(0, equals).trim().equals(FREE_SLOTS)) {
                 try {
-                    return Double.parseDouble(pair.substring(eq + 1).trim());
+                    return Double.parseDouble(pair.substring(equals + 1).trim());
                 } catch (NumberFormatException e) {
                     return Double.NaN;
                 }
--- a/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
@@ -170,17 +170,17 @@
     }
 
     @Override
-    public void started() {
+    public void onStarted() {
         heard.append("started ");
     }
 
     @Override
-    public void progressed(double share) {
+    public void onProgress(double share) {
         heard.append(share).append(' ');
     }
 
     @Override
-    public void ended(AttemptResult end, byte[] result, double freeSlots) {
+    public void onEnded(AttemptResult end, byte[] result, double freeSlots) {
         heard.append(end)
                 .append('[')
                 .append(new String(result, StandardCharsets.UTF_8))
@@ -190,7 +190,7 @@
     }
 
     @Override
-    public void complete(boolean keepsOpen) {
+    public void onComplete(boolean keepsOpen) {
         heard.append(keepsOpen ? "kept" : "closed");
     }
 }
--- a/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
@@ -31,7 +31,7 @@
     public void nothingGoesOutPastItsLimit(
             double now, boolean wanted, boolean goes, List<AttemptResult> expected) {
         List<AttemptResult> ends = new ArrayList<>();
-        AttemptListener launches =
+        AttemptListener listener =
                 new AttemptListener() {
                     @Override
                     public boolean isStillWanted() {
@@ -56,7 +56,8 @@
         AttemptRequest message =
                 new AttemptRequest("POST", "/job/x", "77", null, null, new byte[0], true);
         assertEquals(
-                new InFlightAttempt(message, LIMIT, launches, new Counters(List.of())).mayGo(now),
+                new InFlightAttempt(message, LIMIT, listener, new Counters(List.of()))
+                        .mayBeSent(now),
                 goes);
         assertEquals(ends, expected);
     }
