--- a/daemon/src/main/java/wheelroute/net/Clock.java
+++ b/daemon/src/main/java/wheelroute/net/Clock.java
@@ -1,16 +1,18 @@
 package wheelroute.net;
 
 /**
- * Unix time in seconds. The wall clock is read once: a step of it must not move what is under way.
+ * Unix time in seconds. The wall clock is read once, so that a step of it does not move what is in
+ * flight. For any thread.
  */
 public class Clock {
-    private static final double MILLIS = 1e3;
-    private static final double NANOS = 1e9;
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    private final double start = System.currentTimeMillis() / MILLIS;
+    private final double start = System.currentTimeMillis() / MILLIS_PER_SECOND;
     private final long startNanos = System.nanoTime();
 
+    /** The time now, in seconds; never goes back. */
     public double now() {
-        return start + (System.nanoTime() - startNanos) / NANOS;
+        return start + (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
     }
 }
--- a/daemon/src/main/java/wheelroute/net/Counters.java
+++ b/daemon/src/main/java/wheelroute/net/Counters.java
@@ -6,11 +6,11 @@
 import wheelroute.decision.Ids;
 
 /**
- * What was done so far: each thing is counted here, once, and printed from here wherever it is
- * asked for.
+ * The counters of one process, and their text form for Prometheus. The metrics' names and labels
+ * are read by operators' dashboards and do not change. Only for the event loop's thread.
  */
 public final class Counters {
-    /** One row a figure: its name, and a label where several figures share the name. */
+    /** One counter each: its metric, with a label where several counters share the metric. */
     public enum Counter {
         REQUESTS_ACCEPTED("submissions_taken_total", ""),
         REQUESTS_NOT_ACCEPTED("messages_not_taken_total", ""),
@@ -31,7 +31,7 @@
         }
     }
 
-    /** The final answers, counted by offering. */
+    /** The final responses, counted by request class. */
     public enum FinalAnswer {
         SUCCEEDED("fulfilled"),
         REJECTED("bounced"),
@@ -50,89 +50,109 @@
 
     private static final String PREFIX = "wheelroute_";
 
-    private final long[] kinds = new long[Counter.values().length];
-    private final long[] ends = new long[AttemptResult.values().length];
+    private final long[] counts = new long[Counter.values().length];
+    private final long[] attemptResults = new long[AttemptResult.values().length];
 
     /**
-     * A row from the start on for each offering: a figure that is missing is no 0 to who reads
-     * them.
+     * By request class and {@link FinalAnswer}. Each class is there from the start: a missing
+     * metric is not read as 0.
      */
     private final Map<Ids.RequestClass, long[]> answers = new LinkedHashMap<>();
 
-    public Counters(List<Ids.RequestClass> offerings) {
-        offerings.forEach(offering -> answers.put(offering, new long[FinalAnswer.values().length]));
+    /** All counters begin at 0. */
+    public Counters(List<Ids.RequestClass> requestClasses) {
+        for (Ids.RequestClass requestClass : requestClasses) {
+            answers.put(requestClass, new long[FinalAnswer.values().length]);
+        }
     }
 
-    public void count(Counter kind) {
-        kinds[kind.ordinal()]++;
+    /** Adds 1. */
+    public void count(Counter counter) {
+        counts[counter.ordinal()]++;
     }
 
-    public void count(AttemptResult end) {
-        ends[end.ordinal()]++;
+    /** An attempt has ended in this way. */
+    public void count(AttemptResult result) {
+        attemptResults[result.ordinal()]++;
     }
 
-    public void count(Ids.RequestClass offering, FinalAnswer answer) {
-        answers.get(offering)[answer.ordinal()]++;
+    /** A request of a known class has its final response. */
+    public void count(Ids.RequestClass requestClass, FinalAnswer answer) {
+        answers.get(requestClass)[answer.ordinal()]++;
     }
 
-    public long value(Counter kind) {
-        return kinds[kind.ordinal()];
+    /** The count so far. */
+    public long value(Counter counter) {
+        return counts[counter.ordinal()];
     }
 
-    public Iterable<Ids.RequestClass> offerings() {
+    /** All request classes, in the order of the configuration. */
+    public Iterable<Ids.RequestClass> requestClasses() {
         return answers.keySet();
     }
 
-    public long value(Ids.RequestClass offering, FinalAnswer answer) {
-        return answers.get(offering)[answer.ordinal()];
+    /** The count so far of a known class. */
+    public long value(Ids.RequestClass requestClass, FinalAnswer answer) {
+        return answers.get(requestClass)[answer.ordinal()];
     }
 
-    /** Prometheus text; the gauges are what is open at this moment. */
-    public String text(Gauges now) {
+    /** All metrics in Prometheus' text format. */
+    public String text(Gauges gauges) {
         StringBuilder out = new StringBuilder();
+        appendCounters(out);
+        appendAnswers(out);
+        appendAttemptResults(out);
+        appendGauges(out, gauges);
+        return out.toString();
+    }
+
+    private void appendCounters(StringBuilder out) {
         String last = "";
-        for (Counter kind : Counter.values()) {
-            if (!kind.name.equals(last)) {
-                type(out, kind.name, "counter");
-                last = kind.name;
+        for (Counter counter : Counter.values()) {
+            if (!counter.name.equals(last)) {
+                type(out, counter.name, "counter");
+                last = counter.name;
             }
-            line(out, kind.name, kind.label, kinds[kind.ordinal()]);
+            line(out, counter.name, counter.label, counts[counter.ordinal()]);
         }
+    }
+
+    private void appendAnswers(StringBuilder out) {
         type(out, "answers_total", "counter");
         for (FinalAnswer answer : FinalAnswer.values()) {
-            line(
-                    out,
-                    "answers_total",
-                    answer.label(),
-                    answers.values().stream().mapToLong(row -> row[answer.ordinal()]).sum());
+            long total = answers.values().stream().mapToLong(row -> row[answer.ordinal()]).sum();
+            line(out, "answers_total", answer.label(), total);
         }
         type(out, "offering_answers_total", "counter");
         answers.forEach(
-                (offering, row) -> {
+                (requestClass, row) -> {
+                    String label = "offering=\"" + escaped(requestClass.name()) + "\",";
                     for (FinalAnswer answer : FinalAnswer.values()) {
                         line(
                                 out,
                                 "offering_answers_total",
-                                "offering=\"" + escaped(offering.name()) + "\"," + answer.label(),
+                                label + answer.label(),
                                 row[answer.ordinal()]);
                     }
                 });
+    }
+
+    private void appendAttemptResults(StringBuilder out) {
         type(out, "launch_ends_total", "counter");
-        for (AttemptResult end : AttemptResult.values()) {
-            line(
-                    out,
-                    "launch_ends_total",
-                    "end=\"" + end.metricLabel() + "\"",
-                    ends[end.ordinal()]);
+        for (AttemptResult result : AttemptResult.values()) {
+            String label = "end=\"" + result.metricLabel() + "\"";
+            line(out, "launch_ends_total", label, attemptResults[result.ordinal()]);
         }
-        gauge(out, "submissions_open", now.open());
-        gauge(out, "submissions_pending", now.pending());
+    }
+
+    private static void appendGauges(StringBuilder out, Gauges gauges) {
+        gauge(out, "submissions_open", gauges.open());
+        gauge(out, "submissions_pending", gauges.pending());
         type(out, "connections_open", "gauge");
-        line(out, "connections_open", "peer=\"client\"", now.clients());
-        line(out, "connections_open", "peer=\"worker\"", now.workers());
-        gauge(out, "workers_listed", now.listed());
-        gauge(out, "workers_avoided", now.avoided());
-        return out.toString();
+        line(out, "connections_open", "peer=\"client\"", gauges.clients());
+        line(out, "connections_open", "peer=\"worker\"", gauges.workers());
+        gauge(out, "workers_listed", gauges.listed());
+        gauge(out, "workers_avoided", gauges.avoided());
     }
 
     private static String escaped(String label) {
--- a/daemon/src/main/java/wheelroute/net/DatagramSocket.java
+++ b/daemon/src/main/java/wheelroute/net/DatagramSocket.java
@@ -11,49 +11,59 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * A socket for datagrams on a loop: each that comes is handed on whole, each that is sent may be
- * lost.
- */
+/** A UDP socket on an event loop. Only for the event loop's thread. */
 public final class DatagramSocket implements EventLoop.ChannelHandler {
-    /** Hears of each that comes; the bytes are gone after this. */
+    /** Receives the datagrams. */
     public interface Listener {
+        /** A datagram has arrived. The buffer is reused after this returns. */
         void onDatagram(InetSocketAddress from, ByteBuffer bytes);
     }
 
-    /** Reads in a row: a sender at full speed must leave the others their turns. */
-    private static final int MOST_READS = 32;
+    /** Reads in a row: a sender at full speed must not starve the other sockets. */
+    private static final int MAX_READS = 32;
 
     private static final Logger LOG = LoggerFactory.getLogger(DatagramSocket.class);
 
     private final EventLoop loop;
-    private final Listener hearer;
+    private final Listener listener;
     private final ByteBuffer buffer;
     private final DatagramChannel channel;
     private Reader reader;
 
-    /** Longer ones than the size are cut off by the system, and so no message. */
-    public DatagramSocket(EventLoop loop, InetSocketAddress address, int size, Listener hearer)
+    /**
+     * Opens a socket.
+     *
+     * @param size the longest datagram in bytes; longer ones are cut off
+     * @throws IOException if the address cannot be used
+     */
+    public DatagramSocket(EventLoop loop, InetSocketAddress address, int size, Listener listener)
             throws IOException {
-        this(loop, address, false, size, hearer);
+        this(loop, address, false, size, listener);
     }
 
-    /** The same; shared, another process may hear some of what comes there. */
+    /**
+     * Opens a socket, possibly beside another process.
+     *
+     * @param shared whether another process may open one at the address too; each then receives a
+     *     part of what is sent there
+     * @param size the longest datagram in bytes; longer ones are cut off
+     * @throws IOException if the address cannot be used
+     */
     public DatagramSocket(
-            EventLoop loop, InetSocketAddress address, boolean shared, int size, Listener hearer)
+            EventLoop loop, InetSocketAddress address, boolean shared, int size, Listener listener)
             throws IOException {
         this.loop = loop;
-        this.hearer = hearer;
+        this.listener = listener;
         buffer = ByteBuffer.allocate(size);
         channel = loop.datagrams(address, this, shared);
     }
 
-    /** With the port that it got: 0 leaves the choice to the system. */
+    /** The local address; with the port that was chosen if the configured one is 0. */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.socket().getLocalSocketAddress();
     }
 
-    /** What cannot go now is lost, as on any network. */
+    /** Sends a datagram. One that cannot be sent now is lost, as on any network. */
     public void send(InetSocketAddress to, ByteBuffer bytes) {
         try {
             channel.send(bytes, to);
@@ -62,6 +72,7 @@
         }
     }
 
+    /** Closes the socket, if it has been opened. */
     public void close() {
         if (reader != null) {
             reader.close();
@@ -97,15 +108,15 @@
         @Override
         public void onFillable() {
             try {
-                for (int reads = 0; reads < MOST_READS; reads++) {
+                for (int reads = 0; reads < MAX_READS; reads++) {
                     buffer.clear();
                     if (!(channel.receive(buffer) instanceof InetSocketAddress from)) {
                         break;
                     }
-                    hearer.onDatagram(from, buffer.flip());
+                    listener.onDatagram(from, buffer.flip());
                 }
             } catch (IOException e) {
-                // The system tells here that an earlier one could not be delivered: it was lost.
+                // This is how the system reports that an earlier datagram was not delivered.
                 LOG.debug("a datagram did not come", e);
             }
             if (channel.isOpen()) {
--- a/daemon/src/main/java/wheelroute/net/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/Exchange.java
@@ -109,7 +109,7 @@
             dispatcher.turn(
                     () -> {
                         if (result == AttemptResult.SUCCEEDED && !answered) {
-                            answer(Counters.FinalAnswer.SUCCEEDED, ClientResponse.fulfilled(body));
+                            answer(Counters.FinalAnswer.SUCCEEDED, ClientResponse.succeeded(body));
                         }
                         LoadReport report = new LoadReport(freeSlots);
                         handle.onEnded(number, result.outcome(), answered, report);
@@ -199,7 +199,7 @@
                 () -> {
                     if (!answered) {
                         // Only such a failure leaves it open here; whether it ran is not known.
-                        answer(Counters.FinalAnswer.FAILED, ClientResponse.scrapped());
+                        answer(Counters.FinalAnswer.FAILED, ClientResponse.failed());
                     }
                     dispatcher.remove(request.id(), message.id());
                 });
--- a/daemon/src/main/java/wheelroute/net/Gauges.java
+++ b/daemon/src/main/java/wheelroute/net/Gauges.java
@@ -1,13 +1,13 @@
 package wheelroute.net;
 
 /**
- * What is so at this moment, beside what {@link Counters} has counted.
+ * The values of the gauges at one moment; {@link Counters} has the counters.
  *
- * @param open submissions with an answer or a launch still to end
- * @param pending submissions taken, and neither answered nor left by their clients
- * @param clients connections of clients
- * @param workers connections to workers
- * @param listed workers on the list, those that drain too
- * @param avoided of those the ones that the decisions avoid now
+ * @param open requests with a response or an attempt outstanding
+ * @param pending requests accepted, and neither answered nor abandoned by their clients
+ * @param clients open connections of clients
+ * @param workers open connections to workers
+ * @param listed workers on the endpoint list, draining ones included
+ * @param avoided those of them that the policy avoids now
  */
 public record Gauges(int open, int pending, int clients, int workers, int listed, int avoided) {}
--- a/daemon/src/main/java/wheelroute/net/GracefulShutdown.java
+++ b/daemon/src/main/java/wheelroute/net/GracefulShutdown.java
@@ -70,7 +70,7 @@
     /** What is handed over while the last bytes leave is answered, too. */
     private void finishIfQuiet() {
         if (isQuiet()) {
-            components.clients.lastLook();
+            components.clients.readLastAndClose();
         }
         if (isQuiet()) {
             whenDone.run();
@@ -80,7 +80,7 @@
     }
 
     private void finish() {
-        components.clients.lastLook();
+        components.clients.readLastAndClose();
         whenDone.run();
     }
 
@@ -89,7 +89,7 @@
         RequestDispatcher dispatcher = components.dispatcher;
         boolean mustWaitForClients = !dispatcher.closesAfterResponse() || dispatcher.hasSuccessor();
         return dispatcher.unanswered() == 0
-                && !components.clients.expects()
+                && !components.clients.expectsRequest()
                 && (!mustWaitForClients || components.clients.open() == 0);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/HttpText.java
+++ b/daemon/src/main/java/wheelroute/net/HttpText.java
@@ -3,17 +3,23 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** One message's bytes: a first line, fields, a body. */
+/** Writes one HTTP message: a first line, header fields, a body. */
 public final class HttpText {
-    private static final int USUAL_HEAD = 256;
+    /** In characters; longer heads make the buffer grow. */
+    private static final int USUAL_HEAD_SIZE = 256;
 
-    private final StringBuilder head = new StringBuilder(USUAL_HEAD);
+    private final StringBuilder head = new StringBuilder(USUAL_HEAD_SIZE);
 
+    /**
+     * Begins a message.
+     *
+     * @param firstLine the request line or status line, without its end
+     */
     public HttpText(String firstLine) {
         head.append(firstLine).append("\r\n");
     }
 
-    /** Left out when there is no value. */
+    /** Adds a header field; a null value leaves it out. */
     public HttpText field(String name, String value) {
         if (value != null) {
             head.append(name).append(": ").append(value).append("\r\n");
@@ -22,7 +28,8 @@
     }
 
     /**
-     * Two buffers, to be written at once: bodies are large and must not be copied for each send.
+     * Ends the message with a body. Two buffers, to be written at once: bodies are large and must
+     * not be copied for each send.
      */
     public ByteBuffer[] body(byte[] body) {
         return new ByteBuffer[] {
@@ -30,6 +37,7 @@
         };
     }
 
+    /** Ends the message without a body. */
     public ByteBuffer noBody() {
         return ByteBuffer.wrap(head.append("\r\n").toString().getBytes(StandardCharsets.UTF_8));
     }
--- a/daemon/src/main/java/wheelroute/net/MessageReader.java
+++ b/daemon/src/main/java/wheelroute/net/MessageReader.java
@@ -8,40 +8,42 @@
 import org.eclipse.jetty.http.HttpVersion;
 
 /**
- * What questions and answers have in common: fields, an end, and whether their connection stays
- * open.
+ * What HTTP requests and responses have in common: header fields, an end, and whether their
+ * connection stays open.
  */
 public abstract class MessageReader implements HttpParser.HttpHandler {
-    /** By their names in small letters; of several of one name the last. */
+    /** By their names in lower case; of several with one name the last. */
     protected final Map<String, String> fields = new HashMap<>();
 
     private boolean keepsOpen;
     private boolean complete;
 
     /**
-     * A parser for one connection. It does not remember fields to know them again: what for that it
-     * would make with the first message takes some 100 KB, and a thousand connections the heap of a
-     * small dispatcher.
+     * Sets up the parser of one connection without its cache of fields. The cache takes some 100 KB
+     * from the first message on: a thousand connections would fill a small dispatcher's heap.
      */
-    protected static HttpParser lean(HttpParser parser) {
+    protected static HttpParser withoutHeaderCache(HttpParser parser) {
         parser.setHeaderCacheSize(0);
         return parser;
     }
 
+    /** A message has begun; a version other than 1.1 closes its connection after it. */
     protected void begin(HttpVersion version) {
         fields.clear();
         keepsOpen = version == HttpVersion.HTTP_1_1;
     }
 
+    /** Whether the connection stays open after this message. */
     protected boolean keepsOpen() {
         return keepsOpen;
     }
 
+    /** Whether a complete message has come, and has not been taken. */
     protected boolean isComplete() {
         return complete;
     }
 
-    /** True once for each whole message. */
+    /** Returns true once for each complete message. */
     protected boolean takeComplete() {
         boolean was = complete;
         complete = false;
@@ -52,16 +54,16 @@
     public void parsedHeader(HttpField field) {
         String name = field.getName().toLowerCase(Locale.ROOT);
         if (fields.put(name, field.getValue() == null ? "" : field.getValue()) != null) {
-            comesAgain(name);
+            onRepeatedField(name);
         }
         if (name.equals("connection") && field.contains("close")) {
             keepsOpen = false;
         }
     }
 
-    /** A field of this name has come before, in the same message. */
-    protected void comesAgain(String name) {
-        // The last one counts, for who does not mind.
+    /** A field of this name has come before in the same message. */
+    protected void onRepeatedField(String name) {
+        // By default the last one counts.
     }
 
     @Override
--- a/daemon/src/main/java/wheelroute/net/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/RequestDispatcher.java
@@ -140,7 +140,7 @@
         double deadline = deadline(message, cameAt);
         if (deadline <= loop.now() || admission.mustReject(message, requestClass.idempotency())) {
             onRejected(message);
-            responses.send(ClientResponse.bounced(admission.retryAfter(0)));
+            responses.send(ClientResponse.rejected(admission.retryAfter(0)));
             return () -> {};
         }
         Request request = request(message, requestClass, deadline);
@@ -261,12 +261,12 @@
         open.get(request)
                 .answer(
                         Counters.FinalAnswer.REJECTED,
-                        ClientResponse.bounced(admission.retryAfter(retryAfter)));
+                        ClientResponse.rejected(admission.retryAfter(retryAfter)));
     }
 
     @Override
     public void fail(Ids.Request request) {
-        open.get(request).answer(Counters.FinalAnswer.FAILED, ClientResponse.scrapped());
+        open.get(request).answer(Counters.FinalAnswer.FAILED, ClientResponse.failed());
     }
 
     @Override
--- a/daemon/src/main/java/wheelroute/net/ResponseParser.java
+++ b/daemon/src/main/java/wheelroute/net/ResponseParser.java
@@ -8,47 +8,63 @@
 import org.eclipse.jetty.http.HttpParser;
 import org.eclipse.jetty.http.HttpVersion;
 
-/**
- * The answers on a connection of ours, in whatever pieces they come: status, fields, the body's
- * pieces.
- */
+/** Parses the responses on one connection, in whatever pieces they come. */
 public final class ResponseParser extends MessageReader implements HttpParser.ResponseHandler {
-    /** What is told of an answer. Any of them may refuse it. */
+    /** Receives a response. Any method may reject it with an exception, which ends the parsing. */
     public interface Reader {
+        /**
+         * The status and the header fields, by their names in lower case.
+         *
+         * @throws IOException to reject the response
+         */
         void head(int status, Map<String, String> fields) throws IOException;
 
+        /**
+         * A part of the body.
+         *
+         * @throws IOException to reject the response
+         */
         void piece(ByteBuffer bytes) throws IOException;
 
-        /** The whole answer has come; the connection may be used again, or not. */
+        /**
+         * The response is complete.
+         *
+         * @param keepsOpen whether the connection may be used again
+         * @throws IOException to reject the response
+         */
         void end(boolean keepsOpen) throws IOException;
     }
 
-    private static final int MOST_HEAD = 8 * 1024;
+    /** In bytes: the status line with all header fields. */
+    private static final int MAX_HEAD_SIZE = 8 * 1024;
 
-    /**
-     * As the standard reads answers: workers and discovery are ours, and what they say is checked.
-     */
-    private static final HttpCompliance READING = HttpCompliance.RFC9110;
+    /** Not stricter than the standard: workers and discovery belong to the same platform. */
+    private static final HttpCompliance COMPLIANCE = HttpCompliance.RFC9110;
 
     private static final int FIRST_FINAL_STATUS = 200;
 
-    private final HttpParser parser = lean(new HttpParser(this, MOST_HEAD, READING));
+    private final HttpParser parser =
+            withoutHeaderCache(new HttpParser(this, MAX_HEAD_SIZE, COMPLIANCE));
     private final Reader reader;
     private int status;
     private IOException fault;
 
+    /** Makes a parser for one connection. */
     public ResponseParser(Reader reader) {
         this.reader = reader;
     }
 
-    /** Uses up the bytes; throws when they are not an answer, or the reader refuses it. */
+    /**
+     * Parses all of the bytes.
+     *
+     * @throws IOException if they are not a response, or the reader rejects it
+     */
     public void parse(ByteBuffer in) throws IOException {
         while (in.hasRemaining()) {
             try {
                 parser.parseNext(in);
             } catch (RuntimeException e) {
-                // Some nonsense is told so, the rest as a bad message: neither ends more than its
-                // connection.
+                // The parser reports some malformed messages so, others to badMessage().
                 throw new IOException("no HTTP answer", e);
             }
             if (fault != null) {
@@ -63,7 +79,11 @@
         }
     }
 
-    /** The other side has ended: this is a whole answer only if it had no other way to end. */
+    /**
+     * The peer has ended its sending, which completes a response that has no length.
+     *
+     * @throws IOException if a response is cut off, or the reader rejects it
+     */
     public void atEnd() throws IOException {
         parser.atEOF();
         parser.parseNext(ByteBuffer.allocate(0));
@@ -75,13 +95,13 @@
         }
     }
 
-    private interface Step {
+    private interface ReaderCall {
         void run() throws IOException;
     }
 
-    private boolean refused(Step step) {
+    private boolean isRejected(ReaderCall call) {
         try {
-            step.run();
+            call.run();
         } catch (IOException e) {
             fault = e;
         }
@@ -96,12 +116,12 @@
 
     @Override
     public boolean headerComplete() {
-        return status >= FIRST_FINAL_STATUS && refused(() -> reader.head(status, fields));
+        return status >= FIRST_FINAL_STATUS && isRejected(() -> reader.head(status, fields));
     }
 
     @Override
     public boolean content(ByteBuffer piece) {
-        return refused(() -> reader.piece(piece));
+        return isRejected(() -> reader.piece(piece));
     }
 
     @Override
--- a/daemon/src/main/java/wheelroute/net/StreamConnection.java
+++ b/daemon/src/main/java/wheelroute/net/StreamConnection.java
@@ -5,18 +5,19 @@
 import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
 
-/** A connection of any kind of peer: it reads whatever comes, from its opening on. */
+/**
+ * A connection that reads whatever arrives, from its opening on. All methods run on the event
+ * loop's thread.
+ */
 public abstract class StreamConnection extends AbstractConnection {
-    /**
-     * Reads in a row on one connection: a sender at full speed must leave the others their turns.
-     */
-    private static final int MOST_READS = 4;
+    /** Reads in a row: a sender at full speed must not starve the other connections. */
+    private static final int MAX_READS = 4;
 
     protected final EventLoop loop;
 
+    /** Reads from the end point once it is opened. */
     protected StreamConnection(EndPoint endPoint, EventLoop loop) {
-        // What is to run on a connection's behalf runs on the loop's thread, where its events come
-        // from.
+        // Its events come on the loop's thread; so there is no need for an executor.
         super(endPoint, Runnable::run);
         this.loop = loop;
     }
@@ -29,25 +30,25 @@
         }
     }
 
-    /** False to let what comes wait. */
+    /** Whether to read on; false leaves what arrives with the system. */
     protected boolean canRead() {
         return true;
     }
 
-    /** The bytes are gone after this. */
+    /** Bytes have arrived. The buffer is reused after this returns. */
     protected abstract void onBytes(ByteBuffer in) throws IOException;
 
-    /** The other side has ended its sending. */
+    /** The peer has ended its sending. */
     protected abstract void onEndOfStream() throws IOException;
 
-    /** The connection broke, or one of the two above threw. */
+    /** The connection broke, or one of the two methods above threw. */
     protected abstract void onFailure(Throwable cause);
 
     @Override
     public void onFillable() {
         try {
             for (int reads = 0; getEndPoint().isOpen() && canRead(); reads++) {
-                if (reads == MOST_READS) {
+                if (reads == MAX_READS) {
                     fillInterested();
                     return;
                 }
--- a/daemon/src/main/java/wheelroute/net/admin/AdminConnection.java
+++ b/daemon/src/main/java/wheelroute/net/admin/AdminConnection.java
@@ -9,31 +9,28 @@
 import wheelroute.net.LineBuffer;
 import wheelroute.net.StreamConnection;
 
-/** One caller: a line comes, an answer goes, the connection ends. */
+/** One command: a line comes, the response goes, the connection ends. */
 final class AdminConnection extends StreamConnection {
-    /** Longer than any call that there is. */
-    private static final int MOST_LINE = 64;
+    /** In bytes: longer than any command. */
+    private static final int MAX_LINE = 64;
 
-    /**
-     * From the opening to the end of the line, and again for the caller to read the answer and
-     * leave.
-     */
-    private static final double PATIENCE = 2;
+    /** Seconds for the command to come, and again for the caller to read the response. */
+    private static final double TIMEOUT = 2;
 
-    private final AdminServer door;
-    private final LineBuffer lines = new LineBuffer(MOST_LINE);
-    private EventLoop.Timer patience;
+    private final AdminServer server;
+    private final LineBuffer lines = new LineBuffer(MAX_LINE);
+    private EventLoop.Timer timeout;
     private boolean answered;
 
-    AdminConnection(EndPoint endPoint, EventLoop loop, AdminServer door) {
+    AdminConnection(EndPoint endPoint, EventLoop loop, AdminServer server) {
         super(endPoint, loop);
-        this.door = door;
+        this.server = server;
     }
 
     @Override
     public void onOpen() {
-        door.onOpened(this);
-        patience = loop.schedule(PATIENCE, this::close);
+        server.onOpened(this);
+        timeout = loop.schedule(TIMEOUT, this::close);
         super.onOpen();
     }
 
@@ -48,15 +45,15 @@
                 answerTo(line);
             }
         } catch (IOException e) {
-            answer("fail a call is one line of at most " + MOST_LINE + " characters\n");
+            answer("fail a call is one line of at most " + MAX_LINE + " characters\n");
         }
     }
 
     private void answerTo(byte[] line) {
-        answer(door.answer(new String(line, StandardCharsets.UTF_8).strip()));
+        answer(server.answer(new String(line, StandardCharsets.UTF_8).strip()));
     }
 
-    /** The end of a caller's sending ends its line too. */
+    /** The end of the caller's sending ends its line, too. */
     @Override
     protected void onEndOfStream() {
         if (answered || lines.isEmpty()) {
@@ -73,9 +70,9 @@
 
     private void answer(String text) {
         answered = true;
-        patience.cancel();
-        patience = loop.schedule(PATIENCE, this::close);
-        // Half closed, so that what a caller sends on cannot take the answer back with a reset.
+        timeout.cancel();
+        timeout = loop.schedule(TIMEOUT, this::close);
+        // Half closed: a reset, for what the caller still sends, would take the response back.
         Callback written =
                 Callback.from(
                         () -> getEndPoint().shutdownOutput(), cause -> loop.post(this::close));
@@ -84,16 +81,16 @@
 
     @Override
     public void close() {
-        if (patience != null) {
-            patience.cancel();
+        if (timeout != null) {
+            timeout.cancel();
         }
-        door.closed(this);
+        server.closed(this);
         super.close();
     }
 
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        door.closed(this);
+        server.closed(this);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/admin/AdminServer.java
+++ b/daemon/src/main/java/wheelroute/net/admin/AdminServer.java
@@ -9,31 +9,41 @@
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.net.EventLoop;
 
-/** The operators' address and the few callers on it: the oldest makes room for one too many. */
+/**
+ * The administrative server: operators' commands on an address of their own, whatever the clients
+ * do. Only for the event loop's thread.
+ */
 public final class AdminServer implements EventLoop.ChannelHandler {
-    /**
-     * Callers at one time: scripts and a person or two; what they hold is taken from nobody else.
-     */
-    public static final int MOST_CALLERS = 8;
+    /** Connections at one time, for scripts and a person or two; one more evicts the oldest. */
+    public static final int MAX_CONNECTIONS = 8;
 
-    /** The callers', the listening socket's and one for a caller who waits to be let in. */
-    public static final int DESCRIPTORS = MOST_CALLERS + 2;
+    /** File descriptors: the connections, the listening socket, and a connection being accepted. */
+    public static final int DESCRIPTORS = MAX_CONNECTIONS + 2;
 
     private final EventLoop loop;
-    private final ServiceStatus operators;
-    private final Set<AdminConnection> callers = new LinkedHashSet<>();
+    private final ServiceStatus status;
+
+    /** The oldest first. */
+    private final Set<AdminConnection> connections = new LinkedHashSet<>();
+
     private ServerSocketChannel server;
 
-    public AdminServer(EventLoop loop, ServiceStatus operators) {
+    /** Makes a server that does not listen yet. */
+    public AdminServer(EventLoop loop, ServiceStatus status) {
         this.loop = loop;
-        this.operators = operators;
+        this.status = status;
     }
 
+    /**
+     * Accepts connections from here on.
+     *
+     * @throws IOException if the address cannot be used
+     */
     public void listen(InetSocketAddress address) throws IOException {
         server = loop.listen(address, this);
     }
 
-    /** The port is the system's choice when the configuration names 0. */
+    /** The local port; chosen by the system if the configured one is 0. */
     public int port() {
         return server.socket().getLocalPort();
     }
@@ -45,26 +55,27 @@
 
     @Override
     public void onFailed(Throwable cause) {
-        // A caller whose connection broke at once had asked nothing yet.
+        // It broke at once: no command had come.
     }
 
-    /** The first of them has had the longest time to say what it wants. */
-    void onOpened(AdminConnection call) {
-        if (callers.size() >= MOST_CALLERS) {
-            callers.iterator().next().close();
+    /** Evicts the oldest connection if there are too many: it has had the most time. */
+    void onOpened(AdminConnection connection) {
+        if (connections.size() >= MAX_CONNECTIONS) {
+            connections.iterator().next().close();
         }
-        callers.add(call);
+        connections.add(connection);
     }
 
-    void closed(AdminConnection call) {
-        callers.remove(call);
+    void closed(AdminConnection connection) {
+        connections.remove(connection);
     }
 
-    String answer(String call) {
-        return switch (call) {
-            case "READY" -> readiness(operators.notReadyReason());
-            case "STATS" -> StatsText.of(operators.counters(), operators.gauges()) + "eof\n";
-            case "PEERS" -> members(operators.membersText());
+    /** The response to a command, with its last line feed. */
+    String answer(String command) {
+        return switch (command) {
+            case "READY" -> readiness(status.notReadyReason());
+            case "STATS" -> StatsText.of(status.counters(), status.gauges()) + "eof\n";
+            case "PEERS" -> members(status.membersText());
             default -> "fail unknown call: READY, STATS or PEERS\n";
         };
     }
--- a/daemon/src/main/java/wheelroute/net/admin/ServiceStatus.java
+++ b/daemon/src/main/java/wheelroute/net/admin/ServiceStatus.java
@@ -3,15 +3,17 @@
 import wheelroute.net.Counters;
 import wheelroute.net.Gauges;
 
-/** What the door may ask. */
+/** What operators may ask for. Only for the event loop's thread. */
 public interface ServiceStatus {
-    /** Null while this process takes clients; else why it does not. */
+    /** Why this process does not accept clients; null while it does. */
     String notReadyReason();
 
+    /** The counters since the start. */
     Counters counters();
 
+    /** The gauges at this moment. */
     Gauges gauges();
 
-    /** A line for each dispatcher that is known; null where none is to be. */
+    /** A line for each known dispatcher; null where dispatchers are not to know each other. */
     String membersText();
 }
--- a/daemon/src/main/java/wheelroute/net/admin/StatsText.java
+++ b/daemon/src/main/java/wheelroute/net/admin/StatsText.java
@@ -4,7 +4,7 @@
 import wheelroute.net.Counters;
 import wheelroute.net.Gauges;
 
-/** The figures in the platform's names, a line each, in statsd's form. */
+/** Writes the metrics under the platform's names, one a line, in statsd's format. */
 final class StatsText {
     private static final String PREFIX = "app.";
 
@@ -12,21 +12,21 @@
 
     private StatsText() {}
 
-    static String of(Counters counters, Gauges now) {
-        StatsText figures = new StatsText();
-        for (Ids.RequestClass offering : counters.offerings()) {
+    static String of(Counters counters, Gauges gauges) {
+        StatsText text = new StatsText();
+        for (Ids.RequestClass requestClass : counters.requestClasses()) {
             for (Counters.FinalAnswer answer : Counters.FinalAnswer.values()) {
-                figures.line(
-                        name(answer) + "." + plain(offering.name()),
-                        counters.value(offering, answer),
+                text.line(
+                        name(answer) + "." + sanitized(requestClass.name()),
+                        counters.value(requestClass, answer),
                         'c');
             }
         }
-        figures.line("upstream_requests", counters.value(Counters.Counter.ATTEMPTS_WRITTEN), 'c');
-        figures.line("pending", now.pending(), 'g');
-        figures.line("members", now.listed(), 'g');
-        figures.line("members_unavailable", now.avoided(), 'g');
-        return figures.out.toString();
+        text.line("upstream_requests", counters.value(Counters.Counter.ATTEMPTS_WRITTEN), 'c');
+        text.line("pending", gauges.pending(), 'g');
+        text.line("members", gauges.listed(), 'g');
+        text.line("members_unavailable", gauges.avoided(), 'g');
+        return text.out.toString();
     }
 
     private static String name(Counters.FinalAnswer answer) {
@@ -37,18 +37,18 @@
         };
     }
 
-    /** The form's own signs, and whatever may be taken for one, must not come from a name. */
-    private static String plain(String name) {
+    /** Replaces what has, or might have, a meaning in the format. */
+    private static String sanitized(String name) {
         return name.replaceAll("[^A-Za-z0-9_-]", "_");
     }
 
-    private void line(String name, long value, char kind) {
+    private void line(String name, long value, char type) {
         out.append(PREFIX)
                 .append(name)
                 .append(':')
                 .append(value)
                 .append('|')
-                .append(kind)
+                .append(type)
                 .append('\n');
     }
 }
--- a/daemon/src/main/java/wheelroute/net/admin/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' door: short calls on an address of their own, whatever the clients do. */
+/** The administrative server: operators' commands, one a connection. */
 package wheelroute.net.admin;
--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -10,66 +10,78 @@
 import wheelroute.net.EventLoop;
 import wheelroute.net.StreamConnection;
 
-/** One client's connection: one submission at a time, the next once it is answered. */
+/**
+ * One client's connection: one request at a time, the next once it has its response. Only for the
+ * event loop's thread.
+ */
 final class ClientConnection extends StreamConnection implements RequestAcceptor.ResponseSender {
-    /**
-     * How long a closing connection swallows what still comes: a reset would take the answer with
-     * it.
-     */
-    private static final double LINGER = 1;
+    /** Seconds for which a closing connection discards input: a reset would take the response. */
+    private static final double LINGER_TIME = 1;
 
     /**
-     * For a first message from the connection's opening on, and for every later one from its first
-     * byte.
+     * Seconds for a message to be complete: the first one from the connection's opening on, every
+     * later one from its first byte.
      */
-    private static final double PATIENCE = 2.4;
+    private static final double MESSAGE_TIMEOUT = 2.4;
 
-    /**
-     * What lies unread when that is over, after a pause of the whole process, is read within this.
-     */
-    private static final double LAST_LOOK = 0.2;
+    /** Seconds more to read what lies unread by then, after a standstill of the process. */
+    private static final double UNREAD_GRACE = 0.2;
 
     private final ClientServer clients;
     private final ClientRequestDecoder decoder;
-    private RequestAcceptor.AcceptedRequest taken;
-    private boolean waiting;
+    private final PipelinedInput pipelined;
+
+    /** The request that has no response yet; null for none. */
+    private RequestAcceptor.AcceptedRequest accepted;
+
+    /** A message has been read, and its response has not been written yet. */
+    private boolean busy;
+
+    /** A message has been read, and its response is not known yet. */
     private boolean unanswered;
+
+    /** The response to the current message is the last one. */
     private boolean lastMessage;
-    private boolean begun;
-    private boolean hasSpoken;
-    private boolean hasSubmitted;
-    private EventLoop.Timer patience;
+
+    /** A message has begun, and is not complete. */
+    private boolean messageBegun;
+
+    private boolean hadMessage;
+    private boolean hadRequest;
+
+    /** Null until the connection is opened. */
+    private EventLoop.Timer messageTimer;
+
+    /** All input is discarded, and the connection is about to be closed. */
     private boolean lingering;
-    private boolean turnedAway;
 
-    /** What came before its turn. */
-    private final PipelinedInput ahead;
+    /** No request is accepted on it. */
+    private boolean overLimit;
 
     ClientConnection(EndPoint endPoint, EventLoop loop, ClientServer clients) {
         super(endPoint, loop);
         this.clients = clients;
-        decoder = new ClientRequestDecoder(clients.room());
-        ahead = new PipelinedInput(clients.roomAhead());
+        decoder = new ClientRequestDecoder(clients.bodyQuota());
+        pipelined = new PipelinedInput(clients.pipelinedQuota());
     }
 
     @Override
     public void onOpen() {
-        turnedAway = !clients.onOpened(this);
+        overLimit = !clients.onOpened(this);
         super.onOpen();
         waitForMessage();
     }
 
-    /**
-     * Guards against heads and bodies without end, and against those who connect and say nothing.
-     */
+    /** Limits the time for a message, and for a client that connects and sends nothing. */
     private void waitForMessage() {
-        patience =
+        messageTimer =
                 loop.schedule(
-                        PATIENCE, () -> patience = loop.schedule(LAST_LOOK, this::outOfPatience));
+                        MESSAGE_TIMEOUT,
+                        () -> messageTimer = loop.schedule(UNREAD_GRACE, this::onMessageTimeout));
     }
 
-    private void outOfPatience() {
-        if (begun) {
+    private void onMessageTimeout() {
+        if (messageBegun) {
             refuse(
                     new BadRequestException(
                             HttpStatus.REQUEST_TIMEOUT_408, "the message has not come in time"));
@@ -80,9 +92,9 @@
 
     @Override
     protected boolean canRead() {
-        // Who waits for no answer is read in any case: others' bytes ahead must not keep its
-        // message out.
-        return !waiting || !ahead.isFull();
+        // Between two messages it is read in any case: other clients must not block it by what
+        // they send ahead.
+        return !busy || !pipelined.isFull();
     }
 
     @Override
@@ -92,40 +104,40 @@
         }
     }
 
-    /** A client that ends its sending has gone away, as one has whose connection broke. */
+    /** A client that ends its sending counts as gone. */
     @Override
     protected void onEndOfStream() {
-        ended();
+        onClientGone();
     }
 
     @Override
     protected void onFailure(Throwable cause) {
-        ended();
+        onClientGone();
     }
 
     private void read(ByteBuffer in) {
-        if (waiting) {
-            ahead.add(in, loop.cameAt());
+        if (busy) {
+            pipelined.add(in, loop.cameAt());
             return;
         }
         try {
-            if (!begun && hasSpoken) {
+            if (!messageBegun && hadMessage) {
                 waitForMessage();
             }
-            begun = true;
+            messageBegun = true;
             ClientRequest message = decoder.decode(in);
             if (message == null) {
-                clients.is(this, ConnectionLimit.Stage.READING);
+                clients.update(this, ConnectionLimit.Stage.READING);
                 return;
             }
-            patience.cancel();
-            begun = false;
-            hasSpoken = true;
-            waiting = true;
+            messageTimer.cancel();
+            messageBegun = false;
+            hadMessage = true;
+            busy = true;
             lastMessage = !message.keepsOpen();
-            double cameAt = in == ahead.kept() ? ahead.cameAt() : loop.cameAt();
-            if (in.hasRemaining() && in != ahead.kept()) {
-                ahead.add(in, cameAt);
+            double cameAt = in == pipelined.kept() ? pipelined.cameAt() : loop.cameAt();
+            if (in.hasRemaining() && in != pipelined.kept()) {
+                pipelined.add(in, cameAt);
             }
             handle(message, cameAt);
         } catch (BadRequestException e) {
@@ -133,41 +145,38 @@
         }
     }
 
-    /**
-     * What cannot be read: where the next message begins is not known either, so this is the last
-     * answer.
-     */
+    /** Responds to a malformed message, and closes: it is unknown where the next one begins. */
     private void refuse(BadRequestException e) {
-        patience.cancel();
-        clients.notTaken();
-        clients.is(this, ConnectionLimit.Stage.IN_FLIGHT);
+        messageTimer.cancel();
+        clients.onNotAccepted();
+        clients.update(this, ConnectionLimit.Stage.IN_FLIGHT);
         lastMessage = true;
-        waiting = true;
+        busy = true;
         send(ClientResponse.of(e.status(), e.getMessage()));
     }
 
     private void handle(ClientRequest message, double cameAt) {
-        clients.is(this, ConnectionLimit.Stage.IN_FLIGHT);
+        clients.update(this, ConnectionLimit.Stage.IN_FLIGHT);
         if (message.method().equals("GET")) {
             send(
                     switch (message.path()) {
                         case "/healthz" -> clients.health();
-                        case "/metrics" -> ClientResponse.fulfilled(clients.metrics());
+                        case "/metrics" -> ClientResponse.succeeded(clients.metrics());
                         default -> ClientResponse.of(HttpStatus.NOT_FOUND_404, "no such page");
                     });
             return;
         }
-        if (turnedAway) {
-            // Nothing is taken; the client may try another dispatcher at once.
-            clients.turnedAway(message);
+        if (overLimit) {
+            // The client may try another dispatcher at once.
+            clients.onRejected(message);
             lastMessage = true;
-            send(ClientResponse.bounced(0));
+            send(ClientResponse.rejected(0));
         } else {
-            submit(message, cameAt);
+            accept(message, cameAt);
         }
     }
 
-    private void submit(ClientRequest message, double cameAt) {
+    private void accept(ClientRequest message, double cameAt) {
         unanswered = true;
         try {
             if (!message.method().equals("POST")) {
@@ -177,35 +186,34 @@
                 throw new BadRequestException(
                         HttpStatus.BAD_REQUEST_400, "X-Request-ID or X-Timeout is missing");
             }
-            if (sawEnd()) {
-                clients.notTaken();
-                ended();
+            if (sawEndOfStream()) {
+                clients.onNotAccepted();
+                onClientGone();
                 return;
             }
-            RequestAcceptor.AcceptedRequest now = clients.take(message, cameAt, this);
-            hasSubmitted = true;
+            RequestAcceptor.AcceptedRequest request = clients.accept(message, cameAt, this);
+            hadRequest = true;
             if (unanswered) {
-                // Else it was answered as it was taken, and there is nobody to tell that the client
-                // left.
-                taken = now;
+                // Otherwise it has its response already, and need not hear that the client left.
+                accepted = request;
             }
         } catch (BadRequestException e) {
-            clients.notTaken();
+            clients.onNotAccepted();
             send(ClientResponse.of(e.status(), e.getMessage()));
         }
     }
 
     /**
-     * Guards against launches for nobody: what lay unread, as after a pause of the whole process,
-     * may be from a client that gave up in the meantime, and then its end lies unread behind it.
+     * Checks whether the end of the stream lies unread, so that no attempt runs for nobody: after a
+     * standstill of the process a message may be from a client that has given up since.
      */
-    private boolean sawEnd() {
+    private boolean sawEndOfStream() {
         try {
-            int got = 1;
-            while (got > 0 && canRead()) {
-                got = peek();
+            int count = 1;
+            while (count > 0 && canRead()) {
+                count = peek();
             }
-            return got < 0;
+            return count < 0;
         } catch (IOException e) {
             return true;
         }
@@ -213,30 +221,31 @@
 
     @Override
     public boolean hasClientLeft() {
-        boolean left = !getEndPoint().isOpen() || sawEnd();
+        boolean left = !getEndPoint().isOpen() || sawEndOfStream();
         if (left) {
-            loop.post(this::ended);
+            loop.post(this::onClientGone);
         }
         return left;
     }
 
     @Override
-    public void send(ClientResponse answer) {
-        taken = null;
+    public void send(ClientResponse response) {
+        accepted = null;
         unanswered = false;
         decoder.release();
-        if (!getEndPoint().isOpen() || !waiting) {
+        if (!getEndPoint().isOpen() || !busy) {
             return;
         }
-        boolean last = lastMessage || clients.closesConnections();
+        boolean last = lastMessage || clients.closesAfterResponse();
         Callback written =
                 Callback.from(
-                        () -> loop.post(() -> answered(last)), cause -> loop.post(this::ended));
-        getEndPoint().write(written, answer.encode(last));
+                        () -> loop.post(() -> onResponseWritten(last)),
+                        cause -> loop.post(this::onClientGone));
+        getEndPoint().write(written, response.encode(last));
     }
 
-    private void answered(boolean last) {
-        waiting = false;
+    private void onResponseWritten(boolean last) {
+        busy = false;
         if (!getEndPoint().isOpen()) {
             return;
         }
@@ -244,15 +253,15 @@
             linger();
             return;
         }
-        clients.is(
+        clients.update(
                 this,
-                hasSubmitted
+                hadRequest
                         ? ConnectionLimit.Stage.IDLE_CLIENT
                         : ConnectionLimit.Stage.IDLE_VISITOR);
-        if (!ahead.isEmpty()) {
-            read(ahead.kept());
-            if (ahead.isEmpty()) {
-                ahead.release();
+        if (!pipelined.isEmpty()) {
+            read(pipelined.kept());
+            if (pipelined.isEmpty()) {
+                pipelined.release();
             }
         }
         if (canRead() && getEndPoint().isOpen() && !isFillInterested()) {
@@ -260,26 +269,24 @@
         }
     }
 
+    /** Closes the connection once the client has had the time to read the last response. */
     private void linger() {
         lingering = true;
-        clients.is(this, ConnectionLimit.Stage.CLOSING);
-        ahead.release();
+        clients.update(this, ConnectionLimit.Stage.CLOSING);
+        pipelined.release();
         getEndPoint().shutdownOutput();
-        loop.schedule(LINGER, this::close);
+        loop.schedule(LINGER_TIME, this::close);
         if (!isFillInterested() && getEndPoint().isOpen()) {
             fillInterested();
         }
     }
 
-    /**
-     * Between two messages, with none begun; one that has not spoken yet may have its first on the
-     * way.
-     */
+    /** Whether it is between two messages; a new connection may have its first on the way. */
     private boolean isIdle() {
-        return hasSpoken && !waiting && !begun && !lingering;
+        return hadMessage && !busy && !messageBegun && !lingering;
     }
 
-    /** Closes it if it is between two messages, and nothing of the next lies unread. */
+    /** Closes it if it is between two messages, and nothing of the next one lies unread. */
     void closeIfIdle() {
         if (isIdle() && !hasUnread()) {
             close();
@@ -287,31 +294,30 @@
     }
 
     /**
-     * Before the process ends: takes what has come, and leaves nobody in doubt about what comes
-     * next.
+     * Before the process ends: reads what has arrived, and closes the connection if it is silent.
      */
-    void lastLook() {
-        if (waiting || lingering) {
+    void readLastAndClose() {
+        if (busy || lingering) {
             return;
         }
-        if (sawEnd()) {
+        if (sawEndOfStream()) {
             close();
-        } else if (!waiting) {
-            makeRoom();
+        } else if (!busy) {
+            evict();
         }
     }
 
-    /** Reads a little of what there is; under 0 at the client's end. */
+    /** Reads a little, if there is anything; returns the bytes read, or less than 0 at the end. */
     private int peek() throws IOException {
         ByteBuffer peeked = loop.lookBuffer();
-        int got = getEndPoint().fill(peeked);
-        if (got > 0) {
+        int count = getEndPoint().fill(peeked);
+        if (count > 0) {
             read(peeked);
         }
-        return got;
+        return count;
     }
 
-    /** Reads what there is, if there is something. */
+    /** Whether something lay unread; it has been read then. */
     boolean hasUnread() {
         try {
             return peek() > 0;
@@ -321,43 +327,41 @@
     }
 
     /**
-     * For another one. A message that has begun is told to come back: it may be a true client's.
+     * Closes it in favour of another one. A message that has begun gets a rejection: it may be an
+     * honest client's.
      */
-    void makeRoom() {
-        if (!begun) {
+    void evict() {
+        if (!messageBegun) {
             close();
             return;
         }
-        clients.notTaken();
-        // Its place is free at once, whenever that answer is through.
-        clients.closed(this);
-        patience.cancel();
-        begun = false;
+        clients.onNotAccepted();
+        // It does not count any more, whenever the response has been written.
+        clients.onClosed(this);
+        messageTimer.cancel();
+        messageBegun = false;
         lingering = true;
         Callback written =
                 Callback.from(() -> loop.post(this::close), cause -> loop.post(this::close));
-        getEndPoint().write(written, ClientResponse.bounced(0).encode(true));
+        getEndPoint().write(written, ClientResponse.rejected(0).encode(true));
     }
 
-    private void ended() {
-        RequestAcceptor.AcceptedRequest left = taken;
-        taken = null;
-        waiting = false;
+    private void onClientGone() {
+        RequestAcceptor.AcceptedRequest abandoned = accepted;
+        accepted = null;
+        busy = false;
         close();
-        if (left != null) {
-            left.onClientGone();
+        if (abandoned != null) {
+            abandoned.onClientGone();
         }
     }
 
-    /**
-     * A client may wait for its answer for as long as its outer limit; who does not read it, may
-     * not.
-     */
+    /** A client may wait for its response until the deadline, but must read it then. */
     @Override
     public boolean onIdleExpired(TimeoutException timeout) {
         if (isIdle()) {
             closeIfIdle();
-        } else if (taken == null) {
+        } else if (accepted == null) {
             close();
         }
         return false;
@@ -365,12 +369,12 @@
 
     @Override
     public void close() {
-        if (patience != null) {
-            patience.cancel();
+        if (messageTimer != null) {
+            messageTimer.cancel();
         }
         decoder.release();
-        ahead.release();
-        clients.closed(this);
+        pipelined.release();
+        clients.onClosed(this);
         super.close();
     }
 
@@ -378,7 +382,7 @@
     public void onClose(Throwable cause) {
         super.onClose(cause);
         decoder.release();
-        ahead.release();
-        clients.closed(this);
+        pipelined.release();
+        clients.onClosed(this);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/ClientRequest.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientRequest.java
@@ -4,11 +4,17 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What a client sent, decoded. Times in seconds.
+ * A client's HTTP request, decoded.
  *
  * @param target path and query, as they came
- * @param timeout how long the client waits from its send; NaN when not told
- * @param estimatedWork work on a standard core; NaN when not told
+ * @param id null when not given
+ * @param idempotencyKey null when not given
+ * @param routeKey null when not given
+ * @param tenant empty when not given
+ * @param timeout how many seconds the client waits from its send on; NaN when not given
+ * @param estimatedWork seconds on a standard core; NaN when not given
+ * @param clientRetry whether the client says that this is a retry
+ * @param keepsOpen whether the connection stays open after the response
  */
 public record ClientRequest(
         String method,
@@ -24,14 +30,15 @@
         boolean clientRetry,
         boolean keepsOpen,
         byte[] body) {
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
+    /** The target without its query. */
     public String path() {
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** The first part of the path. */
+    /** The name of the request class: the first segment of the path, decoded. */
     public String requestClass() {
         String path = path();
         int slash = path.indexOf('/', 1);
@@ -40,10 +47,7 @@
         return first.indexOf('%') < 0 ? first : unescaped(first);
     }
 
-    /**
-     * A name may hold what a path cannot; its escapes are whole, or the message would not have been
-     * read.
-     */
+    /** Decodes percent escapes. They are well-formed: {@link ClientRequestDecoder} checks them. */
     private static String unescaped(String text) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         byte[] in = text.getBytes(StandardCharsets.UTF_8);
@@ -52,8 +56,8 @@
             out.write(
                     !escape
                             ? in[i]
-                            : Character.digit(in[i + 1], HEX) * HEX
-                                    + Character.digit(in[i + 2], HEX));
+                            : Character.digit(in[i + 1], HEX_RADIX) * HEX_RADIX
+                                    + Character.digit(in[i + 2], HEX_RADIX));
             i += escape ? 2 : 0;
         }
         return out.toString(StandardCharsets.UTF_8);
--- a/daemon/src/main/java/wheelroute/net/clients/ClientRequestDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientRequestDecoder.java
@@ -14,21 +14,18 @@
 import org.eclipse.jetty.http.HttpVersion;
 import wheelroute.net.MessageReader;
 
-/** Decodes one client connection's bytes, in whatever pieces they come. */
+/** Decodes the requests on one client's connection, in whatever pieces they come. */
 public final class ClientRequestDecoder extends MessageReader implements HttpParser.RequestHandler {
-    /** The protocol's limit on bodies. */
-    static final int MOST_BODY = 64 * 1024;
+    /** In bytes: the protocol's limit on bodies. */
+    static final int MAX_BODY_SIZE = 64 * 1024;
 
-    /** Far more than the protocol's headers need, and bounded: many clients share little memory. */
-    static final int MOST_HEAD = 8 * 1024;
+    /** In bytes: far more than the protocol's fields need; many clients share little memory. */
+    static final int MAX_HEAD_SIZE = 8 * 1024;
 
     private static final double MICROS = 1e6;
 
-    /**
-     * No deviation is let through: what two readers may read in two ways could hide a message in
-     * another.
-     */
-    private static final HttpCompliance READING = HttpCompliance.STRICT;
+    /** No deviation: what can be parsed in two ways could smuggle one request in another. */
+    private static final HttpCompliance COMPLIANCE = HttpCompliance.STRICT;
 
     /**
      * Decimals as a person writes them: what only Java reads ("1e9", "0x1p3", "NaN") no worker need
@@ -37,21 +34,21 @@
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
 
     /**
-     * What a request line may hold (RFC 3986), with whole escapes: anything else a worker may close
-     * on. In its first part also letters that are no ASCII, as of platforms that put an offering's
-     * name there as it is; they go on byte for byte. It gives nothing back ("*+"): else the matcher
-     * calls itself for each character, and a long target ends the thread.
+     * A target by RFC 3986, with well-formed escapes: on anything else a worker may close its
+     * connection. The first segment may have letters that are not ASCII, as some platforms put a
+     * request class's name there unescaped; they are forwarded byte for byte. Possessive ("*+"):
+     * with backtracking the matcher would recurse for each character, and overflow the stack.
      */
     private static final Pattern TARGET =
             Pattern.compile(
                     "/(?:[A-Za-z0-9:@!$&'()*+,;=._~\u00a0-\ufffc-]|%[0-9A-Fa-f]{2})*+"
                             + "(?:[/?](?:[A-Za-z0-9/?:@!$&'()*+,;=._~-]|%[0-9A-Fa-f]{2})*+)?");
 
-    /** Ids and keys go on as they are: visible characters only, and no more than a line of them. */
-    private static final Pattern WORD = Pattern.compile("[!-~]{1,256}");
+    /** Ids and keys are forwarded as they are: visible characters only, and not too many. */
+    private static final Pattern TOKEN = Pattern.compile("[!-~]{1,256}");
 
-    /** Fields that are read or go on: of two values each reader might take another. */
-    private static final Set<String> SINGLE =
+    /** Fields that are interpreted or forwarded: of two values each reader might take another. */
+    private static final Set<String> SINGLE_FIELDS =
             Set.of(
                     "host",
                     "content-length",
@@ -67,14 +64,20 @@
 
     private static final byte[] NO_BODY = {};
 
-    /** What stands for bytes that are no text. */
-    private static final char NO_CHARACTER = '\ufffd';
+    /** Stands for malformed UTF-8. */
+    private static final char REPLACEMENT_CHARACTER = '\ufffd';
 
-    private final HttpParser parser = lean(new HttpParser(this, MOST_HEAD, READING));
-    private final MemoryQuota room;
+    private final HttpParser parser =
+            withoutHeaderCache(new HttpParser(this, MAX_HEAD_SIZE, COMPLIANCE));
+    private final MemoryQuota quota;
     private byte[] body = NO_BODY;
+
+    /** How many bytes of the body have come. */
     private int filled;
-    private int roomTaken;
+
+    /** How many bytes are reserved of the quota. */
+    private int reserved;
+
     private String method;
     private String target;
 
@@ -83,28 +86,35 @@
 
     private BadRequestException fault;
 
-    public ClientRequestDecoder(MemoryQuota room) {
-        this.room = room;
+    /**
+     * Makes a decoder for one connection.
+     *
+     * @param quota for the bodies of all connections
+     */
+    public ClientRequestDecoder(MemoryQuota quota) {
+        this.quota = quota;
     }
 
-    /** The last message is done with, and so is its body. */
+    /** The body of the last request is not needed any more. */
     public void release() {
-        room.giveBack(roomTaken);
-        roomTaken = 0;
+        quota.release(reserved);
+        reserved = 0;
         filled = 0;
         body = NO_BODY;
     }
 
     /**
-     * The next message, or null when more bytes are wanted; what follows it stays in the buffer.
+     * Returns the next request, or null when more bytes are needed. What follows the request stays
+     * in the buffer.
+     *
+     * @throws BadRequestException if it is malformed, or too large
      */
     public ClientRequest decode(ByteBuffer in) throws BadRequestException {
         while (!isComplete() && fault == null && in.hasRemaining()) {
             try {
                 parser.parseNext(in);
             } catch (RuntimeException e) {
-                // Some nonsense is told so, the rest as a bad message: neither ends more than its
-                // connection.
+                // The parser reports some malformed messages so, others to badMessage().
                 throw bad("no HTTP message");
             }
         }
@@ -114,21 +124,21 @@
         if (!takeComplete()) {
             return null;
         }
-        ClientRequest message = message();
+        ClientRequest request = request();
         parser.reset();
-        return message;
+        return request;
     }
 
-    private ClientRequest message() throws BadRequestException {
+    private ClientRequest request() throws BadRequestException {
         if (!TARGET.matcher(target).matches()) {
             throw bad("the target is no path with a query");
         }
-        word("x-request-id");
-        word("idempotency-key");
-        word("x-route-key");
+        checkToken("x-request-id");
+        checkToken("idempotency-key");
+        checkToken("x-route-key");
         String tenant = fields.get("x-tenant-id");
-        Map<String, String> attrs = attrs();
-        tenant = named(tenant == null ? attrs.getOrDefault("tenant", "") : tenant);
+        Map<String, String> attrs = parseAttrs();
+        tenant = decodeUtf8(tenant == null ? attrs.getOrDefault("tenant", "") : tenant);
         return new ClientRequest(
                 method,
                 target,
@@ -145,22 +155,22 @@
                 filled == body.length ? body : Arrays.copyOf(body, filled));
     }
 
-    /** The parser reads fields a byte a character; a name as configured may be of more. */
-    private static String named(String field) {
+    /** The parser makes one character of each byte; configured names may be UTF-8. */
+    private static String decodeUtf8(String field) {
         byte[] bytes = field.getBytes(StandardCharsets.ISO_8859_1);
         String name = new String(bytes, StandardCharsets.UTF_8);
-        return name.indexOf(NO_CHARACTER) < 0 ? name : field;
+        return name.indexOf(REPLACEMENT_CHARACTER) < 0 ? name : field;
     }
 
-    private Map<String, String> attrs() throws BadRequestException {
+    private Map<String, String> parseAttrs() throws BadRequestException {
         Map<String, String> attrs = new HashMap<>();
         String text = fields.getOrDefault("x-attrs", "");
         for (String pair : text.isEmpty() ? new String[0] : text.split(",")) {
-            int eq = pair.indexOf('=');
-            if (eq < 1) {
+            int equals = pair.indexOf('=');
+            if (equals < 1) {
                 throw bad("X-Attrs is not name=value: " + pair);
             }
-            attrs.put(pair.substring(0, eq).trim(), pair.substring(eq + 1).trim());
+            attrs.put(pair.substring(0, equals).trim(), pair.substring(equals + 1).trim());
         }
         return attrs;
     }
@@ -176,9 +186,9 @@
         return Double.parseDouble(text);
     }
 
-    private void word(String name) throws BadRequestException {
+    private void checkToken(String name) throws BadRequestException {
         String value = fields.get(name);
-        if (value != null && !WORD.matcher(value).matches()) {
+        if (value != null && !TOKEN.matcher(value).matches()) {
             throw bad(name + " cannot go on as it is");
         }
     }
@@ -195,10 +205,10 @@
         begin(version);
     }
 
-    /** Lists may come in several fields of one name; what we read or pass on may not. */
+    /** Lists may come in several fields of one name; single values may not. */
     @Override
-    protected void comesAgain(String name) {
-        repeated = SINGLE.contains(name) ? name : repeated;
+    protected void onRepeatedField(String name) {
+        repeated = SINGLE_FIELDS.contains(name) ? name : repeated;
     }
 
     @Override
@@ -214,7 +224,7 @@
             fault =
                     new BadRequestException(
                             HttpStatus.EXPECTATION_FAILED_417, "the body must come unasked");
-        } else if (parser.getContentLength() > MOST_BODY) {
+        } else if (parser.getContentLength() > MAX_BODY_SIZE) {
             fault = tooLarge();
         }
         return fault != null;
@@ -222,22 +232,20 @@
 
     private static BadRequestException tooLarge() {
         return new BadRequestException(
-                HttpStatus.PAYLOAD_TOO_LARGE_413, "the body is over " + MOST_BODY);
+                HttpStatus.PAYLOAD_TOO_LARGE_413, "the body is over " + MAX_BODY_SIZE);
     }
 
-    /**
-     * Makes the body so long, or finds fault: too long for the protocol, or for what all may hold.
-     */
+    /** Makes room for so many bytes of the body; false, with a fault, if there are too many. */
     private boolean grow(long length) {
-        if (length > MOST_BODY) {
+        if (length > MAX_BODY_SIZE) {
             fault = tooLarge();
-        } else if (!room.take((int) length - roomTaken)) {
+        } else if (!quota.tryReserve((int) length - reserved)) {
             fault =
                     new BadRequestException(
                             HttpStatus.SERVICE_UNAVAILABLE_503, "no room for the body now");
         } else {
-            roomTaken = (int) length;
-            body = Arrays.copyOf(body, roomTaken);
+            reserved = (int) length;
+            body = Arrays.copyOf(body, reserved);
         }
         return fault == null;
     }
@@ -245,9 +253,8 @@
     @Override
     public boolean content(ByteBuffer piece) {
         int needed = filled + piece.remaining();
-        // Room is for what has come, not for what was promised: who stalls must not hold the
-        // others' room.
-        long most = parser.getContentLength() > 0 ? parser.getContentLength() : MOST_BODY;
+        // Reserves what has come, not what is announced: a stalled client must not block others.
+        long most = parser.getContentLength() > 0 ? parser.getContentLength() : MAX_BODY_SIZE;
         if (needed > body.length && !grow(Math.max(needed, Math.min(2L * body.length, most)))) {
             return true;
         }
--- a/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
@@ -5,36 +5,48 @@
 import org.eclipse.jetty.http.HttpStatus;
 import wheelroute.net.HttpText;
 
-/** What a client is answered; a retryAfter of 0 gives no advice. */
+/**
+ * A response to a client.
+ *
+ * @param retryAfter in seconds; 0 for no Retry-After
+ */
 public record ClientResponse(int status, double retryAfter, byte[] body) {
-    private static final double MILLIS = 1e3;
+    private static final double MILLIS_PER_SECOND = 1e3;
 
-    public static ClientResponse fulfilled(byte[] result) {
+    /** The request has succeeded. */
+    public static ClientResponse succeeded(byte[] result) {
         return new ClientResponse(HttpStatus.OK_200, 0, result);
     }
 
-    public static ClientResponse bounced(double retryAfter) {
+    /** The request was rejected: nothing has run, and a retry is safe. */
+    public static ClientResponse rejected(double retryAfter) {
         return new ClientResponse(
-                HttpStatus.SERVICE_UNAVAILABLE_503, retryAfter, text("bounced: a retry is safe\n"));
+                HttpStatus.SERVICE_UNAVAILABLE_503,
+                retryAfter,
+                bytes("bounced: a retry is safe\n"));
     }
 
-    public static ClientResponse scrapped() {
+    /** The request has failed: it may have run. */
+    public static ClientResponse failed() {
         return new ClientResponse(
-                HttpStatus.BAD_GATEWAY_502, 0, text("scrapped: it may have run\n"));
+                HttpStatus.BAD_GATEWAY_502, 0, bytes("scrapped: it may have run\n"));
     }
 
-    public static ClientResponse of(int status, String words) {
-        return new ClientResponse(status, 0, text(words + "\n"));
+    /** Any other status, with a line of text. */
+    public static ClientResponse of(int status, String text) {
+        return new ClientResponse(status, 0, bytes(text + "\n"));
     }
 
-    private static byte[] text(String words) {
-        return words.getBytes(StandardCharsets.UTF_8);
+    private static byte[] bytes(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
     }
 
+    /** Writes the HTTP response. */
     public ByteBuffer[] encode(boolean lastOnConnection) {
-        String advice = Double.toString(Math.ceil(retryAfter * MILLIS) / MILLIS);
+        String roundedUp =
+                Double.toString(Math.ceil(retryAfter * MILLIS_PER_SECOND) / MILLIS_PER_SECOND);
         return new HttpText("HTTP/1.1 " + status + " " + HttpStatus.getMessage(status))
-                .field("Retry-After", retryAfter > 0 ? advice : null)
+                .field("Retry-After", retryAfter > 0 ? roundedUp : null)
                 .field("Connection", lastOnConnection ? "close" : null)
                 .body(body);
     }
--- a/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
@@ -13,59 +13,62 @@
 import wheelroute.net.EventLoop;
 
 /**
- * The client side: the listening socket and the connections accepted on it, of which there is a
- * bound.
+ * The server for clients: the listening socket, and the connections that are accepted on it within
+ * a limit. Only for the event loop's thread.
  */
 public final class ClientServer implements EventLoop.ChannelHandler {
-    /**
-     * Beyond the bound this part of it more is told to go away, each in a moment; the rest is
-     * closed.
-     */
-    private static final double TURNED_AWAY_PART = 0.06;
+    /** Over the limit, this fraction of it more is sent a rejection; further ones are closed. */
+    private static final double REJECTED_FRACTION = 0.06;
 
-    /**
-     * A connection idle for so long between two messages is closed: its client may be long gone.
-     */
-    private static final long IDLE_MILLIS = 120_000;
+    /** A connection idle for this long is closed: its client may be long gone. */
+    private static final long IDLE_TIMEOUT_MILLIS = 120_000;
 
-    /**
-     * Of the heap so much may be clients' bodies: what they become on their way is as much again.
-     */
-    private static final double HELD_PART = 0.25;
+    /** Of the heap, for bodies of requests: what is made of them takes as much again. */
+    private static final double BODIES_HEAP_FRACTION = 0.25;
 
-    /**
-     * And so much what they send before their turn: who sends much must not take the others' room.
-     */
-    private static final double AHEAD_PART = 0.06;
+    /** Of the heap, for what clients send ahead: it must not take the memory of bodies. */
+    private static final double PIPELINED_HEAP_FRACTION = 0.06;
 
-    /**
-     * And no more than this, however large the heap: sixteen who send as much as is kept of one.
-     */
-    private static final long MOST_AHEAD = 16L * PipelinedInput.MOST;
+    /** In bytes, however large the heap: sixteen clients that send ahead as much as they may. */
+    private static final long MAX_PIPELINED_BYTES = 16L * PipelinedInput.MAX_BYTES;
 
     private final EventLoop loop;
-    private final RequestAcceptor submitters;
+    private final RequestAcceptor acceptor;
     private final Counters counters;
-    private final int mostAlone;
-    private final ConnectionLimit<ClientConnection> places;
-    private final MemoryQuota room =
-            new MemoryQuota((long) (HELD_PART * Runtime.getRuntime().maxMemory()));
-    private final MemoryQuota roomAhead =
+
+    /** The limit of the whole dispatcher. */
+    private final int dispatcherLimit;
+
+    private final ConnectionLimit<ClientConnection> connections;
+    private final MemoryQuota bodyQuota =
+            new MemoryQuota((long) (BODIES_HEAP_FRACTION * Runtime.getRuntime().maxMemory()));
+    private final MemoryQuota pipelinedQuota =
             new MemoryQuota(
-                    Math.min(MOST_AHEAD, (long) (AHEAD_PART * Runtime.getRuntime().maxMemory())));
+                    Math.min(
+                            MAX_PIPELINED_BYTES,
+                            (long) (PIPELINED_HEAP_FRACTION * Runtime.getRuntime().maxMemory())));
     private ServerSocketChannel server;
     private boolean isListening;
 
-    public ClientServer(EventLoop loop, RequestAcceptor submitters, Counters counters, int most) {
+    /**
+     * Makes a server that does not listen yet.
+     *
+     * @param limit on connections
+     */
+    public ClientServer(EventLoop loop, RequestAcceptor acceptor, Counters counters, int limit) {
         this.loop = loop;
-        this.submitters = submitters;
+        this.acceptor = acceptor;
         this.counters = counters;
-        mostAlone = most;
-        places = new ConnectionLimit<>(most);
+        dispatcherLimit = limit;
+        connections = new ConnectionLimit<>(limit);
     }
 
     /**
-     * Shared: a second process may listen there too, and each is dealt a part of the connections.
+     * Accepts connections from here on.
+     *
+     * @param shared whether another process may listen at the address too; each then receives a
+     *     part of the connections
+     * @throws IOException if the address cannot be used
      */
     public void listen(InetSocketAddress address, boolean shared) throws IOException {
         server = loop.listen(address, this, shared);
@@ -73,125 +76,133 @@
     }
 
     /**
-     * So many processes share the bound. Who is over it by that makes room at once: else every one
-     * that comes next would be too many by far, and be closed unheard.
+     * So many processes share the dispatcher's limit. Connections over it are evicted at once:
+     * otherwise all new ones would be closed unheard.
      */
     public void sharedBy(int processes) {
-        places.limit(mostAlone / processes);
-        int before = places.count() + 1;
-        while (places.isOverLimit() && places.count() < before) {
-            before = places.count();
-            places.connectionToEvict(loop.now(), ClientConnection::hasUnread)
-                    .ifPresent(ClientConnection::makeRoom);
+        connections.limit(dispatcherLimit / processes);
+        int previous = connections.count() + 1;
+        while (connections.isOverLimit() && connections.count() < previous) {
+            previous = connections.count();
+            connections
+                    .connectionToEvict(loop.now(), ClientConnection::hasUnread)
+                    .ifPresent(ClientConnection::evict);
         }
     }
 
-    /** A client may be about to hand over a message: see {@link ConnectionLimit#expectsRequest}. */
-    public boolean expects() {
-        return places.expectsRequest(loop.now());
+    /** Whether a client may be about to send: see {@link ConnectionLimit#expectsRequest}. */
+    public boolean expectsRequest() {
+        return connections.expectsRequest(loop.now());
     }
 
-    /** The port is the system's choice when the configuration names 0. */
+    /** The local port; chosen by the system if the configured one is 0. */
     public int port() {
         return server.socket().getLocalPort();
     }
 
     @Override
     public Connection onOpened(EndPoint endPoint) {
-        endPoint.setIdleTimeout(IDLE_MILLIS);
+        endPoint.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
         return new ClientConnection(endPoint, loop, this);
     }
 
     @Override
     public void onFailed(Throwable cause) {
-        // An accepted connection that broke at once: nothing was taken on it.
+        // It broke at once: no request had come.
     }
 
-    /** False when it is one too many, and none that is done, idle or silent can make room. */
+    /** Admits a connection; false when it is over the limit and none could be evicted for it. */
     boolean onOpened(ClientConnection connection) {
         counters.count(Counters.Counter.CLIENT_CONNECTIONS);
-        places.connectionToEvict(loop.now(), ClientConnection::hasUnread)
-                .ifPresent(ClientConnection::makeRoom);
-        places.update(connection, ConnectionLimit.Stage.NEW, loop.now());
-        if (places.count() > places.limit() + 1 + TURNED_AWAY_PART * places.limit()) {
+        connections
+                .connectionToEvict(loop.now(), ClientConnection::hasUnread)
+                .ifPresent(ClientConnection::evict);
+        connections.update(connection, ConnectionLimit.Stage.NEW, loop.now());
+        if (connections.count()
+                > connections.limit() + 1 + REJECTED_FRACTION * connections.limit()) {
             connection.close();
         }
-        return places.count() <= places.limit();
+        return connections.count() <= connections.limit();
     }
 
-    void is(ClientConnection connection, ConnectionLimit.Stage stage) {
-        places.update(connection, stage, loop.now());
+    /** The connection has reached this stage. */
+    void update(ClientConnection connection, ConnectionLimit.Stage stage) {
+        connections.update(connection, stage, loop.now());
     }
 
-    MemoryQuota room() {
-        return room;
+    MemoryQuota bodyQuota() {
+        return bodyQuota;
     }
 
-    MemoryQuota roomAhead() {
-        return roomAhead;
+    MemoryQuota pipelinedQuota() {
+        return pipelinedQuota;
     }
 
-    void closed(ClientConnection connection) {
-        places.remove(connection);
+    /** May be called more than once. */
+    void onClosed(ClientConnection connection) {
+        connections.remove(connection);
     }
 
+    /** How many connections are open. */
     public int open() {
-        return places.count();
+        return connections.count();
     }
 
-    void turnedAway(ClientRequest message) {
-        submitters.onRejected(message);
+    /** A request has been rejected because its connection is over the limit. */
+    void onRejected(ClientRequest message) {
+        acceptor.onRejected(message);
     }
 
-    void notTaken() {
+    /** A request that is not valid, or not complete, has been refused. */
+    void onNotAccepted() {
         counters.count(Counters.Counter.REQUESTS_NOT_ACCEPTED);
     }
 
-    RequestAcceptor.AcceptedRequest take(
-            ClientRequest message, double cameAt, RequestAcceptor.ResponseSender answers)
+    RequestAcceptor.AcceptedRequest accept(
+            ClientRequest message, double cameAt, RequestAcceptor.ResponseSender responses)
             throws BadRequestException {
-        return submitters.accept(message, cameAt, answers);
+        return acceptor.accept(message, cameAt, responses);
     }
 
-    boolean closesConnections() {
-        return submitters.closesAfterResponse();
+    boolean closesAfterResponse() {
+        return acceptor.closesAfterResponse();
     }
 
     ClientResponse health() {
-        return submitters.isDraining()
+        return acceptor.isDraining()
                 ? ClientResponse.of(HttpStatus.SERVICE_UNAVAILABLE_503, "draining")
                 : ClientResponse.of(HttpStatus.OK_200, "ok");
     }
 
     byte[] metrics() {
-        return submitters.metrics().getBytes(StandardCharsets.UTF_8);
+        return acceptor.metrics().getBytes(StandardCharsets.UTF_8);
     }
 
     /**
-     * The process is about to end. What has come is read, and may be taken; all that say nothing
-     * are closed, so that nobody hands over a submission to a process that will not read it any
-     * more.
+     * Reads what has arrived, and may accept it, before the process ends. Silent connections are
+     * closed, so that no client sends a request to a process that will not read it.
      */
-    public void lastLook() {
+    public void readLastAndClose() {
         for (ConnectionLimit.Stage stage : ConnectionLimit.Stage.values()) {
-            places.connectionsIn(stage).forEach(ClientConnection::lastLook);
+            connections.connectionsIn(stage).forEach(ClientConnection::readLastAndClose);
         }
     }
 
     /**
-     * No new connections, and none kept between two submissions but by a dispatcher that serves on.
+     * Accepts no new connections. Idle ones are closed, unless this dispatcher serves until its
+     * end.
      */
     public void stopListening() {
         if (isListening) {
             isListening = false;
             loop.unlistenEmptied(server);
         }
-        if (!closesConnections()) {
+        if (!closesAfterResponse()) {
             return;
         }
         for (ConnectionLimit.Stage stage :
                 List.of(ConnectionLimit.Stage.IDLE_VISITOR, ConnectionLimit.Stage.IDLE_CLIENT)) {
-            places.connectionsIn(stage).forEach(ClientConnection::closeIfIdle);
+            connections.connectionsIn(stage).forEach(ClientConnection::closeIfIdle);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/MemoryQuota.java
+++ b/daemon/src/main/java/wheelroute/net/clients/MemoryQuota.java
@@ -1,34 +1,39 @@
 package wheelroute.net.clients;
 
 /**
- * A bound on the bytes of bodies held at one time: how many clients send them is not ours to
- * choose.
+ * A limit on the bytes that all clients' messages may occupy at one time. Only for the event loop's
+ * thread.
  */
 public final class MemoryQuota {
-    private final long most;
-    private long held;
+    private final long limit;
+    private long used;
 
-    public MemoryQuota(long most) {
-        this.most = most;
+    /**
+     * Begins empty.
+     *
+     * @param limit in bytes
+     */
+    public MemoryQuota(long limit) {
+        this.limit = limit;
     }
 
-    /** Makes room for so many bytes, or says that there is none. */
-    boolean take(int bytes) {
-        boolean fits = held + bytes <= most;
-        held += fits ? bytes : 0;
+    /** Reserves so many bytes; false, without effect, when there are not enough. */
+    boolean tryReserve(int bytes) {
+        boolean fits = used + bytes <= limit;
+        used += fits ? bytes : 0;
         return fits;
     }
 
-    /** For what has come already, whether or not there is room. */
-    void hold(int bytes) {
-        held += bytes;
+    /** Reserves bytes that have arrived already, even over the limit. */
+    void reserve(int bytes) {
+        used += bytes;
     }
 
     boolean isFull() {
-        return held >= most;
+        return used >= limit;
     }
 
-    void giveBack(int bytes) {
-        held -= bytes;
+    void release(int bytes) {
+        used -= bytes;
     }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/PipelinedInput.java
+++ b/daemon/src/main/java/wheelroute/net/clients/PipelinedInput.java
@@ -4,92 +4,88 @@
 import java.util.ArrayDeque;
 
 /**
- * What a client sent before its turn. It is read on, under two bounds, so that the client's end is
- * seen behind it: a client that leaves while its submission waits leaves more than one unread
- * message at times.
+ * What a client has sent ahead, while its previous request awaits its response. It is read, within
+ * two limits, so that the end of the stream behind it is noticed when the client leaves. Keeps the
+ * arrival times, from which timeouts count.
  */
 final class PipelinedInput {
-    /** What comes closer together than this has one time, the first. */
-    private static final double TOGETHER = 0.05;
+    /** What arrives closer together than this, in seconds, shares the first arrival time. */
+    private static final double SAME_ARRIVAL = 0.05;
 
-    /**
-     * Times kept of one connection: what comes byte by byte must not take more room than its bytes.
-     */
-    private static final int MOST_TIMES = 64;
+    /** Arrival times of one connection: they must not occupy more memory than the bytes. */
+    private static final int MAX_ARRIVALS = 64;
 
-    /**
-     * Some messages of the largest kind: past it what comes waits with the system, and so does its
-     * end.
-     */
-    static final int MOST = 256 * 1024;
+    /** In bytes: some messages of the largest size. What exceeds it waits with the system. */
+    static final int MAX_BYTES = 256 * 1024;
 
-    private static final ByteBuffer NOTHING = ByteBuffer.allocate(0);
+    private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
-    /** Of all connections together. */
-    private final MemoryQuota room;
+    /** Shared by all connections. */
+    private final MemoryQuota quota;
 
-    private ByteBuffer kept = NOTHING;
+    private ByteBuffer kept = EMPTY;
 
-    /** Of all that came ahead, from the first byte on. */
+    /** Bytes that have been added since the connection was made. */
     private long added;
 
-    private final ArrayDeque<Arrival> times = new ArrayDeque<>();
+    private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
-    /** What came up to this byte came then. */
+    /** The bytes before the end, counted like {@link #added}, have arrived at this time. */
     private record Arrival(long end, double at) {}
 
-    PipelinedInput(MemoryQuota room) {
-        this.room = room;
+    PipelinedInput(MemoryQuota quota) {
+        this.quota = quota;
     }
 
     boolean isEmpty() {
         return !kept.hasRemaining();
     }
 
-    /** No more should be read than is kept already. */
+    /** Whether no more should be read for now. */
     boolean isFull() {
-        return kept.remaining() >= MOST || room.isFull();
+        return kept.remaining() >= MAX_BYTES || quota.isFull();
     }
 
-    /** Keeps all of it, also what one read brings over the bounds. */
+    /** Keeps all of the bytes, also those of one read over the limits. */
     void add(ByteBuffer in, double cameAt) {
         added += in.remaining();
-        Arrival last = times.peekLast();
-        boolean joins = last != null && (cameAt - last.at < TOGETHER || times.size() >= MOST_TIMES);
-        if (joins) {
-            times.removeLast();
+        Arrival last = arrivals.peekLast();
+        boolean sharesTime =
+                last != null
+                        && (cameAt - last.at < SAME_ARRIVAL || arrivals.size() >= MAX_ARRIVALS);
+        if (sharesTime) {
+            arrivals.removeLast();
         }
-        times.addLast(new Arrival(added, joins ? last.at : cameAt));
+        arrivals.addLast(new Arrival(added, sharesTime ? last.at : cameAt));
         int needed = kept.remaining() + in.remaining();
         if (kept.capacity() - kept.position() < needed) {
-            ByteBuffer larger = ByteBuffer.allocate(Math.max(needed, Math.min(MOST, 2 * needed)));
-            room.hold(larger.capacity() - kept.capacity());
+            ByteBuffer larger =
+                    ByteBuffer.allocate(Math.max(needed, Math.min(MAX_BYTES, 2 * needed)));
+            quota.reserve(larger.capacity() - kept.capacity());
             kept = larger.put(kept).flip();
         }
         kept.mark().position(kept.limit()).limit(kept.limit() + in.remaining());
         kept.put(in).reset();
     }
 
-    /** To be read from its position on; what is left of it stays kept. */
+    /** The bytes to be read; what is not read stays kept. */
     ByteBuffer kept() {
         return kept;
     }
 
-    /**
-     * When the byte before those that are left came: a message's last one, as that has been read.
-     */
+    /** When the last byte that has been read arrived: the last of a message, after its decoding. */
     double cameAt() {
-        long read = added - kept.remaining();
-        while (times.getFirst().end < read) {
-            times.removeFirst();
+        long bytesRead = added - kept.remaining();
+        while (arrivals.getFirst().end < bytesRead) {
+            arrivals.removeFirst();
         }
-        return times.getFirst().at;
+        return arrivals.getFirst().at;
     }
 
-    /** It is read, or will not be. */
+    /** Drops everything. */
     void release() {
-        room.giveBack(kept.capacity());
-        kept = NOTHING;
-        times.clear();
+        quota.release(kept.capacity());
+        kept = EMPTY;
+        arrivals.clear();
     }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/RequestAcceptor.java
+++ b/daemon/src/main/java/wheelroute/net/clients/RequestAcceptor.java
@@ -1,37 +1,44 @@
 package wheelroute.net.clients;
 
-/** What the client side hands over to, and may ask. */
+/** Accepts the requests that clients send. Only for the event loop's thread. */
 public interface RequestAcceptor {
-    /** One submission as its client's connection sees it. */
+    /** An accepted request, as its client's connection sees it. */
     interface AcceptedRequest {
-        /** The client closed its connection. */
+        /** The client has closed its connection. */
         void onClientGone();
     }
 
-    /** Where the one final answer goes. */
+    /** Where the final response goes. */
     interface ResponseSender {
-        void send(ClientResponse answer);
+        /** Sends the response; to be called once. */
+        void send(ClientResponse response);
 
-        /** Looks whether the client has left and it was not told yet; if so, that follows. */
+        /**
+         * Checks for a close of the connection that has not been noticed yet. If there is one,
+         * {@link AcceptedRequest#onClientGone} follows.
+         */
         boolean hasClientLeft();
     }
 
     /**
-     * What is not taken is told why: for want of such an offering, say.
+     * Accepts a request, or rejects it by a response.
      *
-     * @param cameAt the earliest time at which its last byte may have come, from which its timeout
-     *     counts
+     * @param cameAt Unix time in seconds: the earliest at which its last byte may have arrived,
+     *     from which its timeout counts
+     * @throws BadRequestException if there is no such request class, for instance
      */
-    AcceptedRequest accept(ClientRequest message, double cameAt, ResponseSender answers)
+    AcceptedRequest accept(ClientRequest message, double cameAt, ResponseSender responses)
             throws BadRequestException;
 
-    /** A whole message that is told to come back, for want of a place, and not taken. */
+    /** A complete request has been rejected because there were too many connections. */
     void onRejected(ClientRequest message);
 
+    /** Whether this process is shutting down. */
     boolean isDraining();
 
-    /** Whether an answer is the last on its connection, as the process is about to end. */
+    /** Whether a response is the last on its connection, as this process is shutting down. */
     boolean closesAfterResponse();
 
+    /** All metrics in Prometheus' text format. */
     String metrics();
 }
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/net/clients/package-info.java
@@ -0,0 +1,2 @@
+/** The clients' side: connections, requests and responses. */
+package wheelroute.net.clients;
--- a/daemon/src/main/java/wheelroute/net/handover/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/handover/package-info.java
@@ -1,2 +1,2 @@
-/** Two processes of one dispatcher: how they find each other, and what they tell while both run. */
+/** Two processes of one dispatcher: how they find each other, and what they send each other. */
 package wheelroute.net.handover;
--- a/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
@@ -81,12 +81,12 @@
         // The classes are there before it is counted.
         new ClientRequestDecoder(new MemoryQuota(ROOM)).decode(bytes(POST));
         new ResponseParser(new Unread()).parse(bytes(ANSWER));
-        MemoryQuota room = new MemoryQuota(ROOM);
+        MemoryQuota quota = new MemoryQuota(ROOM);
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long thread = Thread.currentThread().getId();
         long before = threads.getThreadAllocatedBytes(thread);
         for (int i = 0; i < connections; i++) {
-            decoders[i] = new ClientRequestDecoder(room);
+            decoders[i] = new ClientRequestDecoder(quota);
             decoders[i].decode(messages[4 * i]);
             decoders[i].decode(messages[4 * i + 1]);
             parsers[i] = new ResponseParser(new Unread());
@@ -264,9 +264,9 @@
     /** Guards against many large bodies at once, which ended the process for want of memory. */
     @Test(dataProvider = "forms")
     public void holdsNoMoreThanThereIsRoomFor(String text) throws BadRequestException {
-        MemoryQuota room = new MemoryQuota(9);
-        ClientRequestDecoder first = new ClientRequestDecoder(room);
-        ClientRequestDecoder second = new ClientRequestDecoder(room);
+        MemoryQuota quota = new MemoryQuota(9);
+        ClientRequestDecoder first = new ClientRequestDecoder(quota);
+        ClientRequestDecoder second = new ClientRequestDecoder(quota);
         first.decode(bytes(text));
         assertEquals(
                 expectThrows(BadRequestException.class, () -> second.decode(bytes(text))).status(),
@@ -275,36 +275,36 @@
         first.release();
         String stalled = POST.replace("Content-Length: 5", "Content-Length: 60000");
         assertNull(
-                new ClientRequestDecoder(room)
+                new ClientRequestDecoder(quota)
                         .decode(bytes(stalled.substring(0, stalled.length() - 3))));
-        ClientRequestDecoder third = new ClientRequestDecoder(room);
+        ClientRequestDecoder third = new ClientRequestDecoder(quota);
         assertEquals(third.decode(bytes(text)).body().length, 5);
         third.release();
-        assertTrue(room.take(7));
+        assertTrue(quota.tryReserve(7));
     }
 
     @DataProvider
     public Object[][] answers() {
         return new Object[][] {
             {
-                ClientResponse.fulfilled("ok".getBytes(StandardCharsets.UTF_8)),
+                ClientResponse.succeeded("ok".getBytes(StandardCharsets.UTF_8)),
                 false,
                 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
             },
             {
-                ClientResponse.bounced(0.0401),
+                ClientResponse.rejected(0.0401),
                 true,
                 "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.041\r\n"
                         + "Connection: close\r\nContent-Length: 25\r\n\r\nbounced: a retry is safe\n"
             },
             {
-                ClientResponse.bounced(0),
+                ClientResponse.rejected(0),
                 false,
                 "HTTP/1.1 503 Service Unavailable\r\n"
                         + "Content-Length: 25\r\n\r\nbounced: a retry is safe\n"
             },
             {
-                ClientResponse.scrapped(),
+                ClientResponse.failed(),
                 false,
                 "HTTP/1.1 502 Bad Gateway\r\n"
                         + "Content-Length: 26\r\n\r\nscrapped: it may have run\n"
