--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -1,19 +1,17 @@
 package wheelroute.kit.audit;
 
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.EnumMap;
+import java.util.Deque;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Consumer;
 import java.util.function.Function;
-import wheelroute.config.TomlFields;
+import java.util.function.Predicate;
 import wheelroute.decision.Idempotency;
-import wheelroute.decision.IdempotencyScope;
 import wheelroute.kit.model.AttemptEnding;
 import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.model.EndpointRegistry;
@@ -25,30 +23,23 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * Checks the four rules on what stand-ins and clients saw. A submission's record is kept until
- * nothing that breaks a rule can follow any more, so that a run of any length takes bounded memory.
+ * Checks the rules on what workers and clients observe. A request's record is kept until no event
+ * can break a rule any more, so that a run of any length takes bounded memory.
  */
 public final class Auditor implements EventListener {
-    /** A broken rule, with all that is known of the submission it befell. */
+    /**
+     * A broken rule.
+     *
+     * @param history of the request concerned, in lines of text; empty for no request
+     */
     public record Breach(Rule rule, String description, List<String> history) {}
 
-    /** Breaches told in full; more of them are counted. */
-    private static final int MAX_DETAILED_BREACHES = 20;
-
-    /** After its outer limit a submission's record is kept for so long. */
+    /** How long a request's record is kept after its deadline. */
     private static final double RETENTION = 1;
 
-    /**
-     * From a submission's sending to the end of the turn in which it is launched; no program sees a
-     * stop in it.
-     */
+    /** From a request's sending to the end of the event in which the dispatcher accepts it. */
     private static final double TURN_DURATION = 0.02;
 
-    /**
-     * That a client left while its submission waited is seen within this: nothing goes out for it.
-     */
-    private static final double CANCELLATION_DELAY = 0.3;
-
     /** Texts of the histories, made once: they are noted millions of times and seldom read. */
     private static final String[] RESPONSE_LABELS =
             labels("answered ", FinalResponse.values(), FinalResponse::reportName, "");
@@ -58,102 +49,31 @@
     private static final String[] UNDELIVERED_ENDING_LABELS =
             labels("untold: ", AttemptEnding.values(), AttemptEnding::reportName, " at");
 
-    private final Scenario scenario;
     private final Timeline timeline;
 
-    /** What the ways to and fro, and the machine's own lateness, may add to any time. */
+    /** What the network and the lateness of the machine may add to any time. */
     private final double slack;
 
+    private final DispatcherConditions conditions;
+    private final BreachLog breaches;
+    private final AttemptRules attemptRules;
     private final Map<Long, RequestRecord> records = new HashMap<>();
-    private final ArrayDeque<RequestRecord> aging = new ArrayDeque<>();
-
-    /** By dispatcher and worker: since when it is told draining or gone. */
-    private final Map<Long, Double> drainingSince = new HashMap<>();
+    private final Deque<RequestRecord> recordsByAge = new ArrayDeque<>();
 
+    /** By request: the workers that have started a non-idempotent one. */
     private final Map<Integer, Set<Integer>> effects = new HashMap<>();
-    private final Set<Integer> stoppedDispatchers = new HashSet<>();
-
-    /**
-     * Since when processes stand still: what they hold cannot be answered, and is no fault of
-     * theirs.
-     */
-    private final Map<Integer, Double> pausedSince = new HashMap<>();
-
-    /** Dispatchers the ways to whose clients are harmed: how long those wait they cannot know. */
-    private final Set<Integer> impairedClients = new HashSet<>();
-
-    private final Set<Integer> splitDispatchers = new HashSet<>();
 
     /**
-     * By dispatcher and worker: how much later what is sent between them may come now, or could
-     * lately.
+     * Creates an auditor of one run.
+     *
+     * @param slack seconds that any event may be late by without fault of a dispatcher
      */
-    private final Map<Long, Double> linkDelays = new HashMap<>();
-
-    private double maxLinkDelay;
-    private final List<Breach> breaches = new ArrayList<>();
-    private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-    private double start;
-
-    /** One event in a submission's life. */
-    private record Event(double time, String text, int worker) {}
-
-    /** One launch as its worker saw it. */
-    private static final class ObservedAttempt {
-        final RequestRecord record;
-        final WorkerModel worker;
-        final double arrivedAt;
-        boolean ended;
-        boolean neverRan;
-
-        ObservedAttempt(RequestRecord of, WorkerModel worker, double arrivedAt) {
-            this.record = of;
-            this.worker = worker;
-            this.arrivedAt = arrivedAt;
-        }
-    }
-
-    /** One submission. */
-    private static final class RequestRecord {
-        final ClientAttempt clientAttempt;
-        final List<ObservedAttempt> attempts = new ArrayList<>(2);
-        final List<Event> events = new ArrayList<>();
-        FinalResponse response;
-        double respondedAt = Double.NaN;
-
-        /** When its client hung up of its own wish, before any answer. */
-        double cancelledAt = Double.NaN;
-
-        boolean abandoned;
-        boolean excused;
-
-        /**
-         * It came by a way that was harmed: when its time began, nobody could tell its dispatcher.
-         */
-        boolean startUnknown;
-
-        /**
-         * Its process was stopped in the moment of its taking: what that turn had begun goes on
-         * with it.
-         */
-        boolean pausedMidTurn;
-
-        boolean succeeded;
-
-        RequestRecord(ClientAttempt clientAttempt) {
-            this.clientAttempt = clientAttempt;
-        }
-
-        void addEvent(double at, String what, int worker) {
-            events.add(new Event(at, what, worker));
-        }
-    }
-
     public Auditor(Scenario scenario, Timeline timeline, double slack) {
-        this.scenario = scenario;
         this.timeline = timeline;
         this.slack = slack;
-        start = timeline.now();
+        conditions = new DispatcherConditions(timeline);
+        breaches = new BreachLog(timeline.now());
+        attemptRules = new AttemptRules(scenario, timeline, conditions, breaches);
     }
 
     /** One label for each constant, by its ordinal. */
@@ -164,437 +84,297 @@
                 .toArray(String[]::new);
     }
 
-    /** Histories count from here. */
+    /** Histories show times from now on. */
     public void start() {
-        start = timeline.now();
+        breaches.startAt(timeline.now());
     }
 
-    // ---- from the clients
+    // ---- events at clients
 
+    /** A client has sent an attempt. */
     public void onSent(ClientAttempt clientAttempt) {
+        int dispatcher = clientAttempt.dispatcher();
         RequestRecord record = new RequestRecord(clientAttempt);
-        record.addEvent(timeline.now(), "sent to dispatcher", clientAttempt.dispatcher());
-        record.startUnknown = impairedClients.contains(clientAttempt.dispatcher());
-        record.excused =
-                record.startUnknown
-                        || pausedSince.containsKey(clientAttempt.dispatcher())
-                        || splitDispatchers.contains(clientAttempt.dispatcher());
-        Double stopped = pausedSince.get(clientAttempt.dispatcher());
-        record.pausedMidTurn = stopped != null && timeline.now() - stopped < TURN_DURATION;
+        record.addEvent(timeline.now(), "sent to dispatcher", dispatcher);
+        record.startUnknown = conditions.areClientsImpaired(dispatcher);
+        record.excused = conditions.excusesRequests(dispatcher);
+        Double pausedSince = conditions.pausedSince(dispatcher);
+        record.pausedMidTurn = pausedSince != null && timeline.now() - pausedSince < TURN_DURATION;
         records.put(clientAttempt.key(), record);
-        aging.addLast(record);
+        recordsByAge.addLast(record);
         removeExpired();
     }
 
+    /** A client has received a final response. */
     public void onResponse(ClientAttempt clientAttempt, FinalResponse response) {
         RequestRecord record = records.get(clientAttempt.key());
         if (record == null) {
-            breach(Rule.ONE_ANSWER, "an answer to a submission long over", null);
+            breaches.add(Rule.ONE_ANSWER, "an answer to a submission long over", null);
             return;
         }
         double now = timeline.now();
-        record.addEvent(now, RESPONSE_LABELS[response.ordinal()], -1);
+        record.addEvent(now, RESPONSE_LABELS[response.ordinal()]);
         if (record.response != null) {
-            breach(Rule.ONE_ANSWER, "a second final answer", record);
+            breaches.add(Rule.ONE_ANSWER, "a second final answer", record);
             return;
         }
         record.response = response;
         record.respondedAt = now;
-        if (!record.excused && now > clientAttempt.sentAt() + clientAttempt.timeout() + slack) {
-            breach(Rule.ONE_ANSWER, "an answer after the outer limit", record);
+        if (!record.excused && now > record.deadline() + slack) {
+            breaches.add(Rule.ONE_ANSWER, "an answer after the outer limit", record);
         }
         if (response == FinalResponse.SUCCEEDED && !record.succeeded) {
-            breach(Rule.ONE_ANSWER, "fulfilled with what no worker made for it", record);
+            breaches.add(Rule.ONE_ANSWER, "fulfilled with what no worker made for it", record);
         }
-        if (response == FinalResponse.REJECTED && !mayReject(record)) {
-            breach(Rule.NO_EFFECT_TWICE, "bounced, though it may have run", record);
+        if (response == FinalResponse.REJECTED && !AttemptRules.mayReject(record)) {
+            breaches.add(Rule.NO_EFFECT_TWICE, "bounced, though it may have run", record);
         }
     }
 
     /**
-     * The client stopped waiting: its own wish is no fault of the dispatcher, its time being up is.
+     * A client waits no longer.
+     *
+     * @param ownWish whether it cancelled; else its timeout was reached, for which the dispatcher
+     *     is to blame
      */
     public void onGaveUp(ClientAttempt clientAttempt, boolean ownWish) {
         RequestRecord record = records.get(clientAttempt.key());
         if (record == null) {
             return;
         }
-        record.addEvent(timeline.now(), ownWish ? "client hung up" : "client's time is up", -1);
+        record.addEvent(timeline.now(), ownWish ? "client hung up" : "client's time is up");
         record.abandoned = true;
         if (ownWish && record.response == null) {
             record.cancelledAt = timeline.now();
         }
         if (!ownWish && !record.excused && record.response == null) {
-            breach(Rule.ONE_ANSWER, "no answer before the outer limit", record);
+            breaches.add(Rule.ONE_ANSWER, "no answer before the outer limit", record);
         }
     }
 
-    /** Its connection ended without an answer: allowed only to a dispatcher that died. */
+    /** A client's connection ended without a response, as only a killed dispatcher may do it. */
     public void onConnectionLost(ClientAttempt clientAttempt) {
         RequestRecord record = records.get(clientAttempt.key());
         if (record == null) {
             return;
         }
-        record.addEvent(timeline.now(), "connection lost", -1);
+        record.addEvent(timeline.now(), "connection lost");
         record.abandoned = true;
-        if (!record.excused && !stoppedDispatchers.contains(clientAttempt.dispatcher())) {
-            breach(Rule.ONE_ANSWER, "the connection ended without an answer", record);
+        if (!record.excused && !conditions.isStopped(clientAttempt.dispatcher())) {
+            breaches.add(Rule.ONE_ANSWER, "the connection ended without an answer", record);
         }
     }
 
-    /** Its connection never came up: no dispatcher has taken it, so none owes an answer. */
+    /** A client's connection was refused, so no dispatcher owes a response. */
     public void onRefused(ClientAttempt clientAttempt) {
         RequestRecord record = records.get(clientAttempt.key());
         if (record != null) {
-            record.addEvent(timeline.now(), "connection refused", -1);
+            record.addEvent(timeline.now(), "connection refused");
             record.abandoned = true;
         }
     }
 
-    /** It ended, and nobody had told it to. */
+    // ---- events at dispatchers
+
+    /** A dispatcher's process ended of its own accord. */
     public void onCrash(int dispatcher, String lastWords) {
-        breach(Rule.STAYS_UP, "dispatcher " + dispatcher + " ended unasked; " + lastWords, null);
+        String description = "dispatcher " + dispatcher + " ended unasked; " + lastWords;
+        breaches.add(Rule.STAYS_UP, description, null);
     }
 
-    /** What it held is lost with it, and no fault of the rules; what it launched still counts. */
+    /** A dispatcher was killed or has ended: its requests are lost, its attempts still count. */
     public void onDispatcherStopped(int dispatcher) {
-        stoppedDispatchers.add(dispatcher);
-        pausedSince.remove(dispatcher);
-        excuse(dispatcher);
-        drainingSince.keySet().removeIf(key -> key >> Integer.SIZE == dispatcher);
+        conditions.onStopped(dispatcher);
+        excusePending(dispatcher);
     }
 
     /**
-     * One of its two processes is being killed, until it is gone, or both stand still: what that
-     * one holds, or is handed meanwhile, is lost, and which it holds nobody can tell.
+     * One of a dispatcher's two processes is being killed, or both are paused. Requests of that
+     * process may be lost until this ends, and which these are cannot be told from outside.
      */
-    public void setDispatcherSplit(int dispatcher, boolean begins) {
-        if (begins) {
-            splitDispatchers.add(dispatcher);
-            excuse(dispatcher);
-        } else {
-            splitDispatchers.remove(dispatcher);
+    public void setDispatcherSplit(int dispatcher, boolean isSplit) {
+        conditions.setSplit(dispatcher, isSplit);
+        if (isSplit) {
+            excusePending(dispatcher);
         }
     }
 
+    /** A dispatcher's process has started. */
     public void onDispatcherStarted(int dispatcher) {
-        stoppedDispatchers.remove(dispatcher);
+        conditions.onStarted(dispatcher);
     }
 
-    private void excuse(int dispatcher) {
-        for (RequestRecord record : records.values()) {
-            if (record.clientAttempt.dispatcher() == dispatcher && record.response == null) {
-                record.excused = true;
-            }
+    /** Messages to or from a dispatcher's clients may be late or lost; attempts still count. */
+    public void setClientsImpaired(int dispatcher, boolean isImpaired) {
+        conditions.setClientsImpaired(dispatcher, isImpaired);
+        if (isImpaired) {
+            excusePending(dispatcher);
+            forEachRecord(
+                    record -> record.dispatcher() == dispatcher && record.response == null,
+                    record -> record.startUnknown = true);
         }
     }
 
-    /**
-     * What is sent on this way comes so much later at most from here on; that alone is no late
-     * launch.
-     */
-    public void setLinkDelay(int dispatcher, int worker, double by) {
-        long key = linkKey(dispatcher, worker);
-        maxLinkDelay = Math.max(maxLinkDelay, by);
-        double before = linkDelays.getOrDefault(key, 0.0);
-        if (by >= before) {
-            linkDelays.put(key, by);
-        } else {
-            // What is on it still comes as late as that.
-            timeline.schedule(before, () -> linkDelays.replace(key, before, by));
-        }
+    /** Pending requests may stay without a response; attempts still count, also later. */
+    public void onDispatcherPaused(int dispatcher) {
+        double now = timeline.now();
+        conditions.onPaused(dispatcher);
+        excusePending(dispatcher);
+        forEachRecord(
+                record ->
+                        record.dispatcher() == dispatcher
+                                && now - record.clientAttempt.sentAt() < TURN_DURATION,
+                record -> record.pausedMidTurn = true);
     }
 
-    private static long linkKey(int dispatcher, int worker) {
-        return (long) dispatcher << Integer.SIZE | worker;
+    /** A pause is over. */
+    public void onDispatcherResumed(int dispatcher) {
+        conditions.onResumed(dispatcher);
     }
 
-    /** Null for one that is not remembered. */
-    public ClientAttempt clientAttempt(long key) {
-        RequestRecord record = records.get(key);
-        return record == null ? null : record.clientAttempt;
+    /** Messages from a dispatcher to a worker are late by at most this from now on. */
+    public void setLinkDelay(int dispatcher, int worker, double delay) {
+        conditions.setLinkDelay(dispatcher, worker, delay);
     }
 
-    /**
-     * What is on its way to or from clients may come late or never: what was launched still counts.
-     */
-    public void setClientsImpaired(int dispatcher, boolean harmed) {
-        if (harmed) {
-            impairedClients.add(dispatcher);
-            excuse(dispatcher);
-            records.values().stream()
-                    .filter(r -> r.clientAttempt.dispatcher() == dispatcher && r.response == null)
-                    .forEach(r -> r.startUnknown = true);
-        } else {
-            impairedClients.remove(dispatcher);
-        }
-    }
-
-    /**
-     * What it holds may go without an answer from here; whatever it launches still counts, also
-     * later.
-     */
-    public void onDispatcherPaused(int dispatcher) {
-        double now = timeline.now();
-        pausedSince.put(dispatcher, now);
-        excuse(dispatcher);
-        records.values().stream()
-                .filter(
-                        r ->
-                                r.clientAttempt.dispatcher() == dispatcher
-                                        && now - r.clientAttempt.sentAt() < TURN_DURATION)
-                .forEach(r -> r.pausedMidTurn = true);
+    /** A dispatcher has received a worker's state from discovery. */
+    public void onNotified(int dispatcher, int worker, EndpointRegistry.State state) {
+        conditions.onNotified(dispatcher, worker, state);
     }
 
-    /** What it was told while it stood still it can have heard only now. */
-    public void onDispatcherResumed(int dispatcher) {
-        Double since = pausedSince.remove(dispatcher);
-        if (since != null) {
-            double now = timeline.now();
-            drainingSince.replaceAll(
-                    (key, at) -> key >> Integer.SIZE == dispatcher && at >= since ? now : at);
-        }
+    private void excusePending(int dispatcher) {
+        forEachRecord(
+                record -> record.dispatcher() == dispatcher && record.response == null,
+                record -> record.excused = true);
     }
 
-    // ---- from the list
-
-    public void onNotified(int dispatcher, int worker, EndpointRegistry.State state) {
-        long key = linkKey(dispatcher, worker);
-        if (state == EndpointRegistry.State.READY) {
-            drainingSince.remove(key);
-        } else {
-            drainingSince.putIfAbsent(key, timeline.now());
-        }
+    private void forEachRecord(Predicate<RequestRecord> condition, Consumer<RequestRecord> task) {
+        records.values().stream().filter(condition).forEach(task);
     }
 
-    // ---- from the workers
+    // ---- events at workers
 
     @Override
     public void onArrived(WorkerAttempt attempt, WorkerModel worker) {
         RequestRecord record = records.get(attempt.requestId);
         double now = timeline.now();
         if (record == null) {
-            breach(Rule.ONE_ANSWER, "a launch of a submission long over, at " + worker.name, null);
+            String description = "a launch of a submission long over, at " + worker.name;
+            breaches.add(Rule.ONE_ANSWER, description, null);
             return;
         }
         record.addEvent(now, "launch at", worker.number);
-        ObservedAttempt seen = new ObservedAttempt(record, worker, now);
-        long way = linkKey(record.clientAttempt.dispatcher(), worker.number);
-        double slack = this.slack + linkDelays.getOrDefault(way, 0.0);
-        if (now > record.respondedAt + slack) {
-            breach(Rule.ONE_ANSWER, "a launch after the final answer", record);
-        }
-        boolean timed = !record.startUnknown && !record.pausedMidTurn;
-        if (timed && now > record.clientAttempt.sentAt() + record.clientAttempt.timeout() + slack) {
-            breach(Rule.ONE_ANSWER, "a launch after the outer limit", record);
-        }
-        if (timed && now > record.cancelledAt + CANCELLATION_DELAY + slack) {
-            breach(
-                    Rule.ONE_ANSWER,
-                    "a launch " + seconds(now - record.cancelledAt) + " s after its client left",
-                    record);
-        }
-        Double told = drainingSince.get(way);
-        if (told != null && now > told + scenario.terms().grace() + slack) {
-            breach(
-                    Rule.NO_LATE_LAUNCH,
-                    "a launch "
-                            + seconds(now - told)
-                            + " s after "
-                            + worker.name
-                            + " was told draining or gone",
-                    record);
-        }
-        for (ObservedAttempt earlier : record.attempts) {
-            checkRetry(record, earlier, seen, slack);
-        }
-        record.attempts.add(seen);
-        attempt.attachment(seen);
-    }
-
-    /** Whether an earlier launch allows this one. */
-    private void checkRetry(
-            RequestRecord record, ObservedAttempt earlier, ObservedAttempt seen, double slack) {
-        Scenario.RequestClass requestClass = record.clientAttempt.request().requestClass();
-        if (!scenario.terms().mayHedge() && !earlier.ended) {
-            // The end of the earlier connection may be seen a moment later than the new launch.
-            timeline.schedule(
-                    slack,
-                    () -> {
-                        if (!earlier.ended) {
-                            breach(
-                                    Rule.NO_EFFECT_TWICE,
-                                    "a second copy while the first is out",
-                                    record);
-                        }
-                    });
-        }
-        if (earlier.neverRan || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
-            return;
-        }
-        if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            breach(Rule.NO_EFFECT_TWICE, "launched again, though it may have run", record);
-        } else if (!isSameScope(requestClass.idempotencyScope(), earlier.worker, seen.worker)) {
-            breach(Rule.NO_EFFECT_TWICE, "a repeat outside its group", record);
-        } else if (seen.arrivedAt > earlier.arrivedAt + requestClass.idempotencyWindow() + slack) {
-            breach(Rule.NO_EFFECT_TWICE, "a repeat after its window", record);
-        }
-    }
-
-    /** A group of the scenario is a cell. */
-    private static boolean isSameScope(IdempotencyScope group, WorkerModel one, WorkerModel other) {
-        return switch (group) {
-            case ALL -> true;
-            case ZONE -> one.group.zone().equals(other.group.zone());
-            case CELL -> one.group.name().equals(other.group.name());
-        };
-    }
-
-    private static boolean mayReject(RequestRecord record) {
-        Scenario.RequestClass requestClass = record.clientAttempt.request().requestClass();
-        if (requestClass.idempotency() == Idempotency.IDEMPOTENT
-                || (requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                        && requestClass.idempotencyScope() == IdempotencyScope.ALL)) {
-            return true;
-        }
-        return record.attempts.stream().allMatch(launch -> launch.neverRan);
+        ObservedAttempt observed = new ObservedAttempt(record, worker, now);
+        double linkDelay = conditions.linkDelay(record.dispatcher(), worker.number);
+        attemptRules.checkArrival(observed, slack + linkDelay);
+        record.attempts.add(observed);
+        attempt.attachment(observed);
     }
 
     @Override
     public void onStarted(WorkerAttempt attempt, WorkerModel worker) {
-        ObservedAttempt seen = (ObservedAttempt) attempt.attachment();
-        if (seen == null) {
+        ObservedAttempt observed = (ObservedAttempt) attempt.attachment();
+        if (observed == null) {
             return;
         }
-        seen.record.addEvent(timeline.now(), "began at", worker.number);
-        // Also over several submissions of one ask: a bounce promises that a retry does no harm.
-        Scenario.RequestClass requestClass = seen.record.clientAttempt.request().requestClass();
-        if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            Set<Integer> places =
-                    effects.computeIfAbsent(
-                            seen.record.clientAttempt.request().number(), n -> new HashSet<>());
-            if (!places.isEmpty()) {
-                breach(Rule.NO_EFFECT_TWICE, "its effect happened twice", seen.record);
+        RequestRecord record = observed.record;
+        record.addEvent(timeline.now(), "began at", worker.number);
+        // Over all attempts of a client: a rejection promises that a retry is safe.
+        if (record.requestClass().idempotency() == Idempotency.NON_IDEMPOTENT) {
+            int request = record.clientAttempt.request().number();
+            Set<Integer> workers = effects.computeIfAbsent(request, key -> new HashSet<>());
+            if (!workers.isEmpty()) {
+                breaches.add(Rule.NO_EFFECT_TWICE, "its effect happened twice", record);
             }
-            places.add(worker.number);
+            workers.add(worker.number);
         }
     }
 
     @Override
     public void onEnded(
-            WorkerAttempt attempt, WorkerModel worker, AttemptEnding ending, boolean told) {
-        ObservedAttempt seen = (ObservedAttempt) attempt.attachment();
-        if (seen == null) {
+            WorkerAttempt attempt, WorkerModel worker, AttemptEnding ending, boolean delivered) {
+        ObservedAttempt observed = (ObservedAttempt) attempt.attachment();
+        if (observed == null) {
             return;
         }
-        seen.record.addEvent(
-                timeline.now(),
-                (told ? ENDING_LABELS : UNDELIVERED_ENDING_LABELS)[ending.ordinal()],
-                worker.number);
+        String[] labels = delivered ? ENDING_LABELS : UNDELIVERED_ENDING_LABELS;
+        observed.record.addEvent(timeline.now(), labels[ending.ordinal()], worker.number);
         if (ending == AttemptEnding.SUCCEEDED) {
-            seen.record.succeeded = true;
+            observed.record.succeeded = true;
         }
-        if (told) {
-            seen.ended = true;
-            seen.neverRan = ending.provesNeverRan();
+        if (delivered) {
+            observed.ended = true;
+            observed.neverRan = ending.provesNeverRan();
         }
     }
 
-    /** The dispatcher closed the launch's connection. */
+    /** A dispatcher has closed an attempt's connection. */
     public void onClosed(WorkerAttempt attempt) {
-        ObservedAttempt seen = (ObservedAttempt) attempt.attachment();
-        if (seen != null && !seen.ended) {
-            seen.ended = true;
-            seen.record.addEvent(timeline.now(), "connection closed at", seen.worker.number);
+        ObservedAttempt observed = (ObservedAttempt) attempt.attachment();
+        if (observed != null && !observed.ended) {
+            observed.ended = true;
+            observed.record.addEvent(
+                    timeline.now(), "connection closed at", observed.worker.number);
         }
     }
 
     @Override
     public void onCollapsed(WorkerModel worker) {
-        breach(Rule.COLD_WORKER, worker.name + " fell over while cold", null);
+        breaches.add(Rule.COLD_WORKER, worker.name + " fell over while cold", null);
     }
 
-    // ---- the sum
+    // ---- results
 
     private void removeExpired() {
         double now = timeline.now();
-        while (!aging.isEmpty()) {
-            RequestRecord oldest = aging.peekFirst();
+        while (!recordsByAge.isEmpty()) {
+            RequestRecord oldest = recordsByAge.peekFirst();
             ClientAttempt clientAttempt = oldest.clientAttempt;
-            // One whose time its dispatcher could not know may go on for as long again.
-            double outer =
-                    clientAttempt.request().requestClass().deadline()
-                            * (oldest.startUnknown ? 2 : 1);
-            if (now < clientAttempt.sentAt() + outer + RETENTION + slack + maxLinkDelay) {
+            // A dispatcher that cannot know when the time began may count it twice.
+            double deadline = oldest.requestClass().deadline() * (oldest.startUnknown ? 2 : 1);
+            double expiry = clientAttempt.sentAt() + deadline + RETENTION + slack;
+            if (now < expiry + conditions.maxLinkDelay()) {
                 return;
             }
-            aging.pollFirst();
+            recordsByAge.pollFirst();
             records.remove(clientAttempt.key());
             effects.remove(clientAttempt.request().number());
         }
     }
 
-    /** At the end of the run: what is still unanswered, though its time is up. */
+    /** At the end of the run: finds requests without a response whose deadline has passed. */
     public void finish() {
-        for (RequestRecord record : aging) {
-            ClientAttempt clientAttempt = record.clientAttempt;
-            boolean due = timeline.now() > clientAttempt.sentAt() + clientAttempt.timeout() + slack;
-            if (record.response == null && !record.abandoned && !record.excused && due) {
-                breach(Rule.ONE_ANSWER, "no answer at all", record);
+        for (RequestRecord record : recordsByAge) {
+            boolean isDue = timeline.now() > record.deadline() + slack;
+            if (record.response == null && !record.abandoned && !record.excused && isDue) {
+                breaches.add(Rule.ONE_ANSWER, "no answer at all", record);
             }
         }
     }
 
-    private void breach(Rule rule, String what, RequestRecord record) {
-        counts.merge(rule, 1, Integer::sum);
-        if (breaches.size() < MAX_DETAILED_BREACHES) {
-            breaches.add(new Breach(rule, what, record == null ? List.of() : history(record)));
-        }
-    }
-
-    private List<String> history(RequestRecord record) {
-        List<String> lines = new ArrayList<>();
-        ClientAttempt s = record.clientAttempt;
-        lines.add(
-                "ask "
-                        + s.request().number()
-                        + ", try "
-                        + s.number()
-                        + ", "
-                        + s.request().requestClass().name()
-                        + " ("
-                        + TomlFields.configuredName(s.request().requestClass().idempotency())
-                        + "), waits "
-                        + seconds(s.timeout())
-                        + " s");
-        for (Event event : record.events) {
-            lines.add(
-                    seconds(event.time() - start)
-                            + " s  "
-                            + event.text()
-                            + (event.worker() < 0 ? "" : " " + event.worker()));
-        }
-        return lines;
+    /** The first breaches, in order; not all are kept. */
+    public List<Breach> breaches() {
+        return breaches.breaches();
     }
 
-    private static String seconds(double time) {
-        return String.format(Locale.ROOT, "%.3f", time);
+    /** The number of breaches of a rule. */
+    public int count(Rule rule) {
+        return breaches.count(rule);
     }
 
-    public List<Breach> breaches() {
-        return List.copyOf(breaches);
+    /** The number of breaches of all rules. */
+    public int total() {
+        return breaches.total();
     }
 
-    public int count(Rule rule) {
-        return counts.getOrDefault(rule, 0);
+    /** A client's attempt by its key; null for one whose record is not kept any more. */
+    public ClientAttempt clientAttempt(long key) {
+        RequestRecord record = records.get(key);
+        return record == null ? null : record.clientAttempt;
     }
 
-    /** Submissions whose records are kept. */
+    /** The number of records that are kept. */
     int recordCount() {
         return records.size();
     }
-
-    public int total() {
-        return counts.values().stream().mapToInt(Integer::intValue).sum();
-    }
 }
--- a/kit/src/main/java/wheelroute/kit/audit/CounterHistory.java
+++ b/kit/src/main/java/wheelroute/kit/audit/CounterHistory.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** A number as it was over the last few seconds. */
+/** A counter and its values over the last few seconds. */
 final class CounterHistory {
     private static final double RETENTION = 5;
 
@@ -11,8 +11,8 @@
     private final ArrayDeque<Point> points = new ArrayDeque<>();
     private long value;
 
-    void add(double now, long by) {
-        value += by;
+    void add(double now, long change) {
+        value += change;
         points.addLast(new Point(now, value));
         while (points.size() > 1 && points.peekFirst().time < now - RETENTION) {
             points.pollFirst();
@@ -23,39 +23,42 @@
         return value;
     }
 
+    /** The value at this time; 0 for a time before the oldest value that is kept. */
     long valueAt(double time) {
-        long was = points.isEmpty() || points.peekFirst().time > time ? firstValue() : value;
+        long last = points.isEmpty() || points.peekFirst().time > time ? firstValue() : value;
         for (Point point : points) {
             if (point.time > time) {
                 break;
             }
-            was = point.value;
+            last = point.value;
         }
-        return was;
+        return last;
     }
 
-    /** What it was before all that is still known. */
+    /** The value before the first one that is kept. */
     private long firstValue() {
         return points.isEmpty() ? value : 0;
     }
 
+    /** The minimum value within a period. */
     long min(double from, double to) {
-        long least = valueAt(from);
+        long min = valueAt(from);
         for (Point point : points) {
             if (point.time > from && point.time <= to) {
-                least = Math.min(least, point.value);
+                min = Math.min(min, point.value);
             }
         }
-        return least;
+        return min;
     }
 
+    /** The maximum value within a period. */
     long max(double from, double to) {
-        long most = valueAt(from);
+        long max = valueAt(from);
         for (Point point : points) {
             if (point.time > from && point.time <= to) {
-                most = Math.max(most, point.value);
+                max = Math.max(max, point.value);
             }
         }
-        return most;
+        return max;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/audit/MetricsAuditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/MetricsAuditor.java
@@ -10,62 +10,64 @@
 import wheelroute.kit.model.Timeline;
 
 /**
- * Holds the figures of the operators' doors against what clients and workers saw. Processes count
- * from 0, also those that take another's place: what the two of one dispatcher tell together is
- * compared.
+ * Compares the metrics that dispatchers report on their admin servers with what clients and workers
+ * observe.
+ *
+ * <p>Counts start at 0 in each process, also in one that replaces another: while a dispatcher has
+ * two processes, the sum of their metrics is compared.
  */
 public final class MetricsAuditor {
-    /** What is told may be so old, or as much ahead of what a client has heard. */
+    /** Metrics may be older, or newer, than the clients' observations by this many seconds. */
     private static final double TOLERATED_DELAY = 0.5;
 
-    /** So much of a count may be off, or a few. */
+    /** The fraction by which a count may be off, or {@link #MIN_TOLERANCE}. */
     private static final double COUNT_TOLERANCE = 0.01;
 
     private static final double ATTEMPT_TOLERANCE = 0.02;
     private static final double PENDING_TOLERANCE = 0.1;
     private static final long MIN_TOLERANCE = 3;
 
-    /** More than any count: what cannot be told from outside. */
+    /** More than any count: the bound of what cannot be observed. */
     private static final long UNBOUNDED = 1L << 60;
 
-    /** For so long after it nothing is compared: what was held back comes all at once. */
+    /** Nothing is compared for so long after a fault: delayed messages arrive all at once. */
     private static final double SETTLE_TIME = 2.5;
 
-    /** Untrue figures told in full; more are counted. */
+    /** Mismatches kept in full; more are counted. */
     private static final int MAX_DETAILED_MISMATCHES = 10;
 
     private static final String ATTEMPTS = "upstream_requests";
     private static final String PENDING = "pending";
 
-    /** One count of one dispatcher. */
+    /** A count of a dispatcher. */
     private static final class Count {
         final CounterHistory observed = new CounterHistory();
 
-        /** Of those seen, how many a process that is no more has counted: at least, and at most. */
+        /** Bounds of how many of those observed were counted by a process that has ended. */
         long minBefore;
 
         long maxBefore;
     }
 
-    /** One process's own numbers. */
+    /** The metrics that a process reported last. */
     private static final class ReportedMetrics {
         final Map<String, Long> counts = new HashMap<>();
         boolean received;
     }
 
-    /** One dispatcher. */
+    /** What is known of a dispatcher. */
     private static final class DispatcherMetrics {
         final Map<String, Count> counts = new LinkedHashMap<>();
         final CounterHistory pending = new CounterHistory();
 
-        /** Ended with nobody listening: they may stand under any count, or none. */
+        /** Requests whose response nobody received: any response's count may include them. */
         final CounterHistory unattributed = new CounterHistory();
 
         final Map<Object, ReportedMetrics> processes = new LinkedHashMap<>();
         double suspendedUntil = Double.NEGATIVE_INFINITY;
         boolean suspended;
 
-        /** Launches that were written went nowhere, in the life of a process that still runs. */
+        /** Attempts that a running process has sent may have been lost on a link. */
         boolean attemptsLost;
     }
 
@@ -78,21 +80,26 @@
     private long callCount;
     private long lateCallCount;
 
-    /** Piecewise: submissions may be on their way for long before they are taken. */
-    public MetricsAuditor(Timeline timeline, boolean piecewise) {
+    /**
+     * Creates an auditor of all dispatchers' metrics.
+     *
+     * @param writesInPieces whether requests may arrive slowly, so that fewer are pending at the
+     *     dispatcher than were sent
+     */
+    public MetricsAuditor(Timeline timeline, boolean writesInPieces) {
         this.timeline = timeline;
-        this.writesInPieces = piecewise;
+        this.writesInPieces = writesInPieces;
     }
 
     private DispatcherMetrics metricsOf(int dispatcher) {
-        return dispatchers.computeIfAbsent(dispatcher, d -> new DispatcherMetrics());
+        return dispatchers.computeIfAbsent(dispatcher, key -> new DispatcherMetrics());
     }
 
     private static Count count(DispatcherMetrics metrics, String name) {
-        return metrics.counts.computeIfAbsent(name, n -> new Count());
+        return metrics.counts.computeIfAbsent(name, key -> new Count());
     }
 
-    /** As the figures name it. */
+    /** The name of the metric that counts this response. */
     public static String metricName(FinalResponse response, String requestClass) {
         return switch (response) {
                     case SUCCEEDED -> "completed.";
@@ -102,12 +109,14 @@
                 + requestClass;
     }
 
-    // ---- what was seen
+    // ---- observations
 
+    /** A client has sent a request. */
     public void onSent(int dispatcher) {
         metricsOf(dispatcher).pending.add(timeline.now(), 1);
     }
 
+    /** A client has received a final response. */
     public void onResponse(int dispatcher, String requestClass, FinalResponse response) {
         metricsOf(dispatcher).pending.add(timeline.now(), -1);
         count(metricsOf(dispatcher), metricName(response, requestClass))
@@ -115,18 +124,20 @@
                 .add(timeline.now(), 1);
     }
 
-    /** The client hears no answer, whatever there was: it left, or its connection broke. */
+    /** A client will receive no response: it has cancelled, or its connection was lost. */
     public void onResponseLost(int dispatcher) {
         metricsOf(dispatcher).pending.add(timeline.now(), -1);
         metricsOf(dispatcher).unattributed.add(timeline.now(), 1);
     }
 
+    /** A worker has received an attempt. */
     public void onAttempt(int dispatcher) {
         count(metricsOf(dispatcher), ATTEMPTS).observed.add(timeline.now(), 1);
     }
 
-    // ---- its processes
+    // ---- processes
 
+    /** A process of the dispatcher has started; processes are told apart by identity. */
     public void onProcessStarted(int dispatcher, Object process) {
         DispatcherMetrics metrics = metricsOf(dispatcher);
         if (metrics.processes.isEmpty()) {
@@ -143,8 +154,8 @@
     }
 
     /**
-     * What it had counted when it ended lies between what it last told and what has been seen
-     * since.
+     * A process of the dispatcher has ended. Its final counts are at least those that it reported
+     * last, and at most higher by what has been observed since.
      */
     public void onProcessEnded(int dispatcher, Object process) {
         DispatcherMetrics metrics = metricsOf(dispatcher);
@@ -167,18 +178,18 @@
         suspendChecks(dispatcher);
     }
 
-    /** Its ways, or the process itself, were not as usual just now. */
+    /** A fault has just affected the dispatcher: nothing is compared for a while. */
     public void suspendChecks(int dispatcher) {
         metricsOf(dispatcher).suspendedUntil = timeline.now() + SETTLE_TIME;
     }
 
-    /** The same for as long as it is not taken back. */
+    /** A fault that affects the dispatcher begins or ends. */
     public void suspendChecks(int dispatcher, boolean begins) {
         metricsOf(dispatcher).suspended = begins;
         suspendChecks(dispatcher);
     }
 
-    /** What was written on a harmed way may never arrive: more may be told than is seen. */
+    /** Attempts may be lost on a link: the dispatcher may count more than workers observe. */
     public void onAttemptsLost(int dispatcher) {
         metricsOf(dispatcher).attemptsLost = true;
     }
@@ -187,9 +198,9 @@
         return metrics.suspended || timeline.now() < metrics.suspendedUntil;
     }
 
-    // ---- what its doors tell
+    // ---- reported metrics
 
-    /** No answer in time. */
+    /** A call to a process's admin server timed out. */
     public void onCallTimeout(int dispatcher) {
         if (!isSuspended(metricsOf(dispatcher))) {
             callCount++;
@@ -197,8 +208,8 @@
         }
     }
 
-    /** The figures as they came, by name. */
-    public void onMetrics(int dispatcher, Object process, Map<String, Long> figures) {
+    /** A process has reported its metrics. */
+    public void onMetrics(int dispatcher, Object process, Map<String, Long> values) {
         DispatcherMetrics metrics = metricsOf(dispatcher);
         ReportedMetrics reported = metrics.processes.get(process);
         if (reported == null) {
@@ -206,25 +217,27 @@
         }
         callCount++;
         reported.counts.clear();
-        reported.counts.putAll(figures);
+        reported.counts.putAll(values);
         reported.received = true;
         if (isSuspended(metrics)
-                || !metrics.processes.values().stream().allMatch(t -> t.received)) {
+                || !metrics.processes.values().stream().allMatch(each -> each.received)) {
             return;
         }
-        // Each of two was asked at a moment of its own, so what they tell is that much less sharp.
+        // Two processes were called at different times, which widens the window.
         double window = metrics.processes.size() > 1 ? 2 * TOLERATED_DELAY : TOLERATED_DELAY;
         Map<String, Long> sums = new HashMap<>();
         metrics.processes
                 .values()
                 .forEach(
-                        t -> t.counts.forEach((name, value) -> sums.merge(name, value, Long::sum)));
-        double at = timeline.now();
+                        each ->
+                                each.counts.forEach(
+                                        (name, value) -> sums.merge(name, value, Long::sum)));
+        double time = timeline.now();
         timeline.schedule(
                 TOLERATED_DELAY,
                 () -> {
                     if (!isSuspended(metrics)) {
-                        compare(dispatcher, metrics, sums, at, window);
+                        compare(dispatcher, metrics, sums, time, window);
                     }
                 });
     }
@@ -233,28 +246,28 @@
             int dispatcher,
             DispatcherMetrics metrics,
             Map<String, Long> sums,
-            double at,
+            double time,
             double window) {
-        long loose = metrics.unattributed.current();
+        long unattributed = metrics.unattributed.current();
         metrics.counts.forEach(
                 (name, count) -> {
-                    long least = count.observed.valueAt(at - window) - count.maxBefore;
-                    long most = count.observed.valueAt(at + TOLERATED_DELAY) - count.minBefore;
+                    long min = count.observed.valueAt(time - window) - count.maxBefore;
+                    long max = count.observed.valueAt(time + TOLERATED_DELAY) - count.minBefore;
                     if (name.equals(ATTEMPTS)) {
                         check(
                                 dispatcher,
                                 name,
                                 sums.get(name),
-                                least,
-                                metrics.attemptsLost ? UNBOUNDED : most,
+                                min,
+                                metrics.attemptsLost ? UNBOUNDED : max,
                                 ATTEMPT_TOLERANCE);
                     } else {
                         check(
                                 dispatcher,
                                 name,
                                 sums.get(name),
-                                least,
-                                most + loose,
+                                min,
+                                max + unattributed,
                                 COUNT_TOLERANCE);
                     }
                 });
@@ -264,18 +277,19 @@
                 sums.get(PENDING),
                 writesInPieces
                         ? -UNBOUNDED
-                        : metrics.pending.min(at - window, at + TOLERATED_DELAY),
-                metrics.pending.max(at - window, at + TOLERATED_DELAY),
+                        : metrics.pending.min(time - window, time + TOLERATED_DELAY),
+                metrics.pending.max(time - window, time + TOLERATED_DELAY),
                 PENDING_TOLERANCE);
     }
 
-    private void check(int dispatcher, String name, Long told, long least, long most, double off) {
+    private void check(
+            int dispatcher, String name, Long reported, long min, long max, double tolerance) {
         checkCount++;
         long slack =
                 Math.max(
                         MIN_TOLERANCE,
-                        (long) Math.ceil(off * Math.max(0, Math.min(most, UNBOUNDED / 2))));
-        if (told != null && told >= least - slack && told <= most + slack) {
+                        (long) Math.ceil(tolerance * Math.max(0, Math.min(max, UNBOUNDED / 2))));
+        if (reported != null && reported >= min - slack && reported <= max + slack) {
             return;
         }
         mismatchCount++;
@@ -286,28 +300,30 @@
                             "n%d tells %s %s, seen were %s to %s",
                             dispatcher,
                             name,
-                            told == null ? "nothing" : told,
-                            least == -UNBOUNDED ? "any" : least,
-                            most >= UNBOUNDED ? "any" : most));
+                            reported == null ? "nothing" : reported,
+                            min == -UNBOUNDED ? "any" : min,
+                            max >= UNBOUNDED ? "any" : max));
         }
     }
 
-    // ---- the sum
+    // ---- results
 
-    /** The part of the figures compared that were not true, or missing. */
+    /** The fraction of compared metrics that did not match or were missing. */
     public double mismatchFraction() {
         return checkCount == 0 ? 0 : (double) mismatchCount / checkCount;
     }
 
-    /** The part of the calls that had no answer within their time. */
+    /** The fraction of calls that timed out. */
     public double lateCallFraction() {
         return callCount == 0 ? 0 : (double) lateCallCount / callCount;
     }
 
+    /** The number of metrics compared. */
     public long checkCount() {
         return checkCount;
     }
 
+    /** Descriptions of the first mismatches. */
     public List<String> mismatches() {
         return List.copyOf(mismatches);
     }
--- a/kit/src/main/java/wheelroute/kit/audit/Rule.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Rule.java
@@ -1,6 +1,9 @@
 package wheelroute.kit.audit;
 
-/** The four rules, and that the program stays up. */
+/**
+ * The rules that a run must keep: the operators' four, and that no process crashes. The constants'
+ * names in lower case are keys of reports.
+ */
 public enum Rule {
     ONE_ANSWER("exactly one final answer, in time, and nothing after it"),
     NO_EFFECT_TWICE("no effect twice"),
