--- a/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
@@ -106,13 +106,14 @@
         Variant variant = item.variant();
         if (plan.clock() == Plan.Clock.REAL) {
             return ProcessRun.run(
-                    item.scenario(),
-                    item.seed(),
-                    item.seconds(),
-                    variant.settings(),
-                    variant.name(),
-                    variant.jar(),
-                    plan.older(),
+                    new ProcessRun.Options(
+                            item.scenario(),
+                            item.seed(),
+                            item.seconds(),
+                            variant.settings(),
+                            variant.name(),
+                            variant.jar(),
+                            plan.older()),
                     stop,
                     text -> progress.accept(item.text() + ": " + text));
         }
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/process/FleetMonitor.java
@@ -0,0 +1,71 @@
+package wheelroute.kit.process;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.function.Consumer;
+import wheelroute.kit.model.SeededRandom;
+
+/** Follows the dispatchers' processes: connects clients to them and informs the auditors. */
+final class FleetMonitor implements Fleet.Listener {
+    private final RunEnvironment environment;
+    private final ScenarioBehavior behavior;
+    private final Consumer<String> onFailure;
+
+    FleetMonitor(RunEnvironment environment, SeededRandom random, Consumer<String> onFailure) {
+        this.environment = environment;
+        this.onFailure = onFailure;
+        behavior = new ScenarioBehavior(environment.scenario.clients(), random);
+    }
+
+    @Override
+    public void onReady(int dispatcher, InetSocketAddress own) {
+        ClientTransport transport = environment.transport;
+        InetSocketAddress address;
+        try {
+            address = environment.links.toClients(dispatcher, own);
+        } catch (IOException e) {
+            onFailure("no relay for clients: " + e.getMessage());
+            return;
+        }
+        ClientPool pool = new ClientPool(environment.loop, address, environment.clients, behavior);
+        environment.auditor.onDispatcherStarted(dispatcher);
+        transport.open(dispatcher, pool);
+        if (transport.haveAllBeenOpen()) {
+            environment.allReady.complete(null);
+        }
+    }
+
+    @Override
+    public void onStarted(int dispatcher, DaemonProcess process) {
+        environment.metricsAuditor.onProcessStarted(dispatcher, process);
+    }
+
+    @Override
+    public void onEnded(int dispatcher, DaemonProcess process) {
+        environment.metricsAuditor.onProcessEnded(dispatcher, process);
+    }
+
+    @Override
+    public void onSplit(int dispatcher, boolean begins) {
+        // Only the kernel knows which connections belong to the process concerned.
+        environment.auditor.setDispatcherSplit(dispatcher, begins);
+        environment.transport.onConnectionsBroken(dispatcher);
+        environment.metricsAuditor.suspendChecks(dispatcher);
+    }
+
+    @Override
+    public void onStopped(int dispatcher) {
+        environment.transport.stopListening(dispatcher);
+        environment.auditor.onDispatcherStopped(dispatcher);
+    }
+
+    @Override
+    public void onCrash(int dispatcher, String lastWords) {
+        environment.auditor.onCrash(dispatcher, lastWords);
+    }
+
+    @Override
+    public void onFailure(String reason) {
+        onFailure.accept(reason);
+    }
+}
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/process/TimerLag.java
@@ -0,0 +1,43 @@
+package wheelroute.kit.process;
+
+import org.HdrHistogram.Histogram;
+import wheelroute.net.EventLoop;
+
+/** Measures how late an event loop runs its timers; on the loop's thread. */
+final class TimerLag {
+    private static final double INTERVAL = 0.01;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final long MAX_MICROS = 600_000_000;
+
+    private final EventLoop loop;
+    private final Histogram micros = new Histogram(MAX_MICROS, 3);
+
+    TimerLag(EventLoop loop) {
+        this.loop = loop;
+    }
+
+    /** Measures from now on, for as long as the loop runs. */
+    void start() {
+        measureAt(loop.now() + INTERVAL);
+    }
+
+    private void measureAt(double due) {
+        loop.schedule(
+                due - loop.now(),
+                () -> {
+                    double lag = Math.max(0, MICROS_PER_SECOND * (loop.now() - due));
+                    micros.recordValue((long) Math.min(MAX_MICROS, lag));
+                    measureAt(loop.now() + INTERVAL);
+                });
+    }
+
+    /** The 99th percentile in seconds. */
+    double p99() {
+        return micros.getValueAtPercentile(99) / MICROS_PER_SECOND;
+    }
+
+    /** The maximum in seconds. */
+    double max() {
+        return micros.getMaxValue() / MICROS_PER_SECOND;
+    }
+}
--- a/kit/src/test/java/wheelroute/kit/process/JudgedRuns.java
+++ b/kit/src/test/java/wheelroute/kit/process/JudgedRuns.java
@@ -21,13 +21,8 @@
         for (int i = 0; i < TRIES; i++) {
             report =
                     ProcessRun.run(
-                            scenario,
-                            seed,
-                            seconds,
-                            Map.of(),
-                            "as-built",
-                            null,
-                            null,
+                            new ProcessRun.Options(
+                                    scenario, seed, seconds, Map.of(), "as-built", null, null),
                             () -> false,
                             text -> {});
             if (report.whyNotJudged() == null) {
--- a/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
@@ -109,13 +109,14 @@
                         RehearsalException.class,
                         () ->
                                 ProcessRun.run(
-                                        SmallScenario.scenario(""),
-                                        3,
-                                        5,
-                                        Map.of(),
-                                        "x",
-                                        jar,
-                                        null,
+                                        new ProcessRun.Options(
+                                                SmallScenario.scenario(""),
+                                                3,
+                                                5,
+                                                Map.of(),
+                                                "x",
+                                                jar,
+                                                null),
                                         () -> false,
                                         text -> {}));
         assertTrue(e.getMessage().contains("n0 did not start"), e.getMessage());
