--- a/kit/src/main/java/wheelroute/kit/audit/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/audit/package-info.java
@@ -1,2 +1,2 @@
-/** Watches the rules from outside: it hears clients, workers and the list, never a dispatcher. */
+/** Checks the operators' rules from outside: on what clients, workers and discovery observe. */
 package wheelroute.kit.audit;
--- a/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
@@ -311,9 +311,7 @@
         }
     }
 
-    /**
-     * Processes and stand-ins share the cores: real runs side by side measure each other a little.
-     */
+    /** Processes and stubs share the cores: real runs side by side measure each other a little. */
     private int cores(Plan plan) {
         return cores != null
                 ? cores
--- a/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
@@ -15,7 +15,7 @@
     /** Two runs on the real clock may differ by so much of service. */
     private static final double REPEATS = 0.005;
 
-    /** The two clocks may differ by so much in the service of any offering. */
+    /** The two clocks may differ by so much in the service of any request class. */
     private static final double CLOCKS = 0.03;
 
     private final List<String[]> rows = new ArrayList<>();
@@ -26,7 +26,7 @@
         this.title = title;
     }
 
-    /** On the virtual clock byte for byte, on the real one within half a percent of service. */
+    /** On the simulated clock byte for byte, on the real one within half a percent of service. */
     public static Agreement ofRepeats(List<Report> once, List<Report> again) {
         Agreement agreement = new Agreement("the same seed twice");
         agreement.rows.add(new String[] {"", "figure", "once", "again", "differs by", "allowed"});
@@ -57,7 +57,9 @@
         return agreement;
     }
 
-    /** Service by offering on the virtual and on the real clock, each the mean over the seeds. */
+    /**
+     * Service by request class on the virtual and on the real clock, each the mean over the seeds.
+     */
     public static Agreement ofClocks(List<Report> virtual, List<Report> real) {
         Agreement agreement = new Agreement("the two clocks");
         agreement.rows.add(new String[] {"", "figure", "virtual", "real", "differs by", "allowed"});
@@ -73,7 +75,7 @@
                                 .filter(figure -> figure.startsWith(FigureNames.REQUEST_CLASS))
                                 .forEach(
                                         figure -> {
-                                            // Where all queues are full one launch decides where
+                                            // Where all queues are full one attempt decides where
                                             // the next go: single days scatter.
                                             agreement.compare(
                                                     name + ", " + places.size() + " seeds",
--- a/kit/src/main/java/wheelroute/kit/experiment/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Several runs side by side: scenarios by seeds by variants. */
+/** Runs side by side: scenarios by seeds by variants, and their comparison. */
 package wheelroute.kit.experiment;
--- a/kit/src/main/java/wheelroute/kit/faults/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/faults/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Many processes under faults: which ways between them are harmed and how (pure), and the relays
- * through which every byte of a real run passes where ways can be harmed.
+ * Faults of links between processes: which are in force and what they let through, the relays that
+ * put them into effect in runs of real processes, and the minimizer of failing schedules.
  */
 package wheelroute.kit.faults;
--- a/kit/src/main/java/wheelroute/kit/model/ClientAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClientAttempt.java
@@ -1,16 +1,16 @@
 package wheelroute.kit.model;
 
 /**
- * One submission of an ask.
+ * One attempt of a client's request: what a dispatcher sees as a request.
  *
- * @param number from 0
+ * @param number from 0; above 0 for retries by the client
  * @param dispatcher to which it is sent
- * @param sentAt in seconds of the run's timeline
- * @param timeout how long its client waits
+ * @param sentAt seconds on the run's timeline
+ * @param timeout how many seconds its client waits
  */
 public record ClientAttempt(
         ClientRequest request, int number, int dispatcher, double sentAt, double timeout) {
-    /** One number for both; the ask in the low bits, from which hash tables are spread. */
+    /** Identifies the attempt; the request in the low bits, from which hash tables are spread. */
     public long key() {
         return (long) number << Integer.SIZE | request.number();
     }
--- a/kit/src/main/java/wheelroute/kit/model/ClientRequest.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClientRequest.java
@@ -3,13 +3,13 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * What a client wants done, whatever it takes: one ask is one submission or, with retries, several.
+ * A request that a client wants answered, with one attempt or, after retries, several.
  *
- * @param number from 0, in the order of the first sends
- * @param sendAt when it is first sent, in seconds from the start of the run
+ * @param number from 0, in the order of the first attempts
+ * @param sendAt when the first attempt is sent, in seconds from the start of the run
  * @param work in seconds on a worker of speed 1
- * @param costEstimate the client's guess at it; NaN for none
- * @param cancelsAfter the client hangs up after so long without an answer; infinite if it waits
+ * @param costEstimate the client's estimate of the work; NaN for none
+ * @param cancelsAfter the client cancels after so long without a response; infinite if it waits
  */
 public record ClientRequest(
         int number,
@@ -19,7 +19,7 @@
         double work,
         double costEstimate,
         double cancelsAfter) {
-    /** An answer after this long is late. */
+    /** A response after this many seconds is late. */
     public double latencyObjective() {
         return requestClass.latencyObjective() + requestClass.objectivePerWork() * work;
     }
--- a/kit/src/main/java/wheelroute/kit/model/Clients.java
+++ b/kit/src/main/java/wheelroute/kit/model/Clients.java
@@ -13,7 +13,7 @@
     /** Who finds no dispatcher tries the next one after this long. */
     private static final double RECONNECT_DELAY = 0.2;
 
-    /** How an ask ended for its client. */
+    /** How a request ended for its client. */
     public enum Result {
         IN_TIME,
         LATE,
@@ -29,13 +29,13 @@
     public interface Transport {
         void submit(ClientAttempt clientAttempt);
 
-        /** Closes the connection of a submission that is still open. */
+        /** Closes the connection of a request that is still open. */
         void cancel(ClientAttempt clientAttempt);
 
         boolean isOpen(int dispatcher);
     }
 
-    /** Hears of each ask as it begins and ends, and of each submission. */
+    /** Hears of each ask as it begins and ends, and of each request. */
     public interface Observer {
         void onRequest(ClientRequest request);
 
--- a/kit/src/main/java/wheelroute/kit/model/EndpointRegistry.java
+++ b/kit/src/main/java/wheelroute/kit/model/EndpointRegistry.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The list of workers, later than the truth: what is told to it counts only after the lag. */
+/** The endpoint list of discovery: each update of a worker takes effect after a lag. */
 public final class EndpointRegistry {
-    /** How often something slow is looked at again. */
+    /** Interval in seconds of checks for a slow condition. */
     static final double POLL_INTERVAL = 0.1;
 
-    /** A worker's state in the list's eyes. */
+    /** A worker's state in the list. */
     public enum State {
         READY,
         DRAINING,
         GONE
     }
 
-    /** One line of the list; startedAt is NaN for long ago. */
+    /** A worker's entry; startedAt is NaN for a start long ago. */
     public record Entry(WorkerModel worker, State state, double startedAt, long version) {}
 
     private final Timeline timeline;
@@ -28,7 +28,7 @@
     private final List<Consumer<Entry>> watchers = new ArrayList<>();
     private final List<Runnable> outages = new ArrayList<>();
 
-    /** The number of the last word on each worker that has reached the list. */
+    /** By worker: the number of the last update in effect. */
     private final Map<Integer, Long> appliedUpdates = new HashMap<>();
 
     private long updateCount;
@@ -50,8 +50,7 @@
         timeline.schedule(
                 lag + extraLag,
                 () -> {
-                    // One that is overtaken by a later word, as the lag changes, must not bring the
-                    // past back.
+                    // As the lag changes, updates may overtake each other: only the newest counts.
                     if (word > appliedUpdates.getOrDefault(worker.number, 0L)) {
                         appliedUpdates.put(worker.number, word);
                         Entry entry = new Entry(worker, state, startedAt, ++version);
@@ -61,28 +60,32 @@
                 });
     }
 
-    /** Every change from now on; what was is in {@link #entries}. */
+    /** Adds a watcher of all changes from now on; the state before is in {@link #entries}. */
     public void watch(Consumer<Entry> watcher) {
         watchers.add(watcher);
     }
 
+    /** Removes a watcher. */
     public void unwatch(Consumer<Entry> watcher) {
         watchers.remove(watcher);
     }
 
-    /** Called whenever it goes down. */
+    /** Adds a task that runs whenever discovery goes down. */
     public void onOutage(Runnable task) {
         outages.add(task);
     }
 
+    /** The current entries; a copy. */
     public List<Entry> entries() {
         return new ArrayList<>(entries.values());
     }
 
+    /** The number of changes so far. */
     public long version() {
         return version;
     }
 
+    /** Whether discovery is down. */
     public boolean isDown() {
         return activeOutages > 0;
     }
--- a/kit/src/main/java/wheelroute/kit/model/EventListener.java
+++ b/kit/src/main/java/wheelroute/kit/model/EventListener.java
@@ -1,15 +1,16 @@
 package wheelroute.kit.model;
 
-/** Sees what happens at workers, whatever the dispatcher makes of it. */
+/** Observes events at workers, independently of what dispatchers make of them. */
 public interface EventListener {
-    /** Its last byte has come. */
+    /** The last byte of an attempt has arrived. */
     void onArrived(WorkerAttempt attempt, WorkerModel worker);
 
+    /** An attempt was started. */
     void onStarted(WorkerAttempt attempt, WorkerModel worker);
 
-    /** What the worker made of it; told says whether its word went out. */
+    /** An attempt has ended; told is whether the worker could send its response. */
     void onEnded(WorkerAttempt attempt, WorkerModel worker, AttemptEnding ending, boolean told);
 
-    /** Too much came while it was cold. */
+    /** A worker in slow start was overloaded and has crashed. */
     void onCollapsed(WorkerModel worker);
 }
--- a/kit/src/main/java/wheelroute/kit/model/RequestGenerator.java
+++ b/kit/src/main/java/wheelroute/kit/model/RequestGenerator.java
@@ -4,9 +4,7 @@
 import java.util.SplittableRandom;
 import wheelroute.kit.scenario.Scenario;
 
-/**
- * The asks of a run, by the seed alone: a Poisson stream whose rate follows the scenario's load.
- */
+/** Generates the requests of a run: a Poisson process whose rate follows the scenario's load. */
 public final class RequestGenerator {
     private final Scenario scenario;
     private final SeededRandom random;
@@ -18,6 +16,7 @@
     private int arrivalCount;
     private int requestCount;
 
+    /** Creates the requests of so many seconds, by the seed alone. */
     public RequestGenerator(Scenario scenario, SeededRandom random, double seconds) {
         this.scenario = scenario;
         this.random = random;
@@ -33,7 +32,7 @@
                         scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray());
     }
 
-    /** The next ask, or null when the run's time is over. */
+    /** The next request; null when the run's time is over. */
     public ClientRequest next() {
         while (maxRate > 0) {
             SplittableRandom arrival =
@@ -42,9 +41,8 @@
             if (time >= seconds) {
                 return null;
             }
-            // Thinned: the stream of the highest rate, of which as much is kept as the rate of the
-            // moment
-            // says.
+            // Thinning: of a process with the maximum rate, keeps the fraction that the current
+            // rate needs.
             if (arrival.nextDouble() * maxRate < rateAt(time)) {
                 return createRequest(requestCount++);
             }
@@ -93,7 +91,7 @@
         return new ClientRequest(number, time, requestClass, tenant, work, hint, leaves);
     }
 
-    /** Asks a second at this moment; the schedule begins anew with each cycle. */
+    /** Requests per second at this time; the load repeats in each cycle. */
     public double rateAt(double at) {
         double within = at % scenario.cycle();
         List<Scenario.LoadPoint> points = scenario.load();
--- a/kit/src/main/java/wheelroute/kit/model/ResponseListener.java
+++ b/kit/src/main/java/wheelroute/kit/model/ResponseListener.java
@@ -1,13 +1,13 @@
 package wheelroute.kit.model;
 
-/** Who hears how a submission ended. */
+/** Receives the outcome of clients' attempts. */
 public interface ResponseListener {
-    /** An answer has come, whole; advice to return of 0 is none. */
+    /** A complete final response has arrived; a retryAfter of 0 gives no advice. */
     void onResponse(ClientAttempt clientAttempt, FinalResponse response, double retryAfter);
 
-    /** It reached nobody: trying again does no harm. */
+    /** The connection was refused: no dispatcher has the attempt, and a retry is safe. */
     void onRefused(ClientAttempt clientAttempt);
 
-    /** The connection ended before an answer. */
+    /** The connection ended before a response. */
     void onConnectionLost(ClientAttempt clientAttempt);
 }
--- a/kit/src/main/java/wheelroute/kit/model/SeededRandom.java
+++ b/kit/src/main/java/wheelroute/kit/model/SeededRandom.java
@@ -3,12 +3,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Chance by name: a draw depends on the seed, on what is drawn and for whom, and on nothing that
- * happened before. So both clocks, and any two builds, are asked the same questions, whatever they
- * did in between.
+ * Random numbers that depend only on the seed, the purpose and two indices, and not on earlier
+ * draws. Both clocks, and any two builds, therefore draw the same whatever they did in between.
  */
 public final class SeededRandom {
-    /** What is drawn. The order is part of what a seed means: new ones go to the end. */
+    /** What is drawn. Ordinals are part of the seed's meaning: new constants go to the end. */
     public enum Purpose {
         ARRIVAL,
         REQUEST_CLASS,
@@ -35,19 +34,22 @@
 
     private final long seed;
 
+    /** Creates the random numbers of a seed. */
     public SeededRandom(long seed) {
         this.seed = seed;
     }
 
+    /** A generator for this purpose and these indices. */
     public SplittableRandom generator(Purpose what, long a, long b) {
         return new SplittableRandom(seedOf(what, a, b));
     }
 
-    /** One draw, from 0 up to 1: cheaper than a generator where one is enough. */
+    /** A single draw from 0 (inclusive) to 1 (exclusive), cheaper than a generator. */
     public double uniform(Purpose what, long a, long b) {
         return (mix(seedOf(what, a, b)) >>> 11) * 0x1.0p-53;
     }
 
+    /** A seed for this purpose and these indices. */
     public long seedOf(Purpose what, long a, long b) {
         return mix(mix(mix(seed + GOLDEN * (what.ordinal() + 1)) + a) + GOLDEN * b);
     }
@@ -58,7 +60,7 @@
         return z ^ z >>> 31;
     }
 
-    /** Of mean 1. Shape 0 is constant; else a lognormal whose logarithm spreads by the shape. */
+    /** A lognormal draw of mean 1; the shape is the deviation of its logarithm, 0 for no spread. */
     public static double lognormal(SplittableRandom random, double shape) {
         if (shape == 0) {
             return 1;
--- a/kit/src/main/java/wheelroute/kit/model/Timeline.java
+++ b/kit/src/main/java/wheelroute/kit/model/Timeline.java
@@ -1,12 +1,10 @@
 package wheelroute.kit.model;
 
-/** The time that a world lives in: virtual or real, the model cannot tell. Seconds. */
+/** The time of a run, simulated or real, in seconds; the model cannot tell which. */
 public interface Timeline {
+    /** The current time; its origin is arbitrary. */
     double now();
 
-    /**
-     * Once, after so long; tasks that are due together run in the order in which they were asked
-     * for.
-     */
+    /** Runs a task once after a delay; tasks due together run in the order of these calls. */
     void schedule(double delay, Runnable task);
 }
--- a/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
@@ -1,14 +1,16 @@
 package wheelroute.kit.model;
 
-/** One launch at a worker, from its last byte to the end of its connection. */
+/** An attempt at a worker, from its last byte to the end of its connection. */
 public final class WorkerAttempt {
-    /** How the worker speaks on the launch's connection. */
+    /** Receives what the worker sends on the attempt's connection. */
     public interface Reply {
+        /** The worker has started the attempt. */
         void onStarted();
 
+        /** The fraction of the work that is done. */
         void onProgress(double share);
 
-        /** The last word; freeSlots is NaN where no report goes with it. */
+        /** The final event; freeSlots is NaN without a load report. */
         void onEnded(AttemptEnding ending, double freeSlots);
     }
 
@@ -25,9 +27,10 @@
     boolean ended;
     boolean cancelled;
 
-    /** Something it should have been told was not. */
+    /** The worker could not send an event of this attempt. */
     boolean notificationLost;
 
+    /** Creates an attempt that has not arrived yet. */
     public WorkerAttempt(long requestId, double work, int slots, double memory, Reply reply) {
         this.requestId = requestId;
         this.work = work;
@@ -37,19 +40,17 @@
         remaining = work;
     }
 
-    /**
-     * What its witness remembers of it: a table by launch would cost a look-up at each of its
-     * events.
-     */
+    /** What the event listener has attached, which saves it a look-up at each event. */
     public Object attachment() {
         return attachment;
     }
 
+    /** Attaches an object of the event listener's. */
     public void attachment(Object newMark) {
         attachment = newMark;
     }
 
-    /** The worker has ended it, whether or not that could be told. */
+    /** Whether the worker has ended the attempt, even if its response could not be sent. */
     public boolean isEnded() {
         return ended;
     }
--- a/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
@@ -10,7 +10,7 @@
  * runs at the warmth of its start; slow-downs and stalls change the pace of what runs already.
  */
 public final class WorkerModel {
-    /** An error comes at once: so long after the launch. */
+    /** An error comes at once: so long after the attempt. */
     private static final double ERROR_DELAY = 0.002;
 
     /** A worker that fell over is back after so long. */
@@ -82,7 +82,7 @@
         return up;
     }
 
-    /** A launch's last byte has come. */
+    /** An attempt's last byte has come. */
     public void accept(WorkerAttempt attempt) {
         listener.onArrived(attempt, this);
         if (cuts > 0) {
@@ -421,7 +421,7 @@
         return waiting.size();
     }
 
-    /** The part of launches that end in an error now. */
+    /** The part of attempts that end in an error now. */
     public double failureRate() {
         return failing;
     }
--- a/kit/src/main/java/wheelroute/kit/model/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a dispatcher serves, as a model: workers, list, clients, faults. No I/O, no clock, no
- * thread.
+ * The model of what a dispatcher serves: workers, discovery, clients and faults. No I/O, no clock,
+ * no thread: time comes from a {@link wheelroute.kit.model.Timeline}.
  */
 package wheelroute.kit.model;
--- a/kit/src/main/java/wheelroute/kit/process/AdminCall.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminCall.java
@@ -11,9 +11,7 @@
 import wheelroute.net.EventLoop;
 import wheelroute.net.StreamConnection;
 
-/**
- * One call at an operators' door: a line goes, an answer comes, or null when none comes in time.
- */
+/** One call at an admin server: a line goes, an answer comes, or null when none comes in time. */
 final class AdminCall implements EventLoop.ChannelHandler {
     private final EventLoop loop;
     private final String command;
--- a/kit/src/main/java/wheelroute/kit/process/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientPool.java
@@ -22,7 +22,7 @@
 import wheelroute.net.StreamConnection;
 
 /**
- * Clients' connections to one dispatcher: one submission at a time on each, more when all are busy.
+ * Clients' connections to one dispatcher: one request at a time on each, more when all are busy.
  */
 final class ClientPool {
     private static final double MICROS = 1e6;
@@ -36,7 +36,7 @@
     private final ConnectionBehavior manners;
     private boolean dead;
 
-    /** How submissions come: see {@link wheelroute.kit.scenario.Scenario.Clients}. */
+    /** How requests come: see {@link wheelroute.kit.scenario.Scenario.Clients}. */
     interface ConnectionBehavior {
         /** It has a connection of its own. */
         boolean isFresh(ClientAttempt clientAttempt);
@@ -153,7 +153,7 @@
         return whole.array();
     }
 
-    /** One submission on its way. */
+    /** One request on its way. */
     private final class PendingSend implements EventLoop.ChannelHandler {
         private final ClientAttempt submitted;
         private final boolean fresh;
--- a/kit/src/main/java/wheelroute/kit/process/DaemonProcess.java
+++ b/kit/src/main/java/wheelroute/kit/process/DaemonProcess.java
@@ -219,7 +219,7 @@
         return port;
     }
 
-    /** The operators' door; 0 where it has none. */
+    /** The admin server; 0 where it has none. */
     int adminPort() {
         return adminPort;
     }
--- a/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
+++ b/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
@@ -3,7 +3,7 @@
 import wheelroute.kit.model.Timeline;
 import wheelroute.net.EventLoop;
 
-/** The time of the stand-ins' own thread; used on that thread only. */
+/** The time of the stubs' own thread; used on that thread only. */
 final class EventLoopTimeline implements Timeline {
     private final EventLoop loop;
 
--- a/kit/src/main/java/wheelroute/kit/process/JobCodec.java
+++ b/kit/src/main/java/wheelroute/kit/process/JobCodec.java
@@ -12,7 +12,7 @@
 import wheelroute.net.clients.ClientRequest;
 
 /**
- * How a submission names itself and its work on the wire: the dispatcher passes id and body on
+ * How a request names itself and its work on the wire: the dispatcher passes id and body on
  * unchanged, so a worker learns from them alone what it has to do, whoever sent them.
  */
 public final class JobCodec {
--- a/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
+++ b/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
@@ -11,11 +11,11 @@
 import wheelroute.net.clients.MemoryQuota;
 
 /**
- * A connection that a stand-in has accepted: it reads messages as the daemon itself would, and
+ * A connection that a stub has accepted: it reads messages as the daemon itself would, and
  * strictly.
  */
 public abstract class ServerConnection extends StreamConnection {
-    /** Bodies held at once by all of one kind of stand-in. */
+    /** Bodies held at once by all of one kind of stub. */
     private static final long ROOM = 64L << 20;
 
     protected final WriteQueue out;
--- a/kit/src/main/java/wheelroute/kit/process/StubRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubRun.java
@@ -79,7 +79,7 @@
             int firstWorker)
             throws IOException {
         EventLoopTimeline time = new EventLoopTimeline(loop);
-        // Somebody else's submissions are unknown to it: what it finds says nothing here, and is
+        // Somebody else's requests are unknown to it: what it finds says nothing here, and is
         // not told.
         Auditor auditor = new Auditor(scenario, time, 0);
         ClusterModel cluster =
--- a/kit/src/main/java/wheelroute/kit/process/StubWorker.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubWorker.java
@@ -91,7 +91,7 @@
         } catch (IOException e) {
             LOG.warn("{} did not stop listening: {}", model.name, e.toString());
         }
-        // Those with a launch out are ended by the model's own word, the idle ones here.
+        // Those with an attempt out are ended by the model's own word, the idle ones here.
         loop.schedule(
                 0,
                 () ->
@@ -118,7 +118,7 @@
         }
     }
 
-    /** One connection: a launch at a time. */
+    /** One connection: an attempt at a time. */
     private final class DispatcherConnection extends ServerConnection
             implements WorkerAttempt.Reply {
         private WorkerAttempt launch;
--- a/kit/src/main/java/wheelroute/kit/report/Recorder.java
+++ b/kit/src/main/java/wheelroute/kit/report/Recorder.java
@@ -23,7 +23,7 @@
     private long requestCount;
     private long attemptCount;
 
-    /** Without operators' doors. */
+    /** Without admin servers. */
     public Recorder(Scenario scenario, Timeline timeline, double seconds, Auditor auditor) {
         this(scenario, timeline, seconds, auditor, new MetricsAuditor(timeline, false));
     }
@@ -56,7 +56,7 @@
         sampleQueues(cluster, clients);
     }
 
-    /** Looks at the queues now and then, until the asks have ended. */
+    /** Looks at the queues now and then, until the requests have ended. */
     private void sampleQueues(ClusterModel cluster, Clients clients) {
         tally.sample(cluster);
         timeline.schedule(
--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -83,7 +83,7 @@
     public record Band(String name, double from, double to) {}
 
     /**
-     * How late the machine was, in seconds; zeros on the virtual clock.
+     * How late the machine was, in seconds; zeros on the simulated clock.
      *
      * @param p99 of the stand-ins' own timers
      * @param waitP99 of each tenth of a second, how long a dispatcher was ready to run and had no
--- a/kit/src/main/java/wheelroute/kit/report/Tally.java
+++ b/kit/src/main/java/wheelroute/kit/report/Tally.java
@@ -11,7 +11,7 @@
 import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
 
-/** Counts as a run goes on: by offering, by tenant, over time. */
+/** Counts as a run goes on: by request class, by tenant, over time. */
 public final class Tally {
     /** Latencies are kept to a tenth of a percent, up to a day. */
     private static final long MAX_MICROS = 86_400_000_000L;
--- a/kit/src/main/java/wheelroute/kit/report/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/report/package-info.java
@@ -1,2 +1,2 @@
-/** What a run amounts to, and its tables, JSON and page. */
+/** The results of a run, and their forms as tables, JSON and a page. */
 package wheelroute.kit.report;
--- a/kit/src/main/java/wheelroute/kit/scale/CapacityModel.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityModel.java
@@ -118,7 +118,7 @@
         return at(slopes.fit(ScaleRun.REST_CPU), size.workers()).plus(changes);
     }
 
-    /** One launch among so many workers, with the tenants' part. */
+    /** One attempt among so many workers, with the tenants' part. */
     private Estimate launch(double workers) {
         return at(slopes.fit(ScaleRun.LAUNCH_CPU), workers)
                 .plus(slope(slopes.fit(ScaleRun.TENANTS_CPU)).times(size.teams()));
--- a/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
@@ -23,9 +23,9 @@
 import wheelroute.net.clients.ClientRequest;
 
 /**
- * A stand-in list service with a capacity: it works through calls in turn, and its list changes
- * when it is told so. A change is in force at a dispatcher when that asks for what comes after it:
- * the next call of a watch goes out once the decisions have the list. All on one loop.
+ * A stub list service with a capacity: it works through calls in turn, and its list changes when it
+ * is told so. A change is in force at a dispatcher when that asks for what comes after it: the next
+ * call of a watch goes out once the decisions have the list. All on one loop.
  */
 final class DiscoveryService {
     private static final Pattern WATCH =
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
@@ -72,7 +72,7 @@
     private static final double USUAL_CHANGES = 1;
 
     /**
-     * Launches a second beside each size of the list: the largest leaves no core time for many
+     * Attempts a second beside each size of the list: the largest leaves no core time for many
      * more.
      */
     private static final int USUAL_RATE = 10;
@@ -436,12 +436,12 @@
                     most);
         }
 
-        /** Processor time of one of the first launches of the process. */
+        /** Processor time of one of the first attempts of the process. */
         double first(int tenants) throws IOException, RehearsalException {
             return each(load(0, COLD_CONNECTIONS, SHORT_WORK, FIRST_LIMIT, tenants, COLD_LAUNCHES));
         }
 
-        /** Processor time of one launch over so many of them; all must have been fulfilled. */
+        /** Processor time of one attempt over so many of them; all must have been fulfilled. */
         double perLaunch(double rate, double seconds, int tenants)
                 throws IOException, RehearsalException {
             return each(load(rate, 0, USUAL_WORK, seconds, tenants, 0));
@@ -551,7 +551,7 @@
         return null;
     }
 
-    /** So many launches stay out, one at a worker, while nothing else is asked. */
+    /** So many attempts stay out, one at a worker, while nothing else is asked. */
     private Void byHeld(int held) throws Exception {
         try (Benchmark bench = new Benchmark(Math.max(USUAL_WORKERS, held + held / 2), 0)) {
             double before = bench.daemon.memory();
--- a/kit/src/main/java/wheelroute/kit/scale/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/scale/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a size costs: measured by hollow processes beside real ones, and reckoned up to sizes not
- * seen yet.
+ * What a deployment size costs: measured with embedded dispatchers beside real processes, and
+ * extrapolated to sizes that were not measured.
  */
 package wheelroute.kit.scale;
--- a/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
@@ -11,7 +11,7 @@
     public static final String UNANSWERED = "unanswered";
     public static final String BREACHES = "breaches";
 
-    /** Launches over submissions. */
+    /** Attempts over requests. */
     public static final String ATTEMPTS = "launches_per_submission";
 
     public static final String P50 = "p50";
@@ -24,16 +24,16 @@
     /** Of the operators' figures the part that was not true, or missing. */
     public static final String METRICS_MISMATCH = "figures_untrue";
 
-    /** Of the calls at operators' doors the part that was not answered within a second. */
+    /** Of the calls at admin servers the part that was not answered within a second. */
     public static final String ADMIN_CALLS_LATE = "doors_late";
 
     /** Replacements that were not through in time. */
     public static final String NOT_REPLACED = "not_replaced";
 
-    /** Dispatchers that do not hold just those to be there that are, as the asks end. */
+    /** Dispatchers that do not hold just those to be there that are, as the requests end. */
     public static final String PEERS_WRONG = "peers_wrong";
 
-    /** The service of one offering or tenant: the name follows. */
+    /** The service of one request class or tenant: the name follows. */
     public static final String REQUEST_CLASS = "offering:";
 
     public static final String TENANT = "tenant:";
--- a/kit/src/main/java/wheelroute/kit/scenario/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** What a rehearsal plays: the file that says so, read and checked as a whole. */
+/** Scenarios: the files that say what a rehearsal runs, read and checked as a whole. */
 package wheelroute.kit.scenario;
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedLink.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedLink.java
@@ -10,7 +10,7 @@
 import wheelroute.kit.model.Timeline;
 
 /**
- * One way of a dispatcher on the virtual clock: messages wait on it while it is cut, as on the
+ * One way of a dispatcher on the simulated clock: messages wait on it while it is cut, as on the
  * relays of the real one, and what was lost when its sender closed never comes.
  */
 final class SimulatedLink {
--- a/kit/src/main/java/wheelroute/kit/simulation/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/package-info.java
@@ -1,2 +1,2 @@
-/** The virtual clock: a world and its dispatchers played as fast as the machine can. */
+/** Runs in simulated time: the model and its dispatchers, as fast as the machine allows. */
 package wheelroute.kit.simulation;
--- a/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
@@ -105,7 +105,7 @@
         return taken;
     }
 
-    /** One launch: where, when, and what became of it. */
+    /** One attempt: where, when, and what became of it. */
     private static final class SentAttempt {
         final Endpoint endpoint;
         final double sentAt;
@@ -214,7 +214,7 @@
 
         @Override
         public void onStarted(int attempt) {
-            // Choices like these look at nothing but their own launches.
+            // Choices like these look at nothing but their own attempts.
         }
 
         @Override
--- a/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
@@ -110,7 +110,7 @@
 
     /**
      * The earliest end, with what an error would cost in time; none where even that comes after the
-     * outer limit, or too late to earn anything.
+     * deadline, or too late to earn anything.
      */
     private static Ids.Worker seen(
             ClusterModel cluster, List<Endpoint> open, Request request, int from) {
--- a/kit/src/main/java/wheelroute/kit/strategy/Strategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategy.java
@@ -23,10 +23,10 @@
 
     void onEndpointsFailed();
 
-    /** Null when it knows no such offering. */
+    /** Null when it knows no such request class. */
     Handle accept(Request request);
 
-    /** One submission, from its taking until its last launch has ended. */
+    /** One request, from its taking until its last attempt has ended. */
     interface Handle {
         boolean isComplete();
 
--- a/kit/src/main/java/wheelroute/kit/strategy/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Who decides in a run on the virtual clock: the daemon's module, or something to compare it with.
- */
+/** How simulated dispatchers decide: the daemon's policy, or baselines to compare it with. */
 package wheelroute.kit.strategy;
--- a/kit/src/test/java/wheelroute/kit/SmallScenario.java
+++ b/kit/src/test/java/wheelroute/kit/SmallScenario.java
@@ -6,7 +6,7 @@
 
 /** Small scenarios to vary. */
 public final class SmallScenario {
-    /** Two groups of workers in two zones, three offerings, a steady load. */
+    /** Two groups of workers in two zones, three request classes, a steady load. */
     public static final String TEXT =
             """
             [run]
--- a/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
@@ -32,7 +32,7 @@
     private static final int ALSO_NEAR = 1;
     private static final int FAR = 2;
 
-    /** A world of one submission and a dispatcher that does as the case says. */
+    /** A world of one request and a dispatcher that does as the case says. */
     private static final class Play {
         final SimulatedTime time = new SimulatedTime();
         final Scenario scenario;
@@ -97,7 +97,7 @@
             boolean[] there = {false};
             time.schedule(seconds, () -> there[0] = true);
             while (!there[0] && time.step()) {
-                // Each step moves the virtual clock on.
+                // Each step moves the simulated clock on.
             }
         }
     }
@@ -330,7 +330,7 @@
                     "",
                     p -> {
                         p.auditor.onNotified(0, NEAR, EndpointRegistry.State.DRAINING);
-                        // The grace is 2 s and the outer limit as long: one that waits longer is
+                        // The grace is 2 s and the deadline as long: one that waits longer is
                         // needed.
                         ClientAttempt later = later(p, 2.1);
                         p.auditor.onSent(later);
@@ -492,7 +492,7 @@
                         .filter(b -> b.rule() == rogue.rule())
                         .findFirst()
                         .orElseThrow();
-        // A worker that fell over is no one submission's story; all others are told whole.
+        // A worker that fell over is no one request's story; all others are told whole.
         assertEquals(
                 first.history().isEmpty(),
                 rogue.rule() == Rule.COLD_WORKER || rogue.rule() == Rule.STAYS_UP,
@@ -703,15 +703,15 @@
         Play play = new Play(honest.offering(), honest.more());
         honest.does().accept(play);
         play.auditor.finish();
-        // Launches of nobody's are only there to fill a worker.
+        // Attempts of nobody's are only there to fill a worker.
         assertFalse(
                 play.auditor.breaches().stream().anyMatch(b -> !b.history().isEmpty()),
                 play.auditor.breaches().toString());
     }
 
     /**
-     * A bounce promises that a retry does no harm: the auditor holds it to that over all tries of
-     * an ask.
+     * A bounce promises that a retry does no harm: the auditor holds it to that over all tries of a
+     * request.
      */
     @Test
     public void anEffectThatABounceDeniedIsFoundAtTheRetry() {
--- a/kit/src/test/java/wheelroute/kit/audit/MetricsAuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/MetricsAuditorTest.java
@@ -18,7 +18,7 @@
     private static final String OLD = "old";
     private static final String NEW = "new";
 
-    /** A dispatcher that serves ten submissions a second, with a door. */
+    /** A dispatcher that serves ten requests a second, with a door. */
     private static final class Play {
         final SimulatedTime time = new SimulatedTime();
         final MetricsAuditor ledger = new MetricsAuditor(time, false);
@@ -33,7 +33,7 @@
             boolean[] there = {false};
             time.schedule(seconds, () -> there[0] = true);
             while (!there[0] && time.step()) {
-                // Each step moves the virtual clock on.
+                // Each step moves the simulated clock on.
             }
         }
 
--- a/kit/src/test/java/wheelroute/kit/model/WorkerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/model/WorkerModelTest.java
@@ -82,7 +82,7 @@
         boolean[] there = {false};
         time.schedule(seconds, () -> there[0] = true);
         while (!there[0] && time.step()) {
-            // Each step moves the virtual clock on.
+            // Each step moves the simulated clock on.
         }
     }
 
--- a/kit/src/test/java/wheelroute/kit/scale/CapacityPageTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/CapacityPageTest.java
@@ -114,7 +114,7 @@
         return table.split("\n")[row].split("\\|")[column].strip();
     }
 
-    /** Rest 0.002; a launch 0.001 + 0.002 + 0.0001 for ten tenants, ten a second; 200 held. */
+    /** Rest 0.002; an attempt 0.001 + 0.002 + 0.0001 for ten tenants, ten a second; 200 held. */
     @Test
     public void theSizeIsWhatAHeadMakesOfIt() throws IOException {
         String dispatcher = tables().get("dispatcher");
--- a/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
@@ -22,7 +22,7 @@
 import wheelroute.kit.scenario.ScenarioLibrary;
 import wheelroute.kit.strategy.Strategies;
 
-/** Whole runs on the virtual clock. */
+/** Whole runs on the simulated clock. */
 public class SimulationRunTest {
     private static final double QUICK = 30;
     private static final int SCHEDULES = 60;
