--- a/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
@@ -11,8 +11,9 @@
 import java.util.Locale;
 import java.util.Map;
 import wheelroute.kit.audit.Auditor;
+import wheelroute.kit.audit.Rule;
 
-/** Reports for machines. Times in seconds; what was not measured is null. */
+/** Writes reports as JSON, for programs. Times in seconds; what was not measured is null. */
 public final class JsonWriter {
     /** Raised when a reader of the last version would misread the next. */
     private static final int VERSION = 2;
@@ -21,6 +22,7 @@
 
     private JsonWriter() {}
 
+    /** The reports as one JSON document. */
     public static String text(List<Report> reports) {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(out)) {
@@ -30,41 +32,25 @@
             json.writeNumberField("version", VERSION);
             json.writeArrayFieldStart("runs");
             for (Report report : reports) {
-                write(json, report);
+                report(json, report);
             }
             json.writeEndArray();
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("a text cannot be written to", e);
+            throw new UncheckedIOException("cannot write to a string", e);
         }
         return out.append('\n').toString();
     }
 
-    private static void write(JsonGenerator json, Report report) throws IOException {
+    private static void report(JsonGenerator json, Report report) throws IOException {
         json.writeStartObject();
-        Report.Run run = report.run();
-        json.writeStringField("scenario", run.scenario());
-        json.writeStringField("clock", run.clock());
-        json.writeStringField("variant", run.variant());
-        json.writeNumberField("seed", run.seed());
-        number(json, "seconds", run.seconds());
-        json.writeNumberField("workers", run.workers());
-        json.writeNumberField("dispatchers", run.dispatchers());
+        run(json, report.run());
         json.writeBooleanField("partial", report.partial());
         json.writeBooleanField("holds", report.holds());
-        json.writeStringField("judgement", report.judgement().name().toLowerCase(Locale.ROOT));
+        json.writeStringField("judgement", lowerCase(report.judgement()));
         json.writeStringField("why_not_judged", report.whyNotJudged());
-        json.writeObjectFieldStart("lag");
-        number(json, "p99", report.lag().p99());
-        number(json, "most", report.lag().max());
-        number(json, "core_wait_p99", report.lag().waitP99());
-        number(json, "core_wait_most", report.lag().waitMax());
-        json.writeEndObject();
-        json.writeArrayFieldStart("notes");
-        for (String note : report.notes()) {
-            json.writeString(note);
-        }
-        json.writeEndArray();
+        lag(json, report.lag());
+        strings(json, "notes", report.notes());
         json.writeObjectFieldStart("figures");
         for (Map.Entry<String, Double> figure : report.figures().entrySet()) {
             number(json, figure.getKey(), figure.getValue());
@@ -73,26 +59,58 @@
         rows(json, "offerings", report.requestClasses());
         rows(json, "tenants", report.tenants());
         rows(json, "total", List.of(report.total()));
+        breaches(json, report);
+        verdicts(json, report.verdicts());
+        series(json, report.series());
+        json.writeArrayFieldStart("latency_distribution");
+        for (double[] point : report.distribution()) {
+            json.writeArray(point, 0, point.length);
+        }
+        json.writeEndArray();
+        faults(json, report.bands());
+        json.writeEndObject();
+    }
+
+    private static void run(JsonGenerator json, Report.Run run) throws IOException {
+        json.writeStringField("scenario", run.scenario());
+        json.writeStringField("clock", run.clock());
+        json.writeStringField("variant", run.variant());
+        json.writeNumberField("seed", run.seed());
+        number(json, "seconds", run.seconds());
+        json.writeNumberField("workers", run.workers());
+        json.writeNumberField("dispatchers", run.dispatchers());
+    }
+
+    private static void lag(JsonGenerator json, Report.Lag lag) throws IOException {
+        json.writeObjectFieldStart("lag");
+        number(json, "p99", lag.p99());
+        number(json, "most", lag.max());
+        number(json, "core_wait_p99", lag.waitP99());
+        number(json, "core_wait_most", lag.waitMax());
+        json.writeEndObject();
+    }
+
+    private static void breaches(JsonGenerator json, Report report) throws IOException {
         json.writeObjectFieldStart("rules");
-        for (var rule : report.breachCounts().entrySet()) {
-            json.writeNumberField(rule.getKey().name().toLowerCase(Locale.ROOT), rule.getValue());
+        for (Map.Entry<Rule, Integer> count : report.breachCounts().entrySet()) {
+            json.writeNumberField(lowerCase(count.getKey()), count.getValue());
         }
         json.writeEndObject();
         json.writeArrayFieldStart("breaches");
         for (Auditor.Breach breach : report.breaches()) {
             json.writeStartObject();
-            json.writeStringField("rule", breach.rule().name().toLowerCase(Locale.ROOT));
+            json.writeStringField("rule", lowerCase(breach.rule()));
             json.writeStringField("what", breach.description());
-            json.writeArrayFieldStart("history");
-            for (String line : breach.history()) {
-                json.writeString(line);
-            }
-            json.writeEndArray();
+            strings(json, "history", breach.history());
             json.writeEndObject();
         }
         json.writeEndArray();
+    }
+
+    private static void verdicts(JsonGenerator json, List<Report.Verdict> verdicts)
+            throws IOException {
         json.writeArrayFieldStart("expected");
-        for (Report.Verdict verdict : report.verdicts()) {
+        for (Report.Verdict verdict : verdicts) {
             json.writeStartObject();
             json.writeStringField("figure", verdict.figure());
             number(json, "least", verdict.min());
@@ -102,24 +120,25 @@
             json.writeEndObject();
         }
         json.writeEndArray();
+    }
+
+    private static void series(JsonGenerator json, Report.Series series) throws IOException {
         json.writeObjectFieldStart("over_time");
-        numbers(json, "seconds", report.series().times());
-        numbers(json, "asked_per_s", report.series().requested());
-        numbers(json, "launched_per_s", report.series().attempted());
-        numbers(json, "service", report.series().service());
+        numbers(json, "seconds", series.times());
+        numbers(json, "asked_per_s", series.requested());
+        numbers(json, "launched_per_s", series.attempted());
+        numbers(json, "service", series.service());
         json.writeObjectFieldStart("jobs_at_a_worker");
-        for (Map.Entry<String, double[]> queue : report.series().queues().entrySet()) {
+        for (Map.Entry<String, double[]> queue : series.queues().entrySet()) {
             numbers(json, queue.getKey(), queue.getValue());
         }
         json.writeEndObject();
         json.writeEndObject();
-        json.writeArrayFieldStart("latency_distribution");
-        for (double[] point : report.distribution()) {
-            json.writeArray(point, 0, point.length);
-        }
-        json.writeEndArray();
+    }
+
+    private static void faults(JsonGenerator json, List<Report.Band> bands) throws IOException {
         json.writeArrayFieldStart("faults");
-        for (Report.Band band : report.bands()) {
+        for (Report.Band band : bands) {
             json.writeStartObject();
             json.writeStringField("kind", band.name());
             number(json, "from", band.from());
@@ -127,7 +146,20 @@
             json.writeEndObject();
         }
         json.writeEndArray();
-        json.writeEndObject();
+    }
+
+    /** The names of rules and judgements are keys of reports. */
+    private static String lowerCase(Enum<?> constant) {
+        return constant.name().toLowerCase(Locale.ROOT);
+    }
+
+    private static void strings(JsonGenerator json, String name, List<String> values)
+            throws IOException {
+        json.writeArrayFieldStart(name);
+        for (String value : values) {
+            json.writeString(value);
+        }
+        json.writeEndArray();
     }
 
     private static void rows(JsonGenerator json, String name, List<Report.Row> rows)
@@ -165,7 +197,7 @@
         json.writeEndArray();
     }
 
-    /** JSON has no word for infinity. */
+    /** Null for infinity and NaN, which JSON does not have. */
     private static void number(JsonGenerator json, String name, double value) throws IOException {
         if (Double.isFinite(value)) {
             json.writeNumberField(name, value);
