--- a/daemon/src/test/java/wheelroute/ProcessLifetime.java
+++ b/daemon/src/test/java/wheelroute/BackgroundTask.java
@@ -1,20 +1,19 @@
 package wheelroute;
 
-/**
- * What a stand-in of a test does on a thread of its own, until its peer has gone or the case is
- * over.
- */
-public interface ProcessLifetime {
+/** What a test's stub does on a thread of its own, until its peer closes or the test ends. */
+public interface BackgroundTask {
+    /** Runs until it fails: with its sockets closed it does. */
     void run() throws Exception;
 
-    static void start(ProcessLifetime life) {
+    /** Starts a daemon thread. */
+    static void start(BackgroundTask life) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
                                 life.run();
                             } catch (Exception e) {
-                                // Its peer has gone, or the case is over.
+                                // Its peer has closed, or the test has ended.
                                 Thread.currentThread().interrupt();
                             }
                         });
--- a/daemon/src/test/java/wheelroute/DescriptorsTest.java
+++ b/daemon/src/test/java/wheelroute/DescriptorsTest.java
@@ -95,12 +95,12 @@
     private int worker(BlockingQueue<Integer> heard) throws IOException {
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         open.add(server);
-        ProcessLifetime.start(
+        BackgroundTask.start(
                 () -> {
                     while (true) {
                         Socket socket = server.accept();
                         open.add(socket);
-                        ProcessLifetime.start(
+                        BackgroundTask.start(
                                 () -> {
                                     while (true) {
                                         String id =
@@ -196,7 +196,7 @@
                         + (System.nanoTime() - returned) / 1e9
                         + " s after\n"
                         + process.log());
-        Socket door = connect(process.door());
+        Socket door = connect(process.adminPort());
         send(door, "READY\n");
         assertEquals(
                 new String(door.getInputStream().readAllBytes(), StandardCharsets.UTF_8),
@@ -225,12 +225,12 @@
         server.setReuseAddress(true);
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 200);
         AtomicInteger answers = new AtomicInteger();
-        ProcessLifetime.start(
+        BackgroundTask.start(
                 () -> {
                     while (true) {
                         Socket socket = server.accept();
                         open.add(socket);
-                        ProcessLifetime.start(
+                        BackgroundTask.start(
                                 () -> {
                                     while (true) {
                                         calls.add(head(socket.getInputStream()));
--- a/daemon/src/test/java/wheelroute/ServedProcess.java
+++ b/daemon/src/test/java/wheelroute/ServedProcess.java
@@ -14,26 +14,27 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A dispatcher as a process of its own, so that a test may stop it, or bound what it may open. */
+/** A dispatcher in a process of its own, so that a test may stop it, or limit its descriptors. */
 public final class ServedProcess implements AutoCloseable {
-    private static final Pattern LISTENS = Pattern.compile("listens on .*:(\\d+)$");
-    private static final Pattern DOOR = Pattern.compile("operators call .*:(\\d+)$");
+    private static final Pattern LISTENING_LINE = Pattern.compile("listens on .*:(\\d+)$");
+    private static final Pattern ADMIN_LINE = Pattern.compile("operators call .*:(\\d+)$");
 
-    /** On a machine with much else to do a start takes some seconds. */
-    private static final int UP_SECONDS = 20;
+    /** On a busy machine a start takes some seconds. */
+    private static final int START_TIMEOUT_SECONDS = 20;
 
     private final Process process;
     private final Queue<String> log = new ConcurrentLinkedQueue<>();
     private final CompletableFuture<Integer> port = new CompletableFuture<>();
-    private final CompletableFuture<Integer> door = new CompletableFuture<>();
+    private final CompletableFuture<Integer> adminPort = new CompletableFuture<>();
 
     private ServedProcess(Process process) {
         this.process = process;
     }
 
     /**
-     * With the log of the process joined to its output; a bound on descriptors of 0 is that of the
-     * test.
+     * The process's log goes to its output.
+     *
+     * @param descriptors the limit on descriptors; 0 for that of the test
      */
     static ProcessBuilder builder(Path directory, String config, int descriptors)
             throws IOException {
@@ -52,7 +53,7 @@
                         "serve");
         ProcessBuilder builder = new ProcessBuilder(command);
         if (descriptors > 0) {
-            // The child's own bound, as a deployment sets it: the shell becomes the process.
+            // The limit is set as in a deployment; the shell becomes the process.
             builder.command("sh", "-c", "ulimit -n " + descriptors + " && exec \"$@\"", "sh");
             builder.command().addAll(command);
         }
@@ -61,15 +62,15 @@
         return builder.redirectErrorStream(true);
     }
 
-    /** Returns once it listens to clients. */
+    /** Returns once it accepts clients. */
     public static ServedProcess start(Path directory, String config, int descriptors)
             throws Exception {
         ServedProcess served = new ServedProcess(builder(directory, config, descriptors).start());
-        Thread reader = new Thread(served::read, "log");
+        Thread reader = new Thread(served::readLog, "log");
         reader.setDaemon(true);
         reader.start();
         try {
-            served.port.get(UP_SECONDS, TimeUnit.SECONDS);
+            served.port.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (Exception e) {
             served.close();
             throw new IOException("it did not come up:\n" + served.log(), e);
@@ -77,23 +78,23 @@
         return served;
     }
 
-    private void read() {
+    private void readLog() {
         try (BufferedReader lines =
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 log.add(line);
-                tell(DOOR.matcher(line), door);
-                tell(LISTENS.matcher(line), port);
+                completeIfFound(ADMIN_LINE.matcher(line), adminPort);
+                completeIfFound(LISTENING_LINE.matcher(line), port);
             }
         } catch (IOException e) {
             log.add(e.toString());
         }
     }
 
-    private static void tell(Matcher matcher, CompletableFuture<Integer> told) {
+    private static void completeIfFound(Matcher matcher, CompletableFuture<Integer> value) {
         if (matcher.find()) {
-            told.complete(Integer.parseInt(matcher.group(1)));
+            value.complete(Integer.parseInt(matcher.group(1)));
         }
     }
 
@@ -101,16 +102,16 @@
         return port.join();
     }
 
-    /** The operators' door, which the configuration must ask for. */
-    public int door() {
-        return door.join();
+    /** The administrative port, which must be configured. */
+    public int adminPort() {
+        return adminPort.join();
     }
 
     public String log() {
         return String.join("\n", log);
     }
 
-    /** As STOP or CONT; returns when it has been sent. */
+    /** Sends a signal such as STOP or CONT. */
     public void signal(String name) throws Exception {
         Process kill = new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
         if (kill.waitFor() != 0) {
@@ -118,7 +119,7 @@
         }
     }
 
-    /** Tells it to end, and waits until it has; its exit code. */
+    /** Terminates it, waits until it has ended, and returns its exit code. */
     public int end() throws InterruptedException {
         process.toHandle().destroy();
         return process.waitFor();
--- a/daemon/src/test/java/wheelroute/StandstillTest.java
+++ b/daemon/src/test/java/wheelroute/StandstillTest.java
@@ -87,11 +87,11 @@
         ServerSocket server = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         open.add(server);
         AtomicInteger busy = new AtomicInteger();
-        ProcessLifetime.start(
+        BackgroundTask.start(
                 () -> {
                     while (true) {
                         Socket socket = server.accept();
-                        ProcessLifetime.start(() -> work(socket, busy));
+                        BackgroundTask.start(() -> work(socket, busy));
                     }
                 });
         return (InetSocketAddress) server.getLocalSocketAddress();
@@ -242,7 +242,7 @@
             }
             Socket socket = kept ? sockets.get(i) : null;
             String id = "j" + i;
-            ProcessLifetime.start(() -> submit(socket, process.port(), id, timeout, done));
+            BackgroundTask.start(() -> submit(socket, process.port(), id, timeout, done));
         }
         assertTrue(
                 done.await(PATIENCE / 3, TimeUnit.MILLISECONDS),
--- a/daemon/src/test/java/wheelroute/net/DiscoveryReturnTest.java
+++ b/daemon/src/test/java/wheelroute/net/DiscoveryReturnTest.java
@@ -71,7 +71,7 @@
     }
 
     /** Rule 3: what is drained or gone meanwhile is known before it counts as told. */
-    @Test(dataProvider = "outages", timeOut = 6 * PATIENCE)
+    @Test(dataProvider = "outages", timeOut = 6 * TIMEOUT_MILLIS)
     public void newsComeInTimeAfterAnOutage(Away away, Returns when) throws Exception {
         clock.stop();
         InetSocketAddress worker = workers.listen();
@@ -129,10 +129,10 @@
     private void goesAway(Away away) throws Exception {
         switch (away) {
             case REFUSES -> refuses();
-            case ANSWERS_503 -> discovery.otherwise = () -> BUSY;
-            case IS_SILENT -> discovery.otherwise = () -> SILENCE;
-            case STOPS_HALFWAY -> discovery.otherwise = () -> HALF;
-            case HANGS_UP -> discovery.otherwise = () -> BREAK;
+            case ANSWERS_503 -> discovery.defaultResponse = () -> BUSY;
+            case IS_SILENT -> discovery.defaultResponse = () -> SILENCE;
+            case STOPS_HALFWAY -> discovery.defaultResponse = () -> HALF;
+            case HANGS_UP -> discovery.defaultResponse = () -> BREAK;
             default -> loop.holdConnects(Set.of(config.discovery()));
         }
         // The watch that is open ends with it, or is silent from here on.
@@ -158,13 +158,13 @@
         if (away == Away.REFUSES) {
             discovery.listen(refused);
         } else if (away == Away.DOES_NOT_SHAKE_HANDS) {
-            loop.goOn();
+            loop.releaseAll();
         }
     }
 
     /** The whole list to the next call, and then it holds as a watch does. */
     private void answerOnce(String list) {
         AtomicBoolean told = new AtomicBoolean();
-        discovery.otherwise = () -> told.getAndSet(true) ? SILENCE : http(list);
+        discovery.defaultResponse = () -> told.getAndSet(true) ? SILENCE : http(list);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/HeldEventLoop.java
+++ b/daemon/src/test/java/wheelroute/net/HeldEventLoop.java
@@ -21,18 +21,18 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A loop that lets a test say in which order things happen: what would come at any time waits until
- * told.
+ * An event loop with which a test determines the order of events: connects and reads wait until the
+ * test releases them.
  */
 final class HeldEventLoop extends EventLoop {
-    /** The connections that wait to be made, in their order. */
+    /** The addresses whose connects are held, in their order. */
     final BlockingQueue<SocketAddress> connecting = new LinkedBlockingQueue<>();
 
     private final Queue<Runnable> connects = new ConcurrentLinkedQueue<>();
     private final Set<SocketAddress> held = ConcurrentHashMap.newKeySet();
     private final Set<Integer> unread = ConcurrentHashMap.newKeySet();
 
-    /** On all connections. */
+    /** On all connections together. */
     final AtomicLong bytesRead = new AtomicLong();
 
     private final StepClock clock;
@@ -42,24 +42,24 @@
         this.clock = clock;
     }
 
-    /** Connections to these are not made until {@link #goOn}. */
+    /** Holds connects to these addresses until {@link #releaseAll}. */
     void holdConnects(Set<? extends SocketAddress> addresses) {
         held.addAll(addresses);
     }
 
-    /** What comes from this port next is not heard of, as if it had come this moment only. */
+    /** Holds reads from this peer's port, as if nothing had arrived yet. */
     void holdReads(int port) {
         unread.add(port);
     }
 
-    /** Nothing is held from here on; what waited for a connection gets it. */
-    void goOn() {
+    /** Holds nothing from here on; held connects are made. */
+    void releaseAll() {
         unread.clear();
-        goOnConnecting();
+        releaseConnects();
     }
 
-    /** The same for connections only. */
-    void goOnConnecting() {
+    /** The same for connects only; reads stay held. */
+    void releaseConnects() {
         held.clear();
         post(
                 () -> {
@@ -69,20 +69,17 @@
                 });
     }
 
-    /**
-     * Lets so much time pass while the clock is stopped, and returns when what it made due has been
-     * done.
-     */
+    /** Moves the stopped clock on, and returns when all that is due by then has run. */
     void step(double seconds) throws InterruptedException {
-        // What is being done is done at the time at which it began.
+        // What is running completes at the time at which it began.
         settle();
         clock.step(seconds);
         settle();
     }
 
-    /** Returns when what has come so far has been done, with what followed from it at once. */
+    /** Returns when all that has arrived has run, with what it has posted. */
     void settle() throws InterruptedException {
-        // Twice: what is due comes after what is posted, and what follows from it after that.
+        // Twice: timers run after posted tasks, and what they post runs after that.
         for (int i = 0; i < 2; i++) {
             CountDownLatch done = new CountDownLatch(1);
             post(done::countDown);
--- a/daemon/src/test/java/wheelroute/net/LeaversTest.java
+++ b/daemon/src/test/java/wheelroute/net/LeaversTest.java
@@ -148,44 +148,44 @@
     }
 
     private void serve(Wait wait, Set<SocketAddress> addresses) throws Exception {
-        workers.answers.addAll(List.of(TAKEN, TAKEN, TAKEN, TAKEN));
+        workers.responses.addAll(List.of(ACCEPTED, ACCEPTED, ACCEPTED, ACCEPTED));
         for (int i = 0; i < WORKERS; i++) {
             addresses.add(workers.listen());
         }
-        longest = 60;
+        maxTimeout = 60;
         inTurn = wait.name().startsWith("LINE");
-        hasDoor = wait == Wait.LINE_IN_A_HANDOVER;
-        mayCopy = wait == Wait.COPY;
+        hasAdminServer = wait == Wait.LINE_IN_A_HANDOVER;
+        mayHedge = wait == Wait.COPY;
         boolean again = wait == Wait.SECOND || wait == Wait.COPY;
         serve(
                 again ? Idempotency.IDEMPOTENT : Idempotency.NON_IDEMPOTENT,
                 wait == Wait.PLACE ? FEW : 1024,
                 known(addresses.toArray(new InetSocketAddress[0])),
                 2);
-        if (hasDoor) {
+        if (hasAdminServer) {
             // On the port that it got, so that another process can listen there as well.
             service.drain();
-            meeting = Files.createTempDirectory("meet");
+            handoverDirectory = Files.createTempDirectory("meet");
             config =
                     new Config(
                             "n0",
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
                             config.discovery(),
                             config.admin(),
-                            meeting,
+                            handoverDirectory,
                             1024,
                             Double.NaN,
                             config.known(),
                             config.settings(),
                             0.5,
                             10,
-                            longest,
+                            maxTimeout,
                             false,
                             null);
             loop = new HeldEventLoop(clock, 0.5);
             service = new Service(config, loop);
             service.start();
-            while (!hasSocket(meeting)) {
+            while (!hasSocket(handoverDirectory)) {
                 LockSupport.parkNanos(1_000_000);
             }
         }
@@ -221,7 +221,7 @@
     /**
      * No attempt begins for a client that left, whose end lies unread as its attempt would begin.
      */
-    @Test(dataProvider = "leavers", timeOut = PATIENCE)
+    @Test(dataProvider = "leavers", timeOut = TIMEOUT_MILLIS)
     public void noAttemptBeginsForWhoLeft(Wait wait, Leaving leaving) throws Exception {
         Set<SocketAddress> addresses = Collections.newSetFromMap(new LinkedHashMap<>());
         serve(wait, addresses);
@@ -265,7 +265,7 @@
             if (wait.name().startsWith("CONNECTION")) {
                 loop.connecting.take();
                 // Only connections go on: what its client said last is still unheard.
-                loop.goOnConnecting();
+                loop.releaseConnects();
             } else if (inLine) {
                 workers.say((STARTED + line("done") + "0\r\n\r\n").replace("ID", "11"));
                 assertEquals(status(read(first.getInputStream())), 200);
@@ -279,7 +279,7 @@
         if (leaving == Leaving.STAYS) {
             assertEquals(workers.next(), "POST /job/x HTTP/1.1");
             client.close();
-            loop.goOn();
+            loop.releaseAll();
         } else {
             long expected = wait == Wait.TURN || wait == Wait.PLACE ? 0 : 1;
             while (service.counters().value(Counters.Counter.CLIENTS_GONE) < expected
--- a/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
+++ b/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
@@ -52,7 +52,7 @@
 
     /** What it hears without any time passing. */
     private static String soon(Stub stub) throws InterruptedException {
-        String heard = stub.heard.poll(2, TimeUnit.SECONDS);
+        String heard = stub.received.poll(2, TimeUnit.SECONDS);
         return heard == null ? "nothing came" : held(heard.substring(0, heard.indexOf("\r\n")));
     }
 
@@ -87,9 +87,9 @@
     }
 
     /** Its end is seen behind whatever it sent on: its launch is called off, and none follows. */
-    @Test(dataProvider = "leavings", timeOut = PATIENCE)
+    @Test(dataProvider = "leavings", timeOut = TIMEOUT_MILLIS)
     public void aClientThatSentMoreAndLeftIsSeen(int more, Leaving how) throws Exception {
-        longest = 60;
+        maxTimeout = 60;
         serve(Idempotency.IDEMPOTENT);
         Socket client = connect();
         send(client, post(60.0) + "x".repeat(more));
@@ -103,7 +103,7 @@
             }
         }
         assertNotEquals(
-                workers.closed.poll(PATIENCE / 2, TimeUnit.MILLISECONDS), null, "still out");
+                workers.closed.poll(TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS), null, "still out");
         assertEquals(metric("clients_gone_total"), 1);
         assertEquals(metric("launch_ends_total{end=\"called_off\"}"), 1);
         assertEquals(metric("launches_total"), 1);
@@ -114,9 +114,9 @@
      * What came before its turn is read no further than to a bound, and answered whole, in its
      * order.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void whatComesAheadIsAnsweredInItsTurn() throws Exception {
-        workers.answers.add(DONE);
+        workers.responses.add(DONE);
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         Socket client = connect();
         int pages = 10_000;
@@ -130,11 +130,11 @@
     /**
      * Who sends much behind its message takes the room of who does the same, and of nobody else.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aCrowdThatSendsAheadKeepsNobodyOut() throws Exception {
         // No worker is to be taken for a silent one.
         clock.stop();
-        longest = 60;
+        maxTimeout = 60;
         int crowd = 24;
         InetSocketAddress[] at = new InetSocketAddress[crowd];
         for (int i = 0; i < crowd; i++) {
@@ -165,7 +165,7 @@
     }
 
     /** Its end lies unread as its launch breaks: nothing is launched again for it. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void nothingIsLaunchedAgainForAClientThatLeftUnseen() throws Exception {
         ServerSocket worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         open.add(worker);
@@ -224,13 +224,13 @@
      * Rule 3: its worker is told draining or gone while it waits for a connection, and it goes
      * elsewhere.
      */
-    @Test(dataProvider = "listings", timeOut = PATIENCE)
+    @Test(dataProvider = "listings", timeOut = TIMEOUT_MILLIS)
     public void aLaunchThatWaitsForItsConnectionHearsOfADrain(Idempotency effect, String list)
             throws Exception {
         Stub[] stubs = {new Stub(), new Stub()};
         InetSocketAddress[] at = {stubs[0].listen(), stubs[1].listen()};
-        stubs[0].answers.add(DONE);
-        stubs[1].answers.add(DONE);
+        stubs[0].responses.add(DONE);
+        stubs[1].responses.add(DONE);
         serve(effect, 1024, known(at));
         discovery.next();
         loop.holdConnects(Set.of(at));
@@ -243,7 +243,7 @@
                         list.replace("PORT", "" + first.getPort())
                                 .replace("OTHER", "" + at[1 - chosen].getPort())));
         discovery.next();
-        loop.goOn();
+        loop.releaseAll();
         assertEquals(status(read(client.getInputStream())), 200);
         assertEquals(stubs[chosen].messages.get(), 0, "sent to a worker that drains");
         assertEquals(stubs[1 - chosen].messages.get(), 1);
@@ -251,11 +251,11 @@
     }
 
     /** The same where it is listed as started anew: decided anew, and sent once. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aLaunchThatWaitsForItsConnectionHearsOfARestart() throws Exception {
         Stub worker = new Stub();
         InetSocketAddress at = worker.listen();
-        worker.answers.add(DONE);
+        worker.responses.add(DONE);
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(at));
         discovery.next();
         loop.holdConnects(Set.of(at));
@@ -264,7 +264,7 @@
         loop.connecting.take();
         discovery.say(http(known(at).replace("\"state\"", "\"started_ms\":1000,\"state\"")));
         discovery.next();
-        loop.goOn();
+        loop.releaseAll();
         assertEquals(status(read(client.getInputStream())), 200);
         assertEquals(worker.messages.get(), 1);
         assertEquals(metric("launch_ends_total{end=\"refused\"}"), 0);
@@ -273,7 +273,7 @@
     }
 
     /** The client's end, unread, as its connection to a worker comes up. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aLateConnectionCarriesNothingForAClientThatLeftUnseen() throws Exception {
         InetSocketAddress at = workers.listen();
         serve(Idempotency.IDEMPOTENT, 1024, known(at));
@@ -283,7 +283,7 @@
         send(client, post(10));
         loop.connecting.take();
         client.close();
-        loop.goOn();
+        loop.releaseAll();
         await("submissions_open", 0);
         assertEquals(metric("launches_written_total"), 0);
         assertEquals(metric("clients_gone_total"), 1);
@@ -295,19 +295,19 @@
      * A second answer, late, to a launch before: what must not run twice does not go where it may
      * come.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void whatMustNotRunTwiceWaitsForNoOthersAnswer() throws Exception {
         clock.stop();
-        workers.answers.add(DONE);
+        workers.responses.add(DONE);
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen()));
         Socket first = connect();
         assertEquals(status(ask(first, post(10))), 200);
         Socket late = workers.last;
-        workers.heard.clear();
+        workers.received.clear();
         Socket second = connect();
         send(second, job(88));
         workers.next();
-        late.getOutputStream().write(TURNED_AWAY.getBytes(StandardCharsets.UTF_8));
+        late.getOutputStream().write(REJECTED.getBytes(StandardCharsets.UTF_8));
         // The launch it might be taken for runs, and is answered.
         assertTrue(
                 workers.last != late, "on the connection that may still speak of the one before");
@@ -317,10 +317,10 @@
     }
 
     /** Once it has rested a connection is as good as a new one. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aRestedConnectionIsUsedAgain() throws Exception {
         clock.stop();
-        workers.answers.addAll(List.of(DONE, DONE, DONE));
+        workers.responses.addAll(List.of(DONE, DONE, DONE));
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(status(ask(connect(), post(10))), 200);
         loop.step(WHILE);
@@ -334,43 +334,43 @@
      * What may run again goes there, but a bad answer then ends the connection before it is
      * believed.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aBadAnswerOnAnUnrestedConnectionEndsIt() throws Exception {
         clock.stop();
-        workers.answers.add(DONE);
+        workers.responses.add(DONE);
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(status(ask(connect(), post(10))), 200);
-        workers.heard.clear();
+        workers.received.clear();
         Socket second = connect();
         send(second, job(88));
         workers.next();
         assertEquals(workers.connections.get(), 1);
         workers.say("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n");
         assertEquals(
-                workers.closed.poll(PATIENCE / 2, TimeUnit.MILLISECONDS),
+                workers.closed.poll(TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS),
                 Integer.valueOf(1),
                 "it may run there still");
     }
 
     @DataProvider
     public Object[][] strayBytes() {
-        return new Object[][] {{"HTTP/1.1 5"}, {"\r\n"}, {TURNED_AWAY}, {DONE}};
+        return new Object[][] {{"HTTP/1.1 5"}, {"\r\n"}, {REJECTED}, {DONE}};
     }
 
     /**
      * Part of an answer to nothing, read while the connection is idle, would begin the next one's
      * answer.
      */
-    @Test(dataProvider = "strayBytes", timeOut = PATIENCE)
+    @Test(dataProvider = "strayBytes", timeOut = TIMEOUT_MILLIS)
     public void whatAnIdleConnectionSaysEndsIt(String stray) throws Exception {
         // It is not to expire.
         clock.stop();
-        workers.answers.addAll(List.of(DONE, DONE));
+        workers.responses.addAll(List.of(DONE, DONE));
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(status(ask(connect(), post(10))), 200);
         workers.say(stray);
         assertEquals(
-                workers.closed.poll(PATIENCE / 2, TimeUnit.MILLISECONDS),
+                workers.closed.poll(TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS),
                 Integer.valueOf(1),
                 "kept with part of an answer");
         assertEquals(status(ask(connect(), post(10))), 200);
@@ -386,7 +386,7 @@
      * Rule 3: a silent watch is opened anew long before what it kept back counts as told, and
      * twice.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aSilentWatchIsOpenedAnewAtOnce() throws Exception {
         clock.stop();
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
@@ -402,7 +402,7 @@
     }
 
     /** A discovery that never answers is not asked in haste for ever. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aDiscoveryThatStaysSilentIsLeftInPeace() throws Exception {
         clock.stop();
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
@@ -418,10 +418,10 @@
     /**
      * A watch that worked and then breaks is opened anew at once, and a refused one after a pause.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aBrokenWatchIsOpenedAnewAtOnce() throws Exception {
         clock.stop();
-        discovery.answers.addAll(List.of(http(NOTHING_NEW.replace("false", "true")), BREAK));
+        discovery.responses.addAll(List.of(http(NOTHING_NEW.replace("false", "true")), BREAK));
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(discovery.next(), HELD_CALL);
         assertEquals(discovery.next(), HELD_CALL);
@@ -431,10 +431,11 @@
     }
 
     /** An answer that stops in its middle may hold what counts as told: it is given up sooner. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void anAnswerThatStopsInItsMiddleIsGivenUp() throws Exception {
         clock.stop();
-        discovery.answers.add("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":6,\"fu");
+        discovery.responses.add(
+                "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":6,\"fu");
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(discovery.next(), HELD_CALL);
         // Its first part is read before the time goes on.
@@ -444,12 +445,12 @@
     }
 
     /** Where the agent's news count as told unasked, no failure is waited out, nor is the tenth. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aPushedListIsAskedForAgainSoon() throws Exception {
         clock.stop();
-        pushed = true;
+        listIsPushed = true;
         for (int i = 0; i < 10; i++) {
-            discovery.answers.add("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
+            discovery.responses.add("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n");
         }
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         for (int i = 0; i < 10; i++) {
@@ -487,11 +488,11 @@
     /**
      * What lay unread in a standstill may be as old as that: who has no time left is told at once.
      */
-    @Test(dataProvider = "unread", timeOut = PATIENCE)
+    @Test(dataProvider = "unread", timeOut = TIMEOUT_MILLIS)
     public void whatLayUnreadMayBeAsOldAsTheStandstill(int count, boolean kept) throws Exception {
         clock.stop();
-        longest = 60;
-        workers.answers.addAll(List.of(DONE, DONE));
+        maxTimeout = 60;
+        workers.responses.addAll(List.of(DONE, DONE));
         serve(Idempotency.NON_IDEMPOTENT, 2600, known(workers.listen()));
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < count && kept; i++) {
@@ -513,22 +514,22 @@
             assertEquals(status(read(client.getInputStream())), 503);
         }
         assertEquals(status(read(patient.getInputStream())), 200);
-        String launched = workers.heard.take();
+        String launched = workers.received.take();
         assertTrue(launched.contains("X-Request-ID: 99\r\n"), launched);
         assertTrue(launched.contains("X-Timeout: 5.9"), launched);
         // What comes after it has all of its time.
         assertEquals(status(ask(clients.get(0), job(98).replace("10.0", "3.8"))), 200);
-        launched = workers.heard.take();
+        launched = workers.received.take();
         assertTrue(launched.contains("X-Timeout: 3.7"), launched);
     }
 
     /**
      * The process stands still between any two looks at the clock: nothing goes out past its time.
      */
-    @Test(timeOut = 2 * PATIENCE)
+    @Test(timeOut = 2 * TIMEOUT_MILLIS)
     public void nothingGoesOutPastItsTimeWhereverItStandsStill() throws Exception {
         clock.stop();
-        workers.answers.addAll(Collections.nCopies(2 * MOST_LOOKS, DONE));
+        workers.responses.addAll(Collections.nCopies(2 * MOST_LOOKS, DONE));
         InetSocketAddress[] at = new InetSocketAddress[MOST_LOOKS];
         for (int i = 0; i < MOST_LOOKS; i++) {
             // One for each, as who seems to have been silent is avoided for a while.
@@ -541,15 +542,15 @@
             ask(client, HEALTH);
             // Connections to workers rest, so that they are used again.
             loop.step(WHILE);
-            workers.heard.clear();
-            clock.jumpAfter(looks, 4);
+            workers.received.clear();
+            clock.jumpAfterReads(looks, 4);
             // The harness cuts outer limits to 2 s.
             int status = status(ask(client, job(10 + looks)));
             assertTrue(List.of(200, 502, 503).contains(status), looks + " looks: " + status);
             loop.settle();
-            for (String message = workers.heard.poll();
+            for (String message = workers.received.poll();
                     message != null;
-                    message = workers.heard.poll()) {
+                    message = workers.received.poll()) {
                 launched++;
                 assertTrue(
                         message.matches("(?s).*X-Timeout: [0-9.]*[1-9].*"),
@@ -568,10 +569,10 @@
      * What a client sends ahead of its turn waits from when it came, and not from when its turn
      * comes.
      */
-    @Test(dataProvider = "ahead", timeOut = PATIENCE)
+    @Test(dataProvider = "ahead", timeOut = TIMEOUT_MILLIS)
     public void whatComesAheadIsAsOldAsItIs(String timeout, int status) throws Exception {
         clock.stop();
-        longest = 60;
+        maxTimeout = 60;
         // The one that is silent for so long is not chosen again.
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         Socket client = connect();
@@ -584,11 +585,11 @@
             loop.settle();
         }
         loop.step(2);
-        workers.answers.addAll(List.of("", DONE));
+        workers.responses.addAll(List.of("", DONE));
         workers.say(DONE.replace("ID", "88"));
         assertEquals(status(read(client.getInputStream())), 200);
         assertEquals(status(read(client.getInputStream())), status);
-        String launched = workers.heard.poll();
+        String launched = workers.received.poll();
         assertTrue(
                 status == 503 ? launched == null : launched.contains("X-Timeout: 2.9"), launched);
     }
@@ -599,17 +600,18 @@
      * A message that comes in the last moment on a connection that said nothing is answered all the
      * same.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void whatComesInTheLastMomentIsAnswered() throws Exception {
         clock.stop();
-        workers.answers.addAll(List.of(DONE, DONE));
+        workers.responses.addAll(List.of(DONE, DONE));
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()), 2);
         Socket silent = new Socket();
         open.add(silent);
         silent.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         loop.holdReads(silent.getLocalPort());
-        silent.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), PATIENCE);
-        silent.setSoTimeout(PATIENCE);
+        silent.connect(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), port), TIMEOUT_MILLIS);
+        silent.setSoTimeout(TIMEOUT_MILLIS);
         // Accepted after it.
         assertEquals(status(ask(connect(), HEALTH)), 200);
         loop.step(WHILE);
@@ -621,7 +623,7 @@
             loop.step(0.02);
         }
         assertEquals(status(read(silent.getInputStream())), 200);
-        clock.goOn();
+        clock.resume();
         ended.get();
         service = null;
     }
@@ -629,9 +631,9 @@
     /**
      * A fault of the decisions, from the taking on: at its outer limit it is scrapped all the same.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aFaultOfTheDecisionsTakesNoAnswerWithIt() throws Exception {
-        wantsFaults = true;
+        expectsFaults = true;
         serve(Idempotency.IDEMPOTENT);
         RequestDispatcher dispatcher =
                 new RequestDispatcher(
--- a/daemon/src/test/java/wheelroute/net/OperatingTest.java
+++ b/daemon/src/test/java/wheelroute/net/OperatingTest.java
@@ -28,19 +28,19 @@
 public class OperatingTest extends ServiceHarness {
     @BeforeMethod
     public void wantDoor() {
-        hasDoor = true;
+        hasAdminServer = true;
     }
 
-    private Socket caller() throws IOException {
-        return caller(service);
+    private Socket connectAdmin() throws IOException {
+        return connectAdmin(service);
     }
 
-    private String call(String text) throws IOException {
-        return call(service, text);
+    private String adminCommand(String text) throws IOException {
+        return adminCommand(service, text);
     }
 
-    private Map<String, Integer> figures() throws IOException {
-        return figures(service);
+    private Map<String, Integer> adminStats() throws IOException {
+        return adminStats(service);
     }
 
     @DataProvider
@@ -56,21 +56,21 @@
         };
     }
 
-    @Test(dataProvider = "calls", timeOut = PATIENCE)
+    @Test(dataProvider = "calls", timeOut = TIMEOUT_MILLIS)
     public void answersOneLine(String text, String answer) throws Exception {
         serve(Idempotency.IDEMPOTENT);
-        assertEquals(call(text), answer);
+        assertEquals(adminCommand(text), answer);
     }
 
     /** A caller's end of sending ends its line; one byte at a time makes a line too. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void takesALineInPieces() throws Exception {
         serve(Idempotency.IDEMPOTENT);
-        Socket socket = caller();
+        Socket socket = connectAdmin();
         socket.setTcpNoDelay(true);
         for (byte piece : "READY".getBytes(StandardCharsets.UTF_8)) {
             socket.getOutputStream().write(piece);
-            assertEquals(call("READY\n"), "ok ready\n");
+            assertEquals(adminCommand("READY\n"), "ok ready\n");
         }
         socket.shutdownOutput();
         assertEquals(new String(socket.getInputStream().readAllBytes(), UTF_8), "ok ready\n");
@@ -80,15 +80,15 @@
      * Callers who say nothing, or half a call, stop neither the others nor any client, and are let
      * go.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void letsSilentCallersGo() throws Exception {
         serve(Idempotency.IDEMPOTENT, DONE);
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            silent.add(caller());
+            silent.add(connectAdmin());
             silent.get(i).getOutputStream().write("REA".getBytes(StandardCharsets.UTF_8));
         }
-        assertEquals(call("READY\n"), "ok ready\n");
+        assertEquals(adminCommand("READY\n"), "ok ready\n");
         assertEquals(status(ask(connect(), post(10))), 200);
         for (Socket socket : silent) {
             assertEquals(socket.getInputStream().read(), -1);
@@ -96,13 +96,13 @@
     }
 
     /** Each figure against what the peers saw of a mixed history. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void figuresAreWhatPeersSaw() throws Exception {
         // Served; turned away and served; broken off and served; still at work.
-        workers.answers.addAll(List.of(DONE, TURNED_AWAY, DONE, BREAK, DONE, TAKEN));
+        workers.responses.addAll(List.of(DONE, REJECTED, DONE, BREAK, DONE, ACCEPTED));
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         assertEquals(
-                figures(),
+                adminStats(),
                 Map.of(
                         "completed.job",
                         0,
@@ -137,7 +137,7 @@
             workers.next();
         }
         assertEquals(status(ask(connect(), post(10))), 409);
-        Map<String, Integer> now = figures();
+        Map<String, Integer> now = adminStats();
         assertEquals(
                 List.of(
                         now.get("completed.job"),
@@ -146,14 +146,14 @@
                         now.get("upstream_requests")),
                 List.of(2, 1, 1, 6));
         waiting.close();
-        while (figures().get("pending") > 0) {
+        while (adminStats().get("pending") > 0) {
             Thread.onSpinWait();
         }
-        assertEquals(figures().get("rejected.job") + figures().get("failed.job"), 0);
+        assertEquals(adminStats().get("rejected.job") + adminStats().get("failed.job"), 0);
         // What finds no worker is bounced without a launch.
-        workers.answers.addAll(List.of(TURNED_AWAY, TURNED_AWAY));
+        workers.responses.addAll(List.of(REJECTED, REJECTED));
         assertEquals(status(ask(connect(), post(10))), 503);
-        now = figures();
+        now = adminStats();
         assertEquals(
                 List.of(
                         now.get("rejected.job"),
@@ -166,19 +166,19 @@
     }
 
     /** One that comes too many is told to come back, and hears it counted. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void countsWhatItTurnsAwayUntaken() throws Exception {
         serve(Idempotency.IDEMPOTENT, 72, known(workers.listen()));
         for (int i = 0; i < 9; i++) {
             assertEquals(status(ask(connect(), HEALTH + "POST /jo")), 200);
         }
         assertEquals(status(ask(connect(), post(10))), 503);
-        assertEquals(figures().get("rejected.job").intValue(), 1);
-        assertEquals(call("READY\n"), "ok ready\n");
+        assertEquals(adminStats().get("rejected.job").intValue(), 1);
+        assertEquals(adminCommand("READY\n"), "ok ready\n");
     }
 
     /** A start that cannot listen ends at once, and names the key at fault. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void namesATakenDoor() throws Exception {
         InetSocketAddress taken = discovery.listen();
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
--- a/daemon/src/test/java/wheelroute/net/OrderedServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/OrderedServiceTest.java
@@ -19,7 +19,7 @@
     @BeforeMethod
     public void keepOrder() {
         inTurn = true;
-        longest = 10;
+        maxTimeout = 10;
     }
 
     private static String job(int id, String key, double timeout) {
@@ -35,8 +35,8 @@
     }
 
     private String nextId() throws InterruptedException {
-        return workers.heard
-                .poll(PATIENCE, TimeUnit.MILLISECONDS)
+        return workers.received
+                .poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .replaceAll("(?s).*X-Request-ID: (\\w+).*", "$1");
     }
 
@@ -44,9 +44,9 @@
      * The first one's client leaves; its launch is called off, the key rests, and the second one
      * goes.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void theNextGoesWhenTheFirstIsOver() throws Exception {
-        workers.answers.addAll(List.of(TAKEN, DONE, DONE));
+        workers.responses.addAll(List.of(ACCEPTED, DONE, DONE));
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         Socket first = send(job(11, "a", 9));
         assertEquals(nextId(), "11");
@@ -64,9 +64,9 @@
      * The first one never ends; who waits hears so before its own limit, and its id is free at
      * once.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void whoWaitsInVainIsBouncedInTime() throws Exception {
-        workers.answers.addAll(List.of(TAKEN));
+        workers.responses.addAll(List.of(ACCEPTED));
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         send(job(11, "a", 9));
         assertEquals(nextId(), "11");
@@ -75,14 +75,14 @@
         assertEquals(status(ask(client, job(12, "a", 0.8))), 503);
         assertTrue(System.nanoTime() - asked < 800_000_000L, "too late for its client");
         assertEquals(status(ask(client, job(12, "a", 0.8))), 503, "its id is not open any more");
-        assertTrue(workers.heard.isEmpty());
+        assertTrue(workers.received.isEmpty());
     }
 
     /** Told to end, it sends nobody away without an answer who waits in a line. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void whoWaitsIsAnsweredAtTheEnd() throws Exception {
-        longest = 2;
-        workers.answers.addAll(List.of(TAKEN));
+        maxTimeout = 2;
+        workers.responses.addAll(List.of(ACCEPTED));
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         Socket first = send(job(11, "a", 9));
         assertEquals(nextId(), "11");
--- a/daemon/src/test/java/wheelroute/net/ReplacementTest.java
+++ b/daemon/src/test/java/wheelroute/net/ReplacementTest.java
@@ -42,8 +42,8 @@
     @BeforeMethod
     public void wantMeeting() throws IOException {
         sockets = 1024;
-        hasDoor = true;
-        meeting = Files.createTempDirectory("meet");
+        hasAdminServer = true;
+        handoverDirectory = Files.createTempDirectory("meet");
     }
 
     /**
@@ -73,7 +73,7 @@
                         config.settings(),
                         0.5,
                         10,
-                        longest,
+                        maxTimeout,
                         false,
                         null));
     }
@@ -82,13 +82,13 @@
      * The harness's own listens where the system likes; one on a known address is put in its place.
      */
     private void serveKnown(Idempotency effect, String... answers) throws Exception {
-        Path wanted = meeting;
-        meeting = null;
+        Path wanted = handoverDirectory;
+        handoverDirectory = null;
         serve(effect, answers);
         service.drain();
         service = another(wanted, port);
         service.start();
-        meeting = wanted;
+        handoverDirectory = wanted;
         onlyFile();
     }
 
@@ -111,7 +111,7 @@
     /**
      * Whoever was connected, idle or in the middle of a message, is served; nobody is turned back.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void nobodyIsTurnedBack() throws Exception {
         serveKnown(
                 Idempotency.IDEMPOTENT, Collections.nCopies(5 * MANY, DONE).toArray(new String[0]));
@@ -129,8 +129,8 @@
             kept.add(connect());
             assertEquals(status(ask(kept.get(i), job())), 200);
         }
-        Service next = beside(meeting);
-        assertEquals(call(next, "READY\n"), "ok ready\n");
+        Service next = beside(handoverDirectory);
+        assertEquals(adminCommand(next, "READY\n"), "ok ready\n");
         List<Socket> queued = new ArrayList<>();
         for (int i = 0; i < MANY; i++) {
             queued.add(connect());
@@ -155,14 +155,14 @@
         ended.get();
         service = null;
         assertEquals(status(ask(connect(), job())), 200);
-        assertEquals(call(next, "READY\n"), "ok ready\n");
+        assertEquals(adminCommand(next, "READY\n"), "ok ready\n");
     }
 
     /**
      * Half of the places are the other's from the moment it is there: room is made then, not as
      * clients come.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void roomIsMadeAtOnceForTwo() throws Exception {
         sockets = 72;
         serveKnown(Idempotency.IDEMPOTENT, Collections.nCopies(10, DONE).toArray(new String[0]));
@@ -171,7 +171,7 @@
             kept.add(connect());
             assertEquals(status(ask(kept.get(i), job())), 200);
         }
-        beside(meeting);
+        beside(handoverDirectory);
         for (int i = 0; i < 5; i++) {
             assertEquals(kept.get(i).getInputStream().read(), -1);
         }
@@ -179,16 +179,16 @@
     }
 
     /** What is in work at the old process is answered there, and its id is taken at both. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void workGoesOnWhereItBegan() throws Exception {
-        serveKnown(Idempotency.NON_IDEMPOTENT, TAKEN, DONE, DONE, DONE, DONE);
+        serveKnown(Idempotency.NON_IDEMPOTENT, ACCEPTED, DONE, DONE, DONE, DONE);
         Socket waiting = connect();
         waiting.getOutputStream().write(job(0).getBytes(StandardCharsets.UTF_8));
         workers.next();
-        Service next = beside(meeting);
+        Service next = beside(handoverDirectory);
         CompletableFuture<Void> ended = drain(service);
         Socket other = connect();
-        while (figures(next).get("completed.job") == 0) {
+        while (adminStats(next).get("completed.job") == 0) {
             // The new process alone is reached by now, or will be in a moment; it knows the open
             // id.
             int same = status(ask(other, job(0)));
@@ -204,17 +204,17 @@
     }
 
     /** Both are one dispatcher to the limits, and each is alone again once the other has gone. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aChainOfReplacements() throws Exception {
         serveKnown(Idempotency.IDEMPOTENT, Collections.nCopies(MANY, DONE).toArray(new String[0]));
         for (int i = 0; i < 4; i++) {
             Object key = keyOf(onlyFile());
-            Service next = another(meeting, port);
+            Service next = another(handoverDirectory, port);
             next.start();
             while (keyOf(onlyFile()).equals(key)) {
                 Thread.onSpinWait();
             }
-            assertEquals(call(service, "READY\n"), "ok ready\n");
+            assertEquals(adminCommand(service, "READY\n"), "ok ready\n");
             long before = System.nanoTime();
             drain(service).get();
             // With nothing left to answer it leaves at once: it knows that the next one serves.
@@ -224,13 +224,13 @@
         }
         service.drain();
         service = null;
-        try (var files = Files.list(meeting)) {
+        try (var files = Files.list(handoverDirectory)) {
             assertEquals(files.count(), 0, "files are left");
         }
     }
 
     /** Another dispatcher's socket stands where its own would: nothing is taken over from there. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void nothingIsTakenOverFromAnotherDispatcher() throws Exception {
         serveKnown(Idempotency.IDEMPOTENT);
         Path file = onlyFile();
@@ -247,7 +247,7 @@
                                                 + known(workers.listen()).replace(":5,", ":99,")
                                                 + "\nopen 77\ntold\n"));
                     });
-            service = another(meeting, port);
+            service = another(handoverDirectory, port);
             service.start();
             assertEquals(metric("workers_listed"), 2);
         }
@@ -257,7 +257,7 @@
      * One that dies before it serves leaves the old one serving, and to be found; words bring no
      * words.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aStartThatFailsChangesNothing() throws Exception {
         serveKnown(Idempotency.IDEMPOTENT, DONE, DONE, DONE);
         Path file = onlyFile();
@@ -273,28 +273,28 @@
             }
             assertEquals(words, List.of("wheelroute-handover", "list", "learned", "told"));
             // Its own door's answer goes out after all that it had to say to these words.
-            assertEquals(call(service, "READY\n"), "ok ready\n");
+            assertEquals(adminCommand(service, "READY\n"), "ok ready\n");
             dying.write(StandardCharsets.UTF_8.encode("serving\n"));
             drain(service).get();
             assertEquals(in.readLine(), null);
-            service = another(meeting, port);
+            service = another(handoverDirectory, port);
             service.start();
         }
         try (SocketChannel dying = SocketChannel.open(UnixDomainSocketAddress.of(onlyFile()))) {
             dying.write(StandardCharsets.UTF_8.encode("wheelroute-handover\n"));
         }
         assertEquals(status(ask(connect(), job(1))), 200);
-        Service next = beside(meeting);
+        Service next = beside(handoverDirectory);
         drain(service).get();
         service = null;
         assertEquals(status(ask(connect(), job(2))), 200);
-        assertEquals(call(next, "READY\n"), "ok ready\n");
+        assertEquals(adminCommand(next, "READY\n"), "ok ready\n");
     }
 
     /** It comes a moment after the process serves. */
     private Path onlyFile() throws IOException {
         while (true) {
-            try (var files = Files.list(meeting)) {
+            try (var files = Files.list(handoverDirectory)) {
                 List<Path> all = files.toList();
                 if (all.size() == 1 && all.get(0).toString().endsWith(".sock")) {
                     return all.get(0);
@@ -317,13 +317,13 @@
     }
 
     /** Whatever lies in the directory, a start needs no predecessor, and a lie is seen through. */
-    @Test(dataProvider = "leftovers", timeOut = PATIENCE)
+    @Test(dataProvider = "leftovers", timeOut = TIMEOUT_MILLIS)
     public void startsWhateverItFinds(String what) throws Exception {
         serveKnown(Idempotency.IDEMPOTENT, DONE, DONE);
         Path file = onlyFile();
         service.drain();
         assertFalse(Files.exists(file));
-        Path directory = meeting;
+        Path directory = handoverDirectory;
         switch (what) {
             case "a plain file" -> Files.writeString(file, "12345\n");
             case "a dead socket" -> listen(file).close();
@@ -332,32 +332,32 @@
                 start(() -> stranger.accept().write(StandardCharsets.UTF_8.encode("220 hello\n")));
             }
             case "a mute" -> listen(file);
-            case "no directory" -> directory = meeting.resolve("none");
-            case "a path too long" -> directory = meeting.resolve("x".repeat(200));
+            case "no directory" -> directory = handoverDirectory.resolve("none");
+            case "a path too long" -> directory = handoverDirectory.resolve("x".repeat(200));
             default -> assertEquals(what, "nothing");
         }
         service = another(directory, port);
         service.start();
-        assertEquals(call(service, "READY\n"), "ok ready\n");
+        assertEquals(adminCommand(service, "READY\n"), "ok ready\n");
         assertEquals(status(ask(connect(), job(1))), 200);
         // From here on it is to be found itself, where that can be.
         Service next = beside(directory);
-        assertEquals(call(next, "READY\n"), "ok ready\n");
+        assertEquals(adminCommand(next, "READY\n"), "ok ready\n");
     }
 
     /** A name that cannot be had leaves nothing under the one that was to be put there. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void leavesNoFileBehindWhereItCannotBeFound() throws Exception {
         serveKnown(Idempotency.IDEMPOTENT);
         Path file = onlyFile();
         service.drain();
         Files.createDirectory(file);
-        service = another(meeting, port);
+        service = another(handoverDirectory, port);
         service.start();
         // A plain restart listens for longer than it takes until the name is wanted.
         service.drain();
         service = null;
-        try (var files = Files.list(meeting)) {
+        try (var files = Files.list(handoverDirectory)) {
             assertEquals(files.toList(), List.of(file));
         }
     }
@@ -369,7 +369,7 @@
     }
 
     /** The file that others find is for this user only. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void itsFileIsPrivate() throws Exception {
         serveKnown(Idempotency.IDEMPOTENT);
         String rights = PosixFilePermissions.toString(Files.getPosixFilePermissions(onlyFile()));
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -33,30 +33,28 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.testng.annotations.AfterMethod;
-import wheelroute.ProcessLifetime;
+import wheelroute.BackgroundTask;
 import wheelroute.SimulatedWorld;
 import wheelroute.config.Config;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.Settings;
 
-/** A dispatcher on loopback sockets, among clients, workers and a discovery that do as told. */
+/** A dispatcher on loopback sockets, with stubs of clients, workers and discovery. */
 public abstract class ServiceHarness {
-    protected static final int PATIENCE = 20_000;
+    protected static final int TIMEOUT_MILLIS = 20_000;
     protected static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     protected static final String STARTED = line("started");
     protected static final String DONE = HEAD + STARTED + line("done") + "0\r\n\r\n";
-    protected static final String TURNED_AWAY =
+    protected static final String REJECTED =
             "HTTP/1.1 503 X\r\n" + "X-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
     protected static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
     protected static final String BREAK = "";
     protected static final String BREAK_LATE = HEAD + STARTED;
-    protected static final String TAKEN = HEAD;
+    protected static final String ACCEPTED = HEAD;
     protected static final String SILENCE = null;
     private static final Pattern HOLD = Pattern.compile("hold_ms=(\\d+)");
 
-    /**
-     * What the guards against our own faults have logged: none of them may hide one from a test.
-     */
+    /** Exceptions that the service has caught and logged: none may go unnoticed by a test. */
     private static final Queue<String> FAULTS = new ConcurrentLinkedQueue<>();
 
     private static final Logger LOGGER = Logger.getLogger("wheelroute.net");
@@ -84,36 +82,34 @@
                 });
     }
 
-    /** The test makes the decisions fail. */
-    protected boolean wantsFaults;
+    /** The test makes the policy fail. */
+    protected boolean expectsFaults;
 
     protected final List<AutoCloseable> open = new ArrayList<>();
     protected final Stub workers = new Stub();
     protected final Stub discovery = new Stub();
-    protected double longest = 2;
-    protected boolean hasDoor;
+    protected double maxTimeout = 2;
+    protected boolean hasAdminServer;
     protected boolean inTurn;
-    protected boolean mayCopy;
-    protected boolean pushed;
+    protected boolean mayHedge;
+    protected boolean listIsPushed;
     protected StepClock clock = new StepClock();
     protected HeldEventLoop loop;
-    protected Path meeting;
+    protected Path handoverDirectory;
     protected Config config;
     protected Service service;
     protected int port;
 
-    /**
-     * Listens, notes each message that comes, and answers the nth with the nth of what it was told.
-     */
+    /** A server that records each message, and responds to the nth with the nth response. */
     protected final class Stub {
-        final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+        final BlockingQueue<String> received = new LinkedBlockingQueue<>();
         final BlockingQueue<Integer> closed = new LinkedBlockingQueue<>();
-        final List<String> answers = new ArrayList<>();
+        final List<String> responses = new ArrayList<>();
         final AtomicInteger messages = new AtomicInteger();
         final AtomicInteger connections = new AtomicInteger();
 
-        /** The answer to what comes after those. */
-        volatile Supplier<String> otherwise = () -> SILENCE;
+        /** Makes the responses after those. */
+        volatile Supplier<String> defaultResponse = () -> SILENCE;
 
         volatile Socket last;
 
@@ -151,8 +147,9 @@
                 String message = read(socket.getInputStream());
                 last = socket;
                 int number = messages.getAndIncrement();
-                heard.add(message);
-                String answer = number < answers.size() ? answers.get(number) : otherwise.get();
+                received.add(message);
+                String answer =
+                        number < responses.size() ? responses.get(number) : defaultResponse.get();
                 if (answer == SILENCE) {
                     continue;
                 }
@@ -166,19 +163,19 @@
         }
 
         String next() throws InterruptedException {
-            String message = heard.poll(PATIENCE, TimeUnit.MILLISECONDS);
+            String message = received.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             return message == null
                     ? "nothing came"
                     : held(message.substring(0, message.indexOf("\r\n")));
         }
 
-        /** Says something unasked on the connection that spoke last. */
+        /** Sends something unasked on the connection of the last message. */
         void say(String text) throws IOException {
             last.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
     }
 
-    /** Watches are spread: each holds for 3 to 3.8 s. */
+    /** Replaces the hold of a watch, which has a jitter, if it is within 3 to 3.8 s. */
     protected static String held(String call) {
         Matcher hold = HOLD.matcher(call);
         boolean spread =
@@ -188,8 +185,8 @@
         return spread ? hold.replaceFirst("hold_ms=HELD") : call;
     }
 
-    protected static void start(ProcessLifetime life) {
-        ProcessLifetime.start(life);
+    protected static void start(BackgroundTask life) {
+        BackgroundTask.start(life);
     }
 
     /** One message: its head, and as much body as that says. */
@@ -246,7 +243,7 @@
         given.dispatchers = dispatchers;
         given.effect = effect;
         given.mustAsk = true;
-        given.mayCopy = mayCopy;
+        given.mayCopy = mayHedge;
         given.inTurn = inTurn;
         Settings settings = given.settings();
         InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
@@ -255,16 +252,16 @@
                         "n0",
                         any,
                         discovery.listen(),
-                        hasDoor ? any : null,
-                        meeting,
+                        hasAdminServer ? any : null,
+                        handoverDirectory,
                         sockets,
                         Double.NaN,
                         known.getBytes(StandardCharsets.UTF_8),
                         settings,
                         0.5,
                         10,
-                        longest,
-                        pushed,
+                        maxTimeout,
+                        listIsPushed,
                         null);
         loop = new HeldEventLoop(clock, 0.5);
         service = new Service(config, loop);
@@ -285,20 +282,20 @@
                 config.settings(),
                 0.5,
                 10,
-                longest,
-                pushed,
+                maxTimeout,
+                listIsPushed,
                 null);
     }
 
     protected void serve(Idempotency effect, String... answers) throws Exception {
-        workers.answers.addAll(List.of(answers));
+        workers.responses.addAll(List.of(answers));
         serve(effect, 1024, known(workers.listen(), workers.listen()));
     }
 
     protected Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         open.add(socket);
-        socket.setSoTimeout(PATIENCE);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         return socket;
     }
 
@@ -318,7 +315,7 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Waits until the service says to who asks that it has been told to end. */
+    /** Waits until health checks say that the service drains. */
     protected String awaitDraining() throws IOException {
         String health = "";
         while (!health.startsWith("HTTP/1.1 503")) {
@@ -336,23 +333,23 @@
         return figure(text, name);
     }
 
-    protected Socket caller(Service whom) throws IOException {
+    protected Socket connectAdmin(Service whom) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), whom.adminPort());
         open.add(socket);
-        socket.setSoTimeout(PATIENCE);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         return socket;
     }
 
-    /** One call at a process's door. */
-    protected String call(Service whom, String text) throws IOException {
-        try (Socket socket = caller(whom)) {
+    /** Sends one command to a process's administrative port, and returns the response. */
+    protected String adminCommand(Service whom, String text) throws IOException {
+        try (Socket socket = connectAdmin(whom)) {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    protected Map<String, Integer> figures(Service whom) throws IOException {
-        String text = call(whom, "STATS\n");
+    protected Map<String, Integer> adminStats(Service whom) throws IOException {
+        String text = adminCommand(whom, "STATS\n");
         assertTrue(text.endsWith("\neof\n"), text);
         Map<String, Integer> figures = new HashMap<>();
         for (String line : text.substring(0, text.length() - 4).split("\n")) {
@@ -364,7 +361,7 @@
         return figures;
     }
 
-    /** Tells a process to end; done when it has. */
+    /** Drains a service; completes when it has ended. */
     protected static CompletableFuture<Void> drain(Service whom) {
         CompletableFuture<Void> ended = new CompletableFuture<>();
         start(
@@ -380,10 +377,10 @@
         for (AutoCloseable one : new ArrayList<>(open)) {
             one.close();
         }
-        clock.goOn();
+        clock.resume();
         String figures = null;
         if (service != null) {
-            loop.goOn();
+            loop.releaseAll();
             service.drain();
             figures = service.finalMetrics();
         }
@@ -391,38 +388,38 @@
         // Before anything may fail: the next test begins anew.
         List<String> faults = new ArrayList<>(FAULTS);
         FAULTS.clear();
-        boolean wanted = wantsFaults;
-        wantsFaults = false;
+        boolean wanted = expectsFaults;
+        expectsFaults = false;
         for (Stub stub : List.of(workers, discovery)) {
-            stub.heard.clear();
+            stub.received.clear();
             stub.closed.clear();
-            stub.answers.clear();
+            stub.responses.clear();
             stub.messages.set(0);
             stub.connections.set(0);
-            stub.otherwise = () -> SILENCE;
+            stub.defaultResponse = () -> SILENCE;
         }
         service = null;
         clock = new StepClock();
-        pushed = false;
-        longest = 2;
-        hasDoor = false;
-        mayCopy = false;
-        meeting = null;
+        listIsPushed = false;
+        maxTimeout = 2;
+        hasAdminServer = false;
+        mayHedge = false;
+        handoverDirectory = null;
         assertEquals(faults.isEmpty(), !wanted, "failed inside: " + faults);
         if (figures != null) {
             assertBalanced(figures);
         }
     }
 
-    /** What was taken was answered or left, once, and nothing of it is left behind. */
+    /** Each accepted request was answered or abandoned, once, and none is open. */
     private static void assertBalanced(String figures) {
         long over = figure(figures, "clients_gone_total");
         for (String kind : List.of("fulfilled", "bounced", "scrapped")) {
             over += figure(figures, "answers_total{kind=\"" + kind + "\"}");
         }
         long taken = figure(figures, "submissions_taken_total");
-        // A bounce for want of a place, or of time before the end, is an answer to what was not
-        // taken.
+        // A rejection for too many connections, or for too little time, is an answer without an
+        // accepted request.
         assertTrue(
                 over >= taken && over - taken <= figure(figures, "messages_not_taken_total"),
                 figures);
@@ -432,7 +429,7 @@
         for (AttemptResult end : AttemptResult.values()) {
             ends += figure(figures, "launch_ends_total{end=\"" + end.metricLabel() + "\"}");
         }
-        // What is launched at the end, or for a client that left, ends without having been sent.
+        // Attempts at the end, or for a client that left, end without having been sent.
         assertTrue(ends >= figure(figures, "launches_total"), figures);
         assertTrue(
                 ends - figure(figures, "launches_total")
--- a/daemon/src/test/java/wheelroute/net/ServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceTest.java
@@ -31,7 +31,7 @@
             // what a repeat would do, the answers to its launches, the client's status, launches in
             // all
             {Idempotency.NON_IDEMPOTENT, List.of(DONE), 200, 1},
-            {Idempotency.NON_IDEMPOTENT, List.of(TURNED_AWAY, DONE), 200, 2},
+            {Idempotency.NON_IDEMPOTENT, List.of(REJECTED, DONE), 200, 2},
             {
                 Idempotency.NON_IDEMPOTENT,
                 List.of(HEAD + line("returned") + "0\r\n\r\n", DONE),
@@ -48,7 +48,7 @@
             {Idempotency.NON_IDEMPOTENT, List.of(BREAK_LATE, DONE), 502, 1},
             {Idempotency.NON_IDEMPOTENT, List.of(plain, DONE), 502, 1},
             {Idempotency.NON_IDEMPOTENT, List.of(HEAD + line("lost") + "0\r\n\r\n", DONE), 502, 1},
-            {Idempotency.NON_IDEMPOTENT, List.of(TURNED_AWAY, TURNED_AWAY), 503, 2},
+            {Idempotency.NON_IDEMPOTENT, List.of(REJECTED, REJECTED), 503, 2},
             {Idempotency.IDEMPOTENT, List.of(BREAK, DONE), 200, 2},
             {Idempotency.IDEMPOTENT, List.of(BREAK_LATE, DONE), 200, 2},
             {Idempotency.IDEMPOTENT, List.of("nonsense\r\n\r\n", DONE), 200, 2},
@@ -57,7 +57,7 @@
         };
     }
 
-    @Test(dataProvider = "lives", timeOut = PATIENCE)
+    @Test(dataProvider = "lives", timeOut = TIMEOUT_MILLIS)
     public void answersOnceByWhatWorkersSaid(
             Idempotency effect, List<String> answers, int status, int launches) throws Exception {
         serve(effect, answers.toArray(new String[0]));
@@ -65,7 +65,7 @@
         assertEquals(status(answer), status, answer);
         assertEquals(answer.endsWith("\r\n\r\nfine"), status == 200, answer);
         assertEquals(workers.messages.get(), launches);
-        String first = workers.heard.take();
+        String first = workers.received.take();
         assertTrue(
                 first.startsWith("POST /job/x HTTP/1.1\r\n") && first.endsWith("\r\n\r\nhi"),
                 first);
@@ -75,9 +75,9 @@
     }
 
     /** Guards against two jobs of one id at the workers; the first goes on undisturbed. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void anOpenIdIsRefused() throws Exception {
-        workers.answers.addAll(List.of(TAKEN, DONE));
+        workers.responses.addAll(List.of(ACCEPTED, DONE));
         serve(Idempotency.IDEMPOTENT);
         Socket first = connect();
         first.getOutputStream().write(post(1.5).getBytes(StandardCharsets.UTF_8));
@@ -91,7 +91,7 @@
     }
 
     /** Guards against jobs that no worker could know again. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void whatIsDeduplicatedNeedsItsKey() throws Exception {
         serve(Idempotency.IDEMPOTENT_BY_KEY, DONE);
         assertEquals(status(ask(connect(), post(10).replace("Idempotency-Key", "X-Other"))), 400);
@@ -102,12 +102,12 @@
     /**
      * A worker that refuses connections has run nothing: even what must not be repeated goes on.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void refusedConnectionsProveNothingRan() throws Exception {
         ServerSocket dead = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         InetSocketAddress refusing = (InetSocketAddress) dead.getLocalSocketAddress();
         dead.close();
-        workers.answers.addAll(List.of(DONE, DONE, DONE, DONE, DONE, DONE));
+        workers.responses.addAll(List.of(DONE, DONE, DONE, DONE, DONE, DONE));
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(refusing, workers.listen()));
         // Which of two equals is chosen first is chance: six go wrong all the same with one chance
         // in 64.
@@ -117,9 +117,9 @@
     }
 
     /** Guards against workers that are blamed, and left out, for closing a kept connection. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aBreakOfAKeptConnectionIsStale() throws Exception {
-        workers.answers.addAll(List.of(DONE, BREAK, DONE));
+        workers.responses.addAll(List.of(DONE, BREAK, DONE));
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(status(ask(connect(), post(10))), 200);
         assertEquals(status(ask(connect(), post(10))), 200);
@@ -133,7 +133,7 @@
     }
 
     /** Rule 1, and rule 2 in what the answer promises; the launch's connection ends with it. */
-    @Test(dataProvider = "silences", timeOut = PATIENCE)
+    @Test(dataProvider = "silences", timeOut = TIMEOUT_MILLIS)
     public void answersBeforeTheOuterLimit(Idempotency effect, int status) throws Exception {
         serve(effect);
         long before = System.nanoTime();
@@ -149,14 +149,14 @@
      * Guards against a place held for ever: no submission waits longer than the settings' longest
      * limit.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aClientsPatienceHasABound() throws Exception {
         serve(Idempotency.IDEMPOTENT);
         assertEquals(status(ask(connect(), post(99_999_999))), 503);
     }
 
     /** Guards against work for nobody: a client that leaves takes its launch with it. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aClientThatLeavesEndsItsLaunch() throws Exception {
         serve(Idempotency.IDEMPOTENT);
         Socket client = connect();
@@ -171,9 +171,9 @@
     /**
      * A connection serves one launch after the other, for both sides; only a whole answer frees it.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void keepsConnections() throws Exception {
-        workers.answers.addAll(List.of(DONE, DONE, DONE));
+        workers.responses.addAll(List.of(DONE, DONE, DONE));
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         Socket client = connect();
         String two = ask(client, post(10) + post(10)) + read(client.getInputStream());
@@ -185,9 +185,9 @@
     /**
      * The answer goes out with the last line, but what may still come bars its connection from use.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void anUnreadTailBarsReuse() throws Exception {
-        workers.answers.addAll(List.of(DONE.substring(0, DONE.length() - 5), DONE));
+        workers.responses.addAll(List.of(DONE.substring(0, DONE.length() - 5), DONE));
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(status(ask(connect(), post(10))), 200);
         assertEquals(status(ask(connect(), post(10))), 200);
@@ -214,7 +214,7 @@
         };
     }
 
-    @Test(dataProvider = "strangers", timeOut = PATIENCE)
+    @Test(dataProvider = "strangers", timeOut = TIMEOUT_MILLIS)
     public void takesOnlySubmissions(String message, int status) throws Exception {
         serve(Idempotency.IDEMPOTENT, DONE);
         assertEquals(status(ask(connect(), message)), status);
@@ -225,7 +225,7 @@
     /**
      * Descriptors run out some day: who is idle makes room; with none idle one too many is told so.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void turnsAwayWhenFull() throws Exception {
         serve(Idempotency.IDEMPOTENT, 58, known(workers.listen()));
         List<Socket> clients = new ArrayList<>();
@@ -247,9 +247,9 @@
     /**
      * Slow senders make room, the longest silent first, and are told to come back; nothing stalls.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void slowSendersMakeRoomAndAreTold() throws Exception {
-        workers.answers.add(DONE);
+        workers.responses.add(DONE);
         serve(Idempotency.IDEMPOTENT, 58, known(workers.listen()));
         List<Socket> slow = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
@@ -269,9 +269,9 @@
     }
 
     /** Guards against places held for ever by messages that never end. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void slowSendersMakeRoomInTime() throws Exception {
-        workers.answers.add(DONE);
+        workers.responses.add(DONE);
         serve(Idempotency.IDEMPOTENT, 58, known(workers.listen()));
         for (int i = 0; i < 9; i++) {
             assertEquals(status(ask(connect(), HEALTH + "POST /jo")), 200);
@@ -289,7 +289,7 @@
      * Owed within 3 s: an answer to a message without end, a close to silence; kept connections
      * stay.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void silenceAndEndlessMessagesEndInTime() throws Exception {
         serve(Idempotency.IDEMPOTENT, DONE);
         Socket kept = connect();
@@ -310,9 +310,9 @@
     }
 
     /** Who only looks makes room before who submits, however long ago; nobody is closed unread. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void visitorsMakeRoomBeforeSubmitters() throws Exception {
-        workers.answers.addAll(List.of(DONE, DONE, DONE));
+        workers.responses.addAll(List.of(DONE, DONE, DONE));
         serve(Idempotency.IDEMPOTENT, 58, known(workers.listen()));
         Socket submitter = connect();
         assertEquals(status(ask(submitter, post(10))), 200);
@@ -330,9 +330,9 @@
     /**
      * Guards against hundreds who connect and say nothing: those who keep connections keep them.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void aCrowdOfStrangersPushesNobodyOut() throws Exception {
-        workers.answers.addAll(List.of(DONE, DONE));
+        workers.responses.addAll(List.of(DONE, DONE));
         serve(Idempotency.IDEMPOTENT, 58, known(workers.listen()));
         Socket kept = connect();
         assertEquals(status(ask(kept, post(10))), 200);
@@ -345,9 +345,9 @@
     /**
      * Bytes ahead of their turn wait, however many: the answer under way must not be lost for them.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void servesWhatCameAheadOfItsTurn() throws Exception {
-        workers.answers.addAll(List.of(DONE, DONE, DONE, DONE, DONE));
+        workers.responses.addAll(List.of(DONE, DONE, DONE, DONE, DONE));
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         Socket client = connect();
         String large =
@@ -361,7 +361,7 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(status(read(client.getInputStream())), 200);
         }
-        assertTrue(workers.heard.take().endsWith("h".repeat(60_000)));
+        assertTrue(workers.received.take().endsWith("h".repeat(60_000)));
     }
 
     @DataProvider
@@ -387,9 +387,9 @@
     }
 
     /** Rule 3 needs a watch that neither lapses nor hangs, whatever discovery answers. */
-    @Test(dataProvider = "lists", timeOut = PATIENCE)
+    @Test(dataProvider = "lists", timeOut = TIMEOUT_MILLIS)
     public void goesOnWatching(String answer, String call) throws Exception {
-        discovery.answers.add(answer);
+        discovery.responses.add(answer);
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         assertEquals(discovery.next(), "GET /v1/servers?from=5&hold_ms=HELD HTTP/1.1");
         assertEquals(discovery.next(), "GET " + call + " HTTP/1.1");
@@ -398,10 +398,10 @@
     /**
      * Guards against a hot loop with a discovery that neither holds calls nor gives whole lists.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void pausesBetweenAnswersThatTellNothing() throws Exception {
         String nothing = http("{\"version\":5,\"full\":false,\"servers\":[]}");
-        discovery.answers.addAll(
+        discovery.responses.addAll(
                 List.of(
                         nothing,
                         nothing,
@@ -422,9 +422,9 @@
     /**
      * A configuration read again moves the watch: at once, for the whole list, until it is there.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void asksTheNewDiscoveryAtOnce() throws Exception {
-        workers.answers.addAll(List.of(DONE, DONE));
+        workers.responses.addAll(List.of(DONE, DONE));
         serve(Idempotency.IDEMPOTENT, 1024, "{\"version\":5,\"full\":true,\"servers\":[]}");
         discovery.next();
         Stub other = new Stub();
@@ -436,7 +436,7 @@
         service.reload(() -> config);
         assertEquals(status(ask(connect(), post(10))), 503);
         assertEquals(discovery.closed.size(), 0);
-        other.answers.addAll(List.of("nonsense\r\n\r\n", BREAK, http(known(workers.listen()))));
+        other.responses.addAll(List.of("nonsense\r\n\r\n", BREAK, http(known(workers.listen()))));
         service.reload(() -> moved);
         long before = System.nanoTime();
         for (int i = 0; i < 3; i++) {
@@ -452,10 +452,10 @@
     }
 
     /** Without a remembered list the whole is asked for, and used. */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void launchesByTheListAlone() throws Exception {
-        workers.answers.add(DONE);
-        discovery.answers.add(http(known(workers.listen())));
+        workers.responses.add(DONE);
+        discovery.responses.add(http(known(workers.listen())));
         serve(Idempotency.IDEMPOTENT, 1024, "{\"version\":0,\"full\":true,\"servers\":[]}");
         discovery.next();
         discovery.next();
@@ -470,7 +470,7 @@
     }
 
     /** A start that cannot serve ends at once, and names the key at fault. */
-    @Test(dataProvider = "badStarts", timeOut = PATIENCE)
+    @Test(dataProvider = "badStarts", timeOut = TIMEOUT_MILLIS)
     public void namesWhatKeepsItFromStarting(String known, String key) throws Exception {
         Config config =
                 new Config(
@@ -497,10 +497,10 @@
      * Who is alone serves its kept connections to the end, and tells the others when it will be
      * back.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void servesOnWhileItDrainsAlone() throws Exception {
-        longest = 10;
-        workers.answers.addAll(List.of(DONE, DONE, TAKEN, TAKEN, TAKEN));
+        maxTimeout = 10;
+        workers.responses.addAll(List.of(DONE, DONE, ACCEPTED, ACCEPTED, ACCEPTED));
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         Socket kept = connect();
         assertEquals(status(ask(kept, post(10))), 200);
@@ -519,7 +519,7 @@
         String served = ask(kept, post(10));
         assertTrue(
                 served.startsWith("HTTP/1.1 200") && !served.contains("Connection: close"), served);
-        workers.heard.clear();
+        workers.received.clear();
         other.getOutputStream().write(post(10).getBytes(StandardCharsets.UTF_8));
         workers.next();
         String late =
@@ -541,9 +541,9 @@
      * Who is slow to write as the signal comes is served all the same, though nothing else is left
      * to do.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void slowWritersAreServedBeforeItEnds() throws Exception {
-        workers.answers.add(DONE);
+        workers.responses.add(DONE);
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen()), 2);
         Socket slow = connect();
         byte[] message = post(10).getBytes(StandardCharsets.UTF_8);
@@ -564,9 +564,9 @@
     /**
      * The end that a signal brings: what was taken is answered, and nothing after that is accepted.
      */
-    @Test(timeOut = PATIENCE)
+    @Test(timeOut = TIMEOUT_MILLIS)
     public void answersAllBeforeItEnds() throws Exception {
-        workers.answers.addAll(List.of(HEAD + STARTED + STARTED));
+        workers.responses.addAll(List.of(HEAD + STARTED + STARTED));
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen()), 2);
         Socket waiting = connect();
         waiting.getOutputStream().write(post(10).getBytes(StandardCharsets.UTF_8));
--- a/daemon/src/test/java/wheelroute/net/StepClock.java
+++ b/daemon/src/test/java/wheelroute/net/StepClock.java
@@ -1,15 +1,15 @@
 package wheelroute.net;
 
-/** The time as it is, until it is stopped; then it goes on in steps. */
+/** A clock that a test may stop, and then move in steps. */
 final class StepClock extends Clock {
     private volatile double offset;
     private volatile double stoppedAt = Double.NaN;
-    private int looksLeft;
+    private int readsLeft;
     private double jump;
 
     @Override
     public double now() {
-        passLook();
+        countRead();
         double at = stoppedAt;
         return Double.isNaN(at) ? super.now() + offset : at;
     }
@@ -18,27 +18,25 @@
         stoppedAt = now();
     }
 
-    /** To be followed by a wake of the loop, which waits by the system's time. */
+    /** The loop has to be woken after this: it waits by the system's clock. */
     @SuppressWarnings("NonAtomicVolatileUpdate") // The test's thread alone writes it.
     void step(double seconds) {
         stoppedAt += seconds;
     }
 
-    /**
-     * So much time passes all at once, as in a standstill, after so many more looks at the clock.
-     */
-    synchronized void jumpAfter(int looks, double seconds) {
-        looksLeft = looks;
+    /** After so many more readings the clock jumps, as in a standstill of the process. */
+    synchronized void jumpAfterReads(int reads, double seconds) {
+        readsLeft = reads;
         jump = seconds;
     }
 
-    private synchronized void passLook() {
-        if (looksLeft > 0 && --looksLeft == 0) {
+    private synchronized void countRead() {
+        if (readsLeft > 0 && --readsLeft == 0) {
             step(jump);
         }
     }
 
-    void goOn() {
+    void resume() {
         if (!Double.isNaN(stoppedAt)) {
             offset = stoppedAt - super.now();
             stoppedAt = Double.NaN;
