--- a/kit/src/main/java/wheelroute/kit/cli/Wheelroute.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Wheelroute.java
@@ -77,6 +77,7 @@
         return line;
     }
 
+    /** Runs the command line and exits with its code. */
     public static void main(String[] args) {
         System.exit(commandLine().execute(args));
     }
--- a/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
@@ -112,10 +112,12 @@
                 });
     }
 
+    /** Whether both clocks agree within the tolerance. */
     public boolean holds() {
         return holds;
     }
 
+    /** The comparison as a text for a terminal. */
     public String text() {
         return title + (holds ? " agree\n" : " DO NOT AGREE\n") + TableWriter.aligned(rows);
     }
--- a/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
@@ -46,6 +46,7 @@
 
     private Comparison() {}
 
+    /** One cell for each scenario, variant and request class of the reports. */
     public static List<Cell> of(List<Report> reports) {
         Map<String, Map<String, Map<Long, Report>>> tree = new LinkedHashMap<>();
         for (Report report : reports) {
@@ -123,6 +124,7 @@
         return Math.sqrt(squares / (values.length - 1) / values.length);
     }
 
+    /** The cells as a table for a terminal. */
     public static String text(List<Cell> cells) {
         List<String[]> rows = new ArrayList<>();
         rows.add(
--- a/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
@@ -27,6 +27,13 @@
     private final BooleanSupplier stop;
     private final Consumer<String> progress;
 
+    /**
+     * Makes the plays of a plan.
+     *
+     * @param cores how many plays run side by side
+     * @param stop asked between plays, whether to end early
+     * @param progress hears of progress, a line at a time
+     */
     public Matrix(Plan plan, int cores, BooleanSupplier stop, Consumer<String> progress) {
         this.plan = plan;
         this.cores = cores;
--- a/kit/src/main/java/wheelroute/kit/experiment/Plan.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Plan.java
@@ -26,6 +26,7 @@
         VIRTUAL,
         REAL;
 
+        /** How the command line and reports name the clock. */
         public String word() {
             return name().toLowerCase(java.util.Locale.ROOT);
         }
@@ -38,11 +39,13 @@
             return new Item(at, other, seed, variant, seconds);
         }
 
+        /** The item in a line. */
         public String text() {
             return scenario.name() + ", seed " + seed + ", " + variant.name();
         }
     }
 
+    /** All plays, in the order of scenarios, variants and seeds. */
     public List<Item> items() {
         List<Item> items = new ArrayList<>();
         for (Scenario scenario : scenarios) {
--- a/kit/src/main/java/wheelroute/kit/experiment/Variant.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Variant.java
@@ -20,6 +20,7 @@
     private static final String BRAIN = "brain";
     private static final String JAR = "daemon";
 
+    /** The variant in which a baseline strategy of this name decides. */
     public static Variant baseline(String brain) {
         return new Variant(brain, brain, null, Map.of());
     }
--- a/kit/src/main/java/wheelroute/kit/faults/ActiveLinkFaults.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ActiveLinkFaults.java
@@ -16,6 +16,7 @@
 public final class ActiveLinkFaults {
     /** Who carries it out. */
     public interface Listener {
+        /** A fault on the link began or ended, and the link is in this state now. */
         void onLinkChanged(NetworkLink link, LinkState state);
     }
 
@@ -59,15 +60,18 @@
     private final Listener listener;
     private final Map<NetworkLink, List<ActiveFault>> activeFaults = new HashMap<>();
 
+    /** Makes a set of links without faults. */
     public ActiveLinkFaults(Listener listener) {
         this.listener = listener;
     }
 
+    /** Begins a fault on each of the links, beside those that they have. */
     public void add(LinkFault fault, double level, double jitter, Collection<NetworkLink> links) {
         ActiveFault activeFault = new ActiveFault(fault, level, jitter);
         links.forEach(link -> notifyListener(link, all -> all.add(activeFault)));
     }
 
+    /** Ends a fault that was begun with the same arguments. */
     public void remove(
             LinkFault fault, double level, double jitter, Collection<NetworkLink> links) {
         ActiveFault activeFault = new ActiveFault(fault, level, jitter);
@@ -103,6 +107,7 @@
         }
     }
 
+    /** The state that all faults on the link add up to. */
     public LinkState state(NetworkLink link) {
         return state(activeFaults.getOrDefault(link, List.of()));
     }
--- a/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
@@ -108,6 +108,7 @@
         }
     }
 
+    /** Closes the relay's sockets; what it holds back is dropped. */
     public void close() {
         socket.close();
     }
--- a/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
@@ -32,6 +32,7 @@
     /** Of all datagrams the part that the level says comes twice. */
     DUPLICATE;
 
+    /** The fault of a link that a scenario's kind of fault stands for. */
     public static LinkFault of(Scenario.Kind kind) {
         return switch (kind) {
             case LINK_REFUSE -> REFUSE;
--- a/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
+++ b/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
@@ -16,18 +16,22 @@
     public static final int CLIENTS = -2;
     private static final int FIRST_PEER = -3;
 
+    /** The link between a dispatcher and discovery. */
     public static NetworkLink toDiscovery(int dispatcher) {
         return new NetworkLink(dispatcher, DISCOVERY);
     }
 
+    /** The link between a dispatcher and its clients. */
     public static NetworkLink toClients(int dispatcher) {
         return new NetworkLink(dispatcher, CLIENTS);
     }
 
+    /** The link from one dispatcher to another. */
     public static NetworkLink toPeer(int dispatcher, int peer) {
         return new NetworkLink(dispatcher, FIRST_PEER - peer);
     }
 
+    /** Whether the other end is a dispatcher. */
     public boolean isToPeer() {
         return worker <= FIRST_PEER;
     }
@@ -37,6 +41,7 @@
         return FIRST_PEER - worker;
     }
 
+    /** Whether the other end is a worker. */
     public boolean isToWorker() {
         return worker >= 0;
     }
--- a/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
@@ -13,6 +13,7 @@
 public final class ScheduleMinimizer {
     /** Plays one; true if it still fails. */
     public interface FailureCheck {
+        /** Plays the schedule; whether it still shows the failure. */
         boolean fails(List<Scenario.Fault> faults) throws Exception;
     }
 
--- a/kit/src/main/java/wheelroute/kit/model/Clients.java
+++ b/kit/src/main/java/wheelroute/kit/model/Clients.java
@@ -27,22 +27,32 @@
 
     /** The way to the dispatchers. */
     public interface Transport {
+        /** Sends an attempt to its dispatcher. */
         void submit(ClientAttempt clientAttempt);
 
         /** Closes the connection of a request that is still open. */
         void cancel(ClientAttempt clientAttempt);
 
+        /** Whether a dispatcher accepts connections, as far as its clients know. */
         boolean isOpen(int dispatcher);
     }
 
     /** Hears of each ask as it begins and ends, and of each request. */
     public interface Observer {
+        /** A client begins a request. */
         void onRequest(ClientRequest request);
 
+        /**
+         * A client's request is over.
+         *
+         * @param latency seconds from the moment at which it was meant to be sent
+         */
         void onFinished(ClientRequest request, Result result, double latency);
 
+        /** An attempt of a request was sent to a dispatcher. */
         void onSent(ClientAttempt clientAttempt);
 
+        /** A dispatcher answered an attempt. */
         void onResponse(ClientAttempt clientAttempt, FinalResponse response);
 
         /** The client waits no longer; by its own wish, or as its time is up. */
@@ -78,6 +88,7 @@
         }
     }
 
+    /** Makes the clients of one scenario; {@link #start} begins the traffic. */
     public Clients(
             Scenario scenario,
             Timeline timeline,
@@ -93,6 +104,7 @@
         generator = new RequestGenerator(scenario, random, seconds);
     }
 
+    /** Begins the traffic of all request classes. */
     public void start() {
         start = timeline.now();
         sendNext();
--- a/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
@@ -20,10 +20,13 @@
      * Who can end a dispatcher and start it again, and do more to real processes and their ways.
      */
     public interface DispatcherControl {
+        /** Kills the dispatcher's process at once. */
         void kill(int dispatcher);
 
+        /** Tells the dispatcher's process to end in order. */
         void terminate(int dispatcher);
 
+        /** Starts a process of the dispatcher. */
         void start(int dispatcher, Scenario.How how);
 
         /** Its process stands still, or goes on. */
@@ -75,6 +78,7 @@
     private final Map<Integer, Set<ScheduledFault>> pauses = new HashMap<>();
     private final Map<Integer, Set<ScheduledFault>> starvations = new HashMap<>();
 
+    /** Makes workers, endpoint list and fault schedule of one scenario. */
     public ClusterModel(
             Scenario scenario,
             Timeline timeline,
--- a/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
@@ -18,8 +18,10 @@
 
     /** Who opens and closes its door; a closed one refuses connections. */
     public interface PortListener {
+        /** The worker listens on its port from now on. */
         void onOpened(WorkerModel worker);
 
+        /** The worker's port is closed: connections to it are refused or break. */
         void closed(WorkerModel worker);
     }
 
@@ -71,6 +73,7 @@
         this.listener = listener;
     }
 
+    /** Sets who hears that the worker's port opens and closes. */
     public void portListener(PortListener newDoor) {
         portListener = newDoor;
     }
@@ -413,10 +416,12 @@
 
     // ---- what those see who see all
 
+    /** Jobs that run now. */
     public int running() {
         return running.size();
     }
 
+    /** Jobs that wait for a slot now. */
     public int waiting() {
         return waiting.size();
     }
--- a/kit/src/main/java/wheelroute/kit/process/RehearsalException.java
+++ b/kit/src/main/java/wheelroute/kit/process/RehearsalException.java
@@ -4,6 +4,7 @@
 public final class RehearsalException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** Makes an exception for a run that cannot go on. */
     public RehearsalException(String why) {
         super(why);
     }
--- a/kit/src/main/java/wheelroute/kit/process/WriteQueue.java
+++ b/kit/src/main/java/wheelroute/kit/process/WriteQueue.java
@@ -14,15 +14,22 @@
     private boolean writing;
     private boolean closesWhenEmpty;
 
+    /**
+     * Makes the queue of one connection.
+     *
+     * @param broken run once if a write fails
+     */
     public WriteQueue(EndPoint endPoint, Runnable broken) {
         this.endPoint = endPoint;
         this.failureHandler = broken;
     }
 
+    /** Sends a text after all that was sent before. */
     public void send(String text) {
         send(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     }
 
+    /** Sends bytes after all that was sent before. */
     public void send(ByteBuffer... buffers) {
         for (ByteBuffer buffer : buffers) {
             queue.addLast(buffer);
--- a/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
@@ -13,6 +13,11 @@
 
     private HtmlWriter() {}
 
+    /**
+     * The reports as one page that needs no other file.
+     *
+     * @param comparison of the reports, as a text; null for none
+     */
     public static String text(List<Report> reports, String comparison) {
         StringBuilder page = new StringBuilder("<h1>wheelroute rehearsal</h1>\n");
         if (!comparison.isEmpty()) {
@@ -62,6 +67,7 @@
                 + "</script>\n</body></html>\n";
     }
 
+    /** The text with the signs of HTML escaped. */
     public static String escaped(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
--- a/kit/src/main/java/wheelroute/kit/report/Recorder.java
+++ b/kit/src/main/java/wheelroute/kit/report/Recorder.java
@@ -28,6 +28,7 @@
         this(scenario, timeline, seconds, auditor, new MetricsAuditor(timeline, false));
     }
 
+    /** Makes a recorder of one run. */
     public Recorder(
             Scenario scenario,
             Timeline timeline,
@@ -40,10 +41,12 @@
         tally = new Tally(scenario, seconds);
     }
 
+    /** What was counted so far. */
     public Tally tally() {
         return tally;
     }
 
+    /** Attempts at workers for each request of a client. */
     public double attemptsPerRequest() {
         return (double) attemptCount / Math.max(1, requestCount);
     }
--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -61,6 +61,7 @@
 
     /** One expectation, and whether it holds. */
     public record Verdict(String figure, double min, double max, double value, boolean holds) {
+        /** How the verdict is printed. */
         public String text() {
             return figure
                     + (Double.isInfinite(min) ? "" : " at least " + min)
@@ -199,10 +200,12 @@
         return null;
     }
 
+    /** Whether no rule was broken. */
     public boolean keepsRules() {
         return breachCounts.values().stream().allMatch(count -> count == 0);
     }
 
+    /** The verdict on the run. */
     public Judgement judgement() {
         if (partial) {
             return Judgement.PARTIAL;
--- a/kit/src/main/java/wheelroute/kit/report/TableWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/TableWriter.java
@@ -13,6 +13,7 @@
 
     private TableWriter() {}
 
+    /** The report as a text of tables, for a terminal. */
     public static String text(Report report) {
         StringBuilder out = new StringBuilder();
         Report.Run run = report.run();
--- a/kit/src/main/java/wheelroute/kit/report/Tally.java
+++ b/kit/src/main/java/wheelroute/kit/report/Tally.java
@@ -69,6 +69,7 @@
     private final double[] attemptCounts;
     private final List<double[]> queues = new ArrayList<>();
 
+    /** Makes an empty tally of a run that lasts so many seconds. */
     public Tally(Scenario scenario, double seconds) {
         this.scenario = scenario;
         step = Math.max(1, Math.ceil(seconds / MAX_POINTS));
@@ -93,6 +94,7 @@
         return step;
     }
 
+    /** Counts a request of a client. */
     public void onRequest(ClientRequest request) {
         all.requestCount++;
         requestClasses.get(request.requestClass().name()).requestCount++;
@@ -106,6 +108,11 @@
         return (int) Math.max(0, Math.min(requestCounts.length - 1, at / step));
     }
 
+    /**
+     * Counts the end of a client's request.
+     *
+     * @param latency in seconds
+     */
     public void onFinished(ClientRequest request, Clients.Result result, double latency) {
         onFinished(all, request, result, latency);
         onFinished(requestClasses.get(request.requestClass().name()), request, result, latency);
@@ -140,6 +147,7 @@
         };
     }
 
+    /** Counts an attempt at a worker. */
     public void onAttempt(double now) {
         attemptCounts[point(now - start)]++;
     }
@@ -155,6 +163,7 @@
         }
     }
 
+    /** Requests counted so far. */
     public long requestCount() {
         return all.requestCount;
     }
--- a/kit/src/main/java/wheelroute/kit/scale/CapacityModel.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityModel.java
@@ -35,6 +35,7 @@
     private final ScaleResults slopes;
     private final DeploymentSize size;
 
+    /** Makes the model of one size by the costs that were measured. */
     public CapacityModel(ScaleResults slopes, DeploymentSize size) {
         this.slopes = slopes;
         this.size = size;
--- a/kit/src/main/java/wheelroute/kit/scale/DeploymentSize.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DeploymentSize.java
@@ -65,6 +65,11 @@
                     "rack_workers",
                     "cut_s");
 
+    /**
+     * Reads a size from a TOML file.
+     *
+     * @throws IOException if the file cannot be read, or names a key or value that cannot be used
+     */
     public static DeploymentSize read(Path file) throws IOException {
         TomlParseResult toml = Toml.parse(Files.readString(file));
         if (toml.hasErrors()) {
@@ -132,6 +137,7 @@
         return List.copyOf(all);
     }
 
+    /** Changes of the endpoint list a second, in the mean. */
     public double changesPerSecond() {
         return changesPerDay / 86_400;
     }
--- a/kit/src/main/java/wheelroute/kit/scale/LinearFit.java
+++ b/kit/src/main/java/wheelroute/kit/scale/LinearFit.java
@@ -29,6 +29,12 @@
     /** One size and what it cost. */
     public record Point(double x, double y) {}
 
+    /**
+     * Fits a line through points by least squares.
+     *
+     * @param x what grows
+     * @param y what is measured
+     */
     public static LinearFit of(String name, String x, String y, List<Point> points) {
         if (points.size() < LEAST_POINTS) {
             throw new IllegalArgumentException(
@@ -49,6 +55,7 @@
                 line.getRSquare());
     }
 
+    /** The line's value at this size. */
     public double at(double size) {
         return intercept + slope * size;
     }
@@ -60,6 +67,7 @@
         return Math.hypot(meanError, slopeError * (size - mean));
     }
 
+    /** The largest size that was measured. */
     public double most() {
         return points.stream().mapToDouble(Point::x).max().orElse(0);
     }
--- a/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
@@ -7,6 +7,11 @@
 public final class ScalePage {
     private ScalePage() {}
 
+    /**
+     * The results as a page that needs no other file.
+     *
+     * @param verdict lines that judge a size; empty for none
+     */
     public static String text(ScaleResults slopes, List<String> verdict) {
         StringBuilder body =
                 new StringBuilder("<h1>wheelroute scale run</h1>\n<pre>")
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleResults.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleResults.java
@@ -30,6 +30,7 @@
     private static final int VERSION = 1;
     private static final JsonFactory JSON = new JsonFactory();
 
+    /** The fitted line of this name; there must be one. */
     public LinearFit fit(String name) {
         LinearFit fit = fits.get(name);
         if (fit == null) {
@@ -38,6 +39,7 @@
         return fit;
     }
 
+    /** The single figure of this name; there must be one. */
     public double figure(String name) {
         Double figure = figures.get(name);
         if (figure == null) {
@@ -46,6 +48,7 @@
         return figure;
     }
 
+    /** The results as JSON. */
     public String json() {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(out)) {
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
@@ -150,6 +150,7 @@
                     new int[] {10, 40, 80, 150});
         }
 
+        /** The sizes of the full run, which takes minutes. */
         public static Sizes full() {
             return new Sizes(
                     6,
@@ -184,6 +185,12 @@
         guard = new ResourceGuard();
     }
 
+    /**
+     * Measures all sizes.
+     *
+     * @param stop asked between steps, whether to end early
+     * @param tell hears of progress, a line at a time
+     */
     public static ScaleResults run(Sizes sizes, BooleanSupplier stop, Consumer<String> tell)
             throws RehearsalException {
         // Hundreds of dispatchers in this process would each say where they listen.
--- a/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
@@ -334,6 +334,7 @@
             return kind == Kind.LIST_CUT ? LinkKind.LIST : linkKind;
         }
 
+        /** When the fault is over, in seconds from the start. */
         public double end() {
             return start + startSpread + length;
         }
@@ -384,6 +385,7 @@
                 changedSettings);
     }
 
+    /** The number of workers over all groups. */
     public int workers() {
         return groups.stream().mapToInt(WorkerGroup::count).sum();
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioException.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioException.java
@@ -19,6 +19,7 @@
         this.faults = List.copyOf(faults);
     }
 
+    /** The faults, each with its line. */
     public List<String> faults() {
         return faults;
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -51,6 +51,12 @@
         }
     }
 
+    /**
+     * Reads a scenario.
+     *
+     * @param name for error messages
+     * @throws ScenarioException with every fault found in the text
+     */
     public static Scenario read(String name, String text) throws ScenarioException {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -13,6 +13,7 @@
 
     private ScenarioWriter() {}
 
+    /** The scenario as a TOML file that reads back as the same scenario. */
     public static String text(Scenario s) {
         ScenarioWriter writer = new ScenarioWriter();
         writer.write(s);
--- a/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
@@ -51,6 +51,7 @@
     private double now;
     private boolean pollPending;
 
+    /** Makes a baseline that keeps the rules and chooses workers in its own way. */
     public BaselineStrategy(Settings settings, ActionHandler dispatcher, WorkerSelector choice) {
         this.settings = settings;
         this.actions = dispatcher;
--- a/kit/src/main/java/wheelroute/kit/strategy/PolicyStrategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/PolicyStrategy.java
@@ -22,6 +22,7 @@
     private double now;
     private double pollAt = Double.POSITIVE_INFINITY;
 
+    /** Makes the daemon's own decisions. */
     public PolicyStrategy(Settings settings, ActionHandler dispatcher) {
         this.actions = dispatcher;
         policy = new Policy(settings, dispatcher);
--- a/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
@@ -100,10 +100,12 @@
 
     private Strategies() {}
 
+    /** The names of all strategies. */
     public static List<String> names() {
         return List.copyOf(ALL.keySet());
     }
 
+    /** The strategy of this name. */
     public static Strategy.Factory factory(String name, ClusterModel cluster) {
         return ALL.get(name).apply(cluster);
     }
