--- a/daemon/src/test/java/wheelroute/net/DiscoveryReturnTest.java
+++ b/daemon/src/test/java/wheelroute/net/DiscoveryReturnTest.java
@@ -127,6 +127,9 @@
     }
 
     private void goesAway(Away away) throws Exception {
+        // A call that discovery has not read yet would be lost with the connection, and never
+        // heard.
+        awaitCalls();
         switch (away) {
             case REFUSES -> refuses();
             case ANSWERS_503 -> discovery.defaultResponse = () -> BUSY;
