--- a/daemon/src/main/java/wheelroute/Main.java
+++ b/daemon/src/main/java/wheelroute/Main.java
@@ -9,7 +9,7 @@
 import wheelroute.adapter.Adapter;
 import wheelroute.adapter.WireException;
 import wheelroute.config.ConfigReader;
-import wheelroute.net.Service;
+import wheelroute.net.lifecycle.Service;
 
 /**
  * The daemon's command line: {@code adapter} runs the simulator's wire protocol on standard input
--- a/daemon/src/main/java/wheelroute/adapter/DispatcherInstance.java
+++ b/daemon/src/main/java/wheelroute/adapter/DispatcherInstance.java
@@ -7,7 +7,7 @@
 import wheelroute.decision.Policy;
 import wheelroute.decision.RequestHandle;
 import wheelroute.decision.Settings;
-import wheelroute.discovery.Backoff;
+import wheelroute.net.discovery.Backoff;
 
 /** One simulated dispatcher: its policy and the requests that it has accepted. */
 final class DispatcherInstance {
--- a/daemon/src/main/java/wheelroute/config/Config.java
+++ b/daemon/src/main/java/wheelroute/config/Config.java
@@ -20,9 +20,9 @@
  * @param maxMemory the maximum size of the process in bytes; NaN if unknown
  * @param cachedEndpoints the cached endpoint list, as JSON in discovery's form; null for none
  * @param settings of the decisions
- * @param connectTimeout timeout for connecting to a worker
- * @param idleTimeout workers close connections that have been idle for this long
- * @param maxTimeout the maximum deadline of all request classes
+ * @param connectTimeoutSeconds timeout for connecting to a worker
+ * @param idleTimeoutSeconds workers close connections that have been idle for this long
+ * @param maxTimeoutSeconds the maximum deadline of all request classes
  * @param listIsPushed whether watch events that discovery's agent has received count as received by
  *     this dispatcher, even before it polls for them
  * @param peers communication with other dispatchers; null for none
@@ -37,9 +37,9 @@
         double maxMemory,
         byte[] cachedEndpoints,
         Settings settings,
-        double connectTimeout,
-        double idleTimeout,
-        double maxTimeout,
+        double connectTimeoutSeconds,
+        double idleTimeoutSeconds,
+        double maxTimeoutSeconds,
         boolean listIsPushed,
         PeeringConfig peers) {
     private static final String CONNECT_TIMEOUT_KEY = "settings.permissions.connect_timeout_us";
@@ -54,11 +54,13 @@
         addIfDifferent(keys, "limits.sockets", maxDescriptors, other.maxDescriptors);
         addIfDifferent(keys, "limits.memory_mb", maxMemory, other.maxMemory);
         addIfDifferent(keys, "settings", settings, other.settings.withSeed(settings.seed()));
-        addIfDifferent(keys, CONNECT_TIMEOUT_KEY, connectTimeout, other.connectTimeout);
-        addIfDifferent(keys, IDLE_TIMEOUT_KEY, idleTimeout, other.idleTimeout);
+        addIfDifferent(
+                keys, CONNECT_TIMEOUT_KEY, connectTimeoutSeconds, other.connectTimeoutSeconds);
+        addIfDifferent(keys, IDLE_TIMEOUT_KEY, idleTimeoutSeconds, other.idleTimeoutSeconds);
         addIfDifferent(keys, "settings.membership_mode", listIsPushed, other.listIsPushed);
         addIfDifferent(keys, "peering", peers, other.peers);
-        addIfDifferent(keys, "settings.request_classes", maxTimeout, other.maxTimeout);
+        addIfDifferent(
+                keys, "settings.request_classes", maxTimeoutSeconds, other.maxTimeoutSeconds);
         return keys;
     }
 
--- a/daemon/src/main/java/wheelroute/config/SettingsReader.java
+++ b/daemon/src/main/java/wheelroute/config/SettingsReader.java
@@ -64,7 +64,7 @@
                 number("prices.cross_zone", 0),
                 number("prices.origin", 0),
                 strictFlag("rules.gone_is_advice"),
-                keyQuietPeriod(),
+                keyQuietPeriodSeconds(),
                 Math.max(0, seconds("rules.stop_sending_within_us", 0)));
     }
 
@@ -134,7 +134,7 @@
         return quotas;
     }
 
-    private double keyQuietPeriod() throws ConfigException {
+    private double keyQuietPeriodSeconds() throws ConfigException {
         double period = seconds(KEY_QUIET_PERIOD, 0);
         if (!(period >= 0)) {
             throw new ConfigException(KEY_QUIET_PERIOD, "is under 0");
--- a/daemon/src/main/java/wheelroute/config/WireSettingsWriter.java
+++ b/daemon/src/main/java/wheelroute/config/WireSettingsWriter.java
@@ -48,12 +48,12 @@
         return text(prefix + "name", settings.name())
                 .text(prefix + "effect", SettingsVocabulary.word(settings.idempotency()))
                 .text(prefix + "group", SettingsVocabulary.word(settings.scope()))
-                .seconds(prefix + "on_time_us", settings.latencyObjective())
+                .seconds(prefix + "on_time_us", settings.latencyObjectiveSeconds())
                 .number(prefix + "aim_stretch", settings.objectivePerWork())
                 .seconds(prefix + "hard_limit_us", settings.deadline())
                 .number(prefix + "worth", settings.priorityWeight())
                 .number(prefix + "late_value", settings.lateValue())
-                .seconds(prefix + "window_us", settings.idempotencyWindow())
+                .seconds(prefix + "window_us", settings.idempotencyWindowSeconds())
                 .flag(prefix + "one_at_a_time", settings.ordered())
                 .number("request_classes.count", requestClassCount);
     }
--- a/daemon/src/main/java/wheelroute/decision/DispatcherShares.java
+++ b/daemon/src/main/java/wheelroute/decision/DispatcherShares.java
@@ -1,6 +1,6 @@
 package wheelroute.decision;
 
-import wheelroute.limits.SlowStartBudget;
+import wheelroute.decision.slowstart.SlowStartBudget;
 
 /** What this dispatcher may use of what all dispatchers share, at this moment. */
 public interface DispatcherShares extends SlowStartBudget.Shares {
--- a/daemon/src/main/java/wheelroute/decision/IdempotencyScope.java
+++ b/daemon/src/main/java/wheelroute/decision/IdempotencyScope.java
@@ -7,7 +7,7 @@
     CELL;
 
     /** Whether one of the two workers recognizes a key that the other one has seen. */
-    boolean covers(Endpoint a, Endpoint b) {
+    public boolean covers(Endpoint a, Endpoint b) {
         return switch (this) {
             case ALL -> true;
             case ZONE -> a.zone().equals(b.zone());
--- a/daemon/src/main/java/wheelroute/decision/LearnedState.java
+++ b/daemon/src/main/java/wheelroute/decision/LearnedState.java
@@ -1,6 +1,8 @@
 package wheelroute.decision;
 
 import java.util.Map;
+import wheelroute.decision.estimates.SampleWindow;
+import wheelroute.decision.estimates.WorkerStatistics;
 
 /**
  * What a dispatcher has learned, for the process that replaces it. Each array holds triples: a
--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -1,6 +1,23 @@
 package wheelroute.decision;
 
 import java.util.List;
+import wheelroute.decision.admission.Admission;
+import wheelroute.decision.endpoints.EndpointUpdates;
+import wheelroute.decision.estimates.AttemptMeasurements;
+import wheelroute.decision.health.OutlierEjection;
+import wheelroute.decision.health.SilenceDetector;
+import wheelroute.decision.health.SweepTimer;
+import wheelroute.decision.order.KeyQueues;
+import wheelroute.decision.retry.RetryRules;
+import wheelroute.decision.routing.AdmittanceCost;
+import wheelroute.decision.routing.RequestPlacer;
+import wheelroute.decision.routing.WorkerSelector;
+import wheelroute.decision.slowstart.SlowStart;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.LearnedStateTransfer;
+import wheelroute.decision.state.RequestClassState;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
 
 /**
  * All decisions of one dispatcher: which worker gets each request, whether it is tried again, and
--- a/daemon/src/main/java/wheelroute/decision/RequestEvents.java
+++ b/daemon/src/main/java/wheelroute/decision/RequestEvents.java
@@ -1,5 +1,12 @@
 package wheelroute.decision;
 
+import wheelroute.decision.estimates.AttemptMeasurements;
+import wheelroute.decision.health.OutlierEjection;
+import wheelroute.decision.routing.RequestPlacer;
+import wheelroute.decision.state.Attempt;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.TrackedRequest;
+
 /** What each event of one request brings about. */
 final class RequestEvents implements RequestHandle {
     private final DispatcherState state;
@@ -81,7 +88,7 @@
         measurements.recordRetry(attempt);
         request.noteOutcome(outcome);
         if (outcome.mayStillRun()) {
-            request.keepKeyQuietUntil(state.now() + state.settings().keyQuietPeriod());
+            request.keepKeyQuietUntil(state.now() + state.settings().keyQuietPeriodSeconds());
         }
         if (answered || outcome == Outcome.SUCCEEDED) {
             request.finish();
--- a/daemon/src/main/java/wheelroute/decision/Settings.java
+++ b/daemon/src/main/java/wheelroute/decision/Settings.java
@@ -10,60 +10,61 @@
  * @param zone of this dispatcher
  * @param dispatchers how many there are, this one included; 0 and 1 both mean one
  * @param position this dispatcher's place among all, from 0, or -1 where it is not told
- * @param timeResolution the shortest run that can be told from none
+ * @param timeResolutionSeconds the shortest run that can be told from none
  * @param quotas requests a second of each tenant that has a quota, over all dispatchers
  * @param overQuotaValue the part of its value that a request past its tenant's quota keeps
  * @param watchesEndpoints the endpoint list's changes come only to who asks for them
  * @param reportsStart workers tell when they begin a job
- * @param progressInterval how often workers tell of a job's progress; 0 where they do not
+ * @param progressIntervalSeconds how often workers tell of a job's progress; 0 where they do not
  * @param reportsFreeSlots load reports hold the number of free slots
  * @param mayHedge a request may have two attempts in flight
  * @param sendsRetryAfter clients are told when to retry
  * @param slowStartShare the part of its capacity that a worker has at its start
- * @param slowStartDuration how long a worker warms up
+ * @param slowStartDurationSeconds how long a worker warms up
  * @param overloadMultiple so many times its capacity within the window collapse a cold worker
- * @param overloadWindow over which that is counted
+ * @param overloadWindowSeconds over which that is counted
  * @param crossZonePrice for each attempt in another zone
  * @param cacheMissPrice for each fetch of what a key needs
  * @param removalIsAdvisory only a worker listed as draining must not be sent to; one that has left
  *     the list may be
- * @param keyQuietPeriod how long no other request of a key begins after an attempt that may still
- *     be running
- * @param drainGrace how long attempts may go on to a worker that is known to drain or to be gone
+ * @param keyQuietPeriodSeconds how long no other request of a key begins after an attempt that may
+ *     still be running
+ * @param drainGraceSeconds how long attempts may go on to a worker that is known to drain or to be
+ *     gone
  */
 public record Settings(
         long seed,
         Ids.Zone zone,
         int dispatchers,
         int position,
-        double timeResolution,
+        double timeResolutionSeconds,
         List<RequestClass> requestClasses,
         Map<Ids.Tenant, Double> quotas,
         double overQuotaValue,
         boolean watchesEndpoints,
         boolean reportsStart,
-        double progressInterval,
+        double progressIntervalSeconds,
         boolean reportsFreeSlots,
         boolean mayCancel,
         boolean mayHedge,
         boolean sendsRetryAfter,
-        double maxRetryAfter,
+        double maxRetryAfterSeconds,
         int maxAttempts,
         double slowStartShare,
-        double slowStartDuration,
+        double slowStartDurationSeconds,
         double overloadMultiple,
-        double overloadWindow,
+        double overloadWindowSeconds,
         double crossZonePrice,
         double cacheMissPrice,
         boolean removalIsAdvisory,
-        double keyQuietPeriod,
-        double drainGrace) {
+        double keyQuietPeriodSeconds,
+        double drainGraceSeconds) {
 
     /** How long after its start an attempt is first heard of; infinite where nothing is told. */
-    public double startNoticeDelay() {
+    public double startNoticeDelaySeconds() {
         return reportsStart
                 ? 0
-                : progressInterval > 0 ? progressInterval : Double.POSITIVE_INFINITY;
+                : progressIntervalSeconds > 0 ? progressIntervalSeconds : Double.POSITIVE_INFINITY;
     }
 
     /** The same with another seed: a new one comes with every file and is no change of settings. */
@@ -73,39 +74,40 @@
                 zone,
                 dispatchers,
                 position,
-                timeResolution,
+                timeResolutionSeconds,
                 requestClasses,
                 quotas,
                 overQuotaValue,
                 watchesEndpoints,
                 reportsStart,
-                progressInterval,
+                progressIntervalSeconds,
                 reportsFreeSlots,
                 mayCancel,
                 mayHedge,
                 sendsRetryAfter,
-                maxRetryAfter,
+                maxRetryAfterSeconds,
                 maxAttempts,
                 slowStartShare,
-                slowStartDuration,
+                slowStartDurationSeconds,
                 overloadMultiple,
-                overloadWindow,
+                overloadWindowSeconds,
                 crossZonePrice,
                 cacheMissPrice,
                 removalIsAdvisory,
-                keyQuietPeriod,
-                drainGrace);
+                keyQuietPeriodSeconds,
+                drainGraceSeconds);
     }
 
     /**
      * A request class.
      *
      * @param idempotencyScope which workers recognize a key; without meaning for the other kinds
-     * @param latencyObjective answers within this earn their full value
+     * @param latencyObjectiveSeconds answers within this earn their full value
      * @param objectivePerWork the objective grows by this many times the request's own work
      * @param priorityWeight its value against other classes; 0 and less count as 1
      * @param lateValue the part of the value that an answer past the objective still earns
-     * @param idempotencyWindow how long a key is recognized, from the first send that may have run
+     * @param idempotencyWindowSeconds how long a key is recognized, from the first send that may
+     *     have run
      * @param model the one model that runs it, or null for any
      * @param ordered requests of one key run one at a time, in the order of their acceptance
      */
@@ -113,20 +115,20 @@
             Ids.RequestClass id,
             Idempotency idempotency,
             IdempotencyScope idempotencyScope,
-            double latencyObjective,
+            double latencyObjectiveSeconds,
             double objectivePerWork,
             double priorityWeight,
             double lateValue,
-            double idempotencyWindow,
+            double idempotencyWindowSeconds,
             Ids.Model model,
             boolean ordered) {
         /** The objective of a request of so much work. */
-        double latencyObjectiveFor(double work) {
-            return latencyObjective + objectivePerWork * work;
+        public double latencyObjectiveSecondsFor(double work) {
+            return latencyObjectiveSeconds + objectivePerWork * work;
         }
 
         /** Whether a repeat does no harm on any worker, also once an attempt may have run. */
-        boolean isSafeToRetryAnywhere() {
+        public boolean isSafeToRetryAnywhere() {
             return idempotency == Idempotency.IDEMPOTENT
                     || (idempotency == Idempotency.IDEMPOTENT_BY_KEY
                             && idempotencyScope == IdempotencyScope.ALL);
--- a/daemon/src/main/java/wheelroute/decision/Admission.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/Admission.java
@@ -1,15 +1,23 @@
-package wheelroute.decision;
+package wheelroute.decision.admission;
+
+import wheelroute.decision.Ids;
+import wheelroute.decision.Settings;
+import wheelroute.decision.estimates.WorkerEstimates;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.RequestClassState;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
 
 /**
  * How long a request may wait for a worker before it is rejected: by its latency objective, by what
  * the least patient class bears, and by how far its tenant is past its quota.
  */
-final class Admission {
+public final class Admission {
     /**
      * A rejection needs evidence this fresh, in seconds: queues can empty faster than old waits
      * fade.
      */
-    static final double EVIDENCE_MEMORY = 1.5;
+    public static final double EVIDENCE_MEMORY = 1.5;
 
     /** A wait of this fraction of the latency objective is borne in any case. */
     private static final double ALWAYS_BORNE = 0.5;
@@ -23,13 +31,15 @@
      * @param fairness factor for the tenant: below 1 where it is past its quota, above 1 beside
      *     such
      */
-    record Bounds(double shared, double fairness) {}
+    public record Bounds(double shared, double fairness) {}
 
-    Admission(DispatcherState state) {
+    /** Creates the rule over the state of one dispatcher. */
+    public Admission(DispatcherState state) {
         this.state = state;
     }
 
-    Bounds boundsFor(TrackedRequest request) {
+    /** Returns what bounds the wait of this request, whichever worker it goes to. */
+    public Bounds boundsFor(TrackedRequest request) {
         // What the least patient class bears, a unit of value: none may fill queues past it.
         double least =
                 state.requestClasses().values().stream()
@@ -44,7 +54,8 @@
      *
      * @param fraction of what is borne that it may wait
      */
-    boolean isHopeless(TrackedRequest request, WorkerState worker, double fraction, Bounds bounds) {
+    public boolean isHopeless(
+            TrackedRequest request, WorkerState worker, double fraction, Bounds bounds) {
         WorkerEstimates estimates = worker.estimates();
         double wait =
                 estimates.ownWait()
@@ -64,8 +75,8 @@
     }
 
     /** Seconds of waiting that a request of so much work, which runs so long, may bear. */
-    static double borne(RequestClassState requestClass, double work, double run) {
-        double objective = requestClass.settings().latencyObjectiveFor(work);
+    public static double borne(RequestClassState requestClass, double work, double run) {
+        double objective = requestClass.settings().latencyObjectiveSecondsFor(work);
         return Math.max(objective - run, ALWAYS_BORNE * objective);
     }
 
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/decision/admission/package-info.java
@@ -0,0 +1,2 @@
+/** Which requests are rejected at once: maximum waits and fairness among tenants. */
+package wheelroute.decision.admission;
--- a/daemon/src/main/java/wheelroute/decision/EndpointLease.java
+++ b/daemon/src/main/java/wheelroute/decision/endpoints/EndpointLease.java
@@ -1,4 +1,4 @@
-package wheelroute.decision;
+package wheelroute.decision.endpoints;
 
 /**
  * Rule 3 under an overloaded discovery: how long the endpoint list may be used unconfirmed.
@@ -10,7 +10,7 @@
  *
  * <p>Times are in seconds.
  */
-final class EndpointLease {
+public final class EndpointLease {
     /** After so long a change counts as known. */
     static final double NOTIFICATION_LIMIT = 6;
 
@@ -21,23 +21,24 @@
     private double confirmedAt = Double.NaN;
     private boolean overloaded;
 
-    EndpointLease(double drainGrace) {
-        duration = Math.max(0, NOTIFICATION_LIMIT + drainGrace - MARGIN);
+    /** Creates a lease that is valid until the endpoint list is confirmed for the first time. */
+    public EndpointLease(double drainGraceSeconds) {
+        duration = Math.max(0, NOTIFICATION_LIMIT + drainGraceSeconds - MARGIN);
     }
 
     /** Discovery has answered, or this process begins with the list that it was given. */
-    void renew(double now) {
+    public void renew(double now) {
         confirmedAt = now;
         overloaded = false;
     }
 
     /** Discovery answers others, and not this dispatcher. */
-    void onOverload() {
+    public void onOverload() {
         overloaded = true;
     }
 
     /** Whether no worker of the list may be sent to. */
-    boolean isExpired(double now) {
+    public boolean isExpired(double now) {
         return overloaded && now > confirmedAt + duration;
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/EndpointUpdates.java
+++ b/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
@@ -1,16 +1,24 @@
-package wheelroute.decision;
+package wheelroute.decision.endpoints;
 
 import java.util.ArrayList;
 import java.util.List;
+import wheelroute.decision.Endpoint;
+import wheelroute.decision.Ids;
+import wheelroute.decision.estimates.ModelStatistics;
+import wheelroute.decision.health.OutlierEjection;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.WorkerState;
+import wheelroute.decision.state.WorkerTable;
 
 /** Brings the state of workers in line with the endpoint list and its changes. */
-final class EndpointUpdates {
+public final class EndpointUpdates {
     private static final double MILLIS = 1000;
 
     private final DispatcherState state;
     private final OutlierEjection ejection;
 
-    EndpointUpdates(DispatcherState state, OutlierEjection ejection) {
+    /** Creates the handler of endpoint list changes for one dispatcher. */
+    public EndpointUpdates(DispatcherState state, OutlierEjection ejection) {
         this.state = state;
         this.ejection = ejection;
     }
@@ -18,7 +26,7 @@
     /**
      * Returns the workers whose attempts in flight are lost: they were removed, or started anew.
      */
-    List<WorkerState> apply(List<Endpoint> endpoints, boolean complete) {
+    public List<WorkerState> apply(List<Endpoint> endpoints, boolean complete) {
         WorkerTable workers = state.workers();
         if (complete) {
             workers.all().forEach(WorkerState::clearListed);
--- a/daemon/src/main/java/wheelroute/decision/AttemptMeasurements.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/AttemptMeasurements.java
@@ -1,15 +1,23 @@
-package wheelroute.decision;
+package wheelroute.decision.estimates;
+
+import wheelroute.decision.Outcome;
+import wheelroute.decision.routing.KeyAffinity;
+import wheelroute.decision.state.Attempt;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
 
 /** Records what the events of an attempt tell of its worker, its model and its request's cost. */
-final class AttemptMeasurements {
+public final class AttemptMeasurements {
     private final DispatcherState state;
 
-    AttemptMeasurements(DispatcherState state) {
+    /** Creates the recorder of what attempts show about workers, models and requests. */
+    public AttemptMeasurements(DispatcherState state) {
         this.state = state;
     }
 
     /** The worker began the job at this time. */
-    void recordStart(Attempt attempt, double startedAt) {
+    public void recordStart(Attempt attempt, double startedAt) {
         double now = state.now();
         WorkerState worker = attempt.worker;
         attempt.start(startedAt);
@@ -21,19 +29,20 @@
     }
 
     /** Where starts are not told, the first progress tells of one. */
-    void recordProgress(Attempt attempt, double share) {
+    public void recordProgress(Attempt attempt, double share) {
         double now = state.now();
         attempt.worker.health().heard(now);
         attempt.heard(now);
         if (!attempt.hasStarted()) {
             recordStart(
-                    attempt, Math.max(attempt.sentAt, now - state.settings().progressInterval()));
+                    attempt,
+                    Math.max(attempt.sentAt, now - state.settings().progressIntervalSeconds()));
         }
         attempt.progress(now, share);
     }
 
     /** How a retry went, for a request that had failed elsewhere. */
-    void recordRetry(Attempt attempt) {
+    public void recordRetry(Attempt attempt) {
         boolean failed = attempt.outcome() == Outcome.FAILED;
         if (attempt.request.hasFailed() && (failed || attempt.outcome() == Outcome.SUCCEEDED)) {
             state.traffic().recordRetry(state.now(), failed);
@@ -41,7 +50,7 @@
     }
 
     /** To be called once the attempt has succeeded and is no longer in flight. */
-    void recordSuccess(Attempt attempt) {
+    public void recordSuccess(Attempt attempt) {
         double now = state.now();
         WorkerState worker = attempt.worker;
         worker.health().heard(now);
@@ -66,7 +75,7 @@
         WorkerEstimates estimates = attempt.worker.estimates();
         TrackedRequest request = attempt.request;
         double from = attempt.hasStarted() ? attempt.startedAt() : attempt.sentAt;
-        double run = Math.max(now - from, state.settings().timeResolution());
+        double run = Math.max(now - from, state.settings().timeResolutionSeconds());
         if (attempt.affinityRank != KeyAffinity.CACHED) {
             double excess = run - request.work() / estimates.speed();
             state.cacheMissCost().record(now, attempt.affinityRank, request.work(), excess);
--- a/daemon/src/main/java/wheelroute/decision/CacheMissCost.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/CacheMissCost.java
@@ -1,11 +1,13 @@
-package wheelroute.decision;
+package wheelroute.decision.estimates;
+
+import wheelroute.decision.routing.KeyAffinity;
 
 /**
  * How much longer a job runs where what its key needs is not cached: measured apart for each rank
  * of a key's preferred workers, and for all other workers. Where keys mean nothing the cost comes
  * out as 0.
  */
-final class CacheMissCost {
+public final class CacheMissCost {
     private static final int SAMPLE_COUNT = 64;
 
     /** A fetch is taken to cost this part of a mean job until enough runs have shown its cost. */
@@ -22,17 +24,20 @@
     private final double[] expected = new double[excess.length];
     private double meanWork = 1;
 
-    CacheMissCost() {
+    /** Creates estimates without any measured run. */
+    public CacheMissCost() {
         for (int i = 0; i < excess.length; i++) {
             excess[i] = new SampleWindow(SAMPLE_COUNT);
         }
     }
 
     /**
+     * Records a run at a worker where a miss was expected.
+     *
      * @param rank below {@link KeyAffinity#PREFERRED_COUNT} for a preferred worker, or that number
      * @param excessSeconds how much longer it ran than its work explains
      */
-    void record(double now, int rank, double work, double excessSeconds) {
+    public void record(double now, int rank, double work, double excessSeconds) {
         double weightedWork = Math.max(work, MIN_WORK_FRACTION * meanWork);
         excess[rank].add(
                 now,
@@ -41,7 +46,7 @@
     }
 
     /** Works out the means, for the choice that follows. */
-    void update(double newMeanWork) {
+    public void update(double newMeanWork) {
         meanWork = newMeanWork;
         double prior = PRIOR_RUNS / (meanWork * meanWork);
         for (int i = expected.length - 1; i >= 0; i--) {
@@ -61,12 +66,12 @@
     }
 
     /** Seconds by which a run at a worker of this rank is expected to take longer. */
-    double expectedSeconds(int rank) {
+    public double expectedSeconds(int rank) {
         return rank == KeyAffinity.CACHED ? 0 : expected[rank];
     }
 
     /** The part of the runs at a worker of this rank that are expected to fetch. */
-    double missProbability(int rank) {
+    public double missProbability(int rank) {
         double time = expectedSeconds(rank);
         return time == 0 ? 0 : time / Math.max(time, expected[KeyAffinity.PREFERRED_COUNT]);
     }
--- a/daemon/src/main/java/wheelroute/decision/CostEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/CostEstimates.java
@@ -1,10 +1,10 @@
-package wheelroute.decision;
+package wheelroute.decision.estimates;
 
 /**
  * What the cost estimates of one request class were worth lately: the clients' estimates of a
  * request's work against the work that the same requests turned out to be.
  */
-final class CostEstimates {
+public final class CostEstimates {
     /** Well-estimated requests that estimates are taken to have behind them. */
     private static final double PRIOR_SAMPLES = 4;
 
@@ -18,12 +18,14 @@
     private double meanLogEstimate;
     private double scale = 1;
 
-    CostEstimates(int sampleCount) {
+    /** Creates the record of one request class. */
+    public CostEstimates(int sampleCount) {
         logPairs = new SampleWindow(sampleCount);
         estimates = new SampleWindow(sampleCount);
     }
 
-    double meanWork() {
+    /** Returns the mean estimated work of a request, in seconds on a standard core. */
+    public double meanWork() {
         return estimates.meanOfFirst(DEFAULT_WORK);
     }
 
@@ -31,7 +33,7 @@
      * The expected work of a request: its estimate, drawn to its class's mean as far as estimates
      * lately misled; the mean estimate where it has none.
      */
-    double workFor(double estimate) {
+    public double workFor(double estimate) {
         if (!(estimate > 0)) {
             // An estimate of 0 would make the price of another zone infinite.
             return meanWork();
@@ -50,11 +52,12 @@
     }
 
     /** As {@link SampleWindow#export}; these samples have no age. */
-    double[] export() {
+    public double[] export() {
         return logPairs.export(0);
     }
 
-    void restore(double[] samples) {
+    /** Takes over samples exported by another process. */
+    public void restore(double[] samples) {
         logPairs.restore(0, samples);
         if (logPairs.size() > 0) {
             fit();
--- a/daemon/src/main/java/wheelroute/decision/FleetEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/FleetEstimates.java
@@ -1,10 +1,16 @@
-package wheelroute.decision;
+package wheelroute.decision.estimates;
+
+import wheelroute.decision.admission.Admission;
+import wheelroute.decision.routing.KeyAffinity;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
 
 /**
  * The figures that a choice of a worker rests on, worked out once for each choice: means of the
  * traffic, waits of the models, and each worker's speed, wait and affinity rank.
  */
-final class FleetEstimates {
+public final class FleetEstimates {
     /** Waits of a model are remembered until this many attempts are, however long that takes. */
     private static final double ENOUGH_ATTEMPTS = 32;
 
@@ -14,22 +20,23 @@
     private double capacity;
     private double attemptsPerSlot;
 
-    FleetEstimates(DispatcherState state) {
+    /** Creates estimates over all workers of one dispatcher. */
+    public FleetEstimates(DispatcherState state) {
         this.state = state;
     }
 
     /** Work that all ready workers do in a second, as of the last refresh. */
-    double capacity() {
+    public double capacity() {
         return capacity;
     }
 
     /** Attempts of this dispatcher in flight for each slot, as of the last refresh. */
-    double attemptsPerSlot() {
+    public double attemptsPerSlot() {
         return attemptsPerSlot;
     }
 
     /** Works out all that the costs of this request are made of. */
-    void refresh(TrackedRequest request) {
+    public void refresh(TrackedRequest request) {
         state.traffic().refreshMeans();
         refreshModels();
         state.cacheMissCost().update(state.traffic().meanWork());
--- a/daemon/src/main/java/wheelroute/decision/ModelStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/ModelStatistics.java
@@ -1,10 +1,12 @@
-package wheelroute.decision;
+package wheelroute.decision.estimates;
+
+import wheelroute.decision.LearnedState;
 
 /**
  * What was measured of all workers of one model: their speed, their slots, and how long attempts
  * wait there. Times are in seconds.
  */
-final class ModelStatistics {
+public final class ModelStatistics {
     private static final double STANDARD_SPEED = 1;
 
     /** The work rate is measured over this long: at one result a second, less would be chance. */
@@ -45,21 +47,23 @@
     /** Waits guessed from results are as noisy as the sizes of jobs and need a heavier prior. */
     private final double priorWeight;
 
-    ModelStatistics(SampleWindow runs, SampleWindow waits, double priorWeight) {
+    /** Creates the statistics of one model from the windows that hold its samples. */
+    public ModelStatistics(SampleWindow runs, SampleWindow waits, double priorWeight) {
         this.runs = runs;
         this.waits = waits;
         this.priorWeight = priorWeight;
         this.completedWork = new SampleWindow(SAMPLE_COUNT);
     }
 
-    LearnedState.ModelSamples export(double now) {
+    /** Returns the samples for another process, with ages in place of times. */
+    public LearnedState.ModelSamples export(double now) {
         return new LearnedState.ModelSamples(slots, runs.export(now), waits.export(now));
     }
 
     /**
      * Takes over exported samples; waits only where starts are told, as else they are not its own.
      */
-    void restore(double now, LearnedState.ModelSamples samples, boolean withWaits) {
+    public void restore(double now, LearnedState.ModelSamples samples, boolean withWaits) {
         slots = samples.slots();
         runs.restore(now, samples.runs());
         refitSpeed();
@@ -83,7 +87,7 @@
     }
 
     /** Work that a slot does in a second. */
-    double speed() {
+    public double speed() {
         return speed;
     }
 
@@ -101,7 +105,7 @@
     }
 
     /** The longest of the waits that are remembered. */
-    double longestWait() {
+    public double longestWait() {
         return waits.maxOfFirst();
     }
 
@@ -111,11 +115,12 @@
     }
 
     /** The same over a short memory. */
-    double recentExternalWait() {
+    public double recentExternalWait() {
         return recentExternalWait;
     }
 
-    void clearOverdueWait() {
+    /** Forgets the waits of attempts that had not started at the last sweep. */
+    public void clearOverdueWait() {
         overdueWait = 0;
     }
 
@@ -124,11 +129,13 @@
         overdueWait += wait;
     }
 
-    void clearWarmWorkers() {
+    /** Begins a new count of warm workers. */
+    public void clearWarmWorkers() {
         warmWorkers = 0;
     }
 
-    void countWarmWorker() {
+    /** Counts a worker of this model that is ready and warm. */
+    public void countWarmWorker() {
         warmWorkers++;
     }
 
@@ -143,7 +150,7 @@
      *
      * @param earliest nothing was measured before then
      */
-    double workRatePerWorker(double now, double earliest) {
+    public double workRatePerWorker(double now, double earliest) {
         if (now != rateComputedAt) {
             rateComputedAt = now;
             double from =
--- a/daemon/src/main/java/wheelroute/decision/SampleWindow.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/SampleWindow.java
@@ -1,7 +1,7 @@
-package wheelroute.decision;
+package wheelroute.decision.estimates;
 
 /** The last few samples of a measurement, each a time in seconds and a pair of figures. */
-final class SampleWindow {
+public final class SampleWindow {
     private final double[] values;
     private int next;
     private int size;
@@ -15,11 +15,13 @@
     private double decayedSecond;
     private double decayedWeight;
 
-    SampleWindow(int capacity) {
+    /** Creates an empty window that keeps the last samples up to its capacity. */
+    public SampleWindow(int capacity) {
         values = new double[3 * capacity];
     }
 
-    void add(double time, double first, double second) {
+    /** Adds a sample; the oldest is dropped when the window is full. */
+    public void add(double time, double first, double second) {
         values[3 * next] = time;
         values[3 * next + 1] = first;
         values[3 * next + 2] = second;
@@ -49,7 +51,8 @@
         }
     }
 
-    void clear() {
+    /** Drops all samples. */
+    public void clear() {
         next = 0;
         size = 0;
         sumsAreCurrent = false;
@@ -195,7 +198,8 @@
         return sum;
     }
 
-    int countSince(double from) {
+    /** Returns the number of samples from this time on. */
+    public int countSince(double from) {
         int count = 0;
         for (int i = 0; i < size; i++) {
             count += time(i) >= from ? 1 : 0;
--- a/daemon/src/main/java/wheelroute/decision/TrafficStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
@@ -1,11 +1,13 @@
-package wheelroute.decision;
+package wheelroute.decision.estimates;
 
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
+import wheelroute.decision.Ids;
+import wheelroute.decision.state.TrackedRequest;
 
 /** What was measured of the requests that this dispatcher accepted. */
-final class TrafficStatistics {
+public final class TrafficStatistics {
     private static final int SAMPLE_COUNT = 64;
     private static final int RETRY_SAMPLE_COUNT = 8;
     private static final double STANDARD_WORK = 1;
@@ -25,11 +27,13 @@
     private double meanValue = 1;
     private double meanPrice = 1;
 
-    void noteFirst(double now) {
+    /** Records when the first request was accepted; later calls change nothing. */
+    public void noteFirst(double now) {
         firstAcceptedAt = Math.min(firstAcceptedAt, now);
     }
 
-    void record(double now, TrackedRequest request, boolean tenantHasQuota) {
+    /** Records an accepted request, and its tenant where that has a quota. */
+    public void record(double now, TrackedRequest request, boolean tenantHasQuota) {
         arrivals.add(now, request.work(), request.value());
         loads.add(now, request.work() * request.slots(), 0);
         if (tenantHasQuota) {
@@ -52,44 +56,44 @@
     }
 
     /** Mean priority weight as of the last refresh. */
-    double meanValue() {
+    public double meanValue() {
         return meanValue;
     }
 
     /**
      * Mean of work times priority weight as of the last refresh: the unit of the settings' prices.
      */
-    double meanPrice() {
+    public double meanPrice() {
         return meanPrice;
     }
 
     /** Mean work times slots of a request. */
-    double meanLoad() {
+    public double meanLoad() {
         return loads.meanOfFirst(STANDARD_WORK);
     }
 
     /** Requests a second. */
-    double rate(double now) {
+    public double rate(double now) {
         return arrivals.rate(now);
     }
 
     /** Work a second. */
-    double workRate(double now) {
+    public double workRate(double now) {
         return arrivals.rateOfFirst(now);
     }
 
     /** Infinite before the first request. */
-    double firstAcceptedAt() {
+    public double firstAcceptedAt() {
         return firstAcceptedAt;
     }
 
     /** Tenants with a quota that have sent anything. */
-    Set<Ids.Tenant> tenants() {
+    public Set<Ids.Tenant> tenants() {
         return tenants.keySet();
     }
 
     /** Requests a second of one of {@link #tenants}. */
-    double rate(Ids.Tenant tenant, double now) {
+    public double rate(Ids.Tenant tenant, double now) {
         return tenants.get(tenant).rate(now);
     }
 
@@ -98,11 +102,13 @@
         retryFailures.add(now, failed ? 1 : 0, 0);
     }
 
-    int retriesSince(double time) {
+    /** Returns the number of retries after an error elsewhere since this time. */
+    public int retriesSince(double time) {
         return retryFailures.countSince(time);
     }
 
-    double failedRetriesSince(double time) {
+    /** Returns how many of those retries failed as well. */
+    public double failedRetriesSince(double time) {
         return retryFailures.sumOfFirstSince(time);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/WorkerEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
@@ -1,12 +1,17 @@
-package wheelroute.decision;
+package wheelroute.decision.estimates;
 
 import java.util.Arrays;
+import wheelroute.decision.LoadReport;
+import wheelroute.decision.Settings;
+import wheelroute.decision.state.Attempt;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.WorkerState;
 
 /**
  * What is estimated of one worker: its speed, its slots, and how long a job waits there before it
  * starts. Figures only; nothing is decided here. All times in seconds.
  */
-final class WorkerEstimates {
+public final class WorkerEstimates {
     /**
      * Speeds and waits are smoothed over this long: shorter follows single jobs, longer misses
      * changes.
@@ -16,7 +21,7 @@
     /**
      * Its model's mean wait weighs as much as this many of a worker's own, which one job can spoil.
      */
-    static final double WAIT_PRIOR = 4;
+    public static final double WAIT_PRIOR = 4;
 
     /** A worker's own record weighs as much as the others' after this many jobs of mean size. */
     private static final double PRIOR_JOBS = 2;
@@ -38,13 +43,14 @@
     private double expectedWait;
     private double backlog;
 
-    WorkerEstimates(WorkerState worker, DispatcherState state) {
+    /** Creates the estimates of one worker. */
+    public WorkerEstimates(WorkerState worker, DispatcherState state) {
         this.worker = worker;
         this.state = state;
     }
 
     /** Jobs that it runs at the same time, from 1. */
-    int slots() {
+    public int slots() {
         return Math.min(MAX_SLOTS, Math.max(1, worker.model().slots()));
     }
 
@@ -52,7 +58,7 @@
      * Work that a slot does in a second. A worker new to this dispatcher begins at its model's
      * speed and nears its own record.
      */
-    double speed() {
+    public double speed() {
         double prior = PRIOR_JOBS * state.traffic().meanWork();
         SampleWindow runs = worker.statistics().runs;
         runs.computeDecayedSums(state.now(), MEMORY);
@@ -62,14 +68,16 @@
     }
 
     /** The fraction of its capacity that it has at least: it warms up no slower than evenly. */
-    double warmth(double time) {
+    public double warmth(double time) {
         Settings settings = state.settings();
         double age = time - worker.endpoint().startedAt();
-        if (!(age < settings.slowStartDuration())) {
+        if (!(age < settings.slowStartDurationSeconds())) {
             return 1;
         }
         return settings.slowStartShare()
-                + (1 - settings.slowStartShare()) * Math.max(0, age) / settings.slowStartDuration();
+                + (1 - settings.slowStartShare())
+                        * Math.max(0, age)
+                        / settings.slowStartDurationSeconds();
     }
 
     /**
@@ -89,22 +97,22 @@
     }
 
     /** As of the last refresh. */
-    double currentSpeed() {
+    public double currentSpeed() {
         return currentSpeed;
     }
 
     /** How long a job would wait behind this dispatcher's attempts, as of the last refresh. */
-    double ownWait() {
+    public double ownWait() {
         return ownWait;
     }
 
     /** How long a job would wait in all, as of the last refresh. */
-    double expectedWait() {
+    public double expectedWait() {
         return expectedWait;
     }
 
     /** Mean time until a slot is free, as of the last refresh. */
-    double backlog() {
+    public double backlog() {
         return backlog;
     }
 
@@ -153,7 +161,7 @@
      *
      * @param usual the mean of the worker's model
      */
-    double externalWait(double memory, double usual) {
+    public double externalWait(double memory, double usual) {
         // A cold worker is spared, so it has no queue, however long its model's are. A warm one has
         // one, or all would turn to those that have just become warm.
         double prior = warmth(state.now()) < 1 ? 0 : WAIT_PRIOR * usual;
@@ -177,14 +185,14 @@
      * How far an attempt that has not started is past the first message due of it; below 0 before.
      */
     private double overdue(Attempt attempt) {
-        return attempt.unexplainedWait(state.now()) - state.settings().startNoticeDelay();
+        return attempt.unexplainedWait(state.now()) - state.settings().startNoticeDelaySeconds();
     }
 
     /**
      * Counts the jobs seen running at once: slots only ever grow, so a start before the end counts
      * late.
      */
-    void noteRunning() {
+    public void noteRunning() {
         int running = 0;
         for (Attempt attempt : worker.inFlight()) {
             boolean counts = attempt.hasStarted() && state.now() - attempt.startedAt() > SETTLED;
@@ -197,7 +205,7 @@
      * Adds to the model's waits those that have not ended: the ones that started were the lucky
      * ones.
      */
-    void noteWaiting() {
+    public void noteWaiting() {
         // A silent worker's attempts tell of the worker, not of its model.
         for (int i = 0; i < worker.inFlight().size() && !worker.health().isSilent(); i++) {
             Attempt attempt = worker.inFlight().get(i);
@@ -209,7 +217,7 @@
     }
 
     /** Free slots alone count: running plus free, told of two moments, overstates a worker. */
-    void noteReport(LoadReport report) {
+    public void noteReport(LoadReport report) {
         if (state.settings().reportsFreeSlots() && !Double.isNaN(report.freeSlots())) {
             worker.model().noteSlots((int) Math.round(report.freeSlots()));
         }
--- a/daemon/src/main/java/wheelroute/decision/WorkerStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerStatistics.java
@@ -1,29 +1,35 @@
-package wheelroute.decision;
+package wheelroute.decision.estimates;
+
+import wheelroute.decision.LearnedState;
 
 /** What was measured of one worker: pairs of work and run time, unexplained waits, and failures. */
-final class WorkerStatistics {
+public final class WorkerStatistics {
     final SampleWindow runs;
     final SampleWindow waits;
-    final SampleWindow failures;
+    public final SampleWindow failures;
 
-    WorkerStatistics(int sampleCount) {
+    /** Creates empty windows of this many samples. */
+    public WorkerStatistics(int sampleCount) {
         runs = new SampleWindow(sampleCount);
         waits = new SampleWindow(sampleCount);
         failures = new SampleWindow(sampleCount);
     }
 
-    LearnedState.WorkerSamples export(double now) {
+    /** Returns the samples for another process, with ages in place of times. */
+    public LearnedState.WorkerSamples export(double now) {
         return new LearnedState.WorkerSamples(
                 runs.export(now), waits.export(now), failures.export(now));
     }
 
-    void restore(double now, LearnedState.WorkerSamples samples) {
+    /** Takes over samples exported by another process. */
+    public void restore(double now, LearnedState.WorkerSamples samples) {
         runs.restore(now, samples.runs());
         waits.restore(now, samples.waits());
         failures.restore(now, samples.failures());
     }
 
-    void clear() {
+    /** Drops all samples, as when the worker's process has restarted. */
+    public void clear() {
         runs.clear();
         waits.clear();
         failures.clear();
--- a/daemon/src/main/java/wheelroute/decision/OutlierEjection.java
+++ b/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
@@ -1,18 +1,26 @@
-package wheelroute.decision;
+package wheelroute.decision.health;
+
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.Outcome;
+import wheelroute.decision.admission.Admission;
+import wheelroute.decision.retry.RetryRules;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
 
 /**
  * Ejects workers that fail often or fall silent, and reinstates them after trials: one attempt at a
  * time, after a delay that doubles with each further failure.
  */
-final class OutlierEjection {
+public final class OutlierEjection {
     /** Failures count against a worker for this many seconds. */
-    static final double FAILURE_MEMORY = 10;
+    public static final double FAILURE_MEMORY = 10;
 
     /** Seconds from an ejection to the first trial. */
-    static final double FIRST_TRIAL_DELAY = 0.5;
+    public static final double FIRST_TRIAL_DELAY = 0.5;
 
     /** A worker that rejected an attempt gets none for this many seconds: about a job's time. */
-    static final double REJECTION_BACKOFF = 0.3;
+    public static final double REJECTION_BACKOFF = 0.3;
 
     private static final double MAX_TRIAL_DELAY = 4;
 
@@ -28,13 +36,14 @@
     private final DispatcherState state;
     private final RetryRules retryRules;
 
-    OutlierEjection(DispatcherState state, RetryRules retryRules) {
+    /** Creates the rule over the state of one dispatcher. */
+    public OutlierEjection(DispatcherState state, RetryRules retryRules) {
         this.state = state;
         this.retryRules = retryRules;
     }
 
     /** What the end of an attempt means for its worker. */
-    void onOutcome(WorkerState worker, Outcome outcome) {
+    public void onOutcome(WorkerState worker, Outcome outcome) {
         switch (outcome) {
             case SUCCEEDED -> onSuccess(worker);
             case REJECTED -> {
@@ -59,11 +68,13 @@
         }
     }
 
-    boolean failsOften(WorkerState worker) {
+    /** Whether the worker has more recent failures than are tolerated. */
+    public boolean failsOften(WorkerState worker) {
         return recentFailures(worker) > FAILURES_TOLERATED;
     }
 
-    int recentFailures(WorkerState worker) {
+    /** Returns the number of failures that still count against the worker. */
+    public int recentFailures(WorkerState worker) {
         return worker.statistics().failures.countSince(state.now() - FAILURE_MEMORY);
     }
 
@@ -92,7 +103,7 @@
      * It has left the endpoint list. Where only a drain is binding, the list may be wrong about who
      * is gone: such a worker is ejected, and gets attempts on trial.
      */
-    void onRemoved(WorkerState worker) {
+    public void onRemoved(WorkerState worker) {
         worker.setReady(worker.isReady() && state.settings().removalIsAdvisory());
         if (worker.isReady() && !worker.isUnlisted()) {
             worker.setUnlisted(true);
@@ -115,7 +126,7 @@
     /**
      * Whether it may get this request: if ejected only on trial, and only what may be tried again.
      */
-    boolean admits(WorkerState worker, TrackedRequest request) {
+    public boolean admits(WorkerState worker, TrackedRequest request) {
         WorkerHealth health = worker.health();
         return !health.isEjected()
                 || (state.now() >= health.nextTrialAt()
@@ -127,7 +138,7 @@
      * Whether it serves some requests although it is ejected: rather than a rejection, beside full
      * workers one is tried that fails now and then.
      */
-    boolean servesSome(WorkerState worker, TrackedRequest request) {
+    public boolean servesSome(WorkerState worker, TrackedRequest request) {
         WorkerHealth health = worker.health();
         return !health.isSilent()
                 && state.now() - health.succeededAt() < Admission.EVIDENCE_MEMORY
--- a/daemon/src/main/java/wheelroute/decision/SilenceDetector.java
+++ b/daemon/src/main/java/wheelroute/decision/health/SilenceDetector.java
@@ -1,13 +1,21 @@
-package wheelroute.decision;
+package wheelroute.decision.health;
 
 import java.util.ArrayList;
 import java.util.function.Predicate;
+import wheelroute.decision.Settings;
+import wheelroute.decision.estimates.ModelStatistics;
+import wheelroute.decision.routing.RequestPlacer;
+import wheelroute.decision.routing.WorkerSelector;
+import wheelroute.decision.state.Attempt;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
 
 /**
  * Finds workers and attempts that keep silent for longer than is explained, and retries or hedges
  * what they hold: a hung or vanished worker looks merely busy.
  */
-final class SilenceDetector {
+public final class SilenceDetector {
     /** Silence this long past what was expected is a fault: it covers transit and a pause. */
     private static final double TOLERANCE = 0.5;
 
@@ -27,7 +35,8 @@
     private final OutlierEjection ejection;
     private double hedgesLeft;
 
-    SilenceDetector(
+    /** Creates the detector over the state of one dispatcher. */
+    public SilenceDetector(
             DispatcherState state,
             RequestPlacer placer,
             WorkerSelector selector,
@@ -39,12 +48,12 @@
     }
 
     /** A request was accepted. */
-    void earnHedge() {
+    public void earnHedge() {
         hedgesLeft = Math.min(MAX_HEDGES, hedgesLeft + HEDGES_PER_REQUEST);
     }
 
     /** Looks at all workers with attempts in flight. */
-    void sweep() {
+    public void sweep() {
         state.workers().models().values().forEach(ModelStatistics::clearOverdueWait);
         for (WorkerState worker : new ArrayList<>(state.workers().busy())) {
             worker.estimates().noteRunning();
@@ -55,7 +64,7 @@
 
     private void check(WorkerState worker) {
         double now = state.now();
-        double progressInterval = state.settings().progressInterval();
+        double progressIntervalSeconds = state.settings().progressIntervalSeconds();
         Attempt oldest = worker.inFlight().get(0);
         double silentFor = now - Math.max(worker.health().heardAt(), oldest.sentAt);
         if (silentFor > allowance(expectedSilence(worker, oldest, silentFor))) {
@@ -63,7 +72,7 @@
                 ejection.onSilence(worker);
             }
             retryElsewhere(worker, false, attempt -> true);
-        } else if (progressInterval > 0) {
+        } else if (progressIntervalSeconds > 0) {
             // One connection may fall silent beside others that go on.
             retryElsewhere(
                     worker,
@@ -88,8 +97,8 @@
         if (oldest.hasStarted() || !settings.reportsStart()) {
             double run = oldest.request.work() / worker.estimates().speed();
             expected +=
-                    settings.progressInterval() > 0
-                            ? settings.progressInterval()
+                    settings.progressIntervalSeconds() > 0
+                            ? settings.progressIntervalSeconds()
                             : TOLERANCE_FACTOR * run;
         }
         return expected;
@@ -97,7 +106,7 @@
 
     /** Seconds until an attempt that runs tells of it: by its progress, or its end. */
     private double nextMessage(Attempt attempt) {
-        double interval = state.settings().progressInterval();
+        double interval = state.settings().progressIntervalSeconds();
         double run = attempt.request.work() / attempt.worker.estimates().speed();
         return attempt.hasStarted() ? interval : Math.min(interval, run);
     }
@@ -107,7 +116,7 @@
      *
      * @param lost they have ended for certain, so that a retry is no hedged request
      */
-    void retryElsewhere(WorkerState worker, boolean lost, Predicate<Attempt> which) {
+    public void retryElsewhere(WorkerState worker, boolean lost, Predicate<Attempt> which) {
         for (Attempt attempt : new ArrayList<>(worker.inFlight())) {
             if ((lost || hedgesLeft >= 1) && which.test(attempt) && retry(attempt)) {
                 hedgesLeft -= lost ? 0 : 1;
--- a/daemon/src/main/java/wheelroute/decision/SweepTimer.java
+++ b/daemon/src/main/java/wheelroute/decision/health/SweepTimer.java
@@ -1,20 +1,23 @@
-package wheelroute.decision;
+package wheelroute.decision.health;
+
+import wheelroute.decision.state.DispatcherState;
 
 /** When workers with attempts in flight are looked through for overdue ones. */
-final class SweepTimer {
+public final class SweepTimer {
     /** Seconds between two sweeps: well under the shortest time that a silence is borne. */
-    static final double INTERVAL = 0.1;
+    public static final double INTERVAL = 0.1;
 
     private final DispatcherState state;
     private boolean scheduled;
     private double earliest;
 
-    SweepTimer(DispatcherState state) {
+    /** Creates a timer that is not scheduled yet. */
+    public SweepTimer(DispatcherState state) {
         this.state = state;
     }
 
     /** Whether a wakeup is this timer's; another one may have been asked for by a queue. */
-    boolean begin() {
+    public boolean begin() {
         if (state.now() < earliest) {
             return false;
         }
@@ -25,7 +28,7 @@
     /**
      * An idle dispatcher is not woken: a fleet of them would spend its time on looking at nothing.
      */
-    void schedule() {
+    public void schedule() {
         boolean needed = !state.workers().busy().isEmpty() || !state.keyQueues().isEmpty();
         if (needed && !scheduled) {
             scheduled = true;
--- a/daemon/src/main/java/wheelroute/decision/WorkerHealth.java
+++ b/daemon/src/main/java/wheelroute/decision/health/WorkerHealth.java
@@ -1,9 +1,9 @@
-package wheelroute.decision;
+package wheelroute.decision.health;
 
 /**
  * What this dispatcher holds of a worker's health: state only, as {@link OutlierEjection} decides.
  */
-final class WorkerHealth {
+public final class WorkerHealth {
     private double heardAt = Double.NEGATIVE_INFINITY;
     private double succeededAt = Double.NEGATIVE_INFINITY;
     private double backoffUntil = Double.NEGATIVE_INFINITY;
@@ -16,12 +16,12 @@
     /**
      * @param trialDelay seconds between an ejection and the first trial
      */
-    WorkerHealth(double trialDelay) {
+    public WorkerHealth(double trialDelay) {
         this.trialDelay = trialDelay;
     }
 
     /** Anything came from the worker. */
-    void heard(double now) {
+    public void heard(double now) {
         heardAt = now;
         silent = false;
     }
@@ -49,7 +49,11 @@
         backoffUntil = time;
     }
 
-    boolean isBackingOff(double now) {
+    /**
+     * Whether the worker gets no attempts at this time because it rejected one or could not be
+     * reached.
+     */
+    public boolean isBackingOff(double now) {
         return now < backoffUntil;
     }
 
@@ -58,7 +62,7 @@
     }
 
     /** It has kept silent for longer than its attempts explain. */
-    boolean isSilent() {
+    public boolean isSilent() {
         return silent;
     }
 
@@ -67,11 +71,12 @@
     }
 
     /** Ejected: it gets one attempt at a time, on trial. */
-    boolean isEjected() {
+    public boolean isEjected() {
         return ejected;
     }
 
-    void setEjected(boolean value) {
+    /** Takes over whether another process had ejected the worker. */
+    public void setEjected(boolean value) {
         ejected = value;
     }
 
@@ -95,7 +100,7 @@
     }
 
     /** The worker's process is another one now: old faults are not its own. */
-    void restarted() {
+    public void restarted() {
         ejected = false;
         silent = false;
     }
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/decision/health/package-info.java
@@ -0,0 +1,2 @@
+/** Outlier ejection and recovery, and the detection of unresponsive workers. */
+package wheelroute.decision.health;
--- a/daemon/src/main/java/wheelroute/decision/KeyQueue.java
+++ b/daemon/src/main/java/wheelroute/decision/order/KeyQueue.java
@@ -1,11 +1,13 @@
-package wheelroute.decision;
+package wheelroute.decision.order;
 
 import java.util.ArrayDeque;
+import wheelroute.decision.Ids;
+import wheelroute.decision.state.TrackedRequest;
 
 /**
  * The requests of one key in the order of their acceptance; state only, {@link KeyQueues} decides.
  */
-final class KeyQueue {
+public final class KeyQueue {
     private final Ids.Key key;
     private final ArrayDeque<TrackedRequest> requests = new ArrayDeque<>();
     private double quietUntil = Double.NEGATIVE_INFINITY;
--- a/daemon/src/main/java/wheelroute/decision/KeyQueues.java
+++ b/daemon/src/main/java/wheelroute/decision/order/KeyQueues.java
@@ -1,36 +1,46 @@
-package wheelroute.decision;
+package wheelroute.decision.order;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import wheelroute.decision.Ids;
+import wheelroute.decision.admission.Admission;
+import wheelroute.decision.health.SweepTimer;
+import wheelroute.decision.routing.RequestPlacer;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.TrackedRequest;
 
 /** The order of keys: requests of one key run one at a time, as they were accepted. */
-final class KeyQueues {
+public final class KeyQueues {
     private final DispatcherState state;
     private final RequestPlacer placer;
 
-    KeyQueues(DispatcherState state, RequestPlacer placer) {
+    /** Creates the queues of one dispatcher, which place requests through the given placer. */
+    public KeyQueues(DispatcherState state, RequestPlacer placer) {
         this.state = state;
         this.placer = placer;
     }
 
-    KeyQueue forKey(Ids.Key key) {
+    /** Returns the queue of a key, a new one if none of its requests is open. */
+    public KeyQueue forKey(Ids.Key key) {
         return state.keyQueues().computeIfAbsent(key, KeyQueue::new);
     }
 
-    void add(TrackedRequest request) {
+    /** Appends an accepted request to its queue, and places it if it is the first. */
+    public void add(TrackedRequest request) {
         request.queue().requests().addLast(request);
         advance(request.queue());
     }
 
-    void advanceAll() {
+    /** Begins and gives up what is due in each queue. */
+    public void advanceAll() {
         for (KeyQueue queue : new ArrayList<>(state.keyQueues().values())) {
             advance(queue);
         }
     }
 
     /** A request that is complete leaves its queue, and the next may begin. */
-    void leave(TrackedRequest request) {
+    public void leave(TrackedRequest request) {
         KeyQueue queue = request.queue();
         if (queue != null && request.isComplete() && queue.requests().remove(request)) {
             queue.extendQuiet(request.keyQuietUntil());
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/decision/order/package-info.java
@@ -0,0 +1,2 @@
+/** The order of requests with one key. */
+package wheelroute.decision.order;
--- a/daemon/src/main/java/wheelroute/decision/RetryRules.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
@@ -1,11 +1,21 @@
-package wheelroute.decision;
+package wheelroute.decision.retry;
+
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.Ids;
+import wheelroute.decision.Outcome;
+import wheelroute.decision.Settings;
+import wheelroute.decision.health.OutlierEjection;
+import wheelroute.decision.state.Attempt;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
 
 /**
  * Rule 2, no effect twice, and rule 3 where the list is unconfirmed: whether a request may be
  * attempted again, and where, and whether it may be rejected, which tells the client that a retry
  * does no harm.
  */
-final class RetryRules {
+public final class RetryRules {
     /** No attempt begins with less time left: it could not even reach a worker and come back. */
     private static final double MIN_TIME_LEFT = 0.02;
 
@@ -20,12 +30,13 @@
 
     private final DispatcherState state;
 
-    RetryRules(DispatcherState state) {
+    /** Creates the rules over the state of one dispatcher. */
+    public RetryRules(DispatcherState state) {
         this.state = state;
     }
 
     /** Whether one more attempt anywhere can be right. */
-    boolean mayAttempt(TrackedRequest request) {
+    public boolean mayAttempt(TrackedRequest request) {
         if (state.endpointLease().isExpired(state.now())) {
             return false;
         }
@@ -60,7 +71,7 @@
     /**
      * Whether the next attempt may go to this worker; for a key only where, and while, it is known.
      */
-    boolean mayGoTo(TrackedRequest request, WorkerState worker) {
+    public boolean mayGoTo(TrackedRequest request, WorkerState worker) {
         for (int i = 0; i < request.attempts().size(); i++) {
             Attempt earlier = request.attempts().get(i);
             boolean refused = earlier.isInFlight() || earlier.outcome() == Outcome.REJECTED;
@@ -83,13 +94,13 @@
         if (requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY || !earlier.mayHaveRun()) {
             return true;
         }
-        double windowEnd = earlier.sentAt + requestClass.idempotencyWindow() - TRANSIT;
+        double windowEnd = earlier.sentAt + requestClass.idempotencyWindowSeconds() - TRANSIT;
         return state.now() <= windowEnd
                 && requestClass.idempotencyScope().covers(earlier.endpoint, worker.endpoint());
     }
 
     /** Whether no attempt ran, or a repeat does no harm wherever it runs. */
-    boolean mayReject(TrackedRequest request) {
+    public boolean mayReject(TrackedRequest request) {
         return !request.mayHaveRun()
                 || (request.settings().isSafeToRetryAnywhere() && !request.isInvalid());
     }
@@ -98,7 +109,7 @@
      * While retries fail as well, an error is its request's fault and not its worker's, and a
      * further attempt is a waste. Looked at anew once these failures are old.
      */
-    boolean errorsFollowRequests() {
+    public boolean errorsFollowRequests() {
         double since = state.now() - OutlierEjection.FAILURE_MEMORY;
         int retries = state.traffic().retriesSince(since);
         double failed = state.traffic().failedRetriesSince(since);
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/decision/retry/package-info.java
@@ -0,0 +1,2 @@
+/** Whether, where and how long a request may be attempted again. */
+package wheelroute.decision.retry;
--- a/daemon/src/main/java/wheelroute/decision/AdmittanceCost.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
@@ -1,11 +1,19 @@
-package wheelroute.decision;
+package wheelroute.decision.routing;
+
+import wheelroute.decision.Settings;
+import wheelroute.decision.estimates.TrafficStatistics;
+import wheelroute.decision.estimates.WorkerEstimates;
+import wheelroute.decision.health.OutlierEjection;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
 
 /**
  * What it costs to admit a request at a worker: the request's own wait and run there, and what it
  * costs the requests that come after it. Equation 3 of Hyytiä and Aalto, with the prices that the
  * settings put on the choice.
  */
-final class AdmittanceCost {
+public final class AdmittanceCost {
     /** Offered load is held below this: the cost's factor has a pole at 1. */
     private static final double MAX_LOAD = 0.95;
 
@@ -59,7 +67,7 @@
         double run =
                 request.work() / estimates.currentSpeed()
                         + CACHE_MISS_FACTOR * state.cacheMissCost().expectedSeconds(rank);
-        double objective = request.settings().latencyObjectiveFor(request.work());
+        double objective = request.settings().latencyObjectiveSecondsFor(request.work());
         double wait = estimates.expectedWait();
         Settings settings = state.settings();
         double crossing =
--- a/daemon/src/main/java/wheelroute/decision/KeyAffinity.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/KeyAffinity.java
@@ -1,4 +1,4 @@
-package wheelroute.decision;
+package wheelroute.decision.routing;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,6 +9,8 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.ToIntFunction;
+import wheelroute.decision.Endpoint;
+import wheelroute.decision.Ids;
 
 /**
  * Where what the requests of a key need is likely cached: at the workers that rendezvous hashing
@@ -17,15 +19,15 @@
  *
  * @param <W> a worker, as its user knows it
  */
-final class KeyAffinity<W> {
+public final class KeyAffinity<W> {
     /** Keys remembered: enough for those that come often, and bounded where all differ. */
     private static final int MAX_KEYS = 1024;
 
     /** Workers preferred for a key: the first, and those to turn to when it is busy. */
-    static final int PREFERRED_COUNT = 3;
+    public static final int PREFERRED_COUNT = 3;
 
     /** In place of a rank: no miss is expected, as there is no key, or it went there lately. */
-    static final int CACHED = -1;
+    public static final int CACHED = -1;
 
     /** A key is taken to stay cached until the worker has had this many later attempts of ours. */
     private static final int CACHED_ATTEMPTS = 8;
@@ -46,22 +48,24 @@
     private List<W> fleet = List.of();
     private int fleetVersion;
 
-    KeyAffinity(Function<W, Endpoint> listings) {
+    /** Creates the placements of keys among workers, whose endpoints the function returns. */
+    public KeyAffinity(Function<W, Endpoint> listings) {
         this.endpoints = listings;
     }
 
     /** The workers that can be preferred from now on. */
-    void setFleet(List<W> workers) {
+    public void setFleet(List<W> workers) {
         fleet = new ArrayList<>(workers);
         fleetVersion++;
     }
 
-    Placement forKey(Ids.Key key) {
+    /** Returns the placement of a key; the least recently used key is forgotten. */
+    public Placement forKey(Ids.Key key) {
         return placements.computeIfAbsent(key, Placement::new);
     }
 
     /** The workers of one key. */
-    final class Placement {
+    public final class Placement {
         private final long hash;
         private final Map<Ids.Model, List<W>> preferredByModel = new HashMap<>();
         private final Map<W, Integer> attemptsAtSend = new LinkedHashMap<>();
@@ -72,7 +76,7 @@
         }
 
         /** The preferred workers of a model, or of all for null, the likeliest first. */
-        List<W> preferred(Ids.Model model) {
+        public List<W> preferred(Ids.Model model) {
             if (rankedVersion != fleetVersion) {
                 rankedVersion = fleetVersion;
                 preferredByModel.clear();
@@ -117,7 +121,7 @@
          *
          * @param attemptCount how many attempts a worker has had by now
          */
-        void forEachRecent(ToIntFunction<W> attemptCount, Consumer<W> action) {
+        public void forEachRecent(ToIntFunction<W> attemptCount, Consumer<W> action) {
             for (Iterator<Map.Entry<W, Integer>> iterator = attemptsAtSend.entrySet().iterator();
                     iterator.hasNext(); ) {
                 Map.Entry<W, Integer> entry = iterator.next();
--- a/daemon/src/main/java/wheelroute/decision/RequestPlacer.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/RequestPlacer.java
@@ -1,7 +1,18 @@
-package wheelroute.decision;
+package wheelroute.decision.routing;
+
+import wheelroute.decision.Settings;
+import wheelroute.decision.admission.Admission;
+import wheelroute.decision.health.OutlierEjection;
+import wheelroute.decision.health.SweepTimer;
+import wheelroute.decision.order.KeyQueues;
+import wheelroute.decision.retry.RetryRules;
+import wheelroute.decision.state.Attempt;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
 
 /** Starts the next attempt of a request, or gives it its final answer if nothing is left to try. */
-final class RequestPlacer {
+public final class RequestPlacer {
     /**
      * A second choice must wait at most this fraction of what is borne: overload must not fill
      * every queue.
@@ -15,7 +26,8 @@
     private final SweepTimer sweeps;
     private final KeyQueues keyQueues;
 
-    RequestPlacer(
+    /** Creates the placer of one dispatcher. */
+    public RequestPlacer(
             DispatcherState state,
             WorkerSelector selector,
             RetryRules retryRules,
@@ -28,12 +40,13 @@
         keyQueues = new KeyQueues(state, this);
     }
 
-    KeyQueues keyQueues() {
+    /** Returns the queues of requests that run one at a time. */
+    public KeyQueues keyQueues() {
         return keyQueues;
     }
 
     /** Sends it to the cheapest worker, or gives it up at once if nothing is left to wait for. */
-    void place(TrackedRequest request) {
+    public void place(TrackedRequest request) {
         WorkerState best = retryRules.mayAttempt(request) ? selector.cheapest(request) : null;
         WorkerState choice = best;
         if (best != null && !request.hasInFlight() && retryRules.mayReject(request)) {
@@ -78,12 +91,14 @@
      *
      * @param retryAfter seconds after which a retry may go better
      */
-    void giveUp(TrackedRequest request, double retryAfter) {
+    public void giveUp(TrackedRequest request, double retryAfter) {
         request.finish();
         Settings settings = state.settings();
         if (retryRules.mayReject(request)) {
             double advice =
-                    settings.sendsRetryAfter() ? Math.min(settings.maxRetryAfter(), retryAfter) : 0;
+                    settings.sendsRetryAfter()
+                            ? Math.min(settings.maxRetryAfterSeconds(), retryAfter)
+                            : 0;
             state.actions().reject(request.request().id(), advice);
         } else {
             state.actions().fail(request.request().id());
@@ -92,7 +107,7 @@
     }
 
     /** No work is done for an answer that nobody waits for, where attempts may be cancelled. */
-    void cancelAttempts(TrackedRequest request) {
+    public void cancelAttempts(TrackedRequest request) {
         for (int i = 0; i < request.attempts().size() && state.settings().mayCancel(); i++) {
             Attempt attempt = request.attempts().get(i);
             if (attempt.isInFlight() && !attempt.isCancelled()) {
@@ -101,7 +116,8 @@
         }
     }
 
-    void cancel(Attempt attempt) {
+    /** Cancels one attempt in flight. */
+    public void cancel(Attempt attempt) {
         attempt.cancel();
         state.actions().cancelAttempt(attempt.request.request().id(), attempt.number);
     }
--- a/daemon/src/main/java/wheelroute/decision/WorkerSelector.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/WorkerSelector.java
@@ -1,10 +1,17 @@
-package wheelroute.decision;
+package wheelroute.decision.routing;
 
 import java.util.List;
 import java.util.function.Predicate;
+import wheelroute.decision.estimates.FleetEstimates;
+import wheelroute.decision.health.OutlierEjection;
+import wheelroute.decision.retry.RetryRules;
+import wheelroute.decision.slowstart.SlowStart;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
 
 /** Chooses the worker of least admittance cost among those that may get a request. */
-final class WorkerSelector {
+public final class WorkerSelector {
     /** Costs this close to the cheapest are a tie: estimates are too rough to tell them apart. */
     private static final double TIE_BAND = 0.10;
 
@@ -29,7 +36,8 @@
     private final AdmittanceCost cost;
     private final FleetEstimates fleet;
 
-    WorkerSelector(DispatcherState state, RetryRules retryRules, OutlierEjection ejection) {
+    /** Creates the selector over the state of one dispatcher. */
+    public WorkerSelector(DispatcherState state, RetryRules retryRules, OutlierEjection ejection) {
         this.state = state;
         this.retryRules = retryRules;
         this.ejection = ejection;
@@ -51,7 +59,7 @@
     }
 
     /** The cheapest of those that pass a test, among which may be ejected ones that serve some. */
-    WorkerState cheapestAmong(TrackedRequest request, Predicate<WorkerState> test) {
+    public WorkerState cheapestAmong(TrackedRequest request, Predicate<WorkerState> test) {
         prepare(request);
         return choose(
                 leastCost(
--- a/daemon/src/main/java/wheelroute/decision/SlowStart.java
+++ b/daemon/src/main/java/wheelroute/decision/slowstart/SlowStart.java
@@ -1,18 +1,26 @@
-package wheelroute.decision;
+package wheelroute.decision.slowstart;
+
+import wheelroute.decision.Settings;
+import wheelroute.decision.estimates.ModelStatistics;
+import wheelroute.decision.estimates.WorkerEstimates;
+import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
 
 /** Rule 4: this dispatcher's share of what a worker that warms up may be sent within any window. */
-final class SlowStart {
+public final class SlowStart {
     private final DispatcherState state;
 
-    SlowStart(DispatcherState state) {
+    /** Creates the rule over the state of one dispatcher. */
+    public SlowStart(DispatcherState state) {
         this.state = state;
     }
 
     /** Whether the worker, if it warms up, may get this request now. */
-    boolean admits(WorkerState worker, TrackedRequest request) {
+    public boolean admits(WorkerState worker, TrackedRequest request) {
         Settings settings = state.settings();
         WorkerEstimates estimates = worker.estimates();
-        double warmth = estimates.warmth(state.now() - settings.overloadWindow());
+        double warmth = estimates.warmth(state.now() - settings.overloadWindowSeconds());
         if (warmth >= 1) {
             return true;
         }
@@ -24,7 +32,8 @@
                         state.senderCount()
                                 * model.workRatePerWorker(
                                         state.now(), state.traffic().firstAcceptedAt()));
-        double capacity = warmth * workRate * settings.overloadWindow() / state.processCount();
+        double capacity =
+                warmth * workRate * settings.overloadWindowSeconds() / state.processCount();
         return worker.slowStartBudget()
                 .allows(
                         state.now(),
--- a/daemon/src/main/java/wheelroute/limits/SlowStartBudget.java
+++ b/daemon/src/main/java/wheelroute/decision/slowstart/SlowStartBudget.java
@@ -1,4 +1,4 @@
-package wheelroute.limits;
+package wheelroute.decision.slowstart;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
--- a/daemon/src/main/java/wheelroute/decision/Attempt.java
+++ b/daemon/src/main/java/wheelroute/decision/state/Attempt.java
@@ -1,7 +1,10 @@
-package wheelroute.decision;
+package wheelroute.decision.state;
+
+import wheelroute.decision.Endpoint;
+import wheelroute.decision.Outcome;
 
 /** One attempt of a request at one worker, from the moment it is sent until it has ended. */
-final class Attempt {
+public final class Attempt {
     /**
      * A job past its expected end is taken to need this fraction of what it has had already: sizes
      * are heavy-tailed.
@@ -10,23 +13,23 @@
 
     private static final double NOT_STARTED = -1;
 
-    final TrackedRequest request;
-    final int number;
-    final WorkerState worker;
+    public final TrackedRequest request;
+    public final int number;
+    public final WorkerState worker;
 
     /** The endpoint as listed at the send: its zone and cell bind a retry of the same key. */
-    final Endpoint endpoint;
+    public final Endpoint endpoint;
 
-    final double sentAt;
+    public final double sentAt;
 
     /** Seconds it was expected to wait behind this dispatcher's own attempts. */
-    final double ownWait;
+    public final double ownWait;
 
     /** Seconds it was expected to wait in all. */
-    final double expectedWait;
+    public final double expectedWait;
 
     /** See {@link WorkerState#affinityRank}. */
-    final int affinityRank;
+    public final int affinityRank;
 
     private double startedAt = NOT_STARTED;
     private double heardAt = Double.POSITIVE_INFINITY;
@@ -35,7 +38,8 @@
     private boolean cancelled;
     private boolean retried;
 
-    Attempt(TrackedRequest request, int number, WorkerState worker, double sentAt) {
+    /** Creates an attempt that is sent now, with the waits expected at its worker. */
+    public Attempt(TrackedRequest request, int number, WorkerState worker, double sentAt) {
         this.request = request;
         this.number = number;
         this.worker = worker;
@@ -46,20 +50,23 @@
         this.affinityRank = worker.affinityRank();
     }
 
-    void start(double time) {
+    /** Records when the worker began it. */
+    public void start(double time) {
         startedAt = time;
     }
 
-    boolean hasStarted() {
+    /** Whether the worker is known to have begun it. */
+    public boolean hasStarted() {
         return startedAt > 0;
     }
 
     /** When the worker began it, in seconds; below 0 while it has not. */
-    double startedAt() {
+    public double startedAt() {
         return startedAt;
     }
 
-    void heard(double now) {
+    /** Records that the worker said something about it. */
+    public void heard(double now) {
         heardAt = now;
     }
 
@@ -69,14 +76,16 @@
     }
 
     /** When it was last heard of, in seconds; infinite while it may not have begun. */
-    double heardAt() {
+    public double heardAt() {
         return heardAt;
     }
 
     /**
+     * Records how far the worker is with it.
+     *
      * @param share the part of the work that is done, above 0
      */
-    void progress(double now, double share) {
+    public void progress(double now, double share) {
         totalRun = (now - startedAt) / Math.min(1, share);
     }
 
@@ -85,42 +94,47 @@
     }
 
     /** Null while the attempt is in flight. */
-    Outcome outcome() {
+    public Outcome outcome() {
         return outcome;
     }
 
-    boolean isInFlight() {
+    /** Whether it has not ended yet. */
+    public boolean isInFlight() {
         return outcome == null;
     }
 
-    boolean mayHaveRun() {
+    /** Whether the worker may have run it, or may still do so. */
+    public boolean mayHaveRun() {
         return outcome == null || outcome.mayHaveRun();
     }
 
-    void cancel() {
+    /** Marks it as cancelled; its end is still to come. */
+    public void cancel() {
         cancelled = true;
     }
 
-    boolean isCancelled() {
+    /** Whether it has been cancelled. */
+    public boolean isCancelled() {
         return cancelled;
     }
 
     /** Marks that a retry elsewhere has been tried because of this attempt; once is enough. */
-    void markRetried() {
+    public void markRetried() {
         retried = true;
     }
 
-    boolean isRetried() {
+    /** Whether a retry elsewhere has been tried because of this attempt. */
+    public boolean isRetried() {
         return retried;
     }
 
     /** Seconds of waiting, up to a moment, that this dispatcher's attempts ahead do not explain. */
-    double unexplainedWait(double until) {
+    public double unexplainedWait(double until) {
         return until - sentAt - ownWait;
     }
 
     /** Seconds until it will have ended, once it has begun, at a worker of this speed. */
-    double remaining(double now, double speed) {
+    public double remaining(double now, double speed) {
         boolean hasProgress = totalRun > 0;
         double run = hasProgress ? totalRun : request.work() / speed;
         double elapsed = hasStarted() ? now - startedAt : Math.max(0, now - sentAt - expectedWait);
--- a/daemon/src/main/java/wheelroute/decision/DispatcherState.java
+++ b/daemon/src/main/java/wheelroute/decision/state/DispatcherState.java
@@ -1,15 +1,24 @@
-package wheelroute.decision;
+package wheelroute.decision.state;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import wheelroute.limits.SlowStartBudget;
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.DispatcherShares;
+import wheelroute.decision.Ids;
+import wheelroute.decision.Settings;
+import wheelroute.decision.endpoints.EndpointLease;
+import wheelroute.decision.estimates.CacheMissCost;
+import wheelroute.decision.estimates.TrafficStatistics;
+import wheelroute.decision.order.KeyQueue;
+import wheelroute.decision.routing.KeyAffinity;
+import wheelroute.decision.slowstart.SlowStartBudget;
 
 /**
  * What all parts of the policy share: the settings, the time of the present event, and the workers,
  * request classes and traffic as this dispatcher knows them. State only; it decides nothing.
  */
-final class DispatcherState {
+public final class DispatcherState {
     private final Settings settings;
     private final ActionHandler actions;
     private final WorkerTable workers;
@@ -28,57 +37,67 @@
     private int processCount = 1;
     private double now;
 
-    DispatcherState(Settings settings, ActionHandler actions) {
+    /** Creates the state of a dispatcher that knows no worker yet. */
+    public DispatcherState(Settings settings, ActionHandler actions) {
         this.settings = settings;
         this.actions = actions;
         workers = new WorkerTable(settings);
         random = new RandomDraws(settings.seed());
         shares = DispatcherShares.even(settings);
-        endpointLease = new EndpointLease(settings.drainGrace());
+        endpointLease = new EndpointLease(settings.drainGraceSeconds());
         slowStartLimits =
                 new SlowStartBudget.Limits(
                         Math.max(1, settings.dispatchers()),
                         settings.position(),
                         settings.overloadMultiple(),
-                        settings.overloadWindow());
+                        settings.overloadWindowSeconds());
         for (Settings.RequestClass requestClass : settings.requestClasses()) {
             requestClasses.put(requestClass.id(), new RequestClassState(requestClass));
         }
     }
 
-    Settings settings() {
+    /** Returns the settings, which never change. */
+    public Settings settings() {
         return settings;
     }
 
-    ActionHandler actions() {
+    /** Returns the handler that carries decisions out. */
+    public ActionHandler actions() {
         return actions;
     }
 
-    WorkerTable workers() {
+    /** Returns the workers as this dispatcher knows them. */
+    public WorkerTable workers() {
         return workers;
     }
 
-    TrafficStatistics traffic() {
+    /** Returns what is measured of the accepted requests. */
+    public TrafficStatistics traffic() {
         return traffic;
     }
 
-    CacheMissCost cacheMissCost() {
+    /** Returns the estimated cost of running a request where its key is not cached. */
+    public CacheMissCost cacheMissCost() {
         return cacheMissCost;
     }
 
-    KeyAffinity<WorkerState> affinity() {
+    /** Returns where each key's data is likely cached. */
+    public KeyAffinity<WorkerState> affinity() {
         return affinity;
     }
 
-    Map<Ids.RequestClass, RequestClassState> requestClasses() {
+    /** Returns the request classes of the settings, by id. */
+    public Map<Ids.RequestClass, RequestClassState> requestClasses() {
         return requestClasses;
     }
 
-    Map<Ids.Key, KeyQueue> keyQueues() {
+    /** Returns the queues of keys with open requests, in the order of their creation. */
+    public Map<Ids.Key, KeyQueue> keyQueues() {
         return keyQueues;
     }
 
-    RandomDraws random() {
+    /** Returns the source of chance. */
+    public RandomDraws random() {
         return random;
     }
 
@@ -86,39 +105,43 @@
         return slowStartLimits;
     }
 
-    EndpointLease endpointLease() {
+    /** Returns the lease that bounds the use of an unconfirmed endpoint list. */
+    public EndpointLease endpointLease() {
         return endpointLease;
     }
 
     /** Seconds; the time of the event that is being decided on. */
-    double now() {
+    public double now() {
         return now;
     }
 
-    void setNow(double time) {
+    /** Sets the time of the event that is decided on next. */
+    public void setNow(double time) {
         now = time;
     }
 
     /** What this dispatcher may use of the quotas that all dispatchers share. */
-    DispatcherShares shares() {
+    public DispatcherShares shares() {
         return shares;
     }
 
-    void setShares(DispatcherShares newShares) {
+    /** Replaces this dispatcher's shares. */
+    public void setShares(DispatcherShares newShares) {
         shares = newShares;
     }
 
     /** Processes that are this one dispatcher, while one replaces another. */
-    int processCount() {
+    public int processCount() {
         return processCount;
     }
 
-    void setProcessCount(int count) {
+    /** Sets how many processes are this one dispatcher; less than 1 counts as 1. */
+    public void setProcessCount(int count) {
         processCount = Math.max(1, count);
     }
 
     /** Processes that send to the same workers, if all dispatchers have as many as this one. */
-    int senderCount() {
+    public int senderCount() {
         return processCount * Math.max(1, settings.dispatchers());
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/LearnedStateTransfer.java
+++ b/daemon/src/main/java/wheelroute/decision/state/LearnedStateTransfer.java
@@ -1,18 +1,24 @@
-package wheelroute.decision;
+package wheelroute.decision.state;
 
 import java.util.HashMap;
+import wheelroute.decision.Ids;
+import wheelroute.decision.LearnedState;
+import wheelroute.decision.estimates.ModelStatistics;
+import wheelroute.decision.health.OutlierEjection;
 
 /** Exports what one process has learned and imports it into the process that replaces it. */
-final class LearnedStateTransfer {
+public final class LearnedStateTransfer {
     private final DispatcherState state;
     private final OutlierEjection ejection;
 
-    LearnedStateTransfer(DispatcherState state, OutlierEjection ejection) {
+    /** Creates the transfer for one dispatcher. */
+    public LearnedStateTransfer(DispatcherState state, OutlierEjection ejection) {
         this.state = state;
         this.ejection = ejection;
     }
 
-    LearnedState exportState() {
+    /** Returns what was learned so far, for a successor process. */
+    public LearnedState exportState() {
         LearnedState learned = new LearnedState(new HashMap<>(), new HashMap<>(), new HashMap<>());
         double now = state.now();
         for (WorkerState worker : state.workers().all()) {
@@ -29,7 +35,7 @@
     }
 
     /** Skips workers, models and request classes that are unknown here. */
-    void importState(LearnedState learned) {
+    public void importState(LearnedState learned) {
         learned.workers().forEach(this::importWorker);
         learned.models().forEach(this::importModel);
         learned.estimates().forEach(this::importEstimates);
--- a/daemon/src/main/java/wheelroute/decision/RequestClassState.java
+++ b/daemon/src/main/java/wheelroute/decision/state/RequestClassState.java
@@ -1,7 +1,10 @@
-package wheelroute.decision;
+package wheelroute.decision.state;
+
+import wheelroute.decision.Settings;
+import wheelroute.decision.estimates.CostEstimates;
 
 /** A request class: its settings, and what the cost estimates of its requests were worth lately. */
-final class RequestClassState {
+public final class RequestClassState {
     private static final int ESTIMATE_COUNT = 64;
 
     private final Settings.RequestClass settings;
@@ -13,16 +16,18 @@
         value = settings.priorityWeight() > 0 ? settings.priorityWeight() : 1;
     }
 
-    Settings.RequestClass settings() {
+    /** Returns the settings of this class. */
+    public Settings.RequestClass settings() {
         return settings;
     }
 
     /** The priority weight, or 1 where the settings give none. */
-    double value() {
+    public double value() {
         return value;
     }
 
-    CostEstimates estimates() {
+    /** Returns how far the clients' cost estimates can be trusted. */
+    public CostEstimates estimates() {
         return estimates;
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/TrackedRequest.java
+++ b/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
@@ -1,10 +1,15 @@
-package wheelroute.decision;
+package wheelroute.decision.state;
 
 import java.util.ArrayList;
 import java.util.List;
+import wheelroute.decision.Outcome;
+import wheelroute.decision.Request;
+import wheelroute.decision.Settings;
+import wheelroute.decision.order.KeyQueue;
+import wheelroute.decision.routing.KeyAffinity;
 
 /** The state of one accepted request: its attempts and how far it is. */
-final class TrackedRequest {
+public final class TrackedRequest {
     private final Request request;
     private final RequestClassState requestClass;
     private final double work;
@@ -24,7 +29,7 @@
      * @param affinity where its key's data is likely cached; null without a key
      * @param queue in which it waits for its turn; null where its class is not ordered
      */
-    TrackedRequest(
+    public TrackedRequest(
             Request request,
             RequestClassState requestClass,
             double acceptedAt,
@@ -39,123 +44,136 @@
         this.queue = queue;
     }
 
-    Request request() {
+    /** Returns the request as the client sent it. */
+    public Request request() {
         return request;
     }
 
-    RequestClassState requestClass() {
+    /** Returns the state of its class. */
+    public RequestClassState requestClass() {
         return requestClass;
     }
 
     /** The settings of its class. */
-    Settings.RequestClass settings() {
+    public Settings.RequestClass settings() {
         return requestClass.settings();
     }
 
     /** What it is worth, as a priority weight. */
-    double value() {
+    public double value() {
         return requestClass.value();
     }
 
     /** Expected work on a standard core, in seconds. */
-    double work() {
+    public double work() {
         return work;
     }
 
     /** Slots of a worker that it takes, 1 or more. */
-    double slots() {
+    public double slots() {
         return slots;
     }
 
-    double acceptedAt() {
+    /** Returns when it was accepted, in seconds. */
+    public double acceptedAt() {
         return acceptedAt;
     }
 
-    KeyAffinity<WorkerState>.Placement affinity() {
+    /** Returns where its key's data is likely cached; null without a key. */
+    public KeyAffinity<WorkerState>.Placement affinity() {
         return affinity;
     }
 
-    KeyQueue queue() {
+    /** Returns the queue in which it waits for its turn; null where its class is not ordered. */
+    public KeyQueue queue() {
         return queue;
     }
 
     /** In the order of their numbers, from 0. */
-    List<Attempt> attempts() {
+    public List<Attempt> attempts() {
         return attempts;
     }
 
     /** Null for a number that was never given. */
-    Attempt attempt(int number) {
+    public Attempt attempt(int number) {
         return number >= 0 && number < attempts.size() ? attempts.get(number) : null;
     }
 
-    void add(Attempt attempt) {
+    /** Adds an attempt that has just been sent. */
+    public void add(Attempt attempt) {
         attempts.add(attempt);
         inFlight++;
     }
 
-    void end(Attempt attempt, Outcome outcome) {
+    /** Records the end of an attempt. */
+    public void end(Attempt attempt, Outcome outcome) {
         attempt.end(outcome);
         inFlight--;
     }
 
     /** The last attempt's outcome counts for what may be tried next. */
-    void noteOutcome(Outcome outcome) {
+    public void noteOutcome(Outcome outcome) {
         invalid |= outcome == Outcome.INVALID_REQUEST;
         failedBefore |= outcome == Outcome.FAILED;
     }
 
-    boolean hasInFlight() {
+    /** Whether an attempt is in flight. */
+    public boolean hasInFlight() {
         return inFlight > 0;
     }
 
     /** It needs no answer any more: it has one, or nobody waits for it. */
-    void finish() {
+    public void finish() {
         done = true;
     }
 
-    boolean isDone() {
+    /** Whether it needs no answer any more. */
+    public boolean isDone() {
         return done;
     }
 
-    boolean isComplete() {
+    /** Whether it needs no answer any more and no attempt is in flight. */
+    public boolean isComplete() {
         return done && inFlight == 0;
     }
 
     /** Part of a result is with the client: no other attempt may answer. */
-    void markStreaming() {
+    public void markStreaming() {
         streaming = true;
     }
 
-    boolean isStreaming() {
+    /** Whether part of a result is with the client. */
+    public boolean isStreaming() {
         return streaming;
     }
 
     /** A worker found fault with the request itself. */
-    boolean isInvalid() {
+    public boolean isInvalid() {
         return invalid;
     }
 
     /** An attempt of it has ended in an error. */
-    boolean hasFailed() {
+    public boolean hasFailed() {
         return failedBefore;
     }
 
-    boolean mayHaveRun() {
+    /** Whether any attempt may have run. */
+    public boolean mayHaveRun() {
         return attempts.stream().anyMatch(Attempt::mayHaveRun);
     }
 
     /** An attempt of it may run until then, so no other request of its key may begin earlier. */
-    void keepKeyQuietUntil(double time) {
+    public void keepKeyQuietUntil(double time) {
         keyQuietUntil = time;
     }
 
-    double keyQuietUntil() {
+    /** Returns the time before which no other request of its key may begin. */
+    public double keyQuietUntil() {
         return keyQuietUntil;
     }
 
     /** Seconds until its attempts have ended, as far as is known. */
-    double remaining(double now) {
+    public double remaining(double now) {
         double longest = 0;
         for (Attempt attempt : attempts) {
             if (attempt.isInFlight()) {
--- a/daemon/src/main/java/wheelroute/decision/WorkerState.java
+++ b/daemon/src/main/java/wheelroute/decision/state/WorkerState.java
@@ -1,11 +1,18 @@
-package wheelroute.decision;
+package wheelroute.decision.state;
 
 import java.util.ArrayList;
 import java.util.List;
-import wheelroute.limits.SlowStartBudget;
+import wheelroute.decision.Endpoint;
+import wheelroute.decision.Ids;
+import wheelroute.decision.estimates.ModelStatistics;
+import wheelroute.decision.estimates.WorkerEstimates;
+import wheelroute.decision.estimates.WorkerStatistics;
+import wheelroute.decision.health.WorkerHealth;
+import wheelroute.decision.routing.KeyAffinity;
+import wheelroute.decision.slowstart.SlowStartBudget;
 
 /** A worker as this dispatcher knows it: its endpoint, its attempts and its own record. */
-final class WorkerState {
+public final class WorkerState {
     private static final int SAMPLE_COUNT = 8;
 
     private final Ids.Worker id;
@@ -25,28 +32,31 @@
     private int affinityRank = KeyAffinity.CACHED;
     private double cost;
 
-    WorkerState(Ids.Worker id, DispatcherState state, double trialDelay) {
+    /** Creates a worker that is not listed yet. */
+    public WorkerState(Ids.Worker id, DispatcherState state, double trialDelay) {
         this.id = id;
         health = new WorkerHealth(trialDelay);
         slowStartBudget = new SlowStartBudget(state.slowStartLimits());
         estimates = new WorkerEstimates(this, state);
     }
 
-    Ids.Worker id() {
+    /** Returns the id that the endpoint list has for it. */
+    public Ids.Worker id() {
         return id;
     }
 
     /** As it was last listed. */
-    Endpoint endpoint() {
+    public Endpoint endpoint() {
         return endpoint;
     }
 
     /** What is measured of all workers of its model. */
-    ModelStatistics model() {
+    public ModelStatistics model() {
         return model;
     }
 
-    void list(Endpoint newEndpoint, ModelStatistics newModel, boolean isInSameZone) {
+    /** Records the endpoint list's latest entry. */
+    public void list(Endpoint newEndpoint, ModelStatistics newModel, boolean isInSameZone) {
         endpoint = newEndpoint;
         model = newModel;
         inSameZone = isInSameZone;
@@ -54,73 +64,82 @@
     }
 
     /** In its dispatcher's own zone. */
-    boolean isInSameZone() {
+    public boolean isInSameZone() {
         return inSameZone;
     }
 
     /** The endpoint list names it, draining or not. */
-    boolean isListed() {
+    public boolean isListed() {
         return listed;
     }
 
-    void clearListed() {
+    /** Records that the endpoint list no longer names it. */
+    public void clearListed() {
         listed = false;
     }
 
     /** Requests may be sent to it. */
-    boolean isReady() {
+    public boolean isReady() {
         return ready;
     }
 
-    void setReady(boolean value) {
+    /** Sets whether requests may be sent to it. */
+    public void setReady(boolean value) {
         ready = value;
     }
 
     /** It is missing from the list, which is no proof that it is gone: one failure settles it. */
-    boolean isUnlisted() {
+    public boolean isUnlisted() {
         return unlisted;
     }
 
-    void setUnlisted(boolean value) {
+    /** Sets whether it is missing from the list without proof that it is gone. */
+    public void setUnlisted(boolean value) {
         unlisted = value;
     }
 
     /** Attempts in flight, in the order in which they were sent. */
-    List<Attempt> inFlight() {
+    public List<Attempt> inFlight() {
         return inFlight;
     }
 
-    WorkerStatistics statistics() {
+    /** Returns the samples measured of it. */
+    public WorkerStatistics statistics() {
         return statistics;
     }
 
-    WorkerHealth health() {
+    /** Returns its health as seen here. */
+    public WorkerHealth health() {
         return health;
     }
 
-    SlowStartBudget slowStartBudget() {
+    /** Returns the budget that limits it while it warms up. */
+    public SlowStartBudget slowStartBudget() {
         return slowStartBudget;
     }
 
-    WorkerEstimates estimates() {
+    /** Returns its estimated speed and waits. */
+    public WorkerEstimates estimates() {
         return estimates;
     }
 
     /** It was ready and warm at the list's last change, which spares asking at every choice. */
-    boolean isWarm() {
+    public boolean isWarm() {
         return warm;
     }
 
-    void setWarm(boolean value) {
+    /** Sets whether it was ready and warm at the list's last change. */
+    public void setWarm(boolean value) {
         warm = value;
     }
 
     /** Attempts sent to it so far. */
-    int attemptCount() {
+    public int attemptCount() {
         return attemptCount;
     }
 
-    int countAttempt() {
+    /** Counts an attempt sent to it; returns the new count. */
+    public int countAttempt() {
         return ++attemptCount;
     }
 
@@ -129,25 +148,27 @@
      * KeyAffinity#PREFERRED_COUNT} for all others, {@link KeyAffinity#CACHED} where no miss is
      * expected.
      */
-    int affinityRank() {
+    public int affinityRank() {
         return affinityRank;
     }
 
-    void setAffinityRank(int rank) {
+    /** Sets its affinity rank for the request now placed. */
+    public void setAffinityRank(int rank) {
         affinityRank = rank;
     }
 
     /** The admittance cost of the request now placed; infinite where it must not go. */
-    double cost() {
+    public double cost() {
         return cost;
     }
 
-    void setCost(double newCost) {
+    /** Sets the admittance cost of the request now placed. */
+    public void setCost(double newCost) {
         cost = newCost;
     }
 
     /** Attempts begin in the order of their sends: what was sent before one that began has too. */
-    void noteOvertaken(Attempt begun, double now) {
+    public void noteOvertaken(Attempt begun, double now) {
         for (Attempt other : inFlight) {
             if (other.sentAt <= begun.sentAt) {
                 other.heardAtLatest(now);
--- a/daemon/src/main/java/wheelroute/decision/WorkerTable.java
+++ b/daemon/src/main/java/wheelroute/decision/state/WorkerTable.java
@@ -1,4 +1,4 @@
-package wheelroute.decision;
+package wheelroute.decision.state;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -7,9 +7,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import wheelroute.decision.Ids;
+import wheelroute.decision.Settings;
+import wheelroute.decision.estimates.ModelStatistics;
+import wheelroute.decision.estimates.SampleWindow;
+import wheelroute.decision.estimates.WorkerEstimates;
 
 /** All workers that are listed or still hold attempts, and what is measured of their models. */
-final class WorkerTable {
+public final class WorkerTable {
     private static final int SAMPLE_COUNT = 64;
 
     /** A model's own waits are believed from the first few: one attempt a second brings no more. */
@@ -37,30 +42,33 @@
         this.settings = settings;
     }
 
-    Map<Ids.Worker, WorkerState> byId() {
+    /** Returns all workers by id. */
+    public Map<Ids.Worker, WorkerState> byId() {
         return byId;
     }
 
-    Collection<WorkerState> all() {
+    /** Returns all workers, in the order of their ids. */
+    public Collection<WorkerState> all() {
         return byId.values();
     }
 
     /** Those to which requests may be sent, in the order of their ids. */
-    List<WorkerState> ready() {
+    public List<WorkerState> ready() {
         return ready;
     }
 
     /** Those with attempts in flight. */
-    List<WorkerState> busy() {
+    public List<WorkerState> busy() {
         return busy;
     }
 
-    Map<Ids.Model, ModelStatistics> models() {
+    /** Returns the statistics of all models. */
+    public Map<Ids.Model, ModelStatistics> models() {
         return models;
     }
 
     /** The statistics of a model, new ones if it was unknown. */
-    ModelStatistics model(Ids.Model id) {
+    public ModelStatistics model(Ids.Model id) {
         return models.computeIfAbsent(id, key -> newModel());
     }
 
@@ -73,12 +81,12 @@
     }
 
     /** Forgets workers that are not ready and hold no attempt. */
-    void forgetRemoved() {
+    public void forgetRemoved() {
         byId.values().removeIf(worker -> !worker.isReady() && worker.inFlight().isEmpty());
     }
 
     /** Returns whether this is the worker's only attempt in flight. */
-    boolean add(Attempt attempt) {
+    public boolean add(Attempt attempt) {
         WorkerState worker = attempt.worker;
         attemptsInFlight++;
         worker.inFlight().add(attempt);
@@ -89,7 +97,8 @@
         return first;
     }
 
-    void remove(Attempt attempt) {
+    /** Removes an attempt that has ended. */
+    public void remove(Attempt attempt) {
         WorkerState worker = attempt.worker;
         attemptsInFlight--;
         worker.inFlight().remove(attempt);
@@ -98,18 +107,20 @@
         }
     }
 
-    int attemptsInFlight() {
+    /** Returns the number of attempts in flight at all workers. */
+    public int attemptsInFlight() {
         return attemptsInFlight;
     }
 
     /**
      * Speed of a slot over all ready workers, as of the last choice: for what has no worker yet.
      */
-    double meanSlotSpeed() {
+    public double meanSlotSpeed() {
         return meanSlotSpeed;
     }
 
-    void setMeanSlotSpeed(double speed) {
+    /** Sets the mean speed of a slot, as of the present choice. */
+    public void setMeanSlotSpeed(double speed) {
         meanSlotSpeed = speed;
     }
 }
--- a/daemon/src/main/java/wheelroute/net/admin/AdminConnection.java
+++ b/daemon/src/main/java/wheelroute/net/admin/AdminConnection.java
@@ -5,9 +5,9 @@
 import java.nio.charset.StandardCharsets;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
-import wheelroute.net.EventLoop;
-import wheelroute.net.LineBuffer;
-import wheelroute.net.StreamConnection;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.loop.LineBuffer;
+import wheelroute.net.loop.StreamConnection;
 
 /** One command: a line comes, the response goes, the connection ends. */
 final class AdminConnection extends StreamConnection {
--- a/daemon/src/main/java/wheelroute/net/admin/AdminServer.java
+++ b/daemon/src/main/java/wheelroute/net/admin/AdminServer.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * The administrative server: operators' commands on an address of their own, whatever the clients
--- a/daemon/src/main/java/wheelroute/net/admin/ServiceStatus.java
+++ b/daemon/src/main/java/wheelroute/net/admin/ServiceStatus.java
@@ -1,7 +1,7 @@
 package wheelroute.net.admin;
 
-import wheelroute.net.Counters;
-import wheelroute.net.Gauges;
+import wheelroute.net.metrics.Counters;
+import wheelroute.net.metrics.Gauges;
 
 /** What operators may ask for. Only for the event loop's thread. */
 public interface ServiceStatus {
--- a/daemon/src/main/java/wheelroute/net/admin/StatsText.java
+++ b/daemon/src/main/java/wheelroute/net/admin/StatsText.java
@@ -1,8 +1,8 @@
 package wheelroute.net.admin;
 
 import wheelroute.decision.Ids;
-import wheelroute.net.Counters;
-import wheelroute.net.Gauges;
+import wheelroute.net.metrics.Counters;
+import wheelroute.net.metrics.Gauges;
 
 /** Writes the metrics under the platform's names, one a line, in statsd's format. */
 final class StatsText {
--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -6,9 +6,8 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
-import wheelroute.limits.ConnectionLimit;
-import wheelroute.net.EventLoop;
-import wheelroute.net.StreamConnection;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.loop.StreamConnection;
 
 /**
  * One client's connection: one request at a time, the next once it has its response. Only for the
--- a/daemon/src/main/java/wheelroute/net/clients/ClientRequestDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientRequestDecoder.java
@@ -12,7 +12,7 @@
 import org.eclipse.jetty.http.HttpParser;
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.http.HttpVersion;
-import wheelroute.net.MessageReader;
+import wheelroute.net.http.MessageReader;
 
 /** Decodes the requests on one client's connection, in whatever pieces they come. */
 public final class ClientRequestDecoder extends MessageReader implements HttpParser.RequestHandler {
--- a/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.eclipse.jetty.http.HttpStatus;
-import wheelroute.net.HttpText;
+import wheelroute.net.http.HttpText;
 
 /**
  * A response to a client.
--- a/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
@@ -8,9 +8,8 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.limits.ConnectionLimit;
-import wheelroute.net.Counters;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.metrics.Counters;
 
 /**
  * The server for clients: the listening socket, and the connections that are accepted on it within
--- a/daemon/src/main/java/wheelroute/limits/ConnectionLimit.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ConnectionLimit.java
@@ -1,4 +1,4 @@
-package wheelroute.limits;
+package wheelroute.net.clients;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -38,7 +38,7 @@
     }
 
     /** A connection without progress for less than this is not considered silent. */
-    public static final double SILENCE_TIMEOUT = 0.15;
+    public static final double SILENCE_TIMEOUT_SECONDS = 0.15;
 
     /** A slow writer continues within this; a longer pause does not delay shutdown. */
     private static final double WRITE_PAUSE_TIMEOUT = 1;
@@ -105,7 +105,7 @@
      */
     public boolean expectsRequest(double time) {
         return hasUpdateWithin(WRITE_PAUSE_TIMEOUT, Stage.READING, time)
-                || hasUpdateWithin(SILENCE_TIMEOUT, Stage.NEW, time);
+                || hasUpdateWithin(SILENCE_TIMEOUT_SECONDS, Stage.NEW, time);
     }
 
     private boolean hasUpdateWithin(double timeout, Stage stage, double time) {
@@ -153,7 +153,7 @@
         for (C connection : connectionsIn(stage)) {
             // An earlier hasUnread call may have moved this one to another stage or removed it.
             double lastUpdate = lastUpdates.get(stage).getOrDefault(connection, time);
-            if (time - lastUpdate >= SILENCE_TIMEOUT && !hasUnread.test(connection)) {
+            if (time - lastUpdate >= SILENCE_TIMEOUT_SECONDS && !hasUnread.test(connection)) {
                 return Optional.of(connection);
             }
         }
--- a/daemon/src/main/java/wheelroute/discovery/Backoff.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/Backoff.java
@@ -1,4 +1,4 @@
-package wheelroute.discovery;
+package wheelroute.net.discovery;
 
 import java.util.SplittableRandom;
 
@@ -14,14 +14,15 @@
  *
  * <ul>
  *   <li>the rest of the failing call: at most its duration;
- *   <li>the delay after it: at most {@code MAX_RECOVERY_TIME - CALL_TIMEOUT - callDuration};
+ *   <li>the delay after it: at most {@code MAX_RECOVERY_TIME_SECONDS - CALL_TIMEOUT_SECONDS -
+ *       callDuration};
  *   <li>the next call, from its connect to the last byte of its response: at most {@link
- *       #CALL_TIMEOUT}, after which it is abandoned.
+ *       #CALL_TIMEOUT_SECONDS}, after which it is abandoned.
  * </ul>
  *
- * <p>The sum is {@link #MAX_RECOVERY_TIME}, whichever way the call failed. The exception is a call
- * whose response went on for seconds and then stalled, so that no time is left for a delay: {@link
- * #MIN_DELAY} applies all the same.
+ * <p>The sum is {@link #MAX_RECOVERY_TIME_SECONDS}, whichever way the call failed. The exception is
+ * a call whose response went on for seconds and then stalled, so that no time is left for a delay:
+ * {@link #MIN_DELAY} applies all the same.
  *
  * <p>That bound alone makes a crowd permanent: a large fleet whose every member calls again within
  * the bound keeps the queue of discovery longer than any caller waits, and discovery answers
@@ -34,7 +35,7 @@
  */
 public final class Backoff {
     /** 1.2 s below the allowed recovery time, as a margin for a shared core and the network. */
-    public static final double MAX_RECOVERY_TIME = 4.8;
+    public static final double MAX_RECOVERY_TIME_SECONDS = 4.8;
 
     /** Lower bound of every delay, so that calls that fail at once are not repeated in a loop. */
     private static final double MIN_DELAY = 0.1;
@@ -44,7 +45,8 @@
      * the recovery time. Discovery serves calls in turn, and works on an abandoned call all the
      * same: a shorter timeout gives up a place in the queue that is paid for.
      */
-    public static final double CALL_TIMEOUT = (MAX_RECOVERY_TIME - 2 * MIN_DELAY) / 2;
+    public static final double CALL_TIMEOUT_SECONDS =
+            (MAX_RECOVERY_TIME_SECONDS - 2 * MIN_DELAY) / 2;
 
     /** Lower bound of the first delay; doubles with each failure up to the maximum delay. */
     private static final double INITIAL_DELAY = 0.5;
@@ -118,9 +120,12 @@
      * @param overloaded whether discovery is known to have more callers than it serves
      */
     public double nextDelay(double callDuration, boolean overloaded) {
-        double maxDelay = Math.max(2 * MIN_DELAY, MAX_RECOVERY_TIME - CALL_TIMEOUT - callDuration);
+        double maxDelay =
+                Math.max(
+                        2 * MIN_DELAY,
+                        MAX_RECOVERY_TIME_SECONDS - CALL_TIMEOUT_SECONDS - callDuration);
         double minDelay = Math.min(currentDelay, maxDelay / 2);
-        currentDelay = Math.min(2 * currentDelay, MAX_RECOVERY_TIME);
+        currentDelay = Math.min(2 * currentDelay, MAX_RECOVERY_TIME_SECONDS);
         double delay = minDelay * (1 + random.nextDouble());
         return Math.max(delay, nextInterval(overloaded) - callDuration);
     }
@@ -141,7 +146,7 @@
 
     /** Whether the fleet would call more often within the recovery time than it may. */
     public boolean isLargeFleet() {
-        return fleetInterval() > MAX_RECOVERY_TIME - CALL_TIMEOUT;
+        return fleetInterval() > MAX_RECOVERY_TIME_SECONDS - CALL_TIMEOUT_SECONDS;
     }
 
     private double fleetInterval() {
--- a/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
@@ -11,11 +11,11 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
 import wheelroute.config.ConfigReader;
-import wheelroute.net.Counters;
-import wheelroute.net.EventLoop;
-import wheelroute.net.HttpText;
-import wheelroute.net.ResponseParser;
-import wheelroute.net.StreamConnection;
+import wheelroute.net.http.HttpText;
+import wheelroute.net.http.ResponseParser;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.loop.StreamConnection;
+import wheelroute.net.metrics.Counters;
 
 /** One connection to discovery, and the calls that are made on it, one after the other. */
 final class DiscoveryCall implements EventLoop.ChannelHandler, ResponseParser.Reader {
@@ -153,7 +153,7 @@
         watch.restartTimeout(
                 holdMillis == 0
                         ? calledAt + timing.callTimeout() - loop.now()
-                        : hold + WatchTiming.SILENCE_TIMEOUT);
+                        : hold + WatchTiming.SILENCE_TIMEOUT_SECONDS);
         endPoint.write(
                 Callback.from(() -> {}, cause -> loop.post(() -> onFailed(cause))),
                 new HttpText("GET " + target(holdMillis) + " HTTP/1.1")
@@ -179,7 +179,8 @@
             phase = Phase.READING;
             completeBy = loop.now() + COMPLETE_RESPONSE_TIMEOUT;
         }
-        watch.restartTimeout(Math.min(WatchTiming.SILENCE_TIMEOUT, completeBy - loop.now()));
+        watch.restartTimeout(
+                Math.min(WatchTiming.SILENCE_TIMEOUT_SECONDS, completeBy - loop.now()));
     }
 
     @Override
--- a/daemon/src/main/java/wheelroute/net/discovery/EndpointWatch.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/EndpointWatch.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wheelroute.net.Counters;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.metrics.Counters;
 
 /**
  * The watch on discovery: one call is always open, and the next is made as soon as it is answered.
--- a/daemon/src/main/java/wheelroute/discovery/OverloadDetector.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/OverloadDetector.java
@@ -1,4 +1,4 @@
-package wheelroute.discovery;
+package wheelroute.net.discovery;
 
 /**
  * Tells an overloaded discovery from one that is down, by how the calls fail that wait for nothing.
--- a/daemon/src/main/java/wheelroute/net/discovery/WatchTiming.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/WatchTiming.java
@@ -1,9 +1,7 @@
 package wheelroute.net.discovery;
 
 import java.util.SplittableRandom;
-import wheelroute.discovery.Backoff;
-import wheelroute.discovery.OverloadDetector;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * When the calls of an endpoint watch are made, how long discovery may hold them, and when they
@@ -21,7 +19,7 @@
     private static final int HOLD_JITTER_MILLIS = 600;
 
     /** A response that is this many seconds late after its hold is given up. */
-    static final double SILENCE_TIMEOUT = 0.9;
+    static final double SILENCE_TIMEOUT_SECONDS = 0.9;
 
     /**
      * Seconds without backoff after a silence: the time to learn what it kept from us is running.
@@ -100,7 +98,9 @@
     double callTimeout() {
         // A large fleet that lost its watches together queues up: who gives up loses its place, and
         // the work on its call is spent all the same.
-        return isUrgent() && !backoff.isLargeFleet() ? URGENT_CALL_TIMEOUT : Backoff.CALL_TIMEOUT;
+        return isUrgent() && !backoff.isLargeFleet()
+                ? URGENT_CALL_TIMEOUT
+                : Backoff.CALL_TIMEOUT_SECONDS;
     }
 
     /** How long discovery may hold the next call while nothing changes, in milliseconds. */
--- a/daemon/src/main/java/wheelroute/net/handover/Handover.java
+++ b/daemon/src/main/java/wheelroute/net/handover/Handover.java
@@ -9,7 +9,7 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * Replaces a running process of one dispatcher by the next without losing a request: a process
--- a/daemon/src/main/java/wheelroute/net/handover/HandoverSocket.java
+++ b/daemon/src/main/java/wheelroute/net/handover/HandoverSocket.java
@@ -14,7 +14,7 @@
 import java.util.zip.CRC32;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * The Unix socket on which the processes of one dispatcher find each other: a file in a directory
--- a/daemon/src/main/java/wheelroute/net/handover/PeerProcess.java
+++ b/daemon/src/main/java/wheelroute/net/handover/PeerProcess.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
-import wheelroute.net.EventLoop;
-import wheelroute.net.LineBuffer;
-import wheelroute.net.StreamConnection;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.loop.LineBuffer;
+import wheelroute.net.loop.StreamConnection;
 
 /** The connection to the predecessor or successor process: lines in both directions. */
 final class PeerProcess extends StreamConnection {
--- a/daemon/src/main/java/wheelroute/net/HttpText.java
+++ b/daemon/src/main/java/wheelroute/net/http/HttpText.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.http;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/daemon/src/main/java/wheelroute/net/ResponseParser.java
+++ b/daemon/src/main/java/wheelroute/net/http/ResponseParser.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.http;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/net/http/package-info.java
@@ -0,0 +1,2 @@
+/** Parsing and writing of HTTP messages. */
+package wheelroute.net.http;
--- a/daemon/src/main/java/wheelroute/net/ConfigReload.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/ConfigReload.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.lifecycle;
 
 import java.net.InetSocketAddress;
 import org.slf4j.Logger;
--- a/daemon/src/main/java/wheelroute/net/DescriptorBudget.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/DescriptorBudget.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.lifecycle;
 
 import wheelroute.config.Config;
 import wheelroute.net.admin.AdminServer;
--- a/daemon/src/main/java/wheelroute/net/DrainAdmission.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/DrainAdmission.java
@@ -1,15 +1,16 @@
-package wheelroute.net;
+package wheelroute.net.lifecycle;
 
 import java.util.function.BooleanSupplier;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.Settings;
 import wheelroute.net.clients.ClientRequest;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * What a graceful shutdown means for admission: which requests are still taken, which connections
  * are kept open, and which Retry-After a rejected client gets. Only for the event loop's thread.
  */
-final class DrainAdmission {
+public final class DrainAdmission {
     /**
      * While draining, a request is admitted if this multiple of its estimated work still fits in.
      * Estimates are off by a factor of two either way, and an idempotent request that is rejected
@@ -46,7 +47,7 @@
      *
      * @param hasSuccessor whether another process accepts clients in this one's place
      */
-    DrainAdmission(EventLoop loop, Settings settings, BooleanSupplier hasSuccessor) {
+    public DrainAdmission(EventLoop loop, Settings settings, BooleanSupplier hasSuccessor) {
         this.loop = loop;
         this.settings = settings;
         this.hasSuccessor = hasSuccessor;
@@ -57,22 +58,25 @@
      *
      * @param end Unix time in seconds at which requests in flight are given up
      */
-    void begin(double end) {
+    public void begin(double end) {
         if (state == State.SERVING) {
             state = State.DRAINING;
         }
         drainEnd = end;
     }
 
-    void end() {
+    /** Ends admission for good: the process is about to exit. */
+    public void end() {
         state = State.ENDED;
     }
 
-    boolean isDraining() {
+    /** Whether a graceful shutdown has begun. */
+    public boolean isDraining() {
         return state != State.SERVING;
     }
 
-    boolean hasEnded() {
+    /** Whether admission has ended for good. */
+    public boolean hasEnded() {
         return state == State.ENDED;
     }
 
@@ -85,7 +89,7 @@
     }
 
     /** Whether a response is the last one on its connection. */
-    boolean closesAfterResponse() {
+    public boolean closesAfterResponse() {
         return isDraining() && (!servesUntilEnd() || hasEnded());
     }
 
@@ -93,7 +97,7 @@
      * Whether the client had better retry after the restart, or at the successor process: the
      * estimate is rough and there may be a queue, but the request is unlikely to complete here.
      */
-    boolean mustReject(ClientRequest message, Idempotency idempotency) {
+    public boolean mustReject(ClientRequest message, Idempotency idempotency) {
         boolean admitsByEstimate =
                 servesUntilEnd() || (isDraining() && hasSuccessor.getAsBoolean());
         if (!admitsByEstimate || hasEnded()) {
@@ -114,10 +118,10 @@
      * The Retry-After to send, in seconds; 0 for none. Before a restart it points past the restart,
      * so that clients do not use up their retries while nobody listens.
      */
-    double retryAfter(double policyRetryAfter) {
+    public double retryAfter(double policyRetryAfter) {
         if (!servesUntilEnd() || !settings.sendsRetryAfter()) {
             return policyRetryAfter;
         }
-        return Math.min(settings.maxRetryAfter(), drainEnd + RESTART_TIME - loop.now());
+        return Math.min(settings.maxRetryAfterSeconds(), drainEnd + RESTART_TIME - loop.now());
     }
 }
--- a/daemon/src/main/java/wheelroute/net/GracefulShutdown.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/GracefulShutdown.java
@@ -1,4 +1,7 @@
-package wheelroute.net;
+package wheelroute.net.lifecycle;
+
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.requests.RequestDispatcher;
 
 /**
  * Ends one process without losing a request that it has accepted: first it stops listening, then it
@@ -34,15 +37,18 @@
     /**
      * Prepares a shutdown; {@link #begin} has to follow at once.
      *
-     * @param maxTimeout the longest timeout that a client is granted, in seconds
+     * @param maxTimeoutSeconds the longest timeout that a client is granted, in seconds
      * @param whenDone run once, when nothing more can be sent
      */
     GracefulShutdown(
-            EventLoop loop, ServiceComponents components, double maxTimeout, Runnable whenDone) {
+            EventLoop loop,
+            ServiceComponents components,
+            double maxTimeoutSeconds,
+            Runnable whenDone) {
         this.loop = loop;
         this.components = components;
         this.whenDone = whenDone;
-        end = loop.now() + Math.min(MAX_DRAIN, maxTimeout) + OVERTIME;
+        end = loop.now() + Math.min(MAX_DRAIN, maxTimeoutSeconds) + OVERTIME;
     }
 
     /** Drains; new connections are still accepted for a while, unless a successor does that. */
--- a/daemon/src/main/java/wheelroute/net/Service.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/Service.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.lifecycle;
 
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
@@ -11,6 +11,10 @@
 import wheelroute.decision.Settings;
 import wheelroute.net.admin.ServiceStatus;
 import wheelroute.net.handover.Handover;
+import wheelroute.net.loop.Clock;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.metrics.Counters;
+import wheelroute.net.metrics.Gauges;
 import wheelroute.net.workers.WorkerConnectionPools;
 
 /**
@@ -41,11 +45,11 @@
 
     /** Makes a service that is not running yet. */
     public Service(Config config) {
-        this(config, new EventLoop(new Clock(), config.connectTimeout()));
+        this(config, new EventLoop(new Clock(), config.connectTimeoutSeconds()));
     }
 
     /** With a loop of the caller's, which may hold back what a test wants to come late. */
-    Service(Config config, EventLoop loop) {
+    public Service(Config config, EventLoop loop) {
         this.config = config;
         this.loop = loop;
         counters =
@@ -58,7 +62,7 @@
                         loop,
                         counters,
                         DescriptorBudget.workerConnections(config),
-                        config.idleTimeout());
+                        config.idleTimeoutSeconds());
         reload = new ConfigReload(config);
         // Ahead of all else that may be posted: a signal can come before the start is complete.
         loop.post(() -> runStartStep(this::begin));
@@ -198,7 +202,8 @@
 
     private void beginDrain() {
         if (!listening.isCompletedExceptionally()) {
-            new GracefulShutdown(loop, components, config.maxTimeout(), this::finishDrain).begin();
+            new GracefulShutdown(loop, components, config.maxTimeoutSeconds(), this::finishDrain)
+                    .begin();
         }
     }
 
@@ -214,7 +219,7 @@
     }
 
     /** The metrics as they were at the end of the drain; null before. */
-    String finalMetrics() {
+    public String finalMetrics() {
         return finalMetrics;
     }
 
--- a/daemon/src/main/java/wheelroute/net/ServiceComponents.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/ServiceComponents.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.lifecycle;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -12,7 +12,10 @@
 import wheelroute.net.discovery.EndpointList;
 import wheelroute.net.discovery.EndpointWatch;
 import wheelroute.net.handover.Handover;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.metrics.Counters;
 import wheelroute.net.peers.MembershipService;
+import wheelroute.net.requests.RequestDispatcher;
 import wheelroute.net.workers.WorkerConnectionPools;
 
 /** The parts of one dispatcher, made and connected with each other. */
@@ -54,7 +57,7 @@
         this.counters = counters;
         dispatcher =
                 new RequestDispatcher(
-                        loop, counters, workers, config.settings(), config.maxTimeout());
+                        loop, counters, workers, config.settings(), config.maxTimeoutSeconds());
         dispatcher.setWatch(newWatch(config.discovery(), importKnownEndpoints()));
         clients =
                 new ClientServer(
--- a/daemon/src/main/java/wheelroute/net/StateTransfer.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/StateTransfer.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.lifecycle;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -11,9 +11,12 @@
 import wheelroute.net.discovery.EndpointList;
 import wheelroute.net.handover.Handover;
 import wheelroute.net.handover.LearnedStateCodec;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.requests.EndpointDirectory;
+import wheelroute.net.requests.TurnQueue;
 
 /** Exports the dispatcher's state to a successor process, and imports a predecessor's. */
-final class StateTransfer implements Handover.TransferableState {
+public final class StateTransfer implements Handover.TransferableState {
     private final EventLoop loop;
     private final Policy policy;
     private final TurnQueue turns;
@@ -27,7 +30,7 @@
      * @param openRequestIds a live view of the clients' ids of open requests
      * @param listImporter takes a predecessor's endpoint list as if it came from discovery
      */
-    StateTransfer(
+    public StateTransfer(
             EventLoop loop,
             Policy policy,
             TurnQueue turns,
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/package-info.java
@@ -0,0 +1,2 @@
+/** The start, reload, drain and end of one dispatcher process. */
+package wheelroute.net.lifecycle;
--- a/daemon/src/main/java/wheelroute/net/AcceptLimiter.java
+++ b/daemon/src/main/java/wheelroute/net/loop/AcceptLimiter.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.loop;
 
 import java.nio.channels.SelectableChannel;
 
--- a/daemon/src/main/java/wheelroute/net/Clock.java
+++ b/daemon/src/main/java/wheelroute/net/loop/Clock.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.loop;
 
 /**
  * Unix time in seconds. The wall clock is read once, so that a step of it does not move what is in
--- a/daemon/src/main/java/wheelroute/net/DatagramSocket.java
+++ b/daemon/src/main/java/wheelroute/net/loop/DatagramSocket.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.loop;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/daemon/src/main/java/wheelroute/net/EventLoop.java
+++ b/daemon/src/main/java/wheelroute/net/loop/EventLoop.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.loop;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -117,7 +117,7 @@
     }
 
     /** The wall clock's reading, in seconds, for times that other machines have written. */
-    double wallTime() {
+    public double wallTime() {
         return clock.wallTime();
     }
 
--- a/daemon/src/main/java/wheelroute/net/LoopSelectorManager.java
+++ b/daemon/src/main/java/wheelroute/net/loop/LoopSelectorManager.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.loop;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -49,13 +49,14 @@
     /**
      * Makes a manager that is not started.
      *
-     * @param connectTimeout in seconds
+     * @param connectTimeoutSeconds in seconds
      */
-    LoopSelectorManager(EventLoop loop, StandstillDetector standstill, double connectTimeout) {
+    LoopSelectorManager(
+            EventLoop loop, StandstillDetector standstill, double connectTimeoutSeconds) {
         super(loop::execute, new LoopScheduler(loop), 1);
         this.loop = loop;
         this.standstill = standstill;
-        setConnectTimeout((long) (connectTimeout * MILLIS_PER_SECOND));
+        setConnectTimeout((long) (connectTimeoutSeconds * MILLIS_PER_SECOND));
     }
 
     /** Jetty's timers, for idle connections and connects, kept with the loop's. */
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/net/loop/package-info.java
@@ -0,0 +1,2 @@
+/** The event loop: one thread for all sockets, timers and posted tasks. */
+package wheelroute.net.loop;
--- a/daemon/src/main/java/wheelroute/net/Counters.java
+++ b/daemon/src/main/java/wheelroute/net/metrics/Counters.java
@@ -1,9 +1,10 @@
-package wheelroute.net;
+package wheelroute.net.metrics;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import wheelroute.decision.Ids;
+import wheelroute.net.workers.AttemptResult;
 
 /**
  * The counters of one process, and their text form for Prometheus. The metrics' names and labels
--- a/daemon/src/main/java/wheelroute/net/Gauges.java
+++ b/daemon/src/main/java/wheelroute/net/metrics/Gauges.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.metrics;
 
 /**
  * The values of the gauges at one moment; {@link Counters} has the counters.
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/net/metrics/package-info.java
@@ -0,0 +1,2 @@
+/** The counters and gauges of one process, and their text form. */
+package wheelroute.net.metrics;
--- a/daemon/src/main/java/wheelroute/net/peers/LeaseMessenger.java
+++ b/daemon/src/main/java/wheelroute/net/peers/LeaseMessenger.java
@@ -1,7 +1,7 @@
 package wheelroute.net.peers;
 
 import java.util.List;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 import wheelroute.peers.LeaseTerms;
 import wheelroute.peers.LeaseVoter;
 import wheelroute.peers.MemberUpdate;
--- a/daemon/src/main/java/wheelroute/net/peers/MembershipDriver.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipDriver.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 import wheelroute.peers.MemberAddress;
 import wheelroute.peers.MemberUpdate;
 import wheelroute.peers.Membership;
--- a/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
@@ -10,7 +10,7 @@
 import org.slf4j.LoggerFactory;
 import wheelroute.config.PeeringConfig;
 import wheelroute.decision.DispatcherShares;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 import wheelroute.peers.Lease;
 import wheelroute.peers.MemberAddress;
 import wheelroute.peers.MemberUpdate;
--- a/daemon/src/main/java/wheelroute/net/EndpointDirectory.java
+++ b/daemon/src/main/java/wheelroute/net/requests/EndpointDirectory.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.requests;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -14,7 +14,7 @@
  * The workers on the endpoint list: maps discovery's names to the ids that the policy uses, and
  * keeps the connection pools in step with the list. Only for the event loop's thread.
  */
-final class EndpointDirectory {
+public final class EndpointDirectory {
     private final WorkerConnectionPools pools;
     private final StartTimes startTimes;
     private final Map<String, Member> members = new HashMap<>();
@@ -111,12 +111,12 @@
     }
 
     /** The version of the last list, or {@link EndpointWatch#NO_VERSION}. */
-    long version() {
+    public long version() {
         return version;
     }
 
     /** All workers as last listed; null before the first list. */
-    EndpointList snapshot() {
+    public EndpointList snapshot() {
         if (version == EndpointWatch.NO_VERSION) {
             return null;
         }
@@ -125,13 +125,13 @@
     }
 
     /** The worker of this name; null when it is not listed. */
-    Ids.Worker worker(String name) {
+    public Ids.Worker worker(String name) {
         Member member = members.get(name);
         return member == null ? null : member.worker;
     }
 
     /** Discovery's names by worker, at this moment. */
-    Map<Ids.Worker, String> names() {
+    public Map<Ids.Worker, String> names() {
         Map<Ids.Worker, String> names = new HashMap<>();
         members.forEach((name, member) -> names.put(member.worker, name));
         return names;
--- a/daemon/src/main/java/wheelroute/net/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/requests/Exchange.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.requests;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,15 +10,18 @@
 import wheelroute.net.clients.ClientRequest;
 import wheelroute.net.clients.ClientResponse;
 import wheelroute.net.clients.RequestAcceptor;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.metrics.Counters;
 import wheelroute.net.workers.AttemptListener;
 import wheelroute.net.workers.AttemptRequest;
+import wheelroute.net.workers.AttemptResult;
 import wheelroute.net.workers.InFlightAttempt;
 
 /**
  * One accepted request: its handle in the policy, its attempts and its single final response. The
  * client's and the workers' side meet here. Only for the event loop's thread.
  */
-final class Exchange implements RequestAcceptor.AcceptedRequest {
+public final class Exchange implements RequestAcceptor.AcceptedRequest {
     private static final int USUAL_ATTEMPTS = 2;
 
     private final RequestDispatcher dispatcher;
@@ -42,7 +45,7 @@
      *
      * @param atMostOnce whether a second run on a worker might do harm
      */
-    Exchange(
+    public Exchange(
             RequestDispatcher dispatcher,
             EventLoop loop,
             Request request,
@@ -65,7 +68,7 @@
     }
 
     /** Hands the request to the policy, as an event of its own. */
-    void begin(Policy policy) {
+    public void begin(Policy policy) {
         beingAccepted = true;
         handle = policy.accept(request);
         beingAccepted = false;
@@ -184,7 +187,7 @@
     }
 
     /** Ends the attempts in flight; the policy then decides on the client's response. */
-    void onDeadline() {
+    public void onDeadline() {
         for (Attempt attempt : new ArrayList<>(attempts)) {
             attempt.giveUp(AttemptResult.TIMED_OUT);
         }
--- a/daemon/src/main/java/wheelroute/net/OpenRequests.java
+++ b/daemon/src/main/java/wheelroute/net/requests/OpenRequests.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.requests;
 
 import java.util.ArrayList;
 import java.util.Collections;
--- a/daemon/src/main/java/wheelroute/net/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.requests;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -18,13 +18,19 @@
 import wheelroute.net.discovery.EndpointList;
 import wheelroute.net.discovery.EndpointWatch;
 import wheelroute.net.handover.Handover;
+import wheelroute.net.lifecycle.DrainAdmission;
+import wheelroute.net.lifecycle.StateTransfer;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.metrics.Counters;
+import wheelroute.net.metrics.Gauges;
 import wheelroute.net.workers.WorkerConnectionPools;
 
 /**
  * Connects the policy with the sockets: turns what happens there into events for the policy, and
  * carries out the actions that it decides on. Only for the event loop's thread.
  */
-final class RequestDispatcher implements ActionHandler, RequestAcceptor, EndpointWatch.Listener {
+public final class RequestDispatcher
+        implements ActionHandler, RequestAcceptor, EndpointWatch.Listener {
     /**
      * Seconds kept back of a client's timeout, so that the response reaches it in time: on a busy
      * core the message may have lain unread for tens of milliseconds.
@@ -40,7 +46,7 @@
     private final EventLoop loop;
     private final Counters counters;
     private final WorkerConnectionPools workers;
-    private final double maxTimeout;
+    private final double maxTimeoutSeconds;
     private final Map<String, Settings.RequestClass> requestClasses = new HashMap<>();
     private final Map<String, Ids.Tenant> tenants = new HashMap<>();
     private final Policy policy;
@@ -60,18 +66,18 @@
     /**
      * Makes the policy, too.
      *
-     * @param maxTimeout the longest timeout, in seconds, that a client is granted
+     * @param maxTimeoutSeconds the longest timeout, in seconds, that a client is granted
      */
-    RequestDispatcher(
+    public RequestDispatcher(
             EventLoop loop,
             Counters counters,
             WorkerConnectionPools workers,
             Settings settings,
-            double maxTimeout) {
+            double maxTimeoutSeconds) {
         this.loop = loop;
         this.counters = counters;
         this.workers = workers;
-        this.maxTimeout = maxTimeout;
+        this.maxTimeoutSeconds = maxTimeoutSeconds;
         for (Settings.RequestClass requestClass : settings.requestClasses()) {
             requestClasses.put(requestClass.id().name(), requestClass);
         }
@@ -89,30 +95,32 @@
     }
 
     /** Replaces the watch; the old one is stopped. */
-    void setWatch(EndpointWatch newWatch) {
+    public void setWatch(EndpointWatch newWatch) {
         if (watch != null) {
             watch.stop();
         }
         watch = newWatch;
     }
 
-    void setClients(ClientServer newClients) {
+    /** Sets the server that client connections come from. */
+    public void setClients(ClientServer newClients) {
         clients = newClients;
     }
 
-    void setHandover(Handover newHandover) {
+    /** Sets the handover to other processes of this dispatcher. */
+    public void setHandover(Handover newHandover) {
         open.setHandover(newHandover);
     }
 
     /** What a successor process is given, and a predecessor's goes to. */
-    Handover.TransferableState transferableState() {
+    public Handover.TransferableState transferableState() {
         return stateTransfer;
     }
 
     // ---- for the exchanges
 
     /** Runs an event for the policy: at once, or after the one that is being decided on. */
-    void turn(Runnable event) {
+    public void turn(Runnable event) {
         turns.run(event);
     }
 
@@ -175,7 +183,7 @@
 
     private double deadline(ClientRequest message, double arrivedAt) {
         double margin = Math.min(RESPONSE_MARGIN, MAX_RESPONSE_MARGIN_FRACTION * message.timeout());
-        return arrivedAt + Math.min(message.timeout(), maxTimeout) - margin;
+        return arrivedAt + Math.min(message.timeout(), maxTimeoutSeconds) - margin;
     }
 
     private Request request(
@@ -216,7 +224,8 @@
         return counters.text(gauges());
     }
 
-    Gauges gauges() {
+    /** Returns the gauges' present values. */
+    public Gauges gauges() {
         policy.advanceTo(loop.now());
         return new Gauges(
                 open.size(),
@@ -248,17 +257,17 @@
     }
 
     /** Whether another process accepts clients in this one's place. */
-    boolean hasSuccessor() {
+    public boolean hasSuccessor() {
         return open.hasSuccessor();
     }
 
     /** Divides the common budgets among the dispatchers. */
-    void setShares(DispatcherShares shares) {
+    public void setShares(DispatcherShares shares) {
         policy.setShares(shares);
     }
 
     /** Divides this dispatcher's budgets among its processes. */
-    void setProcessCount(int processes) {
+    public void setProcessCount(int processes) {
         turn(() -> policy.setProcessCount(processes));
     }
 
@@ -305,12 +314,12 @@
      *
      * @param end Unix time in seconds at which requests in flight are given up
      */
-    void drain(double end) {
+    public void drain(double end) {
         admission.begin(end);
     }
 
     /** Requests that are neither answered nor abandoned by their clients. */
-    int unanswered() {
+    public int unanswered() {
         return pending;
     }
 
@@ -320,7 +329,7 @@
     }
 
     /** Ends all attempts in flight; the policy then decides on each client's response. */
-    void giveUpAll() {
+    public void giveUpAll() {
         admission.end();
         open.all().forEach(Exchange::onDeadline);
     }
--- a/daemon/src/main/java/wheelroute/net/StartTimes.java
+++ b/daemon/src/main/java/wheelroute/net/requests/StartTimes.java
@@ -1,7 +1,8 @@
-package wheelroute.net;
+package wheelroute.net.requests;
 
 import java.util.ArrayDeque;
 import java.util.Deque;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * Start times of workers, which other machines read from their wall clocks, on this process's own
--- a/daemon/src/main/java/wheelroute/net/TurnQueue.java
+++ b/daemon/src/main/java/wheelroute/net/requests/TurnQueue.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.requests;
 
 import java.util.ArrayDeque;
 import org.slf4j.Logger;
@@ -8,7 +8,7 @@
  * Runs events one at a time: the policy is not reentrant, and what it asks for may cause the next
  * event at once. Only for the event loop's thread.
  */
-final class TurnQueue {
+public final class TurnQueue {
     private static final Logger LOG = LoggerFactory.getLogger(TurnQueue.class);
 
     private final Runnable beforeEachEvent;
@@ -25,7 +25,7 @@
     }
 
     /** Runs the event before returning, or, when called by another event, after that one. */
-    void run(Runnable event) {
+    public void run(Runnable event) {
         events.add(event);
         if (running) {
             return;
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptListener.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptListener.java
@@ -1,7 +1,5 @@
 package wheelroute.net.workers;
 
-import wheelroute.net.AttemptResult;
-
 /**
  * Hears what happens to one attempt. {@link #onEnded} comes exactly once, and last. Only for the
  * event loop's thread.
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.util.Locale;
-import wheelroute.net.HttpText;
+import wheelroute.net.http.HttpText;
 
 /**
  * What is sent to a worker on behalf of a client.
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
@@ -5,9 +5,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import org.eclipse.jetty.http.HttpStatus;
-import wheelroute.net.AttemptResult;
-import wheelroute.net.LineBuffer;
-import wheelroute.net.ResponseParser;
+import wheelroute.net.http.ResponseParser;
+import wheelroute.net.loop.LineBuffer;
 
 /** Decodes the responses to the attempts on one connection. */
 final class AttemptResponseDecoder implements ResponseParser.Reader {
--- a/daemon/src/main/java/wheelroute/net/AttemptResult.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResult.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.workers;
 
 import wheelroute.decision.Outcome;
 
--- a/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
+++ b/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
@@ -1,7 +1,6 @@
 package wheelroute.net.workers;
 
-import wheelroute.net.AttemptResult;
-import wheelroute.net.Counters;
+import wheelroute.net.metrics.Counters;
 
 /** One attempt from its start to its end. Only for the event loop's thread. */
 public final class InFlightAttempt {
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
@@ -5,9 +5,8 @@
 import java.util.concurrent.TimeoutException;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
-import wheelroute.net.AttemptResult;
-import wheelroute.net.EventLoop;
-import wheelroute.net.StreamConnection;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.loop.StreamConnection;
 
 /**
  * One connection to a worker: one attempt at a time, idle in between. Only for the event loop's
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPool.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPool.java
@@ -13,8 +13,7 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.config.ConfigReader;
-import wheelroute.net.AttemptResult;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /** The connections to one worker. Only for the event loop's thread. */
 final class WorkerConnectionPool {
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPools.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPools.java
@@ -6,9 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import wheelroute.decision.Ids;
-import wheelroute.net.AttemptResult;
-import wheelroute.net.Counters;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.metrics.Counters;
 
 /**
  * The connections to all workers on the endpoint list, one pool each, within a common limit. Only
--- a/daemon/src/main/java/wheelroute/peers/IndirectProbes.java
+++ b/daemon/src/main/java/wheelroute/peers/IndirectProbes.java
@@ -40,7 +40,7 @@
     /** Pings the target of a request. */
     void onRequest(MemberAddress requester, Message.PingRequest request, double now) {
         int sequenceNumber = sender.nextSequenceNumber();
-        double expiresAt = now + RETENTION_INTERVALS * Membership.PROBE_INTERVAL;
+        double expiresAt = now + RETENTION_INTERVALS * Membership.PROBE_INTERVAL_SECONDS;
         probes.put(
                 sequenceNumber,
                 new IndirectProbe(
--- a/daemon/src/main/java/wheelroute/peers/ListSynchronizer.java
+++ b/daemon/src/main/java/wheelroute/peers/ListSynchronizer.java
@@ -8,7 +8,7 @@
  */
 final class ListSynchronizer {
     /** Delay between comparisons in seconds, times the cluster's size multiplier. */
-    private static final double COMPARISON_DELAY = 4 * Membership.PROBE_INTERVAL;
+    private static final double COMPARISON_DELAY = 4 * Membership.PROBE_INTERVAL_SECONDS;
 
     /** Factor for the delay if it is known that gossip alone would take too long. */
     private static final double URGENT_FACTOR = 0.25;
@@ -82,7 +82,7 @@
 
     private void requestPage(MemberUpdate after, double now) {
         transfer.sequenceNumber = sender.nextSequenceNumber();
-        transfer.expiresAt = now + Membership.PROBE_INTERVAL;
+        transfer.expiresAt = now + Membership.PROBE_INTERVAL_SECONDS;
         sender.send(
                 transfer.source,
                 new Message.SyncRequest(sender.header(), transfer.sequenceNumber, after));
--- a/daemon/src/main/java/wheelroute/peers/Membership.java
+++ b/daemon/src/main/java/wheelroute/peers/Membership.java
@@ -21,10 +21,10 @@
  */
 public final class Membership {
     /** Interval between the probes of one member in seconds (SWIM's protocol period). */
-    public static final double PROBE_INTERVAL = 0.5;
+    public static final double PROBE_INTERVAL_SECONDS = 0.5;
 
     /** A gap between events that is longer shows that this process did not run. */
-    private static final double STALL_THRESHOLD = 2 * PROBE_INTERVAL;
+    private static final double STALL_THRESHOLD = 2 * PROBE_INTERVAL_SECONDS;
 
     /** By how much a stall degrades the local health. */
     private static final int STALL_PENALTY = 2;
--- a/daemon/src/main/java/wheelroute/peers/ProbeCycle.java
+++ b/daemon/src/main/java/wheelroute/peers/ProbeCycle.java
@@ -96,7 +96,7 @@
         if (now < nextProbeAt) {
             return false;
         }
-        nextProbeAt = now + Membership.PROBE_INTERVAL * localHealth.probeMultiplier();
+        nextProbeAt = now + Membership.PROBE_INTERVAL_SECONDS * localHealth.probeMultiplier();
         if (!table.probeOrder().isEmpty()) {
             begin(now);
         }
@@ -115,7 +115,7 @@
                         target,
                         sender.nextSequenceNumber(),
                         now + ACK_TIMEOUT * multiplier,
-                        now + Membership.PROBE_INTERVAL * multiplier);
+                        now + Membership.PROBE_INTERVAL_SECONDS * multiplier);
         sender.ping(target.address(), probe.sequenceNumber);
     }
 
--- a/daemon/src/main/java/wheelroute/peers/SuspicionTimers.java
+++ b/daemon/src/main/java/wheelroute/peers/SuspicionTimers.java
@@ -102,7 +102,8 @@
     }
 
     private double deadline(Suspicion suspicion) {
-        double min = MIN_TIMEOUT_MULTIPLIER * table.sizeMultiplier() * Membership.PROBE_INTERVAL;
+        double min =
+                MIN_TIMEOUT_MULTIPLIER * table.sizeMultiplier() * Membership.PROBE_INTERVAL_SECONDS;
         double max = MAX_TIMEOUT_MULTIPLIER * min;
         int expected = Math.min(EXPECTED_CONFIRMATIONS, table.aliveCount() - 2);
         double confirmed =
--- a/daemon/src/test/java/wheelroute/ConfigTest.java
+++ b/daemon/src/test/java/wheelroute/ConfigTest.java
@@ -73,12 +73,12 @@
         assertEquals(config.name(), "n4");
         assertEquals(config.listen().getPort(), 8081);
         assertEquals(config.maxDescriptors(), 512);
-        assertEquals(config.connectTimeout(), 0.25);
-        assertEquals(config.idleTimeout(), 60.0);
-        assertEquals(config.maxTimeout(), 20.0);
+        assertEquals(config.connectTimeoutSeconds(), 0.25);
+        assertEquals(config.idleTimeoutSeconds(), 60.0);
+        assertEquals(config.maxTimeoutSeconds(), 20.0);
         assertEquals(config.settings().seed(), 0x8c1f30d27a5be964L);
         assertEquals(config.settings().zone(), new Ids.Zone("west"));
-        assertEquals(config.settings().progressInterval(), 1.0);
+        assertEquals(config.settings().progressIntervalSeconds(), 1.0);
         assertTrue(config.settings().watchesEndpoints());
         assertTrue(config.settings().mayCancel());
         assertEquals(config.settings().requestClasses().get(0).objectivePerWork(), 1.75);
@@ -326,16 +326,16 @@
     public void readsToml() throws IOException, ConfigException {
         Config config = readToml(TOML);
         assertEquals(config.maxDescriptors(), 512);
-        assertEquals(config.idleTimeout(), 60.0);
-        assertEquals(config.maxTimeout(), 20.0);
+        assertEquals(config.idleTimeoutSeconds(), 60.0);
+        assertEquals(config.maxTimeoutSeconds(), 20.0);
         assertEquals(config.settings().zone(), new Ids.Zone("west"));
         assertEquals(
                 config.settings().requestClasses().get(0).idempotency(), Idempotency.IDEMPOTENT);
-        assertEquals(config.settings().requestClasses().get(0).latencyObjective(), 0.2);
+        assertEquals(config.settings().requestClasses().get(0).latencyObjectiveSeconds(), 0.2);
         assertEquals(
                 config.settings().requestClasses().get(1).idempotencyScope(),
                 IdempotencyScope.ZONE);
-        assertEquals(config.settings().requestClasses().get(1).idempotencyWindow(), 30.0);
+        assertEquals(config.settings().requestClasses().get(1).idempotencyWindowSeconds(), 30.0);
         assertEquals(config.settings().quotas(), Map.of(new Ids.Tenant("t"), 28.0));
         assertTrue(config.settings().watchesEndpoints());
         assertFalse(config.settings().removalIsAdvisory());
@@ -344,7 +344,7 @@
                         TOML.replace("[terms]", "[terms]\nkey_rest = 0.2\ngone_is_advice = true")
                                 .replace("window = 30", "window = 30\nin_turn = true"));
         assertTrue(ordered.settings().removalIsAdvisory());
-        assertEquals(ordered.settings().keyQuietPeriod(), 0.2);
+        assertEquals(ordered.settings().keyQuietPeriodSeconds(), 0.2);
         assertFalse(ordered.settings().requestClasses().get(0).ordered());
         assertTrue(ordered.settings().requestClasses().get(1).ordered());
         assertEquals(EndpointList.decode(config.cachedEndpoints()).entries().get(0).id(), "w1");
--- a/daemon/src/test/java/wheelroute/decision/FourRulesTest.java
+++ b/daemon/src/test/java/wheelroute/decision/FourRulesTest.java
@@ -94,7 +94,7 @@
         PolicyHarness.SettingsFixture given = new PolicyHarness.SettingsFixture();
         given.idempotency = Idempotency.IDEMPOTENT_BY_KEY;
         given.idempotencyScope = scope;
-        given.idempotencyWindow = 5;
+        given.idempotencyWindowSeconds = 5;
         PolicyHarness harness = new PolicyHarness(given).list(4);
         RequestHandle handle = harness.accept(0.1);
         final long first = harness.lastWorker();
--- a/daemon/src/test/java/wheelroute/decision/PolicyHarness.java
+++ b/daemon/src/test/java/wheelroute/decision/PolicyHarness.java
@@ -10,27 +10,27 @@
 /** One policy, what it did so far, and short ways to tell it what happens. */
 public final class PolicyHarness implements ActionHandler {
     static final double START = 100;
-    static final double TIMEOUT = 10;
+    public static final double TIMEOUT = 10;
     private static final int MAX_REQUESTS = 40;
 
     /** The settings a case may vary, with plain values to start from. */
     public static final class SettingsFixture {
         public Idempotency idempotency = Idempotency.IDEMPOTENT;
-        IdempotencyScope idempotencyScope = IdempotencyScope.CELL;
-        double idempotencyWindow = 20;
+        public IdempotencyScope idempotencyScope = IdempotencyScope.CELL;
+        public double idempotencyWindowSeconds = 20;
         public boolean mayHedge = true;
         public boolean watchesEndpoints;
-        boolean reportsStart = true;
-        double progressInterval;
-        int maxAttempts = 6;
+        public boolean reportsStart = true;
+        public double progressIntervalSeconds;
+        public int maxAttempts = 6;
         public int dispatchers = 1;
-        int position = -1;
-        double retryAfter = 2;
+        public int position = -1;
+        public double retryAfter = 2;
         public boolean ordered;
-        double keyQuietPeriod = 0.2;
-        boolean removalIsAdvisory;
-        double patientValue = 3;
-        double drainGrace = 2;
+        public double keyQuietPeriodSeconds = 0.2;
+        public boolean removalIsAdvisory;
+        public double patientValue = 3;
+        public double drainGraceSeconds = 2;
 
         public Settings settings() {
             return new Settings(
@@ -44,7 +44,7 @@
                     0.1,
                     watchesEndpoints,
                     reportsStart,
-                    progressInterval,
+                    progressIntervalSeconds,
                     true,
                     true,
                     mayHedge,
@@ -58,39 +58,39 @@
                     0,
                     0,
                     removalIsAdvisory,
-                    keyQuietPeriod,
-                    drainGrace);
+                    keyQuietPeriodSeconds,
+                    drainGraceSeconds);
         }
 
         private Settings.RequestClass requestClass(
-                String name, double latencyObjective, double priorityWeight) {
+                String name, double latencyObjectiveSeconds, double priorityWeight) {
             return new Settings.RequestClass(
                     new Ids.RequestClass(name),
                     idempotency,
                     idempotencyScope,
-                    latencyObjective,
+                    latencyObjectiveSeconds,
                     2,
                     priorityWeight,
                     0.3,
-                    idempotencyWindow,
+                    idempotencyWindowSeconds,
                     null,
                     ordered);
         }
     }
 
-    final Policy policy;
-    final List<String> actions = new ArrayList<>();
+    public final Policy policy;
+    public final List<String> actions = new ArrayList<>();
 
     /** When wakes were asked for. */
-    final List<Double> wakes = new ArrayList<>();
+    public final List<Double> wakes = new ArrayList<>();
 
     /** The last rejection's advice. */
-    double retryAfter;
+    public double retryAfter;
 
-    double now = START;
+    public double now = START;
     private long lastId;
 
-    PolicyHarness(SettingsFixture given) {
+    public PolicyHarness(SettingsFixture given) {
         policy = new Policy(given.settings(), this);
         policy.advanceTo(now);
     }
@@ -104,7 +104,7 @@
         return text.toString();
     }
 
-    static PolicyHarness of(Idempotency idempotency, IdempotencyScope scope) {
+    public static PolicyHarness of(Idempotency idempotency, IdempotencyScope scope) {
         SettingsFixture given = new SettingsFixture();
         given.idempotency = idempotency;
         given.idempotencyScope = scope;
@@ -127,7 +127,7 @@
      * Workers 1 and 2 share a cell; 3 shares their zone; 4 is elsewhere. The first so many are
      * listed.
      */
-    PolicyHarness list(int count) {
+    public PolicyHarness list(int count) {
         List<Endpoint> all =
                 List.of(
                         readyWorker(1, 1, "here"),
@@ -142,45 +142,45 @@
         return endpoint(id, cell, zone, Double.NaN, Endpoint.State.READY);
     }
 
-    PolicyHarness update(long id, double startedAt, Endpoint.State state) {
+    public PolicyHarness update(long id, double startedAt, Endpoint.State state) {
         String zone = id == 4 ? "there" : "here";
         policy.onEndpoints(
                 List.of(endpoint(id, id < 3 ? 1 : id - 1, zone, startedAt, state)), false);
         return this;
     }
 
-    PolicyHarness pass(double seconds) {
+    public PolicyHarness pass(double seconds) {
         now += seconds;
         policy.advanceTo(now);
         return this;
     }
 
     /** Passes with a wake every tenth of a second. */
-    PolicyHarness sweep(int wakes) {
+    public PolicyHarness sweep(int wakes) {
         for (int i = 0; i < wakes; i++) {
             pass(0.1).policy.onWakeup();
         }
         return this;
     }
 
-    RequestHandle accept(double estimatedWork) {
+    public RequestHandle accept(double estimatedWork) {
         return accept(estimatedWork, now + TIMEOUT);
     }
 
-    RequestHandle accept(double estimatedWork, double deadline) {
+    public RequestHandle accept(double estimatedWork, double deadline) {
         return accept("job", estimatedWork, deadline);
     }
 
-    RequestHandle accept(String requestClass, double estimatedWork, double deadline) {
+    public RequestHandle accept(String requestClass, double estimatedWork, double deadline) {
         return accept(requestClass, "t", estimatedWork, deadline);
     }
 
-    RequestHandle accept(
+    public RequestHandle accept(
             String requestClass, String tenant, double estimatedWork, double deadline) {
         return accept(requestClass, tenant, estimatedWork, deadline, null);
     }
 
-    RequestHandle accept(
+    public RequestHandle accept(
             String requestClass, String tenant, double estimatedWork, double deadline, String key) {
         return policy.accept(
                 new Request(
@@ -195,12 +195,12 @@
                         key == null ? null : new Ids.Key(key)));
     }
 
-    void end(RequestHandle handle, int attempt, Outcome outcome) {
+    public void end(RequestHandle handle, int attempt, Outcome outcome) {
         handle.onEnded(attempt, outcome, outcome == Outcome.SUCCEEDED, LoadReport.NONE);
     }
 
     /** Runs one request to its answer: taken, started at once, answered after so long. */
-    long serve(double estimatedWork, double run) {
+    public long serve(double estimatedWork, double run) {
         actions.clear();
         RequestHandle handle = accept(estimatedWork);
         final long worker = lastWorker();
@@ -211,7 +211,7 @@
     }
 
     /** Serves enough to have earned a copy or two; what was done is forgotten. */
-    PolicyHarness earnHedges() {
+    public PolicyHarness earnHedges() {
         for (int i = 0; i < MAX_REQUESTS; i++) {
             serve(0.1, 0.1);
         }
@@ -220,7 +220,7 @@
     }
 
     /** Requests until the first rejection; what was done before is forgotten. */
-    void fill(double estimatedWork) {
+    public void fill(double estimatedWork) {
         actions.clear();
         for (int i = 0; i < MAX_REQUESTS && count("reject") == 0; i++) {
             accept(estimatedWork);
@@ -228,7 +228,7 @@
     }
 
     /** Requests one after the other, each to its end; counts the attempts to bad workers. */
-    int attemptsAtBadWorkers(
+    public int attemptsAtBadWorkers(
             int requests, double estimatedWork, LongPredicate isBad, Outcome outcome) {
         int toBad = 0;
         for (int i = 0; i < requests; i++) {
@@ -242,19 +242,19 @@
         return toBad;
     }
 
-    String lastAction() {
+    public String lastAction() {
         return actions.isEmpty() ? "" : actions.get(actions.size() - 1);
     }
 
     /** The worker of the last attempt, or 0 if what was done last is no attempt. */
-    long lastWorker() {
+    public long lastWorker() {
         String last = lastAction();
         return last.startsWith("attempt ")
                 ? Long.parseLong(last.substring(last.lastIndexOf(' ') + 1))
                 : 0;
     }
 
-    long count(String what) {
+    public long count(String what) {
         return actions.stream().filter(s -> s.startsWith(what)).count();
     }
 
--- a/daemon/src/test/java/wheelroute/decision/AdmissionTest.java
+++ b/daemon/src/test/java/wheelroute/decision/admission/AdmissionTest.java
@@ -1,4 +1,4 @@
-package wheelroute.decision;
+package wheelroute.decision.admission;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -6,6 +6,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.decision.Endpoint.State;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
+import wheelroute.decision.LoadReport;
+import wheelroute.decision.Outcome;
+import wheelroute.decision.PolicyHarness;
+import wheelroute.decision.RequestHandle;
 
 /** What is rejected early, and what is not. */
 public class AdmissionTest {
@@ -18,7 +24,7 @@
     public void anAttemptWithoutProgressTellsOfAQueue() {
         PolicyHarness.SettingsFixture given = new PolicyHarness.SettingsFixture();
         given.reportsStart = false;
-        given.progressInterval = 1;
+        given.progressIntervalSeconds = 1;
         PolicyHarness harness = new PolicyHarness(given).list(1);
         RequestHandle first = harness.accept(0.1);
         harness.pass(0.1);
--- a/daemon/src/test/java/wheelroute/decision/EndpointLeaseTest.java
+++ b/daemon/src/test/java/wheelroute/decision/endpoints/EndpointLeaseTest.java
@@ -1,4 +1,4 @@
-package wheelroute.decision;
+package wheelroute.decision.endpoints;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -6,6 +6,11 @@
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
+import wheelroute.decision.Outcome;
+import wheelroute.decision.PolicyHarness;
+import wheelroute.decision.RequestHandle;
 
 /** Rule 3: how long a list is used that an overloaded discovery does not confirm. */
 public class EndpointLeaseTest {
--- a/daemon/src/test/java/wheelroute/decision/EstimatesTest.java
+++ b/daemon/src/test/java/wheelroute/decision/estimates/EstimatesTest.java
@@ -1,4 +1,4 @@
-package wheelroute.decision;
+package wheelroute.decision.estimates;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -6,6 +6,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.decision.Endpoint.State;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
+import wheelroute.decision.Outcome;
+import wheelroute.decision.PolicyHarness;
+import wheelroute.decision.RequestHandle;
 
 /** Speeds, slots, waits and cost estimates as they are learned. */
 public class EstimatesTest {
--- a/daemon/src/test/java/wheelroute/decision/OutlierEjectionTest.java
+++ b/daemon/src/test/java/wheelroute/decision/health/OutlierEjectionTest.java
@@ -1,4 +1,4 @@
-package wheelroute.decision;
+package wheelroute.decision.health;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
@@ -7,6 +7,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.decision.Endpoint.State;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
+import wheelroute.decision.Outcome;
+import wheelroute.decision.PolicyHarness;
+import wheelroute.decision.RequestHandle;
 
 /** Which workers are ejected, and what is held against none. */
 public class OutlierEjectionTest {
--- a/daemon/src/test/java/wheelroute/decision/SilenceDetectorTest.java
+++ b/daemon/src/test/java/wheelroute/decision/health/SilenceDetectorTest.java
@@ -1,4 +1,4 @@
-package wheelroute.decision;
+package wheelroute.decision.health;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
@@ -8,6 +8,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.decision.Endpoint.State;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
+import wheelroute.decision.Outcome;
+import wheelroute.decision.PolicyHarness;
+import wheelroute.decision.RequestHandle;
 
 /** Workers and attempts that fall silent, and hedged requests. */
 public class SilenceDetectorTest {
@@ -50,7 +55,7 @@
         given.idempotency = idempotency;
         given.mayHedge = false;
         given.reportsStart = false;
-        given.progressInterval = 1;
+        given.progressIntervalSeconds = 1;
         PolicyHarness harness = new PolicyHarness(given).list(2);
         // Two at a time, so that the others need not wait for the one.
         List<RequestHandle> two =
--- a/daemon/src/test/java/wheelroute/decision/KeyOrderTest.java
+++ b/daemon/src/test/java/wheelroute/decision/order/KeyOrderTest.java
@@ -1,4 +1,4 @@
-package wheelroute.decision;
+package wheelroute.decision.order;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -10,6 +10,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.Outcome;
+import wheelroute.decision.PolicyHarness;
+import wheelroute.decision.RequestHandle;
 
 /**
  * The rule on keys: one at a time, in the order of their taking, and a rest after what may still
@@ -276,7 +280,8 @@
             int number = inFlight.get(pick).remove(0);
             if (outcome.mayStillRun()) {
                 int key = keys.get(pick);
-                quietUntil[key] = Math.max(quietUntil[key], harness.now + given.keyQuietPeriod);
+                quietUntil[key] =
+                        Math.max(quietUntil[key], harness.now + given.keyQuietPeriodSeconds);
             }
             harness.end(handles.get(pick), number, outcome);
         }
--- a/daemon/src/test/java/wheelroute/decision/KeyAffinityTest.java
+++ b/daemon/src/test/java/wheelroute/decision/routing/KeyAffinityTest.java
@@ -1,4 +1,4 @@
-package wheelroute.decision;
+package wheelroute.decision.routing;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -11,6 +11,9 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import wheelroute.decision.Endpoint;
+import wheelroute.decision.Ids;
+import wheelroute.decision.estimates.CacheMissCost;
 
 /** Keys' homes, and what a fetch is learned to take. */
 public class KeyAffinityTest {
--- a/daemon/src/test/java/wheelroute/decision/WorkerSelectorTest.java
+++ b/daemon/src/test/java/wheelroute/decision/routing/WorkerSelectorTest.java
@@ -1,4 +1,4 @@
-package wheelroute.decision;
+package wheelroute.decision.routing;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
@@ -11,6 +11,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.decision.Endpoint.State;
+import wheelroute.decision.Idempotency;
+import wheelroute.decision.IdempotencyScope;
+import wheelroute.decision.Outcome;
+import wheelroute.decision.PolicyHarness;
+import wheelroute.decision.RequestHandle;
 
 /** Which worker is chosen, and what an affinity of keys counts for. */
 public class WorkerSelectorTest {
--- a/daemon/src/test/java/wheelroute/limits/SlowStartBudgetTest.java
+++ b/daemon/src/test/java/wheelroute/decision/slowstart/SlowStartBudgetTest.java
@@ -1,4 +1,4 @@
-package wheelroute.limits;
+package wheelroute.decision.slowstart;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
--- a/daemon/src/test/java/wheelroute/net/DiscoveryReturnTest.java
+++ b/daemon/src/test/java/wheelroute/net/DiscoveryReturnTest.java
@@ -11,6 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
+import wheelroute.net.metrics.Counters;
 
 /**
  * Discovery is away for a while, in each way in which it can be, and its news come in time at its
--- a/daemon/src/test/java/wheelroute/net/EndpointLeaseServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/EndpointLeaseServiceTest.java
@@ -5,6 +5,7 @@
 import java.util.concurrent.locks.LockSupport;
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
+import wheelroute.net.metrics.Counters;
 
 /** A discovery that is up, and answers everybody but this dispatcher. */
 public class EndpointLeaseServiceTest extends ServiceHarness {
@@ -24,7 +25,7 @@
     @Test(timeOut = 3 * TIMEOUT_MILLIS)
     public void nothingIsSentByAListThatMayBeOutOfDate() throws Exception {
         clock.stop();
-        maxTimeout = 60;
+        maxTimeoutSeconds = 60;
         workers.defaultResponse = () -> DONE;
         // The first call is a watch that breaks, the second is left waiting, then all are turned
         // away.
--- a/daemon/src/test/java/wheelroute/net/LeaversTest.java
+++ b/daemon/src/test/java/wheelroute/net/LeaversTest.java
@@ -23,6 +23,9 @@
 import org.testng.annotations.Test;
 import wheelroute.config.Config;
 import wheelroute.decision.Idempotency;
+import wheelroute.net.lifecycle.Service;
+import wheelroute.net.loop.HeldEventLoop;
+import wheelroute.net.metrics.Counters;
 
 /**
  * A client leaves while its submission waits for an attempt, and none begins for it, by whatever
@@ -152,7 +155,7 @@
         for (int i = 0; i < WORKERS; i++) {
             addresses.add(workers.listen());
         }
-        maxTimeout = 60;
+        maxTimeoutSeconds = 60;
         inTurn = wait.name().startsWith("LINE");
         hasAdminServer = wait == Wait.LINE_IN_A_HANDOVER;
         mayHedge = wait == Wait.COPY;
@@ -179,7 +182,7 @@
                             config.settings(),
                             0.5,
                             10,
-                            maxTimeout,
+                            maxTimeoutSeconds,
                             false,
                             null);
             loop = new HeldEventLoop(clock, 0.5);
--- a/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
+++ b/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
@@ -27,6 +27,9 @@
 import wheelroute.net.clients.ClientRequest;
 import wheelroute.net.clients.ClientResponse;
 import wheelroute.net.clients.RequestAcceptor;
+import wheelroute.net.metrics.Counters;
+import wheelroute.net.requests.Exchange;
+import wheelroute.net.requests.RequestDispatcher;
 
 /**
  * Two events that cross, each put into the order that does harm: docs/narrow-moments.md tells of
@@ -89,7 +92,7 @@
     /** Its end is seen behind whatever it sent on: its launch is called off, and none follows. */
     @Test(dataProvider = "leavings", timeOut = TIMEOUT_MILLIS)
     public void aClientThatSentMoreAndLeftIsSeen(int more, Leaving how) throws Exception {
-        maxTimeout = 60;
+        maxTimeoutSeconds = 60;
         serve(Idempotency.IDEMPOTENT);
         Socket client = connect();
         send(client, post(60.0) + "x".repeat(more));
@@ -134,7 +137,7 @@
     public void aCrowdThatSendsAheadKeepsNobodyOut() throws Exception {
         // No worker is to be taken for a silent one.
         clock.stop();
-        maxTimeout = 60;
+        maxTimeoutSeconds = 60;
         int crowd = 24;
         InetSocketAddress[] at = new InetSocketAddress[crowd];
         for (int i = 0; i < crowd; i++) {
@@ -491,7 +494,7 @@
     @Test(dataProvider = "unread", timeOut = TIMEOUT_MILLIS)
     public void whatLayUnreadMayBeAsOldAsTheStandstill(int count, boolean kept) throws Exception {
         clock.stop();
-        maxTimeout = 60;
+        maxTimeoutSeconds = 60;
         workers.responses.addAll(List.of(DONE, DONE));
         serve(Idempotency.NON_IDEMPOTENT, 2600, known(workers.listen()));
         List<Socket> clients = new ArrayList<>();
@@ -572,7 +575,7 @@
     @Test(dataProvider = "ahead", timeOut = TIMEOUT_MILLIS)
     public void whatComesAheadIsAsOldAsItIs(String timeout, int status) throws Exception {
         clock.stop();
-        maxTimeout = 60;
+        maxTimeoutSeconds = 60;
         // The one that is silent for so long is not chosen again.
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         Socket client = connect();
--- a/daemon/src/test/java/wheelroute/net/OperatingTest.java
+++ b/daemon/src/test/java/wheelroute/net/OperatingTest.java
@@ -21,6 +21,7 @@
 import wheelroute.config.ConfigException;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.PolicyHarness;
+import wheelroute.net.lifecycle.Service;
 
 /**
  * What staff do with a dispatcher in service: the calls at its door, and the figures they read
@@ -226,7 +227,7 @@
                             new PolicyHarness.SettingsFixture().settings(),
                             0.5,
                             10,
-                            maxTimeout,
+                            maxTimeoutSeconds,
                             listIsPushed,
                             null);
             Service failing = new Service(config);
--- a/daemon/src/test/java/wheelroute/net/OrderedServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/OrderedServiceTest.java
@@ -19,7 +19,7 @@
     @BeforeMethod
     public void keepOrder() {
         inTurn = true;
-        maxTimeout = 10;
+        maxTimeoutSeconds = 10;
     }
 
     private static String job(int id, String key, double timeout) {
@@ -81,7 +81,7 @@
     /** Told to end, it sends nobody away without an answer who waits in a line. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void whoWaitsIsAnsweredAtTheEnd() throws Exception {
-        maxTimeout = 2;
+        maxTimeoutSeconds = 2;
         workers.responses.addAll(List.of(ACCEPTED));
         serve(Idempotency.NON_IDEMPOTENT, 1024, known(workers.listen(), workers.listen()));
         Socket first = send(job(11, "a", 9));
--- a/daemon/src/test/java/wheelroute/net/ReplacementTest.java
+++ b/daemon/src/test/java/wheelroute/net/ReplacementTest.java
@@ -28,6 +28,7 @@
 import org.testng.annotations.Test;
 import wheelroute.config.Config;
 import wheelroute.decision.Idempotency;
+import wheelroute.net.lifecycle.Service;
 
 /** One process of a dispatcher takes another's place, on real sockets and in one directory. */
 public class ReplacementTest extends ServiceHarness {
@@ -73,7 +74,7 @@
                         config.settings(),
                         0.5,
                         10,
-                        maxTimeout,
+                        maxTimeoutSeconds,
                         false,
                         null));
     }
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -38,6 +38,10 @@
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.Settings;
+import wheelroute.net.lifecycle.Service;
+import wheelroute.net.loop.HeldEventLoop;
+import wheelroute.net.loop.StepClock;
+import wheelroute.net.workers.AttemptResult;
 
 /** A dispatcher on loopback sockets, with stubs of clients, workers and discovery. */
 public abstract class ServiceHarness {
@@ -88,7 +92,7 @@
     protected final List<AutoCloseable> open = new ArrayList<>();
     protected final Stub workers = new Stub();
     protected final Stub discovery = new Stub();
-    protected double maxTimeout = 2;
+    protected double maxTimeoutSeconds = 2;
     protected boolean hasAdminServer;
     protected boolean inTurn;
     protected boolean mayHedge;
@@ -260,7 +264,7 @@
                         settings,
                         0.5,
                         10,
-                        maxTimeout,
+                        maxTimeoutSeconds,
                         listIsPushed,
                         null);
         loop = new HeldEventLoop(clock, 0.5);
@@ -282,7 +286,7 @@
                 config.settings(),
                 0.5,
                 10,
-                maxTimeout,
+                maxTimeoutSeconds,
                 listIsPushed,
                 null);
     }
@@ -401,7 +405,7 @@
         service = null;
         clock = new StepClock();
         listIsPushed = false;
-        maxTimeout = 2;
+        maxTimeoutSeconds = 2;
         hasAdminServer = false;
         mayHedge = false;
         handoverDirectory = null;
--- a/daemon/src/test/java/wheelroute/net/ServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceTest.java
@@ -20,6 +20,7 @@
 import wheelroute.config.ConfigException;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.PolicyHarness;
+import wheelroute.net.lifecycle.Service;
 
 /** The whole dispatcher on sockets, event by event. */
 public class ServiceTest extends ServiceHarness {
@@ -499,7 +500,7 @@
      */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void servesOnWhileItDrainsAlone() throws Exception {
-        maxTimeout = 10;
+        maxTimeoutSeconds = 10;
         workers.responses.addAll(List.of(DONE, DONE, ACCEPTED, ACCEPTED, ACCEPTED));
         serve(Idempotency.IDEMPOTENT, 1024, known(workers.listen()));
         Socket kept = connect();
--- a/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.decision.PolicyHarness;
-import wheelroute.net.ResponseParser;
+import wheelroute.net.http.ResponseParser;
 import wheelroute.net.workers.AttemptRequest;
 
 /** Clients' messages in all the shapes that a network or a stranger may give them. */
--- a/daemon/src/test/java/wheelroute/limits/ConnectionLimitTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ConnectionLimitTest.java
@@ -1,4 +1,4 @@
-package wheelroute.limits;
+package wheelroute.net.clients;
 
 import static org.testng.Assert.assertEquals;
 
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.limits.ConnectionLimit.Stage;
+import wheelroute.net.clients.ConnectionLimit.Stage;
 
 /**
  * Which connection is evicted for a fifth where four are allowed. Test rows list the earlier
--- a/daemon/src/test/java/wheelroute/discovery/BackoffTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/BackoffTest.java
@@ -1,4 +1,4 @@
-package wheelroute.discovery;
+package wheelroute.net.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -18,7 +18,7 @@
     public Object[][] callDurations() {
         return new Object[][] {
             // duration of a failed call: refused, handshake timeout, stalled response, no response
-            {0.0}, {0.25}, {1.0}, {Backoff.CALL_TIMEOUT},
+            {0.0}, {0.25}, {1.0}, {Backoff.CALL_TIMEOUT_SECONDS},
         };
     }
 
@@ -34,7 +34,7 @@
                                 worst,
                                 callDuration
                                         + backoff.nextDelay(callDuration)
-                                        + Backoff.CALL_TIMEOUT);
+                                        + Backoff.CALL_TIMEOUT_SECONDS);
             }
         }
         assertTrue(worst <= 4.8, "recovered after " + worst);
@@ -79,7 +79,10 @@
     public Object[][] fleets() {
         return new Object[][] {
             // dispatchers, duration of each failing call, responses per second of discovery
-            {100, 0.0, 45}, {300, 0.0, 135}, {300, Backoff.CALL_TIMEOUT, 200}, {300, 0.25, 140},
+            {100, 0.0, 45},
+            {300, 0.0, 135},
+            {300, Backoff.CALL_TIMEOUT_SECONDS, 200},
+            {300, 0.25, 140},
         };
     }
 
@@ -108,8 +111,8 @@
             }
             received++;
             freeAt = Math.max(freeAt, call.time) + 1 / responsesPerSecond;
-            if (freeAt - call.time > Backoff.CALL_TIMEOUT) {
-                calls.add(call.retryAfter(Backoff.CALL_TIMEOUT));
+            if (freeAt - call.time > Backoff.CALL_TIMEOUT_SECONDS) {
+                calls.add(call.retryAfter(Backoff.CALL_TIMEOUT_SECONDS));
             } else {
                 answered++;
                 last = Math.max(last, freeAt);
--- a/daemon/src/test/java/wheelroute/discovery/CrowdTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/CrowdTest.java
@@ -1,4 +1,4 @@
-package wheelroute.discovery;
+package wheelroute.net.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
@@ -64,7 +64,7 @@
 
     private void serve(Call call, double callsPerSecond) {
         freeAt = Math.max(freeAt, call.time) + 1 / callsPerSecond;
-        double patience = Math.min(SERVER_TIMEOUT, Backoff.CALL_TIMEOUT);
+        double patience = Math.min(SERVER_TIMEOUT, Backoff.CALL_TIMEOUT_SECONDS);
         if (freeAt - call.time > patience) {
             calls.add(call.caller.retry(call.time, patience, true));
         } else {
@@ -129,7 +129,9 @@
         Backoff few = new Backoff(1, 12);
         assertEquals(few.startDelay(), 0.0);
         for (int i = 0; i < 50; i++) {
-            assertTrue(few.nextDelay(0) <= Backoff.MAX_RECOVERY_TIME - Backoff.CALL_TIMEOUT);
+            assertTrue(
+                    few.nextDelay(0)
+                            <= Backoff.MAX_RECOVERY_TIME_SECONDS - Backoff.CALL_TIMEOUT_SECONDS);
         }
     }
 }
--- a/daemon/src/test/java/wheelroute/discovery/OverloadDetectorTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/OverloadDetectorTest.java
@@ -1,4 +1,4 @@
-package wheelroute.discovery;
+package wheelroute.net.discovery;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
--- a/daemon/src/test/java/wheelroute/net/HeldEventLoop.java
+++ b/daemon/src/test/java/wheelroute/net/loop/HeldEventLoop.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.loop;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -27,16 +27,16 @@
  * An event loop with which a test determines the order of events: connects and reads wait until the
  * test releases them.
  */
-final class HeldEventLoop extends EventLoop {
+public final class HeldEventLoop extends EventLoop {
     /** The addresses whose connects are held, in their order. */
-    final BlockingQueue<SocketAddress> connecting = new LinkedBlockingQueue<>();
+    public final BlockingQueue<SocketAddress> connecting = new LinkedBlockingQueue<>();
 
     private final Queue<Runnable> connects = new ConcurrentLinkedQueue<>();
     private final Set<SocketAddress> held = ConcurrentHashMap.newKeySet();
     private final Set<Integer> unread = ConcurrentHashMap.newKeySet();
 
     /** On all connections together. */
-    final AtomicLong bytesRead = new AtomicLong();
+    public final AtomicLong bytesRead = new AtomicLong();
 
     /** What the next calls to the system end in; null for a call that succeeds. */
     private final Queue<Optional<IOException>> accepts = new ConcurrentLinkedQueue<>();
@@ -44,29 +44,29 @@
     private final Queue<Optional<IOException>> beginnings = new ConcurrentLinkedQueue<>();
     private final StepClock clock;
 
-    HeldEventLoop(StepClock clock, double connectLimit) {
+    public HeldEventLoop(StepClock clock, double connectLimit) {
         super(clock, connectLimit);
         this.clock = clock;
     }
 
     /** Holds connects to these addresses until {@link #releaseAll}. */
-    void holdConnects(Set<? extends SocketAddress> addresses) {
+    public void holdConnects(Set<? extends SocketAddress> addresses) {
         held.addAll(addresses);
     }
 
     /** Holds reads from this peer's port, as if nothing had arrived yet. */
-    void holdReads(int port) {
+    public void holdReads(int port) {
         unread.add(port);
     }
 
     /** Holds nothing from here on; held connects are made. */
-    void releaseAll() {
+    public void releaseAll() {
         unread.clear();
         releaseConnects();
     }
 
     /** The same for connects only; reads stay held. */
-    void releaseConnects() {
+    public void releaseConnects() {
         held.clear();
         post(
                 () -> {
@@ -77,12 +77,12 @@
     }
 
     /** The next accepts end so, one after the other; empty ones succeed. */
-    void planAccepts(List<Optional<IOException>> results) {
+    public void planAccepts(List<Optional<IOException>> results) {
         accepts.addAll(results);
     }
 
     /** The next connects end so, one after the other; empty ones succeed. */
-    void planConnects(List<Optional<IOException>> results) {
+    public void planConnects(List<Optional<IOException>> results) {
         beginnings.addAll(results);
     }
 
@@ -107,7 +107,7 @@
     }
 
     /** Moves the stopped clock on, and returns when all that is due by then has run. */
-    void step(double seconds) throws InterruptedException {
+    public void step(double seconds) throws InterruptedException {
         // What is running completes at the time at which it began.
         settle();
         clock.step(seconds);
@@ -115,7 +115,7 @@
     }
 
     /** Returns when all that has arrived has run, with what it has posted. */
-    void settle() throws InterruptedException {
+    public void settle() throws InterruptedException {
         // Twice: timers run after posted tasks, and what they post runs after that.
         for (int i = 0; i < 2; i++) {
             CountDownLatch done = new CountDownLatch(1);
--- a/daemon/src/test/java/wheelroute/net/StepClock.java
+++ b/daemon/src/test/java/wheelroute/net/loop/StepClock.java
@@ -1,7 +1,7 @@
-package wheelroute.net;
+package wheelroute.net.loop;
 
 /** A clock that a test may stop, and then move in steps. */
-final class StepClock extends Clock {
+public final class StepClock extends Clock {
     private volatile double offset;
     private volatile double stoppedAt = Double.NaN;
     private volatile double wallStep;
@@ -22,22 +22,22 @@
 
     /** Steps the wall clock; the time line goes on as before. */
     @SuppressWarnings("NonAtomicVolatileUpdate") // The test's thread alone writes it.
-    void stepWallClock(double seconds) {
+    public void stepWallClock(double seconds) {
         wallStep += seconds;
     }
 
-    void stop() {
+    public void stop() {
         stoppedAt = now();
     }
 
     /** The loop has to be woken after this: it waits by the system's clock. */
     @SuppressWarnings("NonAtomicVolatileUpdate") // The test's thread alone writes it.
-    void step(double seconds) {
+    public void step(double seconds) {
         stoppedAt += seconds;
     }
 
     /** After so many more readings the clock jumps, as in a standstill of the process. */
-    synchronized void jumpAfterReads(int reads, double seconds) {
+    public synchronized void jumpAfterReads(int reads, double seconds) {
         readsLeft = reads;
         jump = seconds;
     }
@@ -48,7 +48,7 @@
         }
     }
 
-    void resume() {
+    public void resume() {
         if (!Double.isNaN(stoppedAt)) {
             offset = stoppedAt - super.now();
             stoppedAt = Double.NaN;
--- a/daemon/src/test/java/wheelroute/net/EndpointDirectoryTest.java
+++ b/daemon/src/test/java/wheelroute/net/requests/EndpointDirectoryTest.java
@@ -1,4 +1,4 @@
-package wheelroute.net;
+package wheelroute.net.requests;
 
 import static org.testng.Assert.assertEquals;
 
@@ -10,6 +10,9 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Endpoint;
 import wheelroute.net.discovery.EndpointList;
+import wheelroute.net.loop.HeldEventLoop;
+import wheelroute.net.loop.StepClock;
+import wheelroute.net.metrics.Counters;
 import wheelroute.net.workers.WorkerConnectionPools;
 
 /** What the decisions are told of a worker's start, on which its slow start depends. */
--- a/daemon/src/test/java/wheelroute/net/StartTimesTest.java
+++ b/daemon/src/test/java/wheelroute/net/requests/StartTimesTest.java
@@ -1,10 +1,12 @@
-package wheelroute.net;
+package wheelroute.net.requests;
 
 import static org.testng.Assert.assertEquals;
 
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import wheelroute.net.loop.HeldEventLoop;
+import wheelroute.net.loop.StepClock;
 
 /**
  * Seen: after the wall clocks of all machines were stepped an hour back, new workers got 56
--- a/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
@@ -10,7 +10,6 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.decision.PolicyHarness;
-import wheelroute.net.AttemptResult;
 
 /** Workers' answers in all the shapes that a network or a faulty worker may give them. */
 public class AttemptResponseDecoderTest implements AttemptResponseDecoder.Listener {
--- a/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
@@ -6,8 +6,7 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.net.AttemptResult;
-import wheelroute.net.Counters;
+import wheelroute.net.metrics.Counters;
 
 public class InFlightAttemptTest {
     private static final double LIMIT = 100;
