--- a/daemon/src/test/java/wheelroute/peers/MembershipTest.java
+++ b/daemon/src/test/java/wheelroute/peers/MembershipTest.java
@@ -22,7 +22,7 @@
     private static final double TIMER_STEP = 0.05;
 
     /** Suspicion timeout of a cluster of two, at full local health. */
-    private static final double LEAST_SUSPICION = 4 * Membership.PROBE_INTERVAL;
+    private static final double LEAST_SUSPICION = 4 * Membership.PROBE_INTERVAL_SECONDS;
 
     private final List<Message> sent = new ArrayList<>();
     private final List<MemberAddress> receivers = new ArrayList<>();
@@ -122,7 +122,7 @@
         double untilSuspect = secondsUntilChange(5);
         assertEquals(changes.get(1), "other SUSPECT by self");
         // One interval until the next probe and one for the probe, each seen a timer step late.
-        double latest = 2 * (Membership.PROBE_INTERVAL + TIMER_STEP);
+        double latest = 2 * (Membership.PROBE_INTERVAL_SECONDS + TIMER_STEP);
         assertTrue(untilSuspect <= latest, untilSuspect + " s");
         assertEquals(membership.aliveCount(), 2, "a suspect counts as alive");
         double untilDead = secondsUntilChange(30);
--- a/kit/src/main/java/wheelroute/kit/audit/AttemptRules.java
+++ b/kit/src/main/java/wheelroute/kit/audit/AttemptRules.java
@@ -85,7 +85,7 @@
         } else if (!isSameScope(requestClass.idempotencyScope(), earlier.worker, attempt.worker)) {
             breaches.add(Rule.NO_EFFECT_TWICE, "a repeat outside its group", record);
         } else if (attempt.arrivedAt
-                > earlier.arrivedAt + requestClass.idempotencyWindow() + slack) {
+                > earlier.arrivedAt + requestClass.idempotencyWindowSeconds() + slack) {
             breaches.add(Rule.NO_EFFECT_TWICE, "a repeat after its window", record);
         }
     }
--- a/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
@@ -6,8 +6,8 @@
 import java.nio.ByteBuffer;
 import java.util.function.DoubleSupplier;
 import java.util.function.Supplier;
-import wheelroute.net.DatagramSocket;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.DatagramSocket;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * One way for datagrams from one process to another: what comes here goes on to the far end, from
--- a/kit/src/main/java/wheelroute/kit/faults/Relay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/Relay.java
@@ -18,8 +18,8 @@
 import org.eclipse.jetty.util.Callback;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wheelroute.net.EventLoop;
-import wheelroute.net.StreamConnection;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.loop.StreamConnection;
 
 /**
  * One way between two processes, led through this one: a socket that stands for the far end. What
--- a/kit/src/main/java/wheelroute/kit/model/ClientRequest.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClientRequest.java
@@ -20,7 +20,7 @@
         double costEstimate,
         double cancelsAfter) {
     /** A response after this many seconds is late. */
-    public double latencyObjective() {
-        return requestClass.latencyObjective() + requestClass.objectivePerWork() * work;
+    public double latencyObjectiveSeconds() {
+        return requestClass.latencyObjectiveSeconds() + requestClass.objectivePerWork() * work;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/Clients.java
+++ b/kit/src/main/java/wheelroute/kit/model/Clients.java
@@ -206,7 +206,8 @@
             case SUCCEEDED ->
                     finish(
                             state,
-                            timeline.now() - state.firstSent <= state.request.latencyObjective()
+                            timeline.now() - state.firstSent
+                                            <= state.request.latencyObjectiveSeconds()
                                     ? Result.IN_TIME
                                     : Result.LATE);
             // What may have run is asked for again only where a repeat does no harm.
--- a/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
@@ -170,7 +170,7 @@
                 deliver(next, next.reply::onStarted);
             }
             plan(next);
-            if (terms.progressInterval() > 0) {
+            if (terms.progressIntervalSeconds() > 0) {
                 progress(next, next.remaining);
             }
         }
@@ -205,7 +205,7 @@
 
     private void progress(WorkerAttempt attempt, double whole) {
         timeline.schedule(
-                terms.progressInterval(),
+                terms.progressIntervalSeconds(),
                 () -> {
                     if (!attempt.ended && !attempt.cancelled) {
                         double left =
@@ -276,16 +276,18 @@
     /** The part of its capacity it has, from coldShare at its start to 1. */
     public double warmth(double at) {
         double age = at - startedAt;
-        if (!(age < group.slowStartDuration())) {
+        if (!(age < group.slowStartDurationSeconds())) {
             return 1;
         }
         return group.slowStartShare()
-                + (1 - group.slowStartShare()) * Math.max(0, age) / group.slowStartDuration();
+                + (1 - group.slowStartShare())
+                        * Math.max(0, age)
+                        / group.slowStartDurationSeconds();
     }
 
     private boolean wouldCollapse(double work) {
         double now = timeline.now();
-        double from = now - group.overloadWindow();
+        double from = now - group.overloadWindowSeconds();
         double warm = warmth(from);
         if (warm >= 1) {
             return false;
@@ -300,7 +302,7 @@
                         * warm
                         * group.speed()
                         * group.slots()
-                        * group.overloadWindow();
+                        * group.overloadWindowSeconds();
         if (group.overloadMeanWork() > 0) {
             most += (2 * Math.sqrt(most / group.overloadMeanWork()) + 2) * group.overloadMeanWork();
         }
--- a/kit/src/main/java/wheelroute/kit/process/AdminCall.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminCall.java
@@ -8,8 +8,8 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
-import wheelroute.net.EventLoop;
-import wheelroute.net.StreamConnection;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.loop.StreamConnection;
 
 /** One call at an admin server: a line goes, an answer comes, or null when none comes in time. */
 final class AdminCall implements EventLoop.ChannelHandler {
--- a/kit/src/main/java/wheelroute/kit/process/AdminPoll.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminPoll.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import wheelroute.kit.audit.MetricsAuditor;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /** Asks every process's door for its figures now and then, and hands them to the ledger. */
 final class AdminPoll {
--- a/kit/src/main/java/wheelroute/kit/process/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientPool.java
@@ -16,10 +16,10 @@
 import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.model.FinalResponse;
 import wheelroute.kit.model.ResponseListener;
-import wheelroute.net.EventLoop;
-import wheelroute.net.HttpText;
-import wheelroute.net.ResponseParser;
-import wheelroute.net.StreamConnection;
+import wheelroute.net.http.HttpText;
+import wheelroute.net.http.ResponseParser;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.loop.StreamConnection;
 
 /**
  * Clients' connections to one dispatcher: one request at a time on each, more when all are busy.
--- a/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
+++ b/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
@@ -1,7 +1,7 @@
 package wheelroute.kit.process;
 
 import wheelroute.kit.model.Timeline;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /** The time of the stubs' own thread; used on that thread only. */
 final class EventLoopTimeline implements Timeline {
--- a/kit/src/main/java/wheelroute/kit/process/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/process/Fleet.java
@@ -18,7 +18,7 @@
 import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.DaemonSettings;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * The dispatchers of a run: each is one process, or two while one takes the other's place. Used on
--- a/kit/src/main/java/wheelroute/kit/process/IdleConnectionFlood.java
+++ b/kit/src/main/java/wheelroute/kit/process/IdleConnectionFlood.java
@@ -8,8 +8,8 @@
 import java.util.function.IntFunction;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.net.EventLoop;
-import wheelroute.net.StreamConnection;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.loop.StreamConnection;
 
 /**
  * Strangers at the clients' addresses: they connect, say nothing or half a message, stay, and go.
--- a/kit/src/main/java/wheelroute/kit/process/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadRun.java
@@ -21,8 +21,8 @@
 import wheelroute.kit.model.ResponseListener;
 import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.net.Clock;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.Clock;
+import wheelroute.net.loop.EventLoop;
 
 /** Clients alone: a load on one address, and how it was answered. Nothing is retried. */
 public final class LoadRun implements ResponseListener {
--- a/kit/src/main/java/wheelroute/kit/process/LoopExecutor.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoopExecutor.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /** Runs tasks on an event loop's thread and waits for their results. */
 final class LoopExecutor {
--- a/kit/src/main/java/wheelroute/kit/process/MembershipCheck.java
+++ b/kit/src/main/java/wheelroute/kit/process/MembershipCheck.java
@@ -5,7 +5,7 @@
 import java.util.function.IntPredicate;
 import java.util.regex.Pattern;
 import java.util.stream.IntStream;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * Checks at the end of a run that each dispatcher believes just those peers alive that are; on the
--- a/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
+++ b/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
@@ -14,7 +14,7 @@
 import wheelroute.kit.faults.Relay;
 import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /** The ways of a run. Where any can be harmed all of them lead through relays, else none does. */
 final class NetworkLinks {
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
@@ -19,8 +19,8 @@
 import wheelroute.kit.scenario.FaultScheduleGenerator;
 import wheelroute.kit.scenario.FigureNames;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.net.Clock;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.Clock;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * A run of a scenario in real time: each dispatcher is a process of its own, workers, discovery and
--- a/kit/src/main/java/wheelroute/kit/process/RelayCost.java
+++ b/kit/src/main/java/wheelroute/kit/process/RelayCost.java
@@ -10,8 +10,8 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.kit.faults.Relay;
-import wheelroute.net.EventLoop;
-import wheelroute.net.StreamConnection;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.loop.StreamConnection;
 
 /** What the relays themselves cost: the same short exchanges, straight and through one. */
 final class RelayCost {
--- a/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
+++ b/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
@@ -18,7 +18,7 @@
 import wheelroute.kit.report.Recorder;
 import wheelroute.kit.scenario.DaemonSettings;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * All that a run of real processes consists of: stub workers and discovery, clients, links, the
--- a/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
+++ b/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
@@ -3,12 +3,12 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.net.EventLoop;
-import wheelroute.net.StreamConnection;
 import wheelroute.net.clients.BadRequestException;
 import wheelroute.net.clients.ClientRequest;
 import wheelroute.net.clients.ClientRequestDecoder;
 import wheelroute.net.clients.MemoryQuota;
+import wheelroute.net.loop.EventLoop;
+import wheelroute.net.loop.StreamConnection;
 
 /**
  * A connection that a stub has accepted: it reads messages as the daemon itself would, and
--- a/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
@@ -19,8 +19,8 @@
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.model.EndpointRegistry;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.net.EventLoop;
 import wheelroute.net.clients.ClientRequest;
+import wheelroute.net.loop.EventLoop;
 
 /** Discovery as one dispatcher sees it: the registry behind the protocol's list and its watches. */
 final class StubDiscovery implements EventLoop.ChannelHandler {
--- a/kit/src/main/java/wheelroute/kit/process/StubRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubRun.java
@@ -13,8 +13,8 @@
 import wheelroute.kit.model.ClusterModel;
 import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.Scenario;
-import wheelroute.net.Clock;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.Clock;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * Workers and discovery of a scenario, with its faults, for a dispatcher that somebody else
--- a/kit/src/main/java/wheelroute/kit/process/StubWorker.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubWorker.java
@@ -16,8 +16,8 @@
 import wheelroute.kit.model.AttemptEnding;
 import wheelroute.kit.model.WorkerAttempt;
 import wheelroute.kit.model.WorkerModel;
-import wheelroute.net.EventLoop;
 import wheelroute.net.clients.ClientRequest;
+import wheelroute.net.loop.EventLoop;
 
 /** A worker of the model behind a socket: the protocol's words for what the model does. */
 final class StubWorker implements EventLoop.ChannelHandler, WorkerModel.PortListener {
--- a/kit/src/main/java/wheelroute/kit/process/TimerLag.java
+++ b/kit/src/main/java/wheelroute/kit/process/TimerLag.java
@@ -1,7 +1,7 @@
 package wheelroute.kit.process;
 
 import org.HdrHistogram.Histogram;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.EventLoop;
 
 /** Measures how late an event loop runs its timers; on the loop's thread. */
 final class TimerLag {
--- a/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
@@ -19,8 +19,8 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.kit.process.ServerConnection;
-import wheelroute.net.EventLoop;
 import wheelroute.net.clients.ClientRequest;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * A stub list service with a capacity: it works through calls in turn, and its list changes when it
--- a/kit/src/main/java/wheelroute/kit/scale/EmbeddedDispatchers.java
+++ b/kit/src/main/java/wheelroute/kit/scale/EmbeddedDispatchers.java
@@ -12,7 +12,7 @@
 import wheelroute.config.ConfigException;
 import wheelroute.config.ConfigReader;
 import wheelroute.kit.process.RehearsalException;
-import wheelroute.net.Service;
+import wheelroute.net.lifecycle.Service;
 
 /**
  * Many dispatchers in this process: the daemon's own service each, with a loop and sockets of its
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
@@ -27,8 +27,8 @@
 import wheelroute.kit.process.LoadRun;
 import wheelroute.kit.process.ProcessSupervisor;
 import wheelroute.kit.process.RehearsalException;
-import wheelroute.net.Clock;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.Clock;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * Measures what a dispatcher and a list service cost by each of the sizes that grow. Every point
--- a/kit/src/main/java/wheelroute/kit/scale/StubWorkers.java
+++ b/kit/src/main/java/wheelroute/kit/scale/StubWorkers.java
@@ -10,8 +10,8 @@
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.kit.process.JobCodec;
 import wheelroute.kit.process.ServerConnection;
-import wheelroute.net.EventLoop;
 import wheelroute.net.clients.ClientRequest;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * Any number of workers behind a few addresses: each message is a job that runs for the work that
--- a/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
@@ -33,38 +33,38 @@
                         .number("balancers", s.dispatchers())
                         .number("over_share_worth", terms.overQuotaValue())
                         .flag("family_info.tells_start", terms.reportsStart())
-                        .seconds("family_info.progress_us", terms.progressInterval())
+                        .seconds("family_info.progress_us", terms.progressIntervalSeconds())
                         .flag("permissions.cancel", terms.mayCancel())
                         .flag("permissions.may_duplicate", terms.mayHedge())
                         .flag("permissions.retry_after", terms.sendsRetryAfter())
-                        .seconds("permissions.max_retry_after_us", terms.maxRetryAfter())
+                        .seconds("permissions.max_retry_after_us", terms.maxRetryAfterSeconds())
                         .number("permissions.most_tries", terms.maxAttempts())
-                        .seconds("permissions.connect_timeout_us", terms.connectTimeout())
+                        .seconds("permissions.connect_timeout_us", terms.connectTimeoutSeconds())
                         .number("prices.cross_zone", terms.crossZonePrice());
         if (terms.reportLag() >= 0) {
             settings.text("family_info.report_x0", "free_slots");
         }
         Scenario.WorkerGroup cold =
                 s.groups().stream()
-                        .filter(g -> g.slowStartDuration() > 0)
+                        .filter(g -> g.slowStartDurationSeconds() > 0)
                         .findFirst()
                         .orElse(s.groups().get(0));
         settings.number("rules.cold_from", cold.slowStartShare())
-                .seconds("rules.cold_us", cold.slowStartDuration())
+                .seconds("rules.cold_us", cold.slowStartDurationSeconds())
                 .number("rules.tip_multiple", cold.overloadMultiple())
-                .seconds("rules.fall_us", cold.overloadWindow());
+                .seconds("rules.fall_us", cold.overloadWindowSeconds());
         for (Scenario.RequestClass o : s.requestClasses()) {
             settings.requestClass(
                     new RequestClassSettings(
                             o.name(),
                             o.idempotency(),
                             o.idempotencyScope(),
-                            o.latencyObjective(),
+                            o.latencyObjectiveSeconds(),
                             o.objectivePerWork(),
                             o.deadline(),
                             o.priorityWeight(),
                             o.lateValue(),
-                            o.idempotencyWindow(),
+                            o.idempotencyWindowSeconds(),
                             false));
         }
         s.tenants().forEach(tenant -> settings.tenant(tenant.name(), tenant.quota()));
--- a/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
@@ -48,7 +48,7 @@
      * @param queue how many may wait at one before it turns launches away
      * @param memory in the unit of the offerings' memory; infinite for no limit
      * @param slowStartShare the part of its capacity that a worker just started has
-     * @param slowStartDuration how long it takes to warm up
+     * @param slowStartDurationSeconds how long it takes to warm up
      * @param overloadMultiple a cold worker falls over when, in tipWindow, so many times its
      *     capacity comes
      * @param overloadMeanWork the mean work of the requests for which chance is allowed for, N
@@ -64,9 +64,9 @@
             int queue,
             double memory,
             double slowStartShare,
-            double slowStartDuration,
+            double slowStartDurationSeconds,
             double overloadMultiple,
-            double overloadWindow,
+            double overloadWindowSeconds,
             double overloadMeanWork) {}
 
     /**
@@ -85,12 +85,12 @@
             double work,
             double spread,
             double estimateError,
-            double latencyObjective,
+            double latencyObjectiveSeconds,
             double objectivePerWork,
             double deadline,
             double priorityWeight,
             double lateValue,
-            double idempotencyWindow,
+            double idempotencyWindowSeconds,
             int slots,
             double memory) {}
 
@@ -137,16 +137,16 @@
      */
     public record PlatformTerms(
             boolean reportsStart,
-            double progressInterval,
+            double progressIntervalSeconds,
             boolean mayCancel,
             boolean mayHedge,
             int maxAttempts,
             boolean sendsRetryAfter,
-            double maxRetryAfter,
+            double maxRetryAfterSeconds,
             double listLag,
             double reportLag,
             double grace,
-            double connectTimeout,
+            double connectTimeoutSeconds,
             double crossZonePrice,
             double overQuotaValue) {}
 
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -57,16 +57,16 @@
         Scenario.PlatformTerms t = s.terms();
         table("terms")
                 .flag("tells_start", t.reportsStart())
-                .number("progress_every", t.progressInterval())
+                .number("progress_every", t.progressIntervalSeconds())
                 .flag("may_cancel", t.mayCancel())
                 .flag("may_copy", t.mayHedge())
                 .number("most_launches", t.maxAttempts())
                 .flag("retry_after", t.sendsRetryAfter())
-                .number("longest_retry_after", t.maxRetryAfter())
+                .number("longest_retry_after", t.maxRetryAfterSeconds())
                 .number("list_lag", t.listLag())
                 .number("report_lag", t.reportLag())
                 .number("grace", t.grace())
-                .number("connect_limit", t.connectTimeout())
+                .number("connect_limit", t.connectTimeoutSeconds())
                 .number("cross_zone_price", t.crossZonePrice())
                 .number("over_share_value", t.overQuotaValue());
         s.faults().forEach(this::write);
@@ -104,9 +104,9 @@
                 .number("queue", g.queue())
                 .number("memory", g.memory())
                 .number("cold_share", g.slowStartShare())
-                .number("cold_for", g.slowStartDuration())
+                .number("cold_for", g.slowStartDurationSeconds())
                 .number("tip_multiple", g.overloadMultiple())
-                .number("tip_window", g.overloadWindow())
+                .number("tip_window", g.overloadWindowSeconds())
                 .number("tip_request", g.overloadMeanWork());
     }
 
@@ -119,12 +119,12 @@
                 .number("work", o.work())
                 .number("spread", o.spread())
                 .number("hint_error", o.estimateError())
-                .number("quoted", o.latencyObjective())
+                .number("quoted", o.latencyObjectiveSeconds())
                 .number("stretch", o.objectivePerWork())
                 .number("outer", o.deadline())
                 .number("value", o.priorityWeight())
                 .number("late_value", o.lateValue())
-                .number("window", o.idempotencyWindow())
+                .number("window", o.idempotencyWindowSeconds())
                 .number("slots", o.slots())
                 .number("memory", o.memory());
     }
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
@@ -17,7 +17,7 @@
     private static final double WATCH_TIMEOUT = 6.5;
 
     /** Timeout of a call for the complete list, which discovery answers at once. */
-    private static final double CALL_TIMEOUT = 1.5;
+    private static final double CALL_TIMEOUT_SECONDS = 1.5;
 
     private final int number;
     private final SimulatedDispatcher dispatcher;
@@ -52,7 +52,7 @@
         if (cluster.registry.isDown() || state.refuses()) {
             failAfter(0);
         } else if (!state.outbound() || !state.inbound()) {
-            failAfter(CALL_TIMEOUT);
+            failAfter(CALL_TIMEOUT_SECONDS);
         } else if (!isWatching) {
             isWatching = true;
             cluster.registry.watch(watcher);
--- a/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
@@ -179,7 +179,7 @@
                                                                         || now
                                                                                 > sent.sentAt
                                                                                         + requestClass
-                                                                                                .idempotencyWindow()
+                                                                                                .idempotencyWindowSeconds()
                                                                                         - TRANSIT_MARGIN)));
             }
             List<Endpoint> fresh = new ArrayList<>(all);
--- a/kit/src/main/java/wheelroute/kit/strategy/PolicyStrategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/PolicyStrategy.java
@@ -9,7 +9,7 @@
 import wheelroute.decision.Request;
 import wheelroute.decision.RequestHandle;
 import wheelroute.decision.Settings;
-import wheelroute.discovery.Backoff;
+import wheelroute.net.discovery.Backoff;
 
 /** The daemon's own module, and its own pauses between calls for the list. */
 public final class PolicyStrategy implements Strategy {
--- a/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
@@ -125,13 +125,14 @@
         ToDoubleFunction<Endpoint> end =
                 w ->
                         model(cluster, w).workDoneBy(work)
-                                + model(cluster, w).failureRate() * requestClass.latencyObjective();
+                                + model(cluster, w).failureRate()
+                                        * requestClass.latencyObjectiveSeconds();
         Ids.Worker best = leastBy(open, from, end);
         double done = cluster.workers.get((int) best.value()).workDoneBy(work);
         double quotedAt =
                 request.deadline()
                         - requestClass.deadline()
-                        + requestClass.latencyObjective()
+                        + requestClass.latencyObjectiveSeconds()
                         + requestClass.objectivePerWork() * work;
         return done > request.deadline()
                         || (requestClass.lateValue() < MIN_LATE_VALUE && done > quotedAt)
--- a/kit/src/test/java/wheelroute/kit/faults/DatagramRelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/DatagramRelayTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.net.DatagramSocket;
+import wheelroute.net.loop.DatagramSocket;
 
 /** A pair of ways for datagrams on loopback sockets: what passes, what is lost, late, doubled. */
 public class DatagramRelayTest extends EventLoopHarness {
--- a/kit/src/test/java/wheelroute/kit/faults/EventLoopHarness.java
+++ b/kit/src/test/java/wheelroute/kit/faults/EventLoopHarness.java
@@ -2,8 +2,8 @@
 
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import wheelroute.net.Clock;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.Clock;
+import wheelroute.net.loop.EventLoop;
 
 /** A loop for what belongs on its thread. */
 abstract class EventLoopHarness {
--- a/kit/src/test/java/wheelroute/kit/process/CrowdedDiscovery.java
+++ b/kit/src/test/java/wheelroute/kit/process/CrowdedDiscovery.java
@@ -14,8 +14,8 @@
 import java.util.regex.Pattern;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.net.EventLoop;
 import wheelroute.net.clients.ClientRequest;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * A discovery that serves all dispatchers from one queue, at so many calls a second. It turns a
--- a/kit/src/test/java/wheelroute/kit/process/CrowdedDiscoveryTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/CrowdedDiscoveryTest.java
@@ -12,8 +12,8 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
-import wheelroute.net.Clock;
-import wheelroute.net.EventLoop;
+import wheelroute.net.loop.Clock;
+import wheelroute.net.loop.EventLoop;
 
 /**
  * Seen: attempts went to workers that had left the list, 2.2 s after their leaving counted as
--- a/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
@@ -200,7 +200,7 @@
         assertEquals(settings.crossZonePrice(), 0.5);
         assertEquals(settings.mayHedge(), false);
         assertEquals(settings.quotas().size(), 1);
-        assertEquals(settings.requestClasses().get(1).idempotencyWindow(), 1.0);
+        assertEquals(settings.requestClasses().get(1).idempotencyWindowSeconds(), 1.0);
         Path file = Files.createTempFile("daemon", ".json");
         Files.writeString(file, DaemonSettings.file("n0", 3, 192, 512, pairs, List.of()));
         var config =
