--- a/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
@@ -89,7 +89,7 @@
     String progress() {
         return String.format(
                 Locale.ROOT,
-                "%s, %.3f s after its begin, hold %.1f s",
+                "%s, %.3f s after call start, hold time %.1f s",
                 phase.text,
                 duration(),
                 hold);
--- a/daemon/src/main/java/wheelroute/net/discovery/EndpointWatch.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/EndpointWatch.java
@@ -196,7 +196,7 @@
     private void logRecovery() {
         if (failuresInARow > 0) {
             LOG.info(
-                    "the list is confirmed again: version {}, after {} s and {} failed calls",
+                    "endpoint watch recovered: list version {} confirmed after {} s and {} failed calls",
                     version,
                     seconds(loop.now() - unansweredSince),
                     failuresInARow);
@@ -288,7 +288,7 @@
         if (timing.isOverloaded()) {
             listener.onOverloaded();
             if (!before) {
-                LOG.warn("discovery is overloaded: calls become rarer, and the list may expire");
+                LOG.warn("discovery overloaded: polling less often, endpoint list may expire");
             }
         }
     }
@@ -304,7 +304,7 @@
         }
         failuresInARow++;
         LOG.info(
-                "a call for the list failed: {} {}; version {} is unconfirmed for {} s, {} in a row",
+                "endpoint watch failed: {} ({}); list version {} unconfirmed for {} s, {} consecutive failures",
                 reason,
                 which.progress(),
                 version,
--- a/daemon/src/main/java/wheelroute/net/handover/Handover.java
+++ b/daemon/src/main/java/wheelroute/net/handover/Handover.java
@@ -257,7 +257,7 @@
                     importState(message);
                 }
             }
-            case GREETING, UNKNOWN -> LOG.debug("a message that is not expected: {}", message);
+            case GREETING, UNKNOWN -> LOG.debug("ignored unexpected handover message: {}", message);
         }
     }
 
@@ -289,7 +289,7 @@
         successor.send(MessageType.LEARNED_STATE, state.exportLearnedState());
         sendOpenRequests(successor);
         successor.send(MessageType.TRANSFER_COMPLETE);
-        LOG.info("another process is about to take this one's place");
+        LOG.info("handover begins: successor process connected");
     }
 
     private void importState(HandoverMessage message) {
@@ -307,7 +307,7 @@
         } catch (IOException e) {
             // Perhaps of another version: the rest may do, and discovery and the workers will
             // supply it again.
-            LOG.info("what the predecessor tells is not used: {}", e.getMessage());
+            LOG.info("state of predecessor process not imported: {}", e.getMessage());
         }
     }
 
--- a/daemon/src/main/java/wheelroute/net/handover/HandoverSocket.java
+++ b/daemon/src/main/java/wheelroute/net/handover/HandoverSocket.java
@@ -79,7 +79,9 @@
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException | RuntimeException e) {
-            LOG.warn("a process that is to replace this one will not find it: {}", e.toString());
+            LOG.warn(
+                    "handover socket not created, a successor cannot find this process: {}",
+                    e.toString());
             stopListening();
             delete(temporary);
         }
@@ -92,7 +94,7 @@
                 delete(path);
             }
         } catch (IOException e) {
-            LOG.debug("the owner of the handover's file cannot be determined", e);
+            LOG.debug("failed to read owner of handover socket file", e);
         }
         stopListening();
     }
@@ -103,7 +105,7 @@
                 loop.unlisten(server);
             }
         } catch (IOException e) {
-            LOG.debug("the handover's socket did not close", e);
+            LOG.debug("failed to close handover socket", e);
         }
         server = null;
     }
@@ -116,7 +118,7 @@
         try {
             Files.deleteIfExists(file);
         } catch (IOException e) {
-            LOG.debug("the handover's file stays", e);
+            LOG.debug("failed to delete handover socket file", e);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/lifecycle/ConfigReload.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/ConfigReload.java
@@ -22,13 +22,13 @@
     /** Changes the address of discovery; logs other changes, which wait for a restart. */
     void apply(Config fresh, ServiceComponents components) {
         config.waitingForRestart(fresh)
-                .forEach(key -> LOG.warn("a change of '{}' waits for a restart", key));
+                .forEach(key -> LOG.warn("reload: change of '{}' requires a restart", key));
         if (fresh.discovery().equals(discovery)) {
-            LOG.info("read again: discovery stays {}", discovery);
+            LOG.info("reload: discovery unchanged at {}", discovery);
             return;
         }
         discovery = fresh.discovery();
-        LOG.info("read again: discovery is {} now", discovery);
+        LOG.info("reload: discovery changed to {}", discovery);
         EndpointWatch next = components.newWatch(discovery, EndpointWatch.NO_VERSION);
         components.dispatcher.setWatch(next);
         next.watchUrgently();
--- a/daemon/src/main/java/wheelroute/net/lifecycle/Service.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/Service.java
@@ -180,7 +180,7 @@
                     try {
                         reload.apply(reader.call(), components);
                     } catch (Exception e) {
-                        LOG.warn("the new configuration is not used: {}", e.getMessage());
+                        LOG.warn("reload rejected, configuration unchanged: {}", e.getMessage());
                     }
                 });
     }
@@ -195,7 +195,7 @@
         loop.post(this::beginDrain);
         drained.await();
         if (finalMetrics != null) {
-            LOG.info("at the end\n{}", finalMetrics);
+            LOG.info("final metrics\n{}", finalMetrics);
         }
         loop.stop();
     }
--- a/daemon/src/main/java/wheelroute/net/lifecycle/ServiceComponents.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/ServiceComponents.java
@@ -108,7 +108,7 @@
         } catch (IOException e) {
             throw new ConfigException("admin", "cannot be used: " + e.getMessage());
         }
-        LOG.info("operators call {}:{}", config.admin().getHostString(), server.port());
+        LOG.info("admin server listening on {}:{}", config.admin().getHostString(), server.port());
         return server;
     }
 
--- a/daemon/src/main/java/wheelroute/net/loop/DatagramSocket.java
+++ b/daemon/src/main/java/wheelroute/net/loop/DatagramSocket.java
@@ -68,7 +68,7 @@
         try {
             channel.send(bytes, to);
         } catch (IOException e) {
-            LOG.debug("a datagram did not go", e);
+            LOG.debug("failed to send datagram to {}", to, e);
         }
     }
 
@@ -87,7 +87,7 @@
 
     @Override
     public void onFailed(Throwable cause) {
-        LOG.warn("datagrams cannot be read: {}", cause.toString());
+        LOG.warn("failed to open datagram socket for reading: {}", cause.toString());
     }
 
     private final class Reader extends AbstractConnection {
@@ -117,7 +117,7 @@
                 }
             } catch (IOException e) {
                 // This is how the system reports that an earlier datagram was not delivered.
-                LOG.debug("a datagram did not come", e);
+                LOG.debug("failed to receive datagram", e);
             }
             if (channel.isOpen()) {
                 loop.post(this::fillInterested);
--- a/daemon/src/main/java/wheelroute/net/loop/EventLoop.java
+++ b/daemon/src/main/java/wheelroute/net/loop/EventLoop.java
@@ -153,7 +153,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.warn("an event failed", e);
+            LOG.warn("unexpected exception in event loop task", e);
         }
     }
 
@@ -229,7 +229,7 @@
                 channel.close();
             }
         } catch (IOException e) {
-            LOG.debug("closing a channel that never opened", e);
+            LOG.debug("failed to close unopened channel", e);
         }
     }
 
--- a/daemon/src/main/java/wheelroute/net/loop/ListeningSockets.java
+++ b/daemon/src/main/java/wheelroute/net/loop/ListeningSockets.java
@@ -110,7 +110,7 @@
             }
         } catch (IOException e) {
             // Who waits there has been let in by the system, and is owed an answer.
-            LOG.warn("a connection could not be accepted, the next try follows: {}", e.toString());
+            LOG.warn("failed to accept connection, will retry: {}", e.toString());
             delay = LoopSelectorManager.ACCEPT_RETRY_DELAY;
         }
         if (server.isOpen()) {
@@ -123,7 +123,7 @@
         try {
             manager.accepted(accepted);
         } catch (IOException | RuntimeException e) {
-            LOG.warn("an accepted connection cannot be used: {}", e.toString());
+            LOG.warn("failed to register accepted connection: {}", e.toString());
             EventLoop.close(accepted);
         }
     }
--- a/daemon/src/main/java/wheelroute/net/loop/LoopSelectorManager.java
+++ b/daemon/src/main/java/wheelroute/net/loop/LoopSelectorManager.java
@@ -109,7 +109,7 @@
             return channel;
         } catch (IOException e) {
             // Jetty would close the connection that it accepted before this one in the same pass.
-            LOG.warn("a connection could not be accepted, the next try follows: {}", e.toString());
+            LOG.warn("failed to accept connection, will retry: {}", e.toString());
             pauseAccepting((ServerSocketChannel) server);
             return null;
         }
--- a/daemon/src/main/java/wheelroute/net/peers/MembershipDriver.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipDriver.java
@@ -112,7 +112,7 @@
     @Override
     public void memberChanged(MemberUpdate update, MemberUpdate.State previous, PeerId reportedBy) {
         LOG.info(
-                "{} (number {}) is {}{}, {}",
+                "member {} (port {}) is {}{}, {}",
                 update.id(),
                 update.address().port(),
                 stateName(update.state()),
--- a/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
@@ -98,7 +98,7 @@
     public void begin() {
         // The kit waits for this line and reads the port from it.
         LOG.info(
-                "peers are heard at {}, as number {} of {}",
+                "membership listening on {} as member {} of {}",
                 socket.localAddress(),
                 peering.number(),
                 peering.addresses().size());
@@ -143,7 +143,7 @@
             open();
             begin();
         } catch (IOException e) {
-            LOG.warn("cannot listen for peers again: {}", e.toString());
+            LOG.warn("membership socket not reopened after replacement: {}", e.toString());
         }
     }
 
--- a/daemon/src/main/java/wheelroute/net/peers/PeerSocket.java
+++ b/daemon/src/main/java/wheelroute/net/peers/PeerSocket.java
@@ -118,7 +118,7 @@
             listener.onMessage(message);
         } catch (MalformedMessageException e) {
             malformedCount++;
-            LOG.debug("malformed datagram from {}: {}", from, e.getMessage());
+            LOG.debug("dropped malformed gossip datagram from {}: {}", from, e.getMessage());
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/requests/TurnQueue.java
+++ b/daemon/src/main/java/wheelroute/net/requests/TurnQueue.java
@@ -46,7 +46,7 @@
         try {
             event.run();
         } catch (RuntimeException e) {
-            LOG.warn("a decision failed", e);
+            LOG.warn("unexpected exception in policy event", e);
         }
     }
 }
--- a/daemon/src/test/java/wheelroute/LongListTest.java
+++ b/daemon/src/test/java/wheelroute/LongListTest.java
@@ -54,7 +54,7 @@
                     }
                     assertFalse(served.log().contains("failed"), served.log());
                 } else {
-                    while (!served.log().contains("a call for the list failed")) {
+                    while (!served.log().contains("endpoint watch failed")) {
                         LockSupport.parkNanos(10_000_000);
                     }
                     assertTrue(
--- a/daemon/src/test/java/wheelroute/ServedProcess.java
+++ b/daemon/src/test/java/wheelroute/ServedProcess.java
@@ -17,7 +17,8 @@
 /** A dispatcher in a process of its own, so that a test may stop it, or limit its descriptors. */
 public final class ServedProcess implements AutoCloseable {
     private static final Pattern LISTENING_LINE = Pattern.compile("listens on .*:(\\d+)$");
-    private static final Pattern ADMIN_LINE = Pattern.compile("operators call .*:(\\d+)$");
+    private static final Pattern ADMIN_LINE =
+            Pattern.compile("admin server listening on .*:(\\d+)$");
 
     /** On a busy machine a start takes some seconds. */
     private static final int START_TIMEOUT_SECONDS = 20;
--- a/kit/src/main/java/wheelroute/kit/process/DaemonProcess.java
+++ b/kit/src/main/java/wheelroute/kit/process/DaemonProcess.java
@@ -43,8 +43,10 @@
     }
 
     private static final Pattern LISTENS = Pattern.compile("listens on .*:(\\d+)$");
-    private static final Pattern DOOR = Pattern.compile("operators call .*:(\\d+)$");
-    private static final Pattern PEERS = Pattern.compile("peers are heard at .*:(\\d+), as");
+    private static final Pattern DOOR =
+            Pattern.compile("(?:admin server listening on|operators call) .*:(\\d+)$");
+    private static final Pattern PEERS =
+            Pattern.compile("(?:membership listening on|peers are heard at) .*:(\\d+),? as");
     private static final String JAR = "daemon/target/wheelroute.jar";
     private static final String ARCHIVE = "daemon/target/serve.jsa";
 
