--- a/daemon/src/main/java/wheelroute/decision/ActionHandler.java
+++ b/daemon/src/main/java/wheelroute/decision/ActionHandler.java
@@ -1,35 +1,36 @@
 package wheelroute.decision;
 
 /**
- * Carries out what the policy decides, on whatever protocol. Delays and limits are in seconds.
- * Calls come on the policy's thread, within the event that led to them; an implementation must not
- * call back into the policy before that event's call has returned.
+ * Carries out the decisions of a {@link Policy}. Calls come on the policy's thread, within the
+ * event that led to them; an implementation must not call the policy before that event's call has
+ * returned.
  */
 public interface ActionHandler {
     /**
      * Sends a request to a worker. Attempts of one request are numbered from 0 in the order of
      * these calls.
      *
-     * @param limit how long its answer is waited for; 0 for as long as the request has
+     * @param limitSeconds the time after which the attempt ends without an answer; 0 for the
+     *     request's deadline
      */
-    void startAttempt(Ids.Request request, Ids.Worker worker, double limit);
+    void startAttempt(Ids.Request request, Ids.Worker worker, double limitSeconds);
 
     /**
-     * The final answer that the request never ran, or that a retry does no harm.
+     * Gives the final answer that the request did not run, or that a retry does no harm.
      *
-     * @param retryAfter when a retry may go better; 0 for no advice
+     * @param retryAfterSeconds the time after which a retry may succeed; 0 for no advice
      */
-    void reject(Ids.Request request, double retryAfter);
+    void reject(Ids.Request request, double retryAfterSeconds);
 
-    /** The final answer that the request may have run. */
+    /** Gives the final answer that the request failed and may have run. */
     void fail(Ids.Request request);
 
-    /** Ends an attempt that is in flight; its end is reported like any other. */
+    /** Cancels an attempt in flight; its end is reported like any other. */
     void cancelAttempt(Ids.Request request, int attempt);
 
-    /** Calls {@link Policy#onWakeup} after the delay. */
-    void scheduleWakeup(double delay);
+    /** Schedules a call of {@link Policy#onWakeup} after the delay. */
+    void scheduleWakeup(double delaySeconds);
 
-    /** Asks for the endpoint list and its changes from now on, with what was missed. */
+    /** Starts to watch the endpoint list: its present state, and every change from now on. */
     void watchEndpoints();
 }
--- a/daemon/src/main/java/wheelroute/decision/DispatcherShares.java
+++ b/daemon/src/main/java/wheelroute/decision/DispatcherShares.java
@@ -2,17 +2,19 @@
 
 import wheelroute.decision.slowstart.SlowStartBudget;
 
-/** What this dispatcher may use of what all dispatchers share, at this moment. */
+/** What this dispatcher may use now of the limits that all dispatchers share. */
 public interface DispatcherShares extends SlowStartBudget.Shares {
-    /** The part of another dispatcher's share that may be used here, from 0 to 1; 1 for its own. */
+    /**
+     * Returns the part of a dispatcher's share that may be used here, from 0 to 1; 1 for its own.
+     */
     @Override
     double ofDispatcher(int number);
 
-    /** The part of what all share that may be used here, from 0 to 1. */
+    /** Returns the part of all shares together that may be used here, from 0 to 1. */
     @Override
     double total();
 
-    /** An even division by the settings alone: this dispatcher's own share, and nobody else's. */
+    /** Returns an even division: this dispatcher's own share, and nothing of the others'. */
     static DispatcherShares even(Settings settings) {
         return new DispatcherShares() {
             @Override
--- a/daemon/src/main/java/wheelroute/decision/Endpoint.java
+++ b/daemon/src/main/java/wheelroute/decision/Endpoint.java
@@ -1,11 +1,11 @@
 package wheelroute.decision;
 
 /**
- * One worker as the endpoint list names it.
+ * A worker's entry in the endpoint list.
  *
- * @param weight how much it can do beside the others; no unit
- * @param startedAt when its process last started, in seconds; NaN when that is long past
- * @param cell workers of one cell know each other's idempotency keys
+ * @param weight its capacity relative to that of the others
+ * @param startedAt when its process last started, in seconds; NaN where that is long ago
+ * @param cell workers of one cell recognize each other's idempotency keys
  */
 public record Endpoint(
         Ids.Worker worker,
@@ -15,13 +15,13 @@
         double startedAt,
         Ids.Cell cell,
         State state) {
-    /** Whether the worker takes new requests. */
+    /** Whether the worker accepts new requests. */
     public enum State {
-        /** It takes requests. */
+        /** It accepts requests. */
         READY,
-        /** It finishes what it has and takes nothing new. */
+        /** It completes what it has and accepts nothing new. */
         DRAINING,
-        /** It has left the list. */
+        /** It was removed from the list. */
         REMOVED
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/Idempotency.java
+++ b/daemon/src/main/java/wheelroute/decision/Idempotency.java
@@ -1,11 +1,11 @@
 package wheelroute.decision;
 
-/** What a second run of a request would do. */
+/** Whether a request may run more than once. */
 public enum Idempotency {
-    /** It may run again. */
+    /** It may run any number of times. */
     IDEMPOTENT,
     /**
-     * It carries an idempotency key by which the workers of its scope know a repeat, for a while.
+     * It has an idempotency key, by which the workers of a scope recognize a repeat for a while.
      */
     IDEMPOTENT_BY_KEY,
     /** It must never run twice. */
--- a/daemon/src/main/java/wheelroute/decision/IdempotencyScope.java
+++ b/daemon/src/main/java/wheelroute/decision/IdempotencyScope.java
@@ -1,9 +1,12 @@
 package wheelroute.decision;
 
-/** Which workers know each other's idempotency keys. */
+/** Which workers recognize each other's idempotency keys. */
 public enum IdempotencyScope {
+    /** All workers. */
     ALL,
+    /** Workers of the same zone. */
     ZONE,
+    /** Workers of the same cell. */
     CELL;
 
     /** Whether one of the two workers recognizes a key that the other one has seen. */
--- a/daemon/src/main/java/wheelroute/decision/Ids.java
+++ b/daemon/src/main/java/wheelroute/decision/Ids.java
@@ -1,10 +1,10 @@
 package wheelroute.decision;
 
 /**
- * One type for each kind of id, so that none can stand in for another.
+ * The types of ids, one for each kind.
  *
- * <p>Each defines equality itself: what a record inherits is linked at run time, on the first
- * look-up, which took a sixth of a start's CPU time.
+ * <p>Each defines {@code equals} and {@code hashCode} itself, because those that the compiler
+ * generates for a record are linked on first use, which would slow down the start of the process.
  */
 public final class Ids {
     private Ids() {}
@@ -48,7 +48,7 @@
         }
     }
 
-    /** A tenant, by its name; the empty name stands for all without a quota. */
+    /** A tenant, by its name; the empty name stands for all tenants without a quota. */
     public record Tenant(String name) {
         @Override
         public boolean equals(Object other) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /** What a request is about: its routing key. */
+    /** A routing key, by its name. */
     public record Key(String name) {
         @Override
         public boolean equals(Object other) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /** A model of workers: those of one model are alike. */
+    /** A model of workers, by its name; workers of one model are alike. */
     public record Model(String name) {
         @Override
         public boolean equals(Object other) {
--- a/daemon/src/main/java/wheelroute/decision/LearnedState.java
+++ b/daemon/src/main/java/wheelroute/decision/LearnedState.java
@@ -5,9 +5,8 @@
 import wheelroute.decision.estimates.WorkerStatistics;
 
 /**
- * What a dispatcher has learned, for the process that replaces it. Each array holds triples: a
- * sample's age in seconds, and two figures whose meaning is that of the window they came from (see
- * {@link SampleWindow}).
+ * What a dispatcher has learned, for the process that replaces it. Each array holds the samples of
+ * one {@link SampleWindow} as triples: the age in seconds, and the two figures of that window.
  */
 public record LearnedState(
         Map<Ids.Worker, WorkerSamples> workers,
@@ -16,6 +15,6 @@
     /** Runs, waits and failures of one worker, as in {@link WorkerStatistics}. */
     public record WorkerSamples(double[] runs, double[] waits, double[] failures) {}
 
-    /** Slots of a worker of the model, as far as seen, and the model's runs and waits. */
+    /** The most slots seen at a worker of the model, and the model's runs and waits. */
     public record ModelSamples(int slots, double[] runs, double[] waits) {}
 }
--- a/daemon/src/main/java/wheelroute/decision/LoadReport.java
+++ b/daemon/src/main/java/wheelroute/decision/LoadReport.java
@@ -1,11 +1,11 @@
 package wheelroute.decision;
 
 /**
- * A worker's own figures, late and noisy.
+ * A worker's own report of its load. It may be late and inexact.
  *
- * @param freeSlots NaN where it tells nothing
+ * @param freeSlots NaN where it is not reported
  */
 public record LoadReport(double freeSlots) {
-    /** A report that tells nothing. */
+    /** An empty report. */
     public static final LoadReport NONE = new LoadReport(Double.NaN);
 }
--- a/daemon/src/main/java/wheelroute/decision/Outcome.java
+++ b/daemon/src/main/java/wheelroute/decision/Outcome.java
@@ -6,23 +6,26 @@
     SUCCEEDED(true),
     /** The worker answered that the job failed. */
     FAILED(true),
-    /** The worker refused to begin the job. */
+    /** The worker rejected the job without beginning it. */
     REJECTED(false),
     /** No answer came in time. */
     TIMED_OUT(true),
-    /** No connection to the worker came up, or it broke before the attempt was sent whole. */
+    /** No connection to the worker was made, or it broke before the whole attempt was sent. */
     CONNECT_FAILED(false),
     /** The connection broke after the attempt was sent. */
     CONNECTION_LOST(true),
     /** This dispatcher cancelled it after it was sent. */
     CANCELLED(true),
-    /** It ended before it was sent, for a reason that is not the worker's. */
+    /** It ended before it was sent, for a reason within this dispatcher. */
     NOT_SENT(false),
-    /** It may have run, but the break tells of an old connection and not of its worker. */
+    /**
+     * An idle connection broke as the attempt was sent: it may have run, and the worker is not at
+     * fault.
+     */
     STALE_CONNECTION(true),
-    /** The worker finds fault with the request itself, as any other worker would. */
+    /** The worker answered that the request is invalid, as any other worker would. */
     INVALID_REQUEST(true),
-    /** An outcome that this version has no name for; to be safe it counts as run. */
+    /** An outcome that this version does not know; the job may have run. */
     UNKNOWN(true);
 
     private final boolean mayHaveRun;
@@ -31,12 +34,12 @@
         this.mayHaveRun = mayHaveRun;
     }
 
-    /** False only where it is certain that the job never began. */
+    /** Whether the job may have run: false only where it certainly never began. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Whether the job may still be running: nobody has said that it ended. */
+    /** Whether the job may still be running, as the worker did not report its end. */
     public boolean mayStillRun() {
         return switch (this) {
             case TIMED_OUT, CONNECTION_LOST, CANCELLED, STALE_CONNECTION, UNKNOWN -> true;
--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -1,154 +1,117 @@
 package wheelroute.decision;
 
 import java.util.List;
-import wheelroute.decision.admission.Admission;
-import wheelroute.decision.endpoints.EndpointUpdates;
-import wheelroute.decision.estimates.AttemptMeasurements;
-import wheelroute.decision.health.OutlierEjection;
-import wheelroute.decision.health.SilenceDetector;
-import wheelroute.decision.health.SweepTimer;
-import wheelroute.decision.order.KeyQueues;
-import wheelroute.decision.retry.RetryRules;
-import wheelroute.decision.routing.AdmittanceCost;
-import wheelroute.decision.routing.RequestPlacer;
-import wheelroute.decision.routing.WorkerSelector;
-import wheelroute.decision.slowstart.SlowStart;
 import wheelroute.decision.state.DispatcherState;
-import wheelroute.decision.state.LearnedStateTransfer;
 import wheelroute.decision.state.RequestClassState;
 import wheelroute.decision.state.TrackedRequest;
 import wheelroute.decision.state.WorkerState;
 
 /**
- * All decisions of one dispatcher: which worker gets each request, whether it is tried again, and
- * what is rejected. This class takes the events in; each concern is decided in a class of its own:
+ * All decisions of one dispatcher. Each event is passed on to the class that decides; the package's
+ * documentation lists them.
  *
- * <ul>
- *   <li>{@link WorkerSelector} chooses among candidates by {@link AdmittanceCost};
- *   <li>{@link Admission} rejects what would wait too long, and keeps tenants and classes fair;
- *   <li>{@link RetryRules} allows or forbids a further attempt;
- *   <li>{@link OutlierEjection} and {@link SlowStart} keep requests from workers that fail or warm
- *       up;
- *   <li>{@link SilenceDetector} retries and hedges what a silent or removed worker holds;
- *   <li>{@link KeyQueues} keeps the order of requests of one key.
- * </ul>
- *
- * <p>{@link #advanceTo} gives the time before each event. It acts through {@link ActionHandler}
- * only. One thread, no clock, no I/O: the same events give the same actions.
- *
- * <p>The mechanism is the first policy iteration rule of Hyytiä and Aalto, "To Split or not to
- * Split", section 4.1; docs/design.md tells what was kept of it, what was changed, and when each
- * exception acts.
+ * <p>{@link #advanceTo} sets the time before each event, and the {@link ActionHandler} carries the
+ * decisions out. Not thread-safe; without clock and I/O, so that the same events always lead to the
+ * same actions.
  */
 public final class Policy {
+    private final Settings settings;
+    private final DecisionComponents parts;
     private final DispatcherState state;
-    private final SilenceDetector silence;
-    private final EndpointUpdates endpoints;
-    private final RequestPlacer placer;
-    private final AttemptMeasurements measurements;
-    private final OutlierEjection ejection;
-    private final LearnedStateTransfer transfer;
-    private final KeyQueues keyQueues;
-    private final SweepTimer sweeps;
 
     /**
-     * Asks for the endpoint list's changes at once where the settings say that they must be asked
-     * for.
+     * Creates the decisions of a dispatcher, and starts the endpoint watch if there is to be one.
      */
     public Policy(Settings settings, ActionHandler actions) {
-        state = new DispatcherState(settings, actions);
-        sweeps = new SweepTimer(state);
-        RetryRules retryRules = new RetryRules(state);
-        ejection = new OutlierEjection(state, retryRules);
-        WorkerSelector selector = new WorkerSelector(state, retryRules, ejection);
-        placer = new RequestPlacer(state, selector, retryRules, sweeps);
-        keyQueues = placer.keyQueues();
-        silence = new SilenceDetector(state, placer, selector, ejection);
-        endpoints = new EndpointUpdates(state, ejection);
-        measurements = new AttemptMeasurements(state);
-        transfer = new LearnedStateTransfer(state, ejection);
+        this.settings = settings;
+        parts = DecisionComponents.create(settings, actions);
+        state = parts.state();
         if (settings.watchesEndpoints()) {
             actions.watchEndpoints();
         }
     }
 
-    /** The time, in seconds, of the events that follow. */
+    /** Sets the time, in seconds, of the events that follow. */
     public void advanceTo(double time) {
-        state.setNow(time);
+        state.clock().advanceTo(time);
     }
 
-    /** The delay of a {@link ActionHandler#scheduleWakeup} is over. */
+    /** Handles the end of the delay of a {@link ActionHandler#scheduleWakeup}. */
     public void onWakeup() {
-        keyQueues.advanceAll();
-        if (sweeps.begin()) {
-            silence.sweep();
-            sweeps.schedule();
+        parts.keyQueues().advanceAll();
+        if (parts.sweeps().begin()) {
+            parts.detector().sweep();
+            scheduleSweep();
+        }
+    }
+
+    private void scheduleSweep() {
+        if (!state.workers().busy().isEmpty() || !state.keyQueues().isEmpty()) {
+            parts.sweeps().schedule();
         }
     }
 
     /**
-     * The endpoint list or a change of it.
+     * Handles the endpoint list or a change of it.
      *
-     * @param complete whoever is not among the endpoints has left the list
+     * @param complete workers that are not among the endpoints were removed
      */
     public void onEndpoints(List<Endpoint> changed, boolean complete) {
-        for (WorkerState worker : endpoints.apply(changed, complete)) {
-            silence.retryElsewhere(worker, !worker.isUnlisted(), attempt -> true);
+        for (WorkerState worker : parts.endpointUpdates().apply(changed, complete)) {
+            if (worker.isUnlisted()) {
+                // The list may be wrong about it, so that its attempts may still be running.
+                parts.replacer().replaceWithinBudget(worker, attempt -> true);
+            } else {
+                parts.replacer().replaceLost(worker);
+            }
         }
         state.workers().forgetRemoved();
     }
 
-    /** Discovery has answered: the list is what it has now, changed or not. */
+    /** Handles an answer of discovery, which confirms the endpoint list even if nothing changed. */
     public void onEndpointsConfirmed() {
-        state.endpointLease().renew(state.now());
+        state.endpointLease().renew(state.clock().now());
     }
 
-    /** Discovery is up and overloaded, and has not answered this dispatcher since it was. */
+    /** Records that discovery is overloaded: it answers others, but not this dispatcher. */
     public void onDiscoveryOverloaded() {
         state.endpointLease().onOverload();
     }
 
-    /** Whether the list is unconfirmed for so long that no worker may be sent to. */
+    /** Whether the endpoint list is unconfirmed for so long that no worker may be sent to. */
     public boolean isEndpointLeaseExpired() {
-        return state.endpointLease().isExpired(state.now());
+        return state.endpointLease().isExpired(state.clock().now());
     }
 
-    /** What this dispatcher may use of what all share, from here on; an even division before. */
+    /** Sets what this dispatcher may use of the shared limits; they are divided evenly before. */
     public void setShares(DispatcherShares shares) {
-        state.setShares(shares);
+        state.dispatchers().setShares(shares);
     }
 
     /**
-     * How many processes are this one dispatcher, while one replaces another: each has its part of
-     * the traffic and of what is shared.
+     * Sets how many processes act as this one dispatcher, while one replaces another: each is taken
+     * to get an equal part of the traffic and of the shared limits.
      */
     public void setProcessCount(int count) {
-        state.setProcessCount(count);
+        state.dispatchers().setProcessCount(count);
     }
 
-    /** What was learned so far, for a process that is to go on where this one is. */
+    /** Returns what was learned so far, for a successor process. */
     public LearnedState exportState() {
-        return transfer.exportState();
+        return parts.transfer().exportState();
     }
 
     /**
-     * Takes over what another process had learned: before any request is accepted, and after the
-     * endpoint list. Workers, models and classes that are unknown here are skipped.
+     * Takes over what a predecessor process has learned. To be called after the endpoint list is
+     * known and before any request is accepted. Unknown workers, models and classes are skipped.
      */
     public void importState(LearnedState learned) {
-        transfer.importState(learned);
+        parts.transfer().importState(learned);
     }
 
-    /** Listed workers that get no ordinary requests now: draining, backing off, or ejected. */
+    /** Returns the number of listed workers that are draining, backing off or ejected. */
     public int avoidedEndpoints() {
-        return (int) state.workers().all().stream().filter(this::isAvoided).count();
-    }
-
-    private boolean isAvoided(WorkerState worker) {
-        return worker.isListed()
-                && (!worker.isReady()
-                        || worker.health().isEjected()
-                        || worker.health().isBackingOff(state.now()));
+        return state.workers().avoidedCount(state.clock().now());
     }
 
     /**
@@ -161,32 +124,31 @@
         if (requestClass == null) {
             return null;
         }
-        boolean queued = requestClass.settings().ordered() && request.key() != null;
-        TrackedRequest tracked =
-                new TrackedRequest(
-                        request,
-                        requestClass,
-                        state.now(),
-                        request.key() == null ? null : state.affinity().forKey(request.key()),
-                        queued ? keyQueues.forKey(request.key()) : null);
-        state.traffic().noteFirst(state.now());
+        TrackedRequest tracked = track(request, requestClass);
+        state.traffic().noteFirst(tracked.acceptedAt());
         if (!request.clientRetry()) {
-            // A client's retry is no further load and no further use of a quota; counted, a
-            // rejection
-            // would raise the rate that leads to rejections.
-            state.traffic().record(state.now(), tracked, hasQuota(request.tenant()));
+            // A client's retry is not counted as load or use of a quota: counted, rejections would
+            // raise the rates that lead to rejections.
+            state.traffic().record(tracked, settings.hasQuota(request.tenant()));
         }
-        silence.earnHedge();
+        parts.hedgingBudget().onRequestAccepted();
         if (tracked.queue() != null) {
-            keyQueues.add(tracked);
-            sweeps.schedule();
+            parts.keyQueues().add(tracked);
+            scheduleSweep();
         } else {
-            placer.place(tracked);
+            parts.placer().place(tracked);
         }
-        return new RequestEvents(state, tracked, placer, measurements, ejection);
+        return new RequestEvents(tracked, parts);
     }
 
-    private boolean hasQuota(Ids.Tenant tenant) {
-        return state.settings().quotas().getOrDefault(tenant, 0.0) > 0;
+    private TrackedRequest track(Request request, RequestClassState requestClass) {
+        double now = state.clock().now();
+        Ids.Key key = request.key();
+        if (key == null) {
+            return new TrackedRequest(request, requestClass, now, null, null);
+        }
+        var affinity = state.affinity().forKey(key);
+        var queue = requestClass.settings().ordered() ? state.keyQueues().getOrCreate(key) : null;
+        return new TrackedRequest(request, requestClass, now, affinity, queue);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/Request.java
+++ b/daemon/src/main/java/wheelroute/decision/Request.java
@@ -1,13 +1,14 @@
 package wheelroute.decision;
 
 /**
- * What a client asks for.
+ * A client's request.
  *
- * @param deadline the moment, in seconds, at which the client gives up
- * @param estimatedWork work on a standard core, in seconds; NaN without a valid estimate
- * @param slots of a worker that it takes; below 1 counts as 1
- * @param clientRetry the client says that it has asked before
- * @param key what it is about; null without one
+ * @param deadline the time, in seconds, after which the client does not wait any more
+ * @param estimatedWork the client's estimate, in seconds on a standard core; NaN without a valid
+ *     one
+ * @param slots of a worker that it needs; less than 1 counts as 1
+ * @param clientRetry the client marks it as a retry
+ * @param key the routing key; null without one
  */
 public record Request(
         Ids.Request id,
--- a/daemon/src/main/java/wheelroute/decision/RequestEvents.java
+++ b/daemon/src/main/java/wheelroute/decision/RequestEvents.java
@@ -1,31 +1,16 @@
 package wheelroute.decision;
 
-import wheelroute.decision.estimates.AttemptMeasurements;
-import wheelroute.decision.health.OutlierEjection;
-import wheelroute.decision.routing.RequestPlacer;
 import wheelroute.decision.state.Attempt;
-import wheelroute.decision.state.DispatcherState;
 import wheelroute.decision.state.TrackedRequest;
 
-/** What each event of one request brings about. */
+/** Passes each event of one request on to the parts that measure, judge the worker, and decide. */
 final class RequestEvents implements RequestHandle {
-    private final DispatcherState state;
     private final TrackedRequest request;
-    private final RequestPlacer placer;
-    private final AttemptMeasurements measurements;
-    private final OutlierEjection ejection;
+    private final DecisionComponents parts;
 
-    RequestEvents(
-            DispatcherState state,
-            TrackedRequest request,
-            RequestPlacer placer,
-            AttemptMeasurements measurements,
-            OutlierEjection ejection) {
-        this.state = state;
+    RequestEvents(TrackedRequest request, DecisionComponents parts) {
         this.request = request;
-        this.placer = placer;
-        this.measurements = measurements;
-        this.ejection = ejection;
+        this.parts = parts;
     }
 
     @Override
@@ -36,14 +21,15 @@
     @Override
     public void onClientGone() {
         request.finish();
-        placer.cancelAttempts(request);
-        placer.keyQueues().leave(request);
+        parts.sender().cancelAll(request);
+        parts.keyQueues().removeIfComplete(request);
     }
 
     @Override
     public void onDeadline() {
         if (!request.isDone() && !request.hasInFlight()) {
-            placer.giveUp(request, 0);
+            parts.placer().rejectOrFail(request, 0);
+            parts.keyQueues().removeIfComplete(request);
         }
     }
 
@@ -51,7 +37,7 @@
     public void onStarted(int number) {
         Attempt attempt = request.attempt(number);
         if (attempt != null && attempt.isInFlight()) {
-            measurements.recordStart(attempt, state.now());
+            parts.measurements().recordStart(attempt);
         }
     }
 
@@ -59,7 +45,7 @@
     public void onProgress(int number, double share) {
         Attempt attempt = request.attempt(number);
         if (attempt != null && attempt.isInFlight() && share > 0) {
-            measurements.recordProgress(attempt, share);
+            parts.measurements().recordProgress(attempt, share);
         }
     }
 
@@ -68,7 +54,7 @@
         Attempt attempt = request.attempt(number);
         if (attempt != null) {
             request.markStreaming();
-            attempt.worker.health().heard(state.now());
+            parts.measurements().recordStreaming(attempt);
         }
     }
 
@@ -79,23 +65,19 @@
             return;
         }
         request.end(attempt, outcome);
-        state.workers().remove(attempt);
-        attempt.worker.estimates().noteReport(report);
-        if (outcome == Outcome.SUCCEEDED) {
-            measurements.recordSuccess(attempt);
-        }
-        ejection.onOutcome(attempt.worker, outcome);
-        measurements.recordRetry(attempt);
+        parts.state().workers().remove(attempt);
+        parts.measurements().recordEnd(attempt, report);
+        parts.ejection().onOutcome(attempt.worker, outcome);
+        // Before the outcome is noted: a retry is one of a request that had failed before.
+        parts.measurements().recordRetry(attempt);
         request.noteOutcome(outcome);
-        if (outcome.mayStillRun()) {
-            request.keepKeyQuietUntil(state.now() + state.settings().keyQuietPeriodSeconds());
-        }
+        parts.keyQueues().onOutcome(request, outcome);
         if (answered || outcome == Outcome.SUCCEEDED) {
             request.finish();
-            placer.cancelAttempts(request);
+            parts.sender().cancelAll(request);
         } else if (!request.isDone()) {
-            placer.place(request);
+            parts.placer().place(request);
         }
-        placer.keyQueues().leave(request);
+        parts.keyQueues().removeIfComplete(request);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/RequestHandle.java
+++ b/daemon/src/main/java/wheelroute/decision/RequestHandle.java
@@ -1,45 +1,45 @@
 package wheelroute.decision;
 
 /**
- * One accepted request, from {@link Policy#accept} until its last attempt has ended. Every event
- * that concerns the request is reported here by whoever drives the policy.
+ * One accepted request, from {@link Policy#accept} until its last attempt has ended. Whoever drives
+ * the policy reports every event of the request here.
  *
- * <p>Like the policy it belongs to one thread, and {@link Policy#advanceTo} precedes each call.
- * Attempts are numbered from 0 in the order of {@link ActionHandler#startAttempt}; numbers that
- * were never given are ignored.
+ * <p>Not thread-safe, like the policy; {@link Policy#advanceTo} precedes each call. Attempts are
+ * numbered from 0 in the order of {@link ActionHandler#startAttempt}; unknown numbers are ignored.
  */
 public interface RequestHandle {
-    /** Whether the request has its final answer and no attempt of it is in flight any more. */
+    /** Whether the request needs no answer any more and no attempt of it is in flight. */
     boolean isComplete();
 
-    /** The client left, or it has its answer already: nothing more is decided for this request. */
+    /**
+     * Handles that the client is gone or has its answer: nothing more is decided for the request.
+     */
     void onClientGone();
 
-    /** The deadline has come. A request with no attempt in flight is rejected or failed at once. */
+    /** Handles the deadline: a request with no attempt in flight is rejected or failed at once. */
     void onDeadline();
 
     /**
-     * The worker says that it has begun an attempt; only where the settings say that starts are
-     * told.
+     * Handles a worker's report that it has begun an attempt; see {@link Settings#reportsStart}.
      */
     void onStarted(int attempt);
 
     /**
-     * The worker tells how far an attempt is.
+     * Handles a worker's report of progress.
      *
      * @param share the part of the work that is done, from 0 to 1; 0 and less is ignored
      */
     void onProgress(int attempt, double share);
 
-    /** The first part of a result has gone to the client: no other attempt may answer any more. */
+    /** Handles that the first part of a result was sent: no other attempt may answer any more. */
     void onStreaming(int attempt);
 
     /**
-     * An attempt ended. The policy may start another one, or answer the request, before this
-     * returns.
+     * Handles the end of an attempt. Before this returns, the policy may start another one or
+     * answer the request.
      *
      * @param answered whether the request has its final answer, by this attempt or before it
-     * @param report the worker's load, {@link LoadReport#NONE} where it told nothing
+     * @param report the worker's load, {@link LoadReport#NONE} where it reported nothing
      */
     void onEnded(int attempt, Outcome outcome, boolean answered, LoadReport report);
 }
--- a/daemon/src/main/java/wheelroute/decision/admission/Admission.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/Admission.java
@@ -1,105 +1,92 @@
 package wheelroute.decision.admission;
 
+import java.util.Collection;
 import wheelroute.decision.Ids;
 import wheelroute.decision.Settings;
-import wheelroute.decision.estimates.WorkerEstimates;
-import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.estimates.CacheMissCost;
+import wheelroute.decision.estimates.Candidate;
+import wheelroute.decision.estimates.TrafficStatistics;
+import wheelroute.decision.state.DecisionClock;
 import wheelroute.decision.state.RequestClassState;
 import wheelroute.decision.state.TrackedRequest;
-import wheelroute.decision.state.WorkerState;
 
 /**
- * How long a request may wait for a worker before it is rejected: by its latency objective, by what
- * the least patient class bears, and by how far its tenant is past its quota.
+ * How long a request may wait for a worker before it is rejected: by its own latency objective, by
+ * that of the class that can wait least, and by how far its tenant exceeds its quota.
  */
-public final class Admission {
-    /**
-     * A rejection needs evidence this fresh, in seconds: queues can empty faster than old waits
-     * fade.
-     */
-    public static final double EVIDENCE_MEMORY = 1.5;
-
-    /** A wait of this fraction of the latency objective is borne in any case. */
-    private static final double ALWAYS_BORNE = 0.5;
-
-    private final DispatcherState state;
+public record Admission(
+        DecisionClock clock,
+        Settings settings,
+        Collection<RequestClassState> requestClasses,
+        TrafficStatistics traffic,
+        CacheMissCost cacheMissCost) {
+    /** However long a request runs, it may wait at least this part of its latency objective. */
+    private static final double MIN_WAIT_FRACTION = 0.5;
 
-    /**
-     * What bounds the wait of one request besides its own objective.
-     *
-     * @param shared seconds that the least patient class would bear for this request's value
-     * @param fairness factor for the tenant: below 1 where it is past its quota, above 1 beside
-     *     such
-     */
-    public record Bounds(double shared, double fairness) {}
-
-    /** Creates the rule over the state of one dispatcher. */
-    public Admission(DispatcherState state) {
-        this.state = state;
-    }
-
-    /** Returns what bounds the wait of this request, whichever worker it goes to. */
-    public Bounds boundsFor(TrackedRequest request) {
-        // What the least patient class bears, a unit of value: none may fill queues past it.
-        double least =
-                state.requestClasses().values().stream()
-                        .mapToDouble(Admission::patience)
-                        .min()
-                        .orElse(0);
-        return new Bounds(least * Math.sqrt(request.value()), fairness(request.request().tenant()));
+    /** Returns the limits on this request's wait that hold at every worker. */
+    public SharedLimits sharedLimitsFor(TrackedRequest request) {
+        // Classes with long objectives must not fill the queues in which the others then starve.
+        var maxWaits = requestClasses.stream().mapToDouble(Admission::maxWaitPerWeight);
+        double least = maxWaits.min().orElse(0);
+        return new SharedLimits(
+                least * Math.sqrt(request.value()), fairnessFactor(request.request().tenant()));
     }
 
     /**
-     * Whether the request would wait too long at this worker.
+     * Returns whether the request may wait at this worker.
      *
-     * @param fraction of what is borne that it may wait
+     * @param fraction the part of the maximum wait that is allowed here
      */
-    public boolean isHopeless(
-            TrackedRequest request, WorkerState worker, double fraction, Bounds bounds) {
-        WorkerEstimates estimates = worker.estimates();
+    public AdmissionDecision decide(
+            TrackedRequest request, Candidate candidate, double fraction, SharedLimits limits) {
+        double now = clock.now();
         double wait =
-                estimates.ownWait()
-                        + estimates.externalWait(
-                                EVIDENCE_MEMORY, worker.model().recentExternalWait())
-                        + state.cacheMissCost().expectedSeconds(worker.affinityRank());
-        // Waiting is what a rejection spares: that a job looks too long is only a rough estimate's
-        // word.
-        double borne =
-                borne(request.requestClass(), request.work(), request.work() / estimates.speed());
-        if (wait > fraction * Math.min(borne, bounds.shared()) * bounds.fairness()) {
-            return true;
+                candidate.ownWaitSeconds()
+                        + candidate.worker().estimates().recentExternalWait(now)
+                        + cacheMissCost.expectedSeconds(candidate.affinityRank());
+        // The expected run counts against the maximum only in part: it is a rough estimate, and a
+        // rejection cannot shorten it.
+        double run = request.work() / candidate.speed();
+        double maxWait = maxWaitSeconds(request.requestClass(), request.work(), run);
+        if (wait
+                > fraction * Math.min(maxWait, limits.maxWaitSeconds()) * limits.fairnessFactor()) {
+            return AdmissionDecision.WAIT_TOO_LONG;
         }
-        // What it waited in its key's queue filled no worker's queue, but that time is gone as
-        // well.
-        return request.queue() != null && state.now() - request.acceptedAt() + wait > borne;
+        // Time in the queue of a key fills no worker's queue, so only its own objective limits it.
+        if (request.queue() != null && now - request.acceptedAt() + wait > maxWait) {
+            return AdmissionDecision.QUEUED_TOO_LONG;
+        }
+        return AdmissionDecision.ADMITTED;
     }
 
-    /** Seconds of waiting that a request of so much work, which runs so long, may bear. */
-    public static double borne(RequestClassState requestClass, double work, double run) {
+    /** Returns how long a request of so much work, which runs for so long, may wait in all. */
+    public static double maxWaitSeconds(
+            RequestClassState requestClass, double work, double runSeconds) {
         double objective = requestClass.settings().latencyObjectiveSecondsFor(work);
-        return Math.max(objective - run, ALWAYS_BORNE * objective);
+        return Math.max(objective - runSeconds, MIN_WAIT_FRACTION * objective);
     }
 
-    /** Patient classes must not fill an overload's queues, where the others then starve. */
-    private static double patience(RequestClassState requestClass) {
+    private static double maxWaitPerWeight(RequestClassState requestClass) {
         double work = requestClass.estimates().meanWork();
-        return borne(requestClass, work, work) / Math.sqrt(requestClass.value());
+        return maxWaitSeconds(requestClass, work, work) / Math.sqrt(requestClass.value());
     }
 
-    /** A tenant far past its quota must not crowd out others: it bears less, and they bear all. */
-    private double fairness(Ids.Tenant tenant) {
-        double use = state.traffic().tenants().contains(tenant) ? use(tenant) : 0;
-        double least = state.traffic().tenants().stream().mapToDouble(this::use).min().orElse(use);
-        return use > 1 ? Math.max(Math.sqrt(state.settings().overQuotaValue()), least / use) : 1;
+    /**
+     * A tenant beyond its quota must not crowd out the others: its requests wait less, in
+     * proportion to how much more of its quota it uses than the tenant that uses least.
+     */
+    private double fairnessFactor(Ids.Tenant tenant) {
+        double use = traffic.tenants().contains(tenant) ? quotaUse(tenant) : 0;
+        double least = traffic.tenants().stream().mapToDouble(this::quotaUse).min().orElse(use);
+        return use > 1 ? Math.max(Math.sqrt(settings.overQuotaValue()), least / use) : 1;
     }
 
     /**
-     * How many times its quota a tenant uses, if all dispatchers have its traffic as this one does.
+     * Returns the multiple of its quota that a tenant uses, if all dispatchers get as much of it.
      */
-    private double use(Ids.Tenant tenant) {
-        Settings settings = state.settings();
+    private double quotaUse(Ids.Tenant tenant) {
         return settings.dispatchers()
-                * state.traffic().rate(tenant, state.now())
+                * traffic.rate(tenant, clock.now())
                 / settings.quotas().get(tenant);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
+++ b/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
@@ -6,34 +6,56 @@
 import wheelroute.decision.Ids;
 import wheelroute.decision.estimates.ModelStatistics;
 import wheelroute.decision.health.OutlierEjection;
-import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.routing.KeyAffinity;
+import wheelroute.decision.state.DecisionClock;
+import wheelroute.decision.state.RandomDraws;
 import wheelroute.decision.state.WorkerState;
 import wheelroute.decision.state.WorkerTable;
 
 /** Brings the state of workers in line with the endpoint list and its changes. */
 public final class EndpointUpdates {
-    private static final double MILLIS = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
 
-    private final DispatcherState state;
+    private final DecisionClock clock;
+    private final Ids.Zone zone;
+    private final WorkerTable workers;
+    private final KeyAffinity<WorkerState> affinity;
+    private final RandomDraws random;
     private final OutlierEjection ejection;
 
-    /** Creates the handler of endpoint list changes for one dispatcher. */
-    public EndpointUpdates(DispatcherState state, OutlierEjection ejection) {
-        this.state = state;
+    /**
+     * Creates the handler of endpoint list changes for one dispatcher.
+     *
+     * @param zone of the dispatcher
+     */
+    public EndpointUpdates(
+            DecisionClock clock,
+            Ids.Zone zone,
+            WorkerTable workers,
+            KeyAffinity<WorkerState> affinity,
+            RandomDraws random,
+            OutlierEjection ejection) {
+        this.clock = clock;
+        this.zone = zone;
+        this.workers = workers;
+        this.affinity = affinity;
+        this.random = random;
         this.ejection = ejection;
     }
 
     /**
-     * Returns the workers whose attempts in flight are lost: they were removed, or started anew.
+     * Applies a change of the list.
+     *
+     * @param complete workers that are not among the endpoints are removed
+     * @return the workers whose attempts in flight are lost: they were removed, or have restarted
      */
     public List<WorkerState> apply(List<Endpoint> endpoints, boolean complete) {
-        WorkerTable workers = state.workers();
         if (complete) {
             workers.all().forEach(WorkerState::clearListed);
         }
         List<WorkerState> lost = new ArrayList<>();
         for (Endpoint endpoint : endpoints) {
-            WorkerState worker = workers.byId().computeIfAbsent(endpoint.worker(), this::newWorker);
+            WorkerState worker = workers.getOrCreate(endpoint.worker());
             if (update(worker, endpoint)) {
                 lost.add(worker);
             }
@@ -47,38 +69,35 @@
             }
             countReady(worker);
         }
-        state.affinity().setFleet(workers.ready());
+        affinity.setFleet(workers.ready());
         return lost;
     }
 
-    private WorkerState newWorker(Ids.Worker id) {
-        return new WorkerState(id, state, OutlierEjection.FIRST_TRIAL_DELAY);
-    }
-
     private void countReady(WorkerState worker) {
         if (worker.isReady()) {
-            state.workers().ready().add(worker);
+            workers.ready().add(worker);
         }
-        boolean warm = worker.isReady() && worker.estimates().warmth(state.now()) >= 1;
+        boolean warm = worker.isReady() && worker.estimates().rampFraction(clock.now()) >= 1;
         worker.setWarm(warm);
         if (warm) {
             worker.model().countWarmWorker();
         }
     }
 
-    /** Returns whether attempts in flight there are lost: it was removed, or is a new process. */
+    /** Returns whether attempts in flight there are lost: it was removed, or has restarted. */
     private boolean update(WorkerState worker, Endpoint endpoint) {
         Endpoint before = worker.endpoint();
         boolean restarted =
                 before != null
                         && endpoint.startedAt() > 0
                         && !(endpoint.startedAt() <= before.startedAt());
-        boolean inSameZone = endpoint.zone().equals(state.settings().zone());
-        worker.list(endpoint, state.workers().model(endpoint.model()), inSameZone);
-        // By start and cell, so that turns differ for workers that start in the same moment.
+        boolean inSameZone = endpoint.zone().equals(zone);
+        worker.list(endpoint, workers.model(endpoint.model()), inSameZone);
+        // From start and cell, so that workers that start at the same time get different turns.
         double draw =
-                state.random()
-                        .draw(Math.round(endpoint.startedAt() * MILLIS), endpoint.cell().value());
+                random.draw(
+                        Math.round(endpoint.startedAt() * MILLIS_PER_SECOND),
+                        endpoint.cell().value());
         worker.slowStartBudget().onWorkerStarted(endpoint.startedAt(), draw);
         boolean removed = endpoint.state() == Endpoint.State.REMOVED;
         if (removed) {
@@ -88,9 +107,9 @@
             worker.setUnlisted(false);
         }
         if (restarted) {
-            // A new process keeps neither the speed nor the faults of the old one.
+            // The new process is judged neither by the speed nor by the faults of the old one.
             worker.statistics().clear();
-            worker.health().restarted();
+            worker.health().recordRestart();
         }
         return restarted || removed;
     }
--- a/daemon/src/main/java/wheelroute/decision/estimates/CacheMissCost.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/CacheMissCost.java
@@ -3,25 +3,30 @@
 import wheelroute.decision.routing.KeyAffinity;
 
 /**
- * How much longer a job runs where what its key needs is not cached: measured apart for each rank
- * of a key's preferred workers, and for all other workers. Where keys mean nothing the cost comes
- * out as 0.
+ * How much longer a job runs where the data of its key is not cached: measured separately for each
+ * rank of a key's preferred workers, and for all other workers. It is learned to be 0 where the
+ * runs do not depend on the key.
  */
 public final class CacheMissCost {
     private static final int SAMPLE_COUNT = 64;
 
-    /** A fetch is taken to cost this part of a mean job until enough runs have shown its cost. */
+    /** Until enough runs are measured, a miss is taken to cost this part of a mean job. */
     private static final double PRIOR_COST = 0.25;
 
     private static final double PRIOR_RUNS = 2;
 
-    /** A fetch does not depend on the job: short jobs show it best, but none may outweigh all. */
+    /**
+     * Short jobs weigh more, as a miss takes the same time for any job and shows best in them;
+     * below this part of the mean work the weight grows no further.
+     */
     private static final double MIN_WORK_FRACTION = 0.125;
 
-    /** Pairs of a run's excess and 1, both weighted by the inverse square of its work. */
+    /**
+     * For each rank, the excess of each run and 1, both weighted by the inverse square of its work.
+     */
     private final SampleWindow[] excess = new SampleWindow[KeyAffinity.PREFERRED_COUNT + 1];
 
-    private final double[] expected = new double[excess.length];
+    private final double[] expectedSeconds = new double[excess.length];
     private double meanWork = 1;
 
     /** Creates estimates without any measured run. */
@@ -45,34 +50,36 @@
                 1 / (weightedWork * weightedWork));
     }
 
-    /** Works out the means, for the choice that follows. */
+    /** Computes the expected costs, which then stay the same until the next choice of a worker. */
     public void update(double newMeanWork) {
         meanWork = newMeanWork;
         double prior = PRIOR_RUNS / (meanWork * meanWork);
-        for (int i = expected.length - 1; i >= 0; i--) {
+        for (int i = expectedSeconds.length - 1; i >= 0; i--) {
             double guess = PRIOR_COST * meanWork * i / KeyAffinity.PREFERRED_COUNT;
-            expected[i] =
+            expectedSeconds[i] =
                     Math.max(
                             0,
                             (guess * prior + excess[i].sumOfFirst())
                                     / (prior + excess[i].sumOfSecond()));
-            // What is cached at a later rank is cached at an earlier one; else a first guess could
-            // last for ever.
-            expected[i] =
+            // Workers of a lower rank have the data at least as often. Without this bound a prior
+            // that is too high might never be corrected, as its workers would get no requests.
+            expectedSeconds[i] =
                     i == KeyAffinity.PREFERRED_COUNT
-                            ? expected[i]
-                            : Math.min(expected[i], expected[i + 1]);
+                            ? expectedSeconds[i]
+                            : Math.min(expectedSeconds[i], expectedSeconds[i + 1]);
         }
     }
 
-    /** Seconds by which a run at a worker of this rank is expected to take longer. */
+    /** Returns the seconds by which a run at a worker of this rank is expected to take longer. */
     public double expectedSeconds(int rank) {
-        return rank == KeyAffinity.CACHED ? 0 : expected[rank];
+        return rank == KeyAffinity.CACHED ? 0 : expectedSeconds[rank];
     }
 
-    /** The part of the runs at a worker of this rank that are expected to fetch. */
+    /** Returns the expected part of the runs at a worker of this rank that miss the cache. */
     public double missProbability(int rank) {
-        double time = expectedSeconds(rank);
-        return time == 0 ? 0 : time / Math.max(time, expected[KeyAffinity.PREFERRED_COUNT]);
+        double seconds = expectedSeconds(rank);
+        return seconds == 0
+                ? 0
+                : seconds / Math.max(seconds, expectedSeconds[KeyAffinity.PREFERRED_COUNT]);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/estimates/CostEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/CostEstimates.java
@@ -1,16 +1,16 @@
 package wheelroute.decision.estimates;
 
 /**
- * What the cost estimates of one request class were worth lately: the clients' estimates of a
- * request's work against the work that the same requests turned out to be.
+ * Corrects the clients' cost estimates of one request class, by comparing earlier estimates with
+ * the work that the same requests turned out to be.
  */
 public final class CostEstimates {
-    /** Well-estimated requests that estimates are taken to have behind them. */
+    /** Weight of the prior that estimates are right, in samples. */
     private static final double PRIOR_SAMPLES = 4;
 
     private static final double DEFAULT_WORK = 1;
 
-    /** Pairs of the logarithms of an estimate and of the work that the request turned out to be. */
+    /** The logarithms of an estimate and of the work that the request turned out to be. */
     private final SampleWindow logPairs;
 
     private final SampleWindow estimates;
@@ -30,12 +30,12 @@
     }
 
     /**
-     * The expected work of a request: its estimate, drawn to its class's mean as far as estimates
-     * lately misled; the mean estimate where it has none.
+     * Returns the expected work of a request: its estimate, shrunk towards the mean of its class as
+     * far as recent estimates were wrong; the mean estimate where it has none.
      */
     public double workFor(double estimate) {
         if (!(estimate > 0)) {
-            // An estimate of 0 would make the price of another zone infinite.
+            // An estimate of 0 is ignored too: it would make the price of another zone infinite.
             return meanWork();
         }
         estimates.add(0, estimate, 0);
@@ -51,7 +51,7 @@
         }
     }
 
-    /** As {@link SampleWindow#export}; these samples have no age. */
+    /** Returns the samples for another process; they have no age. */
     public double[] export() {
         return logPairs.export(0);
     }
@@ -65,7 +65,8 @@
     }
 
     /**
-     * Fits work against estimate on logarithms: the slope tells how far estimates can be trusted.
+     * Fits the logarithm of the work to that of the estimate. The slope is 1 for estimates that are
+     * right up to a factor, and 0 for those that say nothing.
      */
     private void fit() {
         double count = logPairs.size();
--- a/daemon/src/main/java/wheelroute/decision/estimates/FleetEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/FleetEstimates.java
@@ -1,89 +1,102 @@
 package wheelroute.decision.estimates;
 
-import wheelroute.decision.admission.Admission;
+import java.util.ArrayList;
+import java.util.List;
 import wheelroute.decision.routing.KeyAffinity;
-import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.DecisionClock;
 import wheelroute.decision.state.TrackedRequest;
 import wheelroute.decision.state.WorkerState;
+import wheelroute.decision.state.WorkerTable;
 
 /**
- * The figures that a choice of a worker rests on, worked out once for each choice: means of the
- * traffic, waits of the models, and each worker's speed, wait and affinity rank.
+ * Works out the figures that a choice of a worker rests on: means of the traffic, waits of the
+ * models, and each worker's speed, wait and affinity rank.
  */
 public final class FleetEstimates {
-    /** Waits of a model are remembered until this many attempts are, however long that takes. */
-    private static final double ENOUGH_ATTEMPTS = 32;
+    /**
+     * With less traffic than this many attempts in the usual memory, waits of a model are
+     * remembered for longer.
+     */
+    private static final double MIN_REMEMBERED_ATTEMPTS = 32;
 
     private static final double MAX_MEMORY_STRETCH = 16;
 
-    private final DispatcherState state;
-    private double capacity;
-    private double attemptsPerSlot;
+    private final DecisionClock clock;
+    private final WorkerTable workers;
+    private final TrafficStatistics traffic;
+    private final CacheMissCost cacheMissCost;
+    private double meanSlotSpeed = 1;
 
     /** Creates estimates over all workers of one dispatcher. */
-    public FleetEstimates(DispatcherState state) {
-        this.state = state;
+    public FleetEstimates(
+            DecisionClock clock,
+            WorkerTable workers,
+            TrafficStatistics traffic,
+            CacheMissCost cacheMissCost) {
+        this.clock = clock;
+        this.workers = workers;
+        this.traffic = traffic;
+        this.cacheMissCost = cacheMissCost;
     }
 
-    /** Work that all ready workers do in a second, as of the last refresh. */
-    public double capacity() {
-        return capacity;
-    }
-
-    /** Attempts of this dispatcher in flight for each slot, as of the last refresh. */
-    public double attemptsPerSlot() {
-        return attemptsPerSlot;
-    }
-
-    /** Works out all that the costs of this request are made of. */
-    public void refresh(TrackedRequest request) {
-        state.traffic().refreshMeans();
-        refreshModels();
-        state.cacheMissCost().update(state.traffic().meanWork());
-        capacity = 0;
+    /** Returns all ready workers as estimated for this request now. */
+    public FleetSnapshot snapshotFor(TrackedRequest request) {
+        double now = clock.now();
+        traffic.refreshMeans();
+        updateModelWaits(now);
+        cacheMissCost.update(traffic.meanWork());
+        int defaultRank =
+                request.affinity() == null ? KeyAffinity.CACHED : KeyAffinity.PREFERRED_COUNT;
+        List<WorkerState> ready = workers.ready();
+        List<Candidate> candidates = new ArrayList<>(ready.size());
+        double capacity = 0;
         double slots = 0;
-        for (WorkerState worker : state.workers().ready()) {
-            WorkerEstimates estimates = worker.estimates();
-            estimates.refresh(request.slots());
-            capacity += estimates.currentSpeed() * estimates.slots();
-            slots += estimates.slots();
+        for (WorkerState worker : ready) {
+            Candidate candidate = worker.estimates().candidateFor(request.slots(), now);
+            candidate.setAffinityRank(defaultRank);
+            capacity += candidate.speed() * candidate.slots();
+            slots += candidate.slots();
+            candidates.add(candidate);
         }
         rankByAffinity(request);
-        state.workers().setMeanSlotSpeed(slots > 0 ? capacity / slots : 1);
-        attemptsPerSlot = state.workers().attemptsInFlight() / Math.max(1, slots);
+        meanSlotSpeed = slots > 0 ? capacity / slots : 1;
+        return new FleetSnapshot(
+                candidates, capacity, workers.attemptsInFlight() / Math.max(1, slots));
     }
 
     /**
-     * Memory is stretched where traffic is thin, or a model's waits were forgotten between
-     * attempts.
+     * Returns the expected run of a request that has no worker yet, by the mean speed of a slot at
+     * the last snapshot.
      */
-    private void refreshModels() {
-        double now = state.now();
-        double rate = state.traffic().rate(now);
-        double needed = ENOUGH_ATTEMPTS / (WorkerEstimates.MEMORY * rate);
+    public double expectedRunSeconds(TrackedRequest request) {
+        return request.work() / meanSlotSpeed;
+    }
+
+    /** Where traffic is thin the memory is longer, so that it holds enough attempts to judge by. */
+    private void updateModelWaits(double now) {
+        double rate = traffic.rate(now);
+        double needed = MIN_REMEMBERED_ATTEMPTS / (WorkerEstimates.MEMORY_SECONDS * rate);
         double stretch = Math.max(1, Math.min(MAX_MEMORY_STRETCH, needed));
-        for (ModelStatistics model : state.workers().models().values()) {
+        for (ModelStatistics model : workers.models().values()) {
             model.updateWaits(
-                    now, stretch * WorkerEstimates.MEMORY, stretch * Admission.EVIDENCE_MEMORY);
+                    now,
+                    stretch * WorkerEstimates.MEMORY_SECONDS,
+                    stretch * WorkerEstimates.RECENT_MEMORY_SECONDS);
         }
     }
 
-    private void rankByAffinity(TrackedRequest request) {
-        boolean hasKey = request.affinity() != null;
-        int others = hasKey ? KeyAffinity.PREFERRED_COUNT : KeyAffinity.CACHED;
-        for (WorkerState worker : state.workers().ready()) {
-            worker.setAffinityRank(others);
-        }
-        if (!hasKey) {
+    /** Sets the ranks of the workers that may have the data of the request's key. */
+    private static void rankByAffinity(TrackedRequest request) {
+        if (request.affinity() == null) {
             return;
         }
         int rank = 0;
         for (WorkerState worker : request.affinity().preferred(request.settings().model())) {
-            worker.setAffinityRank(rank++);
+            worker.estimates().setAffinityRank(rank++);
         }
         request.affinity()
                 .forEachRecent(
                         WorkerState::attemptCount,
-                        worker -> worker.setAffinityRank(KeyAffinity.CACHED));
+                        worker -> worker.estimates().setAffinityRank(KeyAffinity.CACHED));
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/estimates/ModelStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/ModelStatistics.java
@@ -9,42 +9,42 @@
 public final class ModelStatistics {
     private static final double STANDARD_SPEED = 1;
 
-    /** The work rate is measured over this long: at one result a second, less would be chance. */
-    private static final double RATE_PERIOD = 20;
+    /** The work rate is measured over this long, so that it holds enough results. */
+    private static final double RATE_PERIOD_SECONDS = 20;
 
     private static final int MIN_RATE_SAMPLES = 3;
     private static final int SAMPLE_COUNT = 64;
 
-    /** Pairs of work and run time. */
+    /** Work and run time of jobs at workers past their slow start. */
     private final SampleWindow runs;
 
     /**
-     * Pairs of how long an attempt waited for its start, and how much of it this dispatcher's own
-     * attempts do not explain.
+     * How long an attempt waited for its start, and how much of that this dispatcher's own attempts
+     * do not explain.
      */
     private final SampleWindow waits;
 
-    /** Work times slots that warm workers completed, divided by the number of warm workers. */
+    /** Work times slots that workers past their slow start completed, per such worker. */
     private final SampleWindow completedWork;
 
     private double rateComputedAt = Double.NaN;
     private double rate;
 
-    /** Workers that were ready and warm at the last change of the endpoint list. */
+    /** Workers that were ready and past their slow start at the endpoint list's last change. */
     private int warmWorkers;
 
     private int slots;
     private double speed = STANDARD_SPEED;
 
-    /** Mean unexplained wait, over the usual memory and over a short one. */
+    /** Mean unexplained wait, over the usual memory and over a shorter one. */
     private double externalWait;
 
     private double recentExternalWait;
 
-    /** By how much, summed over attempts that have not started, they have waited past the mean. */
+    /** Seconds by which attempts that have not started exceed the mean wait, summed over them. */
     private double overdueWait;
 
-    /** Waits guessed from results are as noisy as the sizes of jobs and need a heavier prior. */
+    /** Waits estimated from results are as noisy as the sizes of jobs, and need a heavier prior. */
     private final double priorWeight;
 
     /** Creates the statistics of one model from the windows that hold its samples. */
@@ -61,7 +61,9 @@
     }
 
     /**
-     * Takes over exported samples; waits only where starts are told, as else they are not its own.
+     * Takes over exported samples.
+     *
+     * @param withWaits false where the waits are shared by all models
      */
     public void restore(double now, LearnedState.ModelSamples samples, boolean withWaits) {
         slots = samples.slots();
@@ -76,17 +78,17 @@
         speed = runs.size() > 0 ? runs.sumOfFirst() / runs.sumOfSecond() : speed;
     }
 
-    /** Slots of a worker as far as seen; 0 before any was. */
+    /** Returns the slots of a worker that were seen so far; 0 before any was. */
     int slots() {
         return slots;
     }
 
-    /** So many slots were seen in use or free at one time: the number only ever grows. */
+    /** Records that so many slots were seen in use or free at one time; the maximum counts. */
     void noteSlots(int seen) {
         slots = Math.max(slots, seen);
     }
 
-    /** Work that a slot does in a second. */
+    /** Returns the work that a slot does in a second. */
     public double speed() {
         return speed;
     }
@@ -97,6 +99,8 @@
     }
 
     /**
+     * Records a wait in seconds.
+     *
      * @param wait from the send of an attempt to its start
      * @param unexplained of that, what this dispatcher's own attempts do not explain
      */
@@ -104,58 +108,58 @@
         waits.add(now, wait, unexplained);
     }
 
-    /** The longest of the waits that are remembered. */
+    /** Returns the longest of the remembered waits. */
     public double longestWait() {
         return waits.maxOfFirst();
     }
 
-    /** Mean unexplained wait as of the last update. */
+    /** Returns the mean unexplained wait as of the last update. */
     double externalWait() {
         return externalWait;
     }
 
-    /** The same over a short memory. */
+    /** Returns the mean unexplained wait over the shorter memory, as of the last update. */
     public double recentExternalWait() {
         return recentExternalWait;
     }
 
-    /** Forgets the waits of attempts that had not started at the last sweep. */
+    /** Resets the waits of attempts that have not started, before a sweep adds them anew. */
     public void clearOverdueWait() {
         overdueWait = 0;
     }
 
-    /** An attempt that has not started has waited this much longer than the mean. */
+    /** Adds the seconds by which an attempt that has not started exceeds the mean wait. */
     void addOverdueWait(double wait) {
         overdueWait += wait;
     }
 
-    /** Begins a new count of warm workers. */
+    /** Begins a new count of workers past their slow start. */
     public void clearWarmWorkers() {
         warmWorkers = 0;
     }
 
-    /** Counts a worker of this model that is ready and warm. */
+    /** Counts a worker of this model that is ready and past its slow start. */
     public void countWarmWorker() {
         warmWorkers++;
     }
 
-    /** A warm worker completed this much work times slots. */
+    /** Records that a worker past its slow start completed this much work times slots. */
     void recordCompletedWork(double now, double work) {
         completedWork.add(now, work / warmWorkers, 0);
     }
 
     /**
-     * Work a second that one of its warm workers does for this dispatcher, as a mean over {@link
-     * #RATE_PERIOD}; 0 before enough results.
+     * Returns the work per second that a worker past its slow start does for this dispatcher, as a
+     * mean over {@link #RATE_PERIOD_SECONDS}; 0 with too few results.
      *
-     * @param earliest nothing was measured before then
+     * @param earliest the time since which results were measured
      */
     public double workRatePerWorker(double now, double earliest) {
         if (now != rateComputedAt) {
             rateComputedAt = now;
             double from =
                     Math.max(
-                            Math.max(earliest, now - RATE_PERIOD),
+                            Math.max(earliest, now - RATE_PERIOD_SECONDS),
                             completedWork.completeSince(earliest));
             rate =
                     completedWork.countSince(from) < MIN_RATE_SAMPLES
@@ -166,11 +170,14 @@
     }
 
     /**
-     * Works out the mean waits. Without attempts no new wait is seen, so old ones fade: requests
-     * must not be rejected for them.
+     * Computes the mean waits. They decay without new samples: requests that are rejected because
+     * of them would otherwise keep them up for ever.
      */
-    void updateWaits(double now, double memory, double recentMemory) {
-        externalWait = waits.decayedSecond(now, memory, priorWeight, overdueWait);
-        recentExternalWait = waits.decayedSecond(now, recentMemory, priorWeight, overdueWait);
+    void updateWaits(double now, double memorySeconds, double recentMemorySeconds) {
+        externalWait =
+                waits.linearlyDecayedMeanOfSecond(now, memorySeconds, priorWeight, overdueWait);
+        recentExternalWait =
+                waits.linearlyDecayedMeanOfSecond(
+                        now, recentMemorySeconds, priorWeight, overdueWait);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/estimates/SampleWindow.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/SampleWindow.java
@@ -1,52 +1,58 @@
 package wheelroute.decision.estimates;
 
-/** The last few samples of a measurement, each a time in seconds and a pair of figures. */
+/**
+ * The last samples of a measurement. Each is a time in seconds and two figures; the owner of a
+ * window documents what they are.
+ */
 public final class SampleWindow {
+    /** Numbers per sample: its time and two figures. */
+    private static final int STRIDE = 3;
+
     private final double[] values;
+    private final int capacity;
     private int next;
     private int size;
 
-    /** Sums over all samples, worked out when they are asked for after a change. */
+    /** Sums over all samples, computed on demand after a change. */
     private double sumOfFirst;
 
     private double sumOfSecond;
     private boolean sumsAreCurrent = true;
-    private double decayedFirst;
-    private double decayedSecond;
-    private double decayedWeight;
 
     /** Creates an empty window that keeps the last samples up to its capacity. */
     public SampleWindow(int capacity) {
-        values = new double[3 * capacity];
+        this.capacity = capacity;
+        values = new double[STRIDE * capacity];
     }
 
     /** Adds a sample; the oldest is dropped when the window is full. */
     public void add(double time, double first, double second) {
-        values[3 * next] = time;
-        values[3 * next + 1] = first;
-        values[3 * next + 2] = second;
-        next = (next + 1) % (values.length / 3);
-        size = Math.min(size + 1, values.length / 3);
+        values[STRIDE * next] = time;
+        values[STRIDE * next + 1] = first;
+        values[STRIDE * next + 2] = second;
+        next = (next + 1) % capacity;
+        size = Math.min(size + 1, capacity);
         sumsAreCurrent = false;
     }
 
     /**
-     * The samples as triples, the oldest first, each with its age in place of its time: for a
-     * process with another clock.
+     * Returns the samples as triples, the oldest first, each with its age in place of its time: for
+     * a process with another clock.
      */
     double[] export(double now) {
-        double[] exported = new double[3 * size];
+        double[] exported = new double[STRIDE * size];
         for (int i = 0; i < size; i++) {
-            int from = 3 * ((size < values.length / 3 ? i : next + i) % (values.length / 3));
-            exported[3 * i] = now - values[from];
-            exported[3 * i + 1] = values[from + 1];
-            exported[3 * i + 2] = values[from + 2];
+            int sample = isFull() ? (next + i) % capacity : i;
+            exported[STRIDE * i] = now - time(sample);
+            exported[STRIDE * i + 1] = first(sample);
+            exported[STRIDE * i + 2] = second(sample);
         }
         return exported;
     }
 
+    /** Adds samples exported by another process. */
     void restore(double now, double[] exported) {
-        for (int i = 0; i + 2 < exported.length; i += 3) {
+        for (int i = 0; i + STRIDE <= exported.length; i += STRIDE) {
             add(now - exported[i], exported[i + 1], exported[i + 2]);
         }
     }
@@ -62,32 +68,38 @@
         return size;
     }
 
+    private boolean isFull() {
+        return size == capacity;
+    }
+
     /**
-     * The time since which no sample is missing: that of the oldest sample once the window is full.
+     * Returns the time since which no sample was dropped.
      *
-     * @param earliest the answer while the window has room
+     * @param earliest the answer while the window is not full
      */
     double completeSince(double earliest) {
-        return size < values.length / 3 ? earliest : time(next);
+        return isFull() ? time(next) : earliest;
     }
 
-    double time(int i) {
-        return values[3 * i];
+    private double time(int i) {
+        return values[STRIDE * i];
     }
 
+    /** Returns the first figure of a sample, in no particular order of samples. */
     double first(int i) {
-        return values[3 * i + 1];
+        return values[STRIDE * i + 1];
     }
 
+    /** Returns the second figure of a sample, in the same order as {@link #first}. */
     double second(int i) {
-        return values[3 * i + 2];
+        return values[STRIDE * i + 2];
     }
 
     private void updateSums() {
         if (!sumsAreCurrent) {
             sumOfFirst = 0;
             sumOfSecond = 0;
-            for (int i = 0; i < 3 * size; i += 3) {
+            for (int i = 0; i < STRIDE * size; i += STRIDE) {
                 sumOfFirst += values[i + 1];
                 sumOfSecond += values[i + 2];
             }
@@ -106,17 +118,18 @@
     }
 
     /**
-     * The mean of the second figures, in which samples weigh less with age, falling to 0 at the end
-     * of the memory.
+     * Returns the mean of the second figures, in which the weight of samples falls linearly with
+     * their age, to 0 at the end of the memory.
      *
-     * @param priorWeight the weight of a prior sample of 0
+     * @param priorWeight the weight of an additional sample of 0
      * @param excess added to the weighted sum
      */
-    double decayedSecond(double now, double memory, double priorWeight, double excess) {
+    double linearlyDecayedMeanOfSecond(
+            double now, double memorySeconds, double priorWeight, double excess) {
         double sum = excess;
         double weights = priorWeight;
         for (int i = 0; i < size; i++) {
-            double weight = Math.max(0, 1 - (now - time(i)) / memory);
+            double weight = Math.max(0, 1 - (now - time(i)) / memorySeconds);
             sum += weight * second(i);
             weights += weight;
         }
@@ -124,32 +137,50 @@
     }
 
     /**
-     * Works out the sums in which samples weigh less with age, by a cheap likeness of an
-     * exponential.
+     * Returns the mean of the first figures, in which the weight of samples falls with their age.
+     *
+     * @param priorSum added to the weighted sum
+     * @param priorWeight added to the weights
      */
-    void computeDecayedSums(double now, double memory) {
-        decayedFirst = 0;
-        decayedSecond = 0;
-        decayedWeight = 0;
-        for (int i = 0; i < 3 * size; i += 3) {
-            double x = (now - values[i]) / memory;
-            double weight = 1 / (1 + x + x * x / 2);
-            decayedFirst += weight * values[i + 1];
-            decayedSecond += weight * values[i + 2];
-            decayedWeight += weight;
+    double decayedMeanOfFirst(
+            double now, double memorySeconds, double priorSum, double priorWeight) {
+        double sum = 0;
+        double weights = 0;
+        for (int i = 0; i < STRIDE * size; i += STRIDE) {
+            double weight = decayedWeight(now - values[i], memorySeconds);
+            sum += weight * values[i + 1];
+            weights += weight;
         }
+        return (priorSum + sum) / (priorWeight + weights);
     }
 
-    double decayedFirst() {
-        return decayedFirst;
-    }
-
-    double decayedSecond() {
-        return decayedSecond;
+    /**
+     * Returns a factor times the ratio of the first figures to the second ones, in which the weight
+     * of samples falls with their age.
+     *
+     * @param priorFirst added to the weighted sum of the first figures
+     * @param priorSecond added to the weighted sum of the second figures
+     */
+    double decayedRatio(
+            double now,
+            double memorySeconds,
+            double priorFirst,
+            double priorSecond,
+            double factor) {
+        double first = 0;
+        double second = 0;
+        for (int i = 0; i < STRIDE * size; i += STRIDE) {
+            double weight = decayedWeight(now - values[i], memorySeconds);
+            first += weight * values[i + 1];
+            second += weight * values[i + 2];
+        }
+        return factor * (priorFirst + first) / (priorSecond + second);
     }
 
-    double decayedWeight() {
-        return decayedWeight;
+    /** An approximation of an exponential that is cheap to compute. */
+    private static double decayedWeight(double ageSeconds, double memorySeconds) {
+        double x = ageSeconds / memorySeconds;
+        return 1 / (1 + x + x * x / 2);
     }
 
     double maxOfFirst() {
@@ -160,15 +191,18 @@
         return max;
     }
 
+    /** Returns the mean of the first figures; the default where their sum is 0. */
     double meanOfFirst(double defaultMean) {
         double sum = sumOfFirst();
         return sum > 0 ? sum / size : defaultMean;
     }
 
+    /** Returns the mean of the second figures; 1 without samples. */
     double meanOfSecond() {
         return size > 0 ? sumOfSecond() / size : 1;
     }
 
+    /** Returns the mean of the products of both figures; 1 without samples. */
     double meanOfProduct() {
         double sum = 0;
         for (int i = 0; i < size; i++) {
@@ -177,17 +211,19 @@
         return size > 0 ? sum / size : 1;
     }
 
-    private double span(double now) {
-        double oldest = time(size < values.length / 3 ? 0 : next);
+    private double spanSeconds(double now) {
+        double oldest = time(isFull() ? next : 0);
         return Math.max(now - oldest, 1);
     }
 
+    /** Returns the samples per second. */
     double rate(double now) {
-        return size > 0 ? size / span(now) : 0;
+        return size > 0 ? size / spanSeconds(now) : 0;
     }
 
+    /** Returns the sum of the first figures per second. */
     double rateOfFirst(double now) {
-        return size > 0 ? sumOfFirst() / span(now) : 0;
+        return size > 0 ? sumOfFirst() / spanSeconds(now) : 0;
     }
 
     double sumOfFirstSince(double from) {
--- a/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
@@ -14,12 +14,12 @@
 
     private final SampleWindow arrivals = new SampleWindow(SAMPLE_COUNT);
 
-    /** Work times slots of a request: what a worker's capacity is counted in. */
+    /** Work times slots of each request, the unit of a worker's capacity. */
     private final SampleWindow loads = new SampleWindow(SAMPLE_COUNT);
 
     private final Map<Ids.Tenant, SampleWindow> tenants = new HashMap<>();
 
-    /** Attempts after an error elsewhere: 1 for those that failed too. */
+    /** Retries of requests that failed elsewhere: 1 for each that failed too, else 0. */
     private final SampleWindow retryFailures = new SampleWindow(RETRY_SAMPLE_COUNT);
 
     private double firstAcceptedAt = Double.POSITIVE_INFINITY;
@@ -33,7 +33,8 @@
     }
 
     /** Records an accepted request, and its tenant where that has a quota. */
-    public void record(double now, TrackedRequest request, boolean tenantHasQuota) {
+    public void record(TrackedRequest request, boolean tenantHasQuota) {
+        double now = request.acceptedAt();
         arrivals.add(now, request.work(), request.value());
         loads.add(now, request.work() * request.slots(), 0);
         if (tenantHasQuota) {
@@ -43,71 +44,72 @@
         }
     }
 
-    /** Works out the means, for the choice that follows. */
+    /** Computes the means, which then stay the same until the next choice of a worker. */
     void refreshMeans() {
         meanWork = arrivals.meanOfFirst(STANDARD_WORK);
         meanValue = arrivals.meanOfSecond();
         meanPrice = arrivals.meanOfProduct();
     }
 
-    /** Mean work of a request as of the last refresh, in seconds on a standard core. */
+    /** Returns the mean work of a request as of the last choice, in seconds on a standard core. */
     double meanWork() {
         return meanWork;
     }
 
-    /** Mean priority weight as of the last refresh. */
+    /** Returns the mean priority weight as of the last choice. */
     public double meanValue() {
         return meanValue;
     }
 
     /**
-     * Mean of work times priority weight as of the last refresh: the unit of the settings' prices.
+     * Returns the mean of work times priority weight as of the last choice, which is the unit of
+     * the settings' prices.
      */
     public double meanPrice() {
         return meanPrice;
     }
 
-    /** Mean work times slots of a request. */
+    /** Returns the mean of work times slots of a request. */
     public double meanLoad() {
         return loads.meanOfFirst(STANDARD_WORK);
     }
 
-    /** Requests a second. */
+    /** Returns the requests per second. */
     public double rate(double now) {
         return arrivals.rate(now);
     }
 
-    /** Work a second. */
+    /** Returns the work that arrives per second. */
     public double workRate(double now) {
         return arrivals.rateOfFirst(now);
     }
 
-    /** Infinite before the first request. */
+    /** Returns when the first request was accepted; infinite before. */
     public double firstAcceptedAt() {
         return firstAcceptedAt;
     }
 
-    /** Tenants with a quota that have sent anything. */
+    /** Returns the tenants with a quota that have sent any request. */
     public Set<Ids.Tenant> tenants() {
         return tenants.keySet();
     }
 
-    /** Requests a second of one of {@link #tenants}. */
+    /** Returns the requests per second of one of {@link #tenants}. */
     public double rate(Ids.Tenant tenant, double now) {
         return tenants.get(tenant).rate(now);
     }
 
-    /** How a retry after an error elsewhere went. */
+    /** Records how a retry ended whose request had failed elsewhere before. */
     void recordRetry(double now, boolean failed) {
         retryFailures.add(now, failed ? 1 : 0, 0);
     }
 
-    /** Returns the number of retries after an error elsewhere since this time. */
+    /** Returns the number of such retries since a time. */
     public int retriesSince(double time) {
         return retryFailures.countSince(time);
     }
 
-    /** Returns how many of those retries failed as well. */
+    /** Returns how many of them failed. */
     public double failedRetriesSince(double time) {
         return retryFailures.sumOfFirstSince(time);
     }
--- a/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
@@ -1,224 +1,193 @@
 package wheelroute.decision.estimates;
 
-import java.util.Arrays;
 import wheelroute.decision.LoadReport;
 import wheelroute.decision.Settings;
 import wheelroute.decision.state.Attempt;
-import wheelroute.decision.state.DispatcherState;
 import wheelroute.decision.state.WorkerState;
 
 /**
  * What is estimated of one worker: its speed, its slots, and how long a job waits there before it
- * starts. Figures only; nothing is decided here. All times in seconds.
+ * starts. Figures only; nothing is decided here.
  */
 public final class WorkerEstimates {
+    /** Speeds and waits are smoothed over this long. */
+    static final double MEMORY_SECONDS = 5;
+
     /**
-     * Speeds and waits are smoothed over this long: shorter follows single jobs, longer misses
-     * changes.
+     * The memory of waits that may justify a rejection: queues drain faster than averages over
+     * {@link #MEMORY_SECONDS} decay.
      */
-    static final double MEMORY = 5;
+    static final double RECENT_MEMORY_SECONDS = 1.5;
 
     /**
-     * Its model's mean wait weighs as much as this many of a worker's own, which one job can spoil.
+     * The mean wait of its model weighs as much as this many of a worker's own waits, because a
+     * single long job can distort those.
      */
     public static final double WAIT_PRIOR = 4;
 
-    /** A worker's own record weighs as much as the others' after this many jobs of mean size. */
+    /** A worker's own runs weigh as much as its model's after this many jobs of mean size. */
     private static final double PRIOR_JOBS = 2;
 
-    /**
-     * No worker is taken to have more slots, whatever a load report says: the arithmetic is
-     * bounded.
-     */
+    /** The most slots that are assumed, so that a wrong load report cannot cost much CPU time. */
     private static final int MAX_SLOTS = 64;
 
-    /** A start this old has seen every earlier end arrive: well over the jitter of a message. */
-    private static final double SETTLED = 0.05;
+    /**
+     * A job counts as running beside others only this long after its start, as a message about the
+     * end of an earlier job may still be on its way.
+     */
+    private static final double SETTLING_SECONDS = 0.05;
 
     private final WorkerState worker;
-    private final DispatcherState state;
-    private double[] slotFreeAt = new double[1];
-    private double currentSpeed;
-    private double ownWait;
-    private double expectedWait;
-    private double backlog;
+    private final Settings settings;
+    private final TrafficStatistics traffic;
+    private final SlotSchedule schedule = new SlotSchedule();
+    private final Candidate candidate;
 
     /** Creates the estimates of one worker. */
-    public WorkerEstimates(WorkerState worker, DispatcherState state) {
+    public WorkerEstimates(WorkerState worker, Settings settings, TrafficStatistics traffic) {
         this.worker = worker;
-        this.state = state;
+        this.settings = settings;
+        this.traffic = traffic;
+        candidate = new Candidate(worker);
     }
 
-    /** Jobs that it runs at the same time, from 1. */
+    /** Returns how many jobs it runs at the same time, from 1. */
     public int slots() {
         return Math.min(MAX_SLOTS, Math.max(1, worker.model().slots()));
     }
 
     /**
-     * Work that a slot does in a second. A worker new to this dispatcher begins at its model's
-     * speed and nears its own record.
+     * Returns the work that a slot does in a second. A worker new to this dispatcher begins at its
+     * model's speed and approaches that of its own runs.
      */
-    public double speed() {
-        double prior = PRIOR_JOBS * state.traffic().meanWork();
-        SampleWindow runs = worker.statistics().runs;
-        runs.computeDecayedSums(state.now(), MEMORY);
-        return warmth(state.now())
-                * (prior * worker.model().speed() + runs.decayedFirst())
-                / (prior + runs.decayedSecond());
+    public double speed(double now) {
+        return speed(now, rampFraction(now));
+    }
+
+    private double speed(double now, double rampFraction) {
+        double prior = PRIOR_JOBS * traffic.meanWork();
+        double priorWork = prior * worker.model().speed();
+        return worker.statistics()
+                .runs
+                .decayedRatio(now, MEMORY_SECONDS, priorWork, prior, rampFraction);
     }
 
-    /** The fraction of its capacity that it has at least: it warms up no slower than evenly. */
-    public double warmth(double time) {
-        Settings settings = state.settings();
-        double age = time - worker.endpoint().startedAt();
-        if (!(age < settings.slowStartDurationSeconds())) {
+    /**
+     * Returns the fraction of its capacity that it has at least: in slow start it warms up no more
+     * slowly than linearly; 1 afterwards.
+     */
+    public double rampFraction(double time) {
+        double ageSeconds = time - worker.endpoint().startedAt();
+        if (!(ageSeconds < settings.slowStartDurationSeconds())) {
             return 1;
         }
         return settings.slowStartShare()
                 + (1 - settings.slowStartShare())
-                        * Math.max(0, age)
+                        * Math.max(0, ageSeconds)
                         / settings.slowStartDurationSeconds();
     }
 
-    /**
-     * Works out speed, waits and backlog, for a choice of a worker and the attempt that follows.
-     */
-    void refresh(double slotsNeeded) {
-        double external = externalWait(MEMORY, worker.model().externalWait());
-        currentSpeed = speed();
-        boolean idle = worker.inFlight().isEmpty();
-        ownWait = idle ? 0 : waitBehindOwn(slotsNeeded);
-        expectedWait = ownWait + external;
-        double sum = 0;
-        for (int i = 0; !idle && i < slots(); i++) {
-            sum += slotFreeAt[i];
+    /** Returns the worker as estimated for a request that needs so many slots. */
+    Candidate candidateFor(double slotsNeeded, double now) {
+        double rampFraction = rampFraction(now);
+        double externalWait =
+                externalWait(now, rampFraction, MEMORY_SECONDS, worker.model().externalWait());
+        double speed = speed(now, rampFraction);
+        int slots = slots();
+        double ownWait = 0;
+        double scheduled = 0;
+        if (!worker.inFlight().isEmpty()) {
+            scheduleInFlight(slots, speed, now);
+            ownWait = schedule.secondsUntilStart(slotsNeeded);
+            scheduled = schedule.totalSeconds();
         }
-        backlog = sum / slots() + external;
-    }
-
-    /** As of the last refresh. */
-    public double currentSpeed() {
-        return currentSpeed;
-    }
-
-    /** How long a job would wait behind this dispatcher's attempts, as of the last refresh. */
-    public double ownWait() {
-        return ownWait;
-    }
-
-    /** How long a job would wait in all, as of the last refresh. */
-    public double expectedWait() {
-        return expectedWait;
+        candidate.fill(slots, speed, ownWait, externalWait, scheduled);
+        return candidate;
     }
 
-    /** Mean time until a slot is free, as of the last refresh. */
-    public double backlog() {
-        return backlog;
+    void setAffinityRank(int rank) {
+        candidate.setAffinityRank(rank);
     }
 
-    /** How long until a job starts that comes after all attempts in flight. */
-    private double waitBehindOwn(double slotsNeeded) {
-        int count = slots();
-        if (slotFreeAt.length < count) {
-            slotFreeAt = new double[count];
-        }
-        Arrays.fill(slotFreeAt, 0);
+    private void scheduleInFlight(int slots, double speed, double now) {
+        schedule.reset(slots);
         for (int i = 0; i < worker.inFlight().size(); i++) {
             Attempt attempt = worker.inFlight().get(i);
-            occupy(attempt.request.slots(), attempt.remaining(state.now(), currentSpeed));
+            schedule.occupy(attempt.request.slots(), attempt.remainingSeconds(now, speed));
         }
-        return slotFreeAt[startingSlot(slotsNeeded)];
     }
 
     /**
-     * The slot whose freeing lets a job start; the slots that it takes with it come before that
-     * one.
+     * Returns the external wait by recent evidence alone: seconds of waiting for jobs of other
+     * dispatchers.
      */
-    private int startingSlot(double slotsNeeded) {
-        int count = slots();
-        if (slotsNeeded > 1) {
-            Arrays.sort(slotFreeAt, 0, count);
-            return Math.min(count, (int) Math.ceil(slotsNeeded)) - 1;
-        }
-        int first = 0;
-        for (int i = 1; i < count; i++) {
-            first = slotFreeAt[i] < slotFreeAt[first] ? i : first;
-        }
-        return first;
-    }
-
-    private void occupy(double slotsNeeded, double run) {
-        int last = startingSlot(slotsNeeded);
-        slotFreeAt[last] += run;
-        for (int i = 0; slotsNeeded > 1 && i < last; i++) {
-            slotFreeAt[i] = slotFreeAt[last];
-        }
+    public double recentExternalWait(double now) {
+        return externalWait(
+                now, rampFraction(now), RECENT_MEMORY_SECONDS, worker.model().recentExternalWait());
     }
 
     /**
-     * Waiting that this dispatcher's own attempts do not explain: others' work, seen in how late
-     * its own attempts start.
+     * Returns the seconds of waiting that this dispatcher's own attempts do not explain: jobs of
+     * other dispatchers, observed in how late its own attempts start.
      *
-     * @param usual the mean of the worker's model
+     * @param modelMean the mean of the worker's model
      */
-    public double externalWait(double memory, double usual) {
-        // A cold worker is spared, so it has no queue, however long its model's are. A warm one has
-        // one, or all would turn to those that have just become warm.
-        double prior = warmth(state.now()) < 1 ? 0 : WAIT_PRIOR * usual;
-        SampleWindow waits = worker.statistics().waits;
-        waits.computeDecayedSums(state.now(), memory);
-        double mean = (prior + waits.decayedFirst()) / (WAIT_PRIOR + waits.decayedWeight());
-        return Math.max(0, Math.max(mean, overdue()));
-    }
-
-    /** An attempt that still waits tells of a stopped queue before any start could. */
-    private double overdue() {
+    private double externalWait(
+            double now, double rampFraction, double memorySeconds, double modelMean) {
+        // A worker in slow start gets little, so it has no queue, whatever its model's mean is. One
+        // that is warm gets its model's mean, or all would prefer those that have just warmed up.
+        double prior = rampFraction < 1 ? 0 : WAIT_PRIOR * modelMean;
+        double mean =
+                worker.statistics().waits.decayedMeanOfFirst(now, memorySeconds, prior, WAIT_PRIOR);
+        return Math.max(0, Math.max(mean, overdueSeconds(now)));
+    }
+
+    /** The oldest attempt that has not started shows a stalled queue before any start could. */
+    private double overdueSeconds(double now) {
         for (int i = 0; i < worker.inFlight().size(); i++) {
             if (!worker.inFlight().get(i).hasStarted()) {
-                return overdue(worker.inFlight().get(i));
+                return overdueSeconds(worker.inFlight().get(i), now);
             }
         }
         return 0;
     }
 
-    /**
-     * How far an attempt that has not started is past the first message due of it; below 0 before.
-     */
-    private double overdue(Attempt attempt) {
-        return attempt.unexplainedWait(state.now()) - state.settings().startNoticeDelaySeconds();
+    /** How long the first message about an attempt is overdue; negative before it is due. */
+    private double overdueSeconds(Attempt attempt, double now) {
+        return attempt.unexplainedWait(now) - settings.startNoticeDelaySeconds();
     }
 
-    /**
-     * Counts the jobs seen running at once: slots only ever grow, so a start before the end counts
-     * late.
-     */
-    public void noteRunning() {
+    /** Counts the jobs that are seen running at the same time, which its model has slots for. */
+    public void recordRunningJobs(double now) {
         int running = 0;
         for (Attempt attempt : worker.inFlight()) {
-            boolean counts = attempt.hasStarted() && state.now() - attempt.startedAt() > SETTLED;
+            boolean counts = attempt.hasStarted() && now - attempt.startedAt() > SETTLING_SECONDS;
             running += counts ? (int) attempt.request.slots() : 0;
         }
         worker.model().noteSlots(running);
     }
 
     /**
-     * Adds to the model's waits those that have not ended: the ones that started were the lucky
-     * ones.
+     * Adds the waits of attempts that have not started to those of the model: without them only the
+     * shorter waits, which have ended, would count.
      */
-    public void noteWaiting() {
-        // A silent worker's attempts tell of the worker, not of its model.
-        for (int i = 0; i < worker.inFlight().size() && !worker.health().isSilent(); i++) {
+    public void recordOverdueWaits(double now) {
+        for (int i = 0; i < worker.inFlight().size(); i++) {
             Attempt attempt = worker.inFlight().get(i);
             if (!attempt.hasStarted()) {
                 ModelStatistics model = worker.model();
-                model.addOverdueWait(Math.max(0, overdue(attempt) - model.externalWait()));
+                model.addOverdueWait(
+                        Math.max(0, overdueSeconds(attempt, now) - model.externalWait()));
             }
         }
     }
 
-    /** Free slots alone count: running plus free, told of two moments, overstates a worker. */
-    public void noteReport(LoadReport report) {
-        if (state.settings().reportsFreeSlots() && !Double.isNaN(report.freeSlots())) {
+    /**
+     * Records the free slots of a load report. Running jobs are not added: both figures are of
+     * different times, and their sum would overstate the slots.
+     */
+    public void recordReport(LoadReport report) {
+        if (settings.reportsFreeSlots() && !Double.isNaN(report.freeSlots())) {
             worker.model().noteSlots((int) Math.round(report.freeSlots()));
         }
     }
--- a/daemon/src/main/java/wheelroute/decision/estimates/WorkerStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerStatistics.java
@@ -2,10 +2,15 @@
 
 import wheelroute.decision.LearnedState;
 
-/** What was measured of one worker: pairs of work and run time, unexplained waits, and failures. */
+/** What was measured of one worker. */
 public final class WorkerStatistics {
+    /** Work and run time of jobs; run times are scaled to a worker past its slow start. */
     final SampleWindow runs;
+
+    /** Seconds of unexplained waiting of attempts. */
     final SampleWindow waits;
+
+    /** One sample for each failure that counts against the worker. */
     public final SampleWindow failures;
 
     /** Creates empty windows of this many samples. */
--- a/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
+++ b/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
@@ -2,146 +2,144 @@
 
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.Outcome;
-import wheelroute.decision.admission.Admission;
-import wheelroute.decision.retry.RetryRules;
-import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.retry.ErrorAttribution;
+import wheelroute.decision.state.DecisionClock;
 import wheelroute.decision.state.TrackedRequest;
 import wheelroute.decision.state.WorkerState;
+import wheelroute.decision.state.WorkerTable;
 
 /**
- * Ejects workers that fail often or fall silent, and reinstates them after trials: one attempt at a
- * time, after a delay that doubles with each further failure.
+ * Ejects workers that fail repeatedly or stop responding, and reinstates them after trials: one
+ * attempt at a time, after a delay that doubles with each further failure.
+ *
+ * @param removalIsAdvisory only a drain forbids sending to a worker, its removal does not
  */
-public final class OutlierEjection {
-    /** Failures count against a worker for this many seconds. */
-    public static final double FAILURE_MEMORY = 10;
+public record OutlierEjection(
+        DecisionClock clock,
+        WorkerTable workers,
+        ErrorAttribution errorAttribution,
+        boolean removalIsAdvisory) {
+    /** From an ejection to the first trial. */
+    public static final double FIRST_TRIAL_DELAY_SECONDS = 0.5;
 
-    /** Seconds from an ejection to the first trial. */
-    public static final double FIRST_TRIAL_DELAY = 0.5;
+    private static final double MAX_TRIAL_DELAY_SECONDS = 4;
 
-    /** A worker that rejected an attempt gets none for this many seconds: about a job's time. */
-    public static final double REJECTION_BACKOFF = 0.3;
+    /** Failures count against a worker for this long. */
+    private static final double FAILURE_MEMORY_SECONDS = 10;
 
-    private static final double MAX_TRIAL_DELAY = 4;
+    /** More recent failures than this eject a worker: a single one is no pattern. */
+    private static final int MAX_RECENT_FAILURES = 1;
 
-    /** More recent failures than this eject a worker; one can befall any. */
-    private static final int FAILURES_TOLERATED = 1;
-
-    /**
-     * Successes in a row that reinstate it: fewer, and one that fails two in three gets out by
-     * luck.
-     */
+    /** Several, because a worker that fails most of its attempts still has single successes. */
     private static final int SUCCESSES_TO_REINSTATE = 3;
 
-    private final DispatcherState state;
-    private final RetryRules retryRules;
+    /** A worker that rejected an attempt or could not be connected to gets none for this long. */
+    private static final double BACKOFF_SECONDS = 0.3;
 
-    /** Creates the rule over the state of one dispatcher. */
-    public OutlierEjection(DispatcherState state, RetryRules retryRules) {
-        this.state = state;
-        this.retryRules = retryRules;
-    }
+    /** An ejected worker is a fallback only this long after its last success. */
+    private static final double FALLBACK_EVIDENCE_SECONDS = 1.5;
 
-    /** What the end of an attempt means for its worker. */
+    /** Records the end of an attempt, which may eject or reinstate its worker. */
     public void onOutcome(WorkerState worker, Outcome outcome) {
+        double now = clock.now();
         switch (outcome) {
             case SUCCEEDED -> onSuccess(worker);
             case REJECTED -> {
-                worker.health().heard(state.now());
-                backOff(worker);
+                worker.health().recordResponse(now);
+                worker.health().backOffUntil(now + BACKOFF_SECONDS);
             }
             case FAILED -> {
-                worker.health().heard(state.now());
-                if (!retryRules.errorsFollowRequests()) {
+                worker.health().recordResponse(now);
+                if (!errorAttribution.blamesRequests()) {
                     onFailure(worker);
                 }
             }
             case CONNECT_FAILED -> {
-                // Dead, cut off or out of connections: none of them passes within a moment.
-                backOff(worker);
+                // Whether it is down, unreachable or out of connections, that lasts for a while.
+                worker.health().backOffUntil(now + BACKOFF_SECONDS);
                 onFailure(worker);
             }
             case CONNECTION_LOST, UNKNOWN -> onFailure(worker);
             case TIMED_OUT, CANCELLED, NOT_SENT, STALE_CONNECTION, INVALID_REQUEST -> {
-                // Tells nothing of the worker.
+                // Says nothing about the worker.
             }
         }
     }
 
-    /** Whether the worker has more recent failures than are tolerated. */
-    public boolean failsOften(WorkerState worker) {
-        return recentFailures(worker) > FAILURES_TOLERATED;
-    }
-
     /** Returns the number of failures that still count against the worker. */
     public int recentFailures(WorkerState worker) {
-        return worker.statistics().failures.countSince(state.now() - FAILURE_MEMORY);
+        return worker.statistics().failures.countSince(clock.now() - FAILURE_MEMORY_SECONDS);
     }
 
     private void onFailure(WorkerState worker) {
-        worker.statistics().failures.add(state.now(), 1, 1);
+        double now = clock.now();
+        worker.statistics().failures.add(now, 1, 1);
         WorkerHealth health = worker.health();
-        health.failed();
+        health.recordFailure();
         if (worker.isUnlisted()) {
             worker.setReady(false);
-            state.workers().ready().remove(worker);
+            workers.ready().remove(worker);
         }
-        if (health.isEjected() || failsOften(worker)) {
+        if (health.isEjected() || recentFailures(worker) > MAX_RECENT_FAILURES) {
             health.eject();
-            health.scheduleTrial(state.now(), Math.min(MAX_TRIAL_DELAY, 2 * health.trialDelay()));
+            double nextDelaySeconds = 2 * health.trialDelaySeconds();
+            health.scheduleTrial(now, Math.min(MAX_TRIAL_DELAY_SECONDS, nextDelaySeconds));
         }
     }
 
     private void onSuccess(WorkerState worker) {
-        if (worker.health().succeeded(state.now()) >= SUCCESSES_TO_REINSTATE) {
-            worker.health().reinstate(FIRST_TRIAL_DELAY);
+        if (worker.health().recordSuccess(clock.now()) >= SUCCESSES_TO_REINSTATE) {
+            worker.health().reinstate(FIRST_TRIAL_DELAY_SECONDS);
             worker.statistics().failures.clear();
         }
     }
 
     /**
-     * It has left the endpoint list. Where only a drain is binding, the list may be wrong about who
-     * is gone: such a worker is ejected, and gets attempts on trial.
+     * Takes a worker out of use that has left the endpoint list. Where removals are advisory the
+     * list may be wrong about that: then the worker is ejected, and gets attempts on trial.
      */
     public void onRemoved(WorkerState worker) {
-        worker.setReady(worker.isReady() && state.settings().removalIsAdvisory());
+        worker.setReady(worker.isReady() && removalIsAdvisory);
         if (worker.isReady() && !worker.isUnlisted()) {
             worker.setUnlisted(true);
             worker.health().eject();
-            worker.health().scheduleTrial(state.now(), worker.health().trialDelay());
+            worker.health().scheduleTrial(clock.now(), worker.health().trialDelaySeconds());
         }
     }
 
-    /** It has kept silent: whatever its record, it is ejected. */
-    void onSilence(WorkerState worker) {
-        worker.health().markSilent();
+    /** Ejects a worker that has stopped responding, however few failures it had before. */
+    void onUnresponsive(WorkerState worker) {
         onFailure(worker);
-        worker.health().eject();
+        worker.health().markUnresponsive();
     }
 
-    private void backOff(WorkerState worker) {
-        worker.health().backOffUntil(state.now() + REJECTION_BACKOFF);
+    /**
+     * Ejects or reinstates a worker by the failures that were recorded by a predecessor process.
+     */
+    public void restore(WorkerState worker) {
+        worker.health().restore(recentFailures(worker) > MAX_RECENT_FAILURES);
     }
 
     /**
-     * Whether it may get this request: if ejected only on trial, and only what may be tried again.
+     * Whether the worker may get this request: if it is ejected, only as a trial when one is due,
+     * and no request that must not be retried.
      */
     public boolean admits(WorkerState worker, TrackedRequest request) {
         WorkerHealth health = worker.health();
         return !health.isEjected()
-                || (state.now() >= health.nextTrialAt()
+                || (health.isTrialDue(clock.now())
                         && worker.inFlight().isEmpty()
                         && request.settings().idempotency() != Idempotency.NON_IDEMPOTENT);
     }
 
     /**
-     * Whether it serves some requests although it is ejected: rather than a rejection, beside full
-     * workers one is tried that fails now and then.
+     * Whether an ejected worker may get a request that would be rejected otherwise: it answers some
+     * requests, and an error there can be retried anywhere.
      */
-    public boolean servesSome(WorkerState worker, TrackedRequest request) {
+    public boolean admitsAsFallback(WorkerState worker, TrackedRequest request) {
         WorkerHealth health = worker.health();
-        return !health.isSilent()
-                && state.now() - health.succeededAt() < Admission.EVIDENCE_MEMORY
+        return !health.isUnresponsive()
+                && clock.now() - health.lastSuccessAt() < FALLBACK_EVIDENCE_SECONDS
                 && worker.inFlight().size() < worker.estimates().slots()
                 && request.settings().isSafeToRetryAnywhere();
     }
--- a/daemon/src/main/java/wheelroute/decision/health/SweepTimer.java
+++ b/daemon/src/main/java/wheelroute/decision/health/SweepTimer.java
@@ -1,39 +1,42 @@
 package wheelroute.decision.health;
 
-import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.state.DecisionClock;
 
-/** When workers with attempts in flight are looked through for overdue ones. */
+/**
+ * Schedules the sweeps in which workers with attempts in flight and the queues of keys are
+ * inspected. An idle dispatcher is not woken, as many of them may share a machine.
+ */
 public final class SweepTimer {
-    /** Seconds between two sweeps: well under the shortest time that a silence is borne. */
-    public static final double INTERVAL = 0.1;
+    /** Between two sweeps: well below the shortest time after which a worker is unresponsive. */
+    public static final double INTERVAL_SECONDS = 0.1;
 
-    private final DispatcherState state;
+    private final DecisionClock clock;
+    private final ActionHandler actions;
     private boolean scheduled;
     private double earliest;
 
     /** Creates a timer that is not scheduled yet. */
-    public SweepTimer(DispatcherState state) {
-        this.state = state;
+    public SweepTimer(DecisionClock clock, ActionHandler actions) {
+        this.clock = clock;
+        this.actions = actions;
     }
 
-    /** Whether a wakeup is this timer's; another one may have been asked for by a queue. */
+    /** Returns whether a wakeup is for a sweep; it may be one for a key's queue. */
     public boolean begin() {
-        if (state.now() < earliest) {
+        if (clock.now() < earliest) {
             return false;
         }
         scheduled = false;
         return true;
     }
 
-    /**
-     * An idle dispatcher is not woken: a fleet of them would spend its time on looking at nothing.
-     */
+    /** Schedules the next sweep, unless it is scheduled already. */
     public void schedule() {
-        boolean needed = !state.workers().busy().isEmpty() || !state.keyQueues().isEmpty();
-        if (needed && !scheduled) {
+        if (!scheduled) {
             scheduled = true;
-            earliest = state.now() + INTERVAL / 2;
-            state.actions().scheduleWakeup(INTERVAL);
+            earliest = clock.now() + INTERVAL_SECONDS / 2;
+            actions.scheduleWakeup(INTERVAL_SECONDS);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/health/WorkerHealth.java
+++ b/daemon/src/main/java/wheelroute/decision/health/WorkerHealth.java
@@ -1,107 +1,135 @@
 package wheelroute.decision.health;
 
 /**
- * What this dispatcher holds of a worker's health: state only, as {@link OutlierEjection} decides.
+ * The health of one worker as this dispatcher observes it. State only; {@link OutlierEjection}
+ * decides on its transitions:
+ *
+ * <pre>
+ *            eject                  markUnresponsive
+ *   HEALTHY ───────> EJECTED ──────────────────────> UNRESPONSIVE
+ *      ^                │  ^                               │
+ *      ├── reinstate ───┘  └─────── recordResponse ────────┘
+ *      └── recordRestart, from either state
+ * </pre>
+ *
+ * <p>Besides, a worker of any state may be backing off for a short time.
  */
 public final class WorkerHealth {
-    private double heardAt = Double.NEGATIVE_INFINITY;
-    private double succeededAt = Double.NEGATIVE_INFINITY;
+    private enum State {
+        /** It gets requests as usual. */
+        HEALTHY,
+        /** It gets one attempt at a time, on trial. */
+        EJECTED,
+        /** Ejected because it stopped responding, and not heard from since. */
+        UNRESPONSIVE
+    }
+
+    private State state = State.HEALTHY;
+    private double lastResponseAt = Double.NEGATIVE_INFINITY;
+    private double lastSuccessAt = Double.NEGATIVE_INFINITY;
     private double backoffUntil = Double.NEGATIVE_INFINITY;
     private double nextTrialAt = Double.NEGATIVE_INFINITY;
-    private double trialDelay;
+    private double trialDelaySeconds;
     private int consecutiveSuccesses;
-    private boolean silent;
-    private boolean ejected;
 
     /**
-     * @param trialDelay seconds between an ejection and the first trial
+     * Creates the health of a worker that is healthy as far as is known.
+     *
+     * @param firstTrialDelaySeconds from an ejection to the first trial
      */
-    public WorkerHealth(double trialDelay) {
-        this.trialDelay = trialDelay;
+    public WorkerHealth(double firstTrialDelaySeconds) {
+        trialDelaySeconds = firstTrialDelaySeconds;
     }
 
-    /** Anything came from the worker. */
-    public void heard(double now) {
-        heardAt = now;
-        silent = false;
+    /** Records any message from the worker. */
+    public void recordResponse(double now) {
+        lastResponseAt = now;
+        if (state == State.UNRESPONSIVE) {
+            state = State.EJECTED;
+        }
     }
 
-    double heardAt() {
-        return heardAt;
+    /** Returns when the last message came from the worker, in seconds. */
+    public double lastResponseAt() {
+        return lastResponseAt;
     }
 
-    /** It answered a request with its result; returns how many times in a row. */
-    int succeeded(double now) {
-        succeededAt = now;
+    /** Records a result; returns how many there were without a failure in between. */
+    int recordSuccess(double now) {
+        lastSuccessAt = now;
         return ++consecutiveSuccesses;
     }
 
-    double succeededAt() {
-        return succeededAt;
+    double lastSuccessAt() {
+        return lastSuccessAt;
     }
 
-    void failed() {
+    void recordFailure() {
         consecutiveSuccesses = 0;
     }
 
-    /** Nothing is sent to it before then. */
     void backOffUntil(double time) {
         backoffUntil = time;
     }
 
     /**
-     * Whether the worker gets no attempts at this time because it rejected one or could not be
-     * reached.
+     * Whether the worker gets no attempts now because it rejected one or could not be connected to
+     * a moment ago.
      */
     public boolean isBackingOff(double now) {
         return now < backoffUntil;
     }
 
-    void markSilent() {
-        silent = true;
+    void eject() {
+        if (state == State.HEALTHY) {
+            state = State.EJECTED;
+        }
     }
 
-    /** It has kept silent for longer than its attempts explain. */
-    public boolean isSilent() {
-        return silent;
+    void markUnresponsive() {
+        state = State.UNRESPONSIVE;
     }
 
-    void eject() {
-        ejected = true;
+    /** Whether it has stopped responding and has not been heard from since. */
+    public boolean isUnresponsive() {
+        return state == State.UNRESPONSIVE;
     }
 
-    /** Ejected: it gets one attempt at a time, on trial. */
+    /** Whether it is ejected: it gets one attempt at a time, on trial. */
     public boolean isEjected() {
-        return ejected;
+        return state != State.HEALTHY;
     }
 
-    /** Takes over whether another process had ejected the worker. */
-    public void setEjected(boolean value) {
-        ejected = value;
+    /**
+     * Schedules the next trial after the present delay.
+     *
+     * @param nextDelaySeconds the delay that is used the next time
+     */
+    void scheduleTrial(double now, double nextDelaySeconds) {
+        nextTrialAt = now + trialDelaySeconds;
+        trialDelaySeconds = nextDelaySeconds;
     }
 
-    /** The next trial comes after the present delay; the delay after that one is given. */
-    void scheduleTrial(double now, double nextDelay) {
-        nextTrialAt = now + trialDelay;
-        trialDelay = nextDelay;
+    boolean isTrialDue(double now) {
+        return now >= nextTrialAt;
     }
 
-    double nextTrialAt() {
-        return nextTrialAt;
+    double trialDelaySeconds() {
+        return trialDelaySeconds;
     }
 
-    double trialDelay() {
-        return trialDelay;
+    void reinstate(double firstTrialDelaySeconds) {
+        state = State.HEALTHY;
+        trialDelaySeconds = firstTrialDelaySeconds;
     }
 
-    void reinstate(double newTrialDelay) {
-        ejected = false;
-        trialDelay = newTrialDelay;
+    /** Records that its process has restarted: it is not judged by the old one's faults. */
+    public void recordRestart() {
+        state = State.HEALTHY;
     }
 
-    /** The worker's process is another one now: old faults are not its own. */
-    public void restarted() {
-        ejected = false;
-        silent = false;
+    /** Sets whether it is ejected, as a predecessor process had it. */
+    void restore(boolean ejected) {
+        state = ejected ? State.EJECTED : State.HEALTHY;
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/order/KeyQueue.java
+++ b/daemon/src/main/java/wheelroute/decision/order/KeyQueue.java
@@ -5,14 +5,13 @@
 import wheelroute.decision.state.TrackedRequest;
 
 /**
- * The requests of one key in the order of their acceptance; state only, {@link KeyQueues} decides.
+ * The requests of one key in the order of their acceptance. State only; {@link KeyQueues} decides.
  */
 public final class KeyQueue {
     private final Ids.Key key;
     private final ArrayDeque<TrackedRequest> requests = new ArrayDeque<>();
-    private double quietUntil = Double.NEGATIVE_INFINITY;
+    private double blockedUntil = Double.NEGATIVE_INFINITY;
     private double wakeupAt;
-    private boolean advancing;
 
     KeyQueue(Ids.Key key) {
         this.key = key;
@@ -22,41 +21,32 @@
         return key;
     }
 
-    /** The first is the one whose turn it is. */
+    /** Returns the requests; only the first may have attempts. */
     ArrayDeque<TrackedRequest> requests() {
         return requests;
     }
 
+    TrackedRequest first() {
+        return requests.peekFirst();
+    }
+
     boolean isEmpty() {
         return requests.isEmpty();
     }
 
-    /** Before then no request of the key begins: an attempt that ended may be running still. */
-    double quietUntil() {
-        return quietUntil;
+    /** Returns the time before which no request begins, as an attempt may still be running. */
+    double blockedUntil() {
+        return blockedUntil;
     }
 
-    void extendQuiet(double time) {
-        quietUntil = Math.max(quietUntil, time);
+    void blockUntil(double time) {
+        blockedUntil = Math.max(blockedUntil, time);
     }
 
-    /**
-     * Whether a wakeup for the end of the quiet time is still to be asked for; if so it is noted.
-     */
-    boolean noteWakeup() {
-        boolean needed = wakeupAt != quietUntil;
-        wakeupAt = quietUntil;
+    /** Returns whether no wakeup was scheduled yet for when the key is unblocked, and notes one. */
+    boolean needsWakeup() {
+        boolean needed = wakeupAt != blockedUntil;
+        wakeupAt = blockedUntil;
         return needed;
     }
-
-    /** False while the queue is being advanced already, further up the call stack. */
-    boolean beginAdvance() {
-        boolean free = !advancing;
-        advancing = true;
-        return free;
-    }
-
-    void endAdvance() {
-        advancing = false;
-    }
 }
--- a/daemon/src/main/java/wheelroute/decision/order/KeyQueues.java
+++ b/daemon/src/main/java/wheelroute/decision/order/KeyQueues.java
@@ -3,28 +3,30 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import wheelroute.decision.Ids;
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.Outcome;
 import wheelroute.decision.admission.Admission;
+import wheelroute.decision.estimates.FleetEstimates;
 import wheelroute.decision.health.SweepTimer;
 import wheelroute.decision.routing.RequestPlacer;
-import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.DecisionClock;
 import wheelroute.decision.state.TrackedRequest;
 
-/** The order of keys: requests of one key run one at a time, as they were accepted. */
-public final class KeyQueues {
-    private final DispatcherState state;
-    private final RequestPlacer placer;
-
-    /** Creates the queues of one dispatcher, which place requests through the given placer. */
-    public KeyQueues(DispatcherState state, RequestPlacer placer) {
-        this.state = state;
-        this.placer = placer;
-    }
-
-    /** Returns the queue of a key, a new one if none of its requests is open. */
-    public KeyQueue forKey(Ids.Key key) {
-        return state.keyQueues().computeIfAbsent(key, KeyQueue::new);
-    }
+/**
+ * The order of keys: requests of one key run one at a time, in the order in which they were
+ * accepted. After an attempt that may still be running, the key is blocked for a while.
+ *
+ * @param quietPeriodSeconds how long a key is blocked after an attempt that may still run
+ */
+public record KeyQueues(
+        DecisionClock clock,
+        double quietPeriodSeconds,
+        KeyQueueTable queues,
+        FleetEstimates fleet,
+        RequestPlacer placer,
+        ActionHandler actions) {
+    /** A request that must still wait this long before its deadline is rejected in time. */
+    private static final double REJECTION_MARGIN_SECONDS = 2 * SweepTimer.INTERVAL_SECONDS;
 
     /** Appends an accepted request to its queue, and places it if it is the first. */
     public void add(TrackedRequest request) {
@@ -32,98 +34,109 @@
         advance(request.queue());
     }
 
-    /** Begins and gives up what is due in each queue. */
+    /** Begins and rejects what is due in each queue. */
     public void advanceAll() {
-        for (KeyQueue queue : new ArrayList<>(state.keyQueues().values())) {
+        for (KeyQueue queue : queues.copyOfAll()) {
             advance(queue);
         }
     }
 
-    /** A request that is complete leaves its queue, and the next may begin. */
-    public void leave(TrackedRequest request) {
+    /** Blocks the key of a request if its attempt, which ended so, may still be running. */
+    public void onOutcome(TrackedRequest request, Outcome outcome) {
+        if (outcome.mayStillRun()) {
+            request.blockKeyUntil(clock.now() + quietPeriodSeconds);
+        }
+    }
+
+    /** Removes a request from its queue if it is complete, and begins the next. */
+    public void removeIfComplete(TrackedRequest request) {
         KeyQueue queue = request.queue();
         if (queue != null && request.isComplete() && queue.requests().remove(request)) {
-            queue.extendQuiet(request.keyQuietUntil());
+            queue.blockUntil(request.keyBlockedUntil());
             advance(queue);
         }
     }
 
-    /** Begins what may begin now, and gives up at once what cannot be in time any more. */
     private void advance(KeyQueue queue) {
-        if (!queue.beginAdvance()) {
-            return;
-        }
-        double now = state.now();
-        try {
-            giveUpLate(queue);
-            while (!queue.isEmpty()
-                    && queue.requests().peekFirst().attempts().isEmpty()
-                    && now >= queue.quietUntil()) {
-                placer.place(queue.requests().peekFirst());
+        double now = clock.now();
+        rejectLate(queue);
+        while (!queue.isEmpty()
+                && queue.first().attempts().isEmpty()
+                && now >= queue.blockedUntil()) {
+            placer.place(queue.first());
+            if (queue.first().isComplete()) {
+                queue.requests().removeFirst();
             }
-        } finally {
-            queue.endAdvance();
         }
-        if (queue.isEmpty() && now >= queue.quietUntil()) {
-            state.keyQueues().remove(queue.key());
-        } else if (!queue.isEmpty() && now < queue.quietUntil() && queue.noteWakeup()) {
-            state.actions().scheduleWakeup(queue.quietUntil() - now);
+        if (queue.isEmpty() && now >= queue.blockedUntil()) {
+            queues.remove(queue);
+        } else if (!queue.isEmpty() && now < queue.blockedUntil() && queue.needsWakeup()) {
+            actions.scheduleWakeup(queue.blockedUntil() - now);
         }
     }
 
-    /**
-     * A queue that cannot clear in time is shortened. Jobs keep their order, so each that would
-     * begin too late costs one: of those not begun the one worth least for its time, and of these
-     * the last.
-     */
-    private void giveUpLate(KeyQueue queue) {
-        double free = Math.max(state.now(), queue.quietUntil());
+    /** Rejects requests until all others are expected to begin in time. */
+    private void rejectLate(KeyQueue queue) {
+        double now = clock.now();
+        double beginsAt = Math.max(now, queue.blockedUntil());
         List<TrackedRequest> kept = new ArrayList<>();
         for (TrackedRequest request : new ArrayList<>(queue.requests())) {
             if (!request.attempts().isEmpty()) {
-                free += request.remaining(state.now());
+                beginsAt += request.remainingSeconds(now);
                 continue;
             }
-            double run = usualRun(request);
-            double borne = Admission.borne(request.requestClass(), request.work(), run);
-            double excess = free - request.acceptedAt() - borne;
-            List<TrackedRequest> lesser = lesserThan(request, kept);
-            boolean late =
-                    isOutOfTime(request, queue)
-                            || excess > lesser.stream().mapToDouble(this::usualRun).sum();
-            for (int i = 0; !late && excess > 0 && i < lesser.size(); i++) {
-                TrackedRequest least = lesser.get(i);
-                kept.remove(least);
-                excess -= usualRun(least);
-                free -= usualRun(least);
-                placer.giveUp(least, free - state.now());
+            List<TrackedRequest> rejected = rejectedFor(request, beginsAt, queue, kept);
+            for (TrackedRequest other : rejected) {
+                beginsAt -= kept.remove(other) ? fleet.expectedRunSeconds(other) : 0;
+                reject(other, queue, beginsAt - now);
             }
-            if (late) {
-                placer.giveUp(request, free - state.now());
-            } else {
+            if (!rejected.contains(request)) {
                 kept.add(request);
-                free += run;
+                beginsAt += fleet.expectedRunSeconds(request);
             }
         }
     }
 
-    private double usualRun(TrackedRequest request) {
-        return request.work() / state.workers().meanSlotSpeed();
+    /**
+     * Returns the requests to reject so that no other begins too late: those before this one that
+     * are of less value, the least first, if that is enough, or else this one.
+     */
+    private List<TrackedRequest> rejectedFor(
+            TrackedRequest request, double beginsAt, KeyQueue queue, List<TrackedRequest> kept) {
+        double run = fleet.expectedRunSeconds(request);
+        double maxWait = Admission.maxWaitSeconds(request.requestClass(), request.work(), run);
+        double excess = beginsAt - request.acceptedAt() - maxWait;
+        List<TrackedRequest> lesser = ofLessValue(request, kept);
+        double gain = lesser.stream().mapToDouble(fleet::expectedRunSeconds).sum();
+        if (isOutOfTime(request, queue) || excess > gain) {
+            return List.of(request);
+        }
+        List<TrackedRequest> rejected = new ArrayList<>();
+        for (int i = 0; excess > 0 && i < lesser.size(); i++) {
+            rejected.add(lesser.get(i));
+            excess -= fleet.expectedRunSeconds(lesser.get(i));
+        }
+        return rejected;
     }
 
-    /** No sweep may come before its deadline, and it does not begin now. */
+    private void reject(TrackedRequest request, KeyQueue queue, double retryAfterSeconds) {
+        placer.rejectOrFail(request, retryAfterSeconds);
+        queue.requests().remove(request);
+    }
+
+    /**
+     * Whether it cannot begin now, and the queue may not be looked at again before its deadline.
+     */
     private boolean isOutOfTime(TrackedRequest request, KeyQueue queue) {
-        double now = state.now();
-        boolean mustWait = request != queue.requests().peekFirst() || now < queue.quietUntil();
-        return now + 2 * SweepTimer.INTERVAL > request.request().deadline() && mustWait;
+        double now = clock.now();
+        boolean mustWait = request != queue.first() || now < queue.blockedUntil();
+        return now + REJECTION_MARGIN_SECONDS > request.request().deadline() && mustWait;
     }
 
-    /** Those of less value, the least first. */
-    private static List<TrackedRequest> lesserThan(
+    /** Returns those of less value than the request, the least first. */
+    private static List<TrackedRequest> ofLessValue(
             TrackedRequest request, List<TrackedRequest> others) {
-        return others.stream()
-                .filter(other -> other.value() < request.value())
-                .sorted(Comparator.comparingDouble(TrackedRequest::value))
-                .toList();
+        var lesser = others.stream().filter(other -> other.value() < request.value());
+        return lesser.sorted(Comparator.comparingDouble(TrackedRequest::value)).toList();
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
@@ -1,84 +1,90 @@
 package wheelroute.decision.retry;
 
+import java.util.function.BooleanSupplier;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.Ids;
 import wheelroute.decision.Outcome;
 import wheelroute.decision.Settings;
-import wheelroute.decision.health.OutlierEjection;
+import wheelroute.decision.endpoints.EndpointLease;
 import wheelroute.decision.state.Attempt;
-import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.DecisionClock;
 import wheelroute.decision.state.TrackedRequest;
 import wheelroute.decision.state.WorkerState;
 
 /**
- * Rule 2, no effect twice, and rule 3 where the list is unconfirmed: whether a request may be
- * attempted again, and where, and whether it may be rejected, which tells the client that a retry
- * does no harm.
+ * Rule 2, no request has its effect twice, and rule 3 where the endpoint list is unconfirmed:
+ * whether a request may be attempted again, on which workers, how an attempt without a response is
+ * replaced, and whether the request may be rejected, which tells the client that a retry does no
+ * harm.
  */
-public final class RetryRules {
-    /** No attempt begins with less time left: it could not even reach a worker and come back. */
-    private static final double MIN_TIME_LEFT = 0.02;
+public record RetryRules(
+        DecisionClock clock,
+        Settings settings,
+        EndpointLease endpointLease,
+        ErrorAttribution errorAttribution) {
+    /** With less time left before the deadline no answer could arrive. */
+    private static final double MIN_TIME_LEFT_SECONDS = 0.02;
 
-    /** Taken off the window in which workers know a repeated key, for the way to the worker. */
-    private static final double TRANSIT = 0.5;
-
-    /** Retries taken to have succeeded, so that a few errors prove nothing. */
-    private static final int PRIOR_SUCCESSES = 2;
-
-    /** What keeps failing on this machine must not be tried for ever. */
-    private static final int MAX_UNCOUNTED = 2;
-
-    private final DispatcherState state;
+    /**
+     * Taken off the time for which workers recognize an idempotency key, as that time begins at the
+     * worker and a repeat must still reach it.
+     */
+    private static final double TRANSIT_SECONDS = 0.5;
 
-    /** Creates the rules over the state of one dispatcher. */
-    public RetryRules(DispatcherState state) {
-        this.state = state;
-    }
+    /**
+     * Attempts that failed locally, before anything was sent, and do not count against the maximum.
+     */
+    private static final int MAX_LOCAL_FAILURES = 2;
 
-    /** Whether one more attempt anywhere can be right. */
-    public boolean mayAttempt(TrackedRequest request) {
-        if (state.endpointLease().isExpired(state.now())) {
-            return false;
+    /** Returns whether one more attempt may be made, whichever worker it goes to. */
+    public AttemptPermission permitAttempt(TrackedRequest request) {
+        double now = clock.now();
+        if (endpointLease.isExpired(now)) {
+            return AttemptPermission.ENDPOINT_LEASE_EXPIRED;
         }
         if (request.isDone() || request.isStreaming() || request.isInvalid()) {
-            return false;
+            return AttemptPermission.REQUEST_CLOSED;
+        }
+        if (request.hasFailed() && errorAttribution.blamesRequests()) {
+            return AttemptPermission.REQUEST_BLAMED;
         }
-        if (request.hasFailed() && errorsFollowRequests()) {
-            return false;
+        if (countedAttempts(request) >= settings.maxAttempts()) {
+            return AttemptPermission.ATTEMPTS_EXHAUSTED;
         }
-        Settings settings = state.settings();
-        if (countedAttempts(request) >= settings.maxAttempts()
-                || (request.hasInFlight() && !settings.mayHedge())
-                || state.now() > request.request().deadline() - MIN_TIME_LEFT) {
-            return false;
+        if (request.hasInFlight() && !settings.mayHedge()) {
+            return AttemptPermission.HEDGING_FORBIDDEN;
         }
-        return request.settings().idempotency() != Idempotency.NON_IDEMPOTENT
-                || !request.mayHaveRun();
+        if (now > request.request().deadline() - MIN_TIME_LEFT_SECONDS) {
+            return AttemptPermission.DEADLINE_TOO_CLOSE;
+        }
+        boolean mustNotRepeat = request.settings().idempotency() == Idempotency.NON_IDEMPOTENT;
+        return mustNotRepeat && request.mayHaveRun()
+                ? AttemptPermission.MAY_HAVE_RUN
+                : AttemptPermission.ALLOWED;
     }
 
-    /**
-     * Attempts that count against the most that are allowed: one that never left this machine was
-     * no worker's, up to a few in a row.
-     */
+    /** All attempts but a few that failed locally, as no worker has seen those. */
     private static int countedAttempts(TrackedRequest request) {
-        int unsent = 0;
+        int notSent = 0;
         for (int i = 0; i < request.attempts().size(); i++) {
-            unsent += request.attempts().get(i).outcome() == Outcome.NOT_SENT ? 1 : 0;
+            notSent += request.attempts().get(i).outcome() == Outcome.NOT_SENT ? 1 : 0;
         }
-        return request.attempts().size() - Math.min(unsent, MAX_UNCOUNTED);
+        return request.attempts().size() - Math.min(notSent, MAX_LOCAL_FAILURES);
     }
 
     /**
-     * Whether the next attempt may go to this worker; for a key only where, and while, it is known.
+     * Whether the next attempt may go to this worker. It must be of the request's model, must not
+     * have rejected the request or be running it, and must recognize the idempotency key of every
+     * attempt that may have run.
      */
-    public boolean mayGoTo(TrackedRequest request, WorkerState worker) {
+    public boolean mayRunOn(TrackedRequest request, WorkerState worker) {
         for (int i = 0; i < request.attempts().size(); i++) {
             Attempt earlier = request.attempts().get(i);
-            boolean refused = earlier.isInFlight() || earlier.outcome() == Outcome.REJECTED;
-            if (earlier.worker == worker && refused) {
+            boolean excludesWorker = earlier.isInFlight() || earlier.outcome() == Outcome.REJECTED;
+            if (earlier.worker == worker && excludesWorker) {
                 return false;
             }
-            if (!isRepeatKnown(request.settings(), earlier, worker)) {
+            if (!recognizesRepeat(worker, earlier, request.settings())) {
                 return false;
             }
         }
@@ -86,33 +92,44 @@
         return model == null || model.equals(worker.endpoint().model());
     }
 
-    /**
-     * Whether the worker recognizes the idempotency key of an earlier attempt that may have run.
-     */
-    private boolean isRepeatKnown(
-            Settings.RequestClass requestClass, Attempt earlier, WorkerState worker) {
+    private boolean recognizesRepeat(
+            WorkerState worker, Attempt earlier, Settings.RequestClass requestClass) {
         if (requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY || !earlier.mayHaveRun()) {
             return true;
         }
-        double windowEnd = earlier.sentAt + requestClass.idempotencyWindowSeconds() - TRANSIT;
-        return state.now() <= windowEnd
+        double windowSeconds = requestClass.idempotencyWindowSeconds();
+        return clock.now() <= earlier.sentAt + windowSeconds - TRANSIT_SECONDS
                 && requestClass.idempotencyScope().covers(earlier.endpoint, worker.endpoint());
     }
 
-    /** Whether no attempt ran, or a repeat does no harm wherever it runs. */
+    /**
+     * Returns how an attempt without a response may be replaced. Where hedging is forbidden it must
+     * be cancelled first, which is worthwhile only if a retry will then be possible.
+     *
+     * @param hasOtherWorker whether another worker could take the request now
+     */
+    Replacement replacementFor(Attempt attempt, BooleanSupplier hasOtherWorker) {
+        if (settings.mayHedge()) {
+            return Replacement.HEDGE;
+        }
+        boolean canRetry =
+                settings.mayCancel()
+                        && switch (attempt.request.settings().idempotency()) {
+                            case IDEMPOTENT -> true;
+                            // Only if its worker responds to others, so that the fault is this
+                            // attempt's alone, and another worker recognizes the key.
+                            case IDEMPOTENT_BY_KEY ->
+                                    attempt.worker.health().lastResponseAt()
+                                                    > attempt.lastMessageAt()
+                                            && hasOtherWorker.getAsBoolean();
+                            case NON_IDEMPOTENT -> false;
+                        };
+        return canRetry ? Replacement.CANCEL_THEN_RETRY : Replacement.NONE;
+    }
+
+    /** Whether no attempt can have run, or a retry by the client does no harm wherever it runs. */
     public boolean mayReject(TrackedRequest request) {
         return !request.mayHaveRun()
                 || (request.settings().isSafeToRetryAnywhere() && !request.isInvalid());
     }
-
-    /**
-     * While retries fail as well, an error is its request's fault and not its worker's, and a
-     * further attempt is a waste. Looked at anew once these failures are old.
-     */
-    public boolean errorsFollowRequests() {
-        double since = state.now() - OutlierEjection.FAILURE_MEMORY;
-        int retries = state.traffic().retriesSince(since);
-        double failed = state.traffic().failedRetriesSince(since);
-        return failed > (retries + PRIOR_SUCCESSES) / 2.0;
-    }
 }
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/decision/routing/AttemptSender.java
@@ -0,0 +1,73 @@
+package wheelroute.decision.routing;
+
+import wheelroute.decision.ActionHandler;
+import wheelroute.decision.estimates.Candidate;
+import wheelroute.decision.health.SweepTimer;
+import wheelroute.decision.state.Attempt;
+import wheelroute.decision.state.DecisionClock;
+import wheelroute.decision.state.TrackedRequest;
+import wheelroute.decision.state.WorkerState;
+import wheelroute.decision.state.WorkerTable;
+
+/** Starts and cancels attempts as decided elsewhere, and keeps the state in step with that. */
+public final class AttemptSender {
+    /** In place of a limit on the response time: the attempt may take until the deadline. */
+    private static final double UNTIL_DEADLINE = 0;
+
+    private final DecisionClock clock;
+    private final ActionHandler actions;
+    private final WorkerTable workers;
+    private final SweepTimer sweeps;
+    private final boolean mayCancel;
+
+    /**
+     * Creates the sender of one dispatcher.
+     *
+     * @param mayCancel whether attempts of requests that need no answer any more are cancelled
+     */
+    public AttemptSender(
+            DecisionClock clock,
+            ActionHandler actions,
+            WorkerTable workers,
+            SweepTimer sweeps,
+            boolean mayCancel) {
+        this.clock = clock;
+        this.actions = actions;
+        this.workers = workers;
+        this.sweeps = sweeps;
+        this.mayCancel = mayCancel;
+    }
+
+    /** Starts an attempt at the worker that was chosen. */
+    void start(TrackedRequest request, Candidate chosen) {
+        double now = clock.now();
+        WorkerState worker = chosen.worker();
+        Attempt attempt = new Attempt(request, request.attempts().size(), chosen, now);
+        int attemptCount = worker.countAttempt();
+        if (request.affinity() != null) {
+            request.affinity().recordAttempt(worker, attemptCount);
+        }
+        request.add(attempt);
+        if (workers.add(attempt)) {
+            sweeps.schedule();
+        }
+        worker.slowStartBudget().recordSent(now, request.work() * request.slots());
+        actions.startAttempt(request.request().id(), worker.id(), UNTIL_DEADLINE);
+    }
+
+    /** Cancels one attempt in flight. */
+    public void cancel(Attempt attempt) {
+        attempt.cancel();
+        actions.cancelAttempt(attempt.request.request().id(), attempt.number);
+    }
+
+    /** Cancels what is in flight of a request that needs no answer any more, where allowed. */
+    public void cancelAll(TrackedRequest request) {
+        for (int i = 0; i < request.attempts().size() && mayCancel; i++) {
+            Attempt attempt = request.attempts().get(i);
+            if (attempt.isInFlight() && !attempt.isCancelled()) {
+                cancel(attempt);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/decision/routing/EligibilityVerdict.java
@@ -0,0 +1,19 @@
+package wheelroute.decision.routing;
+
+/**
+ * Whether a worker may get a request, or else what excludes it. From the best to the worst; a
+ * worker after {@link #EJECTED} gets nothing.
+ */
+enum EligibilityVerdict {
+    ELIGIBLE,
+    /** Used only where no worker is eligible. */
+    OVERFULL,
+    /** Used only where all others are excluded. */
+    EJECTED,
+    /** See {@code RetryRules.mayRunOn}. */
+    EXCLUDED_BY_RETRY_RULES,
+    /** See {@code SlowStart.admits}. */
+    EXCLUDED_BY_SLOW_START,
+    /** It rejected an attempt or could not be connected to a moment ago. */
+    BACKING_OFF
+}
--- a/daemon/src/main/java/wheelroute/decision/routing/KeyAffinity.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/KeyAffinity.java
@@ -13,26 +13,31 @@
 import wheelroute.decision.Ids;
 
 /**
- * Where what the requests of a key need is likely cached: at the workers that rendezvous hashing
- * prefers for the key, which every dispatcher computes alike from key and endpoint, and where this
- * dispatcher sent the key lately. It measures only; what a miss costs is weighed by the policy.
+ * Estimates at which workers the data of a key is cached: at those that rendezvous hashing prefers
+ * for the key, which every dispatcher computes alike from key and endpoint, and at those to which
+ * this dispatcher sent the key recently. What a miss costs is decided elsewhere.
  *
- * @param <W> a worker, as its user knows it
+ * @param <W> the caller's type of a worker
  */
 public final class KeyAffinity<W> {
-    /** Keys remembered: enough for those that come often, and bounded where all differ. */
+    /** Bounds the memory used where every request has another key. */
     private static final int MAX_KEYS = 1024;
 
-    /** Workers preferred for a key: the first, and those to turn to when it is busy. */
+    /** Workers preferred for a key: the first, and others for when that is busy. */
     public static final int PREFERRED_COUNT = 3;
 
-    /** In place of a rank: no miss is expected, as there is no key, or it went there lately. */
+    /**
+     * In place of a rank: no miss is expected, as there is no key, or it was sent there recently.
+     */
     public static final int CACHED = -1;
 
-    /** A key is taken to stay cached until the worker has had this many later attempts of ours. */
+    /** A key counts as evicted once this dispatcher has sent the worker so many more attempts. */
     private static final int CACHED_ATTEMPTS = 8;
 
-    /** A worker listed with no weight is preferred for some keys all the same. */
+    /**
+     * Weights below this count as this, so that a worker without weight is still preferred for some
+     * keys.
+     */
     private static final double MIN_WEIGHT = 0.01;
 
     private final Function<W, Endpoint> endpoints;
@@ -48,18 +53,22 @@
     private List<W> fleet = List.of();
     private int fleetVersion;
 
-    /** Creates the placements of keys among workers, whose endpoints the function returns. */
-    public KeyAffinity(Function<W, Endpoint> listings) {
-        this.endpoints = listings;
+    /**
+     * Creates the affinities of keys to workers.
+     *
+     * @param endpoints returns the endpoint of a worker
+     */
+    public KeyAffinity(Function<W, Endpoint> endpoints) {
+        this.endpoints = endpoints;
     }
 
-    /** The workers that can be preferred from now on. */
+    /** Sets the workers that can be preferred from now on. */
     public void setFleet(List<W> workers) {
         fleet = new ArrayList<>(workers);
         fleetVersion++;
     }
 
-    /** Returns the placement of a key; the least recently used key is forgotten. */
+    /** Returns the placement of a key; the least recently used key is evicted. */
     public Placement forKey(Ids.Key key) {
         return placements.computeIfAbsent(key, Placement::new);
     }
@@ -75,7 +84,7 @@
             hash = mix(key.name().hashCode());
         }
 
-        /** The preferred workers of a model, or of all for null, the likeliest first. */
+        /** Returns the preferred workers of a model, or of all for null, the likeliest first. */
         public List<W> preferred(Ids.Model model) {
             if (rankedVersion != fleetVersion) {
                 rankedVersion = fleetVersion;
@@ -95,7 +104,7 @@
             for (W worker : fleet) {
                 Endpoint endpoint = endpoints.apply(worker);
                 if (model == null || model.equals(endpoint.model())) {
-                    // A draw above 0 and under 1: the top bits, and a half of their last.
+                    // The top 53 bits plus a half, so that the draw is above 0 and below 1.
                     double draw = ((mix(hash ^ endpoint.worker().value()) >>> 11) + 0.5) * 0x1p-53;
                     double distance = -Math.log(draw) / Math.max(MIN_WEIGHT, endpoint.weight());
                     int position = nearest.size();
@@ -117,16 +126,17 @@
         }
 
         /**
-         * Calls the action on the workers that the key went to lately, and forgets the others.
+         * Calls the action on the workers that the key was sent to recently, and forgets the
+         * others.
          *
-         * @param attemptCount how many attempts a worker has had by now
+         * @param attemptCount returns how many attempts a worker was sent so far
          */
         public void forEachRecent(ToIntFunction<W> attemptCount, Consumer<W> action) {
             for (Iterator<Map.Entry<W, Integer>> iterator = attemptsAtSend.entrySet().iterator();
                     iterator.hasNext(); ) {
-                Map.Entry<W, Integer> entry = iterator.next();
-                if (attemptCount.applyAsInt(entry.getKey()) - entry.getValue() < CACHED_ATTEMPTS) {
-                    action.accept(entry.getKey());
+                Map.Entry<W, Integer> sent = iterator.next();
+                if (attemptCount.applyAsInt(sent.getKey()) - sent.getValue() < CACHED_ATTEMPTS) {
+                    action.accept(sent.getKey());
                 } else {
                     iterator.remove();
                 }
@@ -134,7 +144,7 @@
         }
     }
 
-    /** The finalizer of a 64-bit hash: similar keys and ids must not share their workers. */
+    /** The finalizer of a 64-bit hash, so that similar keys and ids do not share their workers. */
     private static long mix(long x) {
         long a = (x ^ x >>> 33) * 0xff51afd7ed558ccdL;
         long b = (a ^ a >>> 33) * 0xc4ceb9fe1a85ec53L;
--- a/daemon/src/main/java/wheelroute/decision/routing/RequestPlacer.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/RequestPlacer.java
@@ -1,124 +1,95 @@
 package wheelroute.decision.routing;
 
+import wheelroute.decision.ActionHandler;
 import wheelroute.decision.Settings;
 import wheelroute.decision.admission.Admission;
-import wheelroute.decision.health.OutlierEjection;
-import wheelroute.decision.health.SweepTimer;
-import wheelroute.decision.order.KeyQueues;
+import wheelroute.decision.admission.AdmissionDecision;
+import wheelroute.decision.admission.SharedLimits;
+import wheelroute.decision.estimates.Candidate;
+import wheelroute.decision.estimates.FleetSnapshot;
+import wheelroute.decision.retry.AttemptPermission;
 import wheelroute.decision.retry.RetryRules;
-import wheelroute.decision.state.Attempt;
-import wheelroute.decision.state.DispatcherState;
 import wheelroute.decision.state.TrackedRequest;
-import wheelroute.decision.state.WorkerState;
 
-/** Starts the next attempt of a request, or gives it its final answer if nothing is left to try. */
-public final class RequestPlacer {
+/** Starts the next attempt of a request, or answers it if no attempt is left to make. */
+public record RequestPlacer(
+        Settings settings,
+        RetryRules retryRules,
+        WorkerSelector selector,
+        Admission admission,
+        AttemptSender sender,
+        ActionHandler actions) {
     /**
-     * A second choice must wait at most this fraction of what is borne: overload must not fill
-     * every queue.
+     * A fallback worker is used only if its wait is well below the maximum, so that overload does
+     * not spread to all queues.
      */
-    private static final double SECOND_CHOICE_FRACTION = 0.4;
+    private static final double FALLBACK_WAIT_FRACTION = 0.4;
 
-    private final DispatcherState state;
-    private final WorkerSelector selector;
-    private final RetryRules retryRules;
-    private final Admission admission;
-    private final SweepTimer sweeps;
-    private final KeyQueues keyQueues;
+    /** Advice for a rejected client where no worker's wait is known: about as long as a job. */
+    private static final double DEFAULT_RETRY_AFTER_SECONDS = 0.3;
 
-    /** Creates the placer of one dispatcher. */
-    public RequestPlacer(
-            DispatcherState state,
-            WorkerSelector selector,
-            RetryRules retryRules,
-            SweepTimer sweeps) {
-        this.state = state;
-        this.selector = selector;
-        this.retryRules = retryRules;
-        this.sweeps = sweeps;
-        admission = new Admission(state);
-        keyQueues = new KeyQueues(state, this);
-    }
-
-    /** Returns the queues of requests that run one at a time. */
-    public KeyQueues keyQueues() {
-        return keyQueues;
-    }
-
-    /** Sends it to the cheapest worker, or gives it up at once if nothing is left to wait for. */
-    public void place(TrackedRequest request) {
-        WorkerState best = retryRules.mayAttempt(request) ? selector.cheapest(request) : null;
-        WorkerState choice = best;
-        if (best != null && !request.hasInFlight() && retryRules.mayReject(request)) {
-            Admission.Bounds bounds = admission.boundsFor(request);
-            if (admission.isHopeless(request, best, 1, bounds)) {
-                // The fastest worker has a queue; an idle one beside it may still be in time.
-                choice =
-                        selector.cheapestAmong(
-                                request,
-                                worker ->
-                                        !admission.isHopeless(
-                                                request, worker, SECOND_CHOICE_FRACTION, bounds));
-            }
+    /**
+     * Sends the request to the cheapest worker. Where that is not possible, it is answered at once,
+     * unless an attempt of it is in flight.
+     */
+    public PlacementResult place(TrackedRequest request) {
+        if (retryRules.permitAttempt(request) != AttemptPermission.ALLOWED) {
+            return endUnlessInFlight(
+                    request, PlacementResult.ATTEMPT_NOT_PERMITTED, DEFAULT_RETRY_AFTER_SECONDS);
+        }
+        FleetSnapshot fleet = selector.snapshotFor(request);
+        Candidate cheapest = selector.cheapest(request, fleet);
+        if (cheapest == null) {
+            return endUnlessInFlight(
+                    request, PlacementResult.NO_ELIGIBLE_WORKER, DEFAULT_RETRY_AFTER_SECONDS);
         }
-        if (choice != null) {
-            startAttempt(request, choice);
-        } else if (!request.hasInFlight()) {
-            giveUp(
-                    request,
-                    best == null
-                            ? OutlierEjection.REJECTION_BACKOFF
-                            : best.estimates().expectedWait());
+        boolean mayBeRejected = !request.hasInFlight() && retryRules.mayReject(request);
+        Candidate chosen = mayBeRejected ? admit(request, cheapest, fleet) : cheapest;
+        if (chosen == null) {
+            return endUnlessInFlight(
+                    request, PlacementResult.WAIT_TOO_LONG, cheapest.expectedWaitSeconds());
         }
+        sender.start(request, chosen);
+        return PlacementResult.ATTEMPT_STARTED;
     }
 
-    private void startAttempt(TrackedRequest request, WorkerState worker) {
-        Attempt attempt = new Attempt(request, request.attempts().size(), worker, state.now());
-        int count = worker.countAttempt();
-        if (request.affinity() != null) {
-            request.affinity().recordAttempt(worker, count);
+    /** Returns the cheapest worker or a fallback; null where the request would wait too long. */
+    private Candidate admit(TrackedRequest request, Candidate cheapest, FleetSnapshot fleet) {
+        SharedLimits limits = admission.sharedLimitsFor(request);
+        if (admission.decide(request, cheapest, 1, limits) == AdmissionDecision.ADMITTED) {
+            return cheapest;
         }
-        request.add(attempt);
-        if (state.workers().add(attempt)) {
-            sweeps.schedule();
+        // The cheapest may be a fast worker with a queue; a slower one beside it may be idle.
+        return selector.cheapestFallback(
+                request,
+                fleet,
+                candidate ->
+                        admission.decide(request, candidate, FALLBACK_WAIT_FRACTION, limits)
+                                == AdmissionDecision.ADMITTED);
+    }
+
+    private PlacementResult endUnlessInFlight(
+            TrackedRequest request, PlacementResult reason, double retryAfterSeconds) {
+        if (request.hasInFlight()) {
+            return PlacementResult.AWAITING_ATTEMPT;
         }
-        worker.slowStartBudget().recordSent(state.now(), request.work() * request.slots());
-        state.actions().startAttempt(request.request().id(), worker.id(), 0);
+        rejectOrFail(request, retryAfterSeconds);
+        return reason;
     }
 
     /**
-     * Rule 1: the one final answer, as soon as nothing is in flight and nothing more may be tried.
+     * Rule 1, one final answer: rejects the request, or fails it if a retry might do harm. To be
+     * called when nothing is in flight and nothing more may be attempted.
      *
-     * @param retryAfter seconds after which a retry may go better
+     * @param retryAfterSeconds the time after which a retry may succeed
      */
-    public void giveUp(TrackedRequest request, double retryAfter) {
+    public void rejectOrFail(TrackedRequest request, double retryAfterSeconds) {
         request.finish();
-        Settings settings = state.settings();
         if (retryRules.mayReject(request)) {
-            double advice =
-                    settings.sendsRetryAfter()
-                            ? Math.min(settings.maxRetryAfterSeconds(), retryAfter)
-                            : 0;
-            state.actions().reject(request.request().id(), advice);
+            double advice = Math.min(settings.maxRetryAfterSeconds(), retryAfterSeconds);
+            actions.reject(request.request().id(), settings.sendsRetryAfter() ? advice : 0);
         } else {
-            state.actions().fail(request.request().id());
+            actions.fail(request.request().id());
         }
-        keyQueues.leave(request);
-    }
-
-    /** No work is done for an answer that nobody waits for, where attempts may be cancelled. */
-    public void cancelAttempts(TrackedRequest request) {
-        for (int i = 0; i < request.attempts().size() && state.settings().mayCancel(); i++) {
-            Attempt attempt = request.attempts().get(i);
-            if (attempt.isInFlight() && !attempt.isCancelled()) {
-                cancel(attempt);
-            }
-        }
-    }
-
-    /** Cancels one attempt in flight. */
-    public void cancel(Attempt attempt) {
-        attempt.cancel();
-        state.actions().cancelAttempt(attempt.request.request().id(), attempt.number);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/routing/WorkerSelector.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/WorkerSelector.java
@@ -1,125 +1,73 @@
 package wheelroute.decision.routing;
 
-import java.util.List;
 import java.util.function.Predicate;
+import wheelroute.decision.estimates.Candidate;
 import wheelroute.decision.estimates.FleetEstimates;
-import wheelroute.decision.health.OutlierEjection;
-import wheelroute.decision.retry.RetryRules;
-import wheelroute.decision.slowstart.SlowStart;
-import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.estimates.FleetSnapshot;
+import wheelroute.decision.state.DecisionClock;
+import wheelroute.decision.state.RandomDraws;
 import wheelroute.decision.state.TrackedRequest;
-import wheelroute.decision.state.WorkerState;
 
 /** Chooses the worker of least admittance cost among those that may get a request. */
-public final class WorkerSelector {
-    /** Costs this close to the cheapest are a tie: estimates are too rough to tell them apart. */
-    private static final double TIE_BAND = 0.10;
-
-    /** A worker with this many times the mean of attempts a slot, and a few more, is overfull. */
-    private static final double OVERFULL_FACTOR = 2;
-
-    private static final double OVERFULL_SPARE = 1;
-
-    /** Who may be chosen: the next tier comes in only where the one before has nobody. */
-    private enum Tier {
-        USUAL,
-        OVERFULL,
-        EJECTED
+public record WorkerSelector(
+        DecisionClock clock,
+        FleetEstimates estimates,
+        WorkerEligibility eligibility,
+        AdmittanceCostInputs costInputs,
+        RandomDraws random) {
+    /** Costs this close to the least count as equal, as estimates are no more exact than this. */
+    private static final double TIE_FRACTION = 0.10;
+
+    /** Returns all ready workers as estimated for the request now. */
+    FleetSnapshot snapshotFor(TrackedRequest request) {
+        return estimates.snapshotFor(request);
     }
 
-    private static final Tier[] TIERS = Tier.values();
-
-    private final DispatcherState state;
-    private final RetryRules retryRules;
-    private final OutlierEjection ejection;
-    private final SlowStart slowStart;
-    private final AdmittanceCost cost;
-    private final FleetEstimates fleet;
-
-    /** Creates the selector over the state of one dispatcher. */
-    public WorkerSelector(DispatcherState state, RetryRules retryRules, OutlierEjection ejection) {
-        this.state = state;
-        this.retryRules = retryRules;
-        this.ejection = ejection;
-        slowStart = new SlowStart(state);
-        fleet = new FleetEstimates(state);
-        cost = new AdmittanceCost(state, ejection);
-    }
-
-    /** The cheapest worker, ties by chance; null where none may get the request. */
-    WorkerState cheapest(TrackedRequest request) {
-        prepare(request);
-        double least = Double.POSITIVE_INFINITY;
-        for (Tier tier : TIERS) {
-            if (least == Double.POSITIVE_INFINITY) {
-                least = leastCost(request, worker -> isOpen(request, worker, tier));
-            }
+    /** Returns the cheapest worker, at random among equals; null where none may get the request. */
+    Candidate cheapest(TrackedRequest request, FleetSnapshot fleet) {
+        CandidateCosts costs = costsUpTo(EligibilityVerdict.ELIGIBLE, request, fleet);
+        if (costs.areAllInfinite()) {
+            costs = costsUpTo(EligibilityVerdict.OVERFULL, request, fleet);
         }
-        return choose(least);
-    }
-
-    /** The cheapest of those that pass a test, among which may be ejected ones that serve some. */
-    public WorkerState cheapestAmong(TrackedRequest request, Predicate<WorkerState> test) {
-        prepare(request);
-        return choose(
-                leastCost(
-                        request,
-                        worker -> isOpenAsSecondChoice(request, worker) && test.test(worker)));
-    }
-
-    private double leastCost(TrackedRequest request, Predicate<WorkerState> open) {
-        double least = Double.POSITIVE_INFINITY;
-        for (WorkerState worker : state.workers().ready()) {
-            worker.setCost(open.test(worker) ? cost.of(request, worker) : Double.POSITIVE_INFINITY);
-            least = Math.min(least, worker.cost());
+        if (costs.areAllInfinite()) {
+            costs = costsUpTo(EligibilityVerdict.EJECTED, request, fleet);
         }
-        return least;
-    }
-
-    private boolean isOpen(TrackedRequest request, WorkerState worker, Tier tier) {
-        return mayGet(request, worker)
-                && (tier != Tier.USUAL || !isOverfull(worker))
-                && (tier == Tier.EJECTED || ejection.admits(worker, request));
+        return draw(costs);
     }
 
-    private boolean isOpenAsSecondChoice(TrackedRequest request, WorkerState worker) {
-        return mayGet(request, worker)
-                && !isOverfull(worker)
-                && (ejection.admits(worker, request) || ejection.servesSome(worker, request));
+    /**
+     * Returns the cheapest worker that passes a test, among which may be ejected ones that still
+     * answer some requests; null where none does.
+     */
+    Candidate cheapestFallback(
+            TrackedRequest request, FleetSnapshot fleet, Predicate<Candidate> test) {
+        Predicate<Candidate> isFallback =
+                candidate -> eligibility.isFallback(request, candidate, fleet);
+        return draw(costs(request, fleet, isFallback.and(test)));
     }
 
-    private boolean mayGet(TrackedRequest request, WorkerState worker) {
-        return retryRules.mayGoTo(request, worker)
-                && slowStart.admits(worker, request)
-                && !worker.health().isBackingOff(state.now());
+    /** Whether any worker may get the request now, be it only as a fallback. */
+    public boolean hasFallback(TrackedRequest request) {
+        return cheapestFallback(request, snapshotFor(request), candidate -> true) != null;
     }
 
-    private boolean isOverfull(WorkerState worker) {
-        double usual = OVERFULL_FACTOR * fleet.attemptsPerSlot() + OVERFULL_SPARE;
-        return worker.inFlight().size() > worker.estimates().slots() * usual;
+    private CandidateCosts costsUpTo(
+            EligibilityVerdict worst, TrackedRequest request, FleetSnapshot fleet) {
+        return costs(
+                request,
+                fleet,
+                candidate -> eligibility.judge(request, candidate, fleet).compareTo(worst) <= 0);
     }
 
-    private void prepare(TrackedRequest request) {
-        fleet.refresh(request);
-        cost.prepare(fleet.capacity());
+    private CandidateCosts costs(
+            TrackedRequest request, FleetSnapshot fleet, Predicate<Candidate> mayBeChosen) {
+        AdmittanceCost cost = AdmittanceCost.under(costInputs, fleet.capacity(), clock.now());
+        return CandidateCosts.of(request, fleet.candidates(), mayBeChosen, cost);
     }
 
-    private WorkerState choose(double least) {
-        return least == Double.POSITIVE_INFINITY ? null : drawAmong(least * (1 + TIE_BAND));
-    }
-
-    private WorkerState drawAmong(double maxCost) {
-        List<WorkerState> ready = state.workers().ready();
-        int tied = 0;
-        for (WorkerState worker : ready) {
-            tied += worker.cost() <= maxCost ? 1 : 0;
-        }
-        int pick = tied > 1 ? (int) (state.random().next() * tied) : 0;
-        for (WorkerState worker : ready) {
-            if (worker.cost() <= maxCost && pick-- == 0) {
-                return worker;
-            }
-        }
-        return null;
+    private Candidate draw(CandidateCosts costs) {
+        return costs.areAllInfinite()
+                ? null
+                : costs.draw(costs.least() * (1 + TIE_FRACTION), random);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/slowstart/SlowStart.java
+++ b/daemon/src/main/java/wheelroute/decision/slowstart/SlowStart.java
@@ -1,45 +1,43 @@
 package wheelroute.decision.slowstart;
 
-import wheelroute.decision.Settings;
 import wheelroute.decision.estimates.ModelStatistics;
+import wheelroute.decision.estimates.TrafficStatistics;
 import wheelroute.decision.estimates.WorkerEstimates;
-import wheelroute.decision.state.DispatcherState;
+import wheelroute.decision.state.DecisionClock;
+import wheelroute.decision.state.DispatcherGroup;
 import wheelroute.decision.state.TrackedRequest;
 import wheelroute.decision.state.WorkerState;
 
-/** Rule 4: this dispatcher's share of what a worker that warms up may be sent within any window. */
-public final class SlowStart {
-    private final DispatcherState state;
-
-    /** Creates the rule over the state of one dispatcher. */
-    public SlowStart(DispatcherState state) {
-        this.state = state;
-    }
-
-    /** Whether the worker, if it warms up, may get this request now. */
+/** Rule 4: this dispatcher's share of what a worker in slow start may be sent within any window. */
+public record SlowStart(
+        DecisionClock clock,
+        double overloadWindowSeconds,
+        TrafficStatistics traffic,
+        DispatcherGroup dispatchers) {
+    /** Whether the worker may get this request now; always after its slow start. */
     public boolean admits(WorkerState worker, TrackedRequest request) {
-        Settings settings = state.settings();
+        double now = clock.now();
         WorkerEstimates estimates = worker.estimates();
-        double warmth = estimates.warmth(state.now() - settings.overloadWindowSeconds());
-        if (warmth >= 1) {
+        double rampFraction = estimates.rampFraction(now - overloadWindowSeconds);
+        if (rampFraction >= 1) {
             return true;
         }
-        // It has the slots seen busy, and does what all of its model do, for all dispatchers.
+        // The slots that were seen in use by this dispatcher alone, or the work that warm workers
+        // of the model do for all dispatchers, whichever is more.
         ModelStatistics model = worker.model();
         double workRate =
                 Math.max(
                         model.speed() * estimates.slots(),
-                        state.senderCount()
-                                * model.workRatePerWorker(
-                                        state.now(), state.traffic().firstAcceptedAt()));
+                        dispatchers.senderCount()
+                                * model.workRatePerWorker(now, traffic.firstAcceptedAt()));
         double capacity =
-                warmth * workRate * settings.overloadWindowSeconds() / state.processCount();
+                rampFraction * workRate * overloadWindowSeconds / dispatchers.processCount();
         return worker.slowStartBudget()
                 .allows(
-                        state.now(),
+                        now,
                         request.work() * request.slots(),
                         capacity,
-                        state.traffic().meanLoad(),
-                        state.shares());
+                        traffic.meanLoad(),
+                        dispatchers.shares());
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/slowstart/SlowStartBudget.java
+++ b/daemon/src/main/java/wheelroute/decision/slowstart/SlowStartBudget.java
@@ -72,17 +72,16 @@
      * @param dispatchers the number of dispatchers
      * @param position this dispatcher's index among them; negative if unknown
      * @param multiple a worker collapses at this multiple of its capacity within the window
-     * @param window seconds
      */
-    public record Limits(int dispatchers, int position, double multiple, double window) {}
+    public record Limits(int dispatchers, int position, double multiple, double windowSeconds) {}
 
-    /** Work of one attempt, and when it was sent. */
-    private record SentWork(double time, double work) {}
+    /** The work of one attempt. */
+    private record SentWork(double sentAt, double work) {}
 
     private final Limits limits;
     private final Deque<SentWork> sentWork = new ArrayDeque<>();
 
-    /** NaN until the start is known: then all recent work counts. */
+    /** NaN until the start is known; all recent work counts while it is. */
     private double startedAt = Double.NaN;
 
     private long firstTurn;
@@ -109,7 +108,7 @@
      * attempt may fall into the first window after the start.
      */
     public void recordSent(double now, double work) {
-        while (!sentWork.isEmpty() && sentWork.peekFirst().time <= now - limits.window) {
+        while (!sentWork.isEmpty() && sentWork.peekFirst().sentAt <= now - limits.windowSeconds) {
             sentWork.pollFirst();
         }
         sentWork.addLast(new SentWork(now, work));
@@ -118,15 +117,15 @@
     /**
      * Whether this much more work stays within this dispatcher's share.
      *
-     * @param capacity work that the worker completes in a window, as warm as at the window's
-     *     beginning; this process's portion during a handover
+     * @param capacity work that the worker completes in a window at its ramp fraction at the
+     *     window's beginning; this process's portion during a handover
      * @param meanWork of a request
      */
     public boolean allows(
             double now, double work, double capacity, double meanWork, Shares shares) {
         double sum = work;
         for (SentWork sent : sentWork) {
-            boolean counts = sent.time > now - limits.window && !(sent.time < startedAt);
+            boolean counts = sent.sentAt > now - limits.windowSeconds && !(sent.sentAt < startedAt);
             sum += counts ? sent.work : 0;
         }
         double budget = BUDGET_FRACTION * limits.multiple * capacity;
@@ -135,14 +134,14 @@
 
     private double share(double now, double budget, double meanWork, Shares shares) {
         int group = groupSize(budget, meanWork);
-        // Even division, unless its shares are too small for any request, which would leave the
-        // worker unused: then dispatchers take turns.
+        // An even division, unless its shares would be too small for any request: then the worker
+        // would stay unused, and dispatchers take turns instead.
         if (limits.position < 0
                 || limits.dispatchers <= limits.multiple
                 || group + 1 >= limits.dispatchers) {
             return shares.total();
         }
-        long turn = (long) (Math.max(0, now - startedAt) / limits.window);
+        long turn = (long) (Math.max(0, now - startedAt) / limits.windowSeconds);
         double sum = 0;
         for (int i = 0; i < group; i++) {
             long dispatcher = Math.floorMod(firstTurn + turn - i, (long) limits.dispatchers);
@@ -151,7 +150,10 @@
         return sum / (group + 1);
     }
 
-    /** How many dispatchers are admitted per turn: as many as leave a share that requests fit. */
+    /**
+     * Returns how many dispatchers are admitted per turn: as many as have shares that fit a
+     * request.
+     */
     private int groupSize(double budget, double meanWork) {
         double shareCount =
                 Math.min(limits.dispatchers, budget / (MIN_REQUESTS_PER_SHARE * meanWork));
--- a/daemon/src/main/java/wheelroute/decision/state/Attempt.java
+++ b/daemon/src/main/java/wheelroute/decision/state/Attempt.java
@@ -2,12 +2,13 @@
 
 import wheelroute.decision.Endpoint;
 import wheelroute.decision.Outcome;
+import wheelroute.decision.estimates.Candidate;
 
-/** One attempt of a request at one worker, from the moment it is sent until it has ended. */
+/** One attempt of a request at one worker, from its send until it has ended. */
 public final class Attempt {
     /**
-     * A job past its expected end is taken to need this fraction of what it has had already: sizes
-     * are heavy-tailed.
+     * An overdue job is expected to need this fraction of its elapsed time once more, because job
+     * sizes are heavy-tailed.
      */
     private static final double OVERRUN_FRACTION = 0.3;
 
@@ -17,41 +18,41 @@
     public final int number;
     public final WorkerState worker;
 
-    /** The endpoint as listed at the send: its zone and cell bind a retry of the same key. */
+    /** The endpoint as listed at the send: its zone and cell bind a retry with the same key. */
     public final Endpoint endpoint;
 
     public final double sentAt;
 
     /** Seconds it was expected to wait behind this dispatcher's own attempts. */
-    public final double ownWait;
+    public final double ownWaitSeconds;
 
     /** Seconds it was expected to wait in all. */
-    public final double expectedWait;
+    public final double expectedWaitSeconds;
 
-    /** See {@link WorkerState#affinityRank}. */
+    /** See {@link Candidate#affinityRank}. */
     public final int affinityRank;
 
     private double startedAt = NOT_STARTED;
-    private double heardAt = Double.POSITIVE_INFINITY;
-    private double totalRun;
+    private double lastMessageAt = Double.POSITIVE_INFINITY;
+    private double expectedRunSeconds;
     private Outcome outcome;
     private boolean cancelled;
-    private boolean retried;
+    private boolean replaced;
 
-    /** Creates an attempt that is sent now, with the waits expected at its worker. */
-    public Attempt(TrackedRequest request, int number, WorkerState worker, double sentAt) {
+    /** Creates an attempt that is sent now to the worker that was chosen. */
+    public Attempt(TrackedRequest request, int number, Candidate chosen, double sentAt) {
         this.request = request;
         this.number = number;
-        this.worker = worker;
+        this.worker = chosen.worker();
         this.endpoint = worker.endpoint();
         this.sentAt = sentAt;
-        this.ownWait = worker.estimates().ownWait();
-        this.expectedWait = worker.estimates().expectedWait();
-        this.affinityRank = worker.affinityRank();
+        this.ownWaitSeconds = chosen.ownWaitSeconds();
+        this.expectedWaitSeconds = chosen.expectedWaitSeconds();
+        this.affinityRank = chosen.affinityRank();
     }
 
     /** Records when the worker began it. */
-    public void start(double time) {
+    public void recordStart(double time) {
         startedAt = time;
     }
 
@@ -60,40 +61,46 @@
         return startedAt > 0;
     }
 
-    /** When the worker began it, in seconds; below 0 while it has not. */
+    /** Returns when the worker began it, in seconds; negative while it has not. */
     public double startedAt() {
         return startedAt;
     }
 
-    /** Records that the worker said something about it. */
-    public void heard(double now) {
-        heardAt = now;
+    /** Records a message from the worker about it. */
+    public void recordMessage(double now) {
+        lastMessageAt = now;
     }
 
-    /** An attempt that was sent later has begun, so this one, if no later word came, has too. */
-    void heardAtLatest(double now) {
-        heardAt = Math.min(heardAt, now);
+    /**
+     * Records that it has begun by now, as an attempt that was sent later has: from then on the
+     * worker should report about it.
+     */
+    void recordBegunBy(double now) {
+        lastMessageAt = Math.min(lastMessageAt, now);
     }
 
-    /** When it was last heard of, in seconds; infinite while it may not have begun. */
-    public double heardAt() {
-        return heardAt;
+    /**
+     * Returns when the worker last reported about it or it was inferred to have begun, in seconds;
+     * infinite while it may not have begun.
+     */
+    public double lastMessageAt() {
+        return lastMessageAt;
     }
 
     /**
-     * Records how far the worker is with it.
+     * Records the part of the work that is done.
      *
-     * @param share the part of the work that is done, above 0
+     * @param share above 0
      */
-    public void progress(double now, double share) {
-        totalRun = (now - startedAt) / Math.min(1, share);
+    public void recordProgress(double now, double share) {
+        expectedRunSeconds = (now - startedAt) / Math.min(1, share);
     }
 
     void end(Outcome how) {
         outcome = how;
     }
 
-    /** Null while the attempt is in flight. */
+    /** Returns how it ended; null while it is in flight. */
     public Outcome outcome() {
         return outcome;
     }
@@ -118,26 +125,30 @@
         return cancelled;
     }
 
-    /** Marks that a retry elsewhere has been tried because of this attempt; once is enough. */
-    public void markRetried() {
-        retried = true;
+    /** Marks that a replacement elsewhere has been tried, which is done only once. */
+    public void markReplaced() {
+        replaced = true;
     }
 
-    /** Whether a retry elsewhere has been tried because of this attempt. */
-    public boolean isRetried() {
-        return retried;
+    /** Whether a replacement elsewhere has been tried. */
+    public boolean isReplaced() {
+        return replaced;
     }
 
-    /** Seconds of waiting, up to a moment, that this dispatcher's attempts ahead do not explain. */
+    /**
+     * Returns the seconds of waiting, up to a time, that this dispatcher's own attempts do not
+     * explain.
+     */
     public double unexplainedWait(double until) {
-        return until - sentAt - ownWait;
+        return until - sentAt - ownWaitSeconds;
     }
 
-    /** Seconds until it will have ended, once it has begun, at a worker of this speed. */
-    public double remaining(double now, double speed) {
-        boolean hasProgress = totalRun > 0;
-        double run = hasProgress ? totalRun : request.work() / speed;
-        double elapsed = hasStarted() ? now - startedAt : Math.max(0, now - sentAt - expectedWait);
+    /** Returns the seconds from its start, or from now, until its end at a worker of this speed. */
+    public double remainingSeconds(double now, double speed) {
+        boolean hasProgress = expectedRunSeconds > 0;
+        double run = hasProgress ? expectedRunSeconds : request.work() / speed;
+        double elapsed =
+                hasStarted() ? now - startedAt : Math.max(0, now - sentAt - expectedWaitSeconds);
         return Math.max(run - elapsed, hasProgress ? 0 : OVERRUN_FRACTION * elapsed);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/state/LearnedStateTransfer.java
+++ b/daemon/src/main/java/wheelroute/decision/state/LearnedStateTransfer.java
@@ -1,6 +1,7 @@
 package wheelroute.decision.state;
 
 import java.util.HashMap;
+import java.util.Map;
 import wheelroute.decision.Ids;
 import wheelroute.decision.LearnedState;
 import wheelroute.decision.estimates.ModelStatistics;
@@ -8,29 +9,41 @@
 
 /** Exports what one process has learned and imports it into the process that replaces it. */
 public final class LearnedStateTransfer {
-    private final DispatcherState state;
+    private final DecisionClock clock;
+    private final WorkerTable workers;
+    private final Map<Ids.RequestClass, RequestClassState> requestClasses;
     private final OutlierEjection ejection;
+    private final boolean reportsStart;
 
-    /** Creates the transfer for one dispatcher. */
-    public LearnedStateTransfer(DispatcherState state, OutlierEjection ejection) {
-        this.state = state;
+    /**
+     * Creates the transfer for one dispatcher.
+     *
+     * @param reportsStart workers report when they begin a job, so that waits belong to one model
+     */
+    public LearnedStateTransfer(
+            DecisionClock clock,
+            WorkerTable workers,
+            Map<Ids.RequestClass, RequestClassState> requestClasses,
+            OutlierEjection ejection,
+            boolean reportsStart) {
+        this.clock = clock;
+        this.workers = workers;
+        this.requestClasses = requestClasses;
         this.ejection = ejection;
+        this.reportsStart = reportsStart;
     }
 
     /** Returns what was learned so far, for a successor process. */
     public LearnedState exportState() {
         LearnedState learned = new LearnedState(new HashMap<>(), new HashMap<>(), new HashMap<>());
-        double now = state.now();
-        for (WorkerState worker : state.workers().all()) {
+        double now = clock.now();
+        for (WorkerState worker : workers.all()) {
             learned.workers().put(worker.id(), worker.statistics().export(now));
         }
-        state.workers()
-                .models()
-                .forEach((id, model) -> learned.models().put(id, model.export(now)));
-        state.requestClasses()
-                .forEach(
-                        (id, requestClass) ->
-                                learned.estimates().put(id, requestClass.estimates().export()));
+        workers.models().forEach((id, model) -> learned.models().put(id, model.export(now)));
+        requestClasses.forEach(
+                (id, requestClass) ->
+                        learned.estimates().put(id, requestClass.estimates().export()));
         return learned;
     }
 
@@ -42,22 +55,22 @@
     }
 
     private void importWorker(Ids.Worker id, LearnedState.WorkerSamples samples) {
-        WorkerState worker = state.workers().byId().get(id);
+        WorkerState worker = workers.byId().get(id);
         if (worker != null) {
-            worker.statistics().restore(state.now(), samples);
-            worker.health().setEjected(ejection.failsOften(worker));
+            worker.statistics().restore(clock.now(), samples);
+            ejection.restore(worker);
         }
     }
 
     private void importModel(Ids.Model id, LearnedState.ModelSamples samples) {
-        ModelStatistics model = state.workers().models().get(id);
+        ModelStatistics model = workers.models().get(id);
         if (model != null) {
-            model.restore(state.now(), samples, state.settings().reportsStart());
+            model.restore(clock.now(), samples, reportsStart);
         }
     }
 
     private void importEstimates(Ids.RequestClass id, double[] samples) {
-        RequestClassState requestClass = state.requestClasses().get(id);
+        RequestClassState requestClass = requestClasses.get(id);
         if (requestClass != null) {
             requestClass.estimates().restore(samples);
         }
--- a/daemon/src/main/java/wheelroute/decision/state/RequestClassState.java
+++ b/daemon/src/main/java/wheelroute/decision/state/RequestClassState.java
@@ -3,7 +3,7 @@
 import wheelroute.decision.Settings;
 import wheelroute.decision.estimates.CostEstimates;
 
-/** A request class: its settings, and what the cost estimates of its requests were worth lately. */
+/** A request class: its settings, and how accurate its clients' cost estimates are. */
 public final class RequestClassState {
     private static final int ESTIMATE_COUNT = 64;
 
@@ -21,12 +21,12 @@
         return settings;
     }
 
-    /** The priority weight, or 1 where the settings give none. */
+    /** Returns the priority weight, or 1 where the settings give none. */
     public double value() {
         return value;
     }
 
-    /** Returns how far the clients' cost estimates can be trusted. */
+    /** Returns the record that corrects the clients' cost estimates. */
     public CostEstimates estimates() {
         return estimates;
     }
--- a/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
+++ b/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
@@ -18,14 +18,16 @@
     private final KeyAffinity<WorkerState>.Placement affinity;
     private final KeyQueue queue;
     private final List<Attempt> attempts = new ArrayList<>(2);
-    private double keyQuietUntil = Double.NEGATIVE_INFINITY;
+    private double keyBlockedUntil = Double.NEGATIVE_INFINITY;
     private int inFlight;
     private boolean done;
     private boolean streaming;
     private boolean invalid;
-    private boolean failedBefore;
+    private boolean failed;
 
     /**
+     * Creates the state of a request that is accepted now.
+     *
      * @param affinity where its key's data is likely cached; null without a key
      * @param queue in which it waits for its turn; null where its class is not ordered
      */
@@ -54,22 +56,22 @@
         return requestClass;
     }
 
-    /** The settings of its class. */
+    /** Returns the settings of its class. */
     public Settings.RequestClass settings() {
         return requestClass.settings();
     }
 
-    /** What it is worth, as a priority weight. */
+    /** Returns its priority weight. */
     public double value() {
         return requestClass.value();
     }
 
-    /** Expected work on a standard core, in seconds. */
+    /** Returns its expected work on a standard core, in seconds. */
     public double work() {
         return work;
     }
 
-    /** Slots of a worker that it takes, 1 or more. */
+    /** Returns how many slots of a worker it needs, 1 or more. */
     public double slots() {
         return slots;
     }
@@ -89,12 +91,12 @@
         return queue;
     }
 
-    /** In the order of their numbers, from 0. */
+    /** Returns its attempts in the order of their numbers, from 0. */
     public List<Attempt> attempts() {
         return attempts;
     }
 
-    /** Null for a number that was never given. */
+    /** Returns an attempt by its number; null for a number that was never given. */
     public Attempt attempt(int number) {
         return number >= 0 && number < attempts.size() ? attempts.get(number) : null;
     }
@@ -111,10 +113,10 @@
         inFlight--;
     }
 
-    /** The last attempt's outcome counts for what may be tried next. */
+    /** Records what an attempt's outcome says about the request itself. */
     public void noteOutcome(Outcome outcome) {
         invalid |= outcome == Outcome.INVALID_REQUEST;
-        failedBefore |= outcome == Outcome.FAILED;
+        failed |= outcome == Outcome.FAILED;
     }
 
     /** Whether an attempt is in flight. */
@@ -122,7 +124,7 @@
         return inFlight > 0;
     }
 
-    /** It needs no answer any more: it has one, or nobody waits for it. */
+    /** Marks that it needs no answer any more: it has one, or its client is gone. */
     public void finish() {
         done = true;
     }
@@ -137,24 +139,24 @@
         return done && inFlight == 0;
     }
 
-    /** Part of a result is with the client: no other attempt may answer. */
+    /** Marks that part of a result was sent to the client, so that no other attempt may answer. */
     public void markStreaming() {
         streaming = true;
     }
 
-    /** Whether part of a result is with the client. */
+    /** Whether part of a result was sent to the client. */
     public boolean isStreaming() {
         return streaming;
     }
 
-    /** A worker found fault with the request itself. */
+    /** Whether a worker found the request itself to be invalid. */
     public boolean isInvalid() {
         return invalid;
     }
 
-    /** An attempt of it has ended in an error. */
+    /** Whether an attempt of it has failed. */
     public boolean hasFailed() {
-        return failedBefore;
+        return failed;
     }
 
     /** Whether any attempt may have run. */
@@ -162,24 +164,26 @@
         return attempts.stream().anyMatch(Attempt::mayHaveRun);
     }
 
-    /** An attempt of it may run until then, so no other request of its key may begin earlier. */
-    public void keepKeyQuietUntil(double time) {
-        keyQuietUntil = time;
+    /** Sets the time until which an attempt of it may still run, so that its key is blocked. */
+    public void blockKeyUntil(double time) {
+        keyBlockedUntil = time;
     }
 
     /** Returns the time before which no other request of its key may begin. */
-    public double keyQuietUntil() {
-        return keyQuietUntil;
+    public double keyBlockedUntil() {
+        return keyBlockedUntil;
     }
 
-    /** Seconds until its attempts have ended, as far as is known. */
-    public double remaining(double now) {
+    /** Returns the expected seconds until all its attempts have ended. */
+    public double remainingSeconds(double now) {
         double longest = 0;
         for (Attempt attempt : attempts) {
             if (attempt.isInFlight()) {
                 double ahead =
-                        attempt.hasStarted() ? 0 : attempt.sentAt + attempt.expectedWait - now;
-                double run = attempt.remaining(now, attempt.worker.estimates().speed());
+                        attempt.hasStarted()
+                                ? 0
+                                : attempt.sentAt + attempt.expectedWaitSeconds - now;
+                double run = attempt.remainingSeconds(now, attempt.worker.estimates().speed(now));
                 longest = Math.max(longest, Math.max(0, ahead) + run);
             }
         }
--- a/daemon/src/main/java/wheelroute/decision/state/WorkerState.java
+++ b/daemon/src/main/java/wheelroute/decision/state/WorkerState.java
@@ -4,11 +4,13 @@
 import java.util.List;
 import wheelroute.decision.Endpoint;
 import wheelroute.decision.Ids;
+import wheelroute.decision.Settings;
 import wheelroute.decision.estimates.ModelStatistics;
+import wheelroute.decision.estimates.TrafficStatistics;
 import wheelroute.decision.estimates.WorkerEstimates;
 import wheelroute.decision.estimates.WorkerStatistics;
+import wheelroute.decision.health.OutlierEjection;
 import wheelroute.decision.health.WorkerHealth;
-import wheelroute.decision.routing.KeyAffinity;
 import wheelroute.decision.slowstart.SlowStartBudget;
 
 /** A worker as this dispatcher knows it: its endpoint, its attempts and its own record. */
@@ -18,7 +20,7 @@
     private final Ids.Worker id;
     private final List<Attempt> inFlight = new ArrayList<>();
     private final WorkerStatistics statistics = new WorkerStatistics(SAMPLE_COUNT);
-    private final WorkerHealth health;
+    private final WorkerHealth health = new WorkerHealth(OutlierEjection.FIRST_TRIAL_DELAY_SECONDS);
     private final SlowStartBudget slowStartBudget;
     private final WorkerEstimates estimates;
     private Endpoint endpoint;
@@ -29,15 +31,16 @@
     private boolean inSameZone;
     private boolean warm;
     private int attemptCount;
-    private int affinityRank = KeyAffinity.CACHED;
-    private double cost;
 
     /** Creates a worker that is not listed yet. */
-    public WorkerState(Ids.Worker id, DispatcherState state, double trialDelay) {
+    WorkerState(
+            Ids.Worker id,
+            Settings settings,
+            TrafficStatistics traffic,
+            SlowStartBudget.Limits slowStartLimits) {
         this.id = id;
-        health = new WorkerHealth(trialDelay);
-        slowStartBudget = new SlowStartBudget(state.slowStartLimits());
-        estimates = new WorkerEstimates(this, state);
+        slowStartBudget = new SlowStartBudget(slowStartLimits);
+        estimates = new WorkerEstimates(this, settings, traffic);
     }
 
     /** Returns the id that the endpoint list has for it. */
@@ -45,12 +48,12 @@
         return id;
     }
 
-    /** As it was last listed. */
+    /** Returns the endpoint as it was last listed. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** What is measured of all workers of its model. */
+    /** Returns what is measured of all workers of its model. */
     public ModelStatistics model() {
         return model;
     }
@@ -63,12 +66,12 @@
         listed = true;
     }
 
-    /** In its dispatcher's own zone. */
+    /** Whether it is in this dispatcher's own zone. */
     public boolean isInSameZone() {
         return inSameZone;
     }
 
-    /** The endpoint list names it, draining or not. */
+    /** Whether the endpoint list names it, draining or not. */
     public boolean isListed() {
         return listed;
     }
@@ -78,7 +81,7 @@
         listed = false;
     }
 
-    /** Requests may be sent to it. */
+    /** Whether requests may be sent to it. */
     public boolean isReady() {
         return ready;
     }
@@ -88,17 +91,20 @@
         ready = value;
     }
 
-    /** It is missing from the list, which is no proof that it is gone: one failure settles it. */
+    /**
+     * Whether it is missing from the list but may still be sent to, as removals are advisory: the
+     * first failure ends that.
+     */
     public boolean isUnlisted() {
         return unlisted;
     }
 
-    /** Sets whether it is missing from the list without proof that it is gone. */
+    /** Sets whether it is missing from the list but may still be sent to. */
     public void setUnlisted(boolean value) {
         unlisted = value;
     }
 
-    /** Attempts in flight, in the order in which they were sent. */
+    /** Returns the attempts in flight, in the order in which they were sent. */
     public List<Attempt> inFlight() {
         return inFlight;
     }
@@ -123,17 +129,20 @@
         return estimates;
     }
 
-    /** It was ready and warm at the list's last change, which spares asking at every choice. */
+    /**
+     * Whether it was ready and past its slow start at the list's last change. Not worked out at
+     * every choice, to save time.
+     */
     public boolean isWarm() {
         return warm;
     }
 
-    /** Sets whether it was ready and warm at the list's last change. */
+    /** Sets whether it was ready and past its slow start at the list's last change. */
     public void setWarm(boolean value) {
         warm = value;
     }
 
-    /** Attempts sent to it so far. */
+    /** Returns the number of attempts sent to it so far. */
     public int attemptCount() {
         return attemptCount;
     }
@@ -144,34 +153,13 @@
     }
 
     /**
-     * For the request now placed: the worker's place among those preferred for its key, {@link
-     * KeyAffinity#PREFERRED_COUNT} for all others, {@link KeyAffinity#CACHED} where no miss is
-     * expected.
+     * Records that an attempt has begun. Attempts begin in the order of their sends, so those in
+     * flight that were sent earlier have begun as well.
      */
-    public int affinityRank() {
-        return affinityRank;
-    }
-
-    /** Sets its affinity rank for the request now placed. */
-    public void setAffinityRank(int rank) {
-        affinityRank = rank;
-    }
-
-    /** The admittance cost of the request now placed; infinite where it must not go. */
-    public double cost() {
-        return cost;
-    }
-
-    /** Sets the admittance cost of the request now placed. */
-    public void setCost(double newCost) {
-        cost = newCost;
-    }
-
-    /** Attempts begin in the order of their sends: what was sent before one that began has too. */
-    public void noteOvertaken(Attempt begun, double now) {
+    public void recordBegun(Attempt begun, double now) {
         for (Attempt other : inFlight) {
             if (other.sentAt <= begun.sentAt) {
-                other.heardAtLatest(now);
+                other.recordBegunBy(now);
             }
         }
     }
