--- a/daemon/src/main/java/wheelroute/decision/state/WorkerTable.java
+++ b/daemon/src/main/java/wheelroute/decision/state/WorkerTable.java
@@ -11,16 +11,20 @@
 import wheelroute.decision.Settings;
 import wheelroute.decision.estimates.ModelStatistics;
 import wheelroute.decision.estimates.SampleWindow;
+import wheelroute.decision.estimates.TrafficStatistics;
 import wheelroute.decision.estimates.WorkerEstimates;
+import wheelroute.decision.slowstart.SlowStartBudget;
 
 /** All workers that are listed or still hold attempts, and what is measured of their models. */
 public final class WorkerTable {
     private static final int SAMPLE_COUNT = 64;
 
-    /** A model's own waits are believed from the first few: one attempt a second brings no more. */
+    /** Light, so that a model with little traffic is judged by its own waits all the same. */
     private static final double MODEL_WAIT_PRIOR = 1;
 
     private final Settings settings;
+    private final TrafficStatistics traffic;
+    private final SlowStartBudget.Limits slowStartLimits;
 
     /** In the order of their ids. */
     private final Map<Ids.Worker, WorkerState> byId =
@@ -31,15 +35,28 @@
     private final List<WorkerState> busy = new ArrayList<>();
 
     /**
-     * Shared by all models where starts are not told: waits guessed from results show their speeds.
+     * Shared by all models where starts are not reported: waits estimated from results would show
+     * the models' speeds.
      */
-    private final SampleWindow guessedWaits = new SampleWindow(SAMPLE_COUNT);
+    private final SampleWindow estimatedWaits = new SampleWindow(SAMPLE_COUNT);
 
     private int attemptsInFlight;
-    private double meanSlotSpeed = 1;
 
-    WorkerTable(Settings settings) {
+    WorkerTable(Settings settings, TrafficStatistics traffic) {
         this.settings = settings;
+        this.traffic = traffic;
+        slowStartLimits =
+                new SlowStartBudget.Limits(
+                        Math.max(1, settings.dispatchers()),
+                        settings.position(),
+                        settings.overloadMultiple(),
+                        settings.overloadWindowSeconds());
+    }
+
+    /** Returns the worker of this id, a new one if it was unknown. */
+    public WorkerState getOrCreate(Ids.Worker id) {
+        return byId.computeIfAbsent(
+                id, key -> new WorkerState(key, settings, traffic, slowStartLimits));
     }
 
     /** Returns all workers by id. */
@@ -52,12 +69,12 @@
         return byId.values();
     }
 
-    /** Those to which requests may be sent, in the order of their ids. */
+    /** Returns the workers to which requests may be sent, in the order of their ids. */
     public List<WorkerState> ready() {
         return ready;
     }
 
-    /** Those with attempts in flight. */
+    /** Returns the workers with attempts in flight. */
     public List<WorkerState> busy() {
         return busy;
     }
@@ -67,7 +84,7 @@
         return models;
     }
 
-    /** The statistics of a model, new ones if it was unknown. */
+    /** Returns the statistics of a model, new ones if it was unknown. */
     public ModelStatistics model(Ids.Model id) {
         return models.computeIfAbsent(id, key -> newModel());
     }
@@ -76,7 +93,7 @@
         boolean ownWaits = settings.reportsStart();
         return new ModelStatistics(
                 new SampleWindow(SAMPLE_COUNT),
-                ownWaits ? new SampleWindow(SAMPLE_COUNT) : guessedWaits,
+                ownWaits ? new SampleWindow(SAMPLE_COUNT) : estimatedWaits,
                 ownWaits ? MODEL_WAIT_PRIOR : WorkerEstimates.WAIT_PRIOR);
     }
 
@@ -85,7 +102,7 @@
         byId.values().removeIf(worker -> !worker.isReady() && worker.inFlight().isEmpty());
     }
 
-    /** Returns whether this is the worker's only attempt in flight. */
+    /** Adds an attempt that was sent; returns whether it is the worker's only one in flight. */
     public boolean add(Attempt attempt) {
         WorkerState worker = attempt.worker;
         attemptsInFlight++;
@@ -112,15 +129,15 @@
         return attemptsInFlight;
     }
 
-    /**
-     * Speed of a slot over all ready workers, as of the last choice: for what has no worker yet.
-     */
-    public double meanSlotSpeed() {
-        return meanSlotSpeed;
+    /** Returns the number of listed workers that are draining, backing off or ejected. */
+    public int avoidedCount(double now) {
+        return (int) all().stream().filter(worker -> isAvoided(worker, now)).count();
     }
 
-    /** Sets the mean speed of a slot, as of the present choice. */
-    public void setMeanSlotSpeed(double speed) {
-        meanSlotSpeed = speed;
+    private static boolean isAvoided(WorkerState worker, double now) {
+        return worker.isListed()
+                && (!worker.isReady()
+                        || worker.health().isEjected()
+                        || worker.health().isBackingOff(now));
     }
 }
--- a/daemon/src/test/java/wheelroute/decision/PolicyHarness.java
+++ b/daemon/src/test/java/wheelroute/decision/PolicyHarness.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.function.LongPredicate;
 
-/** One policy, what it did so far, and short ways to tell it what happens. */
+/** Drives one policy and records its actions as text. */
 public final class PolicyHarness implements ActionHandler {
-    static final double START = 100;
-    public static final double TIMEOUT = 10;
+    public static final double START_SECONDS = 100;
+    public static final double TIMEOUT_SECONDS = 10;
     private static final int MAX_REQUESTS = 40;
 
-    /** The settings a case may vary, with plain values to start from. */
+    /** Settings with default values that a test may change. */
     public static final class SettingsFixture {
         public Idempotency idempotency = Idempotency.IDEMPOTENT;
         public IdempotencyScope idempotencyScope = IdempotencyScope.CELL;
@@ -25,11 +25,11 @@
         public int maxAttempts = 6;
         public int dispatchers = 1;
         public int position = -1;
-        public double retryAfter = 2;
+        public double maxRetryAfterSeconds = 2;
         public boolean ordered;
         public double keyQuietPeriodSeconds = 0.2;
         public boolean removalIsAdvisory;
-        public double patientValue = 3;
+        public double batchPriorityWeight = 3;
         public double drainGraceSeconds = 2;
 
         public Settings settings() {
@@ -39,7 +39,9 @@
                     dispatchers,
                     position,
                     0.005,
-                    List.of(requestClass("job", 1, 3), requestClass("patient", 8, patientValue)),
+                    List.of(
+                            requestClass("job", 1, 3),
+                            requestClass("batch", 8, batchPriorityWeight)),
                     Map.of(new Ids.Tenant("t"), 10.0, new Ids.Tenant("greedy"), 10.0),
                     0.1,
                     watchesEndpoints,
@@ -48,8 +50,8 @@
                     true,
                     true,
                     mayHedge,
-                    retryAfter > 0,
-                    retryAfter,
+                    maxRetryAfterSeconds > 0,
+                    maxRetryAfterSeconds,
                     maxAttempts,
                     0.25,
                     20,
@@ -81,21 +83,21 @@
     public final Policy policy;
     public final List<String> actions = new ArrayList<>();
 
-    /** When wakes were asked for. */
-    public final List<Double> wakes = new ArrayList<>();
+    /** The times for which wakeups were scheduled. */
+    public final List<Double> wakeups = new ArrayList<>();
 
-    /** The last rejection's advice. */
-    public double retryAfter;
+    /** The advice of the last rejection. */
+    public double retryAfterSeconds;
 
-    public double now = START;
+    public double now = START_SECONDS;
     private long lastId;
 
-    public PolicyHarness(SettingsFixture given) {
-        policy = new Policy(given.settings(), this);
+    public PolicyHarness(SettingsFixture fixture) {
+        policy = new Policy(fixture.settings(), this);
         policy.advanceTo(now);
     }
 
-    /** A message's buffers as one text. */
+    /** Returns the buffers of a message as one text. */
     public static String text(ByteBuffer[] parts) {
         StringBuilder text = new StringBuilder();
         for (ByteBuffer part : parts) {
@@ -105,10 +107,10 @@
     }
 
     public static PolicyHarness of(Idempotency idempotency, IdempotencyScope scope) {
-        SettingsFixture given = new SettingsFixture();
-        given.idempotency = idempotency;
-        given.idempotencyScope = scope;
-        return new PolicyHarness(given);
+        SettingsFixture fixture = new SettingsFixture();
+        fixture.idempotency = idempotency;
+        fixture.idempotencyScope = scope;
+        return new PolicyHarness(fixture);
     }
 
     static Endpoint endpoint(
@@ -124,10 +126,10 @@
     }
 
     /**
-     * Workers 1 and 2 share a cell; 3 shares their zone; 4 is elsewhere. The first so many are
-     * listed.
+     * Makes the first so many workers the complete list. Workers 1 and 2 share a cell, 3 shares
+     * their zone, and 4 is in another zone.
      */
-    public PolicyHarness list(int count) {
+    public PolicyHarness listWorkers(int count) {
         List<Endpoint> all =
                 List.of(
                         readyWorker(1, 1, "here"),
@@ -142,29 +144,29 @@
         return endpoint(id, cell, zone, Double.NaN, Endpoint.State.READY);
     }
 
-    public PolicyHarness update(long id, double startedAt, Endpoint.State state) {
+    public PolicyHarness updateWorker(long id, double startedAt, Endpoint.State state) {
         String zone = id == 4 ? "there" : "here";
         policy.onEndpoints(
                 List.of(endpoint(id, id < 3 ? 1 : id - 1, zone, startedAt, state)), false);
         return this;
     }
 
-    public PolicyHarness pass(double seconds) {
+    public PolicyHarness advance(double seconds) {
         now += seconds;
         policy.advanceTo(now);
         return this;
     }
 
-    /** Passes with a wake every tenth of a second. */
-    public PolicyHarness sweep(int wakes) {
-        for (int i = 0; i < wakes; i++) {
-            pass(0.1).policy.onWakeup();
+    /** Advances the time in steps of 0.1 s, with a wakeup after each. */
+    public PolicyHarness advanceWithWakeups(int steps) {
+        for (int i = 0; i < steps; i++) {
+            advance(0.1).policy.onWakeup();
         }
         return this;
     }
 
     public RequestHandle accept(double estimatedWork) {
-        return accept(estimatedWork, now + TIMEOUT);
+        return accept(estimatedWork, now + TIMEOUT_SECONDS);
     }
 
     public RequestHandle accept(double estimatedWork, double deadline) {
@@ -195,23 +197,23 @@
                         key == null ? null : new Ids.Key(key)));
     }
 
-    public void end(RequestHandle handle, int attempt, Outcome outcome) {
+    public void endAttempt(RequestHandle handle, int attempt, Outcome outcome) {
         handle.onEnded(attempt, outcome, outcome == Outcome.SUCCEEDED, LoadReport.NONE);
     }
 
-    /** Runs one request to its answer: taken, started at once, answered after so long. */
-    public long serve(double estimatedWork, double run) {
+    /** Serves one request, which starts at once and runs for so long; returns its worker. */
+    public long serve(double estimatedWork, double runSeconds) {
         actions.clear();
         RequestHandle handle = accept(estimatedWork);
         final long worker = lastWorker();
         handle.onStarted(0);
-        pass(run);
-        end(handle, 0, Outcome.SUCCEEDED);
+        advance(runSeconds);
+        endAttempt(handle, 0, Outcome.SUCCEEDED);
         return worker;
     }
 
-    /** Serves enough to have earned a copy or two; what was done is forgotten. */
-    public PolicyHarness earnHedges() {
+    /** Serves enough requests to fill the hedging budget, and clears the actions. */
+    public PolicyHarness fillHedgingBudget() {
         for (int i = 0; i < MAX_REQUESTS; i++) {
             serve(0.1, 0.1);
         }
@@ -219,15 +221,15 @@
         return this;
     }
 
-    /** Requests until the first rejection; what was done before is forgotten. */
-    public void fill(double estimatedWork) {
+    /** Accepts requests until the first rejection; earlier actions are cleared. */
+    public void acceptUntilRejection(double estimatedWork) {
         actions.clear();
-        for (int i = 0; i < MAX_REQUESTS && count("reject") == 0; i++) {
+        for (int i = 0; i < MAX_REQUESTS && countActions("reject") == 0; i++) {
             accept(estimatedWork);
         }
     }
 
-    /** Requests one after the other, each to its end; counts the attempts to bad workers. */
+    /** Runs requests one after the other; returns the number of attempts at bad workers. */
     public int attemptsAtBadWorkers(
             int requests, double estimatedWork, LongPredicate isBad, Outcome outcome) {
         int toBad = 0;
@@ -236,7 +238,7 @@
             for (int attempt = 0; !handle.isComplete(); attempt++) {
                 boolean bad = isBad.test(lastWorker());
                 toBad += bad ? 1 : 0;
-                pass(0.02).end(handle, attempt, bad ? outcome : Outcome.SUCCEEDED);
+                advance(0.02).endAttempt(handle, attempt, bad ? outcome : Outcome.SUCCEEDED);
             }
         }
         return toBad;
@@ -246,7 +248,7 @@
         return actions.isEmpty() ? "" : actions.get(actions.size() - 1);
     }
 
-    /** The worker of the last attempt, or 0 if what was done last is no attempt. */
+    /** Returns the worker of the last attempt, or 0 if the last action is another one. */
     public long lastWorker() {
         String last = lastAction();
         return last.startsWith("attempt ")
@@ -254,19 +256,19 @@
                 : 0;
     }
 
-    public long count(String what) {
-        return actions.stream().filter(s -> s.startsWith(what)).count();
+    public long countActions(String prefix) {
+        return actions.stream().filter(action -> action.startsWith(prefix)).count();
     }
 
     @Override
-    public void startAttempt(Ids.Request request, Ids.Worker worker, double limit) {
+    public void startAttempt(Ids.Request request, Ids.Worker worker, double limitSeconds) {
         actions.add("attempt " + request.value() + " " + worker.value());
     }
 
     @Override
-    public void reject(Ids.Request request, double retryAfter) {
+    public void reject(Ids.Request request, double retryAfterSeconds) {
         actions.add("reject " + request.value());
-        this.retryAfter = retryAfter;
+        this.retryAfterSeconds = retryAfterSeconds;
     }
 
     @Override
@@ -280,9 +282,9 @@
     }
 
     @Override
-    public void scheduleWakeup(double delay) {
-        // The cases call woken themselves.
-        wakes.add(now + delay);
+    public void scheduleWakeup(double delaySeconds) {
+        // Only recorded: the tests call onWakeup themselves.
+        wakeups.add(now + delaySeconds);
     }
 
     @Override
--- a/daemon/src/test/java/wheelroute/decision/endpoints/EndpointLeaseTest.java
+++ b/daemon/src/test/java/wheelroute/decision/endpoints/EndpointLeaseTest.java
@@ -16,10 +16,10 @@
 public class EndpointLeaseTest {
     /** What is left when a change that was missed has to be acted on. */
     private static final double DURATION =
-            EndpointLease.NOTIFICATION_LIMIT + 2 - EndpointLease.MARGIN;
+            EndpointLease.NOTIFICATION_LIMIT_SECONDS + 2 - EndpointLease.MARGIN_SECONDS;
 
     private static PolicyHarness confirmed(Idempotency idempotency) {
-        PolicyHarness harness = PolicyHarness.of(idempotency, IdempotencyScope.ALL).list(4);
+        PolicyHarness harness = PolicyHarness.of(idempotency, IdempotencyScope.ALL).listWorkers(4);
         harness.policy.onEndpointsConfirmed();
         return harness;
     }
@@ -38,12 +38,12 @@
     @Test(dataProvider = "moments")
     public void onlyOverloadEndsTheUseOfTheList(boolean overloaded, double age, boolean used) {
         PolicyHarness harness = confirmed(Idempotency.IDEMPOTENT);
-        harness.pass(age);
+        harness.advance(age);
         if (overloaded) {
             harness.policy.onDiscoveryOverloaded();
         }
         harness.accept(0.1);
-        assertEquals(harness.count("attempt"), used ? 1 : 0, harness.actions.toString());
+        assertEquals(harness.countActions("attempt"), used ? 1 : 0, harness.actions.toString());
         assertEquals(harness.lastAction().startsWith("reject"), !used);
         assertEquals(harness.policy.isEndpointLeaseExpired(), !used);
     }
@@ -52,12 +52,12 @@
     public void anAnswerRenewsTheLease() {
         PolicyHarness harness = confirmed(Idempotency.IDEMPOTENT);
         harness.policy.onDiscoveryOverloaded();
-        harness.pass(DURATION + 1);
+        harness.advance(DURATION + 1);
         assertTrue(harness.policy.isEndpointLeaseExpired());
         harness.policy.onEndpointsConfirmed();
         assertFalse(harness.policy.isEndpointLeaseExpired());
         harness.accept(0.1);
-        assertEquals(harness.count("attempt"), 1);
+        assertEquals(harness.countActions("attempt"), 1);
     }
 
     /** A retry is an attempt as well; what may have run elsewhere ends as its rule says. */
@@ -67,8 +67,8 @@
             PolicyHarness harness = confirmed(idempotency);
             RequestHandle handle = harness.accept(0.1);
             harness.policy.onDiscoveryOverloaded();
-            harness.pass(DURATION + 0.01).end(handle, 0, Outcome.CONNECTION_LOST);
-            assertEquals(harness.count("attempt"), 1, harness.actions.toString());
+            harness.advance(DURATION + 0.01).endAttempt(handle, 0, Outcome.CONNECTION_LOST);
+            assertEquals(harness.countActions("attempt"), 1, harness.actions.toString());
             boolean mayHaveRun = idempotency == Idempotency.NON_IDEMPOTENT;
             assertTrue(harness.lastAction().startsWith(mayHaveRun ? "fail" : "reject"));
             assertTrue(handle.isComplete());
--- a/daemon/src/test/java/wheelroute/decision/estimates/EstimatesTest.java
+++ b/daemon/src/test/java/wheelroute/decision/estimates/EstimatesTest.java
@@ -30,17 +30,17 @@
         int chosen = 0;
         for (int learned = 10; learned < 30; learned++) {
             PolicyHarness harness =
-                    PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
+                    PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(1);
             for (int i = 0; i < learned; i++) {
                 RequestHandle handle = harness.accept(0.1);
                 // It waited less lately than is usual: a warm one beside it must not look better
                 // still.
-                harness.pass(i < learned - 8 ? 0.8 : 0.3);
+                harness.advance(i < learned - 8 ? 0.8 : 0.3);
                 handle.onStarted(0);
-                harness.pass(0.1);
-                harness.end(handle, 0, Outcome.SUCCEEDED);
+                harness.advance(0.1);
+                harness.endAttempt(handle, 0, Outcome.SUCCEEDED);
             }
-            harness.update(2, harness.now - age, State.READY).accept(0.1);
+            harness.updateWorker(2, harness.now - age, State.READY).accept(0.1);
             chosen += harness.lastWorker() == 2 ? 1 : 0;
         }
         assertTrue(always ? chosen == 20 : chosen < 20, "chosen " + chosen + " times of 20");
@@ -60,18 +60,18 @@
     @Test(dataProvider = "overlaps")
     public void onlySettledStartsCountAsSlots(double overlap, int attempts) {
         PolicyHarness harness =
-                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(1);
         RequestHandle first = harness.accept(1);
         RequestHandle second = harness.accept(1);
         first.onStarted(0);
-        harness.pass(1);
+        harness.advance(1);
         second.onStarted(0);
-        harness.pass(overlap).policy.onWakeup();
-        harness.end(first, 0, Outcome.SUCCEEDED);
-        harness.pass(1 - overlap);
-        harness.end(second, 0, Outcome.SUCCEEDED);
-        harness.pass(60).fill(1);
-        assertEquals(harness.count("attempt"), attempts, harness.actions.toString());
+        harness.advance(overlap).policy.onWakeup();
+        harness.endAttempt(first, 0, Outcome.SUCCEEDED);
+        harness.advance(1 - overlap);
+        harness.endAttempt(second, 0, Outcome.SUCCEEDED);
+        harness.advance(60).acceptUntilRejection(1);
+        assertEquals(harness.countActions("attempt"), attempts, harness.actions.toString());
     }
 
     @DataProvider
@@ -87,7 +87,7 @@
     @Test(dataProvider = "estimatesAndRuns")
     public void estimatesCountAsFarAsRunsFollowThem(boolean follow, String next) {
         PolicyHarness harness =
-                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(1);
         for (int i = 0; i < 60; i++) {
             double estimatedWork = i % 2 == 0 ? 0.05 : 1.0;
             harness.serve(estimatedWork, follow ? estimatedWork : 0.5);
@@ -103,18 +103,21 @@
     @Test
     public void aModelLearnsFromWarmRunsOnly() {
         PolicyHarness harness =
-                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(1);
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(1);
         for (int i = 0; i < 5; i++) {
             harness.serve(0.2, 0.2);
         }
-        harness.update(1, Double.NaN, State.DRAINING).update(2, harness.now, State.READY);
+        harness.updateWorker(1, Double.NaN, State.DRAINING)
+                .updateWorker(2, harness.now, State.READY);
         for (int i = 0; i < 9; i++) {
             harness.serve(0.2, 0.8);
         }
-        harness.pass(60).update(2, Double.NaN, State.REMOVED).update(3, Double.NaN, State.READY);
-        harness.fill(0.5);
+        harness.advance(60)
+                .updateWorker(2, Double.NaN, State.REMOVED)
+                .updateWorker(3, Double.NaN, State.READY);
+        harness.acceptUntilRejection(0.5);
         assertTrue(
-                harness.count("attempt") >= 3,
+                harness.countActions("attempt") >= 3,
                 "a new worker starts at the speed of warm ones: " + harness.actions);
     }
 
@@ -125,17 +128,17 @@
     public void warmupIsCountedOnce() {
         PolicyHarness harness =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL)
-                        .update(2, Double.NaN, State.READY);
+                        .updateWorker(2, Double.NaN, State.READY);
         for (int i = 0; i < 8; i++) {
             harness.serve(0.1, 0.1 / 0.42);
         }
         double start = harness.now - 8;
-        harness.update(2, Double.NaN, State.DRAINING).update(1, start, State.READY);
+        harness.updateWorker(2, Double.NaN, State.DRAINING).updateWorker(1, start, State.READY);
         for (int i = 0; i < 8; i++) {
             // What it can do at this point of its ramp of 20 s: a run takes so much longer.
             assertEquals(harness.serve(0.1, 0.1 / (0.25 + 0.75 * (harness.now - start) / 20)), 1);
         }
-        harness.update(2, Double.NaN, State.READY).accept(0.1);
+        harness.updateWorker(2, Double.NaN, State.READY).accept(0.1);
         assertEquals(harness.lastWorker(), 1, harness.actions.toString());
     }
 
@@ -145,21 +148,24 @@
      */
     @Test
     public void aSuccessorUsesWhatItsPredecessorLearned() {
-        PolicyHarness old = PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).list(2);
+        PolicyHarness old =
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).listWorkers(2);
         for (int i = 0; i < 40; i++) {
             old.actions.clear();
             RequestHandle handle = old.accept(0.2);
             boolean slow = old.lastWorker() == 1;
             handle.onStarted(0);
-            old.pass(slow ? 1 : 0.2);
-            old.end(handle, 0, Outcome.SUCCEEDED);
+            old.advance(slow ? 1 : 0.2);
+            old.endAttempt(handle, 0, Outcome.SUCCEEDED);
         }
         PolicyHarness knows =
-                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).list(2).pass(5);
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL)
+                        .listWorkers(2)
+                        .advance(5);
         knows.policy.importState(old.policy.exportState());
         long slowByOne = 0;
         for (int i = 0; i < 10; i++) {
-            slowByOne += knows.pass(2).serve(0.2, 0.2) == 1 ? 1 : 0;
+            slowByOne += knows.advance(2).serve(0.2, 0.2) == 1 ? 1 : 0;
         }
         assertEquals(slowByOne, 0);
     }
--- a/daemon/src/test/java/wheelroute/decision/health/OutlierEjectionTest.java
+++ b/daemon/src/test/java/wheelroute/decision/health/OutlierEjectionTest.java
@@ -16,7 +16,24 @@
 /** Which workers are ejected, and what is held against none. */
 public class OutlierEjectionTest {
     private static PolicyHarness harness() {
-        return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(2);
+        return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(2);
+    }
+
+    @DataProvider
+    public Object[][] failures() {
+        return new Object[][] {
+            {Outcome.FAILED, true},
+            {Outcome.INVALID_REQUEST, false},
+            {Outcome.STALE_CONNECTION, false}
+        };
+    }
+
+    @Test(dataProvider = "failures")
+    public void ejectsOnlyForFailuresThatAreTheWorkersFault(Outcome outcome, boolean ejects) {
+        PolicyHarness harness =
+                new PolicyHarness(new PolicyHarness.SettingsFixture()).listWorkers(2);
+        assertEquals(
+                harness.attemptsAtBadWorkers(12, 0.1, worker -> worker == 1, outcome) <= 3, ejects);
     }
 
     /**
@@ -26,16 +43,17 @@
     @Test
     public void errorsThatFollowARequestAreNoWorkersFault() {
         PolicyHarness harness =
-                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(4);
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(4);
         long lateAttempts = 0;
         for (int i = 0; i < 60; i++) {
             harness.actions.clear();
-            RequestHandle handle = harness.pass(0.05).accept(0.1);
+            RequestHandle handle = harness.advance(0.05).accept(0.1);
             boolean bad = i % 2 == 1;
             for (int attempt = 0; !handle.isComplete(); attempt++) {
-                harness.pass(0.02).end(handle, attempt, bad ? Outcome.FAILED : Outcome.SUCCEEDED);
+                harness.advance(0.02)
+                        .endAttempt(handle, attempt, bad ? Outcome.FAILED : Outcome.SUCCEEDED);
             }
-            lateAttempts += i >= 40 && bad ? harness.count("attempt") : 0;
+            lateAttempts += i >= 40 && bad ? harness.countActions("attempt") : 0;
         }
         assertEquals(lateAttempts, 10, "one attempt for each that fails anywhere");
         assertEquals(harness.policy.avoidedEndpoints(), 0);
@@ -45,9 +63,9 @@
     @Test
     public void aWorkersOwnErrorsAreStillItsFault() {
         PolicyHarness harness =
-                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(4);
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(4);
         harness.attemptsAtBadWorkers(10, 0.1, worker -> true, Outcome.FAILED);
-        harness.pass(11);
+        harness.advance(11);
         for (int i = 0; i < 12; i++) {
             harness.serve(0.1, 0.1);
         }
@@ -67,7 +85,7 @@
         PolicyHarness harness = harness();
         RequestHandle handle = harness.accept(0.1);
         final long full = harness.lastWorker();
-        harness.end(handle, 0, Outcome.REJECTED);
+        harness.endAttempt(handle, 0, Outcome.REJECTED);
         assertNotEquals(harness.lastWorker(), full);
         assertNotEquals(harness.serve(0.1, 0.05), full);
     }
@@ -76,7 +94,7 @@
     @Test
     public void moreThanHalfOfTheWorkersCanBeEjected() {
         PolicyHarness harness =
-                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(4);
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(4);
         int dead =
                 harness.attemptsAtBadWorkers(
                         100, 0.01, worker -> worker > 1, Outcome.CONNECT_FAILED);
@@ -106,18 +124,20 @@
     public void anEjectedWorkerThatServesSomeComesBeforeARejection(
             Idempotency idempotency, IdempotencyScope scope, double ago, long attempts) {
         PolicyHarness harness =
-                PolicyHarness.of(idempotency, scope).list(2).update(2, Double.NaN, State.DRAINING);
+                PolicyHarness.of(idempotency, scope)
+                        .listWorkers(2)
+                        .updateWorker(2, Double.NaN, State.DRAINING);
         // Ejected, with a pause that outlasts this case; every other attempt is answered.
         for (int i = 0; i < 5; i++) {
             for (Outcome outcome : new Outcome[] {Outcome.FAILED, Outcome.SUCCEEDED}) {
                 RequestHandle handle = harness.accept(0.1);
-                harness.pass(0.02);
+                harness.advance(0.02);
                 for (int attempt = 0; !handle.isComplete(); attempt++) {
-                    harness.end(handle, attempt, attempt == 0 ? outcome : Outcome.SUCCEEDED);
+                    harness.endAttempt(handle, attempt, attempt == 0 ? outcome : Outcome.SUCCEEDED);
                 }
             }
         }
-        harness.update(2, Double.NaN, State.READY).pass(ago).fill(1);
+        harness.updateWorker(2, Double.NaN, State.READY).advance(ago).acceptUntilRejection(1);
         assertEquals(
                 harness.actions.stream()
                         .filter(did -> did.startsWith("attempt") && did.endsWith(" 1"))
@@ -129,10 +149,12 @@
     /** Failures go along: a worker ejected at the old process is no fresh one to the new. */
     @Test
     public void aSuccessorKeepsEjections() {
-        PolicyHarness old = PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).list(2);
+        PolicyHarness old =
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).listWorkers(2);
         old.attemptsAtBadWorkers(3, 0.2, worker -> true, Outcome.FAILED);
         assertEquals(old.policy.avoidedEndpoints(), 2);
-        PolicyHarness next = PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).list(2);
+        PolicyHarness next =
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).listWorkers(2);
         next.policy.importState(old.policy.exportState());
         assertEquals(next.policy.avoidedEndpoints(), 2);
     }
--- a/daemon/src/test/java/wheelroute/decision/health/SilenceDetectorTest.java
+++ b/daemon/src/test/java/wheelroute/decision/health/UnresponsiveWorkerDetectorTest.java
@@ -15,19 +15,19 @@
 import wheelroute.decision.RequestHandle;
 
 /** Workers and attempts that fall silent, and hedged requests. */
-public class SilenceDetectorTest {
+public class UnresponsiveWorkerDetectorTest {
     private static PolicyHarness harness() {
-        return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(2);
+        return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(2);
     }
 
     /** Prevents a hung worker, which starts nothing and looks merely busy. */
     @Test
     public void aSilentWorkerIsEjectedAndItsAttemptHedged() {
-        PolicyHarness harness = harness().earnHedges();
+        PolicyHarness harness = harness().fillHedgingBudget();
         harness.accept(0.1);
         final long silent = harness.lastWorker();
-        harness.sweep(20);
-        assertEquals(harness.count("attempt"), 2, harness.actions.toString());
+        harness.advanceWithWakeups(20);
+        assertEquals(harness.countActions("attempt"), 2, harness.actions.toString());
         assertNotEquals(harness.lastWorker(), silent);
         for (int i = 0; i < 5; i++) {
             assertNotEquals(harness.serve(0.1, 0.1), silent);
@@ -36,7 +36,8 @@
 
     @DataProvider
     public Object[][] silentAttempts() {
-        // How many times one attempt tells of its progress, a second apart; whether it is given up
+        // How many times one attempt tells of its progress, a second apart; whether it is fixture
+        // up
         // by a time,
         // in tenths of a second, at which its worker as a whole is not silent yet.
         return new Object[][] {
@@ -51,12 +52,12 @@
     @Test(dataProvider = "silentAttempts")
     public void aSilentAttemptIsRetriedBesideOthersThatGoOn(
             Idempotency idempotency, int words, int tenths, int cancels) {
-        PolicyHarness.SettingsFixture given = new PolicyHarness.SettingsFixture();
-        given.idempotency = idempotency;
-        given.mayHedge = false;
-        given.reportsStart = false;
-        given.progressIntervalSeconds = 1;
-        PolicyHarness harness = new PolicyHarness(given).list(2);
+        PolicyHarness.SettingsFixture fixture = new PolicyHarness.SettingsFixture();
+        fixture.idempotency = idempotency;
+        fixture.mayHedge = false;
+        fixture.reportsStart = false;
+        fixture.progressIntervalSeconds = 1;
+        PolicyHarness harness = new PolicyHarness(fixture).listWorkers(2);
         // Two at a time, so that the others need not wait for the one.
         List<RequestHandle> two =
                 List.of(
@@ -64,39 +65,40 @@
                         harness.accept(1.2),
                         harness.accept(1.2),
                         harness.accept(1.2));
-        harness.pass(1.1);
+        harness.advance(1.1);
         two.forEach(handle -> handle.onProgress(0, 0.9));
-        harness.pass(0.1).policy.onWakeup();
-        two.forEach(handle -> harness.end(handle, 0, Outcome.SUCCEEDED));
+        harness.advance(0.1).policy.onWakeup();
+        two.forEach(handle -> harness.endAttempt(handle, 0, Outcome.SUCCEEDED));
         // The first is the faster one, so that the others go there beside the one.
         for (int i = 0; i < 60; i++) {
             RequestHandle handle = harness.accept(0.1);
-            harness.pass(harness.lastWorker() == 1 ? 0.1 : 0.5).end(handle, 0, Outcome.SUCCEEDED);
+            harness.advance(harness.lastWorker() == 1 ? 0.1 : 0.5)
+                    .endAttempt(handle, 0, Outcome.SUCCEEDED);
         }
         harness.actions.clear();
         RequestHandle silent = harness.accept(0.4);
         for (int i = 0; i < tenths; i++) {
             RequestHandle other = harness.accept(0.1);
-            harness.pass(0.1).end(other, 0, Outcome.SUCCEEDED);
+            harness.advance(0.1).endAttempt(other, 0, Outcome.SUCCEEDED);
             harness.policy.onWakeup();
             if (i % 10 == 9 && i / 10 < words) {
                 silent.onProgress(0, 0.01 * (i + 1));
             }
         }
-        assertEquals(harness.count("cancel"), cancels, harness.actions.toString());
+        assertEquals(harness.countActions("cancel"), cancels, harness.actions.toString());
     }
 
     /** Prevents hedged requests that feed a jam: silence everywhere must not hedge everything. */
     @Test
     public void hedgedRequestsAreRationed() {
         PolicyHarness harness =
-                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(4);
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(4);
         for (int i = 0; i < 20; i++) {
             harness.accept(0.1);
         }
-        long first = harness.count("attempt");
-        harness.sweep(60);
-        assertTrue(harness.count("attempt") - first <= 7, harness.actions.toString());
+        long first = harness.countActions("attempt");
+        harness.advanceWithWakeups(60);
+        assertTrue(harness.countActions("attempt") - first <= 7, harness.actions.toString());
     }
 
     @Test
@@ -104,8 +106,8 @@
         PolicyHarness harness = harness();
         harness.accept(0.1);
         final long restarted = harness.lastWorker();
-        harness.pass(0.3).update(restarted, harness.now - 0.1, State.READY);
-        assertEquals(harness.count("attempt"), 2);
+        harness.advance(0.3).updateWorker(restarted, harness.now - 0.1, State.READY);
+        assertEquals(harness.countActions("attempt"), 2);
         assertNotEquals(harness.lastWorker(), restarted);
     }
 }
--- a/daemon/src/test/java/wheelroute/decision/order/KeyOrderTest.java
+++ b/daemon/src/test/java/wheelroute/decision/order/KeyOrderTest.java
@@ -21,17 +21,17 @@
  */
 public class KeyOrderTest {
     private static final double OBJECTIVE = 1;
-    private PolicyHarness.SettingsFixture given;
+    private PolicyHarness.SettingsFixture fixture;
 
     @BeforeMethod
     public void plainSettings() {
-        given = new PolicyHarness.SettingsFixture();
-        given.ordered = true;
-        given.idempotency = Idempotency.NON_IDEMPOTENT;
+        fixture = new PolicyHarness.SettingsFixture();
+        fixture.ordered = true;
+        fixture.idempotency = Idempotency.NON_IDEMPOTENT;
     }
 
     private PolicyHarness harness() {
-        return new PolicyHarness(given).list(4);
+        return new PolicyHarness(fixture).listWorkers(4);
     }
 
     private static RequestHandle accept(PolicyHarness harness, String key) {
@@ -39,7 +39,8 @@
     }
 
     private static RequestHandle accept(PolicyHarness harness, String requestClass, String key) {
-        return harness.accept(requestClass, "t", 0.1, harness.now + PolicyHarness.TIMEOUT, key);
+        return harness.accept(
+                requestClass, "t", 0.1, harness.now + PolicyHarness.TIMEOUT_SECONDS, key);
     }
 
     @DataProvider
@@ -48,7 +49,7 @@
             // the second one's class and key, whether the classes keep order, whether it goes
             // at once
             {"job", "a", true, false},
-            {"patient", "a", true, false},
+            {"batch", "a", true, false},
             {"job", "b", true, true},
             {"job", null, true, true},
             {"job", "a", false, true},
@@ -57,11 +58,11 @@
 
     @Test(dataProvider = "neighbours")
     public void whoWaitsForWhom(String requestClass, String key, boolean ordered, boolean atOnce) {
-        given.ordered = ordered;
+        fixture.ordered = ordered;
         PolicyHarness harness = harness();
         accept(harness, "a");
         accept(harness, requestClass, key);
-        assertEquals(harness.count("attempt"), atOnce ? 2 : 1);
+        assertEquals(harness.countActions("attempt"), atOnce ? 2 : 1);
     }
 
     @DataProvider
@@ -85,13 +86,19 @@
         PolicyHarness harness = harness();
         RequestHandle first = accept(harness, "a");
         accept(harness, "a");
-        harness.pass(0.1).end(first, 0, outcome);
+        harness.advance(0.1).endAttempt(first, 0, outcome);
         assertTrue(first.isComplete());
-        assertEquals(harness.count("attempt"), quietPeriod > 0 ? 1 : 2, harness.actions.toString());
-        harness.pass(0.19).policy.onWakeup();
-        assertEquals(harness.count("attempt"), quietPeriod > 0 ? 1 : 2, harness.actions.toString());
-        harness.pass(0.02).policy.onWakeup();
-        assertEquals(harness.count("attempt"), 2, harness.actions.toString());
+        assertEquals(
+                harness.countActions("attempt"),
+                quietPeriod > 0 ? 1 : 2,
+                harness.actions.toString());
+        harness.advance(0.19).policy.onWakeup();
+        assertEquals(
+                harness.countActions("attempt"),
+                quietPeriod > 0 ? 1 : 2,
+                harness.actions.toString());
+        harness.advance(0.02).policy.onWakeup();
+        assertEquals(harness.countActions("attempt"), 2, harness.actions.toString());
     }
 
     /** A rest also holds for one that is taken while it lasts, and nothing else has to wake it. */
@@ -99,13 +106,13 @@
     public void aQuietPeriodHoldsForLaterRequestsAndEndsByItself() {
         PolicyHarness harness = harness();
         RequestHandle first = accept(harness, "a");
-        harness.end(first, 0, Outcome.CONNECTION_LOST);
-        harness.pass(0.05);
+        harness.endAttempt(first, 0, Outcome.CONNECTION_LOST);
+        harness.advance(0.05);
         accept(harness, "a");
-        assertEquals(harness.count("attempt"), 1);
-        assertEquals(harness.wakes.get(harness.wakes.size() - 1), harness.now + 0.15, 1e-9);
-        harness.pass(0.15 + 1e-6).policy.onWakeup();
-        assertEquals(harness.count("attempt"), 2);
+        assertEquals(harness.countActions("attempt"), 1);
+        assertEquals(harness.wakeups.get(harness.wakeups.size() - 1), harness.now + 0.15, 1e-9);
+        harness.advance(0.15 + 1e-6).policy.onWakeup();
+        assertEquals(harness.countActions("attempt"), 2);
     }
 
     /** However many rests there are, each has one wake: they must not call for one another. */
@@ -113,30 +120,33 @@
     public void wakeupsDoNotMultiply() {
         PolicyHarness harness = harness();
         for (int i = 0; i < 10; i++) {
-            harness.end(accept(harness, "key" + i), 0, Outcome.CONNECTION_LOST);
+            harness.endAttempt(accept(harness, "key" + i), 0, Outcome.CONNECTION_LOST);
             accept(harness, "key" + i);
         }
-        harness.wakes.clear();
+        harness.wakeups.clear();
         for (int i = 0; i < 19; i++) {
-            harness.pass(0.01).policy.onWakeup();
+            harness.advance(0.01).policy.onWakeup();
         }
-        assertTrue(harness.wakes.size() <= 4, harness.wakes.toString());
+        assertTrue(harness.wakeups.size() <= 4, harness.wakeups.toString());
     }
 
     /** The one whose turn it is may be tried again and copied as ever. */
     @Test
     public void theFirstIsRetriedWithoutAQuietPeriod() {
-        given.idempotency = Idempotency.IDEMPOTENT;
+        fixture.idempotency = Idempotency.IDEMPOTENT;
         PolicyHarness harness = harness();
         RequestHandle first = accept(harness, "a");
         accept(harness, "a");
-        harness.end(first, 0, Outcome.CONNECTION_LOST);
-        assertEquals(harness.count("attempt 1 "), 2, harness.actions.toString());
-        harness.end(first, 1, Outcome.SUCCEEDED);
-        harness.pass(0.19).policy.onWakeup();
-        assertEquals(harness.count("attempt 2 "), 0, "the break of its first attempt still counts");
-        harness.pass(0.02).policy.onWakeup();
-        assertEquals(harness.count("attempt 2 "), 1);
+        harness.endAttempt(first, 0, Outcome.CONNECTION_LOST);
+        assertEquals(harness.countActions("attempt 1 "), 2, harness.actions.toString());
+        harness.endAttempt(first, 1, Outcome.SUCCEEDED);
+        harness.advance(0.19).policy.onWakeup();
+        assertEquals(
+                harness.countActions("attempt 2 "),
+                0,
+                "the break of its first attempt still counts");
+        harness.advance(0.02).policy.onWakeup();
+        assertEquals(harness.countActions("attempt 2 "), 1);
     }
 
     /** A client that leaves is done with, but its key is not free before its attempt has ended. */
@@ -150,10 +160,10 @@
         assertTrue(second.isComplete());
         first.onClientGone();
         assertEquals(harness.lastAction(), "cancel 1 0");
-        harness.pass(0.1).policy.onWakeup();
-        assertEquals(harness.count("attempt"), 1);
-        harness.end(first, 0, Outcome.CANCELLED);
-        harness.pass(0.21).policy.onWakeup();
+        harness.advance(0.1).policy.onWakeup();
+        assertEquals(harness.countActions("attempt"), 1);
+        harness.endAttempt(first, 0, Outcome.CANCELLED);
+        harness.advance(0.21).policy.onWakeup();
         assertEquals(harness.lastAction().substring(0, 9), "attempt 3", harness.actions.toString());
     }
 
@@ -162,14 +172,15 @@
     public void whoCannotBeInTimeIsRejectedAtOnce() {
         PolicyHarness harness = harness();
         for (int i = 0; i < 30; i++) {
-            harness.accept("job", "t", 0.2, harness.now + PolicyHarness.TIMEOUT, "a");
+            harness.accept("job", "t", 0.2, harness.now + PolicyHarness.TIMEOUT_SECONDS, "a");
         }
-        long rejected = harness.count("reject");
+        long rejected = harness.countActions("reject");
         assertTrue(rejected >= 20, "told " + rejected);
-        assertEquals(harness.count("attempt"), 1);
+        assertEquals(harness.countActions("attempt"), 1);
         assertTrue(
-                harness.retryAfter >= OBJECTIVE && harness.retryAfter <= given.retryAfter,
-                "come back after " + harness.retryAfter);
+                harness.retryAfterSeconds >= OBJECTIVE
+                        && harness.retryAfterSeconds <= fixture.maxRetryAfterSeconds,
+                "come back after " + harness.retryAfterSeconds);
     }
 
     /**
@@ -177,13 +188,13 @@
      */
     @Test
     public void requestsOfLessValueGiveWay() {
-        given.patientValue = 0.1;
+        fixture.batchPriorityWeight = 0.1;
         PolicyHarness harness = harness();
-        harness.accept("job", "t", 0.5, harness.now + PolicyHarness.TIMEOUT, "a");
+        harness.accept("job", "t", 0.5, harness.now + PolicyHarness.TIMEOUT_SECONDS, "a");
         RequestHandle lesser =
-                harness.accept("patient", "t", 3, harness.now + PolicyHarness.TIMEOUT, "a");
+                harness.accept("batch", "t", 3, harness.now + PolicyHarness.TIMEOUT_SECONDS, "a");
         RequestHandle more =
-                harness.accept("job", "t", 0.1, harness.now + PolicyHarness.TIMEOUT, "a");
+                harness.accept("job", "t", 0.1, harness.now + PolicyHarness.TIMEOUT_SECONDS, "a");
         assertTrue(lesser.isComplete());
         assertFalse(more.isComplete());
         assertEquals(harness.actions.get(harness.actions.size() - 1), "reject 2");
@@ -202,14 +213,14 @@
         double end = harness.now + limit;
         RequestHandle waits = harness.accept("job", "t", 0.1, end, "a");
         while (!waits.isComplete() && harness.now < end) {
-            harness.pass(0.1).policy.onWakeup();
+            harness.advance(0.1).policy.onWakeup();
         }
         assertTrue(
                 waits.isComplete() && harness.now < end,
                 "answered by " + harness.now + " of " + end);
         waits.onDeadline();
         waits.onClientGone();
-        assertEquals(harness.count("reject"), 1, harness.actions.toString());
+        assertEquals(harness.countActions("reject"), 1, harness.actions.toString());
     }
 
     /** A driver whose timer is late tells it so itself; its place is free at once. */
@@ -222,8 +233,10 @@
         second.onDeadline();
         first.onDeadline();
         assertEquals(
-                harness.count("reject"), 1, "the first has an attempt in flight, whose end comes");
-        harness.end(first, 0, Outcome.SUCCEEDED);
+                harness.countActions("reject"),
+                1,
+                "the first has an attempt in flight, whose end comes");
+        harness.endAttempt(first, 0, Outcome.SUCCEEDED);
         assertEquals(harness.lastAction().substring(0, 9), "attempt 3");
     }
 
@@ -231,7 +244,7 @@
     @Test
     public void randomHistoriesKeepTheRule() {
         for (int seed = 0; seed < 20; seed++) {
-            given.idempotency = Idempotency.values()[seed % 3];
+            fixture.idempotency = Idempotency.values()[seed % 3];
             RandomHistory history = new RandomHistory(seed, harness());
             for (int step = 0; step < 400; step++) {
                 history.step(step < 200);
@@ -258,7 +271,7 @@
         }
 
         void step(boolean mayAccept) {
-            harness.pass(0.01 + 0.05 * random.nextDouble());
+            harness.advance(0.01 + 0.05 * random.nextDouble());
             int pick = handles.isEmpty() ? 0 : random.nextInt(handles.size());
             if (mayAccept && random.nextInt(3) == 0) {
                 keys.add(random.nextInt(3));
@@ -281,9 +294,9 @@
             if (outcome.mayStillRun()) {
                 int key = keys.get(pick);
                 quietUntil[key] =
-                        Math.max(quietUntil[key], harness.now + given.keyQuietPeriodSeconds);
+                        Math.max(quietUntil[key], harness.now + fixture.keyQuietPeriodSeconds);
             }
-            harness.end(handles.get(pick), number, outcome);
+            harness.endAttempt(handles.get(pick), number, outcome);
         }
 
         /** Every attempt since the last check came in its turn, and after its key's quiet time. */
--- a/daemon/src/test/java/wheelroute/decision/routing/WorkerSelectorTest.java
+++ b/daemon/src/test/java/wheelroute/decision/routing/WorkerSelectorTest.java
@@ -17,16 +17,16 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Which worker is chosen, and what an affinity of keys counts for. */
+/** Which worker is chosen: cost, ties, key affinity and zones. */
 public class WorkerSelectorTest {
     private static PolicyHarness harness() {
-        return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(2);
+        return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(2);
     }
 
     @DataProvider
     public Object[][] costs() {
         return new Object[][] {
-            // speed of worker 1, speed of worker 2, work already at 1, the choice
+            // speed of worker 1, speed of worker 2, work in flight at 1, chosen worker
             {1.0, 0.5, 0.0, 1L},
             {0.5, 1.0, 0.0, 2L},
             {1.0, 0.5, 3.0, 2L},
@@ -36,8 +36,8 @@
 
     /** Equal workers but for speed and backlog: the least of b(u+a) + kappa(2ua+a²). */
     @Test(dataProvider = "costs")
-    public void picksTheLeastAdmittanceCost(
-            double speed1, double speed2, double ahead, long choice) {
+    public void choosesWorkerOfLeastAdmittanceCost(
+            double speed1, double speed2, double workInFlight, long chosen) {
         PolicyHarness harness = harness();
         for (int i = 0; i < 40; i++) {
             double estimatedWork = 0.2;
@@ -45,20 +45,20 @@
             RequestHandle handle = harness.accept(estimatedWork);
             double speed = harness.lastWorker() == 1 ? speed1 : speed2;
             handle.onStarted(0);
-            harness.pass(estimatedWork / speed);
-            harness.end(handle, 0, Outcome.SUCCEEDED);
+            harness.advance(estimatedWork / speed);
+            harness.endAttempt(handle, 0, Outcome.SUCCEEDED);
         }
-        if (ahead > 0) {
-            harness.update(2, Double.NaN, State.DRAINING);
-            harness.accept(ahead);
-            harness.update(2, Double.NaN, State.READY);
+        if (workInFlight > 0) {
+            harness.updateWorker(2, Double.NaN, State.DRAINING);
+            harness.accept(workInFlight);
+            harness.updateWorker(2, Double.NaN, State.READY);
         }
         harness.accept(0.2);
-        assertEquals(harness.lastWorker(), choice);
+        assertEquals(harness.lastWorker(), chosen);
     }
 
     @Test
-    public void nearTiesAreDrawnAndTheSameEventsGiveTheSameDraws() {
+    public void drawsAmongNearTiesDeterministically() {
         Set<Long> chosen = new HashSet<>();
         PolicyHarness a = harness();
         PolicyHarness b = harness();
@@ -70,102 +70,111 @@
         assertEquals(chosen, Set.of(1L, 2L));
     }
 
-    /** Two dispatchers that never spoke send a key to one worker, and another when that is busy. */
+    /** Two dispatchers that share no state prefer the same worker for a key, unless it is busy. */
     @Test
-    public void requestsOfAKeyGoWhereItIsCached() {
+    public void sendsRequestsOfKeyToItsPreferredWorker() {
         Set<Long> preferred = new HashSet<>();
         for (int i = 0; i < 12; i++) {
             String key = "key" + i;
             PolicyHarness a =
-                    PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(3);
+                    PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(3);
             PolicyHarness b =
-                    PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(3);
+                    PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(3);
             b.serve(0.1, 0.1);
-            a.accept("job", "t", 0.5, a.now + PolicyHarness.TIMEOUT, key);
-            b.accept("job", "t", 0.5, b.now + PolicyHarness.TIMEOUT, key);
+            a.accept("job", "t", 0.5, a.now + PolicyHarness.TIMEOUT_SECONDS, key);
+            b.accept("job", "t", 0.5, b.now + PolicyHarness.TIMEOUT_SECONDS, key);
             final long first = a.lastWorker();
             assertEquals(b.lastWorker(), first);
             preferred.add(first);
-            a.accept("job", "t", 0.5, a.now + PolicyHarness.TIMEOUT, key);
-            assertNotEquals(a.lastWorker(), first, "a queue costs more than a fetch");
+            a.accept("job", "t", 0.5, a.now + PolicyHarness.TIMEOUT_SECONDS, key);
+            assertNotEquals(a.lastWorker(), first, "a queue costs more than a cache miss");
         }
         assertTrue(preferred.size() > 1, preferred.toString());
     }
 
     @DataProvider
     public Object[][] missCosts() {
-        // how long a fetch takes, the least and the most of 20 new keys that go to the fastest of
-        // three
+        // seconds that a miss takes, the least and the most of 20 new keys that go to the fastest
+        // of three workers
         return new Object[][] {{0.0, 13, 20}, {0.3, 0, 11}};
     }
 
     /**
-     * Busy spells send keys away from home; what that took is learned, and whether the fastest is
-     * best.
+     * While workers are busy, keys are sent to others than the preferred ones. What that costs is
+     * learned, and decides whether a new key goes to the fastest worker.
      */
     @Test(dataProvider = "missCosts")
-    public void theCostOfAMissIsLearned(double fetch, int min, int max) {
+    public void learnsCostOfCacheMiss(double missSeconds, int min, int max) {
         PolicyHarness harness =
-                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).list(3);
-        Set<String> kept = new HashSet<>();
+                PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(3);
+        Set<String> cached = new HashSet<>();
         for (int i = 0; i < 200; i++) {
-            List<RequestHandle> handles = new ArrayList<>();
-            List<Double> runs = new ArrayList<>();
-            for (int job = 0; job < 3; job++) {
-                String key = "key" + (3 * i + job) % 10;
-                harness.actions.clear();
-                handles.add(
-                        harness.accept("job", "t", 0.1, harness.now + PolicyHarness.TIMEOUT, key));
-                handles.get(job).onStarted(0);
-                boolean fetched = kept.add(key + " " + harness.lastWorker()) || job == 2;
-                runs.add((harness.lastWorker() == 2 ? 0.05 : 0.1) + (fetched ? fetch : 0));
-            }
-            double passed = 0;
-            for (double until : runs.stream().sorted().toList()) {
-                harness.pass(until - passed);
-                passed = until;
-                for (int job = 0; job < 3; job++) {
-                    if (runs.get(job) == until) {
-                        harness.end(handles.get(job), 0, Outcome.SUCCEEDED);
-                    }
-                }
-            }
+            runThreeAtOnce(harness, 3 * i, missSeconds, cached);
         }
         int fastest = 0;
         for (int i = 10; i < 30; i++) {
             harness.actions.clear();
-            RequestHandle handle =
-                    harness.accept("job", "t", 0.1, harness.now + PolicyHarness.TIMEOUT, "key" + i);
+            RequestHandle handle = acceptWithKey(harness, "key" + i);
             fastest += harness.lastWorker() == 2 ? 1 : 0;
-            harness.end(handle, 0, Outcome.CANCELLED);
+            harness.endAttempt(handle, 0, Outcome.CANCELLED);
             handle.onClientGone();
         }
         assertTrue(fastest >= min && fastest <= max, "went to the fastest: " + fastest);
     }
 
+    private static RequestHandle acceptWithKey(PolicyHarness harness, String key) {
+        double deadline = harness.now + PolicyHarness.TIMEOUT_SECONDS;
+        return harness.accept("job", "t", 0.1, deadline, key);
+    }
+
+    /** Runs three requests to their ends; worker 2 is twice as fast as the others. */
+    private static void runThreeAtOnce(
+            PolicyHarness harness, int firstKey, double missSeconds, Set<String> cached) {
+        List<RequestHandle> handles = new ArrayList<>();
+        List<Double> runs = new ArrayList<>();
+        for (int job = 0; job < 3; job++) {
+            String key = "key" + (firstKey + job) % 10;
+            harness.actions.clear();
+            handles.add(acceptWithKey(harness, key));
+            handles.get(job).onStarted(0);
+            boolean missed = cached.add(key + " " + harness.lastWorker()) || job == 2;
+            runs.add((harness.lastWorker() == 2 ? 0.05 : 0.1) + (missed ? missSeconds : 0));
+        }
+        double elapsed = 0;
+        for (double until : runs.stream().sorted().toList()) {
+            harness.advance(until - elapsed);
+            elapsed = until;
+            for (int job = 0; job < 3; job++) {
+                if (runs.get(job) == until) {
+                    harness.endAttempt(handles.get(job), 0, Outcome.SUCCEEDED);
+                }
+            }
+        }
+    }
+
     @DataProvider
-    public Object[][] oddEstimates() {
+    public Object[][] extremeEstimates() {
         return new Object[][] {{0.0}, {Double.NaN}, {1e-6}, {3000.0}, {1e9}};
     }
 
-    @Test(dataProvider = "oddEstimates")
-    public void oddEstimatesGetOneAnswer(double estimatedWork) {
+    @Test(dataProvider = "extremeEstimates")
+    public void answersRequestWithExtremeEstimateOnce(double estimatedWork) {
         PolicyHarness harness = harness();
         RequestHandle handle = harness.accept(estimatedWork);
-        assertEquals(harness.count("attempt") + harness.count("reject"), 1);
+        assertEquals(harness.countActions("attempt") + harness.countActions("reject"), 1);
         if (!handle.isComplete()) {
-            harness.end(handle, 0, Outcome.SUCCEEDED);
+            harness.endAttempt(handle, 0, Outcome.SUCCEEDED);
         }
         assertTrue(handle.isComplete());
         harness.serve(0.1, 0.1);
     }
 
-    /** Prevents a crossing without end to its price: a hint of nothing is no hint. */
+    /** The price of another zone is divided by the work, so an estimate of 0 must not count. */
     @Test
-    public void anEstimateOfZeroMayCrossZones() {
+    public void sendsRequestWithEstimateOfZeroToAnotherZone() {
         PolicyHarness harness =
                 new PolicyHarness(new PolicyHarness.SettingsFixture())
-                        .update(4, Double.NaN, State.READY);
+                        .updateWorker(4, Double.NaN, State.READY);
         harness.accept(0);
         assertEquals(harness.lastWorker(), 4);
     }
