--- a/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
@@ -1,17 +1,14 @@
 package wheelroute.decision.routing;
 
-import wheelroute.decision.Settings;
 import wheelroute.decision.estimates.CacheMissCost;
 import wheelroute.decision.estimates.Candidate;
 import wheelroute.decision.estimates.TrafficStatistics;
 import wheelroute.decision.state.TrackedRequest;
 
 /**
- * What it costs to admit a request at a worker: the request's own wait and run there, and the
- * longer wait of the requests that arrive after it. Equation 3 of Hyytiä and Aalto, plus the prices
- * that the settings have for the choice. The unit is seconds times priority weight.
- *
- * <p>An instance holds for one choice.
+ * What it costs to admit one request at a worker: its own wait and run there, and the longer wait
+ * of the requests that arrive after it. Equation 3 of Hyytiä and Aalto, plus the prices that the
+ * settings have for the choice. The unit is seconds times priority weight.
  */
 final class AdmittanceCost {
     /** The offered load is taken to be at most this, as the cost's factor has a pole at 1. */
@@ -30,56 +27,55 @@
     private static final double FAILURES_OF_FULL_COST = 8;
 
     private final AdmittanceCostInputs inputs;
+    private final TrackedRequest request;
+    private final double objective;
+    private final double crossing;
     private final double laterArrivalCost;
 
-    private AdmittanceCost(AdmittanceCostInputs inputs, double laterArrivalCost) {
+    private AdmittanceCost(
+            AdmittanceCostInputs inputs, TrackedRequest request, double laterArrivalCost) {
         this.inputs = inputs;
+        this.request = request;
         this.laterArrivalCost = laterArrivalCost;
+        objective = request.settings().latencyObjectiveSecondsFor(request.work());
+        crossing = asCost(inputs.settings().crossZonePrice());
     }
 
     /**
-     * Returns the cost under the offered load of now. The other dispatchers' traffic is taken to be
-     * like this one's, as requests of all of them arrive at a worker.
+     * Returns the cost of a request under the offered load of now. The other dispatchers' traffic
+     * is taken to be like this one's, as requests of all of them arrive at a worker.
      *
      * @param capacity work that all ready workers do in a second
      */
-    static AdmittanceCost under(AdmittanceCostInputs inputs, double capacity, double now) {
+    static AdmittanceCost under(
+            AdmittanceCostInputs inputs, TrackedRequest request, double capacity, double now) {
         TrafficStatistics traffic = inputs.traffic();
         int senders = inputs.dispatchers().senderCount();
         double load = Math.min(MAX_LOAD, senders * traffic.workRate(now) / capacity);
-        return new AdmittanceCost(
-                inputs,
-                senders * traffic.rate(now) * traffic.meanValue() / (2 * (1 - load)) / capacity);
+        double value = senders * traffic.rate(now) * traffic.meanValue();
+        return new AdmittanceCost(inputs, request, value / (2 * (1 - load)) / capacity);
     }
 
-    /** Returns the cost of the request at a worker. */
-    double of(TrackedRequest request, Candidate candidate) {
-        Settings settings = inputs.settings();
+    /** Returns the cost at a worker. */
+    double at(Candidate candidate) {
         CacheMissCost cacheMissCost = inputs.cacheMissCost();
         int rank = candidate.affinityRank();
         double value = request.value();
         double run =
                 request.work() / candidate.speed()
                         + CACHE_MISS_FACTOR * cacheMissCost.expectedSeconds(rank);
-        double objective = request.settings().latencyObjectiveSecondsFor(request.work());
         double wait = candidate.expectedWaitSeconds();
-        double crossing =
-                candidate.worker().isInSameZone()
-                        ? 0
-                        : asCost(settings.crossZonePrice(), request, objective);
-        double missPrice = cacheMissCost.missProbability(rank) * settings.cacheMissPrice();
-        double miss = asCost(missPrice, request, objective);
-        double failure =
-                inputs.ejection().recentFailures(candidate.worker()) / FAILURES_OF_FULL_COST;
+        double missPrice = cacheMissCost.missProbability(rank) * inputs.settings().cacheMissPrice();
+        double failures = inputs.ejection().recentFailures(candidate.worker());
         double late = lateProbability(wait, Math.max(0, objective - run));
         return value * (wait + run)
-                + costToLaterArrivals(request, candidate, run)
-                + crossing
-                + miss
-                + (failure + late) * value * objective;
+                + costToLaterArrivals(candidate, run)
+                + (candidate.worker().isInSameZone() ? 0 : crossing)
+                + asCost(missPrice)
+                + (failures / FAILURES_OF_FULL_COST + late) * value * objective;
     }
 
-    private double costToLaterArrivals(TrackedRequest request, Candidate candidate, double run) {
+    private double costToLaterArrivals(Candidate candidate, double run) {
         int slots = candidate.slots();
         double factor = laterArrivalCost * candidate.speed() * slots;
         double added = run * request.slots() / slots;
@@ -90,7 +86,7 @@
      * Returns a price of the settings, which is in parts of a mean request's value, in the unit of
      * the cost, by what the request would lose if it were late.
      */
-    private double asCost(double price, TrackedRequest request, double objective) {
+    private double asCost(double price) {
         double loss = Math.max(MIN_LATE_LOSS, 1 - request.settings().lateValue());
         return price * inputs.traffic().meanPrice() * objective / request.work() / loss;
     }
--- a/daemon/src/main/java/wheelroute/decision/routing/CandidateCosts.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/CandidateCosts.java
@@ -4,7 +4,6 @@
 import java.util.function.Predicate;
 import wheelroute.decision.estimates.Candidate;
 import wheelroute.decision.state.RandomDraws;
-import wheelroute.decision.state.TrackedRequest;
 
 /**
  * The cost of each candidate for one request, infinite for those that may not be chosen.
@@ -12,18 +11,15 @@
  * @param least the least of the costs; infinite without any that may be chosen
  */
 record CandidateCosts(List<Candidate> candidates, double[] costs, double least) {
-    /** Returns the costs of a request at all candidates that pass a test. */
+    /** Returns the costs at all candidates, infinite at those that do not pass a test. */
     static CandidateCosts of(
-            TrackedRequest request,
-            List<Candidate> candidates,
-            Predicate<Candidate> mayBeChosen,
-            AdmittanceCost cost) {
+            List<Candidate> candidates, Predicate<Candidate> mayBeChosen, AdmittanceCost cost) {
         double[] costs = new double[candidates.size()];
         double least = Double.POSITIVE_INFINITY;
         for (int i = 0; i < costs.length; i++) {
             Candidate candidate = candidates.get(i);
             boolean counts = mayBeChosen.test(candidate);
-            costs[i] = counts ? cost.of(request, candidate) : Double.POSITIVE_INFINITY;
+            costs[i] = counts ? cost.at(candidate) : Double.POSITIVE_INFINITY;
             least = Math.min(least, costs[i]);
         }
         return new CandidateCosts(candidates, costs, least);
--- a/daemon/src/main/java/wheelroute/decision/routing/EligibilityVerdict.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/EligibilityVerdict.java
@@ -15,5 +15,10 @@
     /** See {@code SlowStart.admits}. */
     EXCLUDED_BY_SLOW_START,
     /** It rejected an attempt or could not be connected to a moment ago. */
-    BACKING_OFF
+    BACKING_OFF;
+
+    /** Whether the other verdict is this one or a better one. */
+    boolean includes(EligibilityVerdict other) {
+        return other.ordinal() <= ordinal();
+    }
 }
--- a/daemon/src/main/java/wheelroute/decision/routing/WorkerSelector.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/WorkerSelector.java
@@ -56,13 +56,13 @@
         return costs(
                 request,
                 fleet,
-                candidate -> eligibility.judge(request, candidate, fleet).compareTo(worst) <= 0);
+                candidate -> worst.includes(eligibility.judge(request, candidate, fleet)));
     }
 
     private CandidateCosts costs(
             TrackedRequest request, FleetSnapshot fleet, Predicate<Candidate> mayBeChosen) {
-        AdmittanceCost cost = AdmittanceCost.under(costInputs, fleet.capacity(), clock.now());
-        return CandidateCosts.of(request, fleet.candidates(), mayBeChosen, cost);
+        var cost = AdmittanceCost.under(costInputs, request, fleet.capacity(), clock.now());
+        return CandidateCosts.of(fleet.candidates(), mayBeChosen, cost);
     }
 
     private Candidate draw(CandidateCosts costs) {
