--- a/daemon/src/test/java/wheelroute/BackgroundTask.java
+++ b/daemon/src/test/java/wheelroute/BackgroundTask.java
@@ -1,19 +1,19 @@
 package wheelroute;
 
-/** What a test's stub does on a thread of its own, until its peer closes or the test ends. */
+/** A task of a stub on its own thread, which ends when its sockets are closed. */
 public interface BackgroundTask {
-    /** Runs until it fails: with its sockets closed it does. */
+    /** Runs until a closed socket makes it fail. */
     void run() throws Exception;
 
     /** Starts a daemon thread. */
-    static void start(BackgroundTask life) {
+    static void start(BackgroundTask task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                life.run();
+                                task.run();
                             } catch (Exception e) {
-                                // Its peer has closed, or the test has ended.
+                                // The peer has closed its connection, or the test has ended.
                                 Thread.currentThread().interrupt();
                             }
                         });
--- a/daemon/src/test/java/wheelroute/LongListTest.java
+++ b/daemon/src/test/java/wheelroute/LargeEndpointListTest.java
@@ -18,29 +18,27 @@
 import org.testng.annotations.Test;
 
 /**
- * Lists of tens of thousands of workers, read by a process whose heap is as large as a dispatcher's
- * is.
+ * Endpoint lists of tens of thousands of workers, read by a process with a heap as in production.
  */
-public class LongListTest {
-    private static final int PATIENCE = 40_000;
+public class LargeEndpointListTest {
+    private static final int TIMEOUT_MILLIS = 40_000;
 
     @DataProvider
     public Object[][] lists() {
         return new Object[][] {
-            // workers, and whether a process with 96 MB of heap reads them: an entry takes 123
-            // bytes
+            // Number of workers, and whether a heap of 96 MB admits a list of that length.
             {1_000, true}, {30_000, true}, {80_000, false},
         };
     }
 
-    @Test(dataProvider = "lists", timeOut = PATIENCE)
-    public void isReadUpToABoundThatTheHeapSets(int workers, boolean fits) throws Exception {
+    @Test(dataProvider = "lists", timeOut = TIMEOUT_MILLIS)
+    public void readsListsUpToLimitSetByHeapSize(int workers, boolean fits) throws Exception {
         Path directory = Files.createTempDirectory("wheelroute");
         try (ServerSocket discovery = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             byte[] list = list(workers);
-            Thread answers = new Thread(() -> answer(discovery, list));
-            answers.setDaemon(true);
-            answers.start();
+            Thread responder = new Thread(() -> respond(discovery, list));
+            responder.setDaemon(true);
+            responder.start();
             String config =
                     "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
                             + discovery.getLocalPort()
@@ -61,7 +59,7 @@
                             served.log()
                                     .contains("which are all that limits.memory_mb leaves for it"),
                             served.log());
-                    // It serves on, with what it has: nothing.
+                    // The process goes on with the list that it has, which is empty.
                     assertTrue(metrics(served.port()).contains("wheelroute_workers_listed 0\n"));
                 }
             }
@@ -90,8 +88,8 @@
         return json.append("]}").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The whole list to the first call of each connection; the next is held for ever. */
-    private static void answer(ServerSocket discovery, byte[] list) {
+    /** Answers the first call on each connection with the list, and never responder the next. */
+    private static void respond(ServerSocket discovery, byte[] list) {
         try {
             while (true) {
                 Socket caller = discovery.accept();
@@ -107,7 +105,7 @@
                 out.write(list);
             }
         } catch (IOException e) {
-            // The case is over, or the caller has had enough of the list.
+            // The test has ended, or the caller has closed the connection within the list.
             Thread.currentThread().interrupt();
         }
     }
--- a/daemon/src/test/java/wheelroute/ReloadSignalTest.java
+++ b/daemon/src/test/java/wheelroute/ReloadSignalTest.java
@@ -3,10 +3,10 @@
 import java.util.concurrent.CountDownLatch;
 import org.testng.annotations.Test;
 
-/** Sends this process the signal that would end it by default. */
+/** SIGHUP, which would end the process by default. */
 public class ReloadSignalTest {
     @Test(timeOut = 20_000)
-    public void handlesEverySignal() throws Exception {
+    public void runsHandlerForEachSignal() throws Exception {
         for (int i = 0; i < 2; i++) {
             CountDownLatch handled = new CountDownLatch(1);
             ReloadSignal.onSignal(handled::countDown);
--- a/daemon/src/test/java/wheelroute/ServedProcess.java
+++ b/daemon/src/test/java/wheelroute/ServedProcess.java
@@ -20,7 +20,6 @@
     private static final Pattern ADMIN_LINE =
             Pattern.compile("admin server listening on .*:(\\d+)$");
 
-    /** On a busy machine a start takes some seconds. */
     private static final int START_TIMEOUT_SECONDS = 20;
 
     private final Process process;
@@ -63,7 +62,7 @@
         return builder.redirectErrorStream(true);
     }
 
-    /** Returns once it accepts clients. */
+    /** Starts a process; returns once it accepts clients. */
     public static ServedProcess start(Path directory, String config, int descriptors)
             throws Exception {
         ServedProcess served = new ServedProcess(builder(directory, config, descriptors).start());
@@ -74,7 +73,7 @@
             served.port.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (Exception e) {
             served.close();
-            throw new IOException("it did not come up:\n" + served.log(), e);
+            throw new IOException("process did not start:\n" + served.log(), e);
         }
         return served;
     }
@@ -116,7 +115,7 @@
     public void signal(String name) throws Exception {
         Process kill = new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
         if (kill.waitFor() != 0) {
-            throw new IOException("no signal " + name + " could be sent");
+            throw new IOException("failed to send signal " + name);
         }
     }
 
--- a/daemon/src/test/java/wheelroute/StartScriptTest.java
+++ b/daemon/src/test/java/wheelroute/StartScriptTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The start script with a stand-in for the runtime that prints its flags, and no other program to
- * be found: where forks are refused, a heap that was read through a pipeline was never found.
+ * The start script, with a stand-in for the runtime that prints its flags, and with no other
+ * program on the path: where forks are refused, the script must work with shell built-ins alone.
  */
 public class StartScriptTest {
     private static final Path ROOT = Path.of("").toAbsolutePath().getParent();
@@ -28,20 +28,19 @@
             {"{\"limits\":\r\n{\"memory_mb\":\r\n80\r\n}}", "-Xmx35m"},
             {"{\"limits\":{\"memory_mb\":20}}", "-Xmx16m"},
             {"{\"limits\":{\"memory_mb\":4000}}", "-Xmx96m"},
-            // Names of offerings are no keys.
+            // Names of request classes are no keys.
             {
                 "{\"settings\":{\"request_classes\":[\n{\"name\":\"limits\",\"worth\":1},\n{\"name\":"
                         + "\"memory_mb\",\"worth\":64}]},\n\"limits\":\n{\"memory_mb\":80}}",
                 "-Xmx35m"
             },
             {"{\"settings\":{\"memory_mb\":64},\n\"limits\":{\"memory_mb\":80}}", "-Xmx35m"},
-            // What is odd gets the usual size: the program says what is wrong with it.
+            // An invalid limit yields the default heap; the program reports the error.
             {"{\"limits\":{\"memory_mb\":\"80\"}}", "-Xmx96m"},
             {"{\"limits\":{\"memory_mb\":12345678901234567890}}", "-Xmx96m"},
             {"{\"limits\":{\"memory_mb\":080}}", "-Xmx96m"},
             {"{\"limits\":{\"cores\":1},\"other\":{\"memory_mb\":64}}", "-Xmx96m"},
-            // Cut in two by the end of a block that is read, wherever in it that falls, and without
-            // an end.
+            // The key crosses the boundary of a block that is read, or the file is incomplete.
             {" ".repeat(65_536 - 12) + "{\"limits\":{\"memory_mb\":80}}", "-Xmx35m"},
             {" ".repeat(65_536 - 24) + "{\"limits\":{\"memory_mb\":80}}", "-Xmx35m"},
             {" ".repeat(65_536 - 25) + "{\"limits\":{\"memory_mb\":80}}", "-Xmx35m"},
@@ -55,15 +54,14 @@
             {"{\"limits\":{\"memory_mb\":80", "-Xmx96m"},
             {"* $(echo) `echo` \\", "-Xmx96m"},
             {"", "-Xmx96m"},
-            // Two processes share what one has: half of it each, with a door in the file or the
-            // environment.
+            // With an admin address two processes may share the limit, so each has half of it.
             {"{\"admin\":\"127.0.0.1:1\",\"limits\":{\"memory_mb\":208}}", "-Xmx59m"},
             {"{\"admin\" : \"127.0.0.1:1\", \"limits\":{\"memory_mb\":72}}", "-Xmx16m"},
         };
     }
 
     @Test(dataProvider = "configurations")
-    public void findsTheHeapWithoutAnotherProgram(String text, String heap) throws Exception {
+    public void readsHeapSizeWithoutStartingPrograms(String text, String heap) throws Exception {
         Path dir = Files.createTempDirectory("start");
         Path file = Files.writeString(dir.resolve("config.json"), text);
         Result result = start(dir, Map.of("LB_CONFIG", file.toString()));
@@ -72,7 +70,7 @@
     }
 
     @Test
-    public void aDoorInTheEnvironmentHalvesTheMemory() throws Exception {
+    public void halvesHeapWhenAdminAddressIsInEnvironment() throws Exception {
         Path dir = Files.createTempDirectory("start");
         Path file =
                 Files.writeString(dir.resolve("config.json"), "{\"limits\":{\"memory_mb\":144}}");
@@ -81,7 +79,7 @@
     }
 
     @Test
-    public void leavesAFileThatCannotBeReadToTheProgram() throws Exception {
+    public void startsProgramWhenConfigurationIsUnreadable() throws Exception {
         Path dir = Files.createTempDirectory("start");
         for (Path none : new Path[] {dir.resolve("none.json"), dir}) {
             Result result = start(dir, Map.of("LB_CONFIG", none.toString()));
@@ -91,7 +89,7 @@
     }
 
     @Test
-    public void namesAMissingVariable() throws Exception {
+    public void namesMissingConfigurationVariable() throws Exception {
         Result result = start(Files.createTempDirectory("start"), Map.of());
         assertEquals(result.code, 2);
         assertTrue(result.text.contains("LB_CONFIG: names no configuration file"), result.text);
--- a/daemon/src/test/java/wheelroute/SignalTest.java
+++ b/daemon/src/test/java/wheelroute/TerminationDuringStartTest.java
@@ -19,9 +19,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** A process of its own that is told to end at the moment that a test picks. */
-public class SignalTest {
-    private static final int PATIENCE = 20_000;
+/** SIGTERM while the process waits for the state of its predecessor. */
+public class TerminationDuringStartTest {
+    private static final int TIMEOUT_MILLIS = 20_000;
 
     private static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -42,8 +42,8 @@
                 .start();
     }
 
-    /** Where the processes of that dispatcher meet. */
-    private static Path meeting(Path directory, int port) {
+    /** Returns the path at which the process looks for its predecessor. */
+    private static Path handoverSocket(Path directory, int port) {
         CRC32 crc = new CRC32();
         crc.update(
                 ("n0 " + new InetSocketAddress("127.0.0.1", port))
@@ -54,27 +54,25 @@
 
     @DataProvider
     public Object[][] starts() {
-        // What is wrong with its configuration, and the exit code.
+        // An invalid part of the configuration, and the exit code.
         return new Object[][] {{"", 0}, {",\"hard_limit_us\":0", 1}};
     }
 
-    /**
-     * Told to end while it asks a process whose place it takes, it ends in order and never listens;
-     * one whose start fails keeps the exit code for that.
-     */
-    @Test(dataProvider = "starts", timeOut = PATIENCE)
-    public void aStartThatIsToldToEndEndsInOrder(String extra, int code) throws Exception {
+    /** A start that fails by itself keeps its own exit code. */
+    @Test(dataProvider = "starts", timeOut = TIMEOUT_MILLIS)
+    public void exitsWithoutListeningWhenTerminatedDuringStart(String extra, int code)
+            throws Exception {
         Path directory = Files.createTempDirectory("wheelroute");
         int port = freePort();
-        Path path = meeting(directory, port);
+        Path path = handoverSocket(directory, port);
         try (ServerSocketChannel before = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             before.bind(UnixDomainSocketAddress.of(path));
             Process process = start(directory, port, extra);
             try {
                 if (code == 0) {
-                    // It waits for what this one will not tell it.
+                    // The process waits for a state that this predecessor never sends.
                     before.accept();
-                    // Not by the process itself, which would close what it says.
+                    // Process.destroy would close the output that is read below.
                     process.toHandle().destroy();
                 }
                 String log =
--- a/daemon/src/test/java/wheelroute/net/AdminServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/AdminServiceTest.java
@@ -10,12 +10,14 @@
 import static wheelroute.net.HttpMessages.endpointList;
 import static wheelroute.net.HttpMessages.exchange;
 import static wheelroute.net.HttpMessages.jobRequest;
+import static wheelroute.net.HttpMessages.send;
 import static wheelroute.net.HttpMessages.statusOf;
 
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.BeforeMethod;
@@ -25,6 +27,29 @@
 
 /** Commands at the admin server, and the figures that they report. */
 public class AdminServiceTest extends ServiceHarness {
+    private static final Map<String, Integer> INITIAL_STATS =
+            Map.of(
+                    "completed.job",
+                    0,
+                    "completed.patient",
+                    0,
+                    "rejected.job",
+                    0,
+                    "rejected.patient",
+                    0,
+                    "failed.job",
+                    0,
+                    "failed.patient",
+                    0,
+                    "upstream_requests",
+                    0,
+                    "pending",
+                    0,
+                    "members",
+                    2,
+                    "members_unavailable",
+                    0);
+
     @BeforeMethod
     public void enableAdminServer() {
         hasAdminServer = true;
@@ -96,67 +121,65 @@
         // Succeeds; is rejected, then succeeds; loses its connection, then succeeds; stays open.
         workers.responses.addAll(List.of(SUCCESS, REJECTION, SUCCESS, CLOSE, SUCCESS, ACCEPTED));
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen(), workers.listen()));
-        assertEquals(
-                adminStats(),
-                Map.of(
-                        "completed.job",
-                        0,
-                        "completed.patient",
-                        0,
-                        "rejected.job",
-                        0,
-                        "rejected.patient",
-                        0,
-                        "failed.job",
-                        0,
-                        "failed.patient",
-                        0,
-                        "upstream_requests",
-                        0,
-                        "pending",
-                        0,
-                        "members",
-                        2,
-                        "members_unavailable",
-                        0));
+        assertEquals(adminStats(), INITIAL_STATS);
         for (int i = 0; i < 3; i++) {
             String path = i == 1 ? "/patient/" : "/job/";
             assertEquals(statusOf(exchange(connect(), jobRequest(10).replace("/job/", path))), 200);
         }
-        // Messages that are no requests change no figure.
-        assertEquals(
-                statusOf(exchange(connect(), jobRequest(10).replace("/job/", "/other/"))), 404);
-        assertEquals(
-                statusOf(exchange(connect(), jobRequest(10).replace("X-Timeout", "X-Other"))), 400);
+        sendMessagesThatAreNotAccepted();
         Socket waiting = connect();
-        waiting.getOutputStream().write(jobRequest(10).getBytes(StandardCharsets.UTF_8));
+        send(waiting, jobRequest(10));
         while (workers.messages.get() < 6) {
             workers.nextFirstLine();
         }
         assertEquals(statusOf(exchange(connect(), jobRequest(10))), 409);
-        Map<String, Integer> now = adminStats();
-        assertEquals(
-                List.of(
-                        now.get("completed.job"),
-                        now.get("completed.patient"),
-                        now.get("pending"),
-                        now.get("upstream_requests")),
-                List.of(2, 1, 1, 6));
+        assertStats(
+                Map.of(
+                        "completed.job",
+                        2,
+                        "completed.patient",
+                        1,
+                        "pending",
+                        1,
+                        "upstream_requests",
+                        6));
         waiting.close();
-        while (adminStats().get("pending") > 0) {
-            Thread.onSpinWait();
-        }
+        awaitNoPendingRequests();
         assertEquals(adminStats().get("rejected.job") + adminStats().get("failed.job"), 0);
         // A request that finds no worker is rejected.
         workers.responses.addAll(List.of(REJECTION, REJECTION));
         assertEquals(statusOf(exchange(connect(), jobRequest(10))), 503);
-        now = adminStats();
+        assertStats(
+                Map.of(
+                        "rejected.job",
+                        1,
+                        "upstream_requests",
+                        workers.messages.get(),
+                        "members_unavailable",
+                        2));
+        assertMetricsMatchStats();
+    }
+
+    private void awaitNoPendingRequests() throws IOException {
+        while (adminStats().get("pending") > 0) {
+            Thread.onSpinWait();
+        }
+    }
+
+    private void sendMessagesThatAreNotAccepted() throws IOException {
+        assertEquals(
+                statusOf(exchange(connect(), jobRequest(10).replace("/job/", "/other/"))), 404);
         assertEquals(
-                List.of(
-                        now.get("rejected.job"),
-                        now.get("upstream_requests"),
-                        now.get("members_unavailable")),
-                List.of(1, workers.messages.get(), 2));
+                statusOf(exchange(connect(), jobRequest(10).replace("X-Timeout", "X-Other"))), 400);
+    }
+
+    private void assertStats(Map<String, Integer> expected) throws IOException {
+        Map<String, Integer> actual = new HashMap<>(adminStats());
+        actual.keySet().retainAll(expected.keySet());
+        assertEquals(actual, expected);
+    }
+
+    private void assertMetricsMatchStats() throws IOException {
         assertEquals(metric("launches_written_total"), workers.messages.get());
         assertEquals(metric("offering_answers_total{offering=\"job\",kind=\"bounced\"}"), 1);
         assertEquals(metric("answers_total{kind=\"fulfilled\"}"), 3);
--- a/daemon/src/test/java/wheelroute/net/DisconnectBeforeAttemptTest.java
+++ b/daemon/src/test/java/wheelroute/net/DisconnectBeforeAttemptTest.java
@@ -104,6 +104,15 @@
             return name().startsWith("WORKER_CONNECTION");
         }
 
+        /** The event loop has not read the request when its client disconnects. */
+        boolean isEventLoop() {
+            return this == CONNECTION_LIMIT || this == EVENT_LOOP;
+        }
+
+        boolean isFurtherAttempt() {
+            return this == RETRY || this == HEDGED_REQUEST;
+        }
+
         boolean startsShutdown() {
             return this == KEY_QUEUE_WHILE_DRAINING
                     || this == KEY_QUEUE_DURING_HANDOVER
@@ -194,31 +203,35 @@
                 endpointList(addresses.toArray(new InetSocketAddress[0])),
                 2);
         if (hasAdminServer) {
-            // Restart on the same port, so that a second process can listen there as well.
-            service.drain();
-            handoverDirectory = Files.createTempDirectory("meet");
-            config =
-                    new Config(
-                            "n0",
-                            new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
-                            config.discovery(),
-                            config.admin(),
-                            handoverDirectory,
-                            1024,
-                            Double.NaN,
-                            config.cachedEndpoints(),
-                            config.settings(),
-                            0.5,
-                            10,
-                            maxTimeoutSeconds,
-                            false,
-                            null);
-            loop = new HeldEventLoop(clock, 0.5);
-            service = new Service(config, loop);
-            service.start();
-            while (!hasSocket(handoverDirectory)) {
-                LockSupport.parkNanos(1_000_000);
-            }
+            restartOnSamePort();
+        }
+    }
+
+    /** Restarts the service so that another process can listen on its port as well. */
+    private void restartOnSamePort() throws Exception {
+        service.drain();
+        handoverDirectory = Files.createTempDirectory("meet");
+        config =
+                new Config(
+                        "n0",
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), port),
+                        config.discovery(),
+                        config.admin(),
+                        handoverDirectory,
+                        1024,
+                        Double.NaN,
+                        config.cachedEndpoints(),
+                        config.settings(),
+                        0.5,
+                        10,
+                        maxTimeoutSeconds,
+                        false,
+                        null);
+        loop = new HeldEventLoop(clock, 0.5);
+        service = new Service(config, loop);
+        service.start();
+        while (!hasSocket(handoverDirectory)) {
+            LockSupport.parkNanos(1_000_000);
         }
     }
 
@@ -258,82 +271,104 @@
             throws Exception {
         Set<SocketAddress> addresses = Collections.newSetFromMap(new LinkedHashMap<>());
         serve(reason, addresses);
-        boolean queued = reason.isKeyQueue();
-        int before =
-                queued || reason == WaitReason.RETRY || reason == WaitReason.HEDGED_REQUEST ? 1 : 0;
-        for (int i = 1; reason == WaitReason.CONNECTION_LIMIT && i < CLIENT_CONNECTIONS; i++) {
-            exchange(connect(), HEALTH_CHECK);
-        }
+        fillConnectionLimit(reason);
         Socket first = connect();
         exchange(first, HEALTH_CHECK);
-        if (queued) {
+        if (reason.isKeyQueue()) {
             send(first, jobRequestWithKey(11));
             workers.nextFirstLine();
         }
         Socket client =
-                reason == WaitReason.CONNECTION_LIMIT ? null : connectWithHeldInput(disconnect);
-        if (reason == WaitReason.EVENT_LOOP || reason == WaitReason.CONNECTION_LIMIT) {
-            CountDownLatch resume = new CountDownLatch(1);
-            loop.post(
-                    () -> {
-                        try {
-                            resume.await();
-                        } catch (InterruptedException e) {
-                            Thread.currentThread().interrupt();
-                        }
-                    });
-            client = reason == WaitReason.CONNECTION_LIMIT ? connect() : client;
-            send(client, jobRequestWithKey(12));
-            disconnect(client, disconnect);
-            resume.countDown();
-        } else {
-            if (reason.isWorkerConnection()) {
-                loop.holdConnects(addresses);
-            }
-            send(client, jobRequestWithKey(12));
-            awaitOpenRequests(queued ? 2 : 1);
-            if (before > 0 && !queued) {
-                workers.nextFirstLine();
-            }
-            startShutdown(reason);
-            disconnect(client, disconnect);
-            if (reason.isWorkerConnection()) {
-                loop.connecting.take();
-                // Only connects are released: the client's last bytes are still unread.
-                loop.releaseConnects();
-            } else if (queued) {
-                workers.sendUnsolicited(
-                        (STARTED + progressLine("done") + "0\r\n\r\n").replace("ID", "11"));
-                assertEquals(statusOf(readMessage(first.getInputStream())), 200);
-            } else if (reason == WaitReason.RETRY) {
-                workers.last.close();
-            } else {
-                discovery.nextFirstLine();
-                discovery.sendUnsolicited(
-                        okResponse(REMOVAL.replace("PORT", "" + workers.last.getLocalPort())));
-            }
-        }
+                reason.isEventLoop()
+                        ? disconnectWhileEventLoopIsBusy(reason, disconnect)
+                        : disconnectWhileRequestWaits(reason, disconnect, addresses, first);
         if (disconnect == Disconnect.NONE) {
             assertEquals(workers.nextFirstLine(), "POST /job/x HTTP/1.1");
             client.close();
             loop.releaseAll();
         } else {
-            long expected =
-                    reason == WaitReason.EVENT_LOOP || reason == WaitReason.CONNECTION_LIMIT
-                            ? 0
-                            : 1;
-            while (service.counters().value(Counters.Counter.CLIENTS_GONE) < expected
-                    || service.counters().value(Counters.Counter.REQUESTS_NOT_ACCEPTED)
-                            < 1 - expected) {
-                assertEquals(workers.messages.get(), before, "attempt for a disconnected client");
-                LockSupport.parkNanos(1_000_000);
-            }
-            awaitOpenRequests(0);
+            assertNoAttemptFollows(reason);
+        }
+    }
+
+    private void fillConnectionLimit(WaitReason reason) throws IOException {
+        for (int i = 1; reason == WaitReason.CONNECTION_LIMIT && i < CLIENT_CONNECTIONS; i++) {
+            exchange(connect(), HEALTH_CHECK);
+        }
+    }
+
+    private Socket disconnectWhileEventLoopIsBusy(WaitReason reason, Disconnect disconnect)
+            throws Exception {
+        Socket client =
+                reason == WaitReason.CONNECTION_LIMIT ? null : connectWithHeldInput(disconnect);
+        CountDownLatch resume = new CountDownLatch(1);
+        loop.post(
+                () -> {
+                    try {
+                        resume.await();
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
+        client = reason == WaitReason.CONNECTION_LIMIT ? connect() : client;
+        send(client, jobRequestWithKey(12));
+        disconnect(client, disconnect);
+        resume.countDown();
+        return client;
+    }
+
+    /**
+     * Sends a request, disconnects its client, and lets the event happen that the request waits
+     * for.
+     */
+    private Socket disconnectWhileRequestWaits(
+            WaitReason reason, Disconnect disconnect, Set<SocketAddress> addresses, Socket first)
+            throws Exception {
+        Socket client = connectWithHeldInput(disconnect);
+        if (reason.isWorkerConnection()) {
+            loop.holdConnects(addresses);
+        }
+        send(client, jobRequestWithKey(12));
+        awaitOpenRequests(reason.isKeyQueue() ? 2 : 1);
+        if (reason.isFurtherAttempt()) {
+            workers.nextFirstLine();
+        }
+        startShutdown(reason);
+        disconnect(client, disconnect);
+        if (reason.isWorkerConnection()) {
+            loop.connecting.take();
+            // Only connects are released: the client's last bytes are still unread.
+            loop.releaseConnects();
+        } else if (reason.isKeyQueue()) {
+            workers.sendUnsolicited(
+                    (STARTED + progressLine("done") + "0\r\n\r\n").replace("ID", "11"));
+            assertEquals(statusOf(readMessage(first.getInputStream())), 200);
+        } else if (reason == WaitReason.RETRY) {
+            workers.last.close();
+        } else {
+            discovery.nextFirstLine();
+            discovery.sendUnsolicited(
+                    okResponse(REMOVAL.replace("PORT", "" + workers.last.getLocalPort())));
+        }
+        return client;
+    }
+
+    private void assertNoAttemptFollows(WaitReason reason) throws Exception {
+        int earlierAttempts = reason.isKeyQueue() || reason.isFurtherAttempt() ? 1 : 0;
+        // A request that had not been read is not accepted; any other has a client that is gone.
+        long clientsGone = reason.isEventLoop() ? 0 : 1;
+        Counters counters = service.counters();
+        while (counters.value(Counters.Counter.CLIENTS_GONE) < clientsGone
+                || counters.value(Counters.Counter.REQUESTS_NOT_ACCEPTED) < 1 - clientsGone) {
             assertEquals(
-                    service.counters().value(Counters.Counter.ATTEMPTS_WRITTEN),
-                    before,
-                    "written for a disconnected client");
-            assertEquals(workers.messages.get(), before);
+                    workers.messages.get(), earlierAttempts, "attempt for a disconnected client");
+            LockSupport.parkNanos(1_000_000);
         }
+        awaitOpenRequests(0);
+        assertEquals(
+                counters.value(Counters.Counter.ATTEMPTS_WRITTEN),
+                earlierAttempts,
+                "written for a disconnected client");
+        assertEquals(workers.messages.get(), earlierAttempts);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/HttpMessages.java
+++ b/daemon/src/test/java/wheelroute/net/HttpMessages.java
@@ -13,33 +13,35 @@
  * The HTTP messages of clients, workers and discovery, as text. {@code ID} in a worker's response
  * stands for the id of the request; {@link StubServer} fills it in.
  */
-final class HttpMessages {
-    static final String RESPONSE_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    static final String STARTED = progressLine("started");
-    static final String SUCCESS = RESPONSE_HEAD + STARTED + progressLine("done") + "0\r\n\r\n";
-    static final String REJECTION =
+public final class HttpMessages {
+    public static final String RESPONSE_HEAD =
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    public static final String STARTED = progressLine("started");
+    public static final String SUCCESS =
+            RESPONSE_HEAD + STARTED + progressLine("done") + "0\r\n\r\n";
+    public static final String REJECTION =
             "HTTP/1.1 503 X\r\n" + "X-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
-    static final String SERVICE_UNAVAILABLE = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
-    static final String HEALTH_CHECK = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
+    public static final String SERVICE_UNAVAILABLE = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
+    public static final String HEALTH_CHECK = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
 
     /** The worker begins the request and does not end it. */
-    static final String ACCEPTED = RESPONSE_HEAD;
+    public static final String ACCEPTED = RESPONSE_HEAD;
 
     /** The connection is closed instead of a response. */
-    static final String CLOSE = "";
+    public static final String CLOSE = "";
 
     /** The connection is closed after the start of the job. */
-    static final String START_THEN_CLOSE = RESPONSE_HEAD + STARTED;
+    public static final String START_THEN_CLOSE = RESPONSE_HEAD + STARTED;
 
     /** No response, and the connection stays open. */
-    static final String NO_RESPONSE = null;
+    public static final String NO_RESPONSE = null;
 
     private static final String CONTENT_LENGTH = "Content-Length: ";
 
     private HttpMessages() {}
 
     /** Returns one line of a worker's response, as a chunk. */
-    static String progressLine(String state) {
+    public static String progressLine(String state) {
         String line =
                 "{\"id\":\"ID\",\"from\":\"w\",\"state\":\"" + state + "\",\"result\":\"fine\"}\n";
         // The ids in the tests are as long as their placeholder, so the chunk's length stays right.
@@ -47,7 +49,7 @@
     }
 
     /** Returns a complete endpoint list, version 5, with a ready worker at each address. */
-    static String endpointList(InetSocketAddress... addresses) {
+    public static String endpointList(InetSocketAddress... addresses) {
         StringBuilder out = new StringBuilder();
         for (InetSocketAddress address : addresses) {
             out.append(out.length() > 0 ? "," : "")
@@ -61,7 +63,7 @@
     }
 
     /** Returns a client's request with id 77. */
-    static String jobRequest(double timeoutSeconds) {
+    public static String jobRequest(double timeoutSeconds) {
         return "POST /job/x HTTP/1.1\r\nHost: a\r\nX-Request-ID: 77\r\nIdempotency-Key: k\r\n"
                 + "X-Timeout: "
                 + String.format(Locale.ROOT, "%.1f", timeoutSeconds)
@@ -69,31 +71,31 @@
     }
 
     /** Returns a client's request with this id and 10 s of time. */
-    static String jobRequestWithId(int id) {
+    public static String jobRequestWithId(int id) {
         return jobRequest(10).replace("77", Integer.toString(id));
     }
 
     /** Returns a response with this body. */
-    static String okResponse(String body) {
+    public static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    static int statusOf(String response) {
+    public static int statusOf(String response) {
         return Integer.parseInt(response.split(" ")[1]);
     }
 
-    static void send(Socket socket, String message) throws IOException {
+    public static void send(Socket socket, String message) throws IOException {
         socket.getOutputStream().write(message.getBytes(StandardCharsets.UTF_8));
     }
 
     /** Sends a message and returns the response. */
-    static String exchange(Socket socket, String message) throws IOException {
+    public static String exchange(Socket socket, String message) throws IOException {
         send(socket, message);
         return readMessage(socket.getInputStream());
     }
 
     /** Reads one message: its head, and as much body as the head announces. */
-    static String readMessage(InputStream in) throws IOException {
+    public static String readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         while (!out.toString(StandardCharsets.UTF_8).endsWith("\r\n\r\n")) {
             copyByte(in, out);
--- a/daemon/src/test/java/wheelroute/net/PolicyFailureTest.java
+++ b/daemon/src/test/java/wheelroute/net/PolicyFailureTest.java
@@ -17,6 +17,10 @@
 
 /** An unexpected exception in the policy costs no request its answer. */
 public class PolicyFailureTest extends ServiceHarness {
+    private static final ClientRequest MESSAGE =
+            new ClientRequest(
+                    "POST", "/job/x", "77", null, null, "", 10, 1, 1, 0, false, true, new byte[0]);
+
     @Test(timeOut = TIMEOUT_MILLIS)
     public void failsRequestAtDeadlineWhenPolicyThrows() throws Exception {
         expectsException = true;
@@ -29,51 +33,15 @@
                         config.settings(),
                         2);
         CompletableFuture<Integer> status = new CompletableFuture<>();
-        ClientRequest message =
-                new ClientRequest(
-                        "POST",
-                        "/job/x",
-                        "77",
-                        null,
-                        null,
-                        "",
-                        10,
-                        1,
-                        1,
-                        0,
-                        false,
-                        true,
-                        new byte[0]);
-        Request request =
-                new Request(
-                        new Ids.Request(1),
-                        new Ids.RequestClass("job"),
-                        new Ids.Tenant(""),
-                        loop.now() + 2,
-                        1,
-                        1,
-                        0,
-                        false,
-                        null);
         loop.post(
                 () -> {
                     Exchange exchange =
                             new Exchange(
                                     dispatcher,
                                     loop,
-                                    request,
-                                    message,
-                                    new RequestAcceptor.ResponseSender() {
-                                        @Override
-                                        public void send(ClientResponse answer) {
-                                            status.complete(answer.status());
-                                        }
-
-                                        @Override
-                                        public boolean hasClientLeft() {
-                                            return false;
-                                        }
-                                    },
+                                    request(),
+                                    MESSAGE,
+                                    statusRecorder(status),
                                     false);
                     // Without a policy the call fails as it would if the policy threw.
                     dispatcher.turn(() -> exchange.begin(null));
@@ -81,4 +49,32 @@
                 });
         assertEquals(status.get().intValue(), 502);
     }
+
+    private Request request() {
+        return new Request(
+                new Ids.Request(1),
+                new Ids.RequestClass("job"),
+                new Ids.Tenant(""),
+                loop.now() + 2,
+                1,
+                1,
+                0,
+                false,
+                null);
+    }
+
+    private static RequestAcceptor.ResponseSender statusRecorder(
+            CompletableFuture<Integer> status) {
+        return new RequestAcceptor.ResponseSender() {
+            @Override
+            public void send(ClientResponse response) {
+                status.complete(response.status());
+            }
+
+            @Override
+            public boolean hasClientLeft() {
+                return false;
+            }
+        };
+    }
 }
--- a/daemon/src/test/java/wheelroute/net/ProcessReplacementTest.java
+++ b/daemon/src/test/java/wheelroute/net/ProcessReplacementTest.java
@@ -9,6 +9,7 @@
 import static wheelroute.net.HttpMessages.exchange;
 import static wheelroute.net.HttpMessages.jobRequest;
 import static wheelroute.net.HttpMessages.readMessage;
+import static wheelroute.net.HttpMessages.send;
 import static wheelroute.net.HttpMessages.statusOf;
 
 import java.io.BufferedReader;
@@ -128,23 +129,16 @@
             silent.add(connect());
             halfSent.add(connect());
             messages.add(nextJobRequest());
-            halfSent.get(i)
-                    .getOutputStream()
-                    .write(messages.get(i).substring(0, 20).getBytes(StandardCharsets.UTF_8));
+            send(halfSent.get(i), messages.get(i).substring(0, 20));
             kept.add(connect());
             assertEquals(statusOf(exchange(kept.get(i), nextJobRequest())), 200);
         }
         Service next = startSuccessor(handoverDirectory);
         assertEquals(adminCommand(next, "READY\n"), "ok ready\n");
-        List<Socket> queued = new ArrayList<>();
-        for (int i = 0; i < CLIENT_COUNT; i++) {
-            queued.add(connect());
-        }
+        List<Socket> queued = connectClients(CLIENT_COUNT);
         CompletableFuture<Void> ended = drain(service);
         for (int i = 0; i < CLIENT_COUNT; i++) {
-            halfSent.get(i)
-                    .getOutputStream()
-                    .write(messages.get(i).substring(20).getBytes(StandardCharsets.UTF_8));
+            send(halfSent.get(i), messages.get(i).substring(20));
             String answer = readMessage(halfSent.get(i).getInputStream());
             assertEquals(statusOf(answer), 200, i + answer);
             assertEquals(statusOf(exchange(silent.get(i), nextJobRequest())), 200);
@@ -163,6 +157,14 @@
         assertEquals(adminCommand(next, "READY\n"), "ok ready\n");
     }
 
+    private List<Socket> connectClients(int count) throws IOException {
+        List<Socket> clients = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            clients.add(connect());
+        }
+        return clients;
+    }
+
     /** Connections are evicted at that moment, not when further clients connect. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void halvesConnectionLimitWhenSuccessorConnects() throws Exception {
@@ -186,7 +188,7 @@
         serveOnKnownAddress(
                 Idempotency.NON_IDEMPOTENT, ACCEPTED, SUCCESS, SUCCESS, SUCCESS, SUCCESS);
         Socket waiting = connect();
-        waiting.getOutputStream().write(jobRequestNumber(0).getBytes(StandardCharsets.UTF_8));
+        send(waiting, jobRequestNumber(0));
         workers.nextFirstLine();
         Service next = startSuccessor(handoverDirectory);
         CompletableFuture<Void> ended = drain(service);
