--- a/daemon/src/main/java/wheelroute/config/Config.java
+++ b/daemon/src/main/java/wheelroute/config/Config.java
@@ -17,7 +17,7 @@
  * @param handoverDirectory the handover directory, in which an old and a new process of one
  *     dispatcher find each other; null for no handover
  * @param maxDescriptors the maximum number of file descriptors of the process
- * @param maxMemory the maximum size of the process in bytes; NaN if unknown
+ * @param maxMemoryBytes the maximum size of the process in bytes; NaN if unknown
  * @param cachedEndpoints the cached endpoint list, as JSON in discovery's form; null for none
  * @param settings of the decisions
  * @param connectTimeoutSeconds timeout for connecting to a worker
@@ -34,7 +34,7 @@
         InetSocketAddress admin,
         Path handoverDirectory,
         int maxDescriptors,
-        double maxMemory,
+        double maxMemoryBytes,
         byte[] cachedEndpoints,
         Settings settings,
         double connectTimeoutSeconds,
@@ -46,13 +46,13 @@
     private static final String IDLE_TIMEOUT_KEY = "settings.permissions.conn_idle_us";
 
     /** The keys whose values differ in the other configuration but apply only after a restart. */
-    public List<String> waitingForRestart(Config other) {
+    public List<String> keysRequiringRestart(Config other) {
         List<String> keys = new ArrayList<>();
         addIfDifferent(keys, "name", name, other.name);
         addIfDifferent(keys, "listen", listen, other.listen);
         addIfDifferent(keys, "admin", admin, other.admin);
         addIfDifferent(keys, "limits.sockets", maxDescriptors, other.maxDescriptors);
-        addIfDifferent(keys, "limits.memory_mb", maxMemory, other.maxMemory);
+        addIfDifferent(keys, "limits.memory_mb", maxMemoryBytes, other.maxMemoryBytes);
         addIfDifferent(keys, "settings", settings, other.settings.withSeed(settings.seed()));
         addIfDifferent(
                 keys, CONNECT_TIMEOUT_KEY, connectTimeoutSeconds, other.connectTimeoutSeconds);
--- a/daemon/src/main/java/wheelroute/config/ConfigReader.java
+++ b/daemon/src/main/java/wheelroute/config/ConfigReader.java
@@ -1,8 +1,6 @@
 package wheelroute.config;
 
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.UnknownHostException;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -11,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.regex.Pattern;
 import wheelroute.decision.Settings;
 import wheelroute.peers.PeerId;
 
@@ -24,13 +21,6 @@
 public final class ConfigReader {
     private static final int HEX = 16;
 
-    /** Addresses as they are written, which are taken without a look-up. */
-    private static final Pattern IPV4 =
-            Pattern.compile("((25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(?!$)|$)){4}");
-
-    private static final Pattern IPV6 = Pattern.compile("\\[?[0-9a-fA-F]*:[0-9a-fA-F:.]+]?");
-    private static final int MAX_PORT = 65_535;
-
     /** The runtime alone needs some thirty descriptors; with fewer than this nothing is served. */
     private static final int MIN_SOCKETS = 64;
 
@@ -177,10 +167,12 @@
         if (settings.position() < 0 || settings.position() >= addresses.size()) {
             throw new ConfigException("peering", "needs this dispatcher's position among them");
         }
-        if (!value("LB_NAME", "name").matches("[!-~]{1," + PeerId.MOST_BYTES + "}")) {
+        if (!value("LB_NAME", "name").matches("[!-~]{1," + PeerId.MAX_NAME_BYTES + "}")) {
             throw new ConfigException(
                     "name",
-                    "is longer than " + PeerId.MOST_BYTES + " plain characters, which peers need");
+                    "is longer than "
+                            + PeerId.MAX_NAME_BYTES
+                            + " plain characters, which peers need");
         }
         return new PeeringConfig(
                 pairs.getOrDefault("peering.cluster", ""),
@@ -192,7 +184,7 @@
     private List<InetSocketAddress> peerAddresses(int dispatchers) throws ConfigException {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (String text : pairs.getOrDefault("peering.addresses", "").split(",")) {
-            InetSocketAddress address = parse(text);
+            InetSocketAddress address = SocketAddresses.parse(text);
             if (address == null) {
                 throw new ConfigException(
                         "peering.addresses", "has one that is not host:port: " + text);
@@ -245,7 +237,7 @@
 
     private InetSocketAddress address(String variable, String key) throws ConfigException {
         String value = value(variable, key);
-        InetSocketAddress address = parse(value);
+        InetSocketAddress address = SocketAddresses.parse(value);
         if (address == null) {
             throw new ConfigException(key, "is not host:port: " + value);
         }
@@ -258,40 +250,4 @@
                 ? null
                 : address(variable, key);
     }
-
-    /** The address as host:port, the form that {@link #parse} reads. */
-    public static String text(InetSocketAddress address) {
-        return address.getHostString() + ":" + address.getPort();
-    }
-
-    /**
-     * Parses an address of the form host:port. The host is an address, or localhost: a name would
-     * have to be looked up, for which nothing here may wait.
-     *
-     * @return null for any other text
-     */
-    public static InetSocketAddress parse(String text) {
-        int colon = text.lastIndexOf(':');
-        if (colon < 1) {
-            return null;
-        }
-        try {
-            int port = Integer.parseInt(text.substring(colon + 1));
-            if (port < 0 || port > MAX_PORT) {
-                return null;
-            }
-            InetAddress host = parseHost(text.substring(0, colon));
-            return host == null ? null : new InetSocketAddress(host, port);
-        } catch (NumberFormatException | UnknownHostException e) {
-            return null;
-        }
-    }
-
-    private static InetAddress parseHost(String host) throws UnknownHostException {
-        if (host.equals("localhost")) {
-            return InetAddress.getLoopbackAddress();
-        }
-        boolean isAddress = IPV4.matcher(host).matches() || IPV6.matcher(host).matches();
-        return isAddress ? InetAddress.getByName(host) : null;
-    }
 }
--- a/daemon/src/main/java/wheelroute/config/TomlFile.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFile.java
@@ -184,7 +184,7 @@
         if (!PLAIN_NAME.matcher(name).matches()) {
             worker.addFault("name", "has a character that no id may have: " + name);
         }
-        if (!address.isEmpty() && ConfigReader.parse(address) == null) {
+        if (!address.isEmpty() && SocketAddresses.parse(address) == null) {
             worker.addFault("address", "is not host:port: " + address);
         }
         String zone = worker.text("zone", "");
--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -182,7 +182,7 @@
             if (!message.method().equals("POST")) {
                 throw new BadRequestException(HttpStatus.NOT_FOUND_404, "submissions come by POST");
             }
-            if (message.id() == null || message.id().isEmpty() || !(message.timeout() > 0)) {
+            if (message.id() == null || message.id().isEmpty() || !(message.timeoutSeconds() > 0)) {
                 throw new BadRequestException(
                         HttpStatus.BAD_REQUEST_400, "X-Request-ID or X-Timeout is missing");
             }
@@ -220,7 +220,7 @@
     }
 
     @Override
-    public boolean hasClientLeft() {
+    public boolean isClientGone() {
         boolean left = !getEndPoint().isOpen() || sawEndOfStream();
         if (left) {
             loop.post(this::onClientGone);
--- a/daemon/src/main/java/wheelroute/net/clients/ClientRequest.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientRequest.java
@@ -11,7 +11,7 @@
  * @param idempotencyKey null when not given
  * @param routeKey null when not given
  * @param tenant empty when not given
- * @param timeout how many seconds the client waits from its send on; NaN when not given
+ * @param timeoutSeconds how many seconds the client waits from its send on; NaN when not given
  * @param estimatedWork seconds on a standard core; NaN when not given
  * @param clientRetry whether the client says that this is a retry
  * @param keepsOpen whether the connection stays open after the response
@@ -23,7 +23,7 @@
         String idempotencyKey,
         String routeKey,
         String tenant,
-        double timeout,
+        double timeoutSeconds,
         double estimatedWork,
         double slots,
         double memory,
--- a/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
@@ -8,9 +8,9 @@
 /**
  * A response to a client.
  *
- * @param retryAfter in seconds; 0 for no Retry-After
+ * @param retryAfterSeconds in seconds; 0 for no Retry-After
  */
-public record ClientResponse(int status, double retryAfter, byte[] body) {
+public record ClientResponse(int status, double retryAfterSeconds, byte[] body) {
     private static final double MILLIS_PER_SECOND = 1e3;
 
     /** The request has succeeded. */
@@ -19,10 +19,10 @@
     }
 
     /** The request was rejected: nothing has run, and a retry is safe. */
-    public static ClientResponse rejected(double retryAfter) {
+    public static ClientResponse rejected(double retryAfterSeconds) {
         return new ClientResponse(
                 HttpStatus.SERVICE_UNAVAILABLE_503,
-                retryAfter,
+                retryAfterSeconds,
                 bytes("bounced: a retry is safe\n"));
     }
 
@@ -44,9 +44,10 @@
     /** Writes the HTTP response. */
     public ByteBuffer[] encode(boolean lastOnConnection) {
         String roundedUp =
-                Double.toString(Math.ceil(retryAfter * MILLIS_PER_SECOND) / MILLIS_PER_SECOND);
+                Double.toString(
+                        Math.ceil(retryAfterSeconds * MILLIS_PER_SECOND) / MILLIS_PER_SECOND);
         return new HttpText("HTTP/1.1 " + status + " " + HttpStatus.getMessage(status))
-                .field("Retry-After", retryAfter > 0 ? roundedUp : null)
+                .field("Retry-After", retryAfterSeconds > 0 ? roundedUp : null)
                 .field("Connection", lastOnConnection ? "close" : null)
                 .body(body);
     }
--- a/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
@@ -78,7 +78,7 @@
      * So many processes share the dispatcher's limit. Connections over it are evicted at once:
      * otherwise all new ones would be closed unheard.
      */
-    public void sharedBy(int processes) {
+    public void setProcessCount(int processes) {
         connections.limit(dispatcherLimit / processes);
         int previous = connections.count() + 1;
         while (connections.isOverLimit() && connections.count() < previous) {
@@ -143,7 +143,7 @@
     }
 
     /** How many connections are open. */
-    public int open() {
+    public int openConnections() {
         return connections.count();
     }
 
--- a/daemon/src/main/java/wheelroute/net/clients/RequestAcceptor.java
+++ b/daemon/src/main/java/wheelroute/net/clients/RequestAcceptor.java
@@ -17,7 +17,7 @@
          * Checks for a close of the connection that has not been noticed yet. If there is one,
          * {@link AcceptedRequest#onClientGone} follows.
          */
-        boolean hasClientLeft();
+        boolean isClientGone();
     }
 
     /**
--- a/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
-import wheelroute.config.ConfigReader;
+import wheelroute.config.SocketAddresses;
 import wheelroute.net.http.HttpText;
 import wheelroute.net.http.ResponseParser;
 import wheelroute.net.loop.EventLoop;
@@ -157,7 +157,7 @@
         endPoint.write(
                 Callback.from(() -> {}, cause -> loop.post(() -> onFailed(cause))),
                 new HttpText("GET " + target(holdMillis) + " HTTP/1.1")
-                        .field("Host", ConfigReader.text(address))
+                        .field("Host", SocketAddresses.format(address))
                         .noBody());
     }
 
--- a/daemon/src/main/java/wheelroute/net/discovery/EndpointList.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/EndpointList.java
@@ -9,7 +9,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import wheelroute.config.ConfigReader;
+import wheelroute.config.SocketAddresses;
 import wheelroute.decision.Endpoint;
 
 /**
@@ -93,7 +93,7 @@
     private static void encode(Entry entry, JsonGenerator json) throws IOException {
         json.writeStartObject();
         json.writeStringField("id", entry.id());
-        json.writeStringField("addr", ConfigReader.text(entry.address()));
+        json.writeStringField("addr", SocketAddresses.format(entry.address()));
         json.writeStringField("zone", entry.zone());
         json.writeStringField("kind", entry.model());
         json.writeNumberField("cell", entry.cell());
@@ -123,7 +123,7 @@
             parser.nextToken();
             switch (name) {
                 case "id" -> id = parser.getText();
-                case "addr" -> address = ConfigReader.parse(parser.getText());
+                case "addr" -> address = SocketAddresses.parse(parser.getText());
                 case "zone" -> zone = parser.getText();
                 case "kind" -> model = parser.getText();
                 case "cell" -> cell = parser.getLongValue();
--- a/daemon/src/main/java/wheelroute/net/lifecycle/ConfigReload.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/ConfigReload.java
@@ -21,7 +21,7 @@
 
     /** Changes the address of discovery; logs other changes, which wait for a restart. */
     void apply(Config fresh, ServiceComponents components) {
-        config.waitingForRestart(fresh)
+        config.keysRequiringRestart(fresh)
                 .forEach(key -> LOG.warn("reload: change of '{}' requires a restart", key));
         if (fresh.discovery().equals(discovery)) {
             LOG.info("reload: discovery unchanged at {}", discovery);
--- a/daemon/src/main/java/wheelroute/net/lifecycle/GracefulShutdown.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/GracefulShutdown.java
@@ -96,6 +96,6 @@
         boolean mustWaitForClients = !dispatcher.closesAfterResponse() || dispatcher.hasSuccessor();
         return dispatcher.unanswered() == 0
                 && !components.clients.expectsRequest()
-                && (!mustWaitForClients || components.clients.open() == 0);
+                && (!mustWaitForClients || components.clients.openConnections() == 0);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/lifecycle/Service.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/Service.java
@@ -163,7 +163,7 @@
 
     @Override
     public String membersText() {
-        return components.peers == null ? null : components.peers.text();
+        return components.peers == null ? null : components.peers.membersText();
     }
 
     // ---- reload
@@ -234,10 +234,10 @@
         public void onProcessesChanged() {
             Handover handover = components.handover;
             components.dispatcher.setProcessCount(handover.processes());
-            workers.sharedBy(handover.processes());
-            components.clients.sharedBy(handover.processes());
+            workers.setProcessCount(handover.processes());
+            components.clients.setProcessCount(handover.processes());
             if (components.peers != null && acceptsClients) {
-                components.peers.succeeded(handover.hasSuccessor());
+                components.peers.onSuccessorChanged(handover.hasSuccessor());
             }
             if (handover.hasSuccessor() && components.dispatcher.isDraining()) {
                 components.clients.stopListening();
--- a/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
@@ -108,7 +108,7 @@
 
     private void renewLeases() {
         if (socket.isOpen()) {
-            double delay = Math.min(Lease.DURATION, leases.renew(loop.now()));
+            double delay = Math.min(Lease.DURATION_SECONDS, leases.renew(loop.now()));
             loop.schedule(delay, this::renewLeases);
         }
     }
@@ -130,7 +130,7 @@
      *
      * @param hasSuccessor whether there is another process now
      */
-    public void succeeded(boolean hasSuccessor) {
+    public void onSuccessorChanged(boolean hasSuccessor) {
         if (hasSuccessor) {
             stop();
         } else if (!socket.isOpen() && !left) {
@@ -186,7 +186,7 @@
      * The answer to the admin command PEERS: a line for each known dispatcher, this one first, then
      * a line on its quota, local health and rejected datagrams.
      */
-    public String text() {
+    public String membersText() {
         StringBuilder out = new StringBuilder();
         out.append(name).append(' ').append(peering.number()).append(" alive itself\n");
         for (MemberUpdate member : membership.others()) {
--- a/daemon/src/main/java/wheelroute/net/requests/EndpointDirectory.java
+++ b/daemon/src/main/java/wheelroute/net/requests/EndpointDirectory.java
@@ -66,7 +66,7 @@
             update.removed.put(entry.id(), worker);
         } else {
             update.removed.remove(entry.id());
-            pools.listed(worker, entry.address(), entry.startedAt());
+            pools.onListed(worker, entry.address(), entry.startedAt());
             if (entry.state() == Endpoint.State.DRAINING) {
                 update.draining.add(worker);
             }
@@ -97,10 +97,10 @@
 
     /** Releases the connections and names that an update has made obsolete. */
     void settle(Update update) {
-        pools.settle(update.draining);
+        pools.onPolicyUpdated(update.draining);
         update.removed.forEach(
                 (name, worker) -> {
-                    pools.gone(worker);
+                    pools.remove(worker);
                     // Releases bring new names without end; a name that returns is a new worker.
                     members.remove(name);
                 });
--- a/daemon/src/main/java/wheelroute/net/requests/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/requests/Exchange.java
@@ -87,13 +87,13 @@
 
         void giveUp(AttemptResult result) {
             if (inFlight != null) {
-                inFlight.giveUp(result);
+                inFlight.abort(result);
             }
         }
 
         @Override
-        public boolean isStillWanted() {
-            return !answered && !hasClientLeft();
+        public boolean isStillNeeded() {
+            return !answered && !isClientGone();
         }
 
         @Override
@@ -125,7 +125,7 @@
     void startAttempt(Ids.Worker worker) {
         Attempt attempt = new Attempt(attempts.size());
         attempts.add(attempt);
-        if (dispatcher.hasEnded() || (!beingAccepted && hasClientLeft())) {
+        if (dispatcher.hasEnded() || (!beingAccepted && isClientGone())) {
             attempt.onEnded(AttemptResult.NOT_SENT, AttemptListener.NO_RESULT, Double.NaN);
         } else {
             dispatcher.counters().count(Counters.Counter.ATTEMPTS);
@@ -139,8 +139,8 @@
      * waited for another attempt's end or for a connection, the client's end of stream may have
      * stayed unread.
      */
-    private boolean hasClientLeft() {
-        boolean left = client.hasClientLeft();
+    private boolean isClientGone() {
+        boolean left = client.isClientGone();
         if (left) {
             onClientGone();
         }
--- a/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
@@ -182,8 +182,9 @@
     }
 
     private double deadline(ClientRequest message, double arrivedAt) {
-        double margin = Math.min(RESPONSE_MARGIN, MAX_RESPONSE_MARGIN_FRACTION * message.timeout());
-        return arrivedAt + Math.min(message.timeout(), maxTimeoutSeconds) - margin;
+        double margin =
+                Math.min(RESPONSE_MARGIN, MAX_RESPONSE_MARGIN_FRACTION * message.timeoutSeconds());
+        return arrivedAt + Math.min(message.timeoutSeconds(), maxTimeoutSeconds) - margin;
     }
 
     private Request request(
@@ -230,8 +231,8 @@
         return new Gauges(
                 open.size(),
                 pending,
-                clients.open(),
-                workers.open(),
+                clients.openConnections(),
+                workers.openConnections(),
                 endpoints.size(),
                 policy.avoidedEndpoints(),
                 policy.isEndpointLeaseExpired() ? 1 : 0);
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptListener.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptListener.java
@@ -9,7 +9,7 @@
     byte[] NO_RESULT = {};
 
     /** Whether to send it still; asked after it has waited for a connection. */
-    boolean isStillWanted();
+    boolean isStillNeeded();
 
     /** The worker has begun to run it. */
     void onStarted();
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptResult.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResult.java
@@ -29,7 +29,7 @@
      * This machine has no descriptor, port or buffer left for one more connection, or no route for
      * it.
      */
-    NO_DESCRIPTOR("no_room"),
+    CONNECT_FAILED_LOCALLY("no_room"),
     /** It broke before the last byte of the attempt was written. */
     BROKEN_BEFORE_SENT("broke_unsent"),
     /** It broke or ended before the worker's last line. */
@@ -70,7 +70,7 @@
             case TIMED_OUT -> Outcome.TIMED_OUT;
             // What this machine lacks is ours: held against workers it would eject one after the
             // other.
-            case NOT_SENT, NO_DESCRIPTOR -> Outcome.NOT_SENT;
+            case NOT_SENT, CONNECT_FAILED_LOCALLY -> Outcome.NOT_SENT;
         };
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
+++ b/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
@@ -42,10 +42,10 @@
     /** Whether to send it after it has waited for a connection; ends it if it is too late. */
     boolean mayBeSent(double now) {
         if (!ended && now >= deadline) {
-            giveUp(AttemptResult.TIMED_OUT);
+            abort(AttemptResult.TIMED_OUT);
         }
         // The listener may end it, too.
-        return !ended && listener.isStillWanted() && !ended;
+        return !ended && listener.isStillNeeded() && !ended;
     }
 
     /** It is sent on this connection, which is closed if it is given up. */
@@ -86,7 +86,7 @@
      * Gives it up, unless it has ended. Its connection is closed before the listener is called, so
      * that no other attempt can overlap it.
      */
-    public void giveUp(AttemptResult result) {
+    public void abort(AttemptResult result) {
         if (!ended) {
             // First of all: closing the connection would otherwise count as a lost one.
             ended = true;
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
@@ -64,7 +64,7 @@
         double timeout = next.deadline() - loop.now();
         if (timeout <= 0) {
             // The process may have stood still since the policy decided.
-            next.giveUp(AttemptResult.TIMED_OUT);
+            next.abort(AttemptResult.TIMED_OUT);
             return;
         }
         decoder.expect(next.message().id());
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPool.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPool.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.config.ConfigReader;
+import wheelroute.config.SocketAddresses;
 import wheelroute.net.loop.EventLoop;
 
 /** The connections to one worker. Only for the event loop's thread. */
@@ -53,7 +53,7 @@
 
     /** For the Host field. */
     String host() {
-        return ConfigReader.text(address);
+        return SocketAddresses.format(address);
     }
 
     /** Sends the attempt on an idle connection, or opens one for it within the limit. */
@@ -66,7 +66,7 @@
             connecting.add(attempt);
             loop.connect(address, new ConnectHandler(attempt));
         } else {
-            attempt.end(AttemptResult.NO_DESCRIPTOR);
+            attempt.end(AttemptResult.CONNECT_FAILED_LOCALLY);
         }
     }
 
@@ -143,7 +143,9 @@
         }
         boolean byTheWorker =
                 cause instanceof ConnectException || cause instanceof NoRouteToHostException;
-        return byTheWorker ? AttemptResult.CONNECTION_REFUSED : AttemptResult.NO_DESCRIPTOR;
+        return byTheWorker
+                ? AttemptResult.CONNECTION_REFUSED
+                : AttemptResult.CONNECT_FAILED_LOCALLY;
     }
 
     /** The connection can be used again. */
@@ -188,7 +190,7 @@
      */
     void endConnecting() {
         for (InFlightAttempt attempt : new ArrayList<>(connecting)) {
-            attempt.giveUp(AttemptResult.NOT_SENT);
+            attempt.abort(AttemptResult.NOT_SENT);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPools.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPools.java
@@ -34,7 +34,9 @@
     private final long idleMillis;
     private final Map<Ids.Worker, WorkerConnectionPool> pools = new HashMap<>();
 
-    /** Pools of workers that have been listed as restarted or moved since {@link #settle}. */
+    /**
+     * Pools of workers that have been listed as restarted or moved since {@link #onPolicyUpdated}.
+     */
     private final List<WorkerConnectionPool> replaced = new ArrayList<>();
 
     private int open;
@@ -57,7 +59,7 @@
      * So many processes share the dispatcher's limit. Idle connections over it are evicted when
      * others are opened.
      */
-    public void sharedBy(int processes) {
+    public void setProcessCount(int processes) {
         limit = dispatcherLimit / processes;
     }
 
@@ -67,7 +69,7 @@
      *
      * @param startedAt Unix time in seconds; NaN when it is unknown, or long ago
      */
-    public void listed(Ids.Worker worker, InetSocketAddress address, double startedAt) {
+    public void onListed(Ids.Worker worker, InetSocketAddress address, double startedAt) {
         WorkerConnectionPool pool = pools.get(worker);
         if (pool == null || !pool.matches(address, startedAt)) {
             pools.put(worker, new WorkerConnectionPool(loop, this, address, startedAt));
@@ -81,7 +83,7 @@
      * The policy knows the list now: attempts that wait for a connection to a worker that drains,
      * or has been replaced, end unsent. Earlier, the policy would choose the same worker again.
      */
-    public void settle(Iterable<Ids.Worker> draining) {
+    public void onPolicyUpdated(Iterable<Ids.Worker> draining) {
         for (Ids.Worker worker : draining) {
             WorkerConnectionPool pool = pools.get(worker);
             if (pool != null) {
@@ -93,7 +95,7 @@
     }
 
     /** The worker has left the list: attempts in attempt may complete, nothing new is sent. */
-    public void gone(Ids.Worker worker) {
+    public void remove(Ids.Worker worker) {
         WorkerConnectionPool pool = pools.remove(worker);
         if (pool != null) {
             pool.retire();
@@ -137,7 +139,7 @@
     }
 
     /** How many connections are open, or being opened. */
-    public int open() {
+    public int openConnections() {
         return open;
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/Lease.java
+++ b/daemon/src/main/java/wheelroute/peers/Lease.java
@@ -14,17 +14,17 @@
  */
 public class Lease {
     /** How long a lease is held from its request on, in seconds of the holder's clock. */
-    public static final double DURATION = 3;
+    public static final double DURATION_SECONDS = 3;
 
     /** Bound on the relative drift of a clock's rate: 100 times that of ordinary machines. */
-    public static final double MAX_CLOCK_DRIFT = 0.01;
+    public static final double MAX_CLOCK_DRIFT_FRACTION = 0.01;
 
     /**
      * How long a voter's grant binds it, in seconds of its own clock: that may run fast while the
      * holder's runs slow.
      */
-    public static final double GRANT_DURATION =
-            DURATION * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT);
+    public static final double GRANT_DURATION_SECONDS =
+            DURATION_SECONDS * (1 + MAX_CLOCK_DRIFT_FRACTION) / (1 - MAX_CLOCK_DRIFT_FRACTION);
 
     private final int majority;
     private final double duration;
@@ -39,7 +39,7 @@
      * @param majority number of grants needed
      */
     public Lease(int majority) {
-        this(majority, DURATION);
+        this(majority, DURATION_SECONDS);
     }
 
     Lease(int majority, double duration) {
--- a/daemon/src/main/java/wheelroute/peers/LeaseVoter.java
+++ b/daemon/src/main/java/wheelroute/peers/LeaseVoter.java
@@ -28,12 +28,12 @@
     private double silentUntil;
 
     /**
-     * Creates a voter that grants nothing for {@link Lease#GRANT_DURATION}.
+     * Creates a voter that grants nothing for {@link Lease#GRANT_DURATION_SECONDS}.
      *
      * @param now start of the process, or of its listening
      */
     public LeaseVoter(double now) {
-        this(now, Lease.GRANT_DURATION, Lease.GRANT_DURATION);
+        this(now, Lease.GRANT_DURATION_SECONDS, Lease.GRANT_DURATION_SECONDS);
     }
 
     LeaseVoter(double now, double grantDuration, double initialSilence) {
--- a/daemon/src/main/java/wheelroute/peers/MemberUpdateCodec.java
+++ b/daemon/src/main/java/wheelroute/peers/MemberUpdateCodec.java
@@ -52,7 +52,7 @@
 
     private static PeerId readId(ByteBuffer in) throws MalformedMessageException {
         int length = in.get();
-        if (length < 1 || length > PeerId.MOST_BYTES || length > in.remaining()) {
+        if (length < 1 || length > PeerId.MAX_NAME_BYTES || length > in.remaining()) {
             throw new MalformedMessageException("invalid length of a member name: " + length);
         }
         byte[] name = new byte[length];
--- a/daemon/src/main/java/wheelroute/peers/PeerId.java
+++ b/daemon/src/main/java/wheelroute/peers/PeerId.java
@@ -6,7 +6,7 @@
 /** A dispatcher's name, unique in its cluster and the same after a restart. Ordered by name. */
 public record PeerId(String name) implements Comparable<PeerId> {
     /** Longest name in bytes, so that a datagram holds several. */
-    public static final int MOST_BYTES = 40;
+    public static final int MAX_NAME_BYTES = 40;
 
     /** A hash that tells a few members from each other; part of the wire format. */
     int shortHash() {
--- a/daemon/src/main/java/wheelroute/peers/QuotaLeases.java
+++ b/daemon/src/main/java/wheelroute/peers/QuotaLeases.java
@@ -41,7 +41,7 @@
     private static final int MIN_DISPATCHERS = 3;
 
     /** Seconds between renewals: three rounds may be lost before a lease expires. */
-    private static final double RENEWAL_INTERVAL = Lease.DURATION / 4;
+    private static final double RENEWAL_INTERVAL = Lease.DURATION_SECONDS / 4;
 
     private final int own;
     private final int dispatchers;
--- a/daemon/src/test/java/wheelroute/AdapterTest.java
+++ b/daemon/src/test/java/wheelroute/adapter/AdapterTest.java
@@ -1,4 +1,4 @@
-package wheelroute;
+package wheelroute.adapter;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertThrows;
@@ -14,8 +14,6 @@
 import java.util.stream.Stream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.adapter.Adapter;
-import wheelroute.adapter.WireException;
 
 /** The adapter's replies to batches of the wire protocol. */
 public class AdapterTest {
--- a/daemon/src/test/java/wheelroute/ConfigTest.java
+++ b/daemon/src/test/java/wheelroute/config/ConfigReaderTest.java
@@ -1,4 +1,4 @@
-package wheelroute;
+package wheelroute.config;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -16,11 +16,6 @@
 import java.util.stream.Stream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.config.Config;
-import wheelroute.config.ConfigException;
-import wheelroute.config.ConfigReader;
-import wheelroute.config.PeeringConfig;
-import wheelroute.config.SettingsReader;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.IdempotencyScope;
 import wheelroute.decision.Ids;
@@ -28,7 +23,7 @@
 import wheelroute.net.discovery.EndpointList;
 
 /** Configuration read from the environment and from JSON and TOML files. */
-public class ConfigTest {
+public class ConfigReaderTest {
     private static final String CLASSES =
             "'request_classes':[{'name':'light','effect':'free',"
                     + "'on_time_us':200000,'hard_limit_us':5000000,'worth':2.0},"
@@ -127,16 +122,16 @@
         Map<String, String> start = Map.of("LB_DISCOVERY", "127.0.0.1:7", "LB_NAME", "n4");
         Config first = read(COMPLETE, start);
         assertEquals(first.discovery().getPort(), 7);
-        assertEquals(first.maxMemory(), 96.0 * 1024 * 1024);
+        assertEquals(first.maxMemoryBytes(), 96.0 * 1024 * 1024);
         Config second = read(COMPLETE.replace("8c1f", "9c1f"), start, true);
         assertEquals(second.discovery().getPort(), 8500);
-        assertEquals(first.waitingForRestart(second), List.of());
+        assertEquals(first.keysRequiringRestart(second), List.of());
         Config third =
                 read(
                         COMPLETE.replace("512", "256").replace("'worth':2.0", "'worth':3.0"),
                         start,
                         true);
-        assertEquals(first.waitingForRestart(third), List.of("limits.sockets", "settings"));
+        assertEquals(first.keysRequiringRestart(third), List.of("limits.sockets", "settings"));
         assertEquals(
                 read(COMPLETE.replace("'discovery'", "'other'"), start, true).discovery().getPort(),
                 7);
--- a/daemon/src/test/java/wheelroute/AddressTest.java
+++ b/daemon/src/test/java/wheelroute/config/SocketAddressesTest.java
@@ -1,14 +1,13 @@
-package wheelroute;
+package wheelroute.config;
 
 import static org.testng.Assert.assertEquals;
 
 import java.net.InetSocketAddress;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.config.ConfigReader;
 
 /** Addresses in configurations and endpoint lists. */
-public class AddressTest {
+public class SocketAddressesTest {
     @DataProvider
     public Object[][] addresses() {
         return new Object[][] {
@@ -29,7 +28,7 @@
     /** No name is looked up: a resolver that does not answer would hold up all requests. */
     @Test(dataProvider = "addresses", timeOut = 5_000)
     public void addressesAreTakenAsTheyAreWritten(String text, String host) {
-        InetSocketAddress address = ConfigReader.parse(text);
+        InetSocketAddress address = SocketAddresses.parse(text);
         assertEquals(address == null ? null : address.getAddress().getHostAddress(), host);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
+++ b/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
@@ -687,7 +687,7 @@
                                         }
 
                                         @Override
-                                        public boolean hasClientLeft() {
+                                        public boolean isClientGone() {
                                             return false;
                                         }
                                     },
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -281,7 +281,7 @@
                 config.admin(),
                 null,
                 config.maxDescriptors(),
-                config.maxMemory(),
+                config.maxMemoryBytes(),
                 config.cachedEndpoints(),
                 config.settings(),
                 0.5,
--- a/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
@@ -57,7 +57,7 @@
             assertEquals(message.idempotencyKey(), "5c0f");
             assertEquals(message.routeKey(), "7f3a");
             assertEquals(message.tenant(), "t");
-            assertEquals(message.timeout(), 0.48);
+            assertEquals(message.timeoutSeconds(), 0.48);
             assertEquals(message.estimatedWork(), 0.012);
             assertEquals(message.slots(), 2.0);
             assertEquals(message.memory(), 1.5);
@@ -129,7 +129,7 @@
         assertEquals(
                 decoder.decode(bytes("GET / HTTP/1.1\r\nHost: a\r\nX-Attrs:\r\n\r\n")).slots(),
                 1.0);
-        assertTrue(Double.isNaN(second.timeout()) && Double.isNaN(second.estimatedWork()));
+        assertTrue(Double.isNaN(second.timeoutSeconds()) && Double.isNaN(second.estimatedWork()));
         assertFalse(second.clientRetry() || second.keepsOpen());
         assertEquals(second.body().length, 0);
     }
--- a/daemon/src/test/java/wheelroute/net/peers/MembershipServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/peers/MembershipServiceTest.java
@@ -144,10 +144,10 @@
         send(serviceAddress, MessageCodec.encode(new Message.Ack(header("other"), 0)));
         send(serviceAddress, ByteBuffer.wrap(new byte[] {1, 2, 3}));
         send(serviceAddress, ByteBuffer.wrap(new byte[] {4, 5, 6}));
-        String text = onLoop(service::text);
+        String text = onLoop(service::membersText);
         for (int i = 0; i < MAX_RECEIVES && !text.contains("malformed 2"); i++) {
             receive();
-            text = onLoop(service::text);
+            text = onLoop(service::membersText);
         }
         // Past the time after its start for which the service does not vote on leases.
         loop.step(12.3);
@@ -156,7 +156,7 @@
             if (packet != null) {
                 grantIfRequested(packet);
             }
-            text = onLoop(service::text);
+            text = onLoop(service::membersText);
         }
         assertEquals(text, expected);
     }
--- a/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
@@ -152,7 +152,7 @@
                         AttemptResult.REJECTED,
                         AttemptResult.CONNECTION_REFUSED,
                         AttemptResult.CONNECT_TIMEOUT,
-                        AttemptResult.NO_DESCRIPTOR,
+                        AttemptResult.CONNECT_FAILED_LOCALLY,
                         AttemptResult.BROKEN_BEFORE_SENT,
                         AttemptResult.NOT_SENT));
     }
--- a/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
@@ -33,7 +33,7 @@
         AttemptListener listener =
                 new AttemptListener() {
                     @Override
-                    public boolean isStillWanted() {
+                    public boolean isStillNeeded() {
                         return wanted;
                     }
 
--- a/daemon/src/test/java/wheelroute/peers/MessageCodecTest.java
+++ b/daemon/src/test/java/wheelroute/peers/MessageCodecTest.java
@@ -42,10 +42,10 @@
     private static Message message(int typeCode, int number, int updateCount) {
         List<MemberUpdate> updates = new ArrayList<>();
         for (int i = 0; i < updateCount; i++) {
-            updates.add(update(number + i, 1 + (number + i) % (PeerId.MOST_BYTES - 1)));
+            updates.add(update(number + i, 1 + (number + i) % (PeerId.MAX_NAME_BYTES - 1)));
         }
         MessageHeader header = new MessageHeader(5, SELF, -number, updates);
-        MemberUpdate target = update(number, PeerId.MOST_BYTES - 1);
+        MemberUpdate target = update(number, PeerId.MAX_NAME_BYTES - 1);
         MemberUpdate optional = number % 2 == 0 ? null : target;
         LeaseTerms terms = new LeaseTerms(number, number * 7L);
         return switch (MessageType.values()[typeCode]) {
--- a/daemon/src/test/java/wheelroute/peers/QuotaLeasesTest.java
+++ b/daemon/src/test/java/wheelroute/peers/QuotaLeasesTest.java
@@ -146,7 +146,7 @@
     }
 
     /** Long enough for every grant to expire and every share to be requested again. */
-    private static final double SETTLED = 3 * Lease.GRANT_DURATION;
+    private static final double SETTLED = 3 * Lease.GRANT_DURATION_SECONDS;
 
     @DataProvider
     public Object[][] counts() {
@@ -188,7 +188,7 @@
         Cluster cluster = new Cluster(10);
         cluster.advance(SETTLED);
         cluster.partitionAt = 1;
-        cluster.advance(Lease.DURATION + STEP);
+        cluster.advance(Lease.DURATION_SECONDS + STEP);
         assertEquals(
                 cluster.leases[0].usableTotal(cluster.now),
                 QuotaLeases.GUARANTEED_PART / 10,
@@ -208,7 +208,7 @@
         cluster.advance(SETTLED);
         assertEquals(cluster.leases[2].usablePart(2, cluster.now), 1, TOLERANCE);
         cluster.paused.add(2);
-        cluster.advance(Lease.DURATION + STEP);
+        cluster.advance(Lease.DURATION_SECONDS + STEP);
         cluster.paused.remove(2);
         assertEquals(
                 cluster.leases[2].usablePart(2, cluster.now),
@@ -222,7 +222,7 @@
         cluster.advance(SETTLED);
         cluster.leases[4].releaseAll();
         cluster.up[4] = false;
-        cluster.advance(Lease.DURATION / 2);
+        cluster.advance(Lease.DURATION_SECONDS / 2);
         assertTrue(
                 cluster.leases[5].heldShares(cluster.now).contains(4),
                 "the successor waits for a grant that was released");
--- a/kit/src/main/java/wheelroute/kit/cli/Admin.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Admin.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import wheelroute.config.ConfigReader;
+import wheelroute.config.SocketAddresses;
 
 @Command(
         name = "admin",
@@ -47,7 +47,7 @@
     /** Prints what the door answers; a no ends with 3. */
     static int ask(CommandSpec spec, String address, String call, double timeout)
             throws CommandLineException {
-        InetSocketAddress door = ConfigReader.parse(address);
+        InetSocketAddress door = SocketAddresses.parse(address);
         if (door == null) {
             throw new CommandLineException("HOST:PORT: " + address + " is no address");
         }
--- a/kit/src/main/java/wheelroute/kit/cli/Load.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Load.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import wheelroute.config.ConfigReader;
+import wheelroute.config.SocketAddresses;
 import wheelroute.decision.Idempotency;
 import wheelroute.kit.process.LoadRun;
 
@@ -87,7 +87,7 @@
 
     @Override
     public Integer call() throws Exception {
-        InetSocketAddress to = ConfigReader.parse(address);
+        InetSocketAddress to = SocketAddresses.parse(address);
         if (to == null) {
             throw new CommandLineException("HOST:PORT: " + address + " is no address");
         }
--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherConfigFile.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherConfigFile.java
@@ -1,7 +1,7 @@
 package wheelroute.kit.scale;
 
 import java.net.InetSocketAddress;
-import wheelroute.config.ConfigReader;
+import wheelroute.config.SocketAddresses;
 
 /**
  * What one dispatcher of a scale run is told, in the platform's form.
@@ -27,7 +27,7 @@
         return "{\"name\":\""
                 + name
                 + "\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
-                + ConfigReader.text(discovery)
+                + SocketAddresses.format(discovery)
                 + "\",\"seed\":\""
                 + Long.toHexString(seed)
                 + "\",\"limits\":{\"memory_mb\":"
