--- a/daemon/src/main/java/wheelroute/net/peers/LeaseMessenger.java
+++ b/daemon/src/main/java/wheelroute/net/peers/LeaseMessenger.java
@@ -11,12 +11,14 @@
 import wheelroute.peers.QuotaLeases;
 
 /**
- * Exchanges lease messages with the other dispatchers, in both parts that this one has: as a holder
- * it sends {@link QuotaLeases}' requests and passes on the grants, as a voter it answers requests.
- * Its own vote is taken in a later turn of the loop, as if by datagram.
+ * Exchanges lease messages with the other dispatchers in both roles of this one: as a holder it
+ * sends the requests of {@link QuotaLeases} and passes the grants on to it, as a voter it answers
+ * requests. Messages to itself are delivered in a later task of the event loop, like datagrams.
+ *
+ * <p>Used on the event loop's thread only. Messages may be lost; none of the methods reports that.
  */
 final class LeaseMessenger implements QuotaLeases.Transport {
-    /** Lease messages take no part in the comparison of member lists. */
+    /** Digest of lease messages, which are not used to compare member lists. */
     private static final int NO_DIGEST = 0;
 
     private final EventLoop loop;
@@ -40,12 +42,12 @@
         this.ownNumber = ownNumber;
     }
 
-    /** Sets who gets the grants; to be called once, before any message arrives. */
+    /** Sets the receiver of the grants. Called once, before any message arrives. */
     void setLeases(QuotaLeases holder) {
         leases = holder;
     }
 
-    /** Starts a voter that knows of no earlier votes, and so grants nothing for a while. */
+    /** Replaces the voter by one that knows no earlier grants, and so starts in quarantine. */
     void resetVoter() {
         voter = new LeaseVoter(loop.now());
     }
@@ -72,9 +74,7 @@
         }
     }
 
-    /**
-     * A lease message has arrived, or is this dispatcher's own; dropped if the socket is closed.
-     */
+    /** Handles a message of another dispatcher or of this one. Dropped if the socket is closed. */
     void receive(Message.LeaseMessage message) {
         if (!socket.isOpen()) {
             return;
@@ -84,14 +84,13 @@
         LeaseTerms terms = message.terms();
         PeerId sender = message.header().sender().id();
         if (message instanceof Message.LeaseRequest request) {
-            if (voter.requestVote(
-                    now, terms.share(), sender, terms.incarnation(), sequenceNumber)) {
+            if (voter.requestVote(now, terms, sender, sequenceNumber)) {
                 grant(request);
             }
         } else if (message instanceof Message.LeaseGrant) {
             leases.onGrant(now, sequenceNumber, terms, sender);
         } else if (message instanceof Message.LeaseRelease) {
-            voter.release(terms.share(), sender, terms.incarnation(), sequenceNumber);
+            voter.release(terms, sender, sequenceNumber);
         }
     }
 
--- a/daemon/src/main/java/wheelroute/net/peers/MembershipDriver.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipDriver.java
@@ -13,8 +13,10 @@
 import wheelroute.peers.PeerId;
 
 /**
- * Runs a {@link Membership} on the event loop: passes the loop's time in before each event, keeps
- * its timer, sends its messages and logs the members' changes of state.
+ * Runs a {@link Membership} on the event loop: sets its time before each event, runs its timer,
+ * sends its messages and logs each change of a member's state.
+ *
+ * <p>Used on the event loop's thread only.
  */
 final class MembershipDriver implements Membership.Transport {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipDriver.class);
@@ -38,7 +40,7 @@
         membership.start();
     }
 
-    /** Announces that this dispatcher leaves. */
+    /** Announces to some members that this dispatcher leaves, and stops. */
     void leave() {
         membership.advanceTo(loop.now());
         membership.leave();
@@ -54,27 +56,27 @@
         membership.receive(message.header().sender().address(), message);
     }
 
-    /** This dispatcher as it announces itself. */
+    /** Returns this dispatcher as it announces itself. */
     MemberUpdate self() {
         return membership.self();
     }
 
-    /** The other dispatchers at this moment, also those that are dead or have left. */
+    /** Returns the other dispatchers as of now, including those that are dead or have left. */
     Collection<MemberUpdate> others() {
         membership.advanceTo(loop.now());
         return membership.others();
     }
 
-    /** Seconds from the change of the member's state to the last event. */
-    double timeInState(PeerId id) {
-        return membership.timeInState(id);
+    /** Returns the seconds from the last change of a member's state to the last event. */
+    double secondsInState(PeerId id) {
+        return membership.secondsInState(id);
     }
 
     int localHealthScore() {
         return membership.localHealthScore();
     }
 
-    /** Whether another dispatcher of this number is alive, and not even suspected. */
+    /** Whether the other dispatcher of this number is alive; a suspect is not. */
     boolean isAlive(int number) {
         for (MemberUpdate member : membership.others()) {
             if (member.address().port() == number && member.state() == MemberUpdate.State.ALIVE) {
@@ -90,8 +92,8 @@
     }
 
     @Override
-    public void scheduleTimer(double delay) {
-        double at = loop.now() + delay;
+    public void scheduleTimer(double delaySeconds) {
+        double at = loop.now() + delaySeconds;
         boolean pending = timerAt > loop.now();
         if (pending && at >= timerAt) {
             return;
@@ -100,7 +102,7 @@
             timer.cancel();
         }
         timerAt = at;
-        timer = loop.schedule(delay, this::onTimer);
+        timer = loop.schedule(delaySeconds, this::onTimer);
     }
 
     private void onTimer() {
@@ -127,7 +129,7 @@
         return reportedBy.equals(update.id()) ? "as it reports" : "as " + reportedBy + " reports";
     }
 
-    /** The state's name in log lines and in the operators' text. */
+    /** Returns the state's name in log lines and in the answer to PEERS. */
     static String stateName(MemberUpdate.State state) {
         return state.name().toLowerCase(Locale.ROOT);
     }
--- a/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
@@ -20,8 +20,10 @@
 import wheelroute.peers.QuotaLeases;
 
 /**
- * Membership and quota leases as the daemon runs them: which dispatchers of the installation are
- * alive, and how much of the shared quota this one may use. Used on the event loop's thread only.
+ * Runs membership and quota leases in the daemon: which dispatchers of the installation are alive,
+ * and how much of the shared quota this one may use.
+ *
+ * <p>Used on the event loop's thread only.
  */
 public final class MembershipService implements DispatcherShares {
     private static final Logger LOG = LoggerFactory.getLogger(MembershipService.class);
@@ -33,14 +35,26 @@
     private final MembershipDriver membership;
     private final LeaseMessenger leaseMessenger;
     private final QuotaLeases leases;
-    private boolean left;
+    private State state;
 
     /**
-     * Listens at the configured address; nothing is sent before {@link #begin}.
+     * Which process takes part as this dispatcher; all processes of one dispatcher are one member.
+     */
+    private enum State {
+        /** This process does. Its socket is open. */
+        ACTIVE,
+        /** A successor process does. */
+        STANDBY,
+        /** The dispatcher has left. Final. */
+        LEFT
+    }
+
+    /**
+     * Listens at the configured address. Nothing is sent before {@link #begin}.
      *
      * @param dispatcher name of this dispatcher
      * @param seed seed of the random choices
-     * @param shared whether a successor process may take over, and listen at the same address
+     * @param shared whether a successor process may take over and listen at the same address
      * @throws IOException if the address cannot be used
      */
     public MembershipService(
@@ -90,6 +104,7 @@
     private void open() throws IOException {
         leaseMessenger.resetVoter();
         socket.open();
+        state = State.ACTIVE;
     }
 
     // ---- lifecycle
@@ -107,38 +122,46 @@
     }
 
     private void renewLeases() {
-        if (socket.isOpen()) {
-            double delay = Math.min(Lease.DURATION_SECONDS, leases.renew(loop.now()));
-            loop.schedule(delay, this::renewLeases);
+        if (state == State.ACTIVE) {
+            double delaySeconds = Math.min(Lease.DURATION_SECONDS, leases.renew(loop.now()));
+            loop.schedule(delaySeconds, this::renewLeases);
         }
     }
 
     /** Releases the leases, announces that this dispatcher leaves, and stops for good. */
     public void leave() {
-        left = true;
-        if (socket.isOpen()) {
+        if (state == State.ACTIVE) {
             leases.releaseAll();
             membership.leave();
-            stop();
+            deactivate();
         }
+        state = State.LEFT;
     }
 
     /**
-     * Another process speaks for this dispatcher, or no longer does: both are one member. The other
-     * process holds leases of its own, so this one releases its leases. Afterwards this one knows
-     * nothing of the votes given meanwhile, so its voter is as silent as after a start.
+     * Hands membership over to a successor process, or takes it back when that has ended. The
+     * successor acquires leases of its own, so this process releases its leases. When it becomes
+     * active again, its voter starts in quarantine, as it does not know which votes the successor
+     * gave.
      *
-     * @param hasSuccessor whether there is another process now
+     * @param hasSuccessor whether there is a successor process now
      */
     public void onSuccessorChanged(boolean hasSuccessor) {
-        if (hasSuccessor) {
-            stop();
-        } else if (!socket.isOpen() && !left) {
-            resume();
+        if (hasSuccessor && state == State.ACTIVE) {
+            deactivate();
+        } else if (!hasSuccessor && state == State.STANDBY) {
+            reactivate();
         }
     }
 
-    private void resume() {
+    private void deactivate() {
+        leases.releaseAll();
+        membership.stop();
+        socket.close();
+        state = State.STANDBY;
+    }
+
+    private void reactivate() {
         try {
             open();
             begin();
@@ -147,14 +170,6 @@
         }
     }
 
-    private void stop() {
-        if (socket.isOpen()) {
-            leases.releaseAll();
-            membership.stop();
-            socket.close();
-        }
-    }
-
     private void onMessage(Message message) {
         membership.receive(message);
         if (message instanceof Message.LeaseMessage leaseMessage) {
@@ -168,47 +183,58 @@
 
     // ---- quota
 
-    /** Usable part of that dispatcher's share, from 0 to 1; 0 while another process speaks. */
+    /**
+     * Returns the usable fraction of a dispatcher's share of the quota, from 0 to 1; 0 unless this
+     * process is the active one.
+     */
     @Override
     public double ofDispatcher(int number) {
-        return socket.isOpen() ? leases.usablePart(number, loop.now()) : 0;
+        return state == State.ACTIVE ? leases.usableFraction(number, loop.now()) : 0;
     }
 
-    /** Usable part of the whole quota, from 0 to 1; 0 while another process speaks. */
+    /**
+     * Returns the usable fraction of the whole quota, from 0 to 1; 0 unless this process is the
+     * active one.
+     */
     @Override
     public double total() {
-        return socket.isOpen() ? leases.usableTotal(loop.now()) : 0;
+        return state == State.ACTIVE ? leases.usableTotalFraction(loop.now()) : 0;
     }
 
-    // ---- operators' text
+    // ---- admin server
 
     /**
-     * The answer to the admin command PEERS: a line for each known dispatcher, this one first, then
-     * a line on its quota, local health and rejected datagrams.
+     * Returns the answer to the admin command PEERS: a line for each known dispatcher, this one
+     * first, then a line with its quota, local health and dropped datagrams.
      */
     public String membersText() {
         StringBuilder out = new StringBuilder();
         out.append(name).append(' ').append(peering.number()).append(" alive itself\n");
         for (MemberUpdate member : membership.others()) {
-            out.append(member.id())
-                    .append(' ')
-                    .append(member.address().port())
-                    .append(' ')
-                    .append(MembershipDriver.stateName(member.state()))
-                    .append(
-                            String.format(
-                                    Locale.ROOT, " %.1f s%n", membership.timeInState(member.id())));
+            out.append(memberLine(member));
         }
-        out.append(
-                String.format(
-                        Locale.ROOT,
-                        "share %.4f of the whole, holding %s; doubt %d; datagrams not"
-                                + " ours %d, malformed %d%n",
-                        total(),
-                        leases.heldShares(loop.now()),
-                        membership.localHealthScore(),
-                        socket.foreignCount(),
-                        socket.malformedCount()));
-        return out.toString();
+        return out.append(summaryLine()).toString();
+    }
+
+    private String memberLine(MemberUpdate member) {
+        return String.format(
+                Locale.ROOT,
+                "%s %d %s %.1f s%n",
+                member.id(),
+                member.address().port(),
+                MembershipDriver.stateName(member.state()),
+                membership.secondsInState(member.id()));
+    }
+
+    private String summaryLine() {
+        return String.format(
+                Locale.ROOT,
+                "share %.4f of the whole, holding %s; doubt %d; datagrams not"
+                        + " ours %d, malformed %d%n",
+                total(),
+                leases.heldShares(loop.now()),
+                membership.localHealthScore(),
+                socket.foreignCount(),
+                socket.malformedCount());
     }
 }
--- a/daemon/src/main/java/wheelroute/net/peers/PeerSocket.java
+++ b/daemon/src/main/java/wheelroute/net/peers/PeerSocket.java
@@ -14,14 +14,17 @@
 import wheelroute.peers.MessageCodec;
 
 /**
- * Sends and receives messages by UDP. A member is addressed by its number; the socket address of
- * each number is taken from this dispatcher's own configuration, as the one that another dispatcher
- * uses need not be valid here. Used on the event loop's thread only.
+ * Sends and receives messages by UDP. In messages, members are addressed by their numbers. Each
+ * dispatcher maps them to socket addresses by its own configuration, since the address that reaches
+ * a member from one machine need not reach it from another.
+ *
+ * <p>Used on the event loop's thread only. Datagrams that are malformed, of another cluster or from
+ * an unknown member are counted and dropped.
  */
 final class PeerSocket {
     private static final Logger LOG = LoggerFactory.getLogger(PeerSocket.class);
 
-    /** One byte more than any message has, so that datagrams that are too long are seen as such. */
+    /** One byte more than the longest message, to recognize datagrams that are too long. */
     private static final int RECEIVE_BYTES = MessageCodec.MAX_DATAGRAM_BYTES + 1;
 
     private final EventLoop loop;
@@ -36,7 +39,7 @@
 
     /** Receives the messages. */
     interface Listener {
-        /** A message of this cluster has arrived, from a member whose number is configured. */
+        /** Called with each message of this cluster from a member whose number is configured. */
         void onMessage(Message message);
     }
 
@@ -54,12 +57,16 @@
         this.listener = listener;
     }
 
-    /** Address of the dispatcher of this number, as it is written in messages. */
+    /** Returns the address of the dispatcher of this number as it is written in messages. */
     static MemberAddress addressOf(int number) {
         return new MemberAddress(0, number);
     }
 
-    /** Listens at the configured address. */
+    /**
+     * Starts to listen at the configured address.
+     *
+     * @throws IOException if the address cannot be used
+     */
     void open() throws IOException {
         socket =
                 new DatagramSocket(loop, peering.listen(), shared, RECEIVE_BYTES, this::onDatagram);
@@ -70,28 +77,28 @@
         return open;
     }
 
-    /** Stops to send and to receive. */
+    /** Stops sending and receiving. */
     void close() {
         open = false;
         socket.close();
     }
 
-    /** The address that it listens at. */
+    /** Returns the local address, with the port that the system chose if 0 is configured. */
     InetSocketAddress localAddress() {
         return socket.address();
     }
 
-    /** Number of datagrams of other clusters, or of members that are not configured. */
+    /** Returns the number of datagrams from other clusters or from unknown members. */
     long foreignCount() {
         return foreignCount;
     }
 
-    /** Number of datagrams that were no valid messages. */
+    /** Returns the number of datagrams that could not be decoded. */
     long malformedCount() {
         return malformedCount;
     }
 
-    /** Sends a message; dropped if the socket is closed or the member not configured. */
+    /** Sends a message. Drops it if the socket is closed or the member is not configured. */
     void send(MemberAddress to, Message message) {
         InetSocketAddress address = socketAddress(to);
         if (address != null && open) {
--- a/daemon/src/main/java/wheelroute/peers/DeterministicRandom.java
+++ b/daemon/src/main/java/wheelroute/peers/DeterministicRandom.java
@@ -6,8 +6,9 @@
 
 /**
  * Pseudo-random numbers that depend on a seed and on how many were drawn before: the CRC-32 of
- * both. Virtual runs are repeatable because of that, so the order of the draws is part of the
- * behaviour.
+ * both. Simulations are repeatable because of that, so the order of the draws must not change.
+ *
+ * <p>Not thread-safe.
  */
 final class DeterministicRandom {
     private static final double CRC_RANGE = 1L << Integer.SIZE;
@@ -19,7 +20,7 @@
         this.seed = seed;
     }
 
-    /** The next number, from 0 inclusive to 1 exclusive. */
+    /** Returns the next number, from 0 inclusive to 1 exclusive. */
     double next() {
         CRC32 crc = new CRC32();
         long counter = ++draws;
@@ -30,12 +31,15 @@
         return crc.getValue() / CRC_RANGE;
     }
 
-    /** The next number as an index, from 0 inclusive to the bound exclusive. */
+    /** Returns the next number as an index, from 0 inclusive to the bound exclusive. */
     int nextIndex(int bound) {
         return (int) (next() * bound);
     }
 
-    /** A copy of the list in a random order (Fisher-Yates); draws once for each but the first. */
+    /**
+     * Returns a copy of the list in random order (Fisher-Yates), with one draw for each element but
+     * the first.
+     */
     <T> List<T> shuffled(List<T> list) {
         List<T> order = new ArrayList<>(list);
         for (int i = order.size() - 1; i > 0; i--) {
--- a/daemon/src/main/java/wheelroute/peers/GossipQueue.java
+++ b/daemon/src/main/java/wheelroute/peers/GossipQueue.java
@@ -7,12 +7,14 @@
 import java.util.Map;
 
 /**
- * Updates still to be disseminated, at most one for each member. They are piggybacked on the
- * failure detector's messages, those first that were sent least often, as in SWIM.
+ * Queue of the updates that are to be disseminated, at most one for each member. As in SWIM, they
+ * are piggybacked on the messages of the failure detector, and the least often sent go first.
+ *
+ * <p>Not thread-safe.
  */
 final class GossipQueue {
-    /** Sorts before all entries that were never sent. */
-    private static final int PRIORITY = -1;
+    /** Transmission count of a prioritized update: below that of one that was never sent. */
+    private static final int PRIORITIZED = -1;
 
     private final Map<PeerId, Entry> entries = new LinkedHashMap<>();
 
@@ -30,28 +32,28 @@
         return entries.size();
     }
 
-    /** Adds an update in place of any earlier one of the same member. */
+    /** Adds an update, replacing an earlier one of the same member. */
     void enqueue(MemberUpdate update) {
         entries.remove(update.id());
         entries.put(update.id(), new Entry(update));
     }
 
-    /** Drops the update of a member, as it is outdated. */
+    /** Removes the update of a member, if there is one. */
     void remove(PeerId id) {
         entries.remove(id);
     }
 
-    /** Sends the member's update in the next datagram, also if it was sent often enough before. */
+    /** Moves a member's update to the front; adds it again if it has been removed meanwhile. */
     void prioritize(MemberUpdate update) {
         Entry entry = entries.computeIfAbsent(update.id(), id -> new Entry(update));
-        entry.transmissions = Math.min(entry.transmissions, PRIORITY);
+        entry.transmissions = Math.min(entry.transmissions, PRIORITIZED);
     }
 
     /**
-     * Takes the updates that are to go with a message, and counts them as sent.
+     * Returns the updates to send with a message, as many as fit, and counts them as sent.
      *
-     * @param message the message without updates, which leaves the space that they share
-     * @param transmitLimit how often an update is sent before it is dropped from the queue
+     * @param message the message without updates
+     * @param transmitLimit how often an update is sent before it is removed from the queue
      */
     List<MemberUpdate> take(Message message, int transmitLimit) {
         List<Entry> order = new ArrayList<>(entries.values());
@@ -60,12 +62,12 @@
         for (Entry entry : order) {
             updates.add(entry.update);
         }
-        int fitting = MessageCodec.fitting(message, updates);
-        for (Entry entry : order.subList(0, fitting)) {
+        int count = MessageCodec.countFitting(message, updates);
+        for (Entry entry : order.subList(0, count)) {
             if (++entry.transmissions >= transmitLimit) {
                 entries.remove(entry.update.id());
             }
         }
-        return updates.subList(0, fitting);
+        return updates.subList(0, count);
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/IndirectProbes.java
+++ b/daemon/src/main/java/wheelroute/peers/IndirectProbes.java
@@ -5,12 +5,14 @@
 import java.util.Map;
 
 /**
- * Probes that this member makes at the request of others (SWIM's ping-req). The ack is forwarded to
- * the requester; without one in time the requester gets a nack, which Lifeguard added.
+ * Probes that this member makes at the request of others (SWIM's ping-req). An ack is forwarded to
+ * the requester. Without one in time the requester gets a nack (Lifeguard's extension).
+ *
+ * <p>Times are in seconds. Not thread-safe.
  */
 final class IndirectProbes {
-    /** How long an ack is still forwarded, in probe intervals. */
-    private static final double RETENTION_INTERVALS = 4;
+    /** How long after a request an ack is still forwarded. */
+    private static final double RETENTION_SECONDS = 4 * Membership.PROBE_INTERVAL_SECONDS;
 
     private final MessageSender sender;
 
@@ -40,19 +42,18 @@
     /** Pings the target of a request. */
     void onRequest(MemberAddress requester, Message.PingRequest request, double now) {
         int sequenceNumber = sender.nextSequenceNumber();
-        double expiresAt = now + RETENTION_INTERVALS * Membership.PROBE_INTERVAL_SECONDS;
         probes.put(
                 sequenceNumber,
                 new IndirectProbe(
                         requester,
                         request.sequenceNumber(),
-                        now + ProbeCycle.ACK_TIMEOUT,
-                        expiresAt,
+                        now + ProbeCycle.ACK_TIMEOUT_SECONDS,
+                        now + RETENTION_SECONDS,
                         false));
         sender.ping(request.target().address(), sequenceNumber);
     }
 
-    /** Forwards an ack, if it belongs to one of these probes. */
+    /** Forwards an ack to the requester. Ignores the ack of any other probe. */
     void onAck(int sequenceNumber) {
         IndirectProbe probe = probes.remove(sequenceNumber);
         if (probe != null) {
@@ -60,7 +61,7 @@
         }
     }
 
-    /** Sends the nacks that are due, and forgets probes that have expired. */
+    /** Sends the nacks that are due, and removes expired probes. */
     void checkTimeouts(double now) {
         for (Map.Entry<Integer, IndirectProbe> entry : new ArrayList<>(probes.entrySet())) {
             IndirectProbe probe = entry.getValue();
@@ -73,7 +74,7 @@
         }
     }
 
-    /** When {@link #checkTimeouts} has something to do next; positive infinity for never. */
+    /** Returns when {@link #checkTimeouts} has something to do next; infinite for never. */
     double nextDeadline() {
         double next = Double.POSITIVE_INFINITY;
         for (IndirectProbe probe : probes.values()) {
@@ -82,7 +83,7 @@
         return next;
     }
 
-    /** Drops all probes. */
+    /** Abandons all probes. */
     void clear() {
         probes.clear();
     }
--- a/daemon/src/main/java/wheelroute/peers/LeaseTerms.java
+++ b/daemon/src/main/java/wheelroute/peers/LeaseTerms.java
@@ -1,10 +1,10 @@
 package wheelroute.peers;
 
 /**
- * What a lease message is about.
+ * The lease that a message concerns.
  *
- * @param share number of the quota share, which is that of the dispatcher it belongs to
- * @param incarnation start of the process that is to hold the lease; another start of the same
- *     dispatcher is another holder
+ * @param share number of the quota share, which is the number of the dispatcher that owns it
+ * @param incarnation start of the holder's process in milliseconds; a restarted process is another
+ *     holder
  */
 public record LeaseTerms(int share, long incarnation) {}
--- a/daemon/src/main/java/wheelroute/peers/LeaseVoter.java
+++ b/daemon/src/main/java/wheelroute/peers/LeaseVoter.java
@@ -4,59 +4,60 @@
 import java.util.Map;
 
 /**
- * This dispatcher's votes on leases of quota shares: a share is granted to one holder at a time,
- * and to another one only after the grant has expired or was released.
+ * The votes of this dispatcher on leases of quota shares. A share is granted to one holder at a
+ * time, and to another one only after the grant has expired or was released.
  *
- * <p>Not final so that the model check can take out one safeguard at a time.
+ * <p>After a start the voter is in quarantine and grants nothing, since an earlier process of this
+ * dispatcher may have given grants that are still valid and that this one does not know.
+ *
+ * <p>Times are in seconds on the voter's monotonic clock. Not thread-safe. Not final, so that the
+ * model check can disable one safeguard at a time.
  */
 public class LeaseVoter {
     /**
      * A grant that binds this voter.
      *
-     * @param incarnation start of the holder's process; another start is another holder
+     * @param incarnation start of the holder's process; a restarted process is another holder
      * @param round the holder's latest round of requests
-     * @param expiresAt when the voter is free again
+     * @param expiresAt when the voter may grant the share to another holder
      */
     record Grant(PeerId holder, long incarnation, int round, double expiresAt) {}
 
-    private final double grantDuration;
+    private final double grantDurationSeconds;
     private final Map<Integer, Grant> grants = new HashMap<>();
+    private double quarantineEndsAt;
 
     /**
-     * An earlier process of this dispatcher may have given grants that this one knows nothing of.
-     */
-    private double silentUntil;
-
-    /**
-     * Creates a voter that grants nothing for {@link Lease#GRANT_DURATION_SECONDS}.
+     * Creates a voter that is in quarantine for {@link Lease#GRANT_DURATION_SECONDS}.
      *
-     * @param now start of the process, or of its listening
+     * @param now when the process started, or started to receive requests
      */
     public LeaseVoter(double now) {
         this(now, Lease.GRANT_DURATION_SECONDS, Lease.GRANT_DURATION_SECONDS);
     }
 
-    LeaseVoter(double now, double grantDuration, double initialSilence) {
-        this.grantDuration = grantDuration;
-        silentUntil = now + initialSilence;
+    LeaseVoter(double now, double grantDurationSeconds, double quarantineSeconds) {
+        this.grantDurationSeconds = grantDurationSeconds;
+        quarantineEndsAt = now + quarantineSeconds;
     }
 
     /**
-     * Votes on a request, and is bound by a grant from now on.
+     * Votes on a request. A grant binds this voter from now on.
      *
      * @return whether the share is granted
      */
-    public boolean requestVote(double now, int share, PeerId holder, long incarnation, int round) {
-        if (now < silentUntil) {
+    public boolean requestVote(double now, LeaseTerms terms, PeerId holder, int round) {
+        if (now < quarantineEndsAt) {
             return false;
         }
-        Grant last = grants.get(share);
-        boolean renewal = last != null && isSameHolder(last, holder, incarnation);
-        if (last != null && now < last.expiresAt && !renewal) {
+        Grant last = grants.get(terms.share());
+        boolean isRenewal = last != null && isSameHolder(last, holder, terms.incarnation());
+        if (last != null && now < last.expiresAt && !isRenewal) {
             return false;
         }
-        int latestRound = renewal ? Math.max(last.round, round) : round;
-        grants.put(share, new Grant(holder, incarnation, latestRound, now + grantDuration));
+        int latestRound = isRenewal ? Math.max(last.round, round) : round;
+        double expiresAt = now + grantDurationSeconds;
+        grants.put(terms.share(), new Grant(holder, terms.incarnation(), latestRound, expiresAt));
         return true;
     }
 
@@ -64,11 +65,13 @@
         return last.holder.equals(holder) && last.incarnation == incarnation;
     }
 
-    /** The holder has released the share; ignored if it has requested it again since. */
-    public void release(int share, PeerId holder, long incarnation, int round) {
-        Grant last = grants.get(share);
-        if (last != null && isSameHolder(last, holder, incarnation) && isLatestRound(last, round)) {
-            grants.remove(share);
+    /** Removes the holder's grant, unless the holder has requested the share again since. */
+    public void release(LeaseTerms terms, PeerId holder, int round) {
+        Grant last = grants.get(terms.share());
+        if (last != null
+                && isSameHolder(last, holder, terms.incarnation())
+                && isLatestRound(last, round)) {
+            grants.remove(terms.share());
         }
     }
 
@@ -76,9 +79,10 @@
         return round >= last.round;
     }
 
-    /** The whole state relative to now as a text, by which the model check compares states. */
+    /** Returns the state relative to now as a text, by which the model check compares states. */
     String stateKey(double now) {
-        StringBuilder key = new StringBuilder(now < silentUntil ? silentUntil - now + " " : "");
+        StringBuilder key =
+                new StringBuilder(now < quarantineEndsAt ? quarantineEndsAt - now + " " : "");
         for (Map.Entry<Integer, Grant> entry : grants.entrySet()) {
             Grant grant = entry.getValue();
             if (now < grant.expiresAt) {
@@ -89,9 +93,9 @@
         return key.toString();
     }
 
-    /** Copies the state to a new voter; the model check goes on from one state in several ways. */
+    /** Copies the state to a new voter, for the model check to explore several next steps. */
     void copyTo(LeaseVoter other) {
         other.grants.putAll(grants);
-        other.silentUntil = silentUntil;
+        other.quarantineEndsAt = quarantineEndsAt;
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/ListSynchronizer.java
+++ b/daemon/src/main/java/wheelroute/peers/ListSynchronizer.java
@@ -3,34 +3,44 @@
 import java.util.List;
 
 /**
- * Anti-entropy: if the digest in a message differs from this member's own for longer than gossip
- * should need, the sender's member list is read page by page.
+ * Anti-entropy by pull: if the digest in received messages differs from this member's own for
+ * longer than gossip should take, the member list of the sender is requested page by page.
+ *
+ * <p>Times are in seconds. Not thread-safe.
  */
 final class ListSynchronizer {
-    /** Delay between comparisons in seconds, times the cluster's size multiplier. */
-    private static final double COMPARISON_DELAY = 4 * Membership.PROBE_INTERVAL_SECONDS;
+    /** Mean delay between two comparisons, for a size multiplier of 1. */
+    private static final double COMPARISON_DELAY_SECONDS = 4 * Membership.PROBE_INTERVAL_SECONDS;
 
-    /** Factor for the delay if it is known that gossip alone would take too long. */
-    private static final double URGENT_FACTOR = 0.25;
+    /** Lower bound of the random factor for the delay, which is less than 1 above it. */
+    private static final double MIN_JITTER_FACTOR = 0.5;
 
-    /** With more queued updates than this, about two datagrams, reading the list is faster. */
+    /** Factor for the delay if gossip alone would take too long. */
+    private static final double URGENT_DELAY_FACTOR = 0.25;
+
+    /** With more queued updates than this, about two datagrams, requesting the list is faster. */
     private static final int LONG_GOSSIP_QUEUE = 16;
 
-    /** A cluster of at most this size has a member that is only joining, or next to nobody. */
-    private static final int JOINING_SIZE = 2;
+    /** With no more alive members than this, this member has probably just started to join. */
+    private static final int JOINING_CLUSTER_SIZE = 2;
 
-    /** Bound on the pages read in a row: a faulty member's list may have no end. */
+    /** Bound on the pages of one transfer, as the list of a faulty member may have no end. */
     private static final int MAX_PAGES = 20_000;
 
     private final MemberTable table;
     private final MessageSender sender;
     private final GossipQueue gossip;
     private final DeterministicRandom random;
+
+    /** The transfer in progress; null for none. */
     private Transfer transfer;
+
     private double nextComparisonAt;
+
+    /** Whether the digests differed at the last comparison. */
     private boolean differedBefore;
 
-    /** A list that is being read from another member. */
+    /** A transfer of another member's list. */
     private static final class Transfer {
         final MemberAddress source;
         int sequenceNumber;
@@ -53,9 +63,7 @@
         this.random = random;
     }
 
-    /**
-     * Compares the digest of a received message, and begins to read the sender's list if needed.
-     */
+    /** Compares the digest of a received message, and requests the sender's list if needed. */
     void compareDigest(MessageHeader header, double now) {
         if (header.digest() == table.digest()
                 || transfer != null
@@ -63,15 +71,11 @@
                 || !header.sender().state().isAlive()) {
             return;
         }
-        boolean urgent = table.aliveCount() <= JOINING_SIZE || gossip.size() > LONG_GOSSIP_QUEUE;
-        nextComparisonAt =
-                now
-                        + COMPARISON_DELAY
-                                * table.sizeMultiplier()
-                                * (urgent ? URGENT_FACTOR : 1)
-                                * (0.5 + random.next());
-        if (!urgent && !differedBefore) {
-            // The update that makes the difference may be on its way: wait for a second one.
+        boolean isUrgent =
+                table.aliveCount() <= JOINING_CLUSTER_SIZE || gossip.size() > LONG_GOSSIP_QUEUE;
+        nextComparisonAt = now + nextDelaySeconds(isUrgent);
+        if (!isUrgent && !differedBefore) {
+            // Gossip may still deliver the missing update: request only at the second difference.
             differedBefore = true;
             return;
         }
@@ -80,6 +84,13 @@
         requestPage(null, now);
     }
 
+    private double nextDelaySeconds(boolean isUrgent) {
+        return COMPARISON_DELAY_SECONDS
+                * table.sizeMultiplier()
+                * (isUrgent ? URGENT_DELAY_FACTOR : 1)
+                * (MIN_JITTER_FACTOR + random.next());
+    }
+
     private void requestPage(MemberUpdate after, double now) {
         transfer.sequenceNumber = sender.nextSequenceNumber();
         transfer.expiresAt = now + Membership.PROBE_INTERVAL_SECONDS;
@@ -88,15 +99,16 @@
                 new Message.SyncRequest(sender.header(), transfer.sequenceNumber, after));
     }
 
-    /** Answers another member's request with the page behind the member it names. */
+    /** Answers a request with the page that follows the member it names. */
     void onRequest(MemberAddress requester, Message.SyncRequest request) {
         List<MemberUpdate> rest = table.updatesAfter(request.after());
         int sequenceNumber = request.sequenceNumber();
-        // Measured with the longest name as the page's last, so that any member has space there.
+        // The page also names its last member, which is not known before the members are counted.
+        // So space is reserved for the longest name.
         Message empty = new Message.SyncPage(sender.header(), sequenceNumber, longestName(rest));
-        int fitting = MessageCodec.fitting(empty, rest);
-        MemberUpdate last = fitting == rest.size() ? null : rest.get(fitting - 1);
-        MessageHeader header = sender.header().withUpdates(rest.subList(0, fitting));
+        int count = MessageCodec.countFitting(empty, rest);
+        MemberUpdate last = count == rest.size() ? null : rest.get(count - 1);
+        MessageHeader header = sender.header().withUpdates(rest.subList(0, count));
         sender.send(requester, new Message.SyncPage(header, sequenceNumber, last));
     }
 
@@ -110,7 +122,7 @@
         return longest;
     }
 
-    /** Requests the next page, if the list goes on; the entries have been applied before. */
+    /** Requests the next page, if there is one. The page's entries are applied by the caller. */
     void onPage(Message.SyncPage page, double now) {
         if (transfer == null || transfer.sequenceNumber != page.sequenceNumber()) {
             return;
@@ -122,14 +134,14 @@
         }
     }
 
-    /** Gives up a transfer whose next page does not arrive. */
+    /** Aborts a transfer whose next page has not arrived in time. */
     void checkTimeout(double now) {
         if (transfer != null && now >= transfer.expiresAt) {
             transfer = null;
         }
     }
 
-    /** Gives up a transfer that is under way. */
+    /** Aborts the transfer in progress, if there is one. */
     void abort() {
         transfer = null;
     }
--- a/daemon/src/main/java/wheelroute/peers/LocalHealth.java
+++ b/daemon/src/main/java/wheelroute/peers/LocalHealth.java
@@ -1,9 +1,11 @@
 package wheelroute.peers;
 
 /**
- * Lifeguard's local health multiplier: a member that misses responses it should have got suspects
- * itself of being slow or cut off, probes less often, and gives the others more time to respond and
- * to refute a suspicion.
+ * Lifeguard's local health multiplier. Missing responses are evidence that this member itself is
+ * slow or partitioned. The more evidence there is, the less often it probes, and the more time it
+ * gives the others to respond and to refute a suspicion.
+ *
+ * <p>Not thread-safe.
  */
 final class LocalHealth {
     private static final int MAX_SCORE = 8;
@@ -12,7 +14,7 @@
     private int score;
 
     /**
-     * Creates a healthy state.
+     * Creates the state of a healthy member.
      *
      * @param enabled false keeps the score at 0, which is SWIM without this extension
      */
@@ -24,17 +26,17 @@
         return enabled;
     }
 
-    /** 0 for healthy, up to {@link #MAX_SCORE}. */
+    /** Returns the score, from 0 for healthy to {@link #MAX_SCORE}. */
     int score() {
         return score;
     }
 
-    /** Factor for the probe interval and the probe timeouts. */
+    /** Returns the factor for the probe interval and the probe timeouts. */
     double probeMultiplier() {
         return 1 + score;
     }
 
-    /** Factor for the suspicion timeouts. */
+    /** Returns the factor for the suspicion timeouts. */
     double suspicionMultiplier() {
         return 1 + score / 2.0;
     }
--- a/daemon/src/main/java/wheelroute/peers/MalformedMessageException.java
+++ b/daemon/src/main/java/wheelroute/peers/MalformedMessageException.java
@@ -1,11 +1,11 @@
 package wheelroute.peers;
 
-/** The bytes of a datagram are no valid message; the text says which field is wrong. */
+/** Thrown for a datagram that is not a valid message. The text names the invalid field. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     MalformedMessageException(String reason) {
-        // Without a stack trace: anybody may send any number of invalid datagrams.
+        // Without a stack trace, to be cheap: invalid datagrams may arrive at any rate.
         super(reason, null, false, false);
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/MemberAddress.java
+++ b/daemon/src/main/java/wheelroute/peers/MemberAddress.java
@@ -1,24 +1,24 @@
 package wheelroute.peers;
 
 /**
- * Where a member is reached.
+ * The address of a member.
  *
  * @param host IPv4 address, the first octet in the highest byte
  * @param port UDP port, from 0 to 65535
  */
 public record MemberAddress(int host, int port) {
-    private static final int BYTE = 0xff;
+    private static final int OCTET_MASK = 0xff;
 
-    /** The usual form, as in 127.0.0.1:9000. */
+    /** Returns the address in the form 127.0.0.1:9000. */
     @Override
     public String toString() {
-        return (host >>> 24 & BYTE)
+        return (host >>> 24 & OCTET_MASK)
                 + "."
-                + (host >>> 16 & BYTE)
+                + (host >>> 16 & OCTET_MASK)
                 + "."
-                + (host >>> 8 & BYTE)
+                + (host >>> 8 & OCTET_MASK)
                 + "."
-                + (host & BYTE)
+                + (host & OCTET_MASK)
                 + ":"
                 + port;
     }
--- a/daemon/src/main/java/wheelroute/peers/MemberRecord.java
+++ b/daemon/src/main/java/wheelroute/peers/MemberRecord.java
@@ -1,6 +1,6 @@
 package wheelroute.peers;
 
-/** What is known of one other member. Mutable; compared by identity. */
+/** The latest update of one other member. Mutable, compared by identity, not thread-safe. */
 final class MemberRecord {
     private MemberUpdate update;
     private double stateSince;
@@ -9,7 +9,6 @@
         this.update = update;
     }
 
-    /** The latest update that was accepted. */
     MemberUpdate update() {
         return update;
     }
@@ -30,12 +29,12 @@
         return update.state().isAlive();
     }
 
-    /** When the member's state last changed. */
+    /** Returns when the member's state last changed, in seconds. */
     double stateSince() {
         return stateSince;
     }
 
-    /** Replaces the update; the state's age restarts if the state is another one. */
+    /** Replaces the update, and records the time if it changes the member's state. */
     void replace(MemberUpdate newUpdate, boolean isNewState, double now) {
         update = newUpdate;
         if (isNewState) {
--- a/daemon/src/main/java/wheelroute/peers/MemberTable.java
+++ b/daemon/src/main/java/wheelroute/peers/MemberTable.java
@@ -10,16 +10,19 @@
 
 /**
  * The member list: this member, all others that are known, and a digest of those that count as
- * alive. Dead members are kept for a while as tombstones, so that old updates do not revive them.
- * Holds data only; {@link UpdateProcessor} decides what is accepted.
+ * alive. Members that are dead or have left are kept for a while as tombstones, so that delayed
+ * updates do not revive them. Holds data only; {@link UpdateProcessor} decides what is accepted.
+ *
+ * <p>Times are in seconds. Not thread-safe.
  */
 final class MemberTable {
     private static final int MAX_MEMBERS = 10_000;
 
-    /** How long members that are dead or have left are remembered, in seconds. */
-    private static final double TOMBSTONE_RETENTION = 600;
+    /** How long the tombstone of a member is kept. */
+    private static final double TOMBSTONE_RETENTION_SECONDS = 600;
 
-    private static final double SIZE_FACTOR = 1.5;
+    /** Increase of the size multiplier for a cluster of ten times the size. */
+    private static final double SIZE_MULTIPLIER_PER_DECADE = 1.5;
 
     private final Map<PeerId, MemberRecord> records = new TreeMap<>();
     private final ProbeOrder probeOrder;
@@ -32,7 +35,7 @@
         digest = digestOf(self);
     }
 
-    /** This member as it announces itself. */
+    /** Returns this member as it announces itself. */
     MemberUpdate self() {
         return self;
     }
@@ -41,7 +44,7 @@
         return id.equals(self.id());
     }
 
-    /** Raises this member's own incarnation, which only it may do. */
+    /** Raises this member's own incarnation. */
     void raiseIncarnation(long incarnation) {
         digest ^= digestOf(self);
         self =
@@ -50,31 +53,32 @@
         digest ^= digestOf(self);
     }
 
-    /** Marks this member as leaving; it stays in its own digest. */
+    /** Marks this member as having left. Its own digest does not change. */
     void markSelfLeft() {
         self = self.withState(MemberUpdate.State.LEFT, self.id());
     }
 
-    /** The record of another member; null if it is unknown. */
+    /** Returns the record of another member; null if it is unknown. */
     MemberRecord find(PeerId id) {
         return records.get(id);
     }
 
-    /** Records of all others, ordered by name; also of those that are dead or have left. */
+    /** Returns the records of all others in the order of names, including tombstones. */
     Collection<MemberRecord> records() {
         return records.values();
     }
 
-    /** The others that count as alive, in probe order. */
+    /** Returns the others that count as alive, in probe order. */
     ProbeOrder probeOrder() {
         return probeOrder;
     }
 
-    /** Number of members that count as alive, this one included. */
+    /** Returns the number of members that count as alive, including this one. */
     int aliveCount() {
         return 1 + probeOrder.size();
     }
 
+    /** Whether another member that counts as alive has this address. */
     boolean isAliveAt(MemberAddress address) {
         for (MemberRecord member : probeOrder.members()) {
             if (member.address().equals(address)) {
@@ -84,12 +88,18 @@
         return false;
     }
 
-    /** Factor by which gossip and timeouts grow with the cluster: logarithmic, at least 1. */
+    /**
+     * Returns the factor by which timeouts and retransmissions grow with the size of the cluster.
+     * It is at least 1 and grows logarithmically, as the time does that gossip takes.
+     */
     double sizeMultiplier() {
-        return Math.max(1, Math.log10(aliveCount() + 1.0) * SIZE_FACTOR);
+        return Math.max(1, Math.log10(aliveCount() + 1.0) * SIZE_MULTIPLIER_PER_DECADE);
     }
 
-    /** Equal at two members, up to collisions, if they hold the same members to be alive. */
+    /**
+     * Returns a digest of the members that count as alive. It is equal at two members whose lists
+     * of these are equal; collisions are possible.
+     */
     int digest() {
         return digest;
     }
@@ -98,7 +108,7 @@
         return records.size() >= MAX_MEMBERS;
     }
 
-    /** Adds a member that is unknown so far. */
+    /** Adds a member, which must be unknown. */
     MemberRecord add(MemberUpdate update, double now) {
         MemberRecord member = new MemberRecord(update);
         records.put(update.id(), member);
@@ -106,7 +116,7 @@
         return member;
     }
 
-    /** Replaces what is known of a member. */
+    /** Replaces the latest update of a member. */
     void replace(MemberRecord member, MemberUpdate update, double now) {
         store(member, update, member.update(), now);
     }
@@ -129,16 +139,20 @@
         }
     }
 
-    /** Removes members that have not been alive for longer than the retention. */
+    /** Removes the tombstones that have been kept long enough. */
     void removeExpiredTombstones(double now) {
         for (MemberRecord member : new ArrayList<>(records.values())) {
-            if (!member.isAlive() && now - member.stateSince() > TOMBSTONE_RETENTION) {
+            if (!member.isAlive() && now - member.stateSince() > TOMBSTONE_RETENTION_SECONDS) {
                 records.remove(member.id());
             }
         }
     }
 
-    /** Latest updates of the members behind the given one by name; of all if it is null. */
+    /**
+     * Returns the latest updates of the others in the order of names.
+     *
+     * @param after only members that follow this one are returned; null for all
+     */
     List<MemberUpdate> updatesAfter(MemberUpdate after) {
         List<MemberUpdate> updates = new ArrayList<>();
         for (MemberRecord member : records.values()) {
--- a/daemon/src/main/java/wheelroute/peers/MemberUpdateCodec.java
+++ b/daemon/src/main/java/wheelroute/peers/MemberUpdateCodec.java
@@ -3,20 +3,20 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** The wire form of a {@link MemberUpdate}, which is part of every message. */
+/** Encodes and decodes a {@link MemberUpdate} as a part of a message. */
 final class MemberUpdateCodec {
     private static final int MAX_PORT = 0xffff;
     private static final char FIRST_NAME_CHARACTER = '!';
     private static final char LAST_NAME_CHARACTER = '~';
     private static final MemberUpdate.State[] STATES = MemberUpdate.State.values();
 
-    /** All fields but the name: its length, host, port, incarnation, state, suspecting member. */
+    /** Size of all fields but the name: its length, host, port, incarnation, state, suspectedBy. */
     private static final int FIXED_BYTES =
             Byte.BYTES + Integer.BYTES + Short.BYTES + Long.BYTES + Byte.BYTES + Integer.BYTES;
 
     private MemberUpdateCodec() {}
 
-    /** Number of bytes that the update takes. */
+    /** Returns the size of the encoded update in bytes. */
     static int size(MemberUpdate update) {
         return FIXED_BYTES + nameBytes(update).length;
     }
--- a/daemon/src/main/java/wheelroute/peers/Membership.java
+++ b/daemon/src/main/java/wheelroute/peers/Membership.java
@@ -3,30 +3,30 @@
 import java.util.List;
 
 /**
- * Which dispatchers are alive: SWIM (Das, Gupta, Motivala, 2002) with the extensions of Lifeguard
- * (Dadgar, Phillips, Currey, 2017). docs/design/peers.md says what is taken from them and what is
- * changed. This class takes the events in and passes each to the part that it concerns:
+ * Group membership among dispatchers: SWIM (Das, Gupta, Motivala, 2002) with the extensions of
+ * Lifeguard (Dadgar, Phillips, Currey, 2017). docs/design/peers.md lists the differences from both.
+ * This class receives all events and passes each to the component that handles it:
  *
  * <ul>
  *   <li>{@link ProbeCycle} and {@link IndirectProbes} detect failures,
- *   <li>{@link UpdateProcessor} decides what is believed, and marks members as suspect or dead,
+ *   <li>{@link UpdateProcessor} accepts updates, and marks members as suspect or dead,
  *   <li>{@link SuspicionTimers} gives suspects time to refute,
- *   <li>{@link GossipQueue} disseminates updates, {@link ListSynchronizer} compares whole lists,
- *   <li>{@link ReconnectProbes} joins, and rejoins after a partition,
- *   <li>{@link LocalHealth} slows a member down that may itself be the faulty one.
+ *   <li>{@link GossipQueue} disseminates updates, {@link ListSynchronizer} compares member lists,
+ *   <li>{@link ReconnectProbes} joins the cluster, and rejoins it after a partition,
+ *   <li>{@link LocalHealth} extends the timeouts of a member that may itself be faulty.
  * </ul>
  *
- * <p>No I/O, no clock, no threads: the caller passes in time and messages from one thread. Times
- * are in seconds of any monotonic clock.
+ * <p>Has no I/O, no clock and no threads: the caller passes in messages and the time, from one
+ * thread. Times are in seconds on any monotonic clock.
  */
 public final class Membership {
-    /** Interval between the probes of one member in seconds (SWIM's protocol period). */
+    /** Interval between the probes of a healthy member (SWIM's protocol period). */
     public static final double PROBE_INTERVAL_SECONDS = 0.5;
 
-    /** A gap between events that is longer shows that this process did not run. */
-    private static final double STALL_THRESHOLD = 2 * PROBE_INTERVAL_SECONDS;
+    /** A longer gap between events is taken as a stall of this process. */
+    private static final double STALL_THRESHOLD_SECONDS = 2 * PROBE_INTERVAL_SECONDS;
 
-    /** By how much a stall degrades the local health. */
+    /** Increase of the local health score after a stall. */
     private static final int STALL_PENALTY = 2;
 
     private final MembershipConfig config;
@@ -45,28 +45,28 @@
     private double now;
     private boolean running;
 
-    /** What a member needs from its surroundings. */
+    /** The network and the timer of a member, and the listener for changes of other members. */
     public interface Transport {
-        /** Sends a message; it may be lost, delayed or duplicated. */
+        /** Sends a message, which may be lost, delayed or duplicated. */
         void send(MemberAddress to, Message message);
 
         /**
-         * Requests a call of {@link #onTimer} after this many seconds. Supersedes earlier requests;
-         * calls that come earlier or more often do no harm.
+         * Schedules a call of {@link #onTimer}, and replaces any call scheduled before. Earlier and
+         * additional calls are harmless.
          */
-        void scheduleTimer(double delay);
+        void scheduleTimer(double delaySeconds);
 
         /**
-         * The state of another member has changed.
+         * Called when the state of another member has changed.
          *
-         * @param update its new state
-         * @param previous its state before; null if it was unknown
-         * @param reportedBy the member that reported the change; this one itself for its own probes
+         * @param update the update that changed it
+         * @param previous the state before; null if the member was unknown
+         * @param reportedBy the member that sent the update; this one itself after its own probes
          */
         void memberChanged(MemberUpdate update, MemberUpdate.State previous, PeerId reportedBy);
     }
 
-    /** Creates a member that is not started yet. */
+    /** Creates a member, to be started by {@link #start}. */
     public Membership(MembershipConfig config, Transport transport) {
         this.config = config;
         this.transport = transport;
@@ -91,12 +91,12 @@
 
     // ---- state
 
-    /** This member as it announces itself. */
+    /** Returns this member as it announces itself. */
     public MemberUpdate self() {
         return table.self();
     }
 
-    /** What is known of a member, this one included; null if it is unknown. */
+    /** Returns the latest update of a member, which may be this one; null if it is unknown. */
     public MemberUpdate find(PeerId id) {
         if (table.isSelf(id)) {
             return table.self();
@@ -105,65 +105,65 @@
         return member == null ? null : member.update();
     }
 
-    /** Seconds since the state of another member last changed; 0 for this one. */
-    public double timeInState(PeerId id) {
+    /** Returns the seconds since the state of another member last changed; 0 for this one. */
+    public double secondsInState(PeerId id) {
         MemberRecord member = table.find(id);
         return member == null ? 0 : now - member.stateSince();
     }
 
-    /** The others ordered by name, also those that are dead or have left. */
+    /** Returns the others in the order of names, including those that are dead or have left. */
     public List<MemberUpdate> others() {
         return table.updatesAfter(null);
     }
 
-    /** Number of members that are not dead and have not left, this one included. */
+    /** Returns the number of members that are neither dead nor have left, including this one. */
     public int aliveCount() {
         return table.aliveCount();
     }
 
-    /** Score of the local health multiplier; 0 for healthy. */
+    /** Returns the score of the local health multiplier; 0 for healthy. */
     public int localHealthScore() {
         return localHealth.score();
     }
 
     // ---- events
 
-    /** Sets the time; to be called before each event. */
+    /** Sets the current time. Called before each event. */
     public void advanceTo(double time) {
         double gap = time - now;
         now = time;
         if (running
                 && localHealth.isEnabled()
-                && gap > STALL_THRESHOLD
-                && probeCycle.nextProbeAt() < time - STALL_THRESHOLD) {
+                && gap > STALL_THRESHOLD_SECONDS
+                && probeCycle.nextProbeAt() < time - STALL_THRESHOLD_SECONDS) {
             recoverFromStall(gap);
         }
     }
 
-    /** This process did not run: responses missed meanwhile are not held against the others. */
-    private void recoverFromStall(double gap) {
+    /** Discards pending probes: a response missed during a stall does not indicate a failure. */
+    private void recoverFromStall(double stallSeconds) {
         probeCycle.restart(now);
         indirectProbes.clear();
         listSynchronizer.abort();
-        suspicions.postpone(gap);
+        suspicions.postpone(stallSeconds);
         localHealth.degrade(STALL_PENALTY);
     }
 
-    /** Starts to probe, and to answer. */
+    /** Starts to probe other members and to handle messages. */
     public void start() {
         running = true;
         probeCycle.start(now);
         runDueTasks();
     }
 
-    /** Does what is due; see {@link Transport#scheduleTimer}. */
+    /** Runs the tasks that are due; see {@link Transport#scheduleTimer}. */
     public void onTimer() {
         if (running) {
             runDueTasks();
         }
     }
 
-    /** Announces that this member leaves, and stops. */
+    /** Announces to some members that this member leaves, and stops. */
     public void leave() {
         if (!running) {
             return;
@@ -173,39 +173,39 @@
         List<MemberRecord> receivers = random.shuffled(table.probeOrder().members());
         int count = Math.min(sender.transmitLimit(), receivers.size());
         for (MemberRecord receiver : receivers.subList(0, count)) {
-            // An unsolicited ack: what matters is the sender in its header.
+            // The ack of no ping: it serves to carry this member's state in its header.
             sender.ack(receiver.address(), 0);
         }
     }
 
     /**
-     * Stops without an announcement, as another process continues as the same member. {@link
-     * #start} resumes.
+     * Stops without an announcement, since another process continues as the same member. May be
+     * followed by another {@link #start}.
      */
     public void stop() {
         running = false;
     }
 
-    /** A message has arrived from this address. */
+    /** Handles a message from this address. Ignores those of other clusters. */
     public void receive(MemberAddress from, Message message) {
         if (!running || message.header().cluster() != config.cluster()) {
             return;
         }
         MemberUpdate messageSender = message.header().sender();
         if (isThisProcess(messageSender)) {
-            // Our own message, returned by the network.
+            // This member's own message, reflected by the network.
             return;
         }
         PeerId senderId = messageSender.id();
         MemberRecord known = table.find(senderId);
-        boolean wasGivenUp = known != null && !known.isAlive();
+        boolean wasTombstone = known != null && !known.isAlive();
         applyUpdates(message);
         if (table.isSelf(senderId)) {
-            // An earlier process of the same name; it is not answered.
+            // From an earlier process of the same name, which gets no response.
             return;
         }
-        if (wasGivenUp) {
-            // It may not know yet that it is held to be dead, and refutes as soon as it does.
+        if (wasTombstone) {
+            // The sender may not know that it was declared dead. Once notified, it refutes that.
             gossip.prioritize(table.find(senderId).update());
         }
         handle(from, message);
@@ -249,10 +249,10 @@
         } else if (message instanceof Message.SyncPage page) {
             listSynchronizer.onPage(page, now);
         }
-        // Lease messages are QuotaLeases' and LeaseVoter's; only their header matters here.
+        // Only the headers of lease messages are used here; see QuotaLeases and LeaseVoter.
     }
 
-    /** Does whatever is due by now, and schedules the next call. */
+    /** Runs the tasks that are due by now, and schedules the next call. */
     private void runDueTasks() {
         probeCycle.checkTimeouts(now);
         indirectProbes.checkTimeouts(now);
--- a/daemon/src/main/java/wheelroute/peers/MembershipConfig.java
+++ b/daemon/src/main/java/wheelroute/peers/MembershipConfig.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What a member is started with.
+ * Configuration of a member. Immutable.
  *
  * @param cluster identifier of the installation; messages of other installations are ignored
  * @param id name of this member, unique in the cluster and kept over restarts
- * @param address where the other members reach it
+ * @param address at which the other members reach it
  * @param incarnation start of this process in milliseconds, so that a later process supersedes it
  * @param seeds addresses that are tried first; this member's own may be among them
  * @param randomSeed seed of all random choices
- * @param localHealthAware whether timeouts follow the local health multiplier (Lifeguard); false
- *     only serves to compare with
+ * @param localHealthAware whether timeouts follow the local health multiplier (Lifeguard); false is
+ *     for comparisons in experiments
  */
 public record MembershipConfig(
         int cluster,
@@ -22,7 +22,7 @@
         List<MemberAddress> seeds,
         long randomSeed,
         boolean localHealthAware) {
-    /** Copies the list of seeds. */
+    /** Creates a configuration with a copy of the list of seeds. */
     public MembershipConfig {
         seeds = List.copyOf(seeds);
     }
--- a/daemon/src/main/java/wheelroute/peers/Message.java
+++ b/daemon/src/main/java/wheelroute/peers/Message.java
@@ -3,32 +3,32 @@
 import java.util.List;
 
 /**
- * One datagram between dispatchers. The types of SWIM's failure detector (Das, Gupta, Motivala,
- * 2002) are {@link Ping}, {@link Ack} and {@link PingRequest}; {@link Nack} is Lifeguard's (Dadgar,
- * Phillips, Currey, 2017). {@link SyncRequest} and {@link SyncPage} compare whole member lists
- * (anti-entropy), and the {@link LeaseMessage}s request and grant quota leases.
+ * One datagram between dispatchers. {@link Ping}, {@link Ack} and {@link PingRequest} belong to
+ * SWIM's failure detector (Das, Gupta, Motivala, 2002), {@link Nack} to Lifeguard (Dadgar,
+ * Phillips, Currey, 2017). {@link SyncRequest} and {@link SyncPage} transfer member lists
+ * (anti-entropy), and the {@link LeaseMessage}s are for quota leases. Immutable.
  */
 public sealed interface Message {
-    /** The fields that all types have in common. */
+    /** Returns the fields that all types have in common. */
     MessageHeader header();
 
-    /** Matches a response to its request; chosen by whoever sends the request. */
+    /** Returns the number that matches a response to its request, chosen by the requester. */
     int sequenceNumber();
 
-    /** The type code on the wire. */
+    /** Returns the type, which is encoded in the datagram. */
     MessageType type();
 
-    /** The same message with another header. */
+    /** Returns the same message with another header. */
     Message withHeader(MessageHeader other);
 
-    /** The same message with other membership updates in its header. */
+    /** Returns the same message with other membership updates in its header. */
     default Message withUpdates(List<MemberUpdate> updates) {
         return withHeader(header().withUpdates(updates));
     }
 
     /** A message about a quota lease, rather than about membership. */
     sealed interface LeaseMessage extends Message {
-        /** The lease that is requested, granted or released. */
+        /** Returns the lease that is requested, granted or released. */
         LeaseTerms terms();
     }
 
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Asks the receiver to probe the target on the sender's behalf (SWIM's ping-req).
+     * Requests an indirect probe: the receiver pings the target for the sender (SWIM's ping-req).
      *
      * @param header the fields that all types have in common
      * @param sequenceNumber matches a response to its request
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Answers a {@link PingRequest} whose target has not answered in time (Lifeguard). It shows
-     * that the receiver of the request is itself reachable.
+     * Answers a {@link PingRequest} whose target has not answered in time (Lifeguard). So the
+     * requester knows that the prober itself is reachable.
      *
      * @param header the fields that all types have in common
      * @param sequenceNumber matches a response to its request
@@ -108,12 +108,11 @@
     }
 
     /**
-     * Asks for the next page of the receiver's member list.
+     * Requests the next page of the receiver's member list.
      *
      * @param header the fields that all types have in common
      * @param sequenceNumber matches a response to its request
-     * @param after the page begins behind this member, in the order of names; null for the first
-     *     page
+     * @param after the page begins after this member in the order of names; null for the first page
      */
     record SyncRequest(MessageHeader header, int sequenceNumber, MemberUpdate after)
             implements Message {
@@ -149,11 +148,11 @@
     }
 
     /**
-     * Asks a member of a lease's quorum group for its vote.
+     * Requests the vote of one of a share's voters.
      *
      * @param header the fields that all types have in common
      * @param sequenceNumber the holder's round of requests; grants of earlier rounds do not count
-     * @param terms the lease it is about
+     * @param terms the lease that is concerned
      */
     record LeaseRequest(MessageHeader header, int sequenceNumber, LeaseTerms terms)
             implements LeaseMessage {
@@ -169,11 +168,12 @@
     }
 
     /**
-     * Gives the sender's vote for a {@link LeaseRequest}. There is no message to refuse one.
+     * Grants a {@link LeaseRequest} with the sender's vote. A request that is not granted gets no
+     * response.
      *
      * @param header the fields that all types have in common
      * @param sequenceNumber the holder's round of requests; grants of earlier rounds do not count
-     * @param terms the lease it is about
+     * @param terms the lease that is concerned
      */
     record LeaseGrant(MessageHeader header, int sequenceNumber, LeaseTerms terms)
             implements LeaseMessage {
@@ -189,11 +189,11 @@
     }
 
     /**
-     * Gives a lease back before it expires.
+     * Releases a lease before it expires.
      *
      * @param header the fields that all types have in common
      * @param sequenceNumber the holder's round of requests; grants of earlier rounds do not count
-     * @param terms the lease it is about
+     * @param terms the lease that is concerned
      */
     record LeaseRelease(MessageHeader header, int sequenceNumber, LeaseTerms terms)
             implements LeaseMessage {
--- a/daemon/src/main/java/wheelroute/peers/MessageCodec.java
+++ b/daemon/src/main/java/wheelroute/peers/MessageCodec.java
@@ -7,13 +7,13 @@
 import java.util.zip.CRC32;
 
 /**
- * The wire form of messages: datagrams of at most {@link #MAX_DATAGRAM_BYTES} bytes. A datagram
- * consists of a magic number with a version, the type code, cluster, sequence number, digest and
- * sender, the fields of the type, the membership updates with their number in front, and a CRC-32
- * of all that. Integers are big-endian. Anything else is rejected.
+ * Encodes and decodes messages as datagrams of at most {@link #MAX_DATAGRAM_BYTES} bytes. A
+ * datagram consists of a magic number with a version, the type code, cluster, sequence number,
+ * digest and sender, the fields of the type, the number of membership updates and the updates, and
+ * a CRC-32 of everything before. Integers are big-endian.
  */
 public final class MessageCodec {
-    /** Upper bound of a datagram's size in bytes, given by the platform. */
+    /** Upper bound of the size of a datagram, given by the platform. */
     public static final int MAX_DATAGRAM_BYTES = 256;
 
     private static final int MAGIC = 0x77720000;
@@ -23,8 +23,8 @@
     private MessageCodec() {}
 
     /**
-     * Encodes a message. The header's updates are included from the first on, as many as fit; the
-     * message without them always does.
+     * Encodes a message with as many of its updates as fit, from the first on. The message without
+     * updates always fits.
      */
     public static ByteBuffer encode(Message message) {
         MessageHeader header = message.header();
@@ -76,11 +76,11 @@
     }
 
     /**
-     * Number of the updates, from the first on, that fit into one datagram with the message.
+     * Returns how many of the updates, from the first on, fit into one datagram with the message.
      *
      * @param withoutUpdates the message, with no updates in its header
      */
-    public static int fitting(Message withoutUpdates, List<MemberUpdate> updates) {
+    public static int countFitting(Message withoutUpdates, List<MemberUpdate> updates) {
         int remaining = MAX_DATAGRAM_BYTES - encode(withoutUpdates).remaining();
         int count = 0;
         for (MemberUpdate update : updates) {
@@ -102,8 +102,8 @@
     /**
      * Decodes one complete datagram.
      *
-     * @throws MalformedMessageException whenever the bytes are no valid message; nothing else is
-     *     thrown, whatever they are
+     * @throws MalformedMessageException if the bytes are not a valid message; no other exception is
+     *     thrown, whatever the bytes are
      */
     public static Message decode(ByteBuffer in) throws MalformedMessageException {
         if (in.remaining() > MAX_DATAGRAM_BYTES || in.remaining() <= CHECKSUM_BYTES) {
--- a/daemon/src/main/java/wheelroute/peers/MessageSender.java
+++ b/daemon/src/main/java/wheelroute/peers/MessageSender.java
@@ -2,9 +2,13 @@
 
 import java.util.List;
 
-/** Sends this member's messages: fills in the header and piggybacks gossip. */
+/**
+ * Sends this member's messages: fills in the header and piggybacks gossip.
+ *
+ * <p>Not thread-safe.
+ */
 final class MessageSender {
-    /** How often an update is sent, times the cluster's size multiplier. */
+    /** How often an update is sent, for a size multiplier of 1. */
     private static final double RETRANSMIT_MULTIPLIER = 4;
 
     private final int cluster;
@@ -21,17 +25,17 @@
         this.transport = transport;
     }
 
-    /** A sequence number that this member has not used before. */
+    /** Returns a sequence number that this member has not used before. */
     int nextSequenceNumber() {
         return ++lastSequenceNumber;
     }
 
-    /** The header of a message sent now, without updates. */
+    /** Returns the header of a message sent now, without updates. */
     MessageHeader header() {
         return new MessageHeader(cluster, table.self(), table.digest(), List.of());
     }
 
-    /** How often an update is sent before the whole cluster should have it. */
+    /** Returns how often an update is sent; then the whole cluster should have received it. */
     int transmitLimit() {
         return (int) Math.ceil(RETRANSMIT_MULTIPLIER * table.sizeMultiplier());
     }
@@ -56,7 +60,7 @@
         transport.send(to, message.withUpdates(gossip.take(message, transmitLimit())));
     }
 
-    /** Sends a message as it is, without gossip. */
+    /** Sends a message without gossip. */
     void send(MemberAddress to, Message message) {
         transport.send(to, message);
     }
--- a/daemon/src/main/java/wheelroute/peers/MessageType.java
+++ b/daemon/src/main/java/wheelroute/peers/MessageType.java
@@ -1,6 +1,6 @@
 package wheelroute.peers;
 
-/** Type codes of the messages; a code on the wire is the position in this enum. */
+/** The types of messages. Their order is part of the wire format: it determines their codes. */
 public enum MessageType {
     PING,
     ACK,
@@ -14,12 +14,12 @@
 
     private static final MessageType[] BY_CODE = values();
 
-    /** The code on the wire. */
+    /** Returns the code in datagrams. */
     int code() {
         return ordinal();
     }
 
-    /** The type with this code; null if there is none. */
+    /** Returns the type with this code; null if there is none. */
     static MessageType ofCode(int code) {
         return code >= 0 && code < BY_CODE.length ? BY_CODE[code] : null;
     }
--- a/daemon/src/main/java/wheelroute/peers/PeerId.java
+++ b/daemon/src/main/java/wheelroute/peers/PeerId.java
@@ -3,12 +3,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
 
-/** A dispatcher's name, unique in its cluster and the same after a restart. Ordered by name. */
+/** The name of a dispatcher, unique in its cluster and the same after a restart. */
 public record PeerId(String name) implements Comparable<PeerId> {
-    /** Longest name in bytes, so that a datagram holds several. */
+    /** Maximum length of a name, so that a datagram holds several updates. */
     public static final int MAX_NAME_BYTES = 40;
 
-    /** A hash that tells a few members from each other; part of the wire format. */
+    /** Returns a hash that distinguishes a few members. It is part of the wire format. */
     int shortHash() {
         CRC32 crc = new CRC32();
         crc.update(name.getBytes(StandardCharsets.UTF_8));
@@ -20,7 +20,7 @@
         return name.compareTo(other.name);
     }
 
-    /** The bare name. */
+    /** Returns the name. */
     @Override
     public String toString() {
         return name;
--- a/daemon/src/main/java/wheelroute/peers/ProbeCycle.java
+++ b/daemon/src/main/java/wheelroute/peers/ProbeCycle.java
@@ -3,15 +3,17 @@
 import java.util.List;
 
 /**
- * This member's own probes, SWIM's failure detector: once per interval it pings one other member;
- * without an ack in time it asks some others to ping that one too (see {@link IndirectProbes} for
- * their side), and if no ack arrives until the end of the interval the member becomes a suspect.
+ * This member's own probes, SWIM's failure detector. Once per interval it pings one other member.
+ * Without an ack in time it requests indirect probes from some others (see {@link IndirectProbes}
+ * for their side), and if no ack has arrived by the end of the interval the member is suspected.
+ *
+ * <p>Times are in seconds. Not thread-safe.
  */
 final class ProbeCycle {
-    /** Time until indirect probes are requested, in seconds; a response takes far less. */
-    static final double ACK_TIMEOUT = 0.2;
+    /** Time from a ping to the requests for indirect probes; an ack normally takes far less. */
+    static final double ACK_TIMEOUT_SECONDS = 0.2;
 
-    /** Members asked for an indirect probe (SWIM's k), so that one lossy path decides nothing. */
+    /** Number of indirect probes (SWIM's k), so that a single lossy path is not decisive. */
     private static final int INDIRECT_PROBES = 3;
 
     private final MemberTable table;
@@ -20,19 +22,29 @@
     private final UpdateProcessor updates;
     private final LocalHealth localHealth;
     private final DeterministicRandom random;
+
+    /** The probe of the current interval; null if there is none. */
     private Probe probe;
+
     private double nextProbeAt = Double.POSITIVE_INFINITY;
 
-    /** The probe of the current interval. */
+    private enum ProbeState {
+        /** The target was pinged. */
+        AWAITING_ACK,
+        /** No ack in time; indirect probes were requested. */
+        AWAITING_INDIRECT_ACK,
+        /** An ack has arrived, directly or through another member. */
+        ACKNOWLEDGED
+    }
+
     private static final class Probe {
         final MemberRecord target;
         final int sequenceNumber;
         final double ackDeadline;
         final double endsAt;
+        ProbeState state = ProbeState.AWAITING_ACK;
         int indirectRequests;
         int nacks;
-        boolean indirect;
-        boolean acknowledged;
 
         Probe(MemberRecord target, int sequenceNumber, double ackDeadline, double endsAt) {
             this.target = target;
@@ -42,7 +54,7 @@
         }
 
         double nextDeadline() {
-            return acknowledged || indirect ? endsAt : ackDeadline;
+            return state == ProbeState.AWAITING_ACK ? ackDeadline : endsAt;
         }
     }
 
@@ -66,7 +78,7 @@
         nextProbeAt = now;
     }
 
-    /** Drops the current probe without a verdict and makes the next one due now. */
+    /** Abandons the current probe without a result and makes the next one due now. */
     void restart(double now) {
         probe = null;
         nextProbeAt = now;
@@ -76,14 +88,14 @@
         return nextProbeAt;
     }
 
-    /** When {@link #checkTimeouts} or {@link #beginIfDue} has something to do next. */
+    /** Returns when {@link #checkTimeouts} or {@link #beginIfDue} has something to do next. */
     double nextDeadline() {
         return probe == null ? nextProbeAt : Math.min(nextProbeAt, probe.nextDeadline());
     }
 
-    /** Requests indirect probes if the ack is late, and ends the probe at the end of its time. */
+    /** Requests indirect probes if the ack is late, and ends the probe after its interval. */
     void checkTimeouts(double now) {
-        if (probe != null && !probe.acknowledged && !probe.indirect && now >= probe.ackDeadline) {
+        if (probe != null && probe.state == ProbeState.AWAITING_ACK && now >= probe.ackDeadline) {
             requestIndirectProbes();
         }
         if (probe != null && now >= probe.endsAt) {
@@ -107,27 +119,27 @@
         MemberRecord target = table.probeOrder().next();
         double multiplier = localHealth.probeMultiplier();
         if (target.state() == MemberUpdate.State.SUSPECT) {
-            // Lifeguard's buddy system: a suspect learns of the suspicion first, to refute it.
+            // Lifeguard's buddy system: the ping tells a suspect of the suspicion, to refute it.
             gossip.prioritize(target.update());
         }
         probe =
                 new Probe(
                         target,
                         sender.nextSequenceNumber(),
-                        now + ACK_TIMEOUT * multiplier,
+                        now + ACK_TIMEOUT_SECONDS * multiplier,
                         now + Membership.PROBE_INTERVAL_SECONDS * multiplier);
         sender.ping(target.address(), probe.sequenceNumber);
     }
 
-    /** An ack has arrived, from the target or from a member that probed it for this one. */
+    /** Records an ack from the target, or from a member that probed it for this one. */
     void onAck(int sequenceNumber) {
-        if (isCurrent(sequenceNumber) && !probe.acknowledged) {
-            probe.acknowledged = true;
+        if (isCurrent(sequenceNumber) && probe.state != ProbeState.ACKNOWLEDGED) {
+            probe.state = ProbeState.ACKNOWLEDGED;
             localHealth.improve();
         }
     }
 
-    /** A member that was asked for an indirect probe got no ack either. */
+    /** Records that an indirect probe got no ack in time either. */
     void onNack(int sequenceNumber) {
         if (isCurrent(sequenceNumber)) {
             probe.nacks++;
@@ -139,24 +151,24 @@
     }
 
     private void requestIndirectProbes() {
-        probe.indirect = true;
+        probe.state = ProbeState.AWAITING_INDIRECT_ACK;
         List<MemberRecord> helpers = random.shuffled(table.probeOrder().members());
         helpers.remove(probe.target);
         for (MemberRecord helper : helpers.subList(0, Math.min(INDIRECT_PROBES, helpers.size()))) {
             probe.indirectRequests++;
             sender.pingRequest(helper.address(), probe.sequenceNumber, probe.target.update());
         }
-        // The ping or its ack may also just have been lost.
+        // A second ping, as the first one or its ack may have been lost.
         sender.ping(probe.target.address(), probe.sequenceNumber);
     }
 
     private void endProbe(double now) {
         Probe ended = probe;
         probe = null;
-        if (ended.acknowledged) {
+        if (ended.state == ProbeState.ACKNOWLEDGED) {
             return;
         }
-        // Helpers that send not even a nack: it may well be this member that cannot be reached.
+        // A helper that does not even send a nack suggests that this member is unreachable itself.
         int missedNacks = ended.indirectRequests - ended.nacks;
         localHealth.degrade(ended.indirectRequests == 0 ? 1 : missedNacks);
         updates.suspect(ended.target, now);
--- a/daemon/src/main/java/wheelroute/peers/ProbeOrder.java
+++ b/daemon/src/main/java/wheelroute/peers/ProbeOrder.java
@@ -5,8 +5,10 @@
 import java.util.List;
 
 /**
- * The other members that count as alive, in SWIM's round-robin probe order: the order is shuffled
- * anew after each pass, so no member waits for longer than two passes.
+ * The other members that count as alive, in SWIM's round-robin probe order. The order is shuffled
+ * after each pass, so a member is probed at least once in two passes.
+ *
+ * <p>Not thread-safe.
  */
 final class ProbeOrder {
     private final DeterministicRandom random;
@@ -17,7 +19,7 @@
         this.random = random;
     }
 
-    /** The members in the order of this pass, as a view. */
+    /** Returns a view of the members in the order of this pass. */
     List<MemberRecord> members() {
         return Collections.unmodifiableList(members);
     }
@@ -30,7 +32,7 @@
         return members.isEmpty();
     }
 
-    /** The next member to probe; there must be one. */
+    /** Returns the next member to probe. There must be one. */
     MemberRecord next() {
         if (position >= members.size()) {
             List<MemberRecord> order = random.shuffled(members);
@@ -41,12 +43,12 @@
         return members.get(position++);
     }
 
-    /** Inserts a member at a random position, so that not all probe the newest one first. */
+    /** Inserts a member at a random position, so that the others do not all probe it at once. */
     void insert(MemberRecord member) {
         members.add(random.nextIndex(members.size() + 1), member);
     }
 
-    /** Removes a member that is in the order. */
+    /** Removes a member, which must be in the order. */
     void remove(MemberRecord member) {
         int index = members.indexOf(member);
         members.remove(index);
--- a/daemon/src/main/java/wheelroute/peers/QuotaLeases.java
+++ b/daemon/src/main/java/wheelroute/peers/QuotaLeases.java
@@ -7,10 +7,12 @@
 
 /**
  * How much this dispatcher may use of the quota that all dispatchers share. The quota is divided
- * into one share for each dispatcher. Part of a share is guaranteed to its owner and never anybody
- * else's; the rest is held by lease, by the owner or, while that is not alive, by the next
- * dispatcher that is. A lease needs a majority of the share's voters, which are always the same
- * dispatchers. So no two hold it at once, even if they disagree on who is alive.
+ * into one share for each dispatcher, its owner. A fraction of a share is guaranteed to the owner.
+ * The rest may be used by the holder of a lease: the owner or, while that is not alive, the next
+ * dispatcher that is. A lease needs a quorum of the share's voters, which are always the same
+ * dispatchers, so it has at most one holder even if dispatchers disagree on who is alive.
+ *
+ * <p>Times are in seconds on any monotonic clock. Not thread-safe.
  */
 public final class QuotaLeases {
     /** Sends lease messages to other dispatchers, and to this one itself. */
@@ -23,27 +25,27 @@
     }
 
     /**
-     * Which dispatchers are believed to be alive. It decides who requests a lease; who gets it is
-     * decided by the voters alone.
+     * Which dispatchers are believed to be alive. This only affects who requests a lease; who gets
+     * it is decided by the voters.
      */
     public interface LivenessView {
         /** Whether the dispatcher of this number is believed to be alive. */
         boolean isAlive(int dispatcher);
     }
 
-    /** Part of a share that is its owner's without a lease, even if it is cut off from all. */
-    public static final double GUARANTEED_PART = 0.5;
+    /** Fraction of a share that its owner may use without a lease, even when partitioned. */
+    public static final double GUARANTEED_FRACTION = 0.5;
 
-    /** Number of voters on a share; fewer if there are not as many dispatchers. */
-    static final int VOTERS = 5;
+    /** Maximum number of voters on a share; all dispatchers vote if they are fewer. */
+    static final int MAX_VOTERS = 5;
 
-    /** With fewer dispatchers no leases are used: losing one would cost the others their shares. */
-    private static final int MIN_DISPATCHERS = 3;
+    /** With fewer dispatchers, the failure of one would prevent a quorum: no leases are used. */
+    private static final int MIN_DISPATCHERS_FOR_LEASES = 3;
 
-    /** Seconds between renewals: three rounds may be lost before a lease expires. */
-    private static final double RENEWAL_INTERVAL = Lease.DURATION_SECONDS / 4;
+    /** Short enough that a lease survives the loss of three consecutive rounds of requests. */
+    private static final double RENEWAL_INTERVAL_SECONDS = Lease.DURATION_SECONDS / 4;
 
-    private final int own;
+    private final int ownNumber;
     private final int dispatchers;
     private final long incarnation;
     private final LivenessView liveness;
@@ -53,49 +55,50 @@
     private int lastSequenceNumber;
 
     /**
-     * Creates the view of one dispatcher, which holds no lease yet.
+     * Creates a dispatcher's state without any lease.
      *
-     * @param own this dispatcher's number
-     * @param dispatchers number of dispatchers; they are numbered from 0, the same way everywhere
-     * @param incarnation start of this process; another start is another holder
+     * @param ownNumber number of this dispatcher
+     * @param dispatchers number of dispatchers, which all number in the same way, from 0
+     * @param incarnation start of this process in milliseconds; a restarted process is another
+     *     holder
      */
     public QuotaLeases(
-            int own,
+            int ownNumber,
             int dispatchers,
             long incarnation,
             LivenessView liveness,
             Transport transport) {
-        this.own = own;
+        this.ownNumber = ownNumber;
         this.dispatchers = dispatchers;
         this.incarnation = incarnation;
         this.liveness = liveness;
         this.transport = transport;
     }
 
-    /** Numbers of the dispatchers that vote on a share: those that follow its owner. */
+    /** Returns the numbers of the dispatchers that vote on a share: those that follow its owner. */
     static List<Integer> voters(int share, int dispatchers) {
         List<Integer> voters = new ArrayList<>();
-        for (int i = 1; i <= Math.min(VOTERS, dispatchers); i++) {
+        for (int i = 1; i <= Math.min(MAX_VOTERS, dispatchers); i++) {
             voters.add((share + i) % dispatchers);
         }
         return voters;
     }
 
     private boolean usesLeases() {
-        return dispatchers >= MIN_DISPATCHERS;
+        return dispatchers >= MIN_DISPATCHERS_FOR_LEASES;
     }
 
     /**
-     * Requests, renews and releases leases as membership has it now, if that is due.
+     * Requests, renews and releases leases by the current view of liveness, if a renewal is due.
      *
-     * @return seconds until the next call; positive infinity for never
+     * @return seconds until the next renewal; positive infinity for never
      */
     public double renew(double now) {
         if (!usesLeases()) {
             return Double.POSITIVE_INFINITY;
         }
         if (now >= nextRenewalAt) {
-            nextRenewalAt = now + RENEWAL_INTERVAL;
+            nextRenewalAt = now + RENEWAL_INTERVAL_SECONDS;
             renewAll(now);
         }
         return nextRenewalAt - now;
@@ -115,10 +118,10 @@
         }
     }
 
-    /** Whether nobody is alive from the share's owner up to this dispatcher, itself excluded. */
+    /** Whether this dispatcher is the first alive one, from the share's owner on. */
     private boolean isResponsible(int share, boolean[] alive) {
-        for (int at = share; at != own; at = (at + 1) % dispatchers) {
-            if (alive[at]) {
+        for (int number = share; number != ownNumber; number = (number + 1) % dispatchers) {
+            if (alive[number]) {
                 return false;
             }
         }
@@ -127,7 +130,8 @@
 
     private void request(double now, int share) {
         List<Integer> voters = voters(share, dispatchers);
-        Lease lease = leases.computeIfAbsent(share, s -> new Lease(voters.size() / 2 + 1));
+        int majority = voters.size() / 2 + 1;
+        Lease lease = leases.computeIfAbsent(share, absent -> new Lease(majority));
         int round = ++lastSequenceNumber;
         lease.beginRound(now, round);
         for (int voter : voters) {
@@ -147,7 +151,7 @@
         }
     }
 
-    /** A voter's grant has arrived. */
+    /** Records a voter's grant. Ignores one for a lease that was released or of another process. */
     public void onGrant(double now, int sequenceNumber, LeaseTerms terms, PeerId voter) {
         Lease lease = leases.get(terms.share());
         if (lease != null && terms.incarnation() == incarnation) {
@@ -155,38 +159,38 @@
         }
     }
 
-    /** Releases all leases, as this process stops using the quota. */
+    /** Releases all leases. The guaranteed fraction remains usable. */
     public void releaseAll() {
         for (int share : new ArrayList<>(leases.keySet())) {
             release(share);
         }
     }
 
-    /** Usable part of one share at this moment, from 0 to 1. */
-    public double usablePart(int share, double now) {
-        double guaranteed = guaranteedPart(share);
+    /** Returns the fraction of a share that this dispatcher may use now, from 0 to 1. */
+    public double usableFraction(int share, double now) {
+        double guaranteed = guaranteedFraction(share);
         Lease lease = leases.get(share);
-        boolean leased = usesLeases() && lease != null && lease.isHeld(now);
-        return guaranteed + (leased ? 1 - GUARANTEED_PART : 0);
+        boolean isLeased = usesLeases() && lease != null && lease.isHeld(now);
+        return guaranteed + (isLeased ? 1 - GUARANTEED_FRACTION : 0);
     }
 
-    private double guaranteedPart(int share) {
-        if (share != own) {
+    private double guaranteedFraction(int share) {
+        if (share != ownNumber) {
             return 0;
         }
-        return usesLeases() ? GUARANTEED_PART : 1;
+        return usesLeases() ? GUARANTEED_FRACTION : 1;
     }
 
-    /** Usable part of the whole quota at this moment, from 0 to 1. */
-    public double usableTotal(double now) {
-        double sum = usablePart(own, now);
+    /** Returns the fraction of the whole quota that this dispatcher may use now, from 0 to 1. */
+    public double usableTotalFraction(double now) {
+        double sum = usableFraction(ownNumber, now);
         for (int share : leases.keySet()) {
-            sum += share == own ? 0 : usablePart(share, now);
+            sum += share == ownNumber ? 0 : usableFraction(share, now);
         }
         return sum / dispatchers;
     }
 
-    /** Numbers of the shares held by lease at this moment, in order. */
+    /** Returns the numbers of the shares that are held by lease now, in ascending order. */
     public List<Integer> heldShares(double now) {
         return leases.keySet().stream()
                 .filter(share -> leases.get(share).isHeld(now))
--- a/daemon/src/main/java/wheelroute/peers/ReconnectProbes.java
+++ b/daemon/src/main/java/wheelroute/peers/ReconnectProbes.java
@@ -4,12 +4,14 @@
 import java.util.List;
 
 /**
- * Pings to seeds that are not among the alive members, and to dead members: this is how a member
- * joins, and how the sides of a healed network partition find each other again. An ack carries the
- * sender's update, which is all that is needed.
+ * Pings seeds that are not among the alive members, and dead members. So a member joins the
+ * cluster, and the sides of a network partition find each other again once it has healed: the
+ * header of an ack makes its sender known as alive.
+ *
+ * <p>Not thread-safe.
  */
 final class ReconnectProbes {
-    /** Pings per interval of a member that knows no other one yet. */
+    /** Pings per interval while no other member is known to be alive. */
     private static final int PINGS_WHILE_ALONE = 3;
 
     private final List<MemberAddress> seeds;
@@ -28,9 +30,9 @@
         this.random = random;
     }
 
-    /** Pings one unreachable address, or several while this member is alone. */
+    /** Pings one address without an alive member, or several while no other member is alive. */
     void ping() {
-        List<MemberAddress> addresses = unreachableAddresses();
+        List<MemberAddress> addresses = addressesToTry();
         int pings = table.probeOrder().isEmpty() ? PINGS_WHILE_ALONE : 1;
         for (int i = 0; i < pings && !addresses.isEmpty(); i++) {
             int sequenceNumber = sender.nextSequenceNumber();
@@ -39,7 +41,7 @@
         }
     }
 
-    private List<MemberAddress> unreachableAddresses() {
+    private List<MemberAddress> addressesToTry() {
         List<MemberAddress> addresses = new ArrayList<>();
         for (MemberAddress seed : seeds) {
             if (!seed.equals(table.self().address()) && !table.isAliveAt(seed)) {
--- a/daemon/src/main/java/wheelroute/peers/SuspicionTimers.java
+++ b/daemon/src/main/java/wheelroute/peers/SuspicionTimers.java
@@ -6,30 +6,31 @@
 import java.util.Map;
 
 /**
- * Suspected members and how long each still has to refute. Lifeguard's dynamic timeout: it begins
- * long and shrinks logarithmically with each independent confirmation, as many members that miss
- * the same one are less likely to be wrong.
+ * The suspected members and the time that each has left to refute. This is Lifeguard's dynamic
+ * suspicion timeout: it starts at its maximum and shrinks logarithmically with each independent
+ * confirmation, as several members are less likely to be wrong than one.
+ *
+ * <p>Times are in seconds. Not thread-safe.
  */
 final class SuspicionTimers {
-    /** Least timeout in probe intervals, times the cluster's size multiplier. */
-    private static final double MIN_TIMEOUT_MULTIPLIER = 4;
+    /** Minimum timeout in probe intervals, for a size multiplier of 1. */
+    private static final double MIN_TIMEOUT_PROBE_INTERVALS = 4;
 
-    /** Timeout without a confirmation, as a multiple of the least. */
-    private static final double MAX_TIMEOUT_MULTIPLIER = 3;
+    /** Maximum timeout, which applies without confirmations, as a multiple of the minimum. */
+    private static final double MAX_TIMEOUT_FACTOR = 3;
 
-    /** Number of independent suspicions, the first included, that bring the least timeout. */
+    /** Number of independent suspicions, including the first, that lead to the minimum timeout. */
     private static final int EXPECTED_CONFIRMATIONS = 3;
 
     private final MemberTable table;
     private final LocalHealth localHealth;
     private final Map<PeerId, Suspicion> suspicions = new LinkedHashMap<>();
 
-    /** The suspicion of one member. */
     private static final class Suspicion {
         final MemberRecord member;
         double startedAt;
 
-        /** Short hashes of the members that suspect it independently of each other. */
+        /** {@link PeerId#shortHash} of each member that suspects it independently. */
         final List<Integer> confirmations = new ArrayList<>();
 
         Suspicion(MemberRecord member, double startedAt) {
@@ -51,16 +52,16 @@
         suspicions.put(member.id(), suspicion);
     }
 
-    /** Cancels the timer of a member, if it has one: it has refuted, is dead or has left. */
+    /** Cancels the timer of a member that is no longer suspected. Ignores any other member. */
     void cancel(PeerId id) {
         suspicions.remove(id);
     }
 
     /**
-     * Counts an independent suspicion of a member.
+     * Records an independent suspicion of a suspected member.
      *
-     * @param suspectedBy short hash of the member that suspects it
-     * @return whether it was a new one, and more are of use
+     * @param suspectedBy {@link PeerId#shortHash} of the member that suspects it
+     * @return whether it was recorded: it is new, and fewer than expected were known
      */
     boolean confirm(PeerId id, int suspectedBy) {
         List<Integer> confirmations = suspicions.get(id).confirmations;
@@ -71,7 +72,7 @@
         return true;
     }
 
-    /** The suspected members, the earliest suspected first. */
+    /** Returns the suspected members in the order in which their timers were started. */
     List<MemberRecord> suspects() {
         List<MemberRecord> members = new ArrayList<>();
         for (Suspicion suspicion : suspicions.values()) {
@@ -80,12 +81,12 @@
         return members;
     }
 
-    /** Whether a suspected member has had its time to refute. */
+    /** Whether the time of a suspected member to refute is over. */
     boolean isExpired(MemberRecord suspect, double now) {
         return now >= deadline(suspicions.get(suspect.id()));
     }
 
-    /** When the next timer expires; positive infinity if none runs. */
+    /** Returns when the next timer expires; positive infinity if there is none. */
     double nextDeadline() {
         double next = Double.POSITIVE_INFINITY;
         for (Suspicion suspicion : suspicions.values()) {
@@ -94,7 +95,7 @@
         return next;
     }
 
-    /** Moves all timers on, as this process did not run for so many seconds. */
+    /** Postpones all timers, after a stall of this process of so many seconds. */
     void postpone(double seconds) {
         for (Suspicion suspicion : suspicions.values()) {
             suspicion.startedAt += seconds;
@@ -102,13 +103,18 @@
     }
 
     private double deadline(Suspicion suspicion) {
+        double timeout = timeoutSeconds(suspicion.confirmations.size());
+        return suspicion.startedAt + timeout * localHealth.suspicionMultiplier();
+    }
+
+    private double timeoutSeconds(int confirmations) {
         double min =
-                MIN_TIMEOUT_MULTIPLIER * table.sizeMultiplier() * Membership.PROBE_INTERVAL_SECONDS;
-        double max = MAX_TIMEOUT_MULTIPLIER * min;
+                MIN_TIMEOUT_PROBE_INTERVALS
+                        * table.sizeMultiplier()
+                        * Membership.PROBE_INTERVAL_SECONDS;
+        double max = MAX_TIMEOUT_FACTOR * min;
         int expected = Math.min(EXPECTED_CONFIRMATIONS, table.aliveCount() - 2);
-        double confirmed =
-                expected <= 1 ? 1 : Math.log(suspicion.confirmations.size()) / Math.log(expected);
-        double timeout = Math.max(min, max - (max - min) * confirmed);
-        return suspicion.startedAt + timeout * localHealth.suspicionMultiplier();
+        double confirmed = expected <= 1 ? 1 : Math.log(confirmations) / Math.log(expected);
+        return Math.max(min, max - (max - min) * confirmed);
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/UpdateProcessor.java
+++ b/daemon/src/main/java/wheelroute/peers/UpdateProcessor.java
@@ -1,10 +1,12 @@
 package wheelroute.peers;
 
 /**
- * Applies membership updates, this member's own findings as well as gossip, by SWIM's rules: a
- * higher incarnation supersedes a lower one, and within an incarnation suspect supersedes alive and
- * dead supersedes both. What is accepted is disseminated, and a suspicion of this member itself is
- * refuted. Every change of a member's state goes through here.
+ * Applies membership updates, both received ones and those from this member's own probes, by SWIM's
+ * rules: a higher incarnation supersedes a lower one, and within an incarnation suspect supersedes
+ * alive and dead supersedes both. Accepted updates are disseminated, and a suspicion of this member
+ * itself is refuted. Every change of a member's state is made by this class.
+ *
+ * <p>Times are in seconds. Not thread-safe.
  */
 final class UpdateProcessor {
     private final MemberTable table;
@@ -26,27 +28,27 @@
         this.transport = transport;
     }
 
-    /** Whether an accepted update is passed on to other members. */
+    /** Whether an accepted update is forwarded to other members. */
     enum Dissemination {
         GOSSIP,
         /**
-         * Entries of a list page: others read pages too, and gossip of them would delay the rest.
+         * For the entries of a list page: others request pages themselves, and so many updates
+         * would delay the rest of the gossip.
          */
         NONE
     }
 
-    /** Marks a member that did not respond to this member's probe as suspect. */
+    /** Marks a member as suspect after a probe without a response. */
     void suspect(MemberRecord member, double now) {
         if (member.isAlive()) {
             applyOwnFinding(member, MemberUpdate.State.SUSPECT, now);
         }
     }
 
-    /** Marks those members as dead that were suspected for too long without refuting it. */
+    /** Marks the suspects as dead whose time to refute is over. */
     void declareExpiredSuspectsDead(double now) {
         for (MemberRecord suspect : suspicions.suspects()) {
-            // Looked at one by one: a death makes the cluster smaller, and so the next timeout
-            // shorter.
+            // Checked one by one, because each death shortens the timeout of the others.
             if (suspicions.isExpired(suspect, now)) {
                 applyOwnFinding(suspect, MemberUpdate.State.DEAD, now);
             }
@@ -59,7 +61,7 @@
     }
 
     /**
-     * Applies an update if it is newer than what is known.
+     * Applies an update if it supersedes the known one or confirms a suspicion.
      *
      * @param reportedBy the member that sent it, which may be this one
      */
@@ -91,8 +93,8 @@
     }
 
     /**
-     * Raises this member's incarnation above one that is not its own: either it is suspected, or an
-     * earlier process of the same name ran with a clock that was ahead.
+     * Raises this member's incarnation if the update would supersede its own state: it is
+     * suspected, or an earlier process of the same name ran with a clock that was ahead.
      */
     private void refuteIfNeeded(MemberUpdate update) {
         MemberUpdate self = table.self();
--- a/daemon/src/test/java/wheelroute/peers/DeterministicRandomTest.java
+++ b/daemon/src/test/java/wheelroute/peers/DeterministicRandomTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Virtual runs are only repeatable if the same seed always draws the same numbers. */
+/** The literal numbers of some seeds: simulations depend on them to be repeatable. */
 public class DeterministicRandomTest {
     private static final double RANGE = 1L << 32;
 
-    /** CRC-32 over seed and counter, byte by byte in turn, the lowest first. */
+    /** The numbers are the CRC-32 of the bytes of seed and counter in turn, lowest first. */
     @Test
-    public void drawsDependOnSeedAndCounterOnly() {
+    public void drawsDependOnlyOnSeedAndCounter() {
         DeterministicRandom random = new DeterministicRandom(42);
         assertEquals(random.next(), 0xb6cc51ecL / RANGE);
         assertEquals(random.next(), 0xa7b13b95L / RANGE);
@@ -21,13 +21,12 @@
         assertEquals(new DeterministicRandom(-1).next(), 0x3f49b1e3L / RANGE);
     }
 
-    /** A shuffle draws once for each element but the first, and leaves its argument alone. */
     @Test
     public void shuffleDrawsOnceForEachElementButTheFirst() {
         DeterministicRandom random = new DeterministicRandom(42);
         List<Integer> list = List.of(0, 1, 2);
         List<Integer> shuffled = random.shuffled(list);
-        // 0xb6cc51ec of 3 is index 2, 0xa7b13b95 of 2 is index 1: both stay in place.
+        // 0xb6cc51ec scaled to 3 is index 2, 0xa7b13b95 scaled to 2 is index 1: no change of order.
         assertEquals(shuffled, List.of(0, 1, 2));
         assertEquals(random.next(), 0x1e4ae07dL / RANGE);
         assertEquals(random.shuffled(new ArrayList<>(List.of(7))), List.of(7));
--- a/daemon/src/test/java/wheelroute/peers/GossipQueueTest.java
+++ b/daemon/src/test/java/wheelroute/peers/GossipQueueTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Which updates a message takes along, and when they are dropped. */
+/** The order of updates, and when they are removed. */
 public class GossipQueueTest {
-    private static final int UNLIMITED = 1_000;
+    private static final int HIGH_TRANSMIT_LIMIT = 1_000;
 
     private final MemberUpdate first = update("first", 1);
     private final MemberUpdate second = update("second", 1);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void updateIsDroppedAtTheTransmitLimit() {
+    public void removesUpdateAtTransmitLimit() {
         GossipQueue queue = new GossipQueue();
         queue.enqueue(first);
         assertEquals(queue.take(message(), 2), List.of(first));
@@ -37,32 +37,31 @@
     }
 
     @Test
-    public void leastSentUpdateIsFirst() {
+    public void takesLeastSentUpdatesFirst() {
         GossipQueue queue = new GossipQueue();
         queue.enqueue(first);
-        queue.take(message(), UNLIMITED);
+        queue.take(message(), HIGH_TRANSMIT_LIMIT);
         queue.enqueue(second);
-        assertEquals(queue.take(message(), UNLIMITED), List.of(second, first));
-        // Both were sent, the first one twice.
-        assertEquals(queue.take(message(), UNLIMITED), List.of(second, first));
+        assertEquals(queue.take(message(), HIGH_TRANSMIT_LIMIT), List.of(second, first));
+        // Both have been sent, the first one twice.
+        assertEquals(queue.take(message(), HIGH_TRANSMIT_LIMIT), List.of(second, first));
         queue.prioritize(first);
-        assertEquals(queue.take(message(), UNLIMITED), List.of(first, second));
+        assertEquals(queue.take(message(), HIGH_TRANSMIT_LIMIT), List.of(first, second));
     }
 
     @Test
-    public void newerUpdateReplacesTheMembersEarlierOne() {
+    public void newerUpdateReplacesEarlierOneOfSameMember() {
         GossipQueue queue = new GossipQueue();
         MemberUpdate newer = update("first", 2);
         queue.enqueue(first);
         queue.enqueue(newer);
-        assertEquals(queue.take(message(), UNLIMITED), List.of(newer));
+        assertEquals(queue.take(message(), HIGH_TRANSMIT_LIMIT), List.of(newer));
         queue.remove(newer.id());
         assertEquals(queue.size(), 0);
     }
 
-    /** As many as fit into a datagram; the others go with the next one. */
     @Test
-    public void updatesThatDoNotFitWait() {
+    public void keepsUpdatesThatDoNotFitForTheNextMessage() {
         GossipQueue queue = new GossipQueue();
         int count = 20;
         for (int i = 0; i < count; i++) {
--- a/daemon/src/test/java/wheelroute/peers/LeaseModel.java
+++ b/daemon/src/test/java/wheelroute/peers/LeaseModel.java
@@ -8,34 +8,36 @@
 import java.util.function.Consumer;
 
 /**
- * A state of the model that {@link LeaseModelCheckTest} searches: three dispatchers with the
- * program's own leases and voters, the network between them, and the steps that led to it.
+ * A state of the model that {@link LeaseModelCheckTest} explores: three dispatchers with real
+ * leases and voters, the network between them, and the steps that led to the state.
  */
 final class LeaseModel {
     private static final int MEMBERS = 3;
     private static final int HOLDERS = 2;
+    private static final int SHARE = 0;
 
-    /** A lease's duration, in the unit of {@link #TIME_STEPS}. */
-    private static final double DURATION = 10;
+    /** Another duration than the service's: the model depends on ratios of times only. */
+    private static final double LEASE_DURATION_SECONDS = 10;
 
-    /** Drift of the clocks in the model: large, so that it shows within one lease. */
-    static final double DRIFT = 0.1;
+    /** Large enough to matter within the duration of one lease. */
+    static final double CLOCK_DRIFT_FRACTION = 0.1;
 
-    private static final double GRANT_DURATION = DURATION * (1 + DRIFT) / (1 - DRIFT);
-    private static final double[] TIME_STEPS = {1, 9.5, 12.5};
+    private static final double GRANT_DURATION_SECONDS =
+            LEASE_DURATION_SECONDS * (1 + CLOCK_DRIFT_FRACTION) / (1 - CLOCK_DRIFT_FRACTION);
+    private static final double[] TIME_STEPS_SECONDS = {1, 9.5, 12.5};
     static final PeerId[] NAMES = {new PeerId("a"), new PeerId("b"), new PeerId("c")};
 
-    /** The second holder is a later process of the first one's name, which was only paused. */
+    /** Names for a first holder that is paused while a later process of the same name starts. */
     static final PeerId[] TWO_INCARNATIONS = {NAMES[0], NAMES[0], NAMES[2]};
 
-    /** What the protocol's safety rests on; NONE takes nothing out. */
+    /** The rules on which the safety of the protocol depends. NONE disables no rule. */
     enum Safeguard {
         NONE,
         TERM_STARTS_AT_REQUEST,
         ONE_HOLDER_AT_A_TIME,
-        SILENCE_AFTER_START,
+        QUARANTINE_AFTER_START,
         MARGIN_FOR_DRIFT,
-        MAJORITY,
+        QUORUM,
         CHECK_AT_USE,
         INCARNATION,
         LATEST_RELEASE
@@ -48,7 +50,7 @@
         GRANT
     }
 
-    /** A datagram that was sent; it may arrive at any time, never, or more than once. */
+    /** A datagram that was sent. It may arrive at any time, never, or more than once. */
     private record LeaseDatagram(
             DatagramType type, int from, int to, long incarnation, int round, String text)
             implements Comparable<LeaseDatagram> {
@@ -71,10 +73,10 @@
         }
     }
 
-    /** A transition to the next state; it changes the state that it is given. */
+    /** A transition, whose action changes the given state to the next one. */
     record Step(String name, Consumer<LeaseModel> action) {}
 
-    final Safeguard without;
+    final Safeguard disabled;
     final double[] rates;
     final PeerId[] names;
     double time;
@@ -84,19 +86,19 @@
     final int[] rounds = new int[HOLDERS];
     final boolean[] paused = new boolean[HOLDERS];
 
-    /** What a holder goes by if it does not check the time at each use. */
+    /** Whether a holder uses the lease if it does not check the time at each use. */
     final boolean[] believesHeld = new boolean[HOLDERS];
 
     final Set<LeaseDatagram> messages = new TreeSet<>();
     final List<String> history = new ArrayList<>();
 
-    LeaseModel(Safeguard without, double[] rates, PeerId[] names) {
-        this.without = without;
+    LeaseModel(Safeguard disabled, double[] rates, PeerId[] names) {
+        this.disabled = disabled;
         this.rates = rates;
         this.names = names;
         for (int i = 0; i < MEMBERS; i++) {
-            // All have been running for long.
-            voters[i] = newVoter(-100 * DURATION);
+            // Started long ago, so that the quarantine is over.
+            voters[i] = newVoter(-100 * LEASE_DURATION_SECONDS);
             incarnations[i] = names == TWO_INCARNATIONS && i == 1 ? 9 : 1;
         }
         for (int i = 0; i < HOLDERS; i++) {
@@ -105,7 +107,7 @@
     }
 
     LeaseModel(LeaseModel other) {
-        this(other.without, other.rates, other.names);
+        this(other.disabled, other.rates, other.names);
         time = other.time;
         for (int i = 0; i < MEMBERS; i++) {
             incarnations[i] = other.incarnations[i];
@@ -122,29 +124,32 @@
     }
 
     private LeaseVoter newVoter(double now) {
-        double grantDuration = without == Safeguard.MARGIN_FOR_DRIFT ? DURATION : GRANT_DURATION;
-        double initialSilence = without == Safeguard.SILENCE_AFTER_START ? 0 : grantDuration;
-        return new LeaseVoter(now, grantDuration, initialSilence) {
+        double grantDuration =
+                disabled == Safeguard.MARGIN_FOR_DRIFT
+                        ? LEASE_DURATION_SECONDS
+                        : GRANT_DURATION_SECONDS;
+        double quarantine = disabled == Safeguard.QUARANTINE_AFTER_START ? 0 : grantDuration;
+        return new LeaseVoter(now, grantDuration, quarantine) {
             @Override
             boolean isSameHolder(Grant last, PeerId holder, long incarnation) {
-                return without == Safeguard.ONE_HOLDER_AT_A_TIME
-                        || (without == Safeguard.INCARNATION
+                return disabled == Safeguard.ONE_HOLDER_AT_A_TIME
+                        || (disabled == Safeguard.INCARNATION
                                 ? last.holder().equals(holder)
                                 : super.isSameHolder(last, holder, incarnation));
             }
 
             @Override
             boolean isLatestRound(Grant last, int round) {
-                return without == Safeguard.LATEST_RELEASE || super.isLatestRound(last, round);
+                return disabled == Safeguard.LATEST_RELEASE || super.isLatestRound(last, round);
             }
         };
     }
 
     private Lease newLease() {
-        return new Lease(without == Safeguard.MAJORITY ? 1 : 2, DURATION) {
+        return new Lease(disabled == Safeguard.QUORUM ? 1 : 2, LEASE_DURATION_SECONDS) {
             @Override
             double startOfTerm(double now) {
-                return without == Safeguard.TERM_STARTS_AT_REQUEST ? now : super.startOfTerm(now);
+                return disabled == Safeguard.TERM_STARTS_AT_REQUEST ? now : super.startOfTerm(now);
             }
         };
     }
@@ -155,7 +160,7 @@
 
     boolean uses(int holder) {
         return !paused[holder]
-                && (without == Safeguard.CHECK_AT_USE
+                && (disabled == Safeguard.CHECK_AT_USE
                         ? believesHeld[holder]
                         : leases[holder].isHeld(clock(holder)));
     }
@@ -175,9 +180,9 @@
         return key.toString();
     }
 
-    /** Voters are copied on write, as most steps leave them as they are. */
+    /** Returns a copy of a voter that replaces it; states share the voters that do not change. */
     private LeaseVoter voterToChange(int member) {
-        LeaseVoter copy = newVoter(-100 * DURATION);
+        LeaseVoter copy = newVoter(-100 * LEASE_DURATION_SECONDS);
         voters[member].copyTo(copy);
         voters[member] = copy;
         return copy;
@@ -187,7 +192,7 @@
         all.add(new Step(name, action));
     }
 
-    /** All steps that are possible next. */
+    /** Returns all steps that are possible in this state. */
     List<Step> steps() {
         List<Step> all = new ArrayList<>();
         for (int i = 0; i < HOLDERS; i++) {
@@ -210,7 +215,7 @@
                 step(all, "receive " + message.text, state -> state.receive(message));
             }
         }
-        for (double timeStep : TIME_STEPS) {
+        for (double timeStep : TIME_STEPS_SECONDS) {
             step(all, "advance " + timeStep, state -> state.advance(timeStep));
         }
         for (int i = 0; i < MEMBERS; i++) {
@@ -225,12 +230,12 @@
     private void advance(double timeStep) {
         time += timeStep;
         for (int holder = 0; holder < HOLDERS; holder++) {
-            // A timer of its own ends its belief, unless the process is paused.
+            // The holder's own timer, which does not fire while the process is paused.
             believesHeld[holder] &= paused[holder] || leases[holder].isHeld(clock(holder));
         }
     }
 
-    /** Sends a round of requests; its own vote is taken at once. */
+    /** Sends a round of requests. The holder's own voter receives its request at once. */
     private void request(int holder) {
         int round = ++rounds[holder];
         leases[holder].beginRound(clock(holder), round);
@@ -259,7 +264,7 @@
         }
     }
 
-    /** Sends a datagram; one to the sender itself is received at once. */
+    /** Sends a datagram. One to the sender itself is received at once. */
     private void send(DatagramType type, int from, int to, long incarnation, int round) {
         LeaseDatagram message = new LeaseDatagram(type, from, to, incarnation, round);
         if (from == to) {
@@ -274,14 +279,15 @@
         PeerId sender = names[message.from];
         long incarnation = message.incarnation;
         int round = message.round;
+        LeaseTerms terms = new LeaseTerms(SHARE, incarnation);
         double now = clock(receiver);
         switch (message.type) {
             case REQUEST -> {
-                if (voterToChange(receiver).requestVote(now, 0, sender, incarnation, round)) {
+                if (voterToChange(receiver).requestVote(now, terms, sender, round)) {
                     send(DatagramType.GRANT, receiver, message.from, incarnation, round);
                 }
             }
-            case RELEASE -> voterToChange(receiver).release(0, sender, incarnation, round);
+            case RELEASE -> voterToChange(receiver).release(terms, sender, round);
             case GRANT -> {
                 if (incarnation == incarnations[receiver]) {
                     leases[receiver].onGrant(now, round, sender);
--- a/daemon/src/test/java/wheelroute/peers/LeaseModelCheckTest.java
+++ b/daemon/src/test/java/wheelroute/peers/LeaseModelCheckTest.java
@@ -14,25 +14,25 @@
 import org.testng.annotations.Test;
 
 /**
- * Model check of {@link Lease} and {@link LeaseVoter}, with three dispatchers and one share that
- * two of them want: every order of requests, deliveries, releases, pauses, restarts and passing
- * time to a stated depth, and random walks beyond it. Datagrams are delayed, duplicated and lost.
- * At no moment do two hold the share; with any one safeguard taken out, they do.
+ * Model check of {@link Lease} and {@link LeaseVoter} with three dispatchers, two of which request
+ * the same share. Every order of requests, deliveries, releases, pauses, restarts and time steps is
+ * explored to a given depth, and random walks go beyond it. Datagrams are delayed, duplicated and
+ * lost.
  */
 public class LeaseModelCheckTest {
-    private static final double SLOW = 1 - LeaseModel.DRIFT;
-    private static final double FAST = 1 + LeaseModel.DRIFT;
+    private static final double SLOW = 1 - LeaseModel.CLOCK_DRIFT_FRACTION;
+    private static final double FAST = 1 + LeaseModel.CLOCK_DRIFT_FRACTION;
 
-    /** Depth of the exhaustive search: some hundred thousand states for each set of clocks. */
+    /** Depth of the exhaustive search, which has some 100,000 states for each set of clocks. */
     private static final int DEPTH = 6;
 
     private static final int WALK_LENGTH = 30;
     private static final int WALKS = 250_000;
 
-    /** Number of states that the last exhaustive search has seen. */
-    private int states;
+    /** Number of states that the last exhaustive search has visited. */
+    private int visitedStates;
 
-    /** Searches all states up to a depth; the steps to one with two holders, or null for none. */
+    /** Searches all states up to a depth. Returns the steps to one with two holders, or null. */
     private List<String> findViolation(double[] rates, PeerId[] names) {
         Set<String> seen = new HashSet<>();
         ArrayDeque<LeaseModel> open = new ArrayDeque<>();
@@ -53,19 +53,19 @@
                 }
             }
         }
-        states = seen.size();
+        visitedStates = seen.size();
         return null;
     }
 
-    /** Walks at random, deeper than an exhaustive search; the steps to two holders, or null. */
+    /** Searches deeper by random walks. Returns the steps to a state with two holders, or null. */
     private static List<String> findViolationByRandomWalks(
-            LeaseModel.Safeguard without, double[] rates, PeerId[] names, int walks) {
+            LeaseModel.Safeguard disabled, double[] rates, PeerId[] names, int walks) {
         for (int seed = 0; seed < walks; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            LeaseModel state = new LeaseModel(without, rates, names);
+            LeaseModel state = new LeaseModel(disabled, rates, names);
             while (state.history.size() < WALK_LENGTH) {
                 List<LeaseModel.Step> steps = state.steps();
-                // Mostly deliveries: else a walk hardly ever gets to a lease that is held.
+                // Deliveries are preferred, because a walk would rarely acquire a lease otherwise.
                 List<LeaseModel.Step> deliveries =
                         steps.stream().filter(one -> one.name().startsWith("receive")).toList();
                 boolean any = deliveries.isEmpty() || random.nextInt(3) == 0;
@@ -94,10 +94,10 @@
     }
 
     @Test(dataProvider = "clocks")
-    public void shareHasOneHolderAtATime(double[] rates, PeerId[] names) {
+    public void shareHasAtMostOneHolder(double[] rates, PeerId[] names) {
         List<String> history = findViolation(rates, names);
         assertNull(history, String.valueOf(history));
-        assertTrue(states > 5_000, states + " states were seen");
+        assertTrue(visitedStates > 5_000, visitedStates + " states were visited");
         List<String> deep =
                 findViolationByRandomWalks(LeaseModel.Safeguard.NONE, rates, names, WALKS / 10);
         assertNull(deep, String.valueOf(deep));
@@ -112,7 +112,7 @@
     }
 
     @Test(dataProvider = "safeguards")
-    public void withoutOneSafeguardTwoHoldTheShare(LeaseModel.Safeguard safeguard) {
+    public void shareCanHaveTwoHoldersIfASafeguardIsDisabled(LeaseModel.Safeguard safeguard) {
         assertNotNull(
                 findViolationByRandomWalks(
                         safeguard,
@@ -121,6 +121,6 @@
                                 ? LeaseModel.TWO_INCARNATIONS
                                 : LeaseModel.NAMES,
                         WALKS),
-                "not found");
+                "no state with two holders was found");
     }
 }
--- a/daemon/src/test/java/wheelroute/peers/MembershipTest.java
+++ b/daemon/src/test/java/wheelroute/peers/MembershipTest.java
@@ -10,8 +10,7 @@
 import org.testng.annotations.Test;
 
 /**
- * One member's reactions, message by message. Clusters under faults are played in the kit's
- * PeerModelTest.
+ * The reactions of one member to single messages. For whole clusters see the kit's PeerModelTest.
  */
 public class MembershipTest {
     private static final int CLUSTER = 5;
@@ -19,10 +18,11 @@
     private static final PeerId OTHER = new PeerId("other");
     private static final PeerId THIRD = new PeerId("another");
     private static final double START = 100;
-    private static final double TIMER_STEP = 0.05;
+    private static final double TIMER_STEP_SECONDS = 0.05;
 
-    /** Suspicion timeout of a cluster of two, at full local health. */
-    private static final double LEAST_SUSPICION = 4 * Membership.PROBE_INTERVAL_SECONDS;
+    /** Suspicion timeout in a cluster of two, for a healthy member. */
+    private static final double MIN_SUSPICION_TIMEOUT_SECONDS =
+            4 * Membership.PROBE_INTERVAL_SECONDS;
 
     private final List<Message> sent = new ArrayList<>();
     private final List<MemberAddress> receivers = new ArrayList<>();
@@ -38,8 +38,8 @@
         }
 
         @Override
-        public void scheduleTimer(double delay) {
-            // The tests call the timer at short intervals, which does no harm.
+        public void scheduleTimer(double delaySeconds) {
+            // The tests call onTimer at short intervals instead.
         }
 
         @Override
@@ -62,7 +62,7 @@
         return new MessageHeader(CLUSTER, alive, 0, List.of(updates));
     }
 
-    /** A member that knows nobody, and has only itself as a seed. */
+    /** Starts a member that knows no other one and has only itself as a seed. */
     @BeforeMethod
     public void start() {
         now = START;
@@ -83,12 +83,12 @@
         membership.receive(address(sender), message);
     }
 
-    /** Runs the timer until a change of state has been reported; the seconds until then. */
+    /** Runs the timer until a change of state is reported. Returns the seconds until then. */
     private double secondsUntilChange(double timeout) {
         double from = now;
         int before = changes.size();
         while (changes.size() == before && now < from + timeout) {
-            now += TIMER_STEP;
+            now += TIMER_STEP_SECONDS;
             membership.advanceTo(now);
             membership.onTimer();
         }
@@ -96,7 +96,7 @@
     }
 
     @Test
-    public void pingIsAnsweredAndMakesTheSenderKnown() {
+    public void answersPingAndAddsItsSender() {
         receive(OTHER, new Message.Ping(header(OTHER), 77));
         assertEquals(changes, List.of("other ALIVE by other"));
         assertEquals(membership.aliveCount(), 2);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    public void messageOfAnotherClusterIsIgnored() {
+    public void ignoresMessageOfAnotherCluster() {
         MemberUpdate sender = update(OTHER, 1, MemberUpdate.State.ALIVE);
         MessageHeader foreign = new MessageHeader(CLUSTER + 1, sender, 0, List.of());
         receive(OTHER, new Message.Ping(foreign, 1));
@@ -115,26 +115,25 @@
         assertTrue(sent.isEmpty());
     }
 
-    /** Suspect at the end of the probe, and dead once the suspicion timeout has passed. */
     @Test
-    public void silentMemberBecomesSuspectAndThenDead() {
+    public void marksUnresponsiveMemberAsSuspectAndThenAsDead() {
         receive(OTHER, new Message.Ping(header(OTHER), 1));
         double untilSuspect = secondsUntilChange(5);
         assertEquals(changes.get(1), "other SUSPECT by self");
-        // One interval until the next probe and one for the probe, each seen a timer step late.
-        double latest = 2 * (Membership.PROBE_INTERVAL_SECONDS + TIMER_STEP);
+        // One interval until the next probe and one for the probe, each rounded up to a timer step.
+        double latest = 2 * (Membership.PROBE_INTERVAL_SECONDS + TIMER_STEP_SECONDS);
         assertTrue(untilSuspect <= latest, untilSuspect + " s");
         assertEquals(membership.aliveCount(), 2, "a suspect counts as alive");
         double untilDead = secondsUntilChange(30);
         assertEquals(changes.get(2), "other DEAD by self");
-        assertTrue(untilDead >= LEAST_SUSPICION - TIMER_STEP, untilDead + " s");
+        assertTrue(
+                untilDead >= MIN_SUSPICION_TIMEOUT_SECONDS - TIMER_STEP_SECONDS, untilDead + " s");
         assertEquals(membership.aliveCount(), 1);
         assertEquals(membership.find(OTHER).state(), MemberUpdate.State.DEAD);
     }
 
-    /** A refutation has a higher incarnation; the same incarnation does not revive. */
     @Test
-    public void suspectRefutesWithAHigherIncarnationOnly() {
+    public void acceptsRefutationOnlyWithHigherIncarnation() {
         receive(OTHER, new Message.Ping(header(OTHER), 1));
         receive(
                 THIRD,
@@ -148,11 +147,8 @@
         assertEquals(membership.find(OTHER).incarnation(), 2);
     }
 
-    /**
-     * Suspected itself, a member raises its incarnation, gossips that and is less sure of itself.
-     */
     @Test
-    public void suspicionOfThisMemberIsRefuted() {
+    public void refutesSuspicionOfItselfAndDegradesLocalHealth() {
         MemberUpdate suspicion = update(SELF, 1, MemberUpdate.State.SUSPECT);
         receive(OTHER, new Message.Ping(header(OTHER, suspicion), 1));
         assertEquals(membership.self().incarnation(), 2);
@@ -164,15 +160,14 @@
         assertEquals(membership.self().incarnation(), 2, "an old suspicion needs no refutation");
     }
 
-    /** A ping request is relayed; the ack goes to the requester, or a nack if there is none. */
     @Test
-    public void pingRequestIsRelayedAndAnswered() {
+    public void answersPingRequestWithNackAtTimeoutAndForwardsLateAck() {
         MemberUpdate target = update(THIRD, 1, MemberUpdate.State.ALIVE);
         receive(OTHER, new Message.PingRequest(header(OTHER), 50, target));
         Message ping = sent.get(0);
         assertEquals(ping.type(), MessageType.PING);
         assertEquals(receivers.get(0), address(THIRD));
-        now += ProbeCycle.ACK_TIMEOUT;
+        now += ProbeCycle.ACK_TIMEOUT_SECONDS;
         membership.advanceTo(now);
         membership.onTimer();
         assertEquals(sentTo(OTHER, MessageType.NACK, 50), 1);
@@ -192,9 +187,8 @@
         return count;
     }
 
-    /** A leaving member announces itself as LEFT, and is silent from then on. */
     @Test
-    public void leavingIsAnnounced() {
+    public void announcesItsLeaveAndAnswersNoMoreMessages() {
         receive(OTHER, new Message.Ping(header(OTHER), 1));
         sent.clear();
         membership.leave();
@@ -204,9 +198,8 @@
         assertEquals(sent.size(), 1);
     }
 
-    /** A member that did not run for a while blames itself, and gives suspects more time. */
     @Test
-    public void stallIsNotHeldAgainstOthers() {
+    public void stallDegradesLocalHealthAndPostponesSuspicionTimers() {
         receive(OTHER, new Message.Ping(header(OTHER), 1));
         secondsUntilChange(5);
         assertEquals(changes.get(1), "other SUSPECT by self");
--- a/daemon/src/test/java/wheelroute/peers/MessageCodecTest.java
+++ b/daemon/src/test/java/wheelroute/peers/MessageCodecTest.java
@@ -8,16 +8,14 @@
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.zip.CRC32;
 import org.quicktheories.QuickTheory;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/**
- * Property tests of the codec: decoding reverses encoding, and any other bytes are rejected with a
- * {@link MalformedMessageException}. {@link WireFormatTest} holds the literal bytes.
- */
+/** Property tests of the codec. {@link MessageCodecWireFormatTest} has the literal bytes. */
 public class MessageCodecTest {
     private static final long SEED = 1;
     private static final int EXAMPLES = 3_000;
@@ -61,9 +59,8 @@
         };
     }
 
-    /** Datagrams keep within their size bound and hold the updates that fit, from the first on. */
     @Test
-    public void decodingReversesEncoding() {
+    public void decodesEncodedMessageWithTheUpdatesThatFit() {
         quickTheory()
                 .forAll(
                         integers().between(0, TYPES - 1),
@@ -76,7 +73,7 @@
                             assertEquals(
                                     bytes.remaining() <= MessageCodec.MAX_DATAGRAM_BYTES, true);
                             int fitting =
-                                    MessageCodec.fitting(
+                                    MessageCodec.countFitting(
                                             sent.withUpdates(List.of()), sent.header().updates());
                             try {
                                 assertEquals(
@@ -98,12 +95,9 @@
         }
     }
 
-    /**
-     * Random bytes, without and with a valid checksum, are decoded or rejected: no other exception,
-     * and no endless loop.
-     */
+    /** Random bytes, without and with a valid checksum, cause no other exception. */
     @Test
-    public void randomBytesAreDecodedOrRejected() {
+    public void decodesOrRejectsRandomBytes() {
         quickTheory()
                 .forAll(lists().of(integers().between(-128, 127)).ofSizeBetween(0, 300))
                 .checkAssert(
@@ -117,9 +111,9 @@
                         });
     }
 
-    /** Valid datagrams with one byte changed, or cut short, without and with a valid checksum. */
+    /** Datagrams with one byte changed or truncated, without and with a valid checksum. */
     @Test
-    public void damagedDatagramsAreDecodedOrRejected() {
+    public void decodesOrRejectsDamagedDatagrams() {
         quickTheory()
                 .forAll(
                         integers().between(0, TYPES - 1),
@@ -165,8 +159,9 @@
     }
 
     @Test(dataProvider = "rejectedDatagrams")
-    public void rejectionNamesTheReason(int at, int value, String reason, byte[] bytes, int size) {
-        byte[] changed = java.util.Arrays.copyOf(bytes, size);
+    public void rejectsMalformedDatagramWithItsReason(
+            int at, int value, String reason, byte[] bytes, int size) {
+        byte[] changed = Arrays.copyOf(bytes, size);
         changed[at] = (byte) value;
         MalformedMessageException e =
                 expectThrows(
--- a/daemon/src/test/java/wheelroute/peers/WireFormatTest.java
+++ b/daemon/src/test/java/wheelroute/peers/MessageCodecWireFormatTest.java
@@ -9,10 +9,10 @@
 import org.testng.annotations.Test;
 
 /**
- * The literal bytes of each type of datagram. Processes of different releases run side by side
- * during a deployment, so these bytes must not change within one version of the wire format.
+ * The literal bytes of each type of datagram. Processes of different releases exchange them during
+ * a deployment, so they must not change within one version of the wire format.
  */
-public class WireFormatTest {
+public class MessageCodecWireFormatTest {
     private static final String PREFIX = "77720001";
     private static final String ADDRESSING = "00000005" + "11223344" + "55667788";
     private static final String SENDER =
@@ -54,7 +54,7 @@
     private static final MessageHeader HEADER_WITH_UPDATES =
             HEADER.withUpdates(List.of(SUSPECTED_UPDATE, DEAD_UPDATE));
 
-    /** Messages; type code, body with the updates, and checksum of each. */
+    /** A message each, with its type code, its body with the updates, and its checksum. */
     @DataProvider
     public Object[][] datagrams() {
         return new Object[][] {
@@ -92,9 +92,9 @@
         };
     }
 
-    /** Both directions: the bytes of the message, and the message of the bytes. */
     @Test(dataProvider = "datagrams")
-    public void bytesOnTheWire(Message message, String typeCode, String body, String checksum)
+    public void encodesAndDecodesRecordedBytes(
+            Message message, String typeCode, String body, String checksum)
             throws MalformedMessageException {
         String expected = PREFIX + typeCode + ADDRESSING + SENDER + body + checksum;
         ByteBuffer encoded = MessageCodec.encode(message);
--- a/daemon/src/test/java/wheelroute/peers/QuotaLeasesTest.java
+++ b/daemon/src/test/java/wheelroute/peers/QuotaLeasesTest.java
@@ -12,13 +12,16 @@
 import org.testng.annotations.Test;
 
 /**
- * Quota leases of several dispatchers, with a network and a view of liveness that the test sets.
+ * Quota leases of several dispatchers on a simulated network, with a simulated failure detector.
  */
 public class QuotaLeasesTest {
-    private static final double STEP = 0.05;
+    private static final double TIME_STEP_SECONDS = 0.05;
     private static final double TOLERANCE = 1e-9;
 
-    /** All dispatchers, on one clock; a datagram is delivered after one time step or more. */
+    /** Long enough for every grant to expire and every share to be requested again. */
+    private static final double SETTLE_SECONDS = 3 * Lease.GRANT_DURATION_SECONDS;
+
+    /** All dispatchers, on one clock. A datagram is delivered after one time step or more. */
     private static final class Cluster {
         final int count;
         final QuotaLeases[] leases;
@@ -28,16 +31,16 @@
         final Set<Integer> paused = new HashSet<>();
         final List<Runnable> inTransit = new ArrayList<>();
         final SplittableRandom random = new SplittableRandom(7);
-        double loss;
+        double lossProbability;
 
-        /** Dispatchers from this number on and those below do not reach each other; -1 for none. */
+        /** Splits the dispatchers into those below this number and the others; -1 for none. */
         int partitionAt = -1;
 
-        /** Each dispatcher's view of who is alive is random. */
-        boolean livenessIsWrong;
+        /** Whether the failure detector of each dispatcher gives random results. */
+        boolean isLivenessRandom;
 
         double now = 100;
-        double largestUse;
+        double maxFractionInUse;
 
         Cluster(int count) {
             this.count = count;
@@ -60,7 +63,7 @@
                             count,
                             incarnation,
                             other ->
-                                    livenessIsWrong
+                                    isLivenessRandom
                                             ? random.nextBoolean()
                                             : up[other] && !isPartitioned(i, other),
                             transportOf(i));
@@ -79,25 +82,20 @@
 
                 @Override
                 public void sendRelease(int to, int number, LeaseTerms terms) {
-                    send(
-                            from,
-                            to,
-                            () ->
-                                    voters[to].release(
-                                            terms.share(), id(from), terms.incarnation(), number));
+                    send(from, to, () -> voters[to].release(terms, id(from), number));
                 }
             };
         }
 
         private void request(int from, int to, int number, LeaseTerms terms) {
-            if (voters[to].requestVote(now, terms.share(), id(from), terms.incarnation(), number)) {
+            if (voters[to].requestVote(now, terms, id(from), number)) {
                 send(to, from, () -> leases[from].onGrant(now, number, terms, id(to)));
             }
         }
 
-        /** Puts a message on its way, to be handled unless the receiver is down or paused. */
+        /** Sends a message, which is dropped if the receiver is down or paused at its delivery. */
         private void send(int from, int to, Runnable receive) {
-            if (isPartitioned(from, to) || random.nextDouble() < loss) {
+            if (isPartitioned(from, to) || random.nextDouble() < lossProbability) {
                 return;
             }
             inTransit.add(
@@ -114,10 +112,10 @@
 
         void advance(double seconds) {
             for (double end = now + seconds; now < end; ) {
-                now += STEP;
+                now += TIME_STEP_SECONDS;
                 List<Runnable> due = new ArrayList<>(inTransit);
                 inTransit.clear();
-                // Some are delivered a step later, and so out of order.
+                // Some are delivered a step later, so that they are reordered.
                 due.forEach(
                         delivery -> {
                             if (random.nextInt(4) == 0) {
@@ -131,109 +129,104 @@
                         leases[i].renew(now);
                     }
                 }
-                largestUse = Math.max(largestUse, inUse());
-                assertTrue(largestUse <= 1 + TOLERANCE, largestUse + " of the quota are in use");
+                maxFractionInUse = Math.max(maxFractionInUse, fractionInUse());
+                assertTrue(
+                        maxFractionInUse <= 1 + TOLERANCE,
+                        maxFractionInUse + " of the quota are in use");
             }
         }
 
-        double inUse() {
+        double fractionInUse() {
             double sum = 0;
             for (int i = 0; i < count; i++) {
-                sum += up[i] && !paused.contains(i) ? leases[i].usableTotal(now) : 0;
+                sum += up[i] && !paused.contains(i) ? leases[i].usableTotalFraction(now) : 0;
             }
             return sum;
         }
     }
 
-    /** Long enough for every grant to expire and every share to be requested again. */
-    private static final double SETTLED = 3 * Lease.GRANT_DURATION_SECONDS;
-
     @DataProvider
     public Object[][] counts() {
         return new Object[][] {{1}, {2}, {3}, {5}, {14}, {100}};
     }
 
     @Test(dataProvider = "counts")
-    public void togetherTheyUseTheWholeQuota(int count) {
+    public void usesWholeQuotaWithoutFaults(int count) {
         Cluster cluster = new Cluster(count);
-        cluster.advance(SETTLED);
-        assertEquals(cluster.inUse(), 1, TOLERANCE);
-        assertEquals(cluster.leases[0].usableTotal(cluster.now), 1.0 / count, TOLERANCE);
+        cluster.advance(SETTLE_SECONDS);
+        assertEquals(cluster.fractionInUse(), 1, TOLERANCE);
+        assertEquals(cluster.leases[0].usableTotalFraction(cluster.now), 1.0 / count, TOLERANCE);
     }
 
-    /**
-     * A dead dispatcher's guaranteed part is unused, the rest of its share goes to the next one.
-     */
+    /** The guaranteed fraction of a dead dispatcher's share remains unused. */
     @Test
-    public void nextDispatcherTakesOverLeasedPart() {
+    public void nextAliveDispatcherAcquiresLeaseOfDeadDispatcher() {
         Cluster cluster = new Cluster(10);
-        cluster.advance(SETTLED);
+        cluster.advance(SETTLE_SECONDS);
         cluster.up[4] = false;
-        cluster.advance(SETTLED);
-        assertEquals(cluster.inUse(), 1 - QuotaLeases.GUARANTEED_PART / 10, TOLERANCE);
+        cluster.advance(SETTLE_SECONDS);
+        assertEquals(cluster.fractionInUse(), 1 - QuotaLeases.GUARANTEED_FRACTION / 10, TOLERANCE);
         assertEquals(cluster.leases[5].heldShares(cluster.now), List.of(4, 5));
         assertEquals(
-                cluster.leases[5].usablePart(4, cluster.now),
-                1 - QuotaLeases.GUARANTEED_PART,
+                cluster.leases[5].usableFraction(4, cluster.now),
+                1 - QuotaLeases.GUARANTEED_FRACTION,
                 TOLERANCE);
         cluster.start(4);
-        cluster.advance(SETTLED);
-        assertEquals(cluster.inUse(), 1, TOLERANCE);
+        cluster.advance(SETTLE_SECONDS);
+        assertEquals(cluster.fractionInUse(), 1, TOLERANCE);
         assertEquals(cluster.leases[5].heldShares(cluster.now), List.of(5));
     }
 
-    /** A dispatcher cut off from all others falls back to its guaranteed part, and no further. */
     @Test
-    public void partitionedDispatcherKeepsGuaranteedPart() {
+    public void partitionedDispatcherFallsBackToGuaranteedFraction() {
         Cluster cluster = new Cluster(10);
-        cluster.advance(SETTLED);
+        cluster.advance(SETTLE_SECONDS);
         cluster.partitionAt = 1;
-        cluster.advance(Lease.DURATION_SECONDS + STEP);
+        cluster.advance(Lease.DURATION_SECONDS + TIME_STEP_SECONDS);
         assertEquals(
-                cluster.leases[0].usableTotal(cluster.now),
-                QuotaLeases.GUARANTEED_PART / 10,
+                cluster.leases[0].usableTotalFraction(cluster.now),
+                QuotaLeases.GUARANTEED_FRACTION / 10,
                 TOLERANCE);
-        cluster.advance(SETTLED);
-        assertEquals(cluster.inUse(), 1, TOLERANCE);
+        cluster.advance(SETTLE_SECONDS);
+        assertEquals(cluster.fractionInUse(), 1, TOLERANCE);
         cluster.partitionAt = 5;
-        cluster.advance(SETTLED);
-        // Of five that follow a share's owner three are always on one side.
-        assertEquals(cluster.inUse(), 1, TOLERANCE);
+        cluster.advance(SETTLE_SECONDS);
+        // One side always has three of the five voters of a share.
+        assertEquals(cluster.fractionInUse(), 1, TOLERANCE);
     }
 
-    /** A process that was paused sees by the clock that its lease has expired. */
     @Test
-    public void leaseIsExpiredAfterPause() {
+    public void leaseExpiresWhileItsHolderIsPaused() {
         Cluster cluster = new Cluster(5);
-        cluster.advance(SETTLED);
-        assertEquals(cluster.leases[2].usablePart(2, cluster.now), 1, TOLERANCE);
+        cluster.advance(SETTLE_SECONDS);
+        assertEquals(cluster.leases[2].usableFraction(2, cluster.now), 1, TOLERANCE);
         cluster.paused.add(2);
-        cluster.advance(Lease.DURATION_SECONDS + STEP);
+        cluster.advance(Lease.DURATION_SECONDS + TIME_STEP_SECONDS);
         cluster.paused.remove(2);
         assertEquals(
-                cluster.leases[2].usablePart(2, cluster.now),
-                QuotaLeases.GUARANTEED_PART,
+                cluster.leases[2].usableFraction(2, cluster.now),
+                QuotaLeases.GUARANTEED_FRACTION,
                 TOLERANCE);
     }
 
     @Test
-    public void leavingReleasesAtOnce() {
+    public void releasedLeaseIsAcquiredBeforeItWouldHaveExpired() {
         Cluster cluster = new Cluster(10);
-        cluster.advance(SETTLED);
+        cluster.advance(SETTLE_SECONDS);
         cluster.leases[4].releaseAll();
         cluster.up[4] = false;
         cluster.advance(Lease.DURATION_SECONDS / 2);
         assertTrue(
                 cluster.leases[5].heldShares(cluster.now).contains(4),
-                "the successor waits for a grant that was released");
+                "the next dispatcher has not acquired the released lease");
     }
 
-    /** Random crashes, restarts, pauses and partitions, with loss and wrong views of liveness. */
+    /** Crashes, restarts, pauses, partitions, lost messages and a random failure detector. */
     @Test
-    public void usageNeverExceedsTheQuota() {
+    public void usageNeverExceedsQuotaUnderRandomFaults() {
         Cluster cluster = new Cluster(9);
-        cluster.livenessIsWrong = true;
-        cluster.loss = 0.3;
+        cluster.isLivenessRandom = true;
+        cluster.lossProbability = 0.3;
         for (int i = 0; i < 300; i++) {
             int target = cluster.random.nextInt(9);
             switch (cluster.random.nextInt(4)) {
@@ -248,6 +241,8 @@
             }
             cluster.advance(cluster.random.nextDouble() * 3);
         }
-        assertTrue(cluster.largestUse > 0.6, "hardly anything was used: " + cluster.largestUse);
+        assertTrue(
+                cluster.maxFractionInUse > 0.6,
+                "only " + cluster.maxFractionInUse + " of the quota were in use");
     }
 }
