--- a/daemon/src/main/java/wheelroute/config/Config.java
+++ b/daemon/src/main/java/wheelroute/config/Config.java
@@ -8,23 +8,23 @@
 import wheelroute.decision.Settings;
 
 /**
- * The configuration of one dispatcher. Times in seconds.
+ * The configuration of one dispatcher. Immutable.
  *
- * @param name identifies the dispatcher to others
- * @param listen where clients connect
- * @param discovery where the endpoint list is polled
- * @param admin where the admin server listens; null for no admin server
- * @param handoverDirectory the handover directory, in which an old and a new process of one
- *     dispatcher find each other; null for no handover
- * @param maxDescriptors the maximum number of file descriptors of the process
- * @param maxMemoryBytes the maximum size of the process in bytes; NaN if unknown
- * @param cachedEndpoints the cached endpoint list, as JSON in discovery's form; null for none
+ * @param name identifies the dispatcher among others
+ * @param listen address of the server for clients
+ * @param discovery address at which the endpoint list is polled
+ * @param admin address of the admin server; null for none
+ * @param handoverDirectory directory in which an old and a new process of the dispatcher find each
+ *     other; null for no handover
+ * @param maxDescriptors maximum number of file descriptors of the process
+ * @param maxMemoryBytes maximum size of the process; NaN if unknown
+ * @param cachedEndpoints an earlier endpoint list, as JSON in the form of discovery; null for none
  * @param settings of the decisions
  * @param connectTimeoutSeconds timeout for connecting to a worker
- * @param idleTimeoutSeconds workers close connections that have been idle for this long
- * @param maxTimeoutSeconds the maximum deadline of all request classes
- * @param listIsPushed whether watch events that discovery's agent has received count as received by
- *     this dispatcher, even before it polls for them
+ * @param idleTimeoutSeconds time after which workers close an idle connection
+ * @param maxTimeoutSeconds maximum of the deadlines of all request classes
+ * @param listIsPushed whether a watch event counts as received by this dispatcher once it has
+ *     reached the agent of discovery, even before it is polled
  * @param peers communication with other dispatchers; null for none
  */
 public record Config(
@@ -42,28 +42,42 @@
         double maxTimeoutSeconds,
         boolean listIsPushed,
         PeeringConfig peers) {
-    private static final String CONNECT_TIMEOUT_KEY = "settings.permissions.connect_timeout_us";
-    private static final String IDLE_TIMEOUT_KEY = "settings.permissions.conn_idle_us";
+    private static final String SETTINGS_KEY = "settings";
 
-    /** The keys whose values differ in the other configuration but apply only after a restart. */
+    /** Returns the keys whose values differ in the other configuration and need a restart. */
     public List<String> keysRequiringRestart(Config other) {
         List<String> keys = new ArrayList<>();
-        addIfDifferent(keys, "name", name, other.name);
-        addIfDifferent(keys, "listen", listen, other.listen);
-        addIfDifferent(keys, "admin", admin, other.admin);
-        addIfDifferent(keys, "limits.sockets", maxDescriptors, other.maxDescriptors);
-        addIfDifferent(keys, "limits.memory_mb", maxMemoryBytes, other.maxMemoryBytes);
-        addIfDifferent(keys, "settings", settings, other.settings.withSeed(settings.seed()));
+        addIfDifferent(keys, ConfigKeys.NAME, name, other.name);
+        addIfDifferent(keys, ConfigKeys.LISTEN, listen, other.listen);
+        addIfDifferent(keys, ConfigKeys.ADMIN, admin, other.admin);
+        addIfDifferent(keys, ConfigKeys.MAX_DESCRIPTORS, maxDescriptors, other.maxDescriptors);
+        addIfDifferent(keys, ConfigKeys.MAX_MEMORY_MEGABYTES, maxMemoryBytes, other.maxMemoryBytes);
+        addIfDifferent(keys, SETTINGS_KEY, settings, other.settings.withSeed(settings.seed()));
         addIfDifferent(
-                keys, CONNECT_TIMEOUT_KEY, connectTimeoutSeconds, other.connectTimeoutSeconds);
-        addIfDifferent(keys, IDLE_TIMEOUT_KEY, idleTimeoutSeconds, other.idleTimeoutSeconds);
-        addIfDifferent(keys, "settings.membership_mode", listIsPushed, other.listIsPushed);
-        addIfDifferent(keys, "peering", peers, other.peers);
+                keys,
+                settingsKey(ConfigKeys.CONNECT_TIMEOUT),
+                connectTimeoutSeconds,
+                other.connectTimeoutSeconds);
         addIfDifferent(
-                keys, "settings.request_classes", maxTimeoutSeconds, other.maxTimeoutSeconds);
+                keys,
+                settingsKey(ConfigKeys.IDLE_TIMEOUT),
+                idleTimeoutSeconds,
+                other.idleTimeoutSeconds);
+        addIfDifferent(
+                keys, settingsKey(ConfigKeys.ENDPOINT_LIST_MODE), listIsPushed, other.listIsPushed);
+        addIfDifferent(keys, ConfigKeys.PEERING, peers, other.peers);
+        addIfDifferent(
+                keys,
+                settingsKey(ConfigKeys.REQUEST_CLASSES),
+                maxTimeoutSeconds,
+                other.maxTimeoutSeconds);
         return keys;
     }
 
+    private static String settingsKey(String key) {
+        return ConfigKeys.SETTINGS_PREFIX + key;
+    }
+
     private static void addIfDifferent(
             List<String> keys, String key, Object value, Object otherValue) {
         if (!Objects.equals(value, otherValue)) {
--- a/daemon/src/main/java/wheelroute/config/ConfigFile.java
+++ b/daemon/src/main/java/wheelroute/config/ConfigFile.java
@@ -14,30 +14,30 @@
 import java.util.Map;
 
 /**
- * The contents of a configuration file: the platform's JSON, or an operator's TOML.
+ * The contents of a configuration file, which is the platform's JSON or an operator's TOML.
  *
- * @param pairs all values by their path, as {@link JsonFlattener} writes them
- * @param cachedEndpoints the endpoint list, as JSON in discovery's form; null for none
+ * @param pairs all values by their paths, in the form that {@link JsonFlattener} writes
+ * @param cachedEndpoints an endpoint list, as JSON in the form of discovery; null for none
  */
 record ConfigFile(Map<String, String> pairs, byte[] cachedEndpoints) {
     private static final JsonFactory JSON = new JsonFactory();
-    private static final String PATH_KEY = "LB_CONFIG";
-    private static final String CACHED_ENDPOINTS_KEY = "known";
+    private static final String TOML_SUFFIX = ".toml";
 
     /**
-     * Reads a file; one whose name ends with .toml is TOML, any other JSON.
+     * Reads a file, which is TOML if its name ends with .toml and JSON otherwise.
      *
      * @throws ConfigException if the file cannot be read or parsed
      */
     static ConfigFile read(String path) throws ConfigException {
         try {
-            if (path.endsWith(".toml")) {
+            if (path.endsWith(TOML_SUFFIX)) {
                 return TomlFile.parse(Files.readString(Path.of(path), StandardCharsets.UTF_8));
             }
             return parseJson(Files.readAllBytes(Path.of(path)));
         } catch (IOException | InvalidPathException e) {
             throw new ConfigException(
-                    PATH_KEY, "names a file that cannot be read: " + e.getMessage());
+                    ConfigKeys.CONFIG_FILE_VARIABLE,
+                    "names a file that cannot be read: " + e.getMessage());
         }
     }
 
@@ -46,25 +46,28 @@
         byte[] cachedEndpoints = null;
         try (JsonParser parser = JSON.createParser(json)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new ConfigException(PATH_KEY, "names a file that is not a JSON object");
+                throw new ConfigException(
+                        ConfigKeys.CONFIG_FILE_VARIABLE, "names a file that is not a JSON object");
             }
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
                 parser.nextToken();
-                if (name.equals(CACHED_ENDPOINTS_KEY)) {
+                if (name.equals(ConfigKeys.CACHED_ENDPOINTS)) {
                     cachedEndpoints = copyValue(parser);
                 } else {
                     JsonFlattener.flatten(parser, name, pairs);
                 }
             }
             if (parser.nextToken() != null) {
-                throw new ConfigException(PATH_KEY, "names a file that goes on after its object");
+                throw new ConfigException(
+                        ConfigKeys.CONFIG_FILE_VARIABLE,
+                        "names a file that goes on after its object");
             }
         }
         return new ConfigFile(pairs, cachedEndpoints);
     }
 
-    /** The JSON text of a value, to be decoded by the endpoint list's own codec. */
+    /** Returns the JSON text of a value, which is decoded later. */
     private static byte[] copyValue(JsonParser parser) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator generator = JSON.createGenerator(out)) {
--- a/daemon/src/main/java/wheelroute/config/JsonFlattener.java
+++ b/daemon/src/main/java/wheelroute/config/JsonFlattener.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /**
- * Flattens nested JSON to path=value pairs, the form that the simulator's wire has for the same
- * settings: a list of plain values is joined with commas; a list of objects has its length under
- * .count and its items under .0, .1 and so on. Nulls are left out.
+ * Flattens nested JSON to path=value pairs, as the simulator's wire has them for the same settings.
+ * The values of a list are joined with commas. The objects of a list are under .0, .1 and so on,
+ * and their number is under .count. Nulls are omitted.
  */
 final class JsonFlattener {
     private JsonFlattener() {}
 
     /**
-     * Adds the pairs of the value that the parser is at, and moves the parser to the value's end.
+     * Adds the pairs of the value at the parser's position, and moves the parser to its end.
      *
      * @param path of the value; empty for the root
      */
@@ -30,7 +30,7 @@
             }
             case START_ARRAY -> flattenList(parser, path, pairs);
             case VALUE_NULL -> {}
-            // Unchanged: a name must be the one that appears in paths and headers.
+            // Unchanged, so that names equal those in paths and headers of requests.
             default -> pairs.put(path, parser.getText());
         }
     }
@@ -42,7 +42,7 @@
         int valueCount = 0;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (parser.currentToken().isScalarValue()) {
-                // The comma separates values, so a value must not contain one.
+                // A value must not contain the separator.
                 joinedValues
                         .append(valueCount++ > 0 ? "," : "")
                         .append(parser.getText().replace(',', '_'));
@@ -50,7 +50,7 @@
                 flatten(parser, path + "." + objectCount++, pairs);
             }
         }
-        pairs.put(path + ".count", Integer.toString(objectCount));
+        pairs.put(path + ConfigKeys.COUNT, Integer.toString(objectCount));
         pairs.put(path, joinedValues.toString());
     }
 }
--- a/daemon/src/main/java/wheelroute/config/PeeringConfig.java
+++ b/daemon/src/main/java/wheelroute/config/PeeringConfig.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * How this dispatcher and the other dispatchers of its installation communicate.
+ * How this dispatcher communicates with the others of its installation. Immutable.
  *
- * @param cluster the same for all of them; datagrams of other clusters are ignored
- * @param listen where this dispatcher receives datagrams
- * @param addresses of all dispatchers, its own included, ordered by their number
+ * @param cluster name of the installation; datagrams of other installations are ignored
+ * @param listen address at which this dispatcher receives datagrams
+ * @param addresses of all dispatchers, including this one, in the order of their numbers
  * @param number this dispatcher's number, from 0
  */
 public record PeeringConfig(
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/config/PeeringConfigReader.java
@@ -0,0 +1,69 @@
+package wheelroute.config;
+
+import java.net.InetSocketAddress;
+import java.util.ArrayList;
+import java.util.List;
+import wheelroute.decision.Settings;
+import wheelroute.peers.PeerId;
+
+/** Reads how this dispatcher communicates with the others of its installation. */
+final class PeeringConfigReader {
+    private final ConfigValues values;
+
+    PeeringConfigReader(ConfigValues values) {
+        this.values = values;
+    }
+
+    /**
+     * Reads the configuration.
+     *
+     * @return null unless the file has an address to listen at: a list of peers is not enough,
+     *     since some platforms give one although dispatchers cannot reach each other there
+     * @throws ConfigException if a value is missing or invalid
+     */
+    PeeringConfig read(Settings settings) throws ConfigException {
+        if (values.fileText(ConfigKeys.PEERING_LISTEN).isEmpty()) {
+            return null;
+        }
+        List<InetSocketAddress> addresses = addresses(settings.dispatchers());
+        if (settings.position() < 0 || settings.position() >= addresses.size()) {
+            throw new ConfigException(
+                    ConfigKeys.PEERING, "needs this dispatcher's position among them");
+        }
+        checkName();
+        return new PeeringConfig(
+                values.fileText(ConfigKeys.PEERING_CLUSTER),
+                values.requiredAddress(ConfigValues.NO_VARIABLE, ConfigKeys.PEERING_LISTEN),
+                List.copyOf(addresses),
+                settings.position());
+    }
+
+    private void checkName() throws ConfigException {
+        String name = values.required(ConfigKeys.NAME_VARIABLE, ConfigKeys.NAME);
+        if (!name.matches("[!-~]{1," + PeerId.MAX_NAME_BYTES + "}")) {
+            throw new ConfigException(
+                    ConfigKeys.NAME,
+                    "is longer than "
+                            + PeerId.MAX_NAME_BYTES
+                            + " plain characters, which peers need");
+        }
+    }
+
+    private List<InetSocketAddress> addresses(int dispatchers) throws ConfigException {
+        List<InetSocketAddress> addresses = new ArrayList<>();
+        for (String text : values.fileText(ConfigKeys.PEERING_ADDRESSES).split(",")) {
+            InetSocketAddress address = SocketAddresses.parse(text);
+            if (address == null) {
+                throw new ConfigException(
+                        ConfigKeys.PEERING_ADDRESSES, "has one that is not host:port: " + text);
+            }
+            addresses.add(address);
+        }
+        if (addresses.size() != dispatchers) {
+            throw new ConfigException(
+                    ConfigKeys.PEERING_ADDRESSES,
+                    "are " + addresses.size() + " of " + dispatchers + " dispatchers");
+        }
+        return addresses;
+    }
+}
--- a/daemon/src/main/java/wheelroute/config/RequestClassSettings.java
+++ b/daemon/src/main/java/wheelroute/config/RequestClassSettings.java
@@ -4,17 +4,16 @@
 import wheelroute.decision.IdempotencyScope;
 
 /**
- * The settings of one request class, to be written by {@link WireSettingsWriter}. Times in seconds.
+ * The settings of one request class, to be written by {@link WireSettingsWriter}. Immutable.
  *
- * @param name of the class
- * @param idempotency what a repeated request does
- * @param scope where repeats of a request are recognized, if it is idempotent by key
- * @param latencyObjectiveSeconds a response within this earns its full value
- * @param objectivePerWork the objective grows by this for each unit of a request's work
- * @param deadline clients wait no longer
- * @param priorityWeight the value of a response
- * @param lateValue the fraction of the value that a response after the objective still earns
- * @param idempotencyWindowSeconds how long repeats are recognized
+ * @param idempotency whether a request may safely be repeated
+ * @param scope the workers that recognize a repeated request, if it is idempotent by key
+ * @param latencyObjectiveSeconds the time within which a response has its full value
+ * @param objectivePerWork increase of the objective for each second of a request's work
+ * @param deadlineSeconds maximum time from a request to its response
+ * @param priorityWeight value of a response
+ * @param lateValue the fraction of its value that a response after the objective still has
+ * @param idempotencyWindowSeconds how long a repeated request is recognized
  * @param ordered whether requests with the same key run one at a time, in order of arrival
  */
 public record RequestClassSettings(
@@ -23,7 +22,7 @@
         IdempotencyScope scope,
         double latencyObjectiveSeconds,
         double objectivePerWork,
-        double deadline,
+        double deadlineSeconds,
         double priorityWeight,
         double lateValue,
         double idempotencyWindowSeconds,
--- a/daemon/src/main/java/wheelroute/config/SettingsReader.java
+++ b/daemon/src/main/java/wheelroute/config/SettingsReader.java
@@ -6,16 +6,15 @@
 import java.util.Map;
 import wheelroute.decision.Ids;
 import wheelroute.decision.Settings;
+import wheelroute.units.TimeUnits;
 
 /**
- * Reads the settings' path=value pairs, for adapter and service alike. Unknown keys are ignored,
- * and '-' stands for an absent number.
+ * Reads the settings from path=value pairs, for both the adapter and the service. Ignores unknown
+ * keys; a number of '-' is absent. Not thread-safe.
  */
 public final class SettingsReader {
-    private static final double MICROS_PER_SECOND = 1e6;
-    private static final String REQUEST_CLASSES = "request_classes.";
-    private static final String CLASS_OBJECTIVES = "family_info.class_stretch";
-    private static final String KEY_QUIET_PERIOD = "rules.key_rest_us";
+    /** Entry of a list of models by index for a request class that any model may run. */
+    private static final String ANY_MODEL = "-1";
 
     private final Map<String, String> pairs;
 
@@ -26,6 +25,7 @@
     /**
      * Reads all settings of the decisions.
      *
+     * @param seed seed of the random choices
      * @throws ConfigException if a value is malformed or out of range
      */
     public static Settings read(long seed, Map<String, String> pairs) throws ConfigException {
@@ -33,44 +33,56 @@
     }
 
     Settings readSettings(long seed) throws ConfigException {
-        double dispatchers = number("balancers", 1);
-        double position = number("position", -1);
+        double dispatchers = number(ConfigKeys.DISPATCHERS, 1);
+        double position = number(ConfigKeys.POSITION, -1);
         if (!(position < dispatchers)) {
-            // It would never be admitted to a worker in slow start.
-            throw new ConfigException("position", "is not under the number of dispatchers");
+            // Such a dispatcher would never send a request to a worker in slow start.
+            throw new ConfigException(
+                    ConfigKeys.POSITION, "is not under the number of dispatchers");
         }
         return new Settings(
                 seed,
-                new Ids.Zone(text("az", "")),
+                new Ids.Zone(text(ConfigKeys.ZONE, "")),
                 (int) dispatchers,
                 (int) position,
-                seconds("round_us", 0),
+                seconds(ConfigKeys.TIME_RESOLUTION, 0),
                 requestClasses(),
                 quotas(),
-                number("over_share_worth", 1),
-                text("membership_mode", "push").equals("ask"),
-                flag("family_info.tells_start"),
-                seconds("family_info.progress_us", 0),
-                text("family_info.report_x0", "").replace(' ', '_').equals("free_slots"),
-                flag("permissions.cancel"),
-                flag("permissions.may_duplicate"),
-                flag("permissions.retry_after"),
-                seconds("permissions.max_retry_after_us", 0),
-                (int) number("permissions.most_tries", 1),
-                number("rules.cold_from", 1),
-                seconds("rules.cold_us", 0),
-                number("rules.tip_multiple", 1),
-                seconds("rules.fall_us", 0),
-                number("prices.cross_zone", 0),
-                number("prices.origin", 0),
-                strictFlag("rules.gone_is_advice"),
+                number(ConfigKeys.OVER_QUOTA_VALUE, 1),
+                watchesEndpoints(),
+                flag(ConfigKeys.REPORTS_START),
+                seconds(ConfigKeys.PROGRESS_INTERVAL, 0),
+                reportsFreeSlots(),
+                flag(ConfigKeys.MAY_CANCEL),
+                flag(ConfigKeys.MAY_HEDGE),
+                flag(ConfigKeys.SENDS_RETRY_AFTER),
+                seconds(ConfigKeys.MAX_RETRY_AFTER, 0),
+                (int) number(ConfigKeys.MAX_ATTEMPTS, 1),
+                number(ConfigKeys.SLOW_START_SHARE, 1),
+                seconds(ConfigKeys.SLOW_START_DURATION, 0),
+                number(ConfigKeys.OVERLOAD_MULTIPLE, 1),
+                seconds(ConfigKeys.OVERLOAD_WINDOW, 0),
+                number(ConfigKeys.CROSS_ZONE_PRICE, 0),
+                number(ConfigKeys.CACHE_MISS_PRICE, 0),
+                strictFlag(ConfigKeys.REMOVAL_IS_ADVISORY),
                 keyQuietPeriodSeconds(),
-                Math.max(0, seconds("rules.stop_sending_within_us", 0)));
+                Math.max(0, seconds(ConfigKeys.DRAIN_GRACE, 0)));
+    }
+
+    private boolean watchesEndpoints() {
+        return text(ConfigKeys.ENDPOINT_LIST_MODE, SettingsVocabulary.LIST_MODE_PUSH)
+                .equals(SettingsVocabulary.LIST_MODE_POLL);
+    }
+
+    private boolean reportsFreeSlots() {
+        return text(ConfigKeys.LOAD_REPORT_FIELD, "")
+                .replace(' ', '_')
+                .equals(SettingsVocabulary.REPORTS_FREE_SLOTS);
     }
 
     private List<Settings.RequestClass> requestClasses() throws ConfigException {
         List<Settings.RequestClass> requestClasses = new ArrayList<>();
-        int count = (int) number(REQUEST_CLASSES + "count", 0);
+        int count = (int) number(ConfigKeys.REQUEST_CLASSES + ConfigKeys.COUNT, 0);
         for (int i = 0; i < count; i++) {
             requestClasses.add(requestClass(i));
         }
@@ -78,37 +90,40 @@
     }
 
     private Settings.RequestClass requestClass(int index) throws ConfigException {
-        String prefix = REQUEST_CLASSES + index + ".";
+        String prefix = ConfigKeys.itemPrefix(ConfigKeys.REQUEST_CLASSES, index);
         return new Settings.RequestClass(
-                new Ids.RequestClass(text(prefix + "name", "")),
-                SettingsVocabulary.idempotency(text(prefix + "effect", "")),
-                SettingsVocabulary.idempotencyScope(text(prefix + "group", "")),
-                seconds(prefix + "on_time_us", 0),
+                new Ids.RequestClass(text(prefix + ConfigKeys.CLASS_NAME, "")),
+                SettingsVocabulary.idempotency(text(prefix + ConfigKeys.CLASS_IDEMPOTENCY, "")),
+                SettingsVocabulary.idempotencyScope(
+                        text(prefix + ConfigKeys.CLASS_IDEMPOTENCY_SCOPE, "")),
+                seconds(prefix + ConfigKeys.CLASS_LATENCY_OBJECTIVE, 0),
                 objectivePerWork(index),
-                number(prefix + "worth", 1),
-                number(prefix + "late_value", 0),
-                seconds(prefix + "window_us", 0),
+                number(prefix + ConfigKeys.CLASS_PRIORITY_WEIGHT, 1),
+                number(prefix + ConfigKeys.CLASS_LATE_VALUE, 0),
+                seconds(prefix + ConfigKeys.CLASS_IDEMPOTENCY_WINDOW, 0),
                 model(index),
-                strictFlag(prefix + "one_at_a_time"));
+                strictFlag(prefix + ConfigKeys.CLASS_ORDERED));
     }
 
-    /** The class's own value, or else its item in the list for all classes. */
+    /** Returns the value of the class itself, or else its item in the list for all classes. */
     private double objectivePerWork(int index) throws ConfigException {
-        String key = REQUEST_CLASSES + index + ".aim_stretch";
-        String listed = listItem(CLASS_OBJECTIVES, index);
+        String key =
+                ConfigKeys.itemPrefix(ConfigKeys.REQUEST_CLASSES, index)
+                        + ConfigKeys.CLASS_OBJECTIVE_PER_WORK;
+        String listed = listItem(ConfigKeys.CLASS_OBJECTIVES_PER_WORK, index);
         if (pairs.containsKey(key) || listed.isEmpty()) {
             return number(key, 0);
         }
-        return parse(CLASS_OBJECTIVES, listed);
+        return parse(ConfigKeys.CLASS_OBJECTIVES_PER_WORK, listed);
     }
 
-    /** Null for a class that any model may run. A model is given by name, or by index. */
+    /** Returns the model, which is given by name or index; null if any model may run the class. */
     private Ids.Model model(int index) {
-        String model = listItem("family_info.class_kind", index);
-        if (model.isEmpty() || model.equals("-1")) {
+        String model = listItem(ConfigKeys.CLASS_MODELS, index);
+        if (model.isEmpty() || model.equals(ANY_MODEL)) {
             return null;
         }
-        String[] names = text("models", "").split(",");
+        String[] names = text(ConfigKeys.MODELS, "").split(",");
         for (int i = 0; i < names.length; i++) {
             if (model.equals(Integer.toString(i))) {
                 return new Ids.Model(names[i]);
@@ -117,7 +132,7 @@
         return new Ids.Model(model);
     }
 
-    /** An item of a list with commas; empty where the list is shorter. */
+    /** Returns an item of a comma-separated list; empty if the list is shorter. */
     private String listItem(String key, int index) {
         String[] items = text(key, "").split(",");
         return index < items.length ? items[index] : "";
@@ -125,19 +140,20 @@
 
     private Map<Ids.Tenant, Double> quotas() throws ConfigException {
         Map<Ids.Tenant, Double> quotas = new LinkedHashMap<>();
-        int count = (int) number("tenants.count", 0);
+        int count = (int) number(ConfigKeys.TENANTS + ConfigKeys.COUNT, 0);
         for (int i = 0; i < count; i++) {
+            String prefix = ConfigKeys.itemPrefix(ConfigKeys.TENANTS, i);
             quotas.put(
-                    new Ids.Tenant(text("tenants." + i + ".name", "")),
-                    number("tenants." + i + ".quota_per_s", 0));
+                    new Ids.Tenant(text(prefix + ConfigKeys.TENANT_NAME, "")),
+                    number(prefix + ConfigKeys.TENANT_QUOTA, 0));
         }
         return quotas;
     }
 
     private double keyQuietPeriodSeconds() throws ConfigException {
-        double period = seconds(KEY_QUIET_PERIOD, 0);
+        double period = seconds(ConfigKeys.KEY_QUIET_PERIOD, 0);
         if (!(period >= 0)) {
-            throw new ConfigException(KEY_QUIET_PERIOD, "is under 0");
+            throw new ConfigException(ConfigKeys.KEY_QUIET_PERIOD, "is under 0");
         }
         return period;
     }
@@ -151,7 +167,7 @@
         return value.equals("true") || value.equals("1");
     }
 
-    /** For a flag that must not be off just because it is misspelled. */
+    /** Reads a flag, and rejects any other value, so that a misspelled one does not mean false. */
     private boolean strictFlag(String key) throws ConfigException {
         String value = text(key, "false");
         if (!List.of("true", "1", "false", "0", "-").contains(value)) {
@@ -160,9 +176,10 @@
         return flag(key);
     }
 
-    /** Seconds, from a value in microseconds. */
-    double seconds(String key, double defaultValue) throws ConfigException {
-        return number(key, defaultValue * MICROS_PER_SECOND) / MICROS_PER_SECOND;
+    /** Returns seconds, read from a value in microseconds. */
+    double seconds(String key, double defaultSeconds) throws ConfigException {
+        return number(key, defaultSeconds * TimeUnits.MICROS_PER_SECOND)
+                / TimeUnits.MICROS_PER_SECOND;
     }
 
     double number(String key, double defaultValue) throws ConfigException {
--- a/daemon/src/main/java/wheelroute/config/TomlFields.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFields.java
@@ -15,11 +15,13 @@
 import wheelroute.decision.Idempotency;
 
 /**
- * Reads the fields of one TOML table and checks them. Faults are collected with their line, and
- * reading continues with a substitute value, so that all faults of a file are found at once.
+ * Reads and checks the fields of one TOML table. Faults are collected with their lines, and reading
+ * continues with a substitute value, so that all faults of a file are reported at once.
+ *
+ * <p>Not thread-safe.
  */
 public final class TomlFields {
-    /** Constants whose names in TOML files are not derived from their own. */
+    /** Constants whose names in TOML files are not derived from their own names. */
     private static final Map<Enum<?>, String> CONFIGURED_NAMES =
             Map.of(
                     Idempotency.IDEMPOTENT_BY_KEY, "deduplicated",
@@ -34,8 +36,8 @@
      * A fault in a file.
      *
      * @param line from 1
-     * @param key path of the field at fault; may be empty
-     * @param message what is wrong, as the predicate of a sentence about the key
+     * @param key path of the field; may be empty
+     * @param message the fault, as the predicate of a sentence about the key
      */
     public record Fault(int line, String key, String message) {
         @Override
@@ -56,9 +58,7 @@
         this.faults = faults;
     }
 
-    /**
-     * Records a fault of a key, at the key's line, or at the table's first if the key is absent.
-     */
+    /** Records a fault at the line of the key, or of the table's first key if it is absent. */
     public void addFault(String key, String message) {
         faults.add(new Fault(line(key), path + key, message));
     }
@@ -87,10 +87,10 @@
     }
 
     /**
-     * A number within bounds.
+     * Reads a number within bounds.
      *
      * @param defaultValue NaN for a required key
-     * @return the minimum after a fault in the value, NaN if a required key is missing
+     * @return the minimum if the value has a fault, NaN if a required key is missing
      */
     public double number(String key, double defaultValue, double min, double max) {
         Object value = value(key);
@@ -113,7 +113,7 @@
     }
 
     /**
-     * A whole number within bounds.
+     * Reads a whole number within bounds.
      *
      * @param defaultValue NaN for a required key
      * @return the minimum if a required key is missing
@@ -126,7 +126,7 @@
         return Double.isNaN(number) ? min : (int) number;
     }
 
-    /** Without decimals where it is whole. */
+    /** Formats a number; a whole number without a decimal point. */
     private static String plain(double number) {
         return number == Math.rint(number) && Math.abs(number) < Integer.MAX_VALUE
                 ? Long.toString((long) number)
@@ -134,10 +134,10 @@
     }
 
     /**
-     * A text.
+     * Reads a text.
      *
      * @param defaultValue null for a required key
-     * @return empty after a fault; never null
+     * @return empty if there is a fault; never null
      */
     public String text(String key, String defaultValue) {
         Object value = value(key);
@@ -154,7 +154,7 @@
         return text;
     }
 
-    /** True or false; the default also after a fault. */
+    /** Reads true or false; returns the default if the key is absent or has a fault. */
     public boolean flag(String key, boolean defaultValue) {
         Object value = value(key);
         if (value != null && !(value instanceof Boolean)) {
@@ -165,10 +165,10 @@
     }
 
     /**
-     * A constant by its {@link #configuredName}.
+     * Reads a constant by its {@link #configuredName}.
      *
      * @param defaultValue null for a required key
-     * @return the type's first constant after a fault
+     * @return the type's first constant if there is a fault
      */
     public <E extends Enum<E>> E enumConstant(String key, E defaultValue, Class<E> type) {
         String text = text(key, defaultValue == null ? null : configuredName(defaultValue));
@@ -186,7 +186,7 @@
         return type.getEnumConstants()[0];
     }
 
-    /** A constant's name in TOML files: its own in lower case with dashes, unless listed above. */
+    /** Returns the name of a constant in TOML files: in lower case, with dashes. */
     public static String configuredName(Enum<?> constant) {
         String configured = CONFIGURED_NAMES.get(constant);
         return configured != null
@@ -194,13 +194,13 @@
                 : constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** A list of texts, each of which must be allowed; others are left out with a fault. */
+    /** Reads a list of texts. Records a fault for each that is not allowed, and omits it. */
     public List<String> textList(String key, List<String> defaultValue, List<String> allowed) {
         return textList(
                 key, defaultValue, allowed::contains, "none of " + String.join(", ", allowed));
     }
 
-    /** A list of any texts; empty if the key is absent. */
+    /** Reads a list of any texts; empty if the key is absent. */
     public List<String> anyTextList(String key) {
         return textList(key, List.of(), text -> true, "not a text");
     }
@@ -226,7 +226,7 @@
         return texts;
     }
 
-    /** The table under this key; an empty one if it is absent or after a fault. */
+    /** Returns the table under this key; an empty one if it is absent or there is a fault. */
     public TomlFields table(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof TomlTable)) {
@@ -237,7 +237,7 @@
         return new TomlFields(subtable, path + key + ".", faults);
     }
 
-    /** The list of tables under this key; empty if it is absent. */
+    /** Returns the list of tables under this key; empty if it is absent. */
     public List<TomlFields> tables(String key) {
         Object value = value(key);
         List<TomlFields> tables = new ArrayList<>();
@@ -258,14 +258,14 @@
         return tables;
     }
 
-    /** All keys of the table. */
+    /** Returns all keys of the table. */
     public Set<String> keys() {
         return table.keySet();
     }
 
     /**
-     * Adds a fault for each key that was not read, so that a misspelled key does not pass for an
-     * absent one. Called after the last field.
+     * Records a fault for each key that was not read, since a misspelled key would otherwise be
+     * taken for an absent one. Called after all fields have been read.
      */
     public void rejectUnknownKeys() {
         for (String key : table.keySet()) {
--- a/daemon/src/main/java/wheelroute/config/TomlFile.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFile.java
@@ -1,12 +1,10 @@
 package wheelroute.config;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.regex.Pattern;
 import org.tomlj.Toml;
 import org.tomlj.TomlParseError;
 import org.tomlj.TomlParseResult;
@@ -16,23 +14,33 @@
 /**
  * Reads an operator's TOML file and converts it to the pairs that the platform's JSON has, so that
  * both are processed alike from there on. Times in the file are in seconds.
+ *
+ * <p>The arguments after a number's key are its default, its minimum and its maximum. The bounds
+ * only serve to detect mistakes: no reasonable value is near them.
  */
 final class TomlFile {
+    /** In place of the default of a number that must be given. */
     private static final double REQUIRED = Double.NaN;
-    private static final double MAX_DURATION = 86_400;
+
+    private static final double DAY_SECONDS = 86_400;
+    private static final double HOUR_SECONDS = 3600;
+    private static final double MINUTE_SECONDS = 60;
+    private static final double MILLISECOND_SECONDS = 0.001;
     private static final double MAX_NUMBER = 1e9;
+    private static final double MAX_FACTOR = 1000;
+    private static final double MIN_FRACTION = 0.001;
+    private static final double MIN_IDLE_TIMEOUT_SECONDS = 0.1;
     private static final int MAX_DISPATCHERS = 1_000_000;
-    private static final int MAX_LIMIT = 1 << 20;
-    private static final int MAX_CELL = 1 << 30;
-
-    /** Texts that need no escapes in JSON; names may not have spaces either. */
-    private static final Pattern PLAIN_TEXT = Pattern.compile("[ -~&&[^\"\\\\]]*");
-
-    private static final Pattern PLAIN_NAME = Pattern.compile("[!-~&&[^\"\\\\]]*");
+    private static final int NO_POSITION = -1;
+    private static final int DEFAULT_MEMORY_MEGABYTES = 192;
+    private static final int MIN_MEMORY_MEGABYTES = 32;
+    private static final int MAX_RESOURCES = 1 << 20;
+    private static final int DEFAULT_MAX_ATTEMPTS = 3;
+    private static final int DEFAULT_MAX_RETRY_AFTER_SECONDS = 2;
 
     private final Map<String, String> pairs = new HashMap<>();
     private final List<TomlFields.Fault> faults = new ArrayList<>();
-    private final List<String> endpoints = new ArrayList<>();
+    private final TomlEndpointList endpoints = new TomlEndpointList();
 
     private TomlFile() {}
 
@@ -53,10 +61,10 @@
         if (!file.faults.isEmpty()) {
             throw exceptionOf(file.faults);
         }
-        return new ConfigFile(file.pairs, file.cachedEndpoints());
+        return new ConfigFile(file.pairs, file.endpoints.toJson());
     }
 
-    /** The first fault by line, followed by the others on a line each. */
+    /** Returns an exception with the first fault by line, followed by the others on a line each. */
     private static ConfigException exceptionOf(List<TomlFields.Fault> faults) {
         List<TomlFields.Fault> sorted =
                 faults.stream().sorted(Comparator.comparingInt(TomlFields.Fault::line)).toList();
@@ -69,48 +77,50 @@
         return new ConfigException(first.key(), message.toString());
     }
 
-    /** The workers of the file as an endpoint list in discovery's form; null for none. */
-    private byte[] cachedEndpoints() {
-        if (endpoints.isEmpty()) {
-            return null;
-        }
-        String list =
-                "{\"version\":0,\"full\":true,\"servers\":[" + String.join(",", endpoints) + "]}";
-        return list.getBytes(StandardCharsets.UTF_8);
-    }
-
     private void readRoot(TomlFields root) {
-        put("name", root.text("name", "wheelroute"));
-        putIfNotEmpty("listen", root.text("listen", ""));
-        putIfNotEmpty("discovery", root.text("discovery", ""));
-        putIfNotEmpty("admin", root.text("admin", ""));
-        putIfNotEmpty("seed", root.text("seed", ""));
+        put(ConfigKeys.NAME, root.text("name", "wheelroute"));
+        putIfNotEmpty(ConfigKeys.LISTEN, root.text("listen", ""));
+        putIfNotEmpty(ConfigKeys.DISCOVERY, root.text("discovery", ""));
+        putIfNotEmpty(ConfigKeys.ADMIN, root.text("admin", ""));
+        putIfNotEmpty(ConfigKeys.SEED, root.text("seed", ""));
         readLimits(root.table("limits"));
-        WireSettingsWriter settings =
-                new WireSettingsWriter()
-                        .text("az", root.text("zone", ""))
-                        .number("balancers", root.integer("dispatchers", 1, 1, MAX_DISPATCHERS))
-                        .number("position", root.integer("position", -1, -1, MAX_DISPATCHERS));
+        WireSettingsWriter settings = new WireSettingsWriter();
+        settings.text(ConfigKeys.ZONE, root.text("zone", ""))
+                .number(ConfigKeys.DISPATCHERS, root.integer("dispatchers", 1, 1, MAX_DISPATCHERS))
+                .number(
+                        ConfigKeys.POSITION,
+                        root.integer("position", NO_POSITION, NO_POSITION, MAX_DISPATCHERS));
         readTerms(root.table("terms"), settings);
         readSlowStart(root.table("cold"), settings);
         for (TomlFields requestClass : root.tables("offerings")) {
             settings.requestClass(readRequestClass(requestClass));
         }
         for (TomlFields tenant : root.tables("tenants")) {
-            settings.tenant(tenant.text("name", null), tenant.number("quota", 0, 0, MAX_NUMBER));
-            tenant.rejectUnknownKeys();
+            readTenant(tenant, settings);
         }
         readPeers(root.table("peers"));
         for (TomlFields worker : root.tables("workers")) {
-            endpoints.add(readEndpoint(worker));
+            endpoints.add(worker);
         }
-        settings.pairs().forEach((path, value) -> put("settings." + path, value));
+        settings.pairs().forEach((path, value) -> put(ConfigKeys.SETTINGS_PREFIX + path, value));
         root.rejectUnknownKeys();
     }
 
     private void readLimits(TomlFields limits) {
-        put("limits.memory_mb", limits.number("memory_mb", 192, 32, MAX_LIMIT));
-        put("limits.sockets", limits.number("sockets", 1024, 64, MAX_LIMIT));
+        put(
+                ConfigKeys.MAX_MEMORY_MEGABYTES,
+                limits.number(
+                        "memory_mb",
+                        DEFAULT_MEMORY_MEGABYTES,
+                        MIN_MEMORY_MEGABYTES,
+                        MAX_RESOURCES));
+        put(
+                ConfigKeys.MAX_DESCRIPTORS,
+                limits.number(
+                        "sockets",
+                        ConfigDefaults.DESCRIPTORS,
+                        ConfigDefaults.MIN_DESCRIPTORS,
+                        MAX_RESOURCES));
         limits.rejectUnknownKeys();
     }
 
@@ -121,22 +131,31 @@
                         fields.enumConstant(
                                 "effect", Idempotency.NON_IDEMPOTENT, Idempotency.class),
                         fields.enumConstant("group", IdempotencyScope.CELL, IdempotencyScope.class),
-                        fields.number("quoted", REQUIRED, 0, MAX_DURATION),
-                        fields.number("stretch", 0, 0, 1000),
-                        fields.number("outer", 30, 0.001, MAX_DURATION),
+                        fields.number("quoted", REQUIRED, 0, DAY_SECONDS),
+                        fields.number("stretch", 0, 0, MAX_FACTOR),
+                        fields.number(
+                                "outer",
+                                ConfigDefaults.DEADLINE_SECONDS,
+                                MILLISECOND_SECONDS,
+                                DAY_SECONDS),
                         fields.number("value", 1, 0, MAX_NUMBER),
                         fields.number("late_value", 0, 0, 1),
-                        fields.number("window", 0, 0, MAX_DURATION),
+                        fields.number("window", 0, 0, DAY_SECONDS),
                         fields.flag("in_turn", false));
         fields.rejectUnknownKeys();
         return settings;
     }
 
+    private static void readTenant(TomlFields tenant, WireSettingsWriter settings) {
+        settings.tenant(tenant.text("name", null), tenant.number("quota", 0, 0, MAX_NUMBER));
+        tenant.rejectUnknownKeys();
+    }
+
     private void readPeers(TomlFields peers) {
-        putIfNotEmpty("peering.listen", peers.text("listen", ""));
-        putIfNotEmpty("peering.cluster", peers.text("cluster", ""));
+        putIfNotEmpty(ConfigKeys.PEERING_LISTEN, peers.text("listen", ""));
+        putIfNotEmpty(ConfigKeys.PEERING_CLUSTER, peers.text("cluster", ""));
         List<String> addresses = peers.anyTextList("addresses");
-        putIfNotEmpty("peering.addresses", String.join(",", addresses));
+        putIfNotEmpty(ConfigKeys.PEERING_ADDRESSES, String.join(",", addresses));
         if (peers.contains("listen") == addresses.isEmpty()) {
             peers.addFault("listen", "and addresses go together");
         }
@@ -144,63 +163,64 @@
     }
 
     private static void readTerms(TomlFields fields, WireSettingsWriter settings) {
-        settings.flag("family_info.tells_start", fields.flag("tells_start", true))
-                .seconds("family_info.progress_us", fields.number("progress_every", 0, 0, 60))
-                .flag("permissions.cancel", fields.flag("may_cancel", true))
-                .flag("permissions.may_duplicate", fields.flag("may_copy", false))
-                .number("permissions.most_tries", fields.integer("most_launches", 3, 1, 1000))
-                .flag("permissions.retry_after", fields.flag("retry_after", true))
+        settings.flag(ConfigKeys.REPORTS_START, fields.flag("tells_start", true))
                 .seconds(
-                        "permissions.max_retry_after_us",
-                        fields.number("longest_retry_after", 2, 0, 3600))
+                        ConfigKeys.PROGRESS_INTERVAL,
+                        fields.number("progress_every", 0, 0, MINUTE_SECONDS))
+                .flag(ConfigKeys.MAY_CANCEL, fields.flag("may_cancel", true))
+                .flag(ConfigKeys.MAY_HEDGE, fields.flag("may_copy", false))
+                .number(
+                        ConfigKeys.MAX_ATTEMPTS,
+                        fields.integer("most_launches", DEFAULT_MAX_ATTEMPTS, 1, (int) MAX_FACTOR))
+                .flag(ConfigKeys.SENDS_RETRY_AFTER, fields.flag("retry_after", true))
                 .seconds(
-                        "permissions.connect_timeout_us",
-                        fields.number("connect_limit", 0.25, 0.001, 60))
+                        ConfigKeys.MAX_RETRY_AFTER,
+                        fields.number(
+                                "longest_retry_after",
+                                DEFAULT_MAX_RETRY_AFTER_SECONDS,
+                                0,
+                                HOUR_SECONDS));
+        readConnectionTimeouts(fields, settings);
+        settings.number(
+                        ConfigKeys.CROSS_ZONE_PRICE,
+                        fields.number("cross_zone_price", 0, 0, MAX_FACTOR))
+                .number(ConfigKeys.OVER_QUOTA_VALUE, fields.number("over_share_value", 1, 0, 1))
+                .flag(ConfigKeys.REMOVAL_IS_ADVISORY, fields.flag("gone_is_advice", false))
                 .seconds(
-                        "permissions.conn_idle_us",
-                        fields.number("idle_limit", 30, 0.1, MAX_DURATION))
-                .number("prices.cross_zone", fields.number("cross_zone_price", 0, 0, 1000))
-                .number("over_share_worth", fields.number("over_share_value", 1, 0, 1))
-                .flag("rules.gone_is_advice", fields.flag("gone_is_advice", false))
-                .seconds("rules.key_rest_us", fields.number("key_rest", 0, 0, 3600));
+                        ConfigKeys.KEY_QUIET_PERIOD, fields.number("key_rest", 0, 0, HOUR_SECONDS));
         if (fields.flag("reports_free_slots", false)) {
-            settings.text("family_info.report_x0", "free_slots");
+            settings.text(ConfigKeys.LOAD_REPORT_FIELD, SettingsVocabulary.REPORTS_FREE_SLOTS);
         }
         fields.rejectUnknownKeys();
     }
 
-    private static void readSlowStart(TomlFields fields, WireSettingsWriter settings) {
-        settings.number("rules.cold_from", fields.number("share", 1, 0.001, 1))
-                .seconds("rules.cold_us", fields.number("for", 0, 0, MAX_DURATION))
-                .number("rules.tip_multiple", fields.number("tip_multiple", 1, 0.001, 1000))
-                .seconds("rules.fall_us", fields.number("tip_window", 0, 0, 3600));
-        fields.rejectUnknownKeys();
+    private static void readConnectionTimeouts(TomlFields fields, WireSettingsWriter settings) {
+        settings.seconds(
+                        ConfigKeys.CONNECT_TIMEOUT,
+                        fields.number(
+                                "connect_limit",
+                                ConfigDefaults.CONNECT_TIMEOUT_SECONDS,
+                                MILLISECOND_SECONDS,
+                                MINUTE_SECONDS))
+                .seconds(
+                        ConfigKeys.IDLE_TIMEOUT,
+                        fields.number(
+                                "idle_limit",
+                                ConfigDefaults.IDLE_TIMEOUT_SECONDS,
+                                MIN_IDLE_TIMEOUT_SECONDS,
+                                DAY_SECONDS));
     }
 
-    /** One entry of an endpoint list in discovery's form. */
-    private static String readEndpoint(TomlFields worker) {
-        String name = worker.text("name", null);
-        String address = worker.text("address", null);
-        if (!PLAIN_NAME.matcher(name).matches()) {
-            worker.addFault("name", "has a character that no id may have: " + name);
-        }
-        if (!address.isEmpty() && SocketAddresses.parse(address) == null) {
-            worker.addFault("address", "is not host:port: " + address);
-        }
-        String zone = worker.text("zone", "");
-        String model = worker.text("model", "");
-        for (String text : List.of(address, zone, model)) {
-            if (!PLAIN_TEXT.matcher(text).matches()) {
-                worker.addFault(
-                        "name", "has a zone, model or address that is no plain text: " + text);
-            }
-        }
-        int cell = worker.integer("cell", 0, 0, MAX_CELL);
-        double weight = worker.number("weight", 1, 0.000001, MAX_NUMBER);
-        worker.rejectUnknownKeys();
-        return ("{\"id\":\"" + name + "\",\"addr\":\"" + address + "\"")
-                + (",\"zone\":\"" + zone + "\",\"kind\":\"" + model + "\",\"cell\":" + cell)
-                + (",\"state\":\"ready\",\"weight\":" + weight + "}");
+    private static void readSlowStart(TomlFields fields, WireSettingsWriter settings) {
+        settings.number(ConfigKeys.SLOW_START_SHARE, fields.number("share", 1, MIN_FRACTION, 1))
+                .seconds(ConfigKeys.SLOW_START_DURATION, fields.number("for", 0, 0, DAY_SECONDS))
+                .number(
+                        ConfigKeys.OVERLOAD_MULTIPLE,
+                        fields.number("tip_multiple", 1, MIN_FRACTION, MAX_FACTOR))
+                .seconds(
+                        ConfigKeys.OVERLOAD_WINDOW,
+                        fields.number("tip_window", 0, 0, HOUR_SECONDS));
+        fields.rejectUnknownKeys();
     }
 
     private void put(String path, String value) {
--- a/daemon/src/main/java/wheelroute/config/WireSettingsWriter.java
+++ b/daemon/src/main/java/wheelroute/config/WireSettingsWriter.java
@@ -2,24 +2,23 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
+import wheelroute.units.TimeUnits;
 
 /**
- * Writes settings as the path=value pairs that {@link SettingsReader} reads, for settings that do
- * not come from the platform's JSON.
+ * Writes settings that do not come from the platform's JSON, as the path=value pairs that {@link
+ * SettingsReader} reads. Not thread-safe.
  */
 public final class WireSettingsWriter {
-    private static final double MICROS_PER_SECOND = 1e6;
-
     private final Map<String, String> pairs = new LinkedHashMap<>();
     private int requestClassCount;
     private int tenantCount;
 
-    /** The pairs written so far, in order; not a copy. */
+    /** Returns a view of the pairs written so far, in their order. */
     public Map<String, String> pairs() {
         return pairs;
     }
 
-    /** Writes a value as it is. */
+    /** Writes a text. */
     public WireSettingsWriter text(String path, String value) {
         pairs.put(path, value);
         return this;
@@ -30,7 +29,7 @@
         return text(path, Boolean.toString(value));
     }
 
-    /** Writes a number, without a decimal point if it is whole. */
+    /** Writes a number; a whole number without a decimal point. */
     public WireSettingsWriter number(String path, double value) {
         boolean isWhole = value == Math.rint(value);
         return text(path, isWhole ? Long.toString((long) value) : Double.toString(value));
@@ -38,24 +37,30 @@
 
     /** Writes seconds as whole microseconds. */
     public WireSettingsWriter seconds(String path, double value) {
-        return text(path, Long.toString(Math.round(value * MICROS_PER_SECOND)));
+        return text(path, Long.toString(Math.round(value * TimeUnits.MICROS_PER_SECOND)));
     }
 
     /** Adds a request class after those written before. */
     public WireSettingsWriter requestClass(RequestClassSettings settings) {
-        String prefix = "request_classes." + requestClassCount + ".";
+        String prefix = ConfigKeys.itemPrefix(ConfigKeys.REQUEST_CLASSES, requestClassCount);
         requestClassCount++;
-        return text(prefix + "name", settings.name())
-                .text(prefix + "effect", SettingsVocabulary.word(settings.idempotency()))
-                .text(prefix + "group", SettingsVocabulary.word(settings.scope()))
-                .seconds(prefix + "on_time_us", settings.latencyObjectiveSeconds())
-                .number(prefix + "aim_stretch", settings.objectivePerWork())
-                .seconds(prefix + "hard_limit_us", settings.deadline())
-                .number(prefix + "worth", settings.priorityWeight())
-                .number(prefix + "late_value", settings.lateValue())
-                .seconds(prefix + "window_us", settings.idempotencyWindowSeconds())
-                .flag(prefix + "one_at_a_time", settings.ordered())
-                .number("request_classes.count", requestClassCount);
+        String idempotency = SettingsVocabulary.word(settings.idempotency());
+        String scope = SettingsVocabulary.word(settings.scope());
+        return text(prefix + ConfigKeys.CLASS_NAME, settings.name())
+                .text(prefix + ConfigKeys.CLASS_IDEMPOTENCY, idempotency)
+                .text(prefix + ConfigKeys.CLASS_IDEMPOTENCY_SCOPE, scope)
+                .seconds(
+                        prefix + ConfigKeys.CLASS_LATENCY_OBJECTIVE,
+                        settings.latencyObjectiveSeconds())
+                .number(prefix + ConfigKeys.CLASS_OBJECTIVE_PER_WORK, settings.objectivePerWork())
+                .seconds(prefix + ConfigKeys.CLASS_DEADLINE, settings.deadlineSeconds())
+                .number(prefix + ConfigKeys.CLASS_PRIORITY_WEIGHT, settings.priorityWeight())
+                .number(prefix + ConfigKeys.CLASS_LATE_VALUE, settings.lateValue())
+                .seconds(
+                        prefix + ConfigKeys.CLASS_IDEMPOTENCY_WINDOW,
+                        settings.idempotencyWindowSeconds())
+                .flag(prefix + ConfigKeys.CLASS_ORDERED, settings.ordered())
+                .number(ConfigKeys.REQUEST_CLASSES + ConfigKeys.COUNT, requestClassCount);
     }
 
     /**
@@ -64,10 +69,10 @@
      * @param quota in requests per second; 0 for none
      */
     public WireSettingsWriter tenant(String name, double quota) {
-        String prefix = "tenants." + tenantCount + ".";
+        String prefix = ConfigKeys.itemPrefix(ConfigKeys.TENANTS, tenantCount);
         tenantCount++;
-        return text(prefix + "name", name)
-                .number(prefix + "quota_per_s", quota)
-                .number("tenants.count", tenantCount);
+        return text(prefix + ConfigKeys.TENANT_NAME, name)
+                .number(prefix + ConfigKeys.TENANT_QUOTA, quota)
+                .number(ConfigKeys.TENANTS + ConfigKeys.COUNT, tenantCount);
     }
 }
--- /dev/null
+++ b/daemon/src/main/java/wheelroute/units/package-info.java
@@ -0,0 +1,2 @@
+/** Conversion factors between units. */
+package wheelroute.units;
--- a/daemon/src/test/java/wheelroute/config/ConfigReaderTest.java
+++ b/daemon/src/test/java/wheelroute/config/ConfigReaderTest.java
@@ -1,7 +1,6 @@
 package wheelroute.config;
 
 import static org.testng.Assert.assertEquals;
-import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
@@ -20,9 +19,8 @@
 import wheelroute.decision.IdempotencyScope;
 import wheelroute.decision.Ids;
 import wheelroute.decision.Settings;
-import wheelroute.net.discovery.EndpointList;
 
-/** Configuration read from the environment and from JSON and TOML files. */
+/** Configurations read from the environment and a JSON file. */
 public class ConfigReaderTest {
     private static final String CLASSES =
             "'request_classes':[{'name':'light','effect':'free',"
@@ -44,7 +42,11 @@
                     + SETTINGS
                     + "}";
 
-    static Config read(String json, Map<String, String> variables)
+    private static final String PEERING =
+            "'peering':{'listen':'127.0.0.1:7','addresses':['127.0.0.1:7',"
+                    + "'127.0.0.1:8'],'cluster':'x'},";
+
+    private static Config read(String json, Map<String, String> variables)
             throws IOException, ConfigException {
         return read(json, variables, false);
     }
@@ -63,7 +65,7 @@
     }
 
     @Test
-    public void readsAllSettings() throws IOException, ConfigException {
+    public void readsEnvironmentAndFile() throws IOException, ConfigException {
         Config config = read(COMPLETE, Map.of("LB_NAME", "n4"));
         assertEquals(config.name(), "n4");
         assertEquals(config.listen().getPort(), 8081);
@@ -90,13 +92,8 @@
                 "{\"version\":41,\"full\":true,\"servers\":[]}");
     }
 
-    private static final String PEERING =
-            "'peering':{'listen':'127.0.0.1:7','addresses':['127.0.0.1:7',"
-                    + "'127.0.0.1:8'],'cluster':'x'},";
-
-    /** Peering needs an explicit address to listen on; a platform's list of peers is not enough. */
     @Test
-    public void peeringIsOffByDefault() throws IOException, ConfigException {
+    public void readsPeeringOnlyWithAddressToListenAt() throws IOException, ConfigException {
         String twoDispatchers =
                 COMPLETE.replace("'settings':{", "'settings':{'balancers':2,'position':1,");
         assertEquals(
@@ -116,9 +113,18 @@
         assertEquals(peers.addresses().get(1).getPort(), 8);
     }
 
-    /** After a reload the file's address of discovery takes precedence over the environment's. */
     @Test
-    public void reloads() throws IOException, ConfigException {
+    public void fileTakesPrecedenceForDiscoveryOnlyOnReload() throws IOException, ConfigException {
+        Map<String, String> start = Map.of("LB_DISCOVERY", "127.0.0.1:7", "LB_NAME", "n4");
+        assertEquals(read(COMPLETE, start).discovery().getPort(), 7);
+        assertEquals(read(COMPLETE, start, true).discovery().getPort(), 8500);
+        assertEquals(
+                read(COMPLETE.replace("'discovery'", "'other'"), start, true).discovery().getPort(),
+                7);
+    }
+
+    @Test
+    public void namesChangedKeysThatRequireRestart() throws IOException, ConfigException {
         Map<String, String> start = Map.of("LB_DISCOVERY", "127.0.0.1:7", "LB_NAME", "n4");
         Config first = read(COMPLETE, start);
         assertEquals(first.discovery().getPort(), 7);
@@ -132,14 +138,10 @@
                         start,
                         true);
         assertEquals(first.keysRequiringRestart(third), List.of("limits.sockets", "settings"));
-        assertEquals(
-                read(COMPLETE.replace("'discovery'", "'other'"), start, true).discovery().getPort(),
-                7);
     }
 
-    /** The same settings have the same meaning on the simulator's wire and in the file. */
     @Test
-    public void readsTheSameSettingsAsTheAdapter() throws IOException, ConfigException {
+    public void readsSameSettingsFromFileAsAdapterFromWire() throws IOException, ConfigException {
         Map<String, String> wire = new HashMap<>();
         for (String pair :
                 ("az=west family_info.class_stretch=1.75,2.0 family_info.class_kind=-1,1"
@@ -157,7 +159,7 @@
                 SettingsReader.read(0x8c1f30d27a5be964L, wire));
     }
 
-    /** Names that look like part of a path, a list or a key are unchanged. */
+    /** Names may look like a part of a path, a list or a key. */
     @Test
     public void keepsNamesUnchanged() throws IOException, ConfigException {
         for (String name :
@@ -252,7 +254,7 @@
     }
 
     @Test(dataProvider = "faults")
-    public void reportsTheKeyOfAFault(String target, String replacement, String key) {
+    public void rejectsFaultyFileNamingTheKey(String target, String replacement, String key) {
         String message =
                 expectThrows(
                                 ConfigException.class,
@@ -262,7 +264,7 @@
     }
 
     @Test
-    public void reportsAMissingFile() {
+    public void rejectsMissingFileNamingItsVariable() {
         String message =
                 expectThrows(
                                 ConfigException.class,
@@ -274,122 +276,4 @@
                         .getMessage()
                         .contains("LB_CONFIG"));
     }
-
-    private static final String TOML =
-            """
-            name = "n3"
-            listen = "127.0.0.4:8081"
-            discovery = "127.0.0.1:8500"
-            zone = "west"
-            [limits]
-            sockets = 512
-            [terms]
-            idle_limit = 60
-            [[offerings]]
-            name = "light"
-            effect = "idempotent"
-            quoted = 0.2
-            outer = 5
-            value = 2.0
-            [[offerings]]
-            name = "alert"
-            effect = "deduplicated"
-            group = "zone"
-            quoted = 1
-            outer = 20
-            window = 30
-            [[tenants]]
-            name = "t"
-            quota = 28
-            [[workers]]
-            name = "w1"
-            address = "127.0.0.1:9001"
-            """;
-
-    private static Config readToml(String toml) throws IOException, ConfigException {
-        Path file = Files.createTempFile("config", ".toml");
-        try {
-            Files.writeString(file, toml);
-            return ConfigReader.read(Map.of("LB_CONFIG", file.toString()));
-        } finally {
-            Files.delete(file);
-        }
-    }
-
-    /** An operator's TOML file is converted to the settings of the platform's JSON. */
-    @Test
-    public void readsToml() throws IOException, ConfigException {
-        Config config = readToml(TOML);
-        assertEquals(config.maxDescriptors(), 512);
-        assertEquals(config.idleTimeoutSeconds(), 60.0);
-        assertEquals(config.maxTimeoutSeconds(), 20.0);
-        assertEquals(config.settings().zone(), new Ids.Zone("west"));
-        assertEquals(
-                config.settings().requestClasses().get(0).idempotency(), Idempotency.IDEMPOTENT);
-        assertEquals(config.settings().requestClasses().get(0).latencyObjectiveSeconds(), 0.2);
-        assertEquals(
-                config.settings().requestClasses().get(1).idempotencyScope(),
-                IdempotencyScope.ZONE);
-        assertEquals(config.settings().requestClasses().get(1).idempotencyWindowSeconds(), 30.0);
-        assertEquals(config.settings().quotas(), Map.of(new Ids.Tenant("t"), 28.0));
-        assertTrue(config.settings().watchesEndpoints());
-        assertFalse(config.settings().removalIsAdvisory());
-        Config ordered =
-                readToml(
-                        TOML.replace("[terms]", "[terms]\nkey_rest = 0.2\ngone_is_advice = true")
-                                .replace("window = 30", "window = 30\nin_turn = true"));
-        assertTrue(ordered.settings().removalIsAdvisory());
-        assertEquals(ordered.settings().keyQuietPeriodSeconds(), 0.2);
-        assertFalse(ordered.settings().requestClasses().get(0).ordered());
-        assertTrue(ordered.settings().requestClasses().get(1).ordered());
-        assertEquals(EndpointList.decode(config.cachedEndpoints()).entries().get(0).id(), "w1");
-    }
-
-    @DataProvider
-    public Object[][] tomlFaults() {
-        return new Object[][] {
-            // text to replace, its replacement, part of the message, with the place of the fault
-            {"quoted = 0.2\n", "", "offerings[0].quoted"},
-            {
-                "quoted = 0.2",
-                "quoted = \"soon\"",
-                "'offerings[0].quoted' is not a number: soon (line 12)"
-            },
-            {"quoted = 0.2", "quotet = 0.2", "offerings[0].quotet is not known"},
-            {
-                "\"deduplicated\"",
-                "\"twice\"",
-                "'offerings[1].effect' is none of idempotent, deduplicated"
-            },
-            {"sockets = 512", "sockets = 12", "'limits.sockets' is not from 64"},
-            {
-                "[limits]",
-                "position = 3\n[limits]",
-                "'position' is not under the number of dispatchers"
-            },
-            {
-                "127.0.0.1:9001",
-                "nowhere",
-                "'workers[0].address' is not host:port: nowhere (line 27)"
-            },
-            {"\"w1\"", "\"w\\\"1\"", "'workers[0].name' has a character"},
-            {"[limits]", "[limits", "'line 5' is no TOML"},
-            {"idle_limit = 60", "key_rest = -1", "'terms.key_rest' is not from 0"},
-            {"idle_limit = 60", "gone_is_advice = 3", "terms.gone_is_advice"},
-            {"window = 30", "in_turn = \"yes\"", "offerings[1].in_turn"},
-            {"127.0.0.4:8081", "here", "'listen' is not host:port"},
-            {"quoted = 0.2", "quoted = -1\nvalue2 = 3", "offerings[0].value2 is not known"},
-        };
-    }
-
-    @Test(dataProvider = "tomlFaults")
-    public void reportsTheKeyAndLineOfATomlFault(
-            String target, String replacement, String expected) {
-        String message =
-                expectThrows(
-                                ConfigException.class,
-                                () -> readToml(TOML.replace(target, replacement)))
-                        .getMessage();
-        assertTrue(message.contains(expected), message);
-    }
 }
--- a/daemon/src/test/java/wheelroute/config/SocketAddressesTest.java
+++ b/daemon/src/test/java/wheelroute/config/SocketAddressesTest.java
@@ -6,7 +6,6 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Addresses in configurations and endpoint lists. */
 public class SocketAddressesTest {
     @DataProvider
     public Object[][] addresses() {
@@ -25,9 +24,9 @@
         };
     }
 
-    /** No name is looked up: a resolver that does not answer would hold up all requests. */
+    /** The timeout is for a look-up of a name whose resolver does not answer. */
     @Test(dataProvider = "addresses", timeOut = 5_000)
-    public void addressesAreTakenAsTheyAreWritten(String text, String host) {
+    public void parsesAddressesWithoutLookingUpNames(String text, String host) {
         InetSocketAddress address = SocketAddresses.parse(text);
         assertEquals(address == null ? null : address.getAddress().getHostAddress(), host);
     }
