--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -10,77 +10,65 @@
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * One client's connection: one request at a time, the next once it has its response. Only for the
- * event loop's thread.
+ * The connection of a client. Handles one message at a time: the next one is decoded once the
+ * response to the previous one has been written.
+ *
+ * <p>Used on the event loop's thread only. Failures of the connection are reported to the accepted
+ * request as the departure of its client.
  */
 final class ClientConnection extends StreamConnection implements RequestAcceptor.ResponseSender {
-    /** Seconds for which a closing connection discards input: a reset would take the response. */
-    private static final double LINGER_TIME = 1;
-
-    /**
-     * Seconds for a message to be complete: the first one from the connection's opening on, every
-     * later one from its first byte.
-     */
-    private static final double MESSAGE_TIMEOUT = 2.4;
-
-    /** Seconds more to read what lies unread by then, after a standstill of the process. */
-    private static final double UNREAD_GRACE = 0.2;
+    /** How long a closing connection discards input: a reset could destroy the last response. */
+    private static final double LINGER_SECONDS = 1;
 
     private final ClientServer clients;
     private final ClientRequestDecoder decoder;
     private final PipelinedInput pipelined;
+    private final MessageTimeout messageTimeout;
+    private State state = State.READING;
 
-    /** The request that has no response yet; null for none. */
+    /** The request whose response is awaited; null if there is none. */
     private RequestAcceptor.AcceptedRequest accepted;
 
-    /** A message has been read, and its response has not been written yet. */
-    private boolean busy;
-
-    /** A message has been read, and its response is not known yet. */
-    private boolean unanswered;
+    /** Whether the response to the current message is the last one. */
+    private boolean isLastMessage;
 
-    /** The response to the current message is the last one. */
-    private boolean lastMessage;
+    /** Whether the last message has begun and was not completed. */
+    private boolean hasPartialMessage;
 
-    /** A message has begun, and is not complete. */
-    private boolean messageBegun;
+    private boolean hasReadMessage;
+    private boolean hasAcceptedRequest;
 
-    private boolean hadMessage;
-    private boolean hadRequest;
+    /** Whether the connection is over the limit, so that its requests are rejected. */
+    private boolean isOverLimit;
 
-    /** Null until the connection is opened. */
-    private EventLoop.Timer messageTimer;
-
-    /** All input is discarded, and the connection is about to be closed. */
-    private boolean lingering;
-
-    /** No request is accepted on it. */
-    private boolean overLimit;
+    private enum State {
+        /** Waiting for a message, or reading one. */
+        READING,
+        /** A message was read, and its response is awaited. Further input is buffered. */
+        AWAITING_RESPONSE,
+        /** The response is being written. Further input is buffered. */
+        WRITING_RESPONSE,
+        /** The last response has been sent. Input is discarded, and the connection closes soon. */
+        LINGERING
+    }
 
     ClientConnection(EndPoint endPoint, EventLoop loop, ClientServer clients) {
         super(endPoint, loop);
         this.clients = clients;
         decoder = new ClientRequestDecoder(clients.bodyQuota());
         pipelined = new PipelinedInput(clients.pipelinedQuota());
+        messageTimeout = new MessageTimeout(loop, this::onMessageTimeout);
     }
 
     @Override
     public void onOpen() {
-        overLimit = !clients.onOpened(this);
+        isOverLimit = !clients.onOpened(this);
         super.onOpen();
-        waitForMessage();
-    }
-
-    /** Limits the time for a message, and for a client that connects and sends nothing. */
-    private void waitForMessage() {
-        messageTimer =
-                loop.schedule(
-                        MESSAGE_TIMEOUT,
-                        () -> messageTimer = loop.schedule(UNREAD_GRACE, this::onMessageTimeout));
+        messageTimeout.start();
     }
 
     private void onMessageTimeout() {
-        if (messageBegun) {
+        if (hasPartialMessage) {
             refuse(
                     new BadRequestException(
                             HttpStatus.REQUEST_TIMEOUT_408, "the message has not come in time"));
@@ -89,21 +77,26 @@
         }
     }
 
+    // ---- reading
+
+    private boolean isBusy() {
+        return state == State.AWAITING_RESPONSE || state == State.WRITING_RESPONSE;
+    }
+
     @Override
     protected boolean canRead() {
-        // Between two messages it is read in any case: other clients must not block it by what
-        // they send ahead.
-        return !busy || !pipelined.isFull();
+        // Between messages input is always read: full buffers of other clients must not prevent it.
+        return !isBusy() || !pipelined.isFull();
     }
 
     @Override
     protected void onBytes(ByteBuffer in) {
-        if (!lingering) {
+        if (state != State.LINGERING) {
             read(in);
         }
     }
 
-    /** A client that ends its sending counts as gone. */
+    /** A client that ends its output is taken to be gone. */
     @Override
     protected void onEndOfStream() {
         onClientGone();
@@ -115,86 +108,76 @@
     }
 
     private void read(ByteBuffer in) {
-        if (busy) {
+        if (isBusy()) {
             pipelined.add(in, loop.earliestArrival());
             return;
         }
         try {
-            if (!messageBegun && hadMessage) {
-                waitForMessage();
+            if (!hasPartialMessage && hasReadMessage) {
+                messageTimeout.start();
             }
-            messageBegun = true;
+            hasPartialMessage = true;
             ClientRequest message = decoder.decode(in);
             if (message == null) {
                 clients.update(this, ConnectionLimit.Stage.READING);
-                return;
+            } else {
+                onMessage(message, in);
             }
-            messageTimer.cancel();
-            messageBegun = false;
-            hadMessage = true;
-            busy = true;
-            lastMessage = !message.keepsOpen();
-            double arrivedAt =
-                    in == pipelined.kept() ? pipelined.arrivedAt() : loop.earliestArrival();
-            if (in.hasRemaining() && in != pipelined.kept()) {
-                pipelined.add(in, arrivedAt);
-            }
-            handle(message, arrivedAt);
         } catch (BadRequestException e) {
             refuse(e);
         }
     }
 
-    /** Responds to a malformed message, and closes: it is unknown where the next one begins. */
+    private void onMessage(ClientRequest message, ByteBuffer in) {
+        messageTimeout.cancel();
+        hasPartialMessage = false;
+        hasReadMessage = true;
+        state = State.AWAITING_RESPONSE;
+        isLastMessage = !message.keepsOpen();
+        boolean isFromBuffer = in == pipelined.buffered();
+        double arrivedAt = isFromBuffer ? pipelined.arrivedAt() : loop.earliestArrival();
+        if (in.hasRemaining() && !isFromBuffer) {
+            pipelined.add(in, arrivedAt);
+        }
+        handle(message, arrivedAt);
+    }
+
+    /** Responds to a malformed message, and closes, as it is unknown where the next one begins. */
     private void refuse(BadRequestException e) {
-        messageTimer.cancel();
+        messageTimeout.cancel();
         clients.onNotAccepted();
         clients.update(this, ConnectionLimit.Stage.IN_FLIGHT);
-        lastMessage = true;
-        busy = true;
+        isLastMessage = true;
+        state = State.AWAITING_RESPONSE;
         send(ClientResponse.of(e.status(), e.getMessage()));
     }
 
+    // ---- handling a message
+
     private void handle(ClientRequest message, double arrivedAt) {
         clients.update(this, ConnectionLimit.Stage.IN_FLIGHT);
         if (message.method().equals("GET")) {
-            send(
-                    switch (message.path()) {
-                        case "/healthz" -> clients.health();
-                        case "/metrics" -> ClientResponse.succeeded(clients.metrics());
-                        default -> ClientResponse.of(HttpStatus.NOT_FOUND_404, "no such page");
-                    });
-            return;
-        }
-        if (overLimit) {
-            // The client may try another dispatcher at once.
+            send(clients.page(message.path()));
+        } else if (isOverLimit) {
             clients.onRejected(message);
-            lastMessage = true;
-            send(ClientResponse.rejected(0));
+            isLastMessage = true;
+            send(ClientResponse.rejected(ClientResponse.NO_RETRY_AFTER));
         } else {
             accept(message, arrivedAt);
         }
     }
 
     private void accept(ClientRequest message, double arrivedAt) {
-        unanswered = true;
         try {
-            if (!message.method().equals("POST")) {
-                throw new BadRequestException(HttpStatus.NOT_FOUND_404, "submissions come by POST");
-            }
-            if (message.id() == null || message.id().isEmpty() || !(message.timeoutSeconds() > 0)) {
-                throw new BadRequestException(
-                        HttpStatus.BAD_REQUEST_400, "X-Request-ID or X-Timeout is missing");
-            }
+            message.checkAcceptable();
             if (sawEndOfStream()) {
                 clients.onNotAccepted();
                 onClientGone();
                 return;
             }
             RequestAcceptor.AcceptedRequest request = clients.accept(message, arrivedAt, this);
-            hadRequest = true;
-            if (unanswered) {
-                // Otherwise it has its response already, and need not hear that the client left.
+            hasAcceptedRequest = true;
+            if (state == State.AWAITING_RESPONSE) {
                 accepted = request;
             }
         } catch (BadRequestException e) {
@@ -204,8 +187,9 @@
     }
 
     /**
-     * Checks whether the end of the stream lies unread, so that no attempt runs for nobody: after a
-     * standstill of the process a message may be from a client that has given up since.
+     * Reads what has arrived, and returns whether the end of the stream was among it. After a pause
+     * of the process, a message may be from a client that has gone since, and for which no attempt
+     * should be started.
      */
     private boolean sawEndOfStream() {
         try {
@@ -219,47 +203,70 @@
         }
     }
 
+    /** Reads once without waiting. Returns the number of bytes, negative at the stream's end. */
+    private int peek() throws IOException {
+        ByteBuffer peeked = loop.lookBuffer();
+        int count = getEndPoint().fill(peeked);
+        if (count > 0) {
+            read(peeked);
+        }
+        return count;
+    }
+
+    /** Reads what has arrived, and returns whether there was anything. */
+    boolean hasUnread() {
+        try {
+            return peek() > 0;
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
     @Override
     public boolean isClientGone() {
-        boolean left = !getEndPoint().isOpen() || sawEndOfStream();
-        if (left) {
+        boolean isGone = !getEndPoint().isOpen() || sawEndOfStream();
+        if (isGone) {
             loop.post(this::onClientGone);
         }
-        return left;
+        return isGone;
     }
 
+    // ---- responding
+
     @Override
     public void send(ClientResponse response) {
         accepted = null;
-        unanswered = false;
         decoder.release();
-        if (!getEndPoint().isOpen() || !busy) {
+        if (state == State.AWAITING_RESPONSE) {
+            state = State.WRITING_RESPONSE;
+        }
+        if (!getEndPoint().isOpen() || state != State.WRITING_RESPONSE) {
             return;
         }
-        boolean last = lastMessage || clients.closesAfterResponse();
+        boolean isLast = isLastMessage || clients.closesAfterResponse();
         Callback written =
                 Callback.from(
-                        () -> loop.post(() -> onResponseWritten(last)),
+                        () -> loop.post(() -> onResponseWritten(isLast)),
                         cause -> loop.post(this::onClientGone));
-        getEndPoint().write(written, response.encode(last));
+        getEndPoint().write(written, response.encode(isLast));
     }
 
-    private void onResponseWritten(boolean last) {
-        busy = false;
+    private void onResponseWritten(boolean isLast) {
+        state = State.READING;
         if (!getEndPoint().isOpen()) {
             return;
         }
-        if (last) {
+        if (isLast) {
             linger();
             return;
         }
         clients.update(
                 this,
-                hadRequest
+                hasAcceptedRequest
                         ? ConnectionLimit.Stage.IDLE_CLIENT
                         : ConnectionLimit.Stage.IDLE_VISITOR);
         if (!pipelined.isEmpty()) {
-            read(pipelined.kept());
+            read(pipelined.buffered());
             if (pipelined.isEmpty()) {
                 pipelined.release();
             }
@@ -269,94 +276,79 @@
         }
     }
 
-    /** Closes the connection once the client has had the time to read the last response. */
+    // ---- closing
+
+    /** Closes the connection after the time that the client needs to read the last response. */
     private void linger() {
-        lingering = true;
+        state = State.LINGERING;
         clients.update(this, ConnectionLimit.Stage.CLOSING);
         pipelined.release();
         getEndPoint().shutdownOutput();
-        loop.schedule(LINGER_TIME, this::close);
+        loop.schedule(LINGER_SECONDS, this::close);
         if (!isFillInterested() && getEndPoint().isOpen()) {
             fillInterested();
         }
     }
 
-    /** Whether it is between two messages; a new connection may have its first on the way. */
+    /** Whether it is between two messages. A new connection may have its first one in transit. */
     private boolean isIdle() {
-        return hadMessage && !busy && !messageBegun && !lingering;
+        return hasReadMessage && state == State.READING && !hasPartialMessage;
     }
 
-    /** Closes it if it is between two messages, and nothing of the next one lies unread. */
+    /** Closes the connection if it is idle and no part of a message has arrived. */
     void closeIfIdle() {
         if (isIdle() && !hasUnread()) {
             close();
         }
     }
 
-    /**
-     * Before the process ends: reads what has arrived, and closes the connection if it is silent.
-     */
+    /** Before the process ends: handles a message that has arrived, or else closes. */
     void readLastAndClose() {
-        if (busy || lingering) {
+        if (state != State.READING) {
             return;
         }
         if (sawEndOfStream()) {
             close();
-        } else if (!busy) {
+        } else if (!isBusy()) {
             evict();
         }
     }
 
-    /** Reads a little, if there is anything; returns the bytes read, or less than 0 at the end. */
-    private int peek() throws IOException {
-        ByteBuffer peeked = loop.lookBuffer();
-        int count = getEndPoint().fill(peeked);
-        if (count > 0) {
-            read(peeked);
-        }
-        return count;
-    }
-
-    /** Whether something lay unread; it has been read then. */
-    boolean hasUnread() {
-        try {
-            return peek() > 0;
-        } catch (IOException e) {
-            return false;
-        }
-    }
-
     /**
-     * Closes it in favour of another one. A message that has begun gets a rejection: it may be an
-     * honest client's.
+     * Closes the connection in favour of another one. If part of a message has been read, which may
+     * be that of a slow client, a rejection is sent first.
      */
     void evict() {
-        if (!messageBegun) {
+        if (!hasPartialMessage) {
             close();
             return;
         }
         clients.onNotAccepted();
-        // It does not count any more, whenever the response has been written.
+        // From now on it does not count against the limit, even before the response is written.
         clients.onClosed(this);
-        messageTimer.cancel();
-        messageBegun = false;
-        lingering = true;
+        messageTimeout.cancel();
+        hasPartialMessage = false;
+        state = State.LINGERING;
         Callback written =
                 Callback.from(() -> loop.post(this::close), cause -> loop.post(this::close));
-        getEndPoint().write(written, ClientResponse.rejected(0).encode(true));
+        ByteBuffer[] rejection =
+                ClientResponse.rejected(ClientResponse.NO_RETRY_AFTER).encode(true);
+        getEndPoint().write(written, rejection);
     }
 
     private void onClientGone() {
         RequestAcceptor.AcceptedRequest abandoned = accepted;
         accepted = null;
-        busy = false;
+        if (isBusy()) {
+            state = State.READING;
+        }
         close();
         if (abandoned != null) {
             abandoned.onClientGone();
         }
     }
 
-    /** A client may wait for its response until the deadline, but must read it then. */
+    /** A client may wait for a response until its deadline, but must read the response then. */
     @Override
     public boolean onIdleExpired(TimeoutException timeout) {
         if (isIdle()) {
@@ -369,18 +361,18 @@
 
     @Override
     public void close() {
-        if (messageTimer != null) {
-            messageTimer.cancel();
-        }
-        decoder.release();
-        pipelined.release();
-        clients.onClosed(this);
+        messageTimeout.cancel();
+        release();
         super.close();
     }
 
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
+        release();
+    }
+
+    private void release() {
         decoder.release();
         pipelined.release();
         clients.onClosed(this);
--- a/daemon/src/main/java/wheelroute/net/clients/ClientRequest.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientRequest.java
@@ -2,18 +2,19 @@
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
+import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * A client's HTTP request, decoded.
+ * The HTTP request of a client, decoded. Immutable, but for the body, which is not copied.
  *
- * @param target path and query, as they came
- * @param id null when not given
- * @param idempotencyKey null when not given
- * @param routeKey null when not given
- * @param tenant empty when not given
- * @param timeoutSeconds how many seconds the client waits from its send on; NaN when not given
- * @param estimatedWork seconds on a standard core; NaN when not given
- * @param clientRetry whether the client says that this is a retry
+ * @param target path and query, still escaped
+ * @param id null if absent
+ * @param idempotencyKey null if absent
+ * @param routeKey null if absent
+ * @param tenant empty if absent
+ * @param timeoutSeconds how long the client waits for the response; NaN if absent
+ * @param estimatedWork in seconds on a standard core; NaN if absent
+ * @param clientRetry whether the client has marked the request as a retry
  * @param keepsOpen whether the connection stays open after the response
  */
 public record ClientRequest(
@@ -32,13 +33,27 @@
         byte[] body) {
     private static final int HEX_RADIX = 16;
 
-    /** The target without its query. */
+    /**
+     * Checks that the request can be accepted, apart from its request class.
+     *
+     * @throws BadRequestException if the method is wrong or a required field is missing
+     */
+    void checkAcceptable() throws BadRequestException {
+        if (!method.equals("POST")) {
+            throw new BadRequestException(HttpStatus.NOT_FOUND_404, "submissions come by POST");
+        }
+        if (id == null || id.isEmpty() || !(timeoutSeconds > 0)) {
+            throw BadRequestException.malformed("X-Request-ID or X-Timeout is missing");
+        }
+    }
+
+    /** Returns the target without its query. */
     public String path() {
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** The name of the request class: the first segment of the path, decoded. */
+    /** Returns the name of the request class: the first segment of the path, decoded. */
     public String requestClass() {
         String path = path();
         int slash = path.indexOf('/', 1);
@@ -47,7 +62,7 @@
         return first.indexOf('%') < 0 ? first : unescaped(first);
     }
 
-    /** Decodes percent escapes. They are well-formed: {@link ClientRequestDecoder} checks them. */
+    /** Decodes percent escapes, which {@link ClientRequestDecoder} has found to be well-formed. */
     private static String unescaped(String text) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         byte[] in = text.getBytes(StandardCharsets.UTF_8);
--- a/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
@@ -4,21 +4,23 @@
 import java.nio.charset.StandardCharsets;
 import org.eclipse.jetty.http.HttpStatus;
 import wheelroute.net.http.HttpText;
+import wheelroute.units.TimeUnits;
 
 /**
- * A response to a client.
+ * A response to a client. Immutable, but for the body, which is not copied.
  *
- * @param retryAfterSeconds in seconds; 0 for no Retry-After
+ * @param retryAfterSeconds value of the field Retry-After; {@link #NO_RETRY_AFTER} to omit it
  */
 public record ClientResponse(int status, double retryAfterSeconds, byte[] body) {
-    private static final double MILLIS_PER_SECOND = 1e3;
+    /** Omits the field Retry-After: the client may retry at once, elsewhere. */
+    public static final double NO_RETRY_AFTER = 0;
 
-    /** The request has succeeded. */
+    /** Returns the response to a request that has succeeded. */
     public static ClientResponse succeeded(byte[] result) {
-        return new ClientResponse(HttpStatus.OK_200, 0, result);
+        return new ClientResponse(HttpStatus.OK_200, NO_RETRY_AFTER, result);
     }
 
-    /** The request was rejected: nothing has run, and a retry is safe. */
+    /** Returns the response to a request that was rejected: it has not run, so a retry is safe. */
     public static ClientResponse rejected(double retryAfterSeconds) {
         return new ClientResponse(
                 HttpStatus.SERVICE_UNAVAILABLE_503,
@@ -26,29 +28,35 @@
                 bytes("bounced: a retry is safe\n"));
     }
 
-    /** The request has failed: it may have run. */
+    /** Returns the response to a request that has failed: it may have run. */
     public static ClientResponse failed() {
         return new ClientResponse(
-                HttpStatus.BAD_GATEWAY_502, 0, bytes("scrapped: it may have run\n"));
+                HttpStatus.BAD_GATEWAY_502, NO_RETRY_AFTER, bytes("scrapped: it may have run\n"));
     }
 
-    /** Any other status, with a line of text. */
+    /** Returns a response with any other status and a line of text. */
     public static ClientResponse of(int status, String text) {
-        return new ClientResponse(status, 0, bytes(text + "\n"));
+        return new ClientResponse(status, NO_RETRY_AFTER, bytes(text + "\n"));
     }
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Writes the HTTP response. */
-    public ByteBuffer[] encode(boolean lastOnConnection) {
-        String roundedUp =
-                Double.toString(
-                        Math.ceil(retryAfterSeconds * MILLIS_PER_SECOND) / MILLIS_PER_SECOND);
+    /**
+     * Encodes the response as an HTTP message.
+     *
+     * @param isLast whether it is the last one on its connection
+     */
+    public ByteBuffer[] encode(boolean isLast) {
         return new HttpText("HTTP/1.1 " + status + " " + HttpStatus.getMessage(status))
-                .field("Retry-After", retryAfterSeconds > 0 ? roundedUp : null)
-                .field("Connection", lastOnConnection ? "close" : null)
+                .field("Retry-After", retryAfterSeconds > 0 ? ceilToMillis() : null)
+                .field("Connection", isLast ? "close" : null)
                 .body(body);
     }
+
+    private String ceilToMillis() {
+        double millis = Math.ceil(retryAfterSeconds * TimeUnits.MILLIS_PER_SECOND);
+        return Double.toString(millis / TimeUnits.MILLIS_PER_SECOND);
+    }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
@@ -12,30 +12,33 @@
 import wheelroute.net.metrics.Counters;
 
 /**
- * The server for clients: the listening socket, and the connections that are accepted on it within
- * a limit. Only for the event loop's thread.
+ * The server for clients: the listening socket, the connections accepted on it within a limit, and
+ * the memory that they share. Used on the event loop's thread only.
  */
 public final class ClientServer implements EventLoop.ChannelHandler {
-    /** Over the limit, this fraction of it more is sent a rejection; further ones are closed. */
+    /**
+     * Connections over the limit, as a fraction of it, whose requests get a rejection. Further ones
+     * are closed at once.
+     */
     private static final double REJECTED_FRACTION = 0.06;
 
-    /** A connection idle for this long is closed: its client may be long gone. */
+    /** An idle connection is closed after this time, as its client may be gone unnoticed. */
     private static final long IDLE_TIMEOUT_MILLIS = 120_000;
 
-    /** Of the heap, for bodies of requests: what is made of them takes as much again. */
+    /** Fraction of the heap for bodies of requests; what is made of them takes as much again. */
     private static final double BODIES_HEAP_FRACTION = 0.25;
 
-    /** Of the heap, for what clients send ahead: it must not take the memory of bodies. */
+    /** Fraction of the heap for pipelined input, which has a quota apart from that of bodies. */
     private static final double PIPELINED_HEAP_FRACTION = 0.06;
 
-    /** In bytes, however large the heap: sixteen clients that send ahead as much as they may. */
+    /** Bound on the memory for pipelined input on a large heap: that of 16 connections at most. */
     private static final long MAX_PIPELINED_BYTES = 16L * PipelinedInput.MAX_BYTES;
 
     private final EventLoop loop;
     private final RequestAcceptor acceptor;
     private final Counters counters;
 
-    /** The limit of the whole dispatcher. */
+    /** The limit of all processes of this dispatcher together. */
     private final int dispatcherLimit;
 
     private final ConnectionLimit<ClientConnection> connections;
@@ -50,9 +53,9 @@
     private boolean isListening;
 
     /**
-     * Makes a server that does not listen yet.
+     * Creates a server that does not listen yet.
      *
-     * @param limit on connections
+     * @param limit maximum number of connections
      */
     public ClientServer(EventLoop loop, RequestAcceptor acceptor, Counters counters, int limit) {
         this.loop = loop;
@@ -63,10 +66,10 @@
     }
 
     /**
-     * Accepts connections from here on.
+     * Starts to accept connections.
      *
-     * @param shared whether another process may listen at the address too; each then receives a
-     *     part of the connections
+     * @param shared whether another process may listen at the address too; the connections are then
+     *     distributed among the processes
      * @throws IOException if the address cannot be used
      */
     public void listen(InetSocketAddress address, boolean shared) throws IOException {
@@ -75,8 +78,8 @@
     }
 
     /**
-     * So many processes share the dispatcher's limit. Connections over it are evicted at once:
-     * otherwise all new ones would be closed unheard.
+     * Sets the number of processes that share the dispatcher's limit. Connections over the new
+     * limit of this process are evicted at once, since otherwise all new ones would be closed.
      */
     public void setProcessCount(int processes) {
         connections.limit(dispatcherLimit / processes);
@@ -89,12 +92,12 @@
         }
     }
 
-    /** Whether a client may be about to send: see {@link ConnectionLimit#expectsRequest}. */
+    /** Whether a request may be about to arrive; see {@link ConnectionLimit#expectsRequest}. */
     public boolean expectsRequest() {
         return connections.expectsRequest(loop.now());
     }
 
-    /** The local port; chosen by the system if the configured one is 0. */
+    /** Returns the local port, which the system chose if the configured one is 0. */
     public int port() {
         return server.socket().getLocalPort();
     }
@@ -107,10 +110,14 @@
 
     @Override
     public void onFailed(Throwable cause) {
-        // It broke at once: no request had come.
+        // The connection broke before any request arrived.
     }
 
-    /** Admits a connection; false when it is over the limit and none could be evicted for it. */
+    /**
+     * Adds a connection, for which another one may be evicted.
+     *
+     * @return whether it is within the limit; if not, it may be closed already
+     */
     boolean onOpened(ClientConnection connection) {
         counters.count(Counters.Counter.CLIENT_CONNECTIONS);
         connections
@@ -124,7 +131,7 @@
         return connections.count() <= connections.limit();
     }
 
-    /** The connection has reached this stage. */
+    /** Records that a connection has reached this stage, or made progress within it. */
     void update(ClientConnection connection, ConnectionLimit.Stage stage) {
         connections.update(connection, stage, loop.now());
     }
@@ -137,22 +144,22 @@
         return pipelinedQuota;
     }
 
-    /** May be called more than once. */
+    /** Removes a connection. May be called more than once. */
     void onClosed(ClientConnection connection) {
         connections.remove(connection);
     }
 
-    /** How many connections are open. */
+    /** Returns the number of open connections. */
     public int openConnections() {
         return connections.count();
     }
 
-    /** A request has been rejected because its connection is over the limit. */
+    /** Records a request that was rejected because its connection is over the limit. */
     void onRejected(ClientRequest message) {
         acceptor.onRejected(message);
     }
 
-    /** A request that is not valid, or not complete, has been refused. */
+    /** Records a request that was not accepted because it is invalid or incomplete. */
     void onNotAccepted() {
         counters.count(Counters.Counter.REQUESTS_NOT_ACCEPTED);
     }
@@ -167,19 +174,25 @@
         return acceptor.closesAfterResponse();
     }
 
-    ClientResponse health() {
+    /** Returns the response to a GET request. */
+    ClientResponse page(String path) {
+        return switch (path) {
+            case "/healthz" -> health();
+            case "/metrics" ->
+                    ClientResponse.succeeded(acceptor.metrics().getBytes(StandardCharsets.UTF_8));
+            default -> ClientResponse.of(HttpStatus.NOT_FOUND_404, "no such page");
+        };
+    }
+
+    private ClientResponse health() {
         return acceptor.isDraining()
                 ? ClientResponse.of(HttpStatus.SERVICE_UNAVAILABLE_503, "draining")
                 : ClientResponse.of(HttpStatus.OK_200, "ok");
     }
 
-    byte[] metrics() {
-        return acceptor.metrics().getBytes(StandardCharsets.UTF_8);
-    }
-
     /**
-     * Reads what has arrived, and may accept it, before the process ends. Silent connections are
-     * closed, so that no client sends a request to a process that will not read it.
+     * Reads requests that have arrived before the process ends, and closes all other connections,
+     * so that no client sends a request that would not be read.
      */
     public void readLastAndClose() {
         for (ConnectionLimit.Stage stage : ConnectionLimit.Stage.values()) {
@@ -188,8 +201,8 @@
     }
 
     /**
-     * Accepts no new connections. Idle ones are closed, unless this dispatcher serves until its
-     * end.
+     * Stops accepting connections. Idle ones are closed, unless the dispatcher keeps connections
+     * open until the process ends.
      */
     public void stopListening() {
         if (isListening) {
--- a/daemon/src/main/java/wheelroute/net/clients/ConnectionLimit.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ConnectionLimit.java
@@ -10,7 +10,8 @@
 import java.util.function.Predicate;
 
 /**
- * Limits client connections and chooses which one to evict for a new one when the limit is reached.
+ * Limits client connections, and chooses which one to evict for a new one when the limit is
+ * reached.
  *
  * <p>A flood of connections that never complete a message must not displace clients that do. Some
  * legitimate clients write slowly, some only query status, and some keep a connection for reuse, so
@@ -37,13 +38,13 @@
         CLOSING
     }
 
-    /** A connection without progress for less than this is not considered silent. */
-    public static final double SILENCE_TIMEOUT_SECONDS = 0.15;
+    /** A connection without a complete message is stalled after this time without progress. */
+    private static final double STALL_TIMEOUT_SECONDS = 0.15;
 
-    /** A slow writer continues within this; a longer pause does not delay shutdown. */
-    private static final double WRITE_PAUSE_TIMEOUT = 1;
+    /** Longest pause of a slow writer. A longer one does not delay the shutdown. */
+    private static final double WRITE_PAUSE_TIMEOUT_SECONDS = 1;
 
-    /** More than this fraction of the limit without a complete message counts as a flood. */
+    /** Fraction of the limit above which connections without a complete message are a flood. */
     private static final double FLOOD_FRACTION = 0.5;
 
     private final Map<Stage, Map<C, Double>> lastUpdates = new EnumMap<>(Stage.class);
@@ -67,17 +68,17 @@
         limit = newLimit;
     }
 
-    /** The maximum number of connections. */
+    /** Returns the maximum number of connections. */
     public int limit() {
         return limit;
     }
 
-    /** The number of open connections. */
+    /** Returns the number of open connections. */
     public int count() {
         return stages.size();
     }
 
-    /** A copy of the connections at this stage, the least recently updated first. */
+    /** Returns a copy of the connections at this stage, the least recently updated first. */
     public List<C> connectionsIn(Stage stage) {
         return new ArrayList<>(lastUpdates.get(stage).keySet());
     }
@@ -91,7 +92,7 @@
         lastUpdates.get(stage).put(connection, time);
     }
 
-    /** Records that a connection was closed; ignores an unknown one. */
+    /** Records that a connection was closed. Ignores an unknown one. */
     public void remove(C connection) {
         Stage previous = stages.remove(connection);
         if (previous != null) {
@@ -100,17 +101,17 @@
     }
 
     /**
-     * Whether a request may be about to arrive: one is partly read and made progress recently, or a
-     * connection was accepted a moment ago. Ending the process now would lose it.
+     * Whether a request may be about to arrive, and would be lost if the process ended now: one is
+     * partly read and made progress recently, or a connection was accepted very recently.
      */
     public boolean expectsRequest(double time) {
-        return hasUpdateWithin(WRITE_PAUSE_TIMEOUT, Stage.READING, time)
-                || hasUpdateWithin(SILENCE_TIMEOUT_SECONDS, Stage.NEW, time);
+        return hasUpdateWithin(WRITE_PAUSE_TIMEOUT_SECONDS, Stage.READING, time)
+                || hasUpdateWithin(STALL_TIMEOUT_SECONDS, Stage.NEW, time);
     }
 
-    private boolean hasUpdateWithin(double timeout, Stage stage, double time) {
+    private boolean hasUpdateWithin(double timeoutSeconds, Stage stage, double time) {
         return lastUpdates.get(stage).values().stream()
-                .anyMatch(lastUpdate -> time - lastUpdate < timeout);
+                .anyMatch(lastUpdate -> time - lastUpdate < timeoutSeconds);
     }
 
     /** Whether more connections are open than allowed, as after the limit was lowered. */
@@ -121,8 +122,8 @@
     /**
      * Chooses the connection to evict before one more is accepted.
      *
-     * @param hasUnread whether received bytes of a connection are still unread: then it is not
-     *     silent, and the call may read them and so change or remove the connection
+     * @param hasUnread whether received bytes of a connection are still unread, so that it is not
+     *     stalled; the call may read them, and so change or remove the connection
      * @return empty if the limit is not reached, or if every connection takes precedence over a new
      *     one
      */
@@ -138,22 +139,22 @@
         }
         // NEW before READING: a slow writer has shown that it intends to send a request.
         for (Stage stage : List.of(Stage.NEW, Stage.READING)) {
-            Optional<C> silent = firstSilent(stage, time, hasUnread);
-            if (silent.isPresent()) {
-                return silent;
+            Optional<C> stalled = firstStalled(stage, time, hasUnread);
+            if (stalled.isPresent()) {
+                return stalled;
             }
         }
-        // A flood must not displace known clients, who keep their connections for reuse.
+        // A flood must not displace known clients, which keep their connections for reuse.
         return isFlooded()
                 ? Optional.empty()
                 : connectionsIn(Stage.IDLE_CLIENT).stream().findFirst();
     }
 
-    private Optional<C> firstSilent(Stage stage, double time, Predicate<C> hasUnread) {
+    private Optional<C> firstStalled(Stage stage, double time, Predicate<C> hasUnread) {
         for (C connection : connectionsIn(stage)) {
-            // An earlier hasUnread call may have moved this one to another stage or removed it.
+            // An earlier call of hasUnread may have moved this one to another stage or removed it.
             double lastUpdate = lastUpdates.get(stage).getOrDefault(connection, time);
-            if (time - lastUpdate >= SILENCE_TIMEOUT_SECONDS && !hasUnread.test(connection)) {
+            if (time - lastUpdate >= STALL_TIMEOUT_SECONDS && !hasUnread.test(connection)) {
                 return Optional.of(connection);
             }
         }
--- a/daemon/src/main/java/wheelroute/net/clients/MemoryQuota.java
+++ b/daemon/src/main/java/wheelroute/net/clients/MemoryQuota.java
@@ -1,39 +1,41 @@
 package wheelroute.net.clients;
 
 /**
- * A limit on the bytes that all clients' messages may occupy at one time. Only for the event loop's
- * thread.
+ * A limit on the memory that messages of all clients may occupy together. Used on the event loop's
+ * thread only.
  */
 public final class MemoryQuota {
-    private final long limit;
-    private long used;
+    private final long limitBytes;
+    private long reservedBytes;
 
     /**
-     * Begins empty.
+     * Creates a quota of which nothing is reserved.
      *
-     * @param limit in bytes
+     * @param limitBytes maximum number of bytes
      */
-    public MemoryQuota(long limit) {
-        this.limit = limit;
+    public MemoryQuota(long limitBytes) {
+        this.limitBytes = limitBytes;
     }
 
-    /** Reserves so many bytes; false, without effect, when there are not enough. */
+    /** Reserves bytes, unless that would exceed the limit; returns whether it has reserved them. */
     boolean tryReserve(int bytes) {
-        boolean fits = used + bytes <= limit;
-        used += fits ? bytes : 0;
+        boolean fits = reservedBytes + bytes <= limitBytes;
+        reservedBytes += fits ? bytes : 0;
         return fits;
     }
 
-    /** Reserves bytes that have arrived already, even over the limit. */
+    /** Reserves bytes even if that exceeds the limit, for input that has already been read. */
     void reserve(int bytes) {
-        used += bytes;
+        reservedBytes += bytes;
     }
 
+    /** Whether the limit is reached. */
     boolean isFull() {
-        return used >= limit;
+        return reservedBytes >= limitBytes;
     }
 
+    /** Returns reserved bytes to the quota. */
     void release(int bytes) {
-        used -= bytes;
+        reservedBytes -= bytes;
     }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/PipelinedInput.java
+++ b/daemon/src/main/java/wheelroute/net/clients/PipelinedInput.java
@@ -4,18 +4,21 @@
 import java.util.ArrayDeque;
 
 /**
- * What a client has sent ahead, while its previous request awaits its response. It is read, within
- * two limits, so that the end of the stream behind it is noticed when the client leaves. Keeps the
- * arrival times, from which timeouts count.
+ * Buffers the input that arrives on a connection before the previous request has been answered. It
+ * is read early to notice the end of the stream after it, which means that the client is gone.
+ * There is a limit for each connection, and a quota for all of them. The buffer also keeps the
+ * times of arrival, when the timeouts of the requests in it start.
+ *
+ * <p>Used on the event loop's thread only.
  */
 final class PipelinedInput {
-    /** What arrives closer together than this, in seconds, shares the first arrival time. */
-    private static final double SAME_ARRIVAL = 0.05;
+    /** Input that arrives within this time of the last recorded arrival is recorded with it. */
+    private static final double MIN_ARRIVAL_INTERVAL_SECONDS = 0.05;
 
-    /** Arrival times of one connection: they must not occupy more memory than the bytes. */
+    /** Bound on the arrivals recorded, so that small pieces do not need much memory for them. */
     private static final int MAX_ARRIVALS = 64;
 
-    /** In bytes: some messages of the largest size. What exceeds it waits with the system. */
+    /** A few messages of the maximum size. Further input is not read from the system. */
     static final int MAX_BYTES = 256 * 1024;
 
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
@@ -23,14 +26,19 @@
     /** Shared by all connections. */
     private final MemoryQuota quota;
 
-    private ByteBuffer kept = EMPTY;
+    private ByteBuffer buffer = EMPTY;
 
-    /** Bytes that have been added since the connection was made. */
-    private long added;
+    /** Number of all bytes added since the connection was opened. */
+    private long addedBytes;
 
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
 
-    /** The bytes before the end, counted like {@link #added}, have arrived at this time. */
+    /**
+     * The arrival of a piece of input.
+     *
+     * @param end value of {@link #addedBytes} after it
+     * @param at when it arrived
+     */
     private record Arrival(long end, double at) {}
 
     PipelinedInput(MemoryQuota quota) {
@@ -38,54 +46,63 @@
     }
 
     boolean isEmpty() {
-        return !kept.hasRemaining();
+        return !buffer.hasRemaining();
     }
 
-    /** Whether no more should be read for now. */
+    /** Whether further input should not be read for now. */
     boolean isFull() {
-        return kept.remaining() >= MAX_BYTES || quota.isFull();
+        return buffer.remaining() >= MAX_BYTES || quota.isFull();
     }
 
-    /** Keeps all of the bytes, also those of one read over the limits. */
+    /** Adds all bytes, even if they exceed the limits. */
     void add(ByteBuffer in, double arrivedAt) {
-        added += in.remaining();
+        recordArrival(in.remaining(), arrivedAt);
+        append(in);
+    }
+
+    private void recordArrival(int bytes, double arrivedAt) {
+        addedBytes += bytes;
         Arrival last = arrivals.peekLast();
-        boolean sharesTime =
+        boolean isMerged =
                 last != null
-                        && (arrivedAt - last.at < SAME_ARRIVAL || arrivals.size() >= MAX_ARRIVALS);
-        if (sharesTime) {
+                        && (arrivedAt - last.at < MIN_ARRIVAL_INTERVAL_SECONDS
+                                || arrivals.size() >= MAX_ARRIVALS);
+        if (isMerged) {
             arrivals.removeLast();
         }
-        arrivals.addLast(new Arrival(added, sharesTime ? last.at : arrivedAt));
-        int needed = kept.remaining() + in.remaining();
-        if (kept.capacity() - kept.position() < needed) {
+        arrivals.addLast(new Arrival(addedBytes, isMerged ? last.at : arrivedAt));
+    }
+
+    private void append(ByteBuffer in) {
+        int needed = buffer.remaining() + in.remaining();
+        if (buffer.capacity() - buffer.position() < needed) {
             ByteBuffer larger =
                     ByteBuffer.allocate(Math.max(needed, Math.min(MAX_BYTES, 2 * needed)));
-            quota.reserve(larger.capacity() - kept.capacity());
-            kept = larger.put(kept).flip();
+            quota.reserve(larger.capacity() - buffer.capacity());
+            buffer = larger.put(buffer).flip();
         }
-        kept.mark().position(kept.limit()).limit(kept.limit() + in.remaining());
-        kept.put(in).reset();
+        buffer.mark().position(buffer.limit()).limit(buffer.limit() + in.remaining());
+        buffer.put(in).reset();
     }
 
-    /** The bytes to be read; what is not read stays kept. */
-    ByteBuffer kept() {
-        return kept;
+    /** Returns the buffered bytes, to be consumed from the buffer itself. */
+    ByteBuffer buffered() {
+        return buffer;
     }
 
-    /** When the last byte that has been read arrived: the last of a message, after its decoding. */
+    /** Returns when the last consumed byte arrived: after decoding, the last one of the message. */
     double arrivedAt() {
-        long bytesRead = added - kept.remaining();
-        while (arrivals.getFirst().end < bytesRead) {
+        long consumedBytes = addedBytes - buffer.remaining();
+        while (arrivals.getFirst().end < consumedBytes) {
             arrivals.removeFirst();
         }
         return arrivals.getFirst().at;
     }
 
-    /** Drops everything. */
+    /** Drops all input and returns its memory to the quota. */
     void release() {
-        quota.release(kept.capacity());
-        kept = EMPTY;
+        quota.release(buffer.capacity());
+        buffer = EMPTY;
         arrivals.clear();
     }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/RequestAcceptor.java
+++ b/daemon/src/main/java/wheelroute/net/clients/RequestAcceptor.java
@@ -1,44 +1,44 @@
 package wheelroute.net.clients;
 
-/** Accepts the requests that clients send. Only for the event loop's thread. */
+/** Accepts the requests of clients. Used on the event loop's thread only. */
 public interface RequestAcceptor {
-    /** An accepted request, as its client's connection sees it. */
+    /** Receives the events of the connection on which a request was accepted. */
     interface AcceptedRequest {
-        /** The client has closed its connection. */
+        /** Called when the client has closed its connection before the response. */
         void onClientGone();
     }
 
-    /** Where the final response goes. */
+    /** Sends the final response to a client. */
     interface ResponseSender {
-        /** Sends the response; to be called once. */
+        /** Sends the response. Called once. */
         void send(ClientResponse response);
 
         /**
-         * Checks for a close of the connection that has not been noticed yet. If there is one,
-         * {@link AcceptedRequest#onClientGone} follows.
+         * Checks whether the client has closed its connection, even if that was not read yet. If
+         * so, {@link AcceptedRequest#onClientGone} is called later.
          */
         boolean isClientGone();
     }
 
     /**
-     * Accepts a request, or rejects it by a response.
+     * Accepts a request, which may be answered before this method returns.
      *
-     * @param arrivedAt Unix time in seconds: the earliest at which its last byte may have arrived,
-     *     from which its timeout counts
-     * @throws BadRequestException if there is no such request class, for instance
+     * @param arrivedAt Unix time in seconds at which the last byte of the request arrived at the
+     *     earliest; the client's timeout starts then
+     * @throws BadRequestException if the request is not valid, as without a known request class
      */
     AcceptedRequest accept(ClientRequest message, double arrivedAt, ResponseSender responses)
             throws BadRequestException;
 
-    /** A complete request has been rejected because there were too many connections. */
+    /** Records a complete request that was rejected because there were too many connections. */
     void onRejected(ClientRequest message);
 
     /** Whether this process is shutting down. */
     boolean isDraining();
 
-    /** Whether a response is the last on its connection, as this process is shutting down. */
+    /** Whether each response is now the last one on its connection, as the process shuts down. */
     boolean closesAfterResponse();
 
-    /** All metrics in Prometheus' text format. */
+    /** Returns all metrics in the text format of Prometheus. */
     String metrics();
 }
--- a/daemon/src/main/java/wheelroute/net/clients/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/clients/package-info.java
@@ -1,2 +1,2 @@
-/** The clients' side: connections, requests and responses. */
+/** The server for clients: connections, requests and responses. */
 package wheelroute.net.clients;
