--- a/daemon/src/main/java/wheelroute/net/workers/AttemptListener.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptListener.java
@@ -1,31 +1,31 @@
 package wheelroute.net.workers;
 
 /**
- * Hears what happens to one attempt. {@link #onEnded} comes exactly once, and last. Only for the
- * event loop's thread.
+ * Receives the events of one attempt. {@link #onEnded} is called exactly once, as the last one. All
+ * calls are on the event loop's thread.
  */
 public interface AttemptListener {
     /** The body of an attempt that has no result. */
     byte[] NO_RESULT = {};
 
-    /** Whether to send it still; asked after it has waited for a connection. */
+    /** Whether the attempt is still to be sent. Checked when its connection has been opened. */
     boolean isStillNeeded();
 
-    /** The worker has begun to run it. */
+    /** Called when the worker has started to run the attempt. */
     void onStarted();
 
     /**
-     * The worker reports progress.
+     * Called when the worker reports progress.
      *
-     * @param share the part of the work that is done, from 0 to 1
+     * @param fraction the fraction of the work that is done, from 0 to 1
      */
-    void onProgress(double share);
+    void onProgress(double fraction);
 
     /**
-     * The attempt has ended.
+     * Called when the attempt has ended.
      *
-     * @param body what goes to the client; empty unless it succeeded
-     * @param freeSlots from the worker's load report; NaN for none
+     * @param body result for the client; empty unless the attempt succeeded
+     * @param freeSlots from the worker's load report; NaN if there is none
      */
     void onEnded(AttemptResult result, byte[] body, double freeSlots);
 }
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
@@ -5,14 +5,14 @@
 import wheelroute.net.http.HttpText;
 
 /**
- * What is sent to a worker on behalf of a client.
+ * The request that an attempt sends to a worker. Immutable, but for the body, which is not copied.
  *
  * @param target path and query, as the client sent them
  * @param id the client's id of the request
- * @param idempotencyKey null when the client sent none
- * @param routeKey null when the client sent none
- * @param atMostOnce whether a second run might do harm, so that a response has to be to this
- *     attempt for certain
+ * @param idempotencyKey null if the client sent none
+ * @param routeKey null if the client sent none
+ * @param atMostOnce whether a second run could do harm, so that it must be certain which attempt a
+ *     response is for
  */
 public record AttemptRequest(
         String method,
@@ -23,17 +23,17 @@
         byte[] body,
         boolean atMostOnce) {
     /**
-     * Writes the HTTP request.
+     * Encodes the HTTP request.
      *
-     * @param timeout how long the response is waited for, in seconds
+     * @param timeoutSeconds how long this dispatcher waits for the response
      */
-    public ByteBuffer[] encode(String host, double timeout) {
+    public ByteBuffer[] encode(String host, double timeoutSeconds) {
         return new HttpText(method + " " + target + " HTTP/1.1")
                 .field("Host", host)
                 .field("X-Request-ID", id)
                 .field("Idempotency-Key", idempotencyKey)
                 .field("X-Route-Key", routeKey)
-                .field("X-Timeout", String.format(Locale.ROOT, "%.3f", timeout))
+                .field("X-Timeout", String.format(Locale.ROOT, "%.3f", timeoutSeconds))
                 .body(body);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
@@ -8,58 +8,74 @@
 import wheelroute.net.http.ResponseParser;
 import wheelroute.net.loop.LineBuffer;
 
-/** Decodes the responses to the attempts on one connection. */
+/**
+ * Decodes the responses to the attempts on one connection.
+ *
+ * <p>Used on the event loop's thread only. After an exception the connection must be closed.
+ */
 final class AttemptResponseDecoder implements ResponseParser.Reader {
-    /** Hears what the responses say. */
+    /** Receives the contents of the responses. */
     interface Listener {
+        /** Called when the worker has started to run the attempt. */
         void onStarted();
 
-        void onProgress(double share);
+        /** Called when the worker reports the fraction of the work that is done. */
+        void onProgress(double fraction);
 
-        /** The attempt has ended; its response may have bytes to come. */
+        /** Called when the attempt has ended. The response need not be complete. */
         void onEnded(AttemptResult result, byte[] body, double freeSlots);
 
-        /** The last byte of the response has come. */
+        /** Called when the response is complete. */
         void onComplete(boolean keepsOpen);
     }
 
-    /** In bytes: the protocol's limit on bodies, of which a line is a part. */
-    private static final int MAX_LINE = 64 * 1024;
+    /** The protocol's limit on results, which are part of a line. */
+    private static final int MAX_LINE_BYTES = 64 * 1024;
 
     private final ResponseParser parser = new ResponseParser(this);
-    private final LineBuffer lines = new LineBuffer(MAX_LINE);
+    private final LineBuffer lines = new LineBuffer(MAX_LINE_BYTES);
     private final Listener listener;
 
-    /** The request of the attempt that is expected to be responded to. */
-    private String id;
+    /** Id of the request whose attempt awaits its response. */
+    private String expectedId;
 
-    /** The body consists of status lines. */
+    /** Whether the body of the response consists of status lines. */
     private boolean hasStatusLines;
 
-    /** The attempt has ended; or there has been none. */
+    /** Whether no attempt awaits its end. */
     private boolean ended = true;
 
     AttemptResponseDecoder(Listener listener) {
         this.listener = listener;
     }
 
-    /** The next response is to an attempt for the request of this id. */
+    /** Sets the id of the request whose attempt the next response is for. */
     void expect(String requestId) {
-        id = requestId;
+        expectedId = requestId;
         ended = false;
         hasStatusLines = false;
         lines.clear();
     }
 
-    /** Whether the response says which attempt it is for; it has been checked then. */
+    /** Whether the response contains the id of its request, which was compared to the expected. */
     boolean identifiesAttempt() {
         return hasStatusLines;
     }
 
+    /**
+     * Decodes the bytes of a response.
+     *
+     * @throws IOException if they do not follow HTTP or the protocol of workers
+     */
     void decode(ByteBuffer in) throws IOException {
         parser.parse(in);
     }
 
+    /**
+     * Decodes the end of the stream, which completes a response without a length.
+     *
+     * @throws IOException if the response is incomplete
+     */
     void atEnd() throws IOException {
         parser.atEnd();
     }
@@ -67,13 +83,12 @@
     @Override
     public void head(int status, Map<String, String> fields) throws IOException {
         if (ended) {
-            throw new IOException("an answer to nothing");
+            throw new MalformedResponseException("a response without an attempt");
         }
         hasStatusLines = status == HttpStatus.OK_200;
         if (!hasStatusLines) {
             finish(
                     resultOf(status, "1".equals(fields.get("x-not-processed"))),
-                    AttemptListener.NO_RESULT,
                     WorkerStatusLine.freeSlots(fields.get("x-server-load")));
         }
     }
@@ -93,7 +108,7 @@
                 : AttemptResult.UNEXPECTED_STATUS;
     }
 
-    /** 408 and 429 are about the moment, not about the request. */
+    /** Whether the status blames the request: 408 and 429 depend on the time of the attempt. */
     private static boolean isInvalidRequest(int status) {
         return HttpStatus.isClientError(status)
                 && status != HttpStatus.REQUEST_TIMEOUT_408
@@ -115,29 +130,33 @@
             return;
         }
         WorkerStatusLine line = WorkerStatusLine.decode(bytes);
-        if (!line.id().equals(id)) {
-            throw new IOException("a line of another launch");
+        if (!line.id().equals(expectedId)) {
+            throw new MalformedResponseException("a line with the id of another request");
         }
         switch (line.state()) {
             case STARTED -> listener.onStarted();
-            case RUNNING -> listener.onProgress(line.share());
-            case DONE -> {
-                if (line.result() == null) {
-                    throw new IOException("done without a result");
-                }
-                finish(AttemptResult.SUCCEEDED, line.result(), line.freeSlots());
-            }
-            case FAILED ->
-                    finish(AttemptResult.FAILED, AttemptListener.NO_RESULT, line.freeSlots());
-            case RETURNED ->
-                    finish(AttemptResult.HANDED_BACK, AttemptListener.NO_RESULT, line.freeSlots());
-            case LOST -> finish(AttemptResult.KILLED, AttemptListener.NO_RESULT, line.freeSlots());
+            case RUNNING -> listener.onProgress(line.progressFraction());
+            case DONE -> finishSuccessfully(line);
+            case FAILED -> finish(AttemptResult.FAILED, line.freeSlots());
+            case RETURNED -> finish(AttemptResult.HANDED_BACK, line.freeSlots());
+            case LOST -> finish(AttemptResult.KILLED, line.freeSlots());
             case UNKNOWN -> {
-                // A state of a later version: the attempt's last line is still to come.
+                // A state of a later version of the protocol, which does not end the attempt.
             }
         }
     }
 
+    private void finishSuccessfully(WorkerStatusLine line) throws MalformedResponseException {
+        if (line.result() == null) {
+            throw new MalformedResponseException("a successful attempt without a result");
+        }
+        finish(AttemptResult.SUCCEEDED, line.result(), line.freeSlots());
+    }
+
+    private void finish(AttemptResult result, double freeSlots) {
+        finish(result, AttemptListener.NO_RESULT, freeSlots);
+    }
+
     private void finish(AttemptResult result, byte[] body, double freeSlots) {
         ended = true;
         listener.onEnded(result, body, freeSlots);
@@ -146,11 +165,11 @@
     @Override
     public void end(boolean keepsOpen) throws IOException {
         if (hasStatusLines && !lines.isEmpty()) {
-            // A last line needs no line feed when the body ends with it.
+            // The last line may end without a line feed.
             onLine(lines.rest());
         }
         if (!ended) {
-            throw new IOException("the answer ends without its last line");
+            throw new MalformedResponseException("a response without a final status line");
         }
         listener.onComplete(keepsOpen);
     }
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptResult.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResult.java
@@ -2,47 +2,41 @@
 
 import wheelroute.decision.Outcome;
 
-/**
- * Every way in which an attempt's connection can end, and the one mapping from each to the {@link
- * Outcome} that the decisions reckon with.
- */
+/** How an attempt ended on its connection, and what that means for the decisions. */
 public enum AttemptResult {
-    /** The worker's last line has the result. */
+    /** The worker's last status line has the result. */
     SUCCEEDED("done"),
-    /** A last line, or a status 500, that tells of an error. */
+    /** The worker's last status line, or a status 500, reports an error. */
     FAILED("failed"),
-    /** A last line that hands the request back unstarted. */
+    /** The worker's last status line hands the request back unstarted. */
     HANDED_BACK("returned"),
-    /** A status 503 or 504 with the mark that nothing was begun. */
+    /** A status 503 or 504 with the mark that the request was not processed. */
     REJECTED("turned_away"),
-    /** A status that finds fault with the request itself. */
+    /** A status that blames the request itself. */
     INVALID_REQUEST("unusable"),
-    /** Any other status that the protocol does not name. */
+    /** Any other status. */
     UNEXPECTED_STATUS("odd_status"),
-    /** A last line that says that the job was killed. */
+    /** The worker's last status line reports that the job was killed. */
     KILLED("lost"),
-    /** The connection was refused. */
+    /** The worker refused the connection or was unreachable, or it is not in the list. */
     CONNECTION_REFUSED("refused"),
-    /** The connection never came up. */
+    /** The connection was not established in time. */
     CONNECT_TIMEOUT("never_up"),
-    /**
-     * This machine has no descriptor, port or buffer left for one more connection, or no route for
-     * it.
-     */
+    /** This machine had no descriptor, port, buffer or route for the connection. */
     CONNECT_FAILED_LOCALLY("no_room"),
-    /** It broke before the last byte of the attempt was written. */
+    /** The connection broke before the last byte of the attempt was written. */
     BROKEN_BEFORE_SENT("broke_unsent"),
-    /** It broke or ended before the worker's last line. */
+    /** The connection broke or was closed before the worker's last status line. */
     CONNECTION_LOST("broke"),
-    /** A kept-alive connection broke before the first byte of the response to its next attempt. */
+    /** A reused connection broke before the first byte of the response. */
     STALE_CONNECTION("stale"),
-    /** What came is not the protocol, or speaks of another attempt. */
+    /** The response does not follow the protocol, or is for another attempt. */
     PROTOCOL_ERROR("nonsense"),
-    /** The decisions cancelled it. */
+    /** The decisions cancelled the attempt. */
     CANCELLED("called_off"),
-    /** Nothing came before the deadline, or before this dispatcher's own end. */
+    /** There was no response before the deadline, or before the end of this process. */
     TIMED_OUT("timed_out"),
-    /** It was ended before its last byte was written, whatever for. */
+    /** The attempt was aborted before its last byte was written, for any reason. */
     NOT_SENT("ended_unsent");
 
     private final String metricLabel;
@@ -51,12 +45,15 @@
         this.metricLabel = metricLabel;
     }
 
-    /** The value of the label {@code end} in the metric {@code launch_ends_total}. */
+    /** Returns the value of the label {@code end} in the metric {@code launch_ends_total}. */
     public String metricLabel() {
         return metricLabel;
     }
 
-    /** The outcome; "never ran" only where the protocol proves it, as in doubt it may have run. */
+    /**
+     * Returns the outcome for the decisions. Unless the protocol proves that the attempt did not
+     * run, it is one of those that may have run.
+     */
     public Outcome outcome() {
         return switch (this) {
             case SUCCEEDED -> Outcome.SUCCEEDED;
@@ -68,8 +65,7 @@
             case CONNECTION_REFUSED, CONNECT_TIMEOUT, BROKEN_BEFORE_SENT -> Outcome.CONNECT_FAILED;
             case CANCELLED -> Outcome.CANCELLED;
             case TIMED_OUT -> Outcome.TIMED_OUT;
-            // What this machine lacks is ours: held against workers it would eject one after the
-            // other.
+            // Counted against workers, a shortage on this machine would eject all of them.
             case NOT_SENT, CONNECT_FAILED_LOCALLY -> Outcome.NOT_SENT;
         };
     }
--- a/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
+++ b/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
@@ -2,7 +2,7 @@
 
 import wheelroute.net.metrics.Counters;
 
-/** One attempt from its start to its end. Only for the event loop's thread. */
+/** An attempt that has not ended. Used on the event loop's thread only. */
 public final class InFlightAttempt {
     private final AttemptRequest message;
 
@@ -12,7 +12,7 @@
     private final AttemptListener listener;
     private final Counters counters;
 
-    /** Null until it has a connection. */
+    /** Null until the attempt has a connection. */
     private WorkerConnection connection;
 
     private boolean written;
@@ -34,25 +34,29 @@
         return deadline;
     }
 
-    /** Whether its last byte has been handed to the network: from then on it may run. */
+    /** Whether its last byte has been written, so that it may run on the worker. */
     public boolean isWritten() {
         return written;
     }
 
-    /** Whether to send it after it has waited for a connection; ends it if it is too late. */
+    /**
+     * Whether the attempt is to be sent, now that its connection has been opened. Ends it if its
+     * deadline has passed.
+     */
     boolean mayBeSent(double now) {
         if (!ended && now >= deadline) {
             abort(AttemptResult.TIMED_OUT);
         }
-        // The listener may end it, too.
+        // Checked twice, as the listener may end the attempt.
         return !ended && listener.isStillNeeded() && !ended;
     }
 
-    /** It is sent on this connection, which is closed if it is given up. */
+    /** Sets the connection, which {@link #abort} closes. */
     void setConnection(WorkerConnection newConnection) {
         connection = newConnection;
     }
 
+    /** Records that the last byte has been written. */
     void onWritten() {
         written = true;
         counters.count(Counters.Counter.ATTEMPTS_WRITTEN);
@@ -64,13 +68,13 @@
         }
     }
 
-    void onProgress(double share) {
+    void onProgress(double fraction) {
         if (!ended) {
-            listener.onProgress(share);
+            listener.onProgress(fraction);
         }
     }
 
-    /** Does nothing when it has ended already. */
+    /** Ends the attempt. Has no effect if it has ended already. */
     void end(AttemptResult result, byte[] body, double freeSlots) {
         if (!ended) {
             ended = true;
@@ -83,12 +87,12 @@
     }
 
     /**
-     * Gives it up, unless it has ended. Its connection is closed before the listener is called, so
-     * that no other attempt can overlap it.
+     * Ends the attempt, unless it has ended already, without waiting for its response. Its
+     * connection is closed before the listener is called, so that no later attempt can overlap it.
      */
     public void abort(AttemptResult result) {
         if (!ended) {
-            // First of all: closing the connection would otherwise count as a lost one.
+            // Set first, since otherwise the close would end the attempt as a lost connection.
             ended = true;
             if (connection != null) {
                 connection.close();
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
@@ -9,61 +9,69 @@
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * One connection to a worker: one attempt at a time, idle in between. Only for the event loop's
- * thread.
+ * A connection to a worker, which carries one attempt at a time and is kept open between attempts.
+ *
+ * <p>Used on the event loop's thread only. Any failure closes the connection and ends its attempt.
  */
 final class WorkerConnection extends StreamConnection implements AttemptResponseDecoder.Listener {
-    /** Seconds from an attempt's end to its response's last byte; then the connection is closed. */
-    private static final double TAIL_TIMEOUT = 1;
+    /** Time from the end of an attempt to the last byte of its response. */
+    private static final double RESPONSE_TAIL_TIMEOUT_SECONDS = 1;
 
     /**
-     * A faulty worker may respond to an attempt twice, the second time some milliseconds late, and
-     * a response that is no 200 does not say what it responds to. A connection that has been silent
-     * for this many seconds is taken to have nothing more on the way: many round trips, and little
-     * beside the time of a job.
+     * Time without a response after which nothing more of earlier attempts is expected. A faulty
+     * worker may respond to an attempt twice, the second time some milliseconds late, and a
+     * response with a status other than 200 does not identify its attempt. The time is many round
+     * trips, and short compared to a job.
      */
-    private static final double QUIESCENCE_TIME = 0.1;
+    private static final double QUIESCENCE_SECONDS = 0.1;
 
     private final WorkerConnectionPool pool;
     private final AttemptResponseDecoder decoder = new AttemptResponseDecoder(this);
+    private State state = State.IDLE;
 
-    /** Null while idle. */
+    /** The attempt whose response is not complete; null if there is none. */
     private InFlightAttempt attempt;
 
-    /** Set when the attempt ends before its response. */
-    private EventLoop.Timer tailTimer;
+    /** Closes the connection if the response is not complete in time after the attempt's end. */
+    private EventLoop.Timer responseTailTimer;
 
-    /** It has served an attempt before. */
-    private boolean reused;
+    /** Whether it has carried an attempt. */
+    private boolean isReused;
 
-    /** It is reused, and nothing has come since: the worker may have closed it meanwhile. */
-    private boolean maybeStale;
+    /** Whether it is reused and no byte has arrived since: the worker may have closed it. */
+    private boolean mayBeStale;
 
-    /** Unix time in seconds of the last response's end. */
-    private double answeredAt = Double.NEGATIVE_INFINITY;
+    /** Unix time in seconds of the end of the last response. */
+    private double lastResponseAt = Double.NEGATIVE_INFINITY;
 
-    /** What comes may be a second response to the attempt before. */
-    private boolean ambiguous;
+    /** Whether the next response may be another one to an earlier attempt. */
+    private boolean isResponseAmbiguous;
 
-    /** A response is outstanding, or the connection will not be used again. */
-    private boolean busy;
+    private enum State {
+        /** Open, without an attempt. */
+        IDLE,
+        /** The response to an attempt has not arrived completely. */
+        BUSY,
+        /** Closed, or about to be. */
+        CLOSED
+    }
 
     WorkerConnection(EndPoint endPoint, EventLoop loop, WorkerConnectionPool pool) {
         super(endPoint, loop);
         this.pool = pool;
     }
 
-    /** Sends the next attempt; the connection must be new or idle. */
+    /** Sends an attempt. The connection must be idle. */
     void send(InFlightAttempt next) {
         attempt = next;
-        busy = true;
-        maybeStale = reused;
-        ambiguous = !isQuiescent();
-        reused = true;
+        state = State.BUSY;
+        mayBeStale = isReused;
+        isResponseAmbiguous = !isQuiescent();
+        isReused = true;
         next.setConnection(this);
-        double timeout = next.deadline() - loop.now();
-        if (timeout <= 0) {
-            // The process may have stood still since the policy decided.
+        double timeoutSeconds = next.deadline() - loop.now();
+        if (timeoutSeconds <= 0) {
+            // The process was paused after the policy decided on the attempt.
             next.abort(AttemptResult.TIMED_OUT);
             return;
         }
@@ -73,21 +81,23 @@
                         Callback.from(
                                 next::onWritten,
                                 cause -> onFailure(AttemptResult.BROKEN_BEFORE_SENT)),
-                        next.message().encode(pool.host(), timeout));
+                        next.message().encode(pool.host(), timeoutSeconds));
     }
 
-    /** Whether nothing of an earlier attempt can be on its way here any more. */
+    /** Whether no response to an earlier attempt is expected any more. */
     boolean isQuiescent() {
-        return loop.now() - answeredAt >= QUIESCENCE_TIME;
+        return loop.now() - lastResponseAt >= QUIESCENCE_SECONDS;
     }
 
     /**
-     * Whether it is idle and open. Checks for a close that has not been read yet: an attempt
-     * written after it might count as having run.
+     * Whether it is idle and open. This checks for a close by the worker that has not been read
+     * yet, because an attempt that is written after it may have to count as having run.
      */
     boolean isUsable() {
         try {
-            return !busy && getEndPoint().isOpen() && getEndPoint().fill(loop.lookBuffer()) == 0;
+            return state == State.IDLE
+                    && getEndPoint().isOpen()
+                    && getEndPoint().fill(loop.lookBuffer()) == 0;
         } catch (IOException e) {
             return false;
         }
@@ -95,9 +105,9 @@
 
     @Override
     protected void onBytes(ByteBuffer in) {
-        maybeStale = false;
+        mayBeStale = false;
         if (attempt == null) {
-            // A second response, or none at all: it would be taken for the next one.
+            // These bytes respond to no attempt, and could be taken for the next response.
             close();
             return;
         }
@@ -119,13 +129,13 @@
         onFailure(AttemptResult.CONNECTION_LOST);
     }
 
-    /** Before its last byte is written an attempt cannot have run, however the connection ends. */
+    /** An attempt whose last byte has not been written cannot have run. */
     private void onFailure(AttemptResult result) {
         close();
         if (attempt != null) {
-            // Workers may close idle connections: as failures these would eject all of them.
+            // Workers may close idle connections. Counted as failures, that would eject them.
             AttemptResult actual =
-                    maybeStale && result == AttemptResult.CONNECTION_LOST
+                    mayBeStale && result == AttemptResult.CONNECTION_LOST
                             ? AttemptResult.STALE_CONNECTION
                             : result;
             attempt.end(attempt.isWritten() ? actual : AttemptResult.BROKEN_BEFORE_SENT);
@@ -138,16 +148,16 @@
     }
 
     @Override
-    public void onProgress(double share) {
-        attempt.onProgress(share);
+    public void onProgress(double fraction) {
+        attempt.onProgress(fraction);
     }
 
     @Override
     public void onEnded(AttemptResult result, byte[] body, double freeSlots) {
-        tailTimer = loop.schedule(TAIL_TIMEOUT, this::close);
-        if (ambiguous && !decoder.identifiesAttempt()) {
-            // It may be a response to the attempt before, while this one runs: closed first, it
-            // cannot overlap the next attempt.
+        responseTailTimer = loop.schedule(RESPONSE_TAIL_TIMEOUT_SECONDS, this::close);
+        if (isResponseAmbiguous && !decoder.identifiesAttempt()) {
+            // It may respond to the attempt before, while this one runs. Closing the connection
+            // first cancels this one, so that it cannot overlap the next attempt.
             close();
         }
         attempt.end(result, body, freeSlots);
@@ -155,21 +165,21 @@
 
     @Override
     public void onComplete(boolean keepsOpen) {
-        tailTimer.cancel();
+        responseTailTimer.cancel();
         if (!keepsOpen || !attempt.isWritten()) {
             close();
         } else if (getEndPoint().isOpen()) {
             attempt = null;
-            busy = false;
-            answeredAt = loop.now();
+            state = State.IDLE;
+            lastResponseAt = loop.now();
             pool.onIdle(this);
         }
     }
 
-    /** Only idle connections expire: the deadline limits how long a response may take. */
+    /** Only closes idle connections, since the deadline limits the time for a response. */
     @Override
     public boolean onIdleExpired(TimeoutException timeout) {
-        if (!busy) {
+        if (state == State.IDLE) {
             close();
         }
         return false;
@@ -177,7 +187,7 @@
 
     @Override
     public void close() {
-        busy = true;
+        state = State.CLOSED;
         super.close();
         pool.onClosed(this);
     }
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPool.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPool.java
@@ -15,24 +15,24 @@
 import wheelroute.config.SocketAddresses;
 import wheelroute.net.loop.EventLoop;
 
-/** The connections to one worker. Only for the event loop's thread. */
+/** The connections to one worker. Used on the event loop's thread only. */
 final class WorkerConnectionPool {
     private final EventLoop loop;
     private final WorkerConnectionPools pools;
     private final InetSocketAddress address;
 
-    /** Unix time in seconds; NaN when it is unknown, or long ago. */
+    /** When the worker started, as Unix time in seconds; NaN if it is unknown or long ago. */
     private final double startedAt;
 
     private final Set<WorkerConnection> open = new HashSet<>();
 
-    /** The one used last comes last, and is used next: those that are not needed expire. */
+    /** The last one is the most recently used, and used next, so that the others can expire. */
     private final ArrayDeque<WorkerConnection> idle = new ArrayDeque<>();
 
-    /** Attempts that wait for a connection, in the order of their start. */
+    /** Attempts whose connections are being opened, in the order of their start. */
     private final Set<InFlightAttempt> connecting = new LinkedHashSet<>();
 
-    /** The worker has left the list or been replaced: no connection is used again. */
+    /** Whether the worker was removed or replaced, so that no connection may be used again. */
     private boolean retired;
 
     WorkerConnectionPool(
@@ -46,17 +46,17 @@
         this.startedAt = startedAt;
     }
 
-    /** Whether this is the pool of a worker listed like this. */
+    /** Whether this is the pool of a worker with this address and start. */
     boolean matches(InetSocketAddress listed, double listedStart) {
         return address.equals(listed) && Double.compare(startedAt, listedStart) == 0;
     }
 
-    /** For the Host field. */
+    /** Returns the value of the header field Host. */
     String host() {
         return SocketAddresses.format(address);
     }
 
-    /** Sends the attempt on an idle connection, or opens one for it within the limit. */
+    /** Sends an attempt on an idle connection, or on a new one if the limit permits it. */
     void send(InFlightAttempt attempt) {
         WorkerConnection idleConnection = takeIdle(attempt.message().atMostOnce());
         if (idleConnection != null) {
@@ -71,31 +71,33 @@
     }
 
     /**
-     * Takes an idle connection that can be used, a quiescent one if there is one; null for none.
-     * What must not run twice needs a quiescent or a new one: on another it might receive a second
-     * response to the attempt before it.
+     * Removes and returns a usable idle connection, preferably a quiescent one; null if there is
+     * none.
+     *
+     * @param onlyQuiescent for an attempt that must not run twice: on another connection it could
+     *     receive a second response to the attempt before
      */
     private WorkerConnection takeIdle(boolean onlyQuiescent) {
-        WorkerConnection active = null;
-        // A copy: a connection that turns out to be unusable is removed as it is closed.
+        WorkerConnection fallback = null;
+        // A copy, because closing an unusable connection removes it.
         Iterator<WorkerConnection> newestFirst = new ArrayDeque<>(idle).descendingIterator();
         while (newestFirst.hasNext()) {
             WorkerConnection next = newestFirst.next();
-            boolean quiescent = next.isQuiescent();
-            if (!quiescent && (onlyQuiescent || active != null)) {
+            boolean isQuiescent = next.isQuiescent();
+            if (!isQuiescent && (onlyQuiescent || fallback != null)) {
                 continue;
             }
             if (!next.isUsable()) {
                 next.close();
-            } else if (quiescent) {
+            } else if (isQuiescent) {
                 idle.remove(next);
                 return next;
             } else {
-                active = next;
+                fallback = next;
             }
         }
-        idle.remove(active);
-        return active;
+        idle.remove(fallback);
+        return fallback;
     }
 
     /** Opens a connection for one attempt. */
@@ -108,7 +110,7 @@
 
         @Override
         public Connection onOpened(EndPoint endPoint) {
-            endPoint.setIdleTimeout(pools.idleMillis());
+            endPoint.setIdleTimeout(pools.idleTimeoutMillis());
             WorkerConnection connection =
                     new WorkerConnection(endPoint, loop, WorkerConnectionPool.this);
             open.add(connection);
@@ -118,7 +120,7 @@
                         if (attempt.mayBeSent(loop.now())) {
                             connection.send(attempt);
                         } else {
-                            // It ended while it was connecting.
+                            // The attempt ended while it was connecting.
                             connection.close();
                         }
                     });
@@ -134,21 +136,21 @@
     }
 
     /**
-     * What a failed connect proves: that the worker refused or was not reached, or else only that
-     * this machine could not begin, for want of ports, buffers, descriptors or a route.
+     * Returns the result of a failed connect: whether the worker refused or was unreachable, or
+     * this machine had no port, buffer, descriptor or route for it.
      */
     private static AttemptResult connectResult(Throwable cause) {
         if (cause instanceof SocketTimeoutException) {
             return AttemptResult.CONNECT_TIMEOUT;
         }
-        boolean byTheWorker =
+        boolean isFaultOfWorker =
                 cause instanceof ConnectException || cause instanceof NoRouteToHostException;
-        return byTheWorker
+        return isFaultOfWorker
                 ? AttemptResult.CONNECTION_REFUSED
                 : AttemptResult.CONNECT_FAILED_LOCALLY;
     }
 
-    /** The connection can be used again. */
+    /** Makes a connection available for the next attempt. */
     void onIdle(WorkerConnection connection) {
         if (retired) {
             connection.close();
@@ -157,7 +159,7 @@
         }
     }
 
-    /** Evicts the connection that has been idle longest; false for none. */
+    /** Closes the connection that was idle longest, and returns whether there was one. */
     boolean evictOldestIdle() {
         WorkerConnection oldest = idle.pollFirst();
         if (oldest != null) {
@@ -166,7 +168,7 @@
         return oldest != null;
     }
 
-    /** May be called more than once. */
+    /** Removes a connection. May be called more than once. */
     void onClosed(WorkerConnection connection) {
         if (open.remove(connection)) {
             idle.remove(connection);
@@ -175,8 +177,8 @@
     }
 
     /**
-     * The worker has left the list, or has been replaced by another process: attempts that were
-     * sent may complete, but no connection is used again.
+     * Closes the pool after its worker was removed or replaced by another process. Attempts that
+     * were sent may complete, but no connection is used again.
      */
     void retire() {
         retired = true;
@@ -185,8 +187,8 @@
     }
 
     /**
-     * Ends all attempts without a connection unsent, so that the policy decides on them anew. A
-     * worker that drains may accept requests for a shorter time than a connection takes to open.
+     * Aborts all attempts whose connections are being opened, so that the policy decides on them
+     * again. A draining worker may stop accepting requests before the connections are open.
      */
     void endConnecting() {
         for (InFlightAttempt attempt : new ArrayList<>(connecting)) {
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPools.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPools.java
@@ -8,66 +8,66 @@
 import wheelroute.decision.Ids;
 import wheelroute.net.loop.EventLoop;
 import wheelroute.net.metrics.Counters;
+import wheelroute.units.TimeUnits;
 
 /**
- * The connections to all workers on the endpoint list, one pool each, within a common limit. Only
- * for the event loop's thread.
+ * The connections to all workers of the endpoint list, in one pool for each, within a common limit.
+ * Used on the event loop's thread only.
  */
 public final class WorkerConnectionPools {
     /**
-     * An idle connection is closed at this fraction of the worker's own limit: a request that
-     * crosses the worker's close may have run.
+     * Fraction of the workers' idle timeout after which an idle connection is closed here. If the
+     * worker closed it while a request is sent, the request would count as possibly run.
      */
-    private static final double IDLE_LIMIT_FRACTION = 0.5;
-
-    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
     private final EventLoop loop;
     private final Counters counters;
 
-    /** The limit of the whole dispatcher. */
+    /** The limit of all processes of this dispatcher together. */
     private final int dispatcherLimit;
 
     /** The limit of this process. */
     private int limit;
 
-    private final long idleMillis;
+    private final long idleTimeoutMillis;
     private final Map<Ids.Worker, WorkerConnectionPool> pools = new HashMap<>();
 
-    /**
-     * Pools of workers that have been listed as restarted or moved since {@link #onPolicyUpdated}.
-     */
+    /** Replaced pools, which {@link #onPolicyUpdated} closes. */
     private final List<WorkerConnectionPool> replaced = new ArrayList<>();
 
-    private int open;
+    /** Number of connections that are open or being opened. */
+    private int openConnections;
 
     /**
-     * Begins without workers.
+     * Creates an instance without workers.
      *
-     * @param limit on open connections
-     * @param idleLimit after how many idle seconds workers close a connection
+     * @param limit maximum number of open connections
+     * @param workerIdleTimeoutSeconds time after which workers close an idle connection
      */
-    public WorkerConnectionPools(EventLoop loop, Counters counters, int limit, double idleLimit) {
+    public WorkerConnectionPools(
+            EventLoop loop, Counters counters, int limit, double workerIdleTimeoutSeconds) {
         this.loop = loop;
         this.counters = counters;
         dispatcherLimit = limit;
         this.limit = limit;
-        idleMillis = Math.max(1, (long) (IDLE_LIMIT_FRACTION * idleLimit * MILLIS_PER_SECOND));
+        double idleTimeoutSeconds = IDLE_TIMEOUT_FRACTION * workerIdleTimeoutSeconds;
+        idleTimeoutMillis = Math.max(1, (long) (idleTimeoutSeconds * TimeUnits.MILLIS_PER_SECOND));
     }
 
     /**
-     * So many processes share the dispatcher's limit. Idle connections over it are evicted when
-     * others are opened.
+     * Sets the number of processes that share the dispatcher's limit. Idle connections over the new
+     * limit of this process are only closed when others are to be opened.
      */
     public void setProcessCount(int processes) {
         limit = dispatcherLimit / processes;
     }
 
     /**
-     * A worker is listed, ready or draining. If it has been restarted or has moved it gets a new
-     * pool.
+     * Adds a worker of the endpoint list, which may be ready or draining. Replaces its pool if it
+     * was restarted or has another address.
      *
-     * @param startedAt Unix time in seconds; NaN when it is unknown, or long ago
+     * @param startedAt Unix time in seconds; NaN if it is unknown or long ago
      */
     public void onListed(Ids.Worker worker, InetSocketAddress address, double startedAt) {
         WorkerConnectionPool pool = pools.get(worker);
@@ -80,8 +80,8 @@
     }
 
     /**
-     * The policy knows the list now: attempts that wait for a connection to a worker that drains,
-     * or has been replaced, end unsent. Earlier, the policy would choose the same worker again.
+     * Aborts the attempts whose connections to draining or replaced workers are being opened.
+     * Called when the policy has received the list; before, it would choose the same workers again.
      */
     public void onPolicyUpdated(Iterable<Ids.Worker> draining) {
         for (Ids.Worker worker : draining) {
@@ -94,7 +94,7 @@
         replaced.clear();
     }
 
-    /** The worker has left the list: attempts in attempt may complete, nothing new is sent. */
+    /** Removes a worker. Attempts in flight may complete, and no others are sent to it. */
     public void remove(Ids.Worker worker) {
         WorkerConnectionPool pool = pools.remove(worker);
         if (pool != null) {
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Sends an attempt. It may end before this returns.
+     * Sends an attempt, which may end before this method returns.
      *
      * @param deadline Unix time in seconds
      */
@@ -119,27 +119,30 @@
         return attempt;
     }
 
-    /** Whether one more connection may be opened; evicts an idle one if needed. */
+    /** Whether one more connection may be opened. Closes an idle one if that is necessary. */
     boolean mayOpen() {
-        return open < limit
+        return openConnections < limit
                 || pools.values().stream().anyMatch(WorkerConnectionPool::evictOldestIdle);
     }
 
+    /** Records that a connection is being opened. */
     void onConnecting() {
-        open++;
+        openConnections++;
         counters.count(Counters.Counter.WORKER_CONNECTIONS);
     }
 
+    /** Records that a connection was closed or could not be opened. */
     void onClosed() {
-        open--;
+        openConnections--;
     }
 
-    long idleMillis() {
-        return idleMillis;
+    /** Returns the time after which an idle connection is closed. */
+    long idleTimeoutMillis() {
+        return idleTimeoutMillis;
     }
 
-    /** How many connections are open, or being opened. */
+    /** Returns the number of connections that are open or being opened. */
     public int openConnections() {
-        return open;
+        return openConnections;
     }
 }
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerStatusLine.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerStatusLine.java
@@ -12,12 +12,13 @@
  * One line of a worker's response.
  *
  * @param id of the request
- * @param share the part of the work that is done, from 0 to 1; 0 when not given
- * @param result what goes to the client; null when not given
- * @param freeSlots from a load report; NaN when not given
+ * @param progressFraction the fraction of the work that is done, from 0 to 1; 0 if absent
+ * @param result for the client; null if absent
+ * @param freeSlots from a load report; NaN if absent
  */
-record WorkerStatusLine(String id, State state, double share, byte[] result, double freeSlots) {
-    /** What the line says of the attempt. */
+record WorkerStatusLine(
+        String id, State state, double progressFraction, byte[] result, double freeSlots) {
+    /** The state of the attempt. */
     enum State {
         STARTED,
         RUNNING,
@@ -32,19 +33,19 @@
     private static final String FREE_SLOTS = "x0";
 
     /**
-     * Reads a line. Unknown fields are ignored.
+     * Decodes a line. Ignores unknown fields.
      *
-     * @throws IOException if it is not one JSON object with an id
+     * @throws IOException if it is not a JSON object with an id
      */
     static WorkerStatusLine decode(byte[] line) throws IOException {
         String id = null;
         State state = State.UNKNOWN;
-        double share = 0;
+        double progressFraction = 0;
         byte[] result = null;
         double freeSlots = Double.NaN;
         try (JsonParser parser = JSON.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("a line is not an object");
+                throw new MalformedResponseException("a line is not a JSON object");
             }
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
@@ -52,20 +53,20 @@
                 switch (name) {
                     case "id" -> id = parser.getText();
                     case "state" -> state = state(parser.getText());
-                    case "share" -> share = parser.getDoubleValue();
+                    case "share" -> progressFraction = parser.getDoubleValue();
                     case "result" -> result = result(parser, value);
                     case "load" -> freeSlots = freeSlots(parser, value);
                     default -> parser.skipChildren();
                 }
             }
             if (parser.nextToken() != null) {
-                throw new IOException("a line goes on after its object");
+                throw new MalformedResponseException("a line continues after its object");
             }
         }
         if (id == null) {
-            throw new IOException("a line has no id");
+            throw new MalformedResponseException("a line has no id");
         }
-        return new WorkerStatusLine(id, state, share, result, freeSlots);
+        return new WorkerStatusLine(id, state, progressFraction, result, freeSlots);
     }
 
     private static State state(String name) {
@@ -80,7 +81,7 @@
         };
     }
 
-    /** A string goes to the client as its text, anything else as its JSON. */
+    /** Returns the text of a string, or the JSON of any other value. */
     private static byte[] result(JsonParser parser, JsonToken value) throws IOException {
         if (value == JsonToken.VALUE_STRING) {
             return parser.getText().getBytes(StandardCharsets.UTF_8);
@@ -109,7 +110,7 @@
         return freeSlots;
     }
 
-    /** Reads a load report from a header field; null, and what is malformed, is no report. */
+    /** Decodes a load report in a header field. Returns NaN if it is null or malformed. */
     static double freeSlots(String header) {
         for (String pair : header == null ? new String[0] : header.split(",")) {
             int equals = pair.indexOf('=');
--- a/daemon/src/main/java/wheelroute/net/workers/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/workers/package-info.java
@@ -1,2 +1,2 @@
-/** The workers' side: connection pools and the attempts that are sent on them. */
+/** Connections to workers, their pools, and the attempts that are sent on them. */
 package wheelroute.net.workers;
