--- a/daemon/src/main/java/wheelroute/adapter/Adapter.java
+++ b/daemon/src/main/java/wheelroute/adapter/Adapter.java
@@ -15,19 +15,22 @@
 import wheelroute.decision.Settings;
 
 /**
- * Runs simulated dispatchers for the simulator: reads batches of events, passes each event to the
- * policy of its instance, and answers each batch with the actions that the policies decided on.
+ * Runs the dispatchers of a simulation: reads batches of events, passes each event to the policy of
+ * its dispatcher, and answers each batch with the actions that the policies decided on.
+ *
+ * <p>Not thread-safe. All times are those of the simulation; there is no clock.
  */
 public final class Adapter {
-    /** Bit of the field {@code bitmap}: the cost estimate may be used. */
+    /** Bit of the field {@code bitmap}: the work estimate may be used. */
     private static final long ESTIMATE_IS_VALID = 1;
 
-    /** Bit of the field {@code bitmap}: the client submitted the request before. */
-    private static final long IS_REPEATED = 2;
+    /** Bit of the field {@code bitmap}: the request is a retry of the client. */
+    private static final long IS_RETRY = 2;
 
-    /** Values of the field {@code topic}. */
+    /** Value of the field {@code topic}: the worker has started to run the attempt. */
     private static final long TOPIC_STARTED = 1;
 
+    /** Value of the field {@code topic}: the worker reports progress. */
     private static final long TOPIC_PROGRESS = 2;
 
     private final LineReader line;
@@ -35,12 +38,13 @@
     private final ReplyWriter reply;
     private final Map<Long, DispatcherInstance> instances = new HashMap<>();
 
-    /** The instance that the batch's events are for; null until the batch names one. */
+    /** The dispatcher that the events are for; null until the batch names one. */
     private DispatcherInstance current;
 
+    /** Time of the current batch in seconds. */
     private double now;
 
-    /** Creates an adapter on unbuffered streams, which stay open. */
+    /** Creates an adapter. The streams need not be buffered, and are not closed. */
     public Adapter(InputStream in, OutputStream out) {
         line = new LineReader(in);
         endpointLists = new EndpointListReader(line);
@@ -50,6 +54,7 @@
     /**
      * Answers batches until the input ends.
      *
+     * @throws IOException if a stream fails
      * @throws WireException at the first line that does not follow the protocol
      */
     public void run() throws IOException, WireException {
@@ -98,6 +103,11 @@
         if (current == null) {
             throw line.error("no AT line names its instance");
         }
+        Settings settings = readSettings();
+        current.configure(settings, reply.forInstance(current.id()), now);
+    }
+
+    private Settings readSettings() throws WireException {
         long seed = line.readLong("init_seed");
         Map<String, String> pairs = new HashMap<>();
         while (line.hasMore()) {
@@ -108,13 +118,11 @@
             }
             pairs.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
-        Settings settings;
         try {
-            settings = SettingsReader.read(seed, pairs);
+            return SettingsReader.read(seed, pairs);
         } catch (ConfigException e) {
             throw line.error(e.getMessage());
         }
-        current.configure(settings, reply.forInstance(current.id()), now);
     }
 
     private void onEvent(String message) throws IOException, WireException {
@@ -141,6 +149,15 @@
     }
 
     private void onRequest() throws WireException {
+        Request request = readRequest();
+        RequestHandle handle = current.policy().accept(request);
+        if (handle == null) {
+            throw line.error("the settings have no class '" + request.requestClass().name() + "'");
+        }
+        current.updateHandle(request.id().value(), handle);
+    }
+
+    private Request readRequest() throws WireException {
         long id = line.readLong("job");
         double memory = line.readDouble("ram_units", 0);
         double slots = line.readDouble("cores_needed", 1);
@@ -152,22 +169,16 @@
         double estimate =
                 line.hasMore() ? WireMapping.seconds(line.readDouble("weight_hint_us", -1)) : -1;
         boolean hasEstimate = (flags & ESTIMATE_IS_VALID) != 0 && estimate >= 0;
-        Request request =
-                new Request(
-                        new Ids.Request(id),
-                        current.requestClass(requestClass),
-                        current.tenant(tenant),
-                        deadline,
-                        hasEstimate ? estimate : Double.NaN,
-                        slots,
-                        memory,
-                        (flags & IS_REPEATED) != 0,
-                        key == null ? null : new Ids.Key(key));
-        RequestHandle handle = current.policy().accept(request);
-        if (handle == null) {
-            throw line.error("the settings have no class '" + requestClass + "'");
-        }
-        current.updateHandle(id, handle);
+        return new Request(
+                new Ids.Request(id),
+                current.requestClass(requestClass),
+                current.tenant(tenant),
+                deadline,
+                hasEstimate ? estimate : Double.NaN,
+                slots,
+                memory,
+                (flags & IS_RETRY) != 0,
+                key == null ? null : new Ids.Key(key));
     }
 
     private void onAttemptEnded() throws WireException {
@@ -231,28 +242,27 @@
     private void onEndpointList() throws IOException, WireException {
         EndpointList list = endpointLists.read();
         boolean polls = current.backoff() != null;
-        switch (list.form()) {
-            case FAILED -> {
-                if (polls) {
-                    // The wire has no duration of the call: taken as failed at once.
-                    double delay = current.backoff().nextDelay(0);
-                    reply.wakeAfter(current.id(), delay, ReplyWriter.LIST_RETRY_TOKEN);
-                }
-                return;
-            }
-            case SNAPSHOT, DELTA -> {
-                if (polls) {
-                    current.backoff().reset();
-                }
-            }
-            case CACHED -> {
-                // Not a response to a call, so the backoff goes on.
+        if (list.form() == EndpointListReader.Form.FAILED) {
+            if (polls) {
+                schedulePoll();
             }
+            return;
+        }
+        if (polls && list.isResponse()) {
+            current.backoff().reset();
         }
         current.policy().onEndpoints(list.endpoints(), list.isComplete());
     }
 
-    /** The policies send no health checks, but the message must be well-formed all the same. */
+    private void schedulePoll() {
+        // The protocol does not tell how long the failed poll took.
+        double delay = current.backoff().nextDelay(0);
+        reply.wakeAfter(current.id(), delay, ReplyWriter.LIST_RETRY_TOKEN);
+    }
+
+    /**
+     * Checks the form of the message, whose content is not used: policies send no health checks.
+     */
     private void skipHealthCheckResult() throws WireException {
         line.readLong("worker");
         line.readLong("rc");
@@ -260,6 +270,7 @@
         LoadReportReader.read(line);
     }
 
+    /** Checks the form of the message, whose content is not used: policies send no messages. */
     private void skipPeerMessage() throws WireException {
         line.readLong("by");
         line.skip("raw");
--- a/daemon/src/main/java/wheelroute/adapter/DispatcherInstance.java
+++ b/daemon/src/main/java/wheelroute/adapter/DispatcherInstance.java
@@ -9,12 +9,12 @@
 import wheelroute.decision.Settings;
 import wheelroute.net.discovery.Backoff;
 
-/** One simulated dispatcher: its policy and the requests that it has accepted. */
+/** A dispatcher of the simulation: its policy and its open requests. Not thread-safe. */
 final class DispatcherInstance {
     private final long id;
     private final Map<Long, RequestHandle> handles = new HashMap<>();
 
-    /** One object for each name that recurs on the wire. */
+    /** One object for each name, to avoid garbage. */
     private final Map<String, Ids.RequestClass> requestClasses = new HashMap<>();
 
     private final Map<String, Ids.Tenant> tenants = new HashMap<>();
@@ -30,7 +30,7 @@
         return id;
     }
 
-    /** Starts over with these settings, without requests. */
+    /** Starts the dispatcher, or restarts it, with these settings and without requests. */
     void configure(Settings settings, ActionHandler actions, double now) {
         handles.clear();
         policy = new Policy(settings, actions);
@@ -44,12 +44,12 @@
         handles.clear();
     }
 
-    /** Null before the instance is configured and after it was killed. */
+    /** Returns the policy; null before the dispatcher is configured and after it was killed. */
     Policy policy() {
         return policy;
     }
 
-    /** Between calls for the endpoint list; null where the list is pushed. */
+    /** Returns the backoff between polls for the endpoint list; null if the list is pushed. */
     Backoff backoff() {
         return backoff;
     }
@@ -62,12 +62,12 @@
         return tenants.computeIfAbsent(name, Ids.Tenant::new);
     }
 
-    /** Null for a request that is unknown or complete. */
+    /** Returns the handle of an open request; null for any other. */
     RequestHandle handle(long request) {
         return handles.get(request);
     }
 
-    /** Keeps the handle of a request until the request is complete. */
+    /** Adds the handle of a request, or removes it once the request is complete. */
     void updateHandle(long request, RequestHandle handle) {
         if (handle.isComplete()) {
             handles.remove(request);
--- a/daemon/src/main/java/wheelroute/adapter/EndpointListReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/EndpointListReader.java
@@ -6,23 +6,27 @@
 import wheelroute.decision.Endpoint;
 import wheelroute.decision.Ids;
 
-/** Reads an endpoint list: a line with its form and length, then one line for each endpoint. */
+/** Reads endpoint lists: a line with form and length, followed by a line for each endpoint. */
 final class EndpointListReader {
-    /** The forms of a list. */
     enum Form {
         /** All endpoints, from discovery. */
         SNAPSHOT,
-        /** All endpoints, as cached from an earlier list. */
+        /** All endpoints of an earlier list, which was cached. */
         CACHED,
-        /** Changed endpoints only. */
+        /** Only the endpoints that have changed, from discovery. */
         DELTA,
-        /** The call for the list failed; there are no endpoints. */
+        /** None, as polling discovery failed. */
         FAILED
     }
 
-    /** A list as read. */
+    /** An endpoint list. */
     record EndpointList(Form form, List<Endpoint> endpoints) {
-        /** Whether endpoints that are not in the list are gone. */
+        /** Whether discovery has sent the list. */
+        boolean isResponse() {
+            return form == Form.SNAPSHOT || form == Form.DELTA;
+        }
+
+        /** Whether endpoints that are not in the list have been removed. */
         boolean isComplete() {
             return form == Form.SNAPSHOT || form == Form.CACHED;
         }
@@ -34,7 +38,9 @@
         this.line = line;
     }
 
-    /** Reads the rest of the list's first line, and its endpoints, up to the last one's end. */
+    /**
+     * Reads the rest of the list's first line and all its endpoints; the last line is not ended.
+     */
     EndpointList read() throws IOException, WireException {
         Form form = readForm();
         line.readLong("stamp", 0);
--- a/daemon/src/main/java/wheelroute/adapter/LineReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/LineReader.java
@@ -6,24 +6,30 @@
 import java.util.Arrays;
 
 /**
- * Reads lines and their space-separated fields from a stream.
+ * Reads lines and their space-separated fields from a stream. Each method that reads a field reads
+ * the next one of the current line. A field of '-' is absent. The names of fields are those of the
+ * protocol, and only used in error messages.
  *
- * <p>Fields are parsed in place, without garbage: a simulated day has many lines. Field names are
- * those of the protocol and only serve error messages. Field methods read the next field of the
- * current line; a field that is '-' is absent.
+ * <p>Fields are parsed in place, since a simulation has many lines. Not thread-safe.
  */
 final class LineReader {
-    private static final int INITIAL_BUFFER_SIZE = 1 << 16;
-    private static final int MAX_SHOWN_LENGTH = 80;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+
+    /** Maximum length of the part of a line that is quoted in an error message. */
+    private static final int MAX_QUOTED_BYTES = 80;
+
+    /** Any number with no more digits fits into a long. */
     private static final int MAX_DIGITS = 18;
 
+    private static final int DECIMAL_RADIX = 10;
+
     private final InputStream in;
-    private byte[] buffer = new byte[INITIAL_BUFFER_SIZE];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int filled;
     private int lineStart;
     private int lineEnd = -1;
 
-    /** Where the next field begins; beyond the line's end after the last one. */
+    /** Start of the next field; beyond the end of the line if there is none. */
     private int position;
 
     private long lineNumber;
@@ -32,7 +38,7 @@
         this.in = in;
     }
 
-    /** Moves to the next line; false at the end of the input. */
+    /** Moves to the next line, and returns whether there is one. */
     boolean next() throws IOException, WireException {
         lineStart = lineEnd + 1;
         int scanned = 0;
@@ -52,7 +58,7 @@
         }
     }
 
-    /** Reads more bytes of the line that begins at lineStart; false at the end of the input. */
+    /** Reads more bytes of the line at lineStart, and returns whether there are any. */
     private boolean fillBuffer() throws IOException, WireException {
         if (lineStart > 0) {
             System.arraycopy(buffer, lineStart, buffer, 0, filled - lineStart);
@@ -97,7 +103,7 @@
         return position < lineEnd;
     }
 
-    /** A field as it is, '-' included. */
+    /** Reads a text, which may be '-'. */
     String readText(String name) throws WireException {
         int end = fieldEnd(name);
         String text = new String(buffer, position, end - position, StandardCharsets.UTF_8);
@@ -105,18 +111,18 @@
         return text;
     }
 
-    /** Null where the field is absent. */
+    /** Reads a text; returns null if the field is absent. */
     String readOptionalText(String name) throws WireException {
         String text = readText(name);
         return text.equals("-") ? null : text;
     }
 
-    /** Skips a field, which must be there. */
+    /** Skips a field, which must exist. */
     void skip(String name) throws WireException {
         position = fieldEnd(name) + 1;
     }
 
-    /** The rest of the line, spaces included. */
+    /** Reads the rest of the line, including spaces. */
     String readRest() {
         String text =
                 position < lineEnd
@@ -126,7 +132,7 @@
         return text;
     }
 
-    /** A whole number of at most {@link #MAX_DIGITS} digits. */
+    /** Reads a whole number of at most {@link #MAX_DIGITS} digits. */
     long readLong(String name) throws WireException {
         int end = fieldEnd(name);
         int i = position;
@@ -143,13 +149,13 @@
             if (digit < 0 || digit > 9) {
                 throw error("'" + name + "' is not a whole number");
             }
-            value = 10 * value + digit;
+            value = DECIMAL_RADIX * value + digit;
         }
         position = end + 1;
         return negative ? -value : value;
     }
 
-    /** A whole number; the default where the field is absent. */
+    /** Reads a whole number; returns the default if the field is absent. */
     long readLong(String name, long defaultValue) throws WireException {
         if (skipIfAbsent(name)) {
             return defaultValue;
@@ -157,7 +163,7 @@
         return readLong(name);
     }
 
-    /** A finite number; the default where the field is absent. */
+    /** Reads a finite number; returns the default if the field is absent. */
     double readDouble(String name, double defaultValue) throws WireException {
         if (skipIfAbsent(name)) {
             return defaultValue;
@@ -184,7 +190,7 @@
         }
     }
 
-    /** Whether the next field is absent; only then the field counts as read. */
+    /** Skips the next field if it is absent, and returns whether it was. */
     private boolean skipIfAbsent(String name) throws WireException {
         int end = fieldEnd(name);
         if (end - position == 1 && buffer[position] == '-') {
@@ -194,17 +200,17 @@
         return false;
     }
 
-    /** Fails unless all fields of the line have been read. */
+    /** Checks that all fields of the line have been read. */
     void expectEnd() throws WireException {
         if (position < lineEnd || (position == lineEnd && lineEnd > lineStart)) {
             throw error("something follows the last field");
         }
     }
 
-    /** An exception for a fault in the current line. */
+    /** Creates an exception for a fault in the current line. */
     WireException error(String fault) {
-        int shown = Math.min(lineEnd - lineStart, MAX_SHOWN_LENGTH);
-        String line = new String(buffer, lineStart, Math.max(0, shown), StandardCharsets.UTF_8);
+        int quoted = Math.min(lineEnd - lineStart, MAX_QUOTED_BYTES);
+        String line = new String(buffer, lineStart, Math.max(0, quoted), StandardCharsets.UTF_8);
         return new WireException("line " + lineNumber + ": " + fault + ": " + line);
     }
 }
--- a/daemon/src/main/java/wheelroute/adapter/LoadReportReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/LoadReportReader.java
@@ -2,9 +2,9 @@
 
 import wheelroute.decision.LoadReport;
 
-/** Reads a worker's load report: comma-separated name:value pairs in the field {@code stats}. */
+/** Reads load reports of workers: comma-separated name:value pairs in the field {@code stats}. */
 final class LoadReportReader {
-    /** The pair with the worker's number of free slots; all others are ignored. */
+    /** Name of the number of free slots; all others are ignored. */
     private static final String FREE_SLOTS = "x0";
 
     private LoadReportReader() {}
@@ -12,7 +12,7 @@
     /**
      * Reads the next field of the line.
      *
-     * @return {@link LoadReport#NONE} where the field is absent
+     * @return {@link LoadReport#NONE} if the field is absent
      */
     static LoadReport read(LineReader line) throws WireException {
         String pairs = line.hasMore() ? line.readOptionalText("stats") : null;
--- a/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
+++ b/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
@@ -8,34 +8,36 @@
 import wheelroute.decision.Ids;
 
 /**
- * Buffers the reply to one batch: the actions of the instances, each run of actions of one instance
- * introduced by a SOURCE line.
+ * Writes the replies to batches: the actions of the dispatchers, where a SOURCE line precedes the
+ * consecutive actions of one dispatcher. A reply is buffered until it is complete. Not thread-safe.
  */
 final class ReplyWriter {
-    private static final int INITIAL_BUFFER_SIZE = 1 << 14;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 14;
     private static final long NO_SOURCE = -1;
-    private static final int MAX_NUMBER_LENGTH = 20;
+
+    /** Length of the longest number with its sign. */
+    private static final int MAX_NUMBER_BYTES = 20;
+
+    private static final int DECIMAL_RADIX = 10;
 
     /** Token of a wakeup of the policy. */
     private static final String POLICY_TOKEN = "w";
 
-    /**
-     * Token of a wakeup that retries the call for the endpoint list; the policy is not involved.
-     */
+    /** Token of a wakeup that polls for the endpoint list again, without the policy. */
     static final String LIST_RETRY_TOKEN = "l";
 
     private final OutputStream out;
-    private byte[] buffer = new byte[INITIAL_BUFFER_SIZE];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int used;
 
-    /** The instance of the last SOURCE line. */
+    /** The dispatcher of the last SOURCE line. */
     private long source = NO_SOURCE;
 
     ReplyWriter(OutputStream out) {
         this.out = out;
     }
 
-    /** Writes the reply to the stream, and starts the next one. */
+    /** Completes the reply, writes it to the stream, and starts the next one. */
     void finish() throws IOException {
         text("DONE").endLine();
         out.write(buffer, 0, used);
@@ -44,7 +46,7 @@
         source = NO_SOURCE;
     }
 
-    /** Writes the actions of one instance to the reply. */
+    /** Returns a handler that adds the actions of one dispatcher to the current reply. */
     ActionHandler forInstance(long instance) {
         return new ActionHandler() {
             @Override
@@ -85,9 +87,10 @@
         };
     }
 
-    /** Requests a wakeup of the instance after a delay in seconds, with this token. */
-    void wakeAfter(long instance, double delay, String token) {
-        startAction(instance).text("SLEEP").number(WireMapping.micros(delay)).text(token).endLine();
+    /** Adds the request for a wakeup of a dispatcher, which brings the token back. */
+    void wakeAfter(long instance, double delaySeconds, String token) {
+        startAction(instance).text("SLEEP").number(WireMapping.micros(delaySeconds));
+        text(token).endLine();
     }
 
     private ReplyWriter startAction(long instance) {
@@ -114,18 +117,18 @@
     }
 
     private ReplyWriter number(long value) {
-        ensureCapacity(MAX_NUMBER_LENGTH);
+        ensureCapacity(MAX_NUMBER_BYTES);
         if (value < 0) {
             buffer[used++] = '-';
             value = -value;
         }
         int digits = 1;
-        for (long rest = value / 10; rest > 0; rest /= 10) {
+        for (long rest = value / DECIMAL_RADIX; rest > 0; rest /= DECIMAL_RADIX) {
             digits++;
         }
         for (int i = used + digits - 1; i >= used; i--) {
-            buffer[i] = (byte) ('0' + value % 10);
-            value /= 10;
+            buffer[i] = (byte) ('0' + value % DECIMAL_RADIX);
+            value /= DECIMAL_RADIX;
         }
         used += digits;
         buffer[used++] = ' ';
--- a/daemon/src/main/java/wheelroute/adapter/WireException.java
+++ b/daemon/src/main/java/wheelroute/adapter/WireException.java
@@ -1,10 +1,10 @@
 package wheelroute.adapter;
 
-/** The input does not follow the wire protocol; the message names the line and the fault. */
+/** Thrown for input that does not follow the wire protocol. The message names line and fault. */
 public final class WireException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an exception whose message names the line where there is one. */
+    /** Creates an exception with a message that names the line, if there is one, and the fault. */
     public WireException(String message) {
         super(message);
     }
--- a/daemon/src/main/java/wheelroute/adapter/WireMapping.java
+++ b/daemon/src/main/java/wheelroute/adapter/WireMapping.java
@@ -2,14 +2,13 @@
 
 import wheelroute.decision.Endpoint;
 import wheelroute.decision.Outcome;
+import wheelroute.units.TimeUnits;
 
-/** Maps the codes and words in the fields of wire messages to our types. */
+/** Maps codes, words and times in wire messages to the types and units of this program. */
 final class WireMapping {
-    private static final double MICROS_PER_SECOND = 1e6;
-
     private WireMapping() {}
 
-    /** How an attempt ended, from the field {@code rc}: the status codes of HTTP and of proxies. */
+    /** Returns the outcome for the field {@code rc}, which has status codes of HTTP and proxies. */
     static Outcome outcome(long code) {
         return switch ((int) code) {
             case 200 -> Outcome.SUCCEEDED;
@@ -24,7 +23,7 @@
         };
     }
 
-    /** An endpoint's state, from the field {@code readiness}; null for an unknown word. */
+    /** Returns the state for the field {@code readiness}; null for an unknown word. */
     static Endpoint.State endpointState(String word) {
         return switch (word) {
             case "active" -> Endpoint.State.READY;
@@ -34,18 +33,18 @@
         };
     }
 
-    /** Seconds, from a field in whole microseconds. */
+    /** Converts a field in whole microseconds. */
     static double seconds(long micros) {
-        return micros / MICROS_PER_SECOND;
+        return micros / TimeUnits.MICROS_PER_SECOND;
     }
 
-    /** Seconds, from a field in microseconds. */
+    /** Converts a field in microseconds. */
     static double seconds(double micros) {
-        return micros / MICROS_PER_SECOND;
+        return micros / TimeUnits.MICROS_PER_SECOND;
     }
 
-    /** Microseconds for the wire, rounded. */
+    /** Returns the rounded microseconds for the wire. */
     static long micros(double seconds) {
-        return Math.round(seconds * MICROS_PER_SECOND);
+        return Math.round(seconds * TimeUnits.MICROS_PER_SECOND);
     }
 }
--- a/daemon/src/test/java/wheelroute/adapter/AdapterTest.java
+++ b/daemon/src/test/java/wheelroute/adapter/AdapterTest.java
@@ -15,7 +15,6 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The adapter's replies to batches of the wire protocol. */
 public class AdapterTest {
     private static final String CONF =
             "CONFIGURE 5 az=a balancers=1 later.key=what membership_mode=push"
@@ -44,7 +43,7 @@
     }
 
     @DataProvider
-    public Object[][] conversations() {
+    public Object[][] batches() {
         return Stream.of(attempts(), otherEvents())
                 .flatMap(Arrays::stream)
                 .toArray(Object[][]::new);
@@ -99,14 +98,15 @@
         };
     }
 
-    @Test(dataProvider = "conversations")
-    public void answersEachBatch(String input, String expected) throws IOException, WireException {
+    @Test(dataProvider = "batches")
+    public void repliesToBatchWithActions(String input, String expected)
+            throws IOException, WireException {
         assertEquals(run(input), expected);
     }
 
-    /** After each failed call for the list, it is retried at a wakeup of its own. */
+    /** The wakeups for polling the list are apart from those of the policy. */
     @Test
-    public void retriesTheEndpointListWithBackoff() throws IOException, WireException {
+    public void pollsEndpointListWithBackoffAfterFailures() throws IOException, WireException {
         String polling = batch("").replace("membership_mode=push", "membership_mode=ask");
         String failed = "FRAME 2000\nAT 3\nSYNC X - 0\nYOUR_TURN\n";
         String policyWakeup = "FRAME 3000\nAT 3\nBELL w\nYOUR_TURN\n";
@@ -130,7 +130,7 @@
     }
 
     @DataProvider
-    public Object[][] malformed() {
+    public Object[][] malformedInputs() {
         return new Object[][] {
             // input, text that the message must contain
             {"HELLO\n", "line 1"},
@@ -155,14 +155,14 @@
         };
     }
 
-    @Test(dataProvider = "malformed")
+    @Test(dataProvider = "malformedInputs")
     public void rejectsMalformedInput(String input, String expected) {
         String message = expectThrows(WireException.class, () -> run(input)).getMessage();
         assertTrue(message.contains(expected), message);
     }
 
     @Test
-    public void readsLinesLongerThanItsBuffer() throws IOException, WireException {
+    public void readsLinesLongerThanTheBuffer() throws IOException, WireException {
         StringBuilder list = new StringBuilder("SYNC F 2 5000\n");
         for (int i = 0; i < 5000; i++) {
             list.append("ROW std 1 a - ").append(1000 + i).append(" 0 active\n");
