--- a/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
@@ -12,15 +12,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Map;
+import java.util.stream.Stream;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.decision.PolicyHarness;
 import wheelroute.net.http.ResponseParser;
 import wheelroute.net.workers.AttemptRequest;
 
-/** Clients' messages in all the shapes that a network or a stranger may give them. */
 public class ClientRequestDecoderTest {
-    private static final long ROOM = 100_000;
+    private static final long QUOTA_BYTES = 100_000;
+
+    /** Of the memory for the connections of a client and a worker together. */
+    private static final long MAX_CONNECTION_BYTES = 20_000;
+
     private static final String FIELDS =
             "Host: app.svc\r\nX-Request-ID: 9b1f\r\nx-route-key: 7f3a\r\n"
                     + "X-Timeout: 0.480\r\nIdempotency-Key: 5c0f\r\nX-Cost: 12000\r\nX-Retried: 1\r\n"
@@ -32,7 +36,7 @@
                     + FIELDS
                     + "Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n";
 
-    private static final String ANSWER =
+    private static final String WORKER_RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
                     + "Content-Length: 5\r\nX-Server-Load: x0=3\r\n\r\nhello";
 
@@ -41,14 +45,14 @@
     }
 
     @DataProvider
-    public Object[][] forms() {
+    public Object[][] requests() {
         return new Object[][] {{POST}, {CHUNKED}};
     }
 
-    @Test(dataProvider = "forms")
-    public void decodesHoweverItIsSplit(String text) throws BadRequestException {
+    @Test(dataProvider = "requests")
+    public void decodesRequestSplitAnywhere(String text) throws BadRequestException {
         for (int cut = 1; cut < text.length(); cut++) {
-            ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(ROOM));
+            ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(QUOTA_BYTES));
             assertNull(decoder.decode(bytes(text.substring(0, cut))), "cut at " + cut);
             ClientRequest message = decoder.decode(bytes(text.substring(cut)));
             assertEquals(message.target(), "/render/a%20b?q=1&r");
@@ -66,22 +70,19 @@
         }
     }
 
-    /**
-     * A dispatcher holds thousands of connections, clients' and workers': what each keeps must be
-     * little.
-     */
+    /** A dispatcher has thousands of connections to clients and workers. */
     @Test
-    public void takesLittleMemoryAConnection() throws Exception {
+    public void needsLittleMemoryForEachConnection() throws Exception {
         int connections = 100;
-        // Two on each: what a parser learns from one message it uses for the next.
+        // Two for each connection, as a parser may cache parts of the first for the next.
         ByteBuffer[] messages = new ByteBuffer[4 * connections];
         ClientRequestDecoder[] decoders = new ClientRequestDecoder[connections];
         ResponseParser[] parsers = new ResponseParser[connections];
-        Arrays.setAll(messages, i -> bytes(i % 4 < 2 ? POST : ANSWER));
-        // The classes are there before it is counted.
-        new ClientRequestDecoder(new MemoryQuota(ROOM)).decode(bytes(POST));
-        new ResponseParser(new Unread()).parse(bytes(ANSWER));
-        MemoryQuota quota = new MemoryQuota(ROOM);
+        Arrays.setAll(messages, i -> bytes(i % 4 < 2 ? POST : WORKER_RESPONSE));
+        // Loads the classes before the allocations are counted.
+        new ClientRequestDecoder(new MemoryQuota(QUOTA_BYTES)).decode(bytes(POST));
+        new ResponseParser(new IgnoringReader()).parse(bytes(WORKER_RESPONSE));
+        MemoryQuota quota = new MemoryQuota(QUOTA_BYTES);
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long thread = Thread.currentThread().getId();
         long before = threads.getThreadAllocatedBytes(thread);
@@ -89,17 +90,17 @@
             decoders[i] = new ClientRequestDecoder(quota);
             decoders[i].decode(messages[4 * i]);
             decoders[i].decode(messages[4 * i + 1]);
-            parsers[i] = new ResponseParser(new Unread());
+            parsers[i] = new ResponseParser(new IgnoringReader());
             parsers[i].parse(messages[4 * i + 2]);
             parsers[i].parse(messages[4 * i + 3]);
         }
         long each = (threads.getThreadAllocatedBytes(thread) - before) / connections;
         assertTrue(
-                each > 0 && each < 20_000,
+                each > 0 && each < MAX_CONNECTION_BYTES,
                 each + " bytes for a client's and a worker's connection");
     }
 
-    private static final class Unread implements ResponseParser.Reader {
+    private static final class IgnoringReader implements ResponseParser.Reader {
         @Override
         public void head(int status, Map<String, String> fields) {
             assertEquals(status, 200);
@@ -107,7 +108,7 @@
 
         @Override
         public void piece(ByteBuffer bytes) {
-            // What it says does not matter here.
+            // The content does not matter here.
         }
 
         @Override
@@ -116,10 +117,9 @@
         }
     }
 
-    /** Guards against what one message left behind showing up in the next. */
     @Test
-    public void decodesOneAfterTheOther() throws BadRequestException {
-        ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(ROOM));
+    public void decodesNextRequestWithoutFieldsOfThePreviousOne() throws BadRequestException {
+        ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(QUOTA_BYTES));
         ByteBuffer two =
                 bytes(POST + "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         decoder.decode(two);
@@ -148,11 +148,12 @@
         };
     }
 
-    /** An offering's name may hold what a path must escape, a tenant's what is no ASCII. */
+    /** Names may have characters that a path must escape, or that are not ASCII. */
     @Test(dataProvider = "names")
-    public void readsNames(String inPath, String name) throws BadRequestException {
+    public void decodesNamesAndForwardsTargetUnchanged(String inPath, String name)
+            throws BadRequestException {
         ClientRequest message =
-                new ClientRequestDecoder(new MemoryQuota(ROOM))
+                new ClientRequestDecoder(new MemoryQuota(QUOTA_BYTES))
                         .decode(
                                 bytes(
                                         POST.replace("/render/", "/" + inPath + "/")
@@ -160,7 +161,6 @@
                                                         "X-Tenant-Id: t", "X-Tenant-Id: " + name)));
         assertEquals(message.requestClass(), name);
         assertEquals(message.tenant(), name);
-        // To the worker it goes as it came, byte for byte.
         String sent =
                 PolicyHarness.text(
                         new AttemptRequest(
@@ -175,12 +175,60 @@
         assertTrue(sent.startsWith("POST /" + inPath + "/a%20b?q=1&r HTTP/1.1\r\n"), sent);
     }
 
+    /** Messages, each with the status of the response. */
     @DataProvider
-    public Object[][] bad() {
+    public Object[][] invalidMessages() {
+        return Stream.of(
+                        malformedMessages(),
+                        ambiguousLengths(),
+                        invalidTargets(),
+                        invalidNumbers(),
+                        invalidTokens(),
+                        unsupportedMessages())
+                .flatMap(Arrays::stream)
+                .toArray(Object[][]::new);
+    }
+
+    private static Object[][] malformedMessages() {
         return new Object[][] {
             {"\u0001\u0002\u0003 nonsense\r\n\r\n", 400},
             {"POST /render HTTP/1.1\r\nX-Timeout 3\r\n\r\n", 400},
+            {POST.replace("X-Cost", "X-Timeout"), 400},
+            {POST.replace("X-Cost: 12000", "X-Request-Id: 9b1f"), 400},
+            {POST.replace("HTTP/1.1", "HTTP/0.9"), 400},
+            {POST.replace("Host: app.svc\r\n", ""), 400},
+            {POST.replace("X-Cost", "Host"), 400},
+            {POST.replace("\r\nX-Cost", "\nX-Cost"), 400},
+        };
+    }
+
+    /** Invalid lengths, or more than one way to find the end of the body. */
+    private static Object[][] ambiguousLengths() {
+        return new Object[][] {
             {"POST /render HTTP/1.1\r\nHost: a\r\nContent-Length: many\r\n\r\n", 400},
+            {POST.replace("X-Cost: 12000", "Content-Length: 5"), 400},
+            {POST.replace("Content-Length: 5", "Content-Length: +5"), 400},
+            {POST.replace("Content-Length: 5", "Content-Length: -5"), 400},
+            {POST.replace("Content-Length: 5", "Content-Length: " + "9".repeat(30)), 400},
+            {POST.replace("X-Cost: 12000", "Transfer-Encoding: chunked"), 400},
+            {CHUNKED.replace("X-Cost: 12000", "Content-Length: 5"), 400},
+            {CHUNKED.replace("chunked", "gzip, chunked"), 400},
+            {CHUNKED.replace("X-Cost: 12000", "Transfer-Encoding: chunked"), 400},
+            {CHUNKED.replace("\r\n2\r\n", "\r\nzz\r\n"), 400},
+        };
+    }
+
+    private static Object[][] invalidTargets() {
+        return new Object[][] {
+            {POST.replace("a%20b", "a%2"), 400},
+            {POST.replace("a%20b", "a\u00e9b"), 400},
+            {POST.replace("a%20b", "a<b"), 400},
+            {POST.replace("/render", "http://app.svc/render"), 400},
+        };
+    }
+
+    private static Object[][] invalidNumbers() {
+        return new Object[][] {
             {POST.replace("0.480", "soon"), 400},
             {POST.replace("0.480", "-1"), 400},
             {POST.replace("0.480", "Infinity"), 400},
@@ -193,30 +241,21 @@
             {POST.replace("0.480", "0.4d"), 400},
             {POST.replace("0.480", "+1"), 400},
             {POST.replace("12000", "NaN"), 400},
-            {POST.replace("X-Cost", "X-Timeout"), 400},
-            {POST.replace("X-Cost: 12000", "X-Request-Id: 9b1f"), 400},
-            {POST.replace("X-Cost: 12000", "Content-Length: 5"), 400},
-            {POST.replace("Content-Length: 5", "Content-Length: +5"), 400},
-            {POST.replace("Content-Length: 5", "Content-Length: -5"), 400},
-            {POST.replace("Content-Length: 5", "Content-Length: " + "9".repeat(30)), 400},
-            {POST.replace("X-Cost: 12000", "Transfer-Encoding: chunked"), 400},
-            {CHUNKED.replace("X-Cost: 12000", "Content-Length: 5"), 400},
-            {CHUNKED.replace("chunked", "gzip, chunked"), 400},
-            {CHUNKED.replace("X-Cost: 12000", "Transfer-Encoding: chunked"), 400},
+        };
+    }
+
+    private static Object[][] invalidTokens() {
+        return new Object[][] {
             {POST.replace("9b1f", "9b\u00e91f"), 400},
             {POST.replace("9b1f", "9b 1f"), 400},
             {POST.replace("5c0f", "5".repeat(300)), 400},
             {POST.replace("7f3a", ""), 400},
-            {POST.replace("a%20b", "a%2"), 400},
-            {POST.replace("a%20b", "a\u00e9b"), 400},
-            {POST.replace("a%20b", "a<b"), 400},
-            {POST.replace("/render", "http://app.svc/render"), 400},
-            {POST.replace("HTTP/1.1", "HTTP/0.9"), 400},
-            {POST.replace("Host: app.svc\r\n", ""), 400},
-            {POST.replace("X-Cost", "Host"), 400},
-            {POST.replace("\r\nX-Cost", "\nX-Cost"), 400},
+        };
+    }
+
+    private static Object[][] unsupportedMessages() {
+        return new Object[][] {
             {POST.replace("X-Cost: 12000", "Expect: 100-continue"), 417},
-            {CHUNKED.replace("\r\n2\r\n", "\r\nzz\r\n"), 400},
             {POST.replace("Content-Length: 5", "Content-Length: 65537"), 413},
             {CHUNKED.replace("2\r\nhe\r\n", "20000\r\n" + "x".repeat(0x20000) + "\r\n"), 413},
             {POST.replace("9b1f", "9".repeat(9000)), 431},
@@ -224,46 +263,39 @@
         };
     }
 
-    /**
-     * Guards against a matcher that calls itself for each character: the stack's end was the
-     * thread's.
-     */
+    /** A regular expression with backtracking would overflow the stack. */
     @Test
-    public void readsTargetsAsLongAsAHead() throws BadRequestException {
+    public void decodesTargetsUpToTheLimitOfTheHead() throws BadRequestException {
         for (String part : new String[] {"a".repeat(7500), "%41".repeat(2500)}) {
             String target = "/render/" + part;
             String head = "POST " + target + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n";
             assertEquals(
-                    new ClientRequestDecoder(new MemoryQuota(ROOM)).decode(bytes(head)).target(),
+                    new ClientRequestDecoder(new MemoryQuota(QUOTA_BYTES))
+                            .decode(bytes(head))
+                            .target(),
                     target);
         }
     }
 
-    @Test(dataProvider = "bad")
-    public void refusesWithTheRightStatus(String text, int status) {
-        assertEquals(
-                expectThrows(
-                                BadRequestException.class,
-                                () -> {
-                                    ClientRequestDecoder decoder =
-                                            new ClientRequestDecoder(new MemoryQuota(ROOM));
-                                    ByteBuffer in = bytes(text);
-                                    while (in.hasRemaining()) {
-                                        ByteBuffer piece =
-                                                in.slice(
-                                                        in.position(),
-                                                        Math.min(1000, in.remaining()));
-                                        in.position(in.position() + piece.remaining());
-                                        decoder.decode(piece);
-                                    }
-                                })
-                        .status(),
-                status);
+    @Test(dataProvider = "invalidMessages")
+    public void rejectsInvalidMessageWithStatus(String text, int status) {
+        BadRequestException e =
+                expectThrows(BadRequestException.class, () -> decodeInPieces(bytes(text)));
+        assertEquals(e.status(), status);
+    }
+
+    private static void decodeInPieces(ByteBuffer in) throws BadRequestException {
+        ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(QUOTA_BYTES));
+        while (in.hasRemaining()) {
+            ByteBuffer piece = in.slice(in.position(), Math.min(1000, in.remaining()));
+            in.position(in.position() + piece.remaining());
+            decoder.decode(piece);
+        }
     }
 
-    /** Guards against many large bodies at once, which ended the process for want of memory. */
-    @Test(dataProvider = "forms")
-    public void holdsNoMoreThanThereIsRoomFor(String text) throws BadRequestException {
+    @Test(dataProvider = "requests")
+    public void rejectsBodyThatExceedsTheQuotaOfAllConnections(String text)
+            throws BadRequestException {
         MemoryQuota quota = new MemoryQuota(9);
         ClientRequestDecoder first = new ClientRequestDecoder(quota);
         ClientRequestDecoder second = new ClientRequestDecoder(quota);
@@ -282,38 +314,4 @@
         third.release();
         assertTrue(quota.tryReserve(7));
     }
-
-    @DataProvider
-    public Object[][] answers() {
-        return new Object[][] {
-            {
-                ClientResponse.succeeded("ok".getBytes(StandardCharsets.UTF_8)),
-                false,
-                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-            },
-            {
-                ClientResponse.rejected(0.0401),
-                true,
-                "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.041\r\n"
-                        + "Connection: close\r\nContent-Length: 25\r\n\r\nbounced: a retry is safe\n"
-            },
-            {
-                ClientResponse.rejected(0),
-                false,
-                "HTTP/1.1 503 Service Unavailable\r\n"
-                        + "Content-Length: 25\r\n\r\nbounced: a retry is safe\n"
-            },
-            {
-                ClientResponse.failed(),
-                false,
-                "HTTP/1.1 502 Bad Gateway\r\n"
-                        + "Content-Length: 26\r\n\r\nscrapped: it may have run\n"
-            },
-        };
-    }
-
-    @Test(dataProvider = "answers")
-    public void encodesAnswers(ClientResponse answer, boolean last, String expected) {
-        assertEquals(PolicyHarness.text(answer.encode(last)), expected);
-    }
 }
--- a/daemon/src/test/java/wheelroute/net/clients/ConnectionLimitTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ConnectionLimitTest.java
@@ -4,14 +4,15 @@
 
 import java.util.HashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Set;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 import wheelroute.net.clients.ConnectionLimit.Stage;
 
 /**
- * Which connection is evicted for a fifth where four are allowed. Test rows list the earlier
- * updates in order, as "name stage time" or "name gone".
+ * Evictions with a limit of four connections. The rows list earlier updates in order, as "name
+ * stage time" or "name gone".
  */
 public class ConnectionLimitTest {
     private static final int MAX_CONNECTIONS = 4;
@@ -28,7 +29,7 @@
             } else {
                 limit.update(
                         words[0],
-                        Stage.valueOf(words[1].toUpperCase(java.util.Locale.ROOT)),
+                        Stage.valueOf(words[1].toUpperCase(Locale.ROOT)),
                         Double.parseDouble(words[2]));
             }
         }
@@ -73,9 +74,9 @@
         assertEquals(limit.connectionToEvict(NOW, unread::contains).orElse(""), evicted);
     }
 
-    /** Reading the unread bytes may change a connection's stage, or close it, amid the choice. */
+    /** Reading the unread bytes of one connection may change the stage of another, or close it. */
     @Test
-    public void skipsConnectionsThatChangeWhileRead() {
+    public void skipsConnectionsThatChangeDuringTheChoice() {
         ConnectionLimit<String> limit = limitAfter("a new 1, b new 2, c new 3, d in_flight 1");
         assertEquals(
                 limit.connectionToEvict(
@@ -106,15 +107,14 @@
         };
     }
 
-    /** Shutdown waits for a message that is arriving, but not for a silent connection. */
     @Test(dataProvider = "expectedRequests")
-    public void expectsRequestsThatAreArriving(String updates, boolean expects) {
+    public void expectsRequestOnlyFromConnectionsWithRecentProgress(
+            String updates, boolean expects) {
         assertEquals(limitAfter(updates).expectsRequest(NOW), expects);
     }
 
-    /** A lower limit, as after half of it went to another process, is reached sooner. */
     @Test
-    public void lowerLimitEvictsSooner() {
+    public void evictsSoonerAfterTheLimitWasLowered() {
         ConnectionLimit<String> limit = limitAfter("a idle_client 1, b in_flight 1");
         assertEquals(limit.connectionToEvict(NOW, name -> false).orElse(""), "");
         limit.limit(2);
--- a/daemon/src/test/java/wheelroute/net/workers/AttemptResultTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/AttemptResultTest.java
@@ -3,10 +3,11 @@
 import static org.testng.Assert.assertEquals;
 
 import java.util.Arrays;
+import java.util.EnumSet;
 import org.testng.annotations.Test;
 
 public class AttemptResultTest {
-    /** Dashboards of the operators read these: they stay, whatever the constants are called. */
+    /** Dashboards of the operators use these labels, so they must not change. */
     @Test
     public void metricLabelsAreThoseOfTheFirstRelease() {
         assertEquals(
@@ -18,4 +19,25 @@
                 "done failed returned turned_away unusable odd_status lost refused never_up no_room"
                         + " broke_unsent broke stale nonsense called_off timed_out ended_unsent");
     }
+
+    /** The results for which the protocol proves that the attempt did not run. */
+    @Test
+    public void outcomeMayHaveRunUnlessTheProtocolProvesOtherwise() {
+        EnumSet<AttemptResult> proven = EnumSet.noneOf(AttemptResult.class);
+        for (AttemptResult result : AttemptResult.values()) {
+            if (!result.outcome().mayHaveRun()) {
+                proven.add(result);
+            }
+        }
+        assertEquals(
+                proven,
+                EnumSet.of(
+                        AttemptResult.HANDED_BACK,
+                        AttemptResult.REJECTED,
+                        AttemptResult.CONNECTION_REFUSED,
+                        AttemptResult.CONNECT_TIMEOUT,
+                        AttemptResult.CONNECT_FAILED_LOCALLY,
+                        AttemptResult.BROKEN_BEFORE_SENT,
+                        AttemptResult.NOT_SENT));
+    }
 }
--- a/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
@@ -9,55 +9,57 @@
 import wheelroute.net.metrics.Counters;
 
 public class InFlightAttemptTest {
-    private static final double LIMIT = 100;
+    private static final double DEADLINE = 100;
 
     @DataProvider
-    public Object[][] moments() {
-        // When its connection is up, whether its client still waits, whether it goes, and how it
-        // ends.
+    public Object[][] openedConnections() {
+        // time of the opening, whether the attempt is still needed, whether it is sent, its results
         return new Object[][] {
-            {LIMIT - 0.001, true, true, List.of()},
-            {LIMIT, true, false, List.of(AttemptResult.NOT_SENT)},
-            {LIMIT + 4, true, false, List.of(AttemptResult.NOT_SENT)},
-            {LIMIT - 1, false, false, List.of()},
+            {DEADLINE - 0.001, true, true, List.of()},
+            {DEADLINE, true, false, List.of(AttemptResult.NOT_SENT)},
+            {DEADLINE + 4, true, false, List.of(AttemptResult.NOT_SENT)},
+            {DEADLINE - 1, false, false, List.of()},
         };
     }
 
     /**
-     * Its connection may come up in a standstill of the process, and be heard of before its timer.
+     * After a pause of the process, the opening may be noticed before the timer of the deadline.
      */
-    @Test(dataProvider = "moments")
-    public void nothingGoesOutPastItsLimit(
-            double now, boolean wanted, boolean goes, List<AttemptResult> expected) {
-        List<AttemptResult> ends = new ArrayList<>();
-        AttemptListener listener =
-                new AttemptListener() {
-                    @Override
-                    public boolean isStillNeeded() {
-                        return wanted;
-                    }
-
-                    @Override
-                    public void onStarted() {
-                        throw new AssertionError("it has not gone");
-                    }
-
-                    @Override
-                    public void onProgress(double share) {
-                        throw new AssertionError("it has not gone");
-                    }
-
-                    @Override
-                    public void onEnded(AttemptResult end, byte[] result, double freeSlots) {
-                        ends.add(end);
-                    }
-                };
+    @Test(dataProvider = "openedConnections")
+    public void isSentOnlyBeforeItsDeadlineAndWhileNeeded(
+            double now, boolean isNeeded, boolean isSent, List<AttemptResult> expected) {
+        List<AttemptResult> results = new ArrayList<>();
+        AttemptListener listener = recordingListener(isNeeded, results);
         AttemptRequest message =
                 new AttemptRequest("POST", "/job/x", "77", null, null, new byte[0], true);
-        assertEquals(
-                new InFlightAttempt(message, LIMIT, listener, new Counters(List.of()))
-                        .mayBeSent(now),
-                goes);
-        assertEquals(ends, expected);
+        InFlightAttempt attempt =
+                new InFlightAttempt(message, DEADLINE, listener, new Counters(List.of()));
+        assertEquals(attempt.mayBeSent(now), isSent);
+        assertEquals(results, expected);
+    }
+
+    private static AttemptListener recordingListener(
+            boolean isNeeded, List<AttemptResult> results) {
+        return new AttemptListener() {
+            @Override
+            public boolean isStillNeeded() {
+                return isNeeded;
+            }
+
+            @Override
+            public void onStarted() {
+                throw new AssertionError("the attempt was not sent");
+            }
+
+            @Override
+            public void onProgress(double fraction) {
+                throw new AssertionError("the attempt was not sent");
+            }
+
+            @Override
+            public void onEnded(AttemptResult result, byte[] body, double freeSlots) {
+                results.add(result);
+            }
+        };
     }
 }
