--- a/daemon/src/test/java/wheelroute/net/PolicyFailureTest.java
+++ b/daemon/src/test/java/wheelroute/net/PolicyFailureTest.java
@@ -72,7 +72,7 @@
             }
 
             @Override
-            public boolean hasClientLeft() {
+            public boolean isClientGone() {
                 return false;
             }
         };
