--- a/kit/src/main/java/wheelroute/kit/faults/ActiveLinkFaults.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ActiveLinkFaults.java
@@ -6,82 +6,59 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import java.util.stream.DoubleStream;
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * Which ways are harmed. Harms of several faults may lie over one another on one way: it is open
- * again when the last of them has healed. Pure: it decides what each way lets through, and tells
- * who carries it out.
+ * The faults that are active on each link, and the {@link LinkState} that they add up to. A link is
+ * open again when its last fault has ended. Does no input or output; not thread-safe.
  */
 public final class ActiveLinkFaults {
-    /** Who carries it out. */
+    /** Applies the states of links. */
     public interface Listener {
         /** A fault on the link began or ended, and the link is in this state now. */
         void onLinkChanged(NetworkLink link, LinkState state);
     }
 
-    /** One harm, of one fault. */
-    private record ActiveFault(LinkFault fault, double level, double jitter) {}
+    /** Thrown if a fault is ended on a link that does not have it. */
+    public static final class FaultNotActiveException extends IllegalStateException {
+        private static final long serialVersionUID = 1L;
 
-    private static LinkState state(List<ActiveFault> all) {
-        boolean refuses = all.stream().anyMatch(active -> active.fault == LinkFault.REFUSE);
-        boolean open =
-                !refuses && all.stream().noneMatch(active -> active.fault == LinkFault.PARTITION);
-        double through =
-                all.stream()
-                        .filter(active -> active.fault == LinkFault.LOSS)
-                        .mapToDouble(active -> 1 - active.level)
-                        .reduce(1, (a, b) -> a * b);
-        return new LinkState(
-                refuses,
-                open && all.stream().noneMatch(active -> active.fault == LinkFault.UNHEARD),
-                open && all.stream().noneMatch(active -> active.fault == LinkFault.ONE_WAY),
-                all.stream()
-                        .filter(active -> active.fault == LinkFault.SLOW)
-                        .mapToDouble(ActiveFault::level)
-                        .sum(),
-                all.stream()
-                        .filter(active -> active.fault == LinkFault.SLOW)
-                        .mapToDouble(ActiveFault::jitter)
-                        .sum(),
-                1 - through,
-                all.stream()
-                        .filter(active -> active.fault == LinkFault.BANDWIDTH)
-                        .mapToDouble(ActiveFault::level)
-                        .min()
-                        .orElse(Double.POSITIVE_INFINITY),
-                all.stream()
-                        .filter(active -> active.fault == LinkFault.DUPLICATE)
-                        .mapToDouble(ActiveFault::level)
-                        .max()
-                        .orElse(0));
+        FaultNotActiveException(NetworkLink link, LinkFault fault) {
+            super("fault " + fault + " is not active on " + link);
+        }
     }
 
+    private record ActiveFault(LinkFault kind, double level, double jitter) {}
+
     private final Listener listener;
     private final Map<NetworkLink, List<ActiveFault>> activeFaults = new HashMap<>();
 
-    /** Makes a set of links without faults. */
+    /** Creates a set of links without faults. */
     public ActiveLinkFaults(Listener listener) {
         this.listener = listener;
     }
 
-    /** Begins a fault on each of the links, beside those that they have. */
+    /** Begins a fault on each of the links, in addition to those that are active. */
     public void add(LinkFault fault, double level, double jitter, Collection<NetworkLink> links) {
         ActiveFault activeFault = new ActiveFault(fault, level, jitter);
-        links.forEach(link -> notifyListener(link, all -> all.add(activeFault)));
+        links.forEach(link -> change(link, faults -> faults.add(activeFault)));
     }
 
-    /** Ends a fault that was begun with the same arguments. */
+    /**
+     * Ends a fault that was begun with the same arguments.
+     *
+     * @throws FaultNotActiveException if a link does not have it
+     */
     public void remove(
             LinkFault fault, double level, double jitter, Collection<NetworkLink> links) {
         ActiveFault activeFault = new ActiveFault(fault, level, jitter);
         for (NetworkLink link : links) {
-            notifyListener(
+            change(
                     link,
-                    all -> {
-                        if (!all.remove(activeFault)) {
-                            throw new IllegalStateException(
-                                    link + " heals of " + fault + ", which it does not have");
+                    faults -> {
+                        if (!faults.remove(activeFault)) {
+                            throw new FaultNotActiveException(link, fault);
                         }
                     });
         }
@@ -97,18 +74,49 @@
         }
     }
 
-    private void notifyListener(NetworkLink link, Consumer<List<ActiveFault>> by) {
-        List<ActiveFault> all = activeFaults.computeIfAbsent(link, w -> new ArrayList<>());
-        LinkState before = state(all);
-        by.accept(all);
-        LinkState after = state(all);
+    /** Returns the state that all faults on the link add up to. */
+    public LinkState state(NetworkLink link) {
+        return state(activeFaults.getOrDefault(link, List.of()));
+    }
+
+    private void change(NetworkLink link, Consumer<List<ActiveFault>> change) {
+        List<ActiveFault> faults = activeFaults.computeIfAbsent(link, l -> new ArrayList<>());
+        LinkState before = state(faults);
+        change.accept(faults);
+        LinkState after = state(faults);
         if (!after.equals(before)) {
             listener.onLinkChanged(link, after);
         }
     }
 
-    /** The state that all faults on the link add up to. */
-    public LinkState state(NetworkLink link) {
-        return state(activeFaults.getOrDefault(link, List.of()));
+    private static LinkState state(List<ActiveFault> faults) {
+        boolean refuses = isActive(LinkFault.REFUSE, faults);
+        boolean isOpen = !refuses && !isActive(LinkFault.PARTITION, faults);
+        double arriving =
+                levels(LinkFault.LOSS, faults)
+                        .map(lost -> 1 - lost)
+                        .reduce(1, (first, second) -> first * second);
+        double jitter =
+                faults.stream()
+                        .filter(fault -> fault.kind == LinkFault.SLOW)
+                        .mapToDouble(ActiveFault::jitter)
+                        .sum();
+        return new LinkState(
+                refuses,
+                isOpen && !isActive(LinkFault.UNHEARD, faults),
+                isOpen && !isActive(LinkFault.ONE_WAY, faults),
+                levels(LinkFault.SLOW, faults).sum(),
+                jitter,
+                1 - arriving,
+                levels(LinkFault.BANDWIDTH, faults).min().orElse(Double.POSITIVE_INFINITY),
+                levels(LinkFault.DUPLICATE, faults).max().orElse(0));
+    }
+
+    private static boolean isActive(LinkFault kind, List<ActiveFault> faults) {
+        return faults.stream().anyMatch(fault -> fault.kind == kind);
+    }
+
+    private static DoubleStream levels(LinkFault kind, List<ActiveFault> faults) {
+        return faults.stream().filter(fault -> fault.kind == kind).mapToDouble(ActiveFault::level);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
@@ -10,105 +10,117 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * One way for datagrams from one process to another: what comes here goes on to the far end, from
- * the address of the way that leads back, so that whoever answers answers by that. Two of them make
- * a pair of ways.
+ * A relay of datagrams in one direction that applies a {@link LinkState}. Two relays make a pair:
+ * each sends from the address of the other, so that replies take the opposite direction. Used on
+ * the event loop's thread.
  */
 public final class DatagramRelay {
-    /** More than any datagram of the program's. */
-    private static final int SIZE = 2048;
+    /** More than any datagram of the daemon. */
+    private static final int MAX_DATAGRAM_BYTES = 2048;
 
     private final EventLoop loop;
     private final Supplier<InetSocketAddress> target;
     private final DoubleSupplier random;
     private final DatagramSocket socket;
-    private DatagramRelay back;
+    private DatagramRelay reverse;
     private long received;
-    private LinkState sender = LinkState.OPEN;
-    private LinkState receiver = LinkState.OPEN;
+    private LinkState senderLink = LinkState.OPEN;
+    private LinkState receiverLink = LinkState.OPEN;
 
     /**
-     * Where the target is may change: a process may come back elsewhere, and null is nowhere.
+     * Starts to receive.
      *
-     * @param chance draws from 0 to 1, for what is lost, late or doubled
+     * @param target asked for at each datagram, because a process may move to another port; null
+     *     while it is not running
+     * @param random draws from 0 to 1, for losses, jitter and duplicates
      */
-    public DatagramRelay(EventLoop loop, Supplier<InetSocketAddress> target, DoubleSupplier chance)
+    public DatagramRelay(EventLoop loop, Supplier<InetSocketAddress> target, DoubleSupplier random)
             throws IOException {
         this.loop = loop;
         this.target = target;
-        this.random = chance;
+        this.random = random;
         socket =
                 new DatagramSocket(
                         loop,
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        SIZE,
+                        MAX_DATAGRAM_BYTES,
                         (from, bytes) -> onDatagram(bytes));
     }
 
-    /** The direction that leads back. */
-    public void pairWith(DatagramRelay other) {
-        back = other;
+    /** Sets the relay of the opposite direction; nothing is forwarded before. */
+    public void pairWith(DatagramRelay oppositeRelay) {
+        reverse = oppositeRelay;
     }
 
-    /** Where to send for the far end, through us. */
+    /** Returns where the sender sends to. */
     public InetSocketAddress address() {
         return socket.address();
     }
 
     /**
-     * From the loop's thread only.
+     * Applies the states of both links that a datagram takes.
      *
-     * @param ofSender the way of who sends here: this is its way forth
-     * @param ofReceiver the way of who is sent to: this is its way back
+     * @param ofSender whose outbound direction it is
+     * @param ofReceiver whose inbound direction it is
      */
     public void apply(LinkState ofSender, LinkState ofReceiver) {
-        sender = ofSender;
-        receiver = ofReceiver;
+        senderLink = ofSender;
+        receiverLink = ofReceiver;
     }
 
-    private boolean isIn(double part) {
-        return part > 0 && random.getAsDouble() < part;
-    }
-
-    /** How many have come here, whatever became of them. */
+    /** Returns how many datagrams have arrived here, including those that were lost. */
     public long received() {
         return received;
     }
 
     private void onDatagram(ByteBuffer bytes) {
         received++;
-        if (!sender.outbound()
-                || !receiver.inbound()
-                || isIn(sender.loss())
-                || isIn(receiver.loss())) {
+        if (isLost()) {
             return;
         }
-        int copies = isIn(sender.duplication()) || isIn(receiver.duplication()) ? 2 : 1;
+        int copies =
+                drawWithin(senderLink.duplication()) || drawWithin(receiverLink.duplication())
+                        ? 2
+                        : 1;
         for (int i = 0; i < copies; i++) {
             byte[] copy = new byte[bytes.remaining()];
             bytes.duplicate().get(copy);
-            double spread = sender.jitter() + receiver.jitter();
-            double later =
-                    sender.delay()
-                            + receiver.delay()
-                            + (spread > 0 ? spread * random.getAsDouble() : 0);
-            if (later > 0) {
-                // Each by itself: one that is sent later may come sooner.
-                loop.schedule(later, () -> forward(copy));
+            double delaySeconds = drawDelay();
+            if (delaySeconds > 0) {
+                // Each by itself, so that a later datagram may overtake it.
+                loop.schedule(delaySeconds, () -> forward(copy));
             } else {
                 forward(copy);
             }
         }
     }
 
+    private boolean isLost() {
+        return !senderLink.outbound()
+                || !receiverLink.inbound()
+                || drawWithin(senderLink.loss())
+                || drawWithin(receiverLink.loss());
+    }
+
+    private boolean drawWithin(double probability) {
+        return probability > 0 && random.getAsDouble() < probability;
+    }
+
+    private double drawDelay() {
+        double jitter = senderLink.jitter() + receiverLink.jitter();
+        return senderLink.delay()
+                + receiverLink.delay()
+                + (jitter > 0 ? jitter * random.getAsDouble() : 0);
+    }
+
     private void forward(byte[] bytes) {
         InetSocketAddress to = target.get();
-        if (to != null && back != null) {
-            back.socket.send(to, ByteBuffer.wrap(bytes));
+        if (to != null && reverse != null) {
+            reverse.socket.send(to, ByteBuffer.wrap(bytes));
         }
     }
 
-    /** Closes the relay's sockets; what it holds back is dropped. */
+    /** Closes the socket. */
     public void close() {
         socket.close();
     }
--- a/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
@@ -3,36 +3,35 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * What can be done to a way. Each heals on its own; what was held back then goes on in its order.
+ * The kinds of faults of a link. What a stream's link holds back during a fault arrives in order
+ * after it.
  */
 public enum LinkFault {
-    /**
-     * Nothing passes, and nobody is told: bytes wait, as they would for a network that resends
-     * them.
-     */
+    /** No bytes arrive in either direction; connections stay open. */
     PARTITION,
-    /** What is open is reset, and what comes is refused. */
+    /** Open connections are reset, and new ones refused. */
     REFUSE,
-    /** The dispatcher's bytes arrive, the answers do not. */
+    /** Bytes from the dispatcher arrive, those to it do not. */
     ONE_WAY,
-    /** What the others send arrives, the dispatcher's bytes do not. */
+    /** Bytes to the dispatcher arrive, those from it do not. */
     UNHEARD,
     /**
-     * Everything comes later, in both directions, by the level in seconds, and by chance up to the
-     * spread.
+     * All bytes arrive later, by the level in seconds and at random by up to the spread in
+     * addition.
      */
     SLOW,
-    /**
-     * Of all pieces the part that the level says is lost: bytes are sent again later, datagrams are
-     * not.
-     */
+    /** The level is the fraction of messages that are lost; streams retransmit them. */
     LOSS,
-    /** So many bytes a second pass in each direction. */
+    /** The level is the bytes per second that arrive in each direction. */
     BANDWIDTH,
-    /** Of all datagrams the part that the level says comes twice. */
+    /** The level is the fraction of datagrams that arrive twice. */
     DUPLICATE;
 
-    /** The fault of a link that a scenario's kind of fault stands for. */
+    /**
+     * Returns the fault of a link that a scenario's kind of fault stands for.
+     *
+     * @throws IllegalArgumentException if it is not a fault of links
+     */
     public static LinkFault of(Scenario.Kind kind) {
         return switch (kind) {
             case LINK_REFUSE -> REFUSE;
@@ -43,7 +42,7 @@
             case LINK_TRICKLE -> BANDWIDTH;
             case LINK_DOUBLE -> DUPLICATE;
             case LINK_CUT, LIST_CUT -> PARTITION;
-            default -> throw new IllegalArgumentException("no harm to a way: " + kind);
+            default -> throw new IllegalArgumentException("not a fault of links: " + kind);
         };
     }
 }
--- a/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
+++ b/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
@@ -6,27 +6,32 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * One way from a dispatcher to another process.
+ * A link between a dispatcher and another process.
  *
- * @param worker which worker, {@link #DISCOVERY}, {@link #CLIENTS} or, from {@link #FIRST_PEER}
- *     down, which peer
+ * @param worker the number of a worker, {@link #DISCOVERY}, {@link #CLIENTS}, or that of a peer as
+ *     {@link #toPeer} encodes it
  */
 public record NetworkLink(int dispatcher, int worker) {
+    /** In place of a worker's number: discovery. */
     public static final int DISCOVERY = -1;
+
+    /** In place of a worker's number: the clients. */
     public static final int CLIENTS = -2;
+
+    /** In place of a worker's number: the first dispatcher; the others follow downwards. */
     private static final int FIRST_PEER = -3;
 
-    /** The link between a dispatcher and discovery. */
+    /** Returns the link between a dispatcher and discovery. */
     public static NetworkLink toDiscovery(int dispatcher) {
         return new NetworkLink(dispatcher, DISCOVERY);
     }
 
-    /** The link between a dispatcher and its clients. */
+    /** Returns the link between a dispatcher and its clients. */
     public static NetworkLink toClients(int dispatcher) {
         return new NetworkLink(dispatcher, CLIENTS);
     }
 
-    /** The link from one dispatcher to another. */
+    /** Returns the link from one dispatcher to another. */
     public static NetworkLink toPeer(int dispatcher, int peer) {
         return new NetworkLink(dispatcher, FIRST_PEER - peer);
     }
@@ -36,7 +41,7 @@
         return worker <= FIRST_PEER;
     }
 
-    /** The number of the dispatcher at the far end of a way to a peer. */
+    /** Returns the number of the other dispatcher of a link to a peer. */
     public int peer() {
         return FIRST_PEER - worker;
     }
@@ -47,11 +52,11 @@
     }
 
     /**
-     * The ways of a dispatcher that a fault is about.
+     * Returns the links of a dispatcher that a fault affects.
      *
-     * @param targets all dispatchers that it meets together: they keep the ways among themselves
-     * @param dispatchers how many there are
-     * @param groups the group of each worker, by its number
+     * @param targets all dispatchers that the fault affects; links among them stay open
+     * @param dispatchers number of dispatchers
+     * @param groups the group of each worker, by worker number
      */
     public static List<NetworkLink> of(
             Scenario.Fault fault,
@@ -64,15 +69,19 @@
             case CLIENTS -> List.of(toClients(dispatcher));
             case PEERS ->
                     IntStream.range(0, dispatchers)
-                            .filter(n -> Arrays.stream(targets).noneMatch(t -> t == n))
+                            .filter(peer -> !contains(targets, peer))
                             .limit((long) Math.ceil(fault.peerFraction() * dispatchers))
-                            .mapToObj(n -> toPeer(dispatcher, n))
+                            .mapToObj(peer -> toPeer(dispatcher, peer))
                             .toList();
             case WORKERS ->
                     IntStream.range(0, groups.size())
-                            .filter(n -> fault.matches(groups.get(n)))
-                            .mapToObj(n -> new NetworkLink(dispatcher, n))
+                            .filter(worker -> fault.matches(groups.get(worker)))
+                            .mapToObj(worker -> new NetworkLink(dispatcher, worker))
                             .toList();
         };
     }
+
+    private static boolean contains(int[] numbers, int number) {
+        return Arrays.stream(numbers).anyMatch(n -> n == number);
+    }
 }
--- a/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
@@ -6,121 +6,147 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * Makes a schedule that fails smaller, as long as it still fails: first fewer faults, halves of
- * them before single ones, then shorter, fewer met, all at once. Pure: who plays a schedule says
- * whether it fails.
+ * Minimizes a fault schedule that makes a run fail, by delta debugging: removes faults, halves of
+ * the schedule before single faults; then lets the rest start at the same time, last shorter and
+ * affect fewer targets, as long as the run still fails.
  */
 public final class ScheduleMinimizer {
-    /** Plays one; true if it still fails. */
+    /** Runs a schedule. */
     public interface FailureCheck {
-        /** Plays the schedule; whether it still shows the failure. */
+        /** Runs the schedule and returns whether it still shows the failure. */
         boolean fails(List<Scenario.Fault> faults) throws Exception;
     }
 
-    /** What is left, and after how many plays. */
+    /**
+     * A minimized schedule.
+     *
+     * @param runs how many schedules were run
+     * @param complete whether it was minimized before the limit of runs was reached
+     */
     public record Result(List<Scenario.Fault> faults, int runs, boolean complete) {}
 
-    /** Shorter or less than this is no simpler. */
-    private static final double MIN_LENGTH = 0.2;
-
+    private static final double MIN_LENGTH_SECONDS = 0.2;
     private static final double MIN_SHARE = 0.05;
 
+    /** Lengths and shares are rounded to hundredths, so that a schedule is easy to read. */
+    private static final double ROUNDING_STEPS = 100;
+
     private final FailureCheck failureCheck;
     private final int maxRuns;
     private List<Scenario.Fault> faults;
     private int runs;
 
-    private ScheduleMinimizer(List<Scenario.Fault> faults, int mostPlays, FailureCheck player) {
+    private ScheduleMinimizer(List<Scenario.Fault> faults, int maxRuns, FailureCheck failureCheck) {
         this.faults = faults;
-        this.maxRuns = mostPlays;
-        this.failureCheck = player;
+        this.maxRuns = maxRuns;
+        this.failureCheck = failureCheck;
     }
 
-    /** The faults given are known to fail. */
-    public static Result of(List<Scenario.Fault> faults, int mostPlays, FailureCheck player)
+    /**
+     * Minimizes a schedule that is known to fail.
+     *
+     * @throws Exception that of the check
+     */
+    public static Result of(List<Scenario.Fault> faults, int maxRuns, FailureCheck failureCheck)
             throws Exception {
-        ScheduleMinimizer cut = new ScheduleMinimizer(List.copyOf(faults), mostPlays, player);
-        cut.removeFaults();
-        cut.shrink(f -> with(f, f.length(), f.share(), 0));
-        cut.shrink(
-                f ->
-                        with(
-                                f,
-                                Math.max(MIN_LENGTH, round(f.length() / 2)),
-                                f.share(),
-                                f.startSpread()));
-        cut.shrink(
-                f ->
-                        with(
-                                f,
-                                f.length(),
-                                Math.max(MIN_SHARE, round(f.share() / 2)),
-                                f.startSpread()));
-        return new Result(cut.faults, cut.runs, cut.runs < mostPlays);
+        ScheduleMinimizer minimizer =
+                new ScheduleMinimizer(List.copyOf(faults), maxRuns, failureCheck);
+        minimizer.removeFaults();
+        minimizer.shrink(ScheduleMinimizer::withoutStartSpread);
+        minimizer.shrink(ScheduleMinimizer::withHalfLength);
+        minimizer.shrink(ScheduleMinimizer::withHalfShare);
+        return new Result(minimizer.faults, minimizer.runs, minimizer.runs < maxRuns);
     }
 
-    private boolean fails(List<Scenario.Fault> some) throws Exception {
+    private boolean fails(List<Scenario.Fault> candidate) throws Exception {
         if (runs >= maxRuns) {
             return false;
         }
         runs++;
-        return failureCheck.fails(some);
+        return failureCheck.fails(candidate);
     }
 
     private void removeFaults() throws Exception {
-        int size = (faults.size() + 1) / 2;
-        while (size >= 1 && faults.size() > 1) {
-            boolean cut = false;
-            for (int from = 0; from < faults.size() && faults.size() > 1; ) {
-                List<Scenario.Fault> rest = new ArrayList<>(faults);
-                rest.subList(from, Math.min(rest.size(), from + size)).clear();
-                if (!rest.isEmpty() && fails(rest)) {
-                    faults = List.copyOf(rest);
-                    cut = true;
-                } else {
-                    from += size;
-                }
+        int chunkSize = halfRoundedUp(faults.size());
+        while (chunkSize >= 1 && faults.size() > 1) {
+            boolean hasRemoved = removeChunks(chunkSize);
+            // After a removal, faults that were needed before may no longer be.
+            chunkSize =
+                    hasRemoved ? Math.min(chunkSize, halfRoundedUp(faults.size())) : chunkSize / 2;
+        }
+    }
+
+    private static int halfRoundedUp(int size) {
+        return (size + 1) / 2;
+    }
+
+    /** Removes each chunk of the schedule without which it still fails; whether there was one. */
+    private boolean removeChunks(int chunkSize) throws Exception {
+        boolean hasRemoved = false;
+        int from = 0;
+        while (from < faults.size() && faults.size() > 1) {
+            List<Scenario.Fault> rest = new ArrayList<>(faults);
+            rest.subList(from, Math.min(rest.size(), from + chunkSize)).clear();
+            if (!rest.isEmpty() && fails(rest)) {
+                faults = List.copyOf(rest);
+                hasRemoved = true;
+            } else {
+                from += chunkSize;
             }
-            // What could not go before may go now that others have.
-            size = cut ? Math.min(size, (faults.size() + 1) / 2) : size / 2;
         }
+        return hasRemoved;
     }
 
+    /** Applies a step to each fault for as long as it changes it and the schedule still fails. */
     private void shrink(UnaryOperator<Scenario.Fault> step) throws Exception {
         for (int i = 0; i < faults.size(); i++) {
-            Scenario.Fault less = step.apply(faults.get(i));
-            while (!less.equals(faults.get(i))) {
-                List<Scenario.Fault> changed = new ArrayList<>(faults);
-                changed.set(i, less);
-                if (!fails(changed)) {
+            Scenario.Fault smaller = step.apply(faults.get(i));
+            while (!smaller.equals(faults.get(i))) {
+                List<Scenario.Fault> candidate = new ArrayList<>(faults);
+                candidate.set(i, smaller);
+                if (!fails(candidate)) {
                     break;
                 }
-                faults = List.copyOf(changed);
-                less = step.apply(less);
+                faults = List.copyOf(candidate);
+                smaller = step.apply(smaller);
             }
         }
     }
 
-    private static double round(double value) {
-        return Math.rint(100 * value) / 100;
+    private static Scenario.Fault withoutStartSpread(Scenario.Fault fault) {
+        return with(fault, fault.length(), fault.share(), 0);
+    }
+
+    private static Scenario.Fault withHalfLength(Scenario.Fault fault) {
+        double length = Math.max(MIN_LENGTH_SECONDS, rounded(fault.length() / 2));
+        return with(fault, length, fault.share(), fault.startSpread());
+    }
+
+    private static Scenario.Fault withHalfShare(Scenario.Fault fault) {
+        double share = Math.max(MIN_SHARE, rounded(fault.share() / 2));
+        return with(fault, fault.length(), share, fault.startSpread());
+    }
+
+    private static double rounded(double value) {
+        return Math.rint(ROUNDING_STEPS * value) / ROUNDING_STEPS;
     }
 
     private static Scenario.Fault with(
-            Scenario.Fault f, double length, double share, double within) {
+            Scenario.Fault fault, double length, double share, double startSpread) {
         return new Scenario.Fault(
-                f.kind(),
-                f.start(),
+                fault.kind(),
+                fault.start(),
                 length,
-                f.group(),
+                fault.group(),
                 share,
-                f.level(),
-                f.pick(),
-                within,
-                f.linkKind(),
-                f.zone(),
-                f.from(),
-                f.spread(),
-                f.how(),
-                f.peerFraction());
+                fault.level(),
+                fault.pick(),
+                startSpread,
+                fault.linkKind(),
+                fault.zone(),
+                fault.from(),
+                fault.spread(),
+                fault.how(),
+                fault.peerFraction());
     }
 }
