--- a/kit/src/main/java/wheelroute/kit/cli/Capacity.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Capacity.java
@@ -78,10 +78,11 @@
                     (name, table) -> spec.commandLine().getOut().println(name + "\n" + table));
         } else if (what.write != null) {
             String page = Files.readString(existing("--write", what.write));
-            Files.writeString(what.write, CapacityPage.filled(page, tables));
+            Files.writeString(what.write, CapacityPage.withTables(page, tables));
         } else {
             List<String> faults =
-                    CapacityPage.faults(Files.readString(existing("--check", what.check)), tables);
+                    CapacityPage.mismatches(
+                            Files.readString(existing("--check", what.check)), tables);
             faults.forEach(spec.commandLine().getOut()::println);
             spec.commandLine()
                     .getOut()
--- a/kit/src/main/java/wheelroute/kit/cli/Scale.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Scale.java
@@ -12,6 +12,7 @@
 import wheelroute.kit.scale.CapacityModel;
 import wheelroute.kit.scale.DeploymentSize;
 import wheelroute.kit.scale.ScalePage;
+import wheelroute.kit.scale.ScalePlan;
 import wheelroute.kit.scale.ScaleResults;
 import wheelroute.kit.scale.ScaleRun;
 
@@ -66,7 +67,7 @@
             boolean full = kind != null && kind.full;
             ScaleResults slopes =
                     ScaleRun.run(
-                            full ? ScaleRun.Sizes.full() : ScaleRun.Sizes.quick(),
+                            full ? ScalePlan.full() : ScalePlan.quick(),
                             stop,
                             text -> {
                                 err.println(text);
--- a/kit/src/main/java/wheelroute/kit/process/AdminCall.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminCall.java
@@ -11,51 +11,57 @@
 import wheelroute.net.loop.EventLoop;
 import wheelroute.net.loop.StreamConnection;
 
-/** One call at an admin server: a line goes, an answer comes, or null when none comes in time. */
+/** One call of an admin server: sends a command and reads until the server closes. */
 final class AdminCall implements EventLoop.ChannelHandler {
     private final EventLoop loop;
     private final String command;
     private final Consumer<String> listener;
     private final StringBuilder answer = new StringBuilder();
-    private final EventLoop.Timer limit;
-    private AdminConnection line;
+    private final EventLoop.Timer timeout;
+    private AdminConnection connection;
     private boolean isDone;
 
-    private AdminCall(EventLoop loop, String word, double limit, Consumer<String> listener) {
+    private AdminCall(
+            EventLoop loop, String command, double timeoutSeconds, Consumer<String> listener) {
         this.loop = loop;
-        this.command = word;
+        this.command = command;
         this.listener = listener;
-        this.limit = loop.schedule(limit, () -> end(null));
+        timeout = loop.schedule(timeoutSeconds, () -> finish(null));
     }
 
+    /**
+     * Starts a call, on the event loop's thread.
+     *
+     * @param listener gets the answer, or null if there is none within the timeout
+     */
     static void call(
             EventLoop loop,
-            InetSocketAddress door,
-            String word,
-            double limit,
+            InetSocketAddress adminServer,
+            String command,
+            double timeoutSeconds,
             Consumer<String> listener) {
-        loop.connect(door, new AdminCall(loop, word, limit, listener));
+        loop.connect(adminServer, new AdminCall(loop, command, timeoutSeconds, listener));
     }
 
     @Override
     public Connection onOpened(EndPoint endPoint) {
-        line = new AdminConnection(endPoint);
-        return line;
+        connection = new AdminConnection(endPoint);
+        return connection;
     }
 
     @Override
     public void onFailed(Throwable cause) {
-        end(null);
+        finish(null);
     }
 
-    private void end(String whole) {
+    private void finish(String completeAnswer) {
         if (!isDone) {
             isDone = true;
-            limit.cancel();
-            if (line != null) {
-                line.close();
+            timeout.cancel();
+            if (connection != null) {
+                connection.close();
             }
-            listener.accept(whole);
+            listener.accept(completeAnswer);
         }
     }
 
@@ -69,7 +75,7 @@
             super.onOpen();
             getEndPoint()
                     .write(
-                            Callback.from(() -> {}, cause -> loop.post(() -> end(null))),
+                            Callback.from(() -> {}, cause -> loop.post(() -> finish(null))),
                             ByteBuffer.wrap((command + "\n").getBytes(StandardCharsets.US_ASCII)));
         }
 
@@ -80,12 +86,12 @@
 
         @Override
         protected void onEndOfStream() {
-            end(answer.isEmpty() ? null : answer.toString());
+            finish(answer.isEmpty() ? null : answer.toString());
         }
 
         @Override
         protected void onFailure(Throwable cause) {
-            end(null);
+            finish(null);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/AdminPoll.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminPoll.java
@@ -2,15 +2,23 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import wheelroute.kit.audit.MetricsAuditor;
 import wheelroute.net.loop.EventLoop;
 
-/** Asks every process's door for its figures now and then, and hands them to the ledger. */
+/**
+ * Polls the metrics of all processes and passes them to the auditor. Used on the event loop's
+ * thread.
+ */
 final class AdminPoll {
-    private static final double INTERVAL = 0.5;
+    private static final double INTERVAL_SECONDS = 0.5;
 
-    /** An answer is due within this, whatever the load. */
-    private static final double TIMEOUT = 1;
+    /** An admin server must answer within this time under any load. */
+    private static final double TIMEOUT_SECONDS = 1;
+
+    private static final Pattern METRIC = Pattern.compile("app\\.([^:]+):(\\d{1,18})\\|[cg]");
+    private static final String END_OF_METRICS = "eof\n";
 
     private final EventLoop loop;
     private final Fleet fleet;
@@ -24,6 +32,7 @@
         this.dispatchers = dispatchers;
     }
 
+    /** Polls now and from then on periodically. */
     void poll() {
         for (int i = 0; i < dispatchers; i++) {
             for (DaemonProcess process : fleet.processes(i)) {
@@ -32,37 +41,33 @@
                 }
             }
         }
-        loop.schedule(INTERVAL, this::poll);
+        loop.schedule(INTERVAL_SECONDS, this::poll);
     }
 
     private void call(int dispatcher, DaemonProcess process) {
         AdminCall.call(
                 loop,
-                Fleet.address(process.adminPort()),
+                Loopback.address(process.adminPort()),
                 "STATS",
-                TIMEOUT,
+                TIMEOUT_SECONDS,
                 answer -> {
-                    if (answer != null && answer.endsWith("eof\n")) {
-                        metricsAuditor.onMetrics(dispatcher, process, figures(answer));
+                    if (answer != null && answer.endsWith(END_OF_METRICS)) {
+                        metricsAuditor.onMetrics(dispatcher, process, parseMetrics(answer));
                     } else if (process.isWanted() && !fleet.isPaused(dispatcher)) {
                         metricsAuditor.onCallTimeout(dispatcher);
                     }
                 });
     }
 
-    /** Lines of the form app.NAME:NUMBER|KIND. */
-    static Map<String, Long> figures(String answer) {
-        Map<String, Long> figures = new HashMap<>();
-        answer.lines()
-                .filter(line -> line.matches("app\\.[^:]+:\\d{1,18}\\|[cg]"))
-                .forEach(
-                        line ->
-                                figures.put(
-                                        line.substring("app.".length(), line.indexOf(':')),
-                                        Long.parseLong(
-                                                line.substring(
-                                                        line.indexOf(':') + 1,
-                                                        line.indexOf('|')))));
-        return figures;
+    /** Returns the values of lines such as {@code app.NAME:NUMBER|c} by name. */
+    static Map<String, Long> parseMetrics(String answer) {
+        Map<String, Long> valuesByName = new HashMap<>();
+        for (String line : answer.lines().toList()) {
+            Matcher metric = METRIC.matcher(line);
+            if (metric.matches()) {
+                valuesByName.put(metric.group(1), Long.parseLong(metric.group(2)));
+            }
+        }
+        return valuesByName;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientPool.java
@@ -7,165 +7,119 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
-import wheelroute.decision.Idempotency;
 import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.model.FinalResponse;
 import wheelroute.kit.model.ResponseListener;
-import wheelroute.net.http.HttpText;
 import wheelroute.net.http.ResponseParser;
 import wheelroute.net.loop.EventLoop;
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * Clients' connections to one dispatcher: one request at a time on each, more when all are busy.
+ * Clients' connections to one dispatcher: one request at a time on each; a connection is added when
+ * none is idle. Used on the event loop's thread.
  */
 final class ClientPool {
-    private static final double MICROS = 1e6;
+    private static final double MIN_TIMEOUT_SECONDS = 0.001;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final ResponseListener clients;
-    private final ArrayDeque<ClientConnection> idle = new ArrayDeque<>();
-    private final Map<Long, PendingSend> open = new HashMap<>();
-    private final Set<ClientConnection> lines = new HashSet<>();
-    private final ConnectionBehavior manners;
-    private boolean dead;
-
-    /** How requests come: see {@link wheelroute.kit.scenario.Scenario.Clients}. */
-    interface ConnectionBehavior {
-        /** It has a connection of its own. */
-        boolean isFresh(ClientAttempt clientAttempt);
-
-        /** So long between the two pieces in which it is written; 0 for one piece. */
-        double pause(ClientAttempt clientAttempt);
-    }
+    private final ResponseListener listener;
+    private final ConnectionBehavior behavior;
+    private final ClientMessageEncoder encoder;
+    private final Set<ClientConnection> connections = new HashSet<>();
+    private final ArrayDeque<ClientConnection> idleConnections = new ArrayDeque<>();
 
-    /** All at once, on whatever connection is idle. */
-    static final ConnectionBehavior USUAL =
-            new ConnectionBehavior() {
-                @Override
-                public boolean isFresh(ClientAttempt submitted) {
-                    return false;
-                }
+    /** Attempts without a result, by key. */
+    private final Map<Long, PendingAttempt> pendingAttempts = new HashMap<>();
 
-                @Override
-                public double pause(ClientAttempt submitted) {
-                    return 0;
-                }
-            };
+    private boolean isProcessKilled;
 
     ClientPool(
             EventLoop loop,
             InetSocketAddress address,
-            ResponseListener clients,
-            ConnectionBehavior manners) {
+            ResponseListener listener,
+            ConnectionBehavior behavior) {
         this.loop = loop;
         this.address = address;
-        this.clients = clients;
-        this.manners = manners;
+        this.listener = listener;
+        this.behavior = behavior;
+        encoder = new ClientMessageEncoder(address);
     }
 
     InetSocketAddress address() {
         return address;
     }
 
-    void submit(ClientAttempt clientAttempt) {
-        PendingSend sending = new PendingSend(clientAttempt);
-        open.put(clientAttempt.key(), sending);
-        if (sending.fresh) {
-            loop.connect(address, sending);
-            return;
+    /** Sends an attempt, on an idle connection if that is possible and wanted. */
+    void submit(ClientAttempt attempt) {
+        PendingAttempt pending = new PendingAttempt(attempt);
+        pendingAttempts.put(attempt.key(), pending);
+        ClientConnection idle = pending.usesNewConnection ? null : pollIdleConnection();
+        if (idle != null) {
+            idle.send(pending);
+        } else {
+            loop.connect(address, pending);
         }
-        for (ClientConnection line = idle.pollLast(); line != null; line = idle.pollLast()) {
-            if (line.getEndPoint().isOpen()) {
-                line.send(sending);
-                return;
-            }
+    }
+
+    private ClientConnection pollIdleConnection() {
+        ClientConnection connection = idleConnections.pollLast();
+        while (connection != null && !connection.getEndPoint().isOpen()) {
+            connection = idleConnections.pollLast();
         }
-        loop.connect(address, sending);
+        return connection;
     }
 
-    void hangUp(ClientAttempt clientAttempt) {
-        PendingSend sending = open.remove(clientAttempt.key());
-        if (sending != null) {
-            sending.over = true;
-            if (sending.line != null) {
-                sending.line.close();
+    /** Cancels an attempt by closing its connection. */
+    void cancel(ClientAttempt attempt) {
+        PendingAttempt pending = pendingAttempts.remove(attempt.key());
+        if (pending != null) {
+            pending.isDone = true;
+            if (pending.connection != null) {
+                pending.connection.close();
             }
         }
     }
 
-    /** Its process is killed: what was written to it may have been read, and may have run. */
-    void died() {
-        dead = true;
-        severed();
+    /** The process is killed: it may have read, and run, whatever was written to it. */
+    void onProcessKilled() {
+        isProcessKilled = true;
+        onConnectionsBroken();
         closeIdle();
     }
 
     /**
-     * What is open now breaks for no reason of the dispatcher's: what it has read of it nobody
-     * knows.
+     * Open connections may break through no fault of the dispatcher, so it is unknown whether it
+     * has read a request on one of them that ends.
      */
-    void severed() {
-        lines.forEach(line -> line.severed = true);
+    void onConnectionsBroken() {
+        connections.forEach(connection -> connection.mayBreak = true);
     }
 
-    /** What is idle is of no more use. */
+    /** Closes idle connections. */
     void closeIdle() {
-        // Each takes itself off the list as it goes.
-        new ArrayList<>(idle).forEach(ClientConnection::close);
-        idle.clear();
+        // Closing a connection removes it from the collection.
+        new ArrayList<>(idleConnections).forEach(ClientConnection::close);
+        idleConnections.clear();
     }
 
-    private byte[] message(ClientAttempt clientAttempt, double timeout) {
-        HttpText text =
-                new HttpText("POST /" + clientAttempt.request().requestClass().name() + " HTTP/1.1")
-                        .field("Host", address.getAddress().getHostAddress())
-                        .field("X-Request-ID", JobCodec.encodeId(clientAttempt))
-                        .field("X-Timeout", String.format(Locale.ROOT, "%.3f", timeout));
-        if (!Double.isNaN(clientAttempt.request().costEstimate())) {
-            text.field(
-                    "X-Cost",
-                    Long.toString(Math.round(MICROS * clientAttempt.request().costEstimate())));
-        }
-        if (!clientAttempt.request().tenant().name().isEmpty()) {
-            text.field("X-Tenant-ID", clientAttempt.request().tenant().name());
-        }
-        if (clientAttempt.number() > 0) {
-            text.field("X-Retried", "1");
-        }
-        int slots = clientAttempt.request().requestClass().slots();
-        if (slots > 1) {
-            text.field("X-Attrs", "slots=" + slots);
-        }
-        if (clientAttempt.request().requestClass().idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
-            text.field("Idempotency-Key", "key-" + clientAttempt.request().number());
-        }
-        byte[] body = JobCodec.encodeBody(clientAttempt);
-        ByteBuffer[] parts = text.body(body);
-        ByteBuffer whole = ByteBuffer.allocate(parts[0].remaining() + parts[1].remaining());
-        whole.put(parts[0]).put(parts[1]);
-        return whole.array();
-    }
-
-    /** One request on its way. */
-    private final class PendingSend implements EventLoop.ChannelHandler {
-        private final ClientAttempt submitted;
-        private final boolean fresh;
-        private final double pause;
-        private ClientConnection line;
-        private boolean over;
+    /** An attempt that has no result yet. */
+    private final class PendingAttempt implements EventLoop.ChannelHandler {
+        private final ClientAttempt attempt;
+        private final boolean usesNewConnection;
+        private final double writePauseSeconds;
+        private ClientConnection connection;
+        private boolean isDone;
         private boolean wasWritten;
 
-        PendingSend(ClientAttempt clientAttempt) {
-            this.submitted = clientAttempt;
-            fresh = manners.isFresh(clientAttempt);
-            pause = manners.pause(clientAttempt);
+        PendingAttempt(ClientAttempt attempt) {
+            this.attempt = attempt;
+            usesNewConnection = behavior.usesNewConnection(attempt);
+            writePauseSeconds = behavior.writePauseSeconds(attempt);
         }
 
         @Override
@@ -173,7 +127,7 @@
             ClientConnection opened = new ClientConnection(endPoint);
             loop.post(
                     () -> {
-                        if (over) {
+                        if (isDone) {
                             opened.close();
                         } else {
                             opened.send(this);
@@ -184,80 +138,95 @@
 
         @Override
         public void onFailed(Throwable cause) {
-            if (!over) {
-                open.remove(submitted.key());
-                over = true;
-                if (dead && wasWritten) {
-                    clients.onConnectionLost(submitted);
+            if (!isDone) {
+                finish();
+                if (isProcessKilled && wasWritten) {
+                    listener.onConnectionLost(attempt);
                 } else {
-                    clients.onRefused(submitted);
+                    listener.onRefused(attempt);
                 }
             }
         }
+
+        private void finish() {
+            isDone = true;
+            pendingAttempts.remove(attempt.key());
+        }
     }
 
     private final class ClientConnection extends StreamConnection implements ResponseParser.Reader {
         private final ResponseParser parser = new ResponseParser(this);
         private final WriteQueue out;
-        private PendingSend sending;
-        private boolean kept;
-        private boolean heard;
+
+        /** The attempt whose response is awaited; null while the connection is idle. */
+        private PendingAttempt pending;
+
+        /**
+         * Whether a response was received: the dispatcher may close such a connection while idle.
+         */
+        private boolean hasServedRequest;
+
+        private boolean hasReceivedBytes;
+        private boolean mayBreak;
         private int status;
-        private double retryAfter;
-        private boolean severed;
+        private double retryAfterSeconds;
 
         ClientConnection(EndPoint endPoint) {
             super(endPoint, ClientPool.this.loop);
             out = new WriteQueue(endPoint, () -> onFailure(null));
-            lines.add(this);
+            connections.add(this);
         }
 
         @Override
         public void onClose(Throwable cause) {
             super.onClose(cause);
-            lines.remove(this);
+            connections.remove(this);
         }
 
-        void send(PendingSend next) {
-            sending = next;
-            next.line = this;
-            heard = false;
+        void send(PendingAttempt next) {
+            pending = next;
+            next.connection = this;
+            hasReceivedBytes = false;
             if (!getEndPoint().isOpen()) {
-                lost();
+                onLost();
                 return;
             }
             next.wasWritten = true;
-            // What it waits is counted from its last byte.
-            byte[] message =
-                    message(next.submitted, Math.max(0.001, next.submitted.timeout() - next.pause));
-            if (next.pause > 0) {
-                int half = message.length / 2;
-                out.send(ByteBuffer.wrap(message, 0, half));
-                loop.schedule(
-                        next.pause,
-                        () -> {
-                            if (sending == next) {
-                                out.send(ByteBuffer.wrap(message, half, message.length - half));
-                            }
-                        });
-            } else {
+            // The dispatcher counts the timeout from the last byte of the request.
+            double timeoutSeconds =
+                    Math.max(MIN_TIMEOUT_SECONDS, next.attempt.timeout() - next.writePauseSeconds);
+            write(next, encoder.encode(next.attempt, timeoutSeconds));
+        }
+
+        private void write(PendingAttempt next, byte[] message) {
+            if (next.writePauseSeconds <= 0) {
                 out.send(ByteBuffer.wrap(message));
+                return;
             }
+            int half = message.length / 2;
+            out.send(ByteBuffer.wrap(message, 0, half));
+            loop.schedule(
+                    next.writePauseSeconds,
+                    () -> {
+                        if (pending == next) {
+                            out.send(ByteBuffer.wrap(message, half, message.length - half));
+                        }
+                    });
         }
 
         @Override
         protected void onBytes(ByteBuffer in) throws IOException {
-            heard = true;
+            hasReceivedBytes = true;
             parser.parse(in);
         }
 
         @Override
         public void head(int newStatus, Map<String, String> fields) {
             status = newStatus;
-            retryAfter = 0;
-            String advice = fields.get("retry-after");
-            if (advice != null && advice.matches("\\d{1,9}(\\.\\d{1,9})?")) {
-                retryAfter = Double.parseDouble(advice);
+            retryAfterSeconds = 0;
+            String retryAfter = fields.get("retry-after");
+            if (retryAfter != null && retryAfter.matches("\\d{1,9}(\\.\\d{1,9})?")) {
+                retryAfterSeconds = Double.parseDouble(retryAfter);
             }
         }
 
@@ -268,63 +237,66 @@
 
         @Override
         public void end(boolean keepsOpen) {
-            PendingSend done = sending;
-            sending = null;
-            kept = true;
+            PendingAttempt done = pending;
+            pending = null;
+            hasServedRequest = true;
             if (done == null) {
-                // An answer that nobody asked for.
+                // A response without a request.
                 close();
                 return;
             }
-            open.remove(done.submitted.key());
-            done.over = true;
-            if (keepsOpen && !done.fresh) {
-                idle.addLast(this);
+            done.finish();
+            if (keepsOpen && !done.usesNewConnection) {
+                idleConnections.addLast(this);
             } else {
                 close();
             }
-            clients.onResponse(
-                    done.submitted,
-                    switch (status) {
-                        case 200 -> FinalResponse.SUCCEEDED;
-                        case 429, 503 -> FinalResponse.REJECTED;
-                        default -> FinalResponse.FAILED;
-                    },
-                    retryAfter);
+            listener.onResponse(done.attempt, finalResponse(), retryAfterSeconds);
+        }
+
+        private FinalResponse finalResponse() {
+            return switch (status) {
+                case 200 -> FinalResponse.SUCCEEDED;
+                case 429, 503 -> FinalResponse.REJECTED;
+                default -> FinalResponse.FAILED;
+            };
         }
 
         @Override
         protected void onEndOfStream() throws IOException {
             close();
-            lost();
+            onLost();
         }
 
         @Override
         protected void onFailure(Throwable cause) {
             close();
-            lost();
+            onLost();
         }
 
-        private void lost() {
-            idle.remove(this);
-            PendingSend last = sending;
-            sending = null;
-            if (last == null || last.over) {
+        private void onLost() {
+            idleConnections.remove(this);
+            PendingAttempt last = pending;
+            pending = null;
+            if (last == null || last.isDone) {
                 return;
             }
-            if (kept && !heard && !severed && !dead) {
-                // A dispatcher may close a kept connection as a message crosses that: once more, on
-                // a new
-                // one.
-                // Of a dead one nobody knows what it had read: taken for unread, an alert went out
-                // twice.
-                last.line = null;
+            if (isCertainlyUnread()) {
+                last.connection = null;
                 loop.connect(address, last);
                 return;
             }
-            last.over = true;
-            open.remove(last.submitted.key());
-            clients.onConnectionLost(last.submitted);
+            last.finish();
+            listener.onConnectionLost(last.attempt);
+        }
+
+        /**
+         * Whether the dispatcher cannot have read the request: it may close an idle connection
+         * while a request is on its way. A killed process may have read it: sending it again could
+         * run a non-idempotent request twice.
+         */
+        private boolean isCertainlyUnread() {
+            return hasServedRequest && !hasReceivedBytes && !mayBreak && !isProcessKilled;
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/ClientTransport.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientTransport.java
@@ -6,7 +6,7 @@
 import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.model.Clients;
 
-/** The clients' connections to all dispatchers of a run; on the event loop's thread. */
+/** The clients' connections to all dispatchers of a run. Used on the event loop's thread. */
 final class ClientTransport implements Clients.Transport {
     /** By dispatcher; null before its first process is ready. */
     private final ClientPool[] pools;
@@ -18,38 +18,38 @@
         isListening = new boolean[dispatchers];
     }
 
-    /** A dispatcher accepts connections, at an address that may have changed. */
+    /** A dispatcher accepts connections, at the address of this pool, which may be a new one. */
     void open(int dispatcher, ClientPool pool) {
         pools[dispatcher] = pool;
         isListening[dispatcher] = true;
     }
 
-    /** A dispatcher accepts no more connections; open ones go on. */
+    /** A dispatcher accepts no new connections; open ones remain in use. */
     void stopListening(int dispatcher) {
         isListening[dispatcher] = false;
     }
 
     /** The processes of a dispatcher are about to be killed. */
     void onKill(int dispatcher) {
-        pools[dispatcher].died();
+        pools[dispatcher].onProcessKilled();
     }
 
     /** Some of a dispatcher's connections may break now. */
     void onConnectionsBroken(int dispatcher) {
-        pools[dispatcher].severed();
+        pools[dispatcher].onConnectionsBroken();
     }
 
-    /** Whether each dispatcher has accepted connections at some time. */
+    /** Whether each dispatcher has accepted connections at least once. */
     boolean haveAllBeenOpen() {
         return Arrays.stream(pools).noneMatch(Objects::isNull);
     }
 
-    /** Where clients connect; null while the dispatcher accepts no connections. */
+    /** Returns where clients connect; null while the dispatcher accepts no connections. */
     InetSocketAddress address(int dispatcher) {
         return isListening[dispatcher] ? pools[dispatcher].address() : null;
     }
 
-    /** Closes idle connections, for which a draining dispatcher would wait. */
+    /** Closes idle connections, because a draining dispatcher waits for them. */
     void closeIdle() {
         Arrays.stream(pools).filter(Objects::nonNull).forEach(ClientPool::closeIdle);
     }
@@ -61,7 +61,7 @@
 
     @Override
     public void cancel(ClientAttempt clientAttempt) {
-        pools[clientAttempt.dispatcher()].hangUp(clientAttempt);
+        pools[clientAttempt.dispatcher()].cancel(clientAttempt);
     }
 
     @Override
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/process/DaemonLauncher.java
@@ -0,0 +1,76 @@
+package wheelroute.kit.process;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.scenario.DaemonSettings;
+import wheelroute.kit.scenario.Scenario;
+
+/** Writes the configuration of dispatchers and starts their processes. */
+final class DaemonLauncher {
+    // The heap that deploy/run.sh sets, without its part for an admin server.
+    private static final int MIN_HEAP_MB = 16;
+    private static final int MAX_HEAP_MB = 96;
+    private static final int NON_HEAP_MB = 45;
+
+    private final FleetSpec spec;
+    private final ProcessSupervisor supervisor;
+
+    DaemonLauncher(FleetSpec spec, ProcessSupervisor supervisor) {
+        this.spec = spec;
+        this.supervisor = supervisor;
+    }
+
+    /**
+     * Starts a process of a dispatcher.
+     *
+     * @param how which build and settings it has
+     * @throws IOException if its configuration cannot be written or it cannot be started
+     */
+    DaemonProcess start(DispatcherSlot slot, Scenario.How how, DaemonProcess.Listener listener)
+            throws IOException {
+        Path config = writeConfig(slot, how);
+        boolean isOlder = how == Scenario.How.OLDER && spec.olderJar() != null;
+        return DaemonProcess.start(
+                new DaemonProcess.Spec(
+                        slot.name(),
+                        config,
+                        spec.discoveryAddresses().apply(slot.number()),
+                        slot.port(),
+                        slot.directory(),
+                        isOlder ? spec.olderJar() : spec.jar(),
+                        heapMb()),
+                supervisor,
+                listener);
+    }
+
+    private Path writeConfig(DispatcherSlot slot, Scenario.How how) throws IOException {
+        Scenario scenario = spec.scenario();
+        Map<String, String> settings =
+                DaemonSettings.pairsOf(scenario, slot.number(), spec.settings());
+        if (how == Scenario.How.CHANGED) {
+            settings.putAll(scenario.changedSettings());
+        }
+        Path config = slot.directory().resolve("config-" + slot.starts() + ".json");
+        long seed =
+                spec.random().seedOf(SeededRandom.Purpose.STRATEGY, slot.number(), slot.starts());
+        slot.onStart();
+        Files.writeString(
+                config,
+                DaemonSettings.file(
+                        slot.name(),
+                        seed,
+                        scenario.limits().memoryMb(),
+                        scenario.limits().sockets(),
+                        settings,
+                        spec.peerAddresses().apply(slot.number())));
+        return config;
+    }
+
+    private int heapMb() {
+        int available = spec.scenario().limits().memoryMb() - NON_HEAP_MB;
+        return Math.max(MIN_HEAP_MB, Math.min(MAX_HEAP_MB, available));
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/process/DaemonProcess.java
+++ b/kit/src/main/java/wheelroute/kit/process/DaemonProcess.java
@@ -19,10 +19,14 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One process of the program, as an operator would run it, from its start to its end. */
+/** One process of the daemon, from its start to its end. Thread-safe. */
 final class DaemonProcess {
     /**
-     * How it is started; a port of 0 is the system's choice, a jar of null the build of this kit.
+     * How a process is started.
+     *
+     * @param port for clients; 0 lets the system choose one
+     * @param temporary directory for its temporary files
+     * @param jar the build to start; null for that of this kit
      */
     record Spec(
             String name,
@@ -33,38 +37,37 @@
             Path jar,
             int heapMb) {}
 
-    /** What becomes of it; each word comes on a thread of its own. */
+    /** Follows a process; each method is called on a thread of its own. */
     interface Listener {
-        /** It takes clients; its port is known. */
+        /** It accepts clients; its port is known. */
         void onReady(DaemonProcess process);
 
-        /** It is gone, with or without ever having been up. */
+        /** It has ended, whether or not it was ready before. */
         void onEnded(DaemonProcess process);
     }
 
-    private static final Pattern LISTENS = Pattern.compile("listens on .*:(\\d+)$");
-    private static final Pattern DOOR =
+    private static final Pattern LISTENING = Pattern.compile("listens on .*:(\\d+)$");
+
+    // The second alternatives are the log lines of builds up to 0.2.
+    private static final Pattern ADMIN_SERVER =
             Pattern.compile("(?:admin server listening on|operators call) .*:(\\d+)$");
-    private static final Pattern PEERS =
+    private static final Pattern MEMBERSHIP =
             Pattern.compile("(?:membership listening on|peers are heard at) .*:(\\d+),? as");
-    private static final String JAR = "daemon/target/wheelroute.jar";
-    private static final String ARCHIVE = "daemon/target/serve.jsa";
 
-    /** How long it may take to say that it is well, once it listens. */
-    private static final int WELL_MILLIS = 5000;
+    private static final String JAR = "daemon/target/wheelroute.jar";
+    private static final String CLASS_DATA_ARCHIVE = "daemon/target/serve.jsa";
+    private static final int HEALTH_CHECK_TIMEOUT_MILLIS = 5000;
 
-    /** Lines of its log that are kept for when it ends unasked. */
-    private static final int KEPT_LINES = 12;
+    /** Lines of the log that are part of an error message. */
+    private static final int LOG_EXCERPT_LINES = 12;
 
     private final Spec spec;
-    private final ArrayDeque<String> log = new ArrayDeque<>();
+    private final ArrayDeque<String> lastLogLines = new ArrayDeque<>();
     private final Process process;
     private volatile int port;
     private volatile int adminPort;
-    private volatile int peers;
-
-    /** Nobody has asked it to end. */
-    private volatile boolean wanted = true;
+    private volatile int peerPort;
+    private volatile boolean isWanted = true;
 
     private DaemonProcess(Spec spec, Process process, int port) {
         this.spec = spec;
@@ -72,19 +75,18 @@
         this.port = port;
     }
 
+    /** Starts a process and returns at once. */
     static DaemonProcess start(Spec spec, ProcessSupervisor supervisor, Listener listener)
             throws IOException {
-        Path root = root();
+        Path root = repositoryRoot();
         ProcessBuilder builder = new ProcessBuilder(command(spec, root)).redirectErrorStream(true);
         if (spec.jar == null && root != null) {
             builder.directory(root.toFile());
         }
         int port = spec.port;
         if (spec.jar != null && port == 0) {
-            // Builds before 0.2 do not tell which port they got.
-            try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                port = free.getLocalPort();
-            }
+            // Builds before 0.2 do not log the port that the system chose.
+            port = freePort();
         }
         builder.environment().put("LB_CONFIG", spec.config.toString());
         builder.environment().put("LB_LISTEN", host() + ":" + port);
@@ -92,12 +94,22 @@
         builder.environment().put("LB_ADMIN", host() + ":0");
         builder.environment().put("TMPDIR", spec.temporary.toString());
         DaemonProcess daemon = new DaemonProcess(spec, supervisor.start(builder), port);
-        Thread reader = new Thread(() -> daemon.read(listener), spec.name + "-log");
-        reader.setDaemon(true);
-        reader.start();
+        startThread(spec.name + "-log", () -> daemon.readLog(listener));
         return daemon;
     }
 
+    private static int freePort() throws IOException {
+        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return free.getLocalPort();
+        }
+    }
+
+    private static void startThread(String name, Runnable task) {
+        Thread thread = new Thread(task, name);
+        thread.setDaemon(true);
+        thread.start();
+    }
+
     private static List<String> command(Spec spec, Path root) {
         List<String> command =
                 new ArrayList<>(
@@ -115,9 +127,9 @@
         if (spec.jar != null) {
             command.addAll(List.of("-jar", spec.jar.toString(), "serve"));
         } else if (root != null) {
-            // As deploy/run.sh starts it: without its class data a start takes several times as
-            // long.
-            command.addAll(List.of("-XX:SharedArchiveFile=" + ARCHIVE, "-jar", JAR, "serve"));
+            // As in deploy/run.sh: without the archive a start takes several times as long.
+            command.addAll(
+                    List.of("-XX:SharedArchiveFile=" + CLASS_DATA_ARCHIVE, "-jar", JAR, "serve"));
         } else {
             command.addAll(
                     List.of(
@@ -129,42 +141,36 @@
         return command;
     }
 
-    /** Where the whole repository is built; null where the kit runs off its classes alone. */
-    private static Path root() {
+    /** Returns the root of the built repository; null if the kit runs from class files. */
+    private static Path repositoryRoot() {
         Path first =
                 Path.of(System.getProperty("java.class.path").split(File.pathSeparator)[0])
                         .toAbsolutePath();
-        Path folder = first.toString().endsWith(".jar") ? first : null;
-        while (folder != null && !Files.isRegularFile(folder.resolve(JAR))) {
-            folder = folder.getParent();
+        Path directory = first.toString().endsWith(".jar") ? first : null;
+        while (directory != null && !Files.isRegularFile(directory.resolve(JAR))) {
+            directory = directory.getParent();
         }
-        return folder;
+        return directory;
     }
 
     private static String host() {
         return InetAddress.getLoopbackAddress().getHostAddress();
     }
 
-    private void read(Listener listener) {
-        boolean listens = false;
+    private void readLog(Listener listener) {
         try (BufferedReader lines =
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+            boolean isListening = false;
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 keep(line);
-                Matcher doorAt = DOOR.matcher(line);
-                if (doorAt.find()) {
-                    adminPort = Integer.parseInt(doorAt.group(1));
-                }
-                Matcher peersAt = PEERS.matcher(line);
-                if (peersAt.find()) {
-                    peers = Integer.parseInt(peersAt.group(1));
-                }
-                Matcher listensAt = LISTENS.matcher(line);
-                if (!listens && listensAt.find()) {
-                    listens = true;
-                    port = Integer.parseInt(listensAt.group(1));
-                    whenWell(() -> listener.onReady(this));
+                adminPort = portIn(line, ADMIN_SERVER, adminPort);
+                peerPort = portIn(line, MEMBERSHIP, peerPort);
+                Matcher listening = LISTENING.matcher(line);
+                if (!isListening && listening.find()) {
+                    isListening = true;
+                    port = Integer.parseInt(listening.group(1));
+                    checkHealthThenRun(() -> listener.onReady(this));
                 }
             }
         } catch (IOException e) {
@@ -173,46 +179,51 @@
         process.onExit().thenRun(() -> listener.onEnded(this));
     }
 
+    private static int portIn(String line, Pattern pattern, int otherwise) {
+        Matcher found = pattern.matcher(line);
+        return found.find() ? Integer.parseInt(found.group(1)) : otherwise;
+    }
+
     /**
-     * A front takes a dispatcher in once it has answered that it is well, not when it merely
-     * listens.
+     * Runs a task after a health check was answered: a front end adds a dispatcher only then, not
+     * when it merely listens. The task runs even if the check fails, so that the run finds out.
      */
-    private void whenWell(Runnable task) {
-        Thread asker =
-                new Thread(
-                        () -> {
-                            try {
-                                HttpURLConnection call =
-                                        (HttpURLConnection)
-                                                new URL("http", host(), port, "/healthz")
-                                                        .openConnection(Proxy.NO_PROXY);
-                                call.setConnectTimeout(WELL_MILLIS);
-                                call.setReadTimeout(WELL_MILLIS);
-                                keep("/healthz answered " + call.getResponseCode());
-                                call.disconnect();
-                            } catch (IOException e) {
-                                // Whether it serves is what the run is there to find out.
-                                keep("/healthz: " + e);
-                            }
-                            task.run();
-                        },
-                        spec.name + "-well");
-        asker.setDaemon(true);
-        asker.start();
+    private void checkHealthThenRun(Runnable task) {
+        startThread(
+                spec.name + "-health",
+                () -> {
+                    try {
+                        HttpURLConnection call =
+                                (HttpURLConnection)
+                                        new URL("http", host(), port, "/healthz")
+                                                .openConnection(Proxy.NO_PROXY);
+                        call.setConnectTimeout(HEALTH_CHECK_TIMEOUT_MILLIS);
+                        call.setReadTimeout(HEALTH_CHECK_TIMEOUT_MILLIS);
+                        keep("/healthz answered " + call.getResponseCode());
+                        call.disconnect();
+                    } catch (IOException e) {
+                        keep("/healthz: " + e);
+                    }
+                    task.run();
+                });
     }
 
     private void keep(String line) {
-        synchronized (log) {
-            log.addLast(line);
-            if (log.size() > KEPT_LINES) {
-                log.pollFirst();
+        synchronized (lastLogLines) {
+            lastLogLines.addLast(line);
+            if (lastLogLines.size() > LOG_EXCERPT_LINES) {
+                lastLogLines.pollFirst();
             }
         }
     }
 
-    String lastLines() {
-        synchronized (log) {
-            return spec.name + "'s log ends with:\n  " + String.join("\n  ", log);
+    /** Returns the end of its log, for error messages. */
+    String logExcerpt() {
+        synchronized (lastLogLines) {
+            return "the log of "
+                    + spec.name
+                    + " ends with:\n  "
+                    + String.join("\n  ", lastLogLines);
         }
     }
 
@@ -220,32 +231,35 @@
         return process;
     }
 
-    /** Where it takes clients, once it is up. */
+    /** Returns the port for clients; valid once it is ready. */
     int port() {
         return port;
     }
 
-    /** The admin server; 0 where it has none. */
+    /** Returns the port of the admin server; 0 if it has none. */
     int adminPort() {
         return adminPort;
     }
 
-    /** Where it hears peers; 0 where it does not. */
-    int peers() {
-        return peers;
+    /** Returns the port for gossip; 0 if it has none. */
+    int peerPort() {
+        return peerPort;
     }
 
+    /** Whether it was neither killed nor terminated by the kit. */
     boolean isWanted() {
-        return wanted;
+        return isWanted;
     }
 
+    /** Ends it at once. */
     void kill() {
-        wanted = false;
+        isWanted = false;
         process.destroyForcibly();
     }
 
+    /** Lets it shut down gracefully. */
     void terminate() {
-        wanted = false;
+        isWanted = false;
         process.destroy();
     }
 }
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/process/DiscoveryWatch.java
@@ -0,0 +1,29 @@
+package wheelroute.kit.process;
+
+import java.util.Optional;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/**
+ * A call of the discovery protocol that waits for changes of the endpoint list.
+ *
+ * @param version after which changes are wanted
+ * @param holdSeconds after which the call is answered without changes
+ */
+public record DiscoveryWatch(long version, double holdSeconds) {
+    private static final Pattern TARGET =
+            Pattern.compile("/v1/servers\\?from=(\\d{1,18})&hold_ms=(\\d{1,6})");
+    private static final double MILLIS_PER_SECOND = 1e3;
+
+    /** Returns the watch that a request target stands for; empty if it is not a watch. */
+    public static Optional<DiscoveryWatch> parse(String target) {
+        Matcher watch = TARGET.matcher(target);
+        if (!watch.matches()) {
+            return Optional.empty();
+        }
+        return Optional.of(
+                new DiscoveryWatch(
+                        Long.parseLong(watch.group(1)),
+                        Double.parseDouble(watch.group(2)) / MILLIS_PER_SECOND));
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
+++ b/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
@@ -3,7 +3,7 @@
 import wheelroute.kit.model.Timeline;
 import wheelroute.net.loop.EventLoop;
 
-/** The time of the stubs' own thread; used on that thread only. */
+/** The time and the timers of an event loop, for the model. Used on the event loop's thread. */
 final class EventLoopTimeline implements Timeline {
     private final EventLoop loop;
 
--- a/kit/src/main/java/wheelroute/kit/process/FaultInjector.java
+++ b/kit/src/main/java/wheelroute/kit/process/FaultInjector.java
@@ -7,6 +7,9 @@
 
 /** Injects a scenario's faults into the dispatchers' processes and links. */
 final class FaultInjector implements ClusterModel.DispatcherControl {
+    /** From the signal until a resumed process has read what arrived while it was paused. */
+    private static final double RESUME_DELAY_SECONDS = RunEnvironment.AUDIT_SLACK_SECONDS;
+
     private final RunEnvironment environment;
     private final Fleet fleet;
     private final Auditor auditor;
@@ -30,9 +33,8 @@
             return;
         }
         fleet.setPaused(dispatcher, false);
-        // The signal takes a moment, and what the process reads then takes another.
         environment.loop.schedule(
-                RunEnvironment.SLACK,
+                RESUME_DELAY_SECONDS,
                 () -> {
                     auditor.onDispatcherResumed(dispatcher);
                     metricsAuditor.suspendChecks(dispatcher, false);
--- a/kit/src/main/java/wheelroute/kit/process/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/process/Fleet.java
@@ -2,508 +2,234 @@
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import java.util.function.IntFunction;
-import java.util.stream.Stream;
-import wheelroute.kit.model.SeededRandom;
-import wheelroute.kit.scenario.DaemonSettings;
+import java.util.function.Consumer;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.net.loop.EventLoop;
 
 /**
- * The dispatchers of a run: each is one process, or two while one takes the other's place. Used on
- * the loop's thread only, but for its end.
+ * The dispatchers of a run, by number: starts and stops their processes, and restarts those that
+ * crash. Used on the event loop's thread, except for {@link #close}.
  */
 final class Fleet {
-    /** What others have to know of the processes. */
-    interface Listener {
-        /** It takes clients, at this address. */
-        void onReady(int dispatcher, InetSocketAddress clients);
+    /** From its start until a process must accept clients. */
+    static final int READY_TIMEOUT_SECONDS = 30;
 
-        /** One more process of it. */
-        void onStarted(int dispatcher, DaemonProcess process);
+    /** A process that is terminated is killed after this time, as a platform would do it. */
+    private static final double KILL_AFTER_SECONDS = 6;
 
-        /** One less. */
-        void onEnded(int dispatcher, DaemonProcess process);
-
-        /** All of its processes are gone; what they held is lost. */
-        void onStopped(int dispatcher);
-
-        /**
-         * One of its two processes is killed from here until it is gone, or both stand still for a
-         * while.
-         */
-        void onSplit(int dispatcher, boolean begins);
-
-        /** It ended, and nobody had told it to; it is started again, as a supervisor would. */
-        void onCrash(int dispatcher, String lastWords);
-
-        void onFailure(String why);
-    }
-
-    /** So long a process may take from its start until it takes clients. */
-    static final int READY_SECONDS = 30;
-
-    /** One that was told to end and is not gone by then is killed, as the platform would. */
-    private static final double GONE = 6;
-
-    private static final int CLOSE_SECONDS = 6;
-    private static final int DELETE_TRIES = 5;
-    private static final double READY_POLL = 0.05;
-
-    /**
-     * A starved process is let run and stopped in turn, once in each of these: short against any
-     * limit.
-     */
-    private static final double STARVATION_PERIOD = 0.02;
-
-    /** The first process of a replacement that is killed dies within this of its start. */
-    private static final double NEW_KILLED_WITHIN = 0.6;
-
-    private static final double BOTH_STOPPED = 1;
-
-    /** The signal takes a moment, and what the process then reads another one. */
-    private static final double GOES_ON = 0.1;
+    private static final int CLOSE_TIMEOUT_SECONDS = 6;
+    private static final int MAX_DELETE_ATTEMPTS = 5;
 
     private final EventLoop loop;
-    private final Scenario scenario;
-    private final SeededRandom random;
-    private final Map<String, String> pairs;
-    private final Path jar;
-    private final Path older;
-    private final IntFunction<InetSocketAddress> lists;
-    private final IntFunction<List<String>> peers;
-    private final Listener listener;
-    private final Path folder;
+    private final FleetListener listener;
+    private final Path directory;
     private final ProcessSupervisor supervisor;
+    private final DaemonLauncher launcher;
+    private final ProcessPauser pauser;
+    private final CpuLimiter cpuLimiter;
+    private final ProcessReplacer replacer;
     private final List<DispatcherSlot> slots = new ArrayList<>();
-    private int notReplaced;
-    private int replacements;
-
-    /** One dispatcher: its files, its port, its processes. */
-    private final class DispatcherSlot {
-        final int number;
-        final Path home;
-        final Set<DaemonProcess> alive = new HashSet<>();
-        DaemonProcess current;
-
-        /** Takes the current one's place. */
-        DaemonProcess next;
-
-        int port;
-        int starts;
-        double share = 1;
-        boolean paused;
-        boolean hungry;
-
-        /** Killed while another one goes on, and not gone yet. */
-        DaemonProcess killedBeside;
 
-        /** To be started once the last process is gone; null for not. */
-        Scenario.How startsAs;
-
-        DispatcherSlot(int number) throws IOException {
-            this.number = number;
-            home = Files.createDirectory(folder.resolve("n" + number));
-        }
-    }
-
-    Fleet(
-            EventLoop loop,
-            Scenario scenario,
-            SeededRandom random,
-            Map<String, String> pairs,
-            Path jar,
-            Path older,
-            IntFunction<InetSocketAddress> lists,
-            IntFunction<List<String>> peers,
-            Listener listener)
-            throws IOException {
+    /** Creates the dispatchers' directories; no process is started yet. */
+    Fleet(EventLoop loop, FleetSpec spec, FleetListener listener) throws IOException {
         this.loop = loop;
-        this.scenario = scenario;
-        this.random = random;
-        this.pairs = pairs;
-        this.jar = jar;
-        this.older = older;
-        this.lists = lists;
-        this.peers = peers;
         this.listener = listener;
-        folder = Files.createTempDirectory("wheelroute");
-        supervisor = new ProcessSupervisor(folder);
-        for (int i = 0; i < scenario.dispatchers(); i++) {
-            slots.add(new DispatcherSlot(i));
-        }
-    }
-
-    int notReplaced() {
-        return notReplaced;
+        directory = Files.createTempDirectory("wheelroute");
+        supervisor = new ProcessSupervisor(directory);
+        launcher = new DaemonLauncher(spec, supervisor);
+        pauser = new ProcessPauser(supervisor, listener::onFailure);
+        cpuLimiter = new CpuLimiter(loop, pauser);
+        replacer =
+                new ProcessReplacer(
+                        loop,
+                        spec.random(),
+                        pauser,
+                        // A successor is ready once its admin server says so, which is polled.
+                        (slot, how) -> startProcess(slot, how, process -> {}),
+                        listener);
+        for (int i = 0; i < spec.scenario().dispatchers(); i++) {
+            slots.add(new DispatcherSlot(i, Files.createDirectory(directory.resolve("n" + i))));
+        }
+    }
+
+    /** Returns how many replacements were started. */
+    int replacements() {
+        return replacer.startedCount();
     }
 
-    /** How many replacements were begun. */
-    int replacements() {
-        return replacements;
+    /** Returns how many replacements were not completed in time. */
+    int failedReplacements() {
+        return replacer.failedCount();
     }
 
-    /** Those that run now, of this dispatcher. */
+    /** Returns the running processes of a dispatcher. */
     List<DaemonProcess> processes(int dispatcher) {
-        return List.copyOf(slots.get(dispatcher).alive);
+        return slots.get(dispatcher).processes();
     }
 
-    /** Where its newest process hears peers; null while there is none. */
-    InetSocketAddress peersOf(int dispatcher) {
+    /** Returns where the newest process of a dispatcher receives gossip; null if there is none. */
+    InetSocketAddress peerAddress(int dispatcher) {
         DispatcherSlot slot = slots.get(dispatcher);
-        DaemonProcess speaks =
-                slot.next != null && slot.next.peers() != 0 ? slot.next : slot.current;
-        return speaks == null || speaks.peers() == 0 ? null : address(speaks.peers());
+        DaemonProcess successor = slot.successor();
+        DaemonProcess newest =
+                successor != null && successor.peerPort() != 0 ? successor : slot.current();
+        return newest == null || newest.peerPort() == 0
+                ? null
+                : Loopback.address(newest.peerPort());
     }
 
     boolean isPaused(int dispatcher) {
-        return slots.get(dispatcher).paused;
+        return slots.get(dispatcher).isPaused();
     }
 
-    // ---- starts and ends
-
+    /** Starts a dispatcher, once its last process has ended. */
     void start(int dispatcher, Scenario.How how) {
         DispatcherSlot slot = slots.get(dispatcher);
-        if (!slot.alive.isEmpty()) {
-            // The old one may still be at its end.
-            slot.startsAs = how;
+        if (!slot.processes().isEmpty()) {
+            slot.setPendingStart(how);
             loop.schedule(
-                    GONE,
+                    KILL_AFTER_SECONDS,
                     () -> {
-                        if (slot.startsAs != null) {
-                            slot.alive.forEach(DaemonProcess::kill);
+                        if (slot.pendingStart() != null) {
+                            slot.processes().forEach(DaemonProcess::kill);
                         }
                     });
             return;
         }
-        slot.startsAs = null;
-        slot.current =
-                launch(
-                        slot,
-                        how,
-                        new DaemonProcess.Listener() {
-                            @Override
-                            public void onReady(DaemonProcess process) {
-                                loop.post(
-                                        () -> {
-                                            if (slot.current == process) {
-                                                slot.port = process.port();
-                                                listener.onReady(dispatcher, address(slot.port));
-                                            }
-                                        });
-                            }
-
-                            @Override
-                            public void onEnded(DaemonProcess process) {
-                                loop.post(() -> onGone(slot, process));
-                            }
-                        });
+        slot.setPendingStart(null);
+        slot.setCurrent(startProcess(slot, how, process -> onReady(slot, process)));
     }
 
-    static InetSocketAddress address(int port) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+    private void onReady(DispatcherSlot slot, DaemonProcess process) {
+        if (slot.current() == process) {
+            slot.setPort(process.port());
+            listener.onReady(slot.number(), Loopback.address(slot.port()));
+        }
     }
 
-    private DaemonProcess launch(
-            DispatcherSlot slot, Scenario.How how, DaemonProcess.Listener processHearer) {
+    private DaemonProcess startProcess(
+            DispatcherSlot slot, Scenario.How how, Consumer<DaemonProcess> onReady) {
         try {
-            Map<String, String> own = DaemonSettings.pairsOf(scenario, slot.number, pairs);
-            if (how == Scenario.How.CHANGED) {
-                own.putAll(scenario.changedSettings());
-            }
-            Path config = slot.home.resolve("config-" + slot.starts + ".json");
-            long seed = random.seedOf(SeededRandom.Purpose.STRATEGY, slot.number, slot.starts++);
-            Files.writeString(
-                    config,
-                    DaemonSettings.file(
-                            "n" + slot.number,
-                            seed,
-                            scenario.limits().memoryMb(),
-                            scenario.limits().sockets(),
-                            own,
-                            peers.apply(slot.number)));
-            Path from = how == Scenario.How.OLDER && older != null ? older : jar;
             DaemonProcess process =
-                    DaemonProcess.start(
-                            new DaemonProcess.Spec(
-                                    "n" + slot.number,
-                                    config,
-                                    lists.apply(slot.number),
-                                    slot.port,
-                                    slot.home,
-                                    from,
-                                    heapMb()),
-                            supervisor,
-                            processHearer);
-            slot.alive.add(process);
-            listener.onStarted(slot.number, process);
+                    launcher.start(
+                            slot,
+                            how,
+                            new DaemonProcess.Listener() {
+                                @Override
+                                public void onReady(DaemonProcess ready) {
+                                    loop.post(() -> onReady.accept(ready));
+                                }
+
+                                @Override
+                                public void onEnded(DaemonProcess ended) {
+                                    loop.post(() -> onProcessEnded(slot, ended));
+                                }
+                            });
+            slot.add(process);
+            listener.onStarted(slot.number(), process);
             return process;
         } catch (IOException e) {
             listener.onFailure(
-                    "dispatcher n" + slot.number + " cannot be started: " + e.getMessage());
+                    "dispatcher " + slot.name() + " cannot be started: " + e.getMessage());
             throw new UncheckedIOException(e);
         }
     }
 
-    /** As deploy/run.sh reckons it, without a door: a process beside it is the exception here. */
-    private int heapMb() {
-        return Math.max(16, Math.min(96, scenario.limits().memoryMb() - 45));
-    }
-
-    private void onGone(DispatcherSlot slot, DaemonProcess process) {
-        slot.alive.remove(process);
-        listener.onEnded(slot.number, process);
-        if (process == slot.killedBeside) {
-            slot.killedBeside = null;
-            listener.onSplit(slot.number, false);
+    private void onProcessEnded(DispatcherSlot slot, DaemonProcess process) {
+        slot.remove(process);
+        listener.onEnded(slot.number(), process);
+        if (process == slot.killedBesideOther()) {
+            slot.setKilledBesideOther(null);
+            listener.onSplit(slot.number(), false);
         }
-        boolean crashed = process.isWanted();
-        if (crashed && slot.port == 0) {
+        boolean hasCrashed = process.isWanted();
+        if (hasCrashed && slot.port() == 0) {
             listener.onFailure(
-                    "dispatcher n" + slot.number + " did not start; " + process.lastLines());
+                    "dispatcher " + slot.name() + " did not start; " + process.logExcerpt());
             return;
         }
-        if (crashed) {
-            listener.onCrash(slot.number, process.lastLines());
+        if (hasCrashed) {
+            listener.onCrash(slot.number(), process.logExcerpt());
         }
-        if (!slot.alive.isEmpty()) {
+        if (!slot.processes().isEmpty()) {
             return;
         }
-        listener.onStopped(slot.number);
-        if (slot.startsAs != null || crashed) {
-            start(slot.number, crashed ? Scenario.How.USUAL : slot.startsAs);
+        listener.onStopped(slot.number());
+        if (slot.pendingStart() != null || hasCrashed) {
+            start(slot.number(), hasCrashed ? Scenario.How.USUAL : slot.pendingStart());
         }
     }
 
+    /** Kills all processes of a dispatcher. */
     void kill(int dispatcher) {
         DispatcherSlot slot = slots.get(dispatcher);
-        slot.paused = false;
-        slot.next = null;
-        slot.startsAs = null;
-        slot.alive.forEach(DaemonProcess::kill);
+        slot.setPaused(false);
+        slot.setSuccessor(null);
+        slot.setPendingStart(null);
+        slot.processes().forEach(DaemonProcess::kill);
     }
 
+    /** Lets all processes of a dispatcher shut down gracefully. */
     void terminate(int dispatcher) {
         DispatcherSlot slot = slots.get(dispatcher);
-        slot.next = null;
-        slot.alive.forEach(DaemonProcess::terminate);
-    }
-
-    // ---- standing still, and sharing a core
-
-    void setPaused(int dispatcher, boolean begins) {
-        DispatcherSlot slot = slots.get(dispatcher);
-        slot.paused = begins;
-        slot.alive.forEach(process -> signal(slot, process, begins));
-    }
-
-    private void signal(DispatcherSlot slot, DaemonProcess process, boolean stop) {
-        try {
-            supervisor.setPaused(process.process(), stop);
-        } catch (IOException e) {
-            listener.onFailure(
-                    "dispatcher n"
-                            + slot.number
-                            + " cannot be stopped or let go on: "
-                            + e.getMessage());
-        }
-    }
-
-    /** From here on it runs for this part of the time; 1 for as it likes. */
-    void limitCpu(int dispatcher, double share) {
-        DispatcherSlot slot = slots.get(dispatcher);
-        slot.share = share;
-        if (share < 1 && !slot.hungry) {
-            slot.hungry = true;
-            round(slot, true);
-        }
-    }
-
-    private void round(DispatcherSlot slot, boolean runs) {
-        boolean fed = slot.share >= 1;
-        if (!slot.paused) {
-            slot.alive.forEach(process -> signal(slot, process, !runs && !fed));
-        }
-        if (fed) {
-            slot.hungry = false;
-        } else {
-            loop.schedule(
-                    STARVATION_PERIOD * (runs ? slot.share : 1 - slot.share),
-                    () -> round(slot, !runs));
-        }
-    }
-
-    // ---- one process in another's place
-
-    /** It is to be through within the limit; what is not counts as {@link #notReplaced}. */
-    void replace(int dispatcher, Scenario.How how, double limit) {
-        DispatcherSlot slot = slots.get(dispatcher);
-        if (slot.alive.size() != 1 || slot.startsAs != null || slot.port == 0) {
-            // Down, or in the middle of another: an operator would wait too.
-            return;
-        }
-        replacements++;
-        DaemonProcess old = slot.current;
-        DaemonProcess next =
-                launch(
-                        slot,
-                        how,
-                        new DaemonProcess.Listener() {
-                            @Override
-                            public void onReady(DaemonProcess process) {
-                                // Its door is asked: see below.
-                            }
-
-                            @Override
-                            public void onEnded(DaemonProcess process) {
-                                loop.post(() -> onGone(slot, process));
-                            }
-                        });
-        slot.next = next;
-        double due = loop.now() + limit;
-        if (how == Scenario.How.NEW_KILLED) {
-            double after =
-                    NEW_KILLED_WITHIN
-                            * random.uniform(SeededRandom.Purpose.FAULT, slot.number, slot.starts);
-            loop.schedule(
-                    after,
-                    () -> {
-                        if (slot.next == next) {
-                            slot.next = null;
-                            killBeside(slot, next);
-                        }
-                    });
-            return;
-        }
-        awaitReady(slot, old, next, how, due);
+        slot.setSuccessor(null);
+        slot.processes().forEach(DaemonProcess::terminate);
     }
 
-    private void awaitReady(
-            DispatcherSlot slot,
-            DaemonProcess old,
-            DaemonProcess next,
-            Scenario.How how,
-            double due) {
-        if (slot.next != next) {
-            return;
-        }
-        if (loop.now() > due) {
-            notReplaced++;
-            slot.next = null;
-            killBeside(slot, next);
-            return;
-        }
-        Runnable again =
-                () -> loop.schedule(READY_POLL, () -> awaitReady(slot, old, next, how, due));
-        if (next.adminPort() == 0) {
-            again.run();
-            return;
-        }
-        AdminCall.call(
-                loop,
-                address(next.adminPort()),
-                "READY",
-                due - loop.now(),
-                answer -> {
-                    if (answer == null || !answer.startsWith("ok")) {
-                        again.run();
-                    } else if (slot.next == next) {
-                        ready(slot, old, next, how, due);
-                    }
-                });
+    /** Pauses or resumes all processes of a dispatcher. */
+    void setPaused(int dispatcher, boolean isPaused) {
+        pauser.setPaused(slots.get(dispatcher), isPaused);
     }
 
-    private void ready(
-            DispatcherSlot slot,
-            DaemonProcess old,
-            DaemonProcess next,
-            Scenario.How how,
-            double due) {
-        slot.current = next;
-        slot.next = null;
-        if (how == Scenario.How.BOTH_STOPPED) {
-            listener.onSplit(slot.number, true);
-            setPaused(slot.number, true);
-            loop.schedule(
-                    BOTH_STOPPED,
-                    () -> {
-                        if (slot.current == next && slot.paused) {
-                            setPaused(slot.number, false);
-                            loop.schedule(GOES_ON, () -> listener.onSplit(slot.number, false));
-                            endOld(slot, old, due);
-                        }
-                    });
-        } else if (how == Scenario.How.OLD_KILLED) {
-            killBeside(slot, old);
-        } else {
-            endOld(slot, old, due);
-        }
+    /** Lets a dispatcher run during a fraction of the time from now on; 1 for no limit. */
+    void limitCpu(int dispatcher, double cpuShare) {
+        cpuLimiter.limit(slots.get(dispatcher), cpuShare);
     }
 
-    /** The other one goes on. */
-    private void killBeside(DispatcherSlot slot, DaemonProcess process) {
-        slot.killedBeside = process;
-        listener.onSplit(slot.number, true);
-        process.kill();
+    /** Starts to replace the process of a dispatcher; see {@link ProcessReplacer#replace}. */
+    void replace(int dispatcher, Scenario.How how, double limitSeconds) {
+        replacer.replace(slots.get(dispatcher), how, limitSeconds);
     }
 
-    private void endOld(DispatcherSlot slot, DaemonProcess old, double due) {
-        old.terminate();
-        loop.schedule(
-                Math.max(0, due - loop.now()),
-                () -> {
-                    if (slot.alive.contains(old)) {
-                        notReplaced++;
-                        killBeside(slot, old);
-                    }
-                });
-    }
-
-    // ---- the end
-
-    /** From any thread: told to end, waited for, killed. */
+    /** Shuts all processes down, kills those that take too long, and deletes all files. */
     void close() {
-        List<DaemonProcess> all = slots.stream().flatMap(slot -> slot.alive.stream()).toList();
+        List<DaemonProcess> all =
+                slots.stream().flatMap(slot -> slot.processes().stream()).toList();
         for (DispatcherSlot slot : slots) {
-            slot.share = 1;
-            slot.alive.forEach(process -> signal(slot, process, false));
+            slot.setCpuShare(1);
+            pauser.signalAll(slot, false);
         }
         all.forEach(DaemonProcess::terminate);
-        for (DaemonProcess process : all) {
-            try {
-                if (!process.process().waitFor(CLOSE_SECONDS, TimeUnit.SECONDS)) {
-                    process.kill();
-                }
-            } catch (InterruptedException e) {
+        all.forEach(Fleet::awaitEnd);
+        supervisor.close();
+        deleteDirectory();
+    }
+
+    private static void awaitEnd(DaemonProcess process) {
+        try {
+            if (!process.process().waitFor(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 process.kill();
-                Thread.currentThread().interrupt();
             }
+        } catch (InterruptedException e) {
+            process.kill();
+            Thread.currentThread().interrupt();
         }
-        supervisor.close();
-        delete(folder);
     }
 
-    /** Notes of processes that ended a moment ago may go at the same time: then once more. */
-    private static void delete(Path folder) {
-        for (int i = 0; i < DELETE_TRIES && Files.exists(folder); i++) {
-            try (Stream<Path> files = Files.walk(folder)) {
-                for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.deleteIfExists(file);
-                }
+    /** Tries several times, because the supervisor may delete its own files at the same time. */
+    private void deleteDirectory() {
+        for (int i = 0; i < MAX_DELETE_ATTEMPTS && Files.exists(directory); i++) {
+            try {
+                TemporaryDirectory.delete(directory);
             } catch (IOException | UncheckedIOException e) {
-                // It lies where the system clears up.
-                folder.toFile().deleteOnExit();
+                // It stays in the system's directory for temporary files.
+                directory.toFile().deleteOnExit();
             }
         }
     }
--- a/kit/src/main/java/wheelroute/kit/process/FleetMonitor.java
+++ b/kit/src/main/java/wheelroute/kit/process/FleetMonitor.java
@@ -6,7 +6,7 @@
 import wheelroute.kit.model.SeededRandom;
 
 /** Follows the dispatchers' processes: connects clients to them and informs the auditors. */
-final class FleetMonitor implements Fleet.Listener {
+final class FleetMonitor implements FleetListener {
     private final RunEnvironment environment;
     private final ScenarioBehavior behavior;
     private final Consumer<String> onFailure;
@@ -18,13 +18,13 @@
     }
 
     @Override
-    public void onReady(int dispatcher, InetSocketAddress own) {
+    public void onReady(int dispatcher, InetSocketAddress clients) {
         ClientTransport transport = environment.transport;
         InetSocketAddress address;
         try {
-            address = environment.links.toClients(dispatcher, own);
+            address = environment.links.toClients(dispatcher, clients);
         } catch (IOException e) {
-            onFailure("no relay for clients: " + e.getMessage());
+            onFailure("the relay for clients cannot listen: " + e.getMessage());
             return;
         }
         ClientPool pool = new ClientPool(environment.loop, address, environment.clients, behavior);
@@ -60,8 +60,8 @@
     }
 
     @Override
-    public void onCrash(int dispatcher, String lastWords) {
-        environment.auditor.onCrash(dispatcher, lastWords);
+    public void onCrash(int dispatcher, String logExcerpt) {
+        environment.auditor.onCrash(dispatcher, logExcerpt);
     }
 
     @Override
--- a/kit/src/main/java/wheelroute/kit/process/IdleConnectionFlood.java
+++ b/kit/src/main/java/wheelroute/kit/process/IdleConnectionFlood.java
@@ -12,13 +12,17 @@
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * Strangers at the clients' addresses: they connect, say nothing or half a message, stay, and go.
+ * Opens connections to dispatchers that send nothing or part of a request, and closes them after a
+ * while. Used on the event loop's thread.
  */
 final class IdleConnectionFlood {
-    /** Longer than the program has patience for. */
-    private static final double CONNECTION_LIFETIME = 4;
+    /** Longer than the daemon waits for a request. */
+    private static final double CONNECTION_LIFETIME_SECONDS = 4;
 
-    /** In turn: nothing, half a head, a head with half a body. */
+    /** Below this a rate is what rounding errors have left of rates that were added and removed. */
+    private static final double MIN_CONNECTIONS_PER_SECOND = 1e-9;
+
+    /** Sent in turn: nothing, a part of the head, the head and a part of the body. */
     private static final String[] PARTIAL_REQUESTS = {
         "",
         "POST /statement HTTP/1.1\r\nHost: x\r\nX-Req",
@@ -28,63 +32,72 @@
 
     private final EventLoop loop;
     private final IntFunction<InetSocketAddress> addresses;
-    private final Map<Integer, Double> rates = new HashMap<>();
+    private final Map<Integer, Double> connectionsPerSecond = new HashMap<>();
     private long connectionCount;
 
-    /** An address of null is nobody's just now. */
+    /**
+     * Creates a flood that has not begun.
+     *
+     * @param addresses by dispatcher number; null while one does not listen
+     */
     IdleConnectionFlood(EventLoop loop, IntFunction<InetSocketAddress> addresses) {
         this.loop = loop;
         this.addresses = addresses;
     }
 
-    /** So many more a second, or fewer. */
-    void changeRate(int dispatcher, double rate) {
-        boolean comes = rates.getOrDefault(dispatcher, 0.0) > 0;
-        rates.merge(dispatcher, rate, Double::sum);
-        if (!comes && rates.get(dispatcher) > 0) {
+    /** Changes the rate of connections to a dispatcher. */
+    void changeRate(int dispatcher, double additionalPerSecond) {
+        boolean isRunning = connectionsPerSecond.getOrDefault(dispatcher, 0.0) > 0;
+        connectionsPerSecond.merge(dispatcher, additionalPerSecond, Double::sum);
+        if (!isRunning && connectionsPerSecond.get(dispatcher) > 0) {
             connectNext(dispatcher);
         }
     }
 
     private void connectNext(int dispatcher) {
-        // Sums of what came and went again leave a rest that is no rate.
-        double rate = rates.get(dispatcher);
-        if (rate < 1e-9) {
-            rates.put(dispatcher, 0.0);
+        double rate = connectionsPerSecond.get(dispatcher);
+        if (rate < MIN_CONNECTIONS_PER_SECOND) {
+            connectionsPerSecond.put(dispatcher, 0.0);
             return;
         }
         InetSocketAddress address = addresses.apply(dispatcher);
         if (address != null) {
-            String says = PARTIAL_REQUESTS[(int) (connectionCount++ % PARTIAL_REQUESTS.length)];
-            loop.connect(
-                    address,
-                    new EventLoop.ChannelHandler() {
-                        @Override
-                        public Connection onOpened(EndPoint endPoint) {
-                            return new IdleConnection(endPoint, says);
-                        }
-
-                        @Override
-                        public void onFailed(Throwable cause) {
-                            // Turned away at the door: what it is there to try.
-                        }
-                    });
+            int turn = (int) (connectionCount++ % PARTIAL_REQUESTS.length);
+            loop.connect(address, new Connector(PARTIAL_REQUESTS[turn]));
         }
         loop.schedule(1 / rate, () -> connectNext(dispatcher));
     }
 
+    private final class Connector implements EventLoop.ChannelHandler {
+        private final String partialRequest;
+
+        Connector(String partialRequest) {
+            this.partialRequest = partialRequest;
+        }
+
+        @Override
+        public Connection onOpened(EndPoint endPoint) {
+            return new IdleConnection(endPoint, partialRequest);
+        }
+
+        @Override
+        public void onFailed(Throwable cause) {
+            // Rejecting such connections is what a flood tests.
+        }
+    }
+
     private final class IdleConnection extends StreamConnection {
         private final String partialRequest;
 
-        IdleConnection(EndPoint endPoint, String says) {
+        IdleConnection(EndPoint endPoint, String partialRequest) {
             super(endPoint, IdleConnectionFlood.this.loop);
-            this.partialRequest = says;
+            this.partialRequest = partialRequest;
         }
 
         @Override
         public void onOpen() {
             super.onOpen();
-            loop.schedule(CONNECTION_LIFETIME, this::close);
+            loop.schedule(CONNECTION_LIFETIME_SECONDS, this::close);
             if (!partialRequest.isEmpty()) {
                 new WriteQueue(getEndPoint(), this::close)
                         .send(ByteBuffer.wrap(partialRequest.getBytes(StandardCharsets.US_ASCII)));
--- a/kit/src/main/java/wheelroute/kit/process/JobCodec.java
+++ b/kit/src/main/java/wheelroute/kit/process/JobCodec.java
@@ -12,37 +12,46 @@
 import wheelroute.net.clients.ClientRequest;
 
 /**
- * How a request names itself and its work on the wire: the dispatcher passes id and body on
- * unchanged, so a worker learns from them alone what it has to do, whoever sent them.
+ * Encodes a request's number in its id and its work in its body, and decodes them at the worker.
+ * The dispatcher forwards id and body unchanged.
  */
 public final class JobCodec {
     private static final JsonFactory JSON = new JsonFactory();
     private static final String ID_PREFIX = "wr-";
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
-    /** What a worker reads off a message. */
+    /**
+     * What a worker has to do.
+     *
+     * @param requestId negative for a request that the kit did not send
+     * @param work in seconds
+     */
     public record Job(long requestId, double work, int slots, double memory) {}
 
     private JobCodec() {}
 
-    static String encodeId(ClientAttempt clientAttempt) {
-        return ID_PREFIX + Long.toHexString(clientAttempt.key());
+    static String encodeId(ClientAttempt attempt) {
+        return ID_PREFIX + Long.toHexString(attempt.key());
     }
 
-    static byte[] encodeBody(ClientAttempt clientAttempt) {
-        Scenario.RequestClass requestClass = clientAttempt.request().requestClass();
+    static byte[] encodeBody(ClientAttempt attempt) {
+        Scenario.RequestClass requestClass = attempt.request().requestClass();
         return String.format(
                         Locale.ROOT,
                         "{\"work\":%.6f,\"slots\":%d,\"memory\":%.3f}",
-                        clientAttempt.request().work(),
+                        attempt.request().work(),
                         requestClass.slots(),
                         requestClass.memory())
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** A message of somebody else's is a job of the usual work. */
-    public static Job decode(ClientRequest message, double usualWork) {
-        double work = usualWork;
+    /**
+     * Decodes a request.
+     *
+     * @param defaultWork in seconds, of a request that the kit did not send
+     */
+    public static Job decode(ClientRequest message, double defaultWork) {
+        double work = defaultWork;
         int slots = 1;
         double memory = 0;
         try (JsonParser parser = JSON.createParser(message.body())) {
@@ -59,7 +68,7 @@
                 }
             }
         } catch (IOException e) {
-            work = usualWork;
+            work = defaultWork;
         }
         return new Job(decodeId(message.id()), work, slots, memory);
     }
@@ -67,9 +76,9 @@
     private static long decodeId(String id) {
         if (id.startsWith(ID_PREFIX)) {
             try {
-                return Long.parseLong(id.substring(ID_PREFIX.length()), HEX);
+                return Long.parseLong(id.substring(ID_PREFIX.length()), HEX_RADIX);
             } catch (NumberFormatException e) {
-                // Somebody else's after all.
+                // An id of another program that begins like one of the kit.
                 return -1;
             }
         }
--- a/kit/src/main/java/wheelroute/kit/process/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadRun.java
@@ -3,16 +3,9 @@
 import java.net.InetSocketAddress;
 import java.net.NetworkInterface;
 import java.net.SocketException;
-import java.util.ArrayList;
-import java.util.EnumMap;
 import java.util.HashSet;
-import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
-import org.HdrHistogram.Histogram;
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.IdempotencyScope;
 import wheelroute.kit.model.ClientAttempt;
@@ -24,26 +17,33 @@
 import wheelroute.net.loop.Clock;
 import wheelroute.net.loop.EventLoop;
 
-/** Clients alone: a load on one address, and how it was answered. Nothing is retried. */
+/**
+ * Sends an open-loop or closed-loop load to one address, without retries, and measures the
+ * responses. All but {@link #run} is on the event loop's thread.
+ */
 public final class LoadRun implements ResponseListener {
-    private static final double MICROS = 1e6;
-    private static final double MILLIS = 1e3;
-    private static final long MOST_MICROS = 3_600_000_000L;
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
     private static final int POLL_MILLIS = 50;
-    private static final double CONNECT = 2;
+    private static final double CONNECT_TIMEOUT_SECONDS = 2;
+    private static final double MIN_DURATION_SECONDS = 1e-3;
 
-    /** A closed loop that finds nobody tries again after this long. */
-    private static final double RECONNECT = 0.1;
+    /** Until a connection of a closed loop sends again after a connection error. */
+    private static final double RECONNECT_DELAY_SECONDS = 0.1;
 
     /**
      * What is sent.
      *
-     * @param rate asks a second, by chance; 0 for a closed loop
-     * @param connections that always have one submission out; 0 for an open loop
-     * @param work a job's mean work in seconds
-     * @param tenants so many take turns, named t0 and on; 0 for none
-     * @param most of a closed loop, which is over after so many; 0 for no bound but the time
+     * @param offering name of the request class
+     * @param effect whether requests are idempotent
+     * @param rate mean requests per second of an open loop, with random arrivals; 0 for a closed
+     *     loop
+     * @param connections of a closed loop, each with one request in flight; 0 for an open loop
+     * @param work mean work of a request in seconds
+     * @param spread standard deviation of the logarithm of the work
+     * @param timeout of a request in seconds
+     * @param seconds during which requests are sent
+     * @param tenants that requests belong to in turn, named t0, t1 and so on; 0 for none
+     * @param most requests that a closed loop sends; 0 for no limit but the time
      */
     public record Load(
             InetSocketAddress address,
@@ -57,138 +57,149 @@
             double seconds,
             long seed,
             int tenants,
-            int most) {}
+            int most) {
+        private boolean isClosedLoop() {
+            return connections > 0;
+        }
+
+        private Scenario.RequestClass requestClass() {
+            return new Scenario.RequestClass(
+                    offering,
+                    effect,
+                    IdempotencyScope.ALL,
+                    1,
+                    work,
+                    spread,
+                    0,
+                    timeout,
+                    0,
+                    timeout,
+                    1,
+                    0,
+                    0,
+                    1,
+                    0);
+        }
+    }
 
-    /** How it went: how many were sent, and how many of them were fulfilled. */
-    public record Result(int sent, long fulfilled, String text) {}
+    /**
+     * How the load was served.
+     *
+     * @param text statistics for people
+     */
+    public record Result(int sent, long succeeded, String text) {}
 
     private final Load load;
-    private final EventLoop loop = new EventLoop(new Clock(), CONNECT);
-    private final SeededRandom chance;
+    private final EventLoop loop = new EventLoop(new Clock(), CONNECT_TIMEOUT_SECONDS);
+    private final SeededRandom random;
     private final ClientPool pool;
-    private final Scenario.RequestClass offering;
-    private final Map<FinalResponse, Long> answers = new EnumMap<>(FinalResponse.class);
-    private final Histogram latencies = new Histogram(MOST_MICROS, 3);
-    private double start;
-    private int sent;
-    private long refused;
-    private long cutOff;
-    private long timedOut;
-    private final Set<Long> open = new HashSet<>();
+    private final Scenario.RequestClass requestClass;
+    private final LoadStatistics statistics = new LoadStatistics();
+
+    /** The attempts in flight, by key. */
+    private final Set<Long> inFlight = new HashSet<>();
+
+    /** 0 before the run has started. */
+    private double startedAt;
 
     private LoadRun(Load load) {
         this.load = load;
-        chance = new SeededRandom(load.seed());
-        pool = new ClientPool(loop, load.address(), this, ClientPool.USUAL);
-        offering =
-                new Scenario.RequestClass(
-                        load.offering(),
-                        load.effect(),
-                        IdempotencyScope.ALL,
-                        1,
-                        load.work(),
-                        load.spread(),
-                        0,
-                        load.timeout(),
-                        0,
-                        load.timeout(),
-                        1,
-                        0,
-                        0,
-                        1,
-                        0);
+        random = new SeededRandom(load.seed());
+        pool = new ClientPool(loop, load.address(), this, ConnectionBehavior.DEFAULT);
+        requestClass = load.requestClass();
     }
 
-    /** Plays it to its end, or until it is told to stop. */
+    /**
+     * Sends a load and waits until all requests have ended.
+     *
+     * @param stop ends the run early when it returns true
+     * @throws RehearsalException if the run fails
+     */
     public static Result run(Load load, BooleanSupplier stop) throws RehearsalException {
         LoadRun run = new LoadRun(load);
         try {
             run.loop.start();
-            run.loop.post(run::begin);
-            long end = System.nanoTime() + (long) ((load.seconds() + load.timeout()) * NANOS);
-            boolean over = false;
-            while (!over && !stop.getAsBoolean() && System.nanoTime() < end) {
-                Thread.sleep(POLL_MILLIS);
-                CompletableFuture<Boolean> asked = new CompletableFuture<>();
-                run.loop.post(() -> asked.complete(run.start > 0 && run.isOver()));
-                over = asked.get();
-            }
-            CompletableFuture<Result> result = new CompletableFuture<>();
-            run.loop.post(
-                    () ->
-                            result.complete(
-                                    new Result(
-                                            run.sent,
-                                            run.answers.getOrDefault(FinalResponse.SUCCEEDED, 0L),
-                                            run.text())));
-            Result report = result.get();
+            run.loop.post(run::start);
+            run.awaitEnd(stop);
+            Result result = LoopExecutor.submit(run.loop, run::result).get();
             run.loop.stop();
-            return report;
+            return result;
         } catch (Exception e) {
-            throw new RehearsalException("the load broke off: " + e);
+            throw new RehearsalException("the load run failed: " + e, e);
+        }
+    }
+
+    private void awaitEnd(BooleanSupplier stop) throws Exception {
+        long deadlineNanos =
+                System.nanoTime() + (long) ((load.seconds() + load.timeout()) * NANOS_PER_SECOND);
+        boolean isOver = false;
+        while (!isOver && !stop.getAsBoolean() && System.nanoTime() < deadlineNanos) {
+            Thread.sleep(POLL_MILLIS);
+            isOver = LoopExecutor.submit(loop, this::isOver).get();
         }
     }
 
     private boolean isOver() {
-        return (loop.now() >= start + load.seconds() || (load.most() > 0 && sent >= load.most()))
-                && open.isEmpty();
+        return startedAt > 0
+                && (loop.now() >= startedAt + load.seconds()
+                        || (load.most() > 0 && statistics.sent() >= load.most()))
+                && inFlight.isEmpty();
+    }
+
+    private Result result() {
+        double seconds =
+                Math.max(MIN_DURATION_SECONDS, Math.min(loop.now() - startedAt, load.seconds()));
+        return new Result(
+                statistics.sent(),
+                statistics.succeeded(),
+                statistics.text(seconds, inFlight.size(), load.isClosedLoop()));
     }
 
-    private void begin() {
-        start = loop.now();
-        if (load.connections() > 0) {
+    private void start() {
+        startedAt = loop.now();
+        if (load.isClosedLoop()) {
             for (int i = 0; i < load.connections(); i++) {
                 send(loop.now());
             }
         } else {
-            next(start);
+            scheduleNextArrival(startedAt);
         }
     }
 
-    /** The open loop: when the next goes does not depend on any answer. */
-    private void next(double before) {
-        double at =
-                before
-                        - Math.log(1 - chance.uniform(SeededRandom.Purpose.ARRIVAL, sent, 0))
-                                / load.rate();
-        if (at < start + load.seconds()) {
+    /** Schedules the next request of the open loop, whatever became of the earlier ones. */
+    private void scheduleNextArrival(double lastArrivalAt) {
+        double draw = random.uniform(SeededRandom.Purpose.ARRIVAL, statistics.sent(), 0);
+        double arrivalAt = lastArrivalAt - Math.log(1 - draw) / load.rate();
+        if (arrivalAt < startedAt + load.seconds()) {
             loop.schedule(
-                    Math.max(0, at - loop.now()),
+                    Math.max(0, arrivalAt - loop.now()),
                     () -> {
-                        send(at);
-                        next(at);
+                        send(arrivalAt);
+                        scheduleNextArrival(arrivalAt);
                     });
         }
     }
 
-    private void send(double at) {
-        int number = sent++;
+    private void send(double scheduledAt) {
+        int number = statistics.onSent();
         double work =
                 load.work()
                         * SeededRandom.lognormal(
-                                chance.generator(SeededRandom.Purpose.WORK, number, 0),
+                                random.generator(SeededRandom.Purpose.WORK, number, 0),
                                 load.spread());
         ClientRequest request =
                 new ClientRequest(
                         number,
-                        at - start,
-                        offering,
+                        scheduledAt - startedAt,
+                        requestClass,
                         tenant(number),
                         work,
                         work,
                         Double.POSITIVE_INFINITY);
-        ClientAttempt clientAttempt = new ClientAttempt(request, 0, 0, at, load.timeout());
-        open.add(clientAttempt.key());
-        loop.schedule(
-                load.timeout(),
-                () -> {
-                    if (open.remove(clientAttempt.key())) {
-                        timedOut++;
-                        pool.hangUp(clientAttempt);
-                        again(0);
-                    }
-                });
-        pool.submit(clientAttempt);
+        ClientAttempt attempt = new ClientAttempt(request, 0, 0, scheduledAt, load.timeout());
+        inFlight.add(attempt.key());
+        loop.schedule(load.timeout(), () -> onTimeout(attempt));
+        pool.submit(attempt);
     }
 
     private Scenario.Tenant tenant(int number) {
@@ -197,88 +208,49 @@
                 : new Scenario.Tenant("t" + number % load.tenants(), 1, 0);
     }
 
-    private void again(double pause) {
-        if (load.connections() > 0
-                && loop.now() < start + load.seconds()
-                && (load.most() == 0 || sent < load.most())) {
-            loop.schedule(pause, () -> send(loop.now()));
+    /** Sends the next request of a connection of a closed loop. */
+    private void sendNext(double delaySeconds) {
+        if (load.isClosedLoop()
+                && loop.now() < startedAt + load.seconds()
+                && (load.most() == 0 || statistics.sent() < load.most())) {
+            loop.schedule(delaySeconds, () -> send(loop.now()));
         }
     }
 
-    @Override
-    public void onResponse(ClientAttempt clientAttempt, FinalResponse response, double retryAfter) {
-        if (open.remove(clientAttempt.key())) {
-            answers.merge(response, 1L, Long::sum);
-            // From when it was meant to go, not from when we came round to it.
-            latencies.recordValue(
-                    Math.min(
-                            MOST_MICROS,
-                            Math.round(MICROS * Math.max(0, loop.now() - clientAttempt.sentAt()))));
-            again(0);
+    private void onTimeout(ClientAttempt attempt) {
+        if (inFlight.remove(attempt.key())) {
+            statistics.onTimeout();
+            pool.cancel(attempt);
+            sendNext(0);
         }
     }
 
     @Override
-    public void onRefused(ClientAttempt clientAttempt) {
-        if (open.remove(clientAttempt.key())) {
-            refused++;
-            again(RECONNECT);
+    public void onResponse(ClientAttempt attempt, FinalResponse response, double retryAfter) {
+        if (inFlight.remove(attempt.key())) {
+            // From the scheduled time, so that delays of this process count as well.
+            statistics.onResponse(response, loop.now() - attempt.sentAt());
+            sendNext(0);
         }
     }
 
     @Override
-    public void onConnectionLost(ClientAttempt clientAttempt) {
-        if (open.remove(clientAttempt.key())) {
-            cutOff++;
-            again(RECONNECT);
-        }
-    }
-
-    private String text() {
-        List<String> lines = new ArrayList<>();
-        double took = Math.max(1e-3, Math.min(loop.now() - start, load.seconds()));
-        lines.add(
-                String.format(
-                        Locale.ROOT, "%d sent in %.1f s, %.0f a second", sent, took, sent / took));
-        for (FinalResponse response : FinalResponse.values()) {
-            lines.add(response.reportName() + ": " + answers.getOrDefault(response, 0L));
-        }
-        lines.add(
-                "refused: "
-                        + refused
-                        + ", cut off: "
-                        + cutOff
-                        + ", timed out: "
-                        + timedOut
-                        + ", still open: "
-                        + open.size());
-        lines.add("latency of answers, ms: " + percentiles(latencies));
-        if (load.connections() > 0 && latencies.getTotalCount() > 0) {
-            // A closed loop stops asking while it waits; the median stands for how often it would
-            // have asked.
-            Histogram corrected =
-                    latencies.copyCorrectedForCoordinatedOmission(
-                            Math.max(1, latencies.getValueAtPercentile(50)));
-            lines.add("corrected for what was not asked meanwhile: " + percentiles(corrected));
+    public void onRefused(ClientAttempt attempt) {
+        if (inFlight.remove(attempt.key())) {
+            statistics.onRefused();
+            sendNext(RECONNECT_DELAY_SECONDS);
         }
-        return String.join("\n", lines);
     }
 
-    private static String percentiles(Histogram h) {
-        if (h.getTotalCount() == 0) {
-            return "none";
+    @Override
+    public void onConnectionLost(ClientAttempt attempt) {
+        if (inFlight.remove(attempt.key())) {
+            statistics.onConnectionLost();
+            sendNext(RECONNECT_DELAY_SECONDS);
         }
-        return String.format(
-                Locale.ROOT,
-                "p50 %.2f  p90 %.2f  p99 %.2f  p99.9 %.2f  most %.2f",
-                h.getValueAtPercentile(50) / MILLIS,
-                h.getValueAtPercentile(90) / MILLIS,
-                h.getValueAtPercentile(99) / MILLIS,
-                h.getValueAtPercentile(99.9) / MILLIS,
-                h.getMaxValue() / MILLIS);
     }
 
-    /** An address of this machine: a load is sent to no other. */
+    /** Whether an address belongs to this machine; loads are sent to no other. */
     public static boolean isLocal(InetSocketAddress address) {
         try {
             return address.getAddress().isLoopbackAddress()
--- a/kit/src/main/java/wheelroute/kit/process/LoopExecutor.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoopExecutor.java
@@ -1,5 +1,6 @@
 package wheelroute.kit.process;
 
+import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -7,43 +8,56 @@
 import wheelroute.net.loop.EventLoop;
 
 /** Runs tasks on an event loop's thread and waits for their results. */
-final class LoopExecutor {
+public final class LoopExecutor {
     /** A task that takes longer fails: the machine is too busy for a run. */
     static final int TIMEOUT_SECONDS = 20;
 
-    /** A task with a result. */
-    interface ThrowingTask<T> {
-        T run() throws Exception;
-    }
-
     private final EventLoop loop;
 
     LoopExecutor(EventLoop loop) {
         this.loop = loop;
     }
 
-    /**
-     * Runs a task and waits for it. Must not be called on the loop's thread.
-     *
-     * @throws Exception that of the task, or a RehearsalException if it is not done in time
-     */
-    <T> T call(ThrowingTask<T> task) throws Exception {
-        CompletableFuture<T> done = new CompletableFuture<>();
+    /** Runs a task on the event loop's thread; from any thread. */
+    public static <T> CompletableFuture<T> submit(EventLoop loop, Callable<T> task) {
+        CompletableFuture<T> result = new CompletableFuture<>();
         loop.post(
                 () -> {
                     try {
-                        done.complete(task.run());
+                        result.complete(task.call());
                     } catch (Exception e) {
-                        done.completeExceptionally(e);
+                        result.completeExceptionally(e);
                     }
                 });
+        return result;
+    }
+
+    /**
+     * Runs a task and waits for it. Must not be called on the loop's thread.
+     *
+     * @throws Exception that of the task
+     * @throws LoopTimeoutException if the task is not done in time
+     */
+    <T> T call(Callable<T> task) throws Exception {
         try {
-            return done.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            return submit(loop, task).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             throw e.getCause() instanceof Exception cause ? cause : e;
         } catch (TimeoutException e) {
-            throw new RehearsalException(
-                    "this machine is too busy: nothing ran for " + TIMEOUT_SECONDS + " s");
+            throw new LoopTimeoutException(e);
+        }
+    }
+
+    /** Thrown if the event loop did not run a task in time. */
+    static final class LoopTimeoutException extends RehearsalException {
+        private static final long serialVersionUID = 1L;
+
+        LoopTimeoutException(TimeoutException cause) {
+            super(
+                    "this machine is too busy: the event loop ran no task for "
+                            + TIMEOUT_SECONDS
+                            + " s",
+                    cause);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/MachineMonitor.java
+++ b/kit/src/main/java/wheelroute/kit/process/MachineMonitor.java
@@ -11,71 +11,87 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long the dispatchers' own threads were ready to run and had no core, by the kernel's account:
- * by it the machine's lateness is told from the program's. Where the kernel gives none, nothing is
- * measured.
+ * Measures how long the dispatchers' event loop threads were runnable but waited for a core, by the
+ * scheduler statistics of the kernel. This tells a busy machine from a slow program. Measures
+ * nothing on kernels without these statistics. Starts a thread of its own; thread-safe.
  */
 final class MachineMonitor implements AutoCloseable {
-    private static final int EVERY_MILLIS = 100;
-    private static final double NANOS = 1e9;
-    private static final long MOST_NANOS = 60_000_000_000L;
-    private static final String THREAD = "loop";
+    private static final int INTERVAL_MILLIS = 100;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long MAX_NANOS = 60_000_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
+
+    /** The thread on which a dispatcher does all its work. */
+    private static final String EVENT_LOOP_THREAD = "loop";
+
+    /** Field of schedstat: nanoseconds that the thread was runnable but did not run. */
+    private static final int RUN_DELAY_FIELD = 1;
 
     private final Supplier<List<Process>> processes;
     private final Thread thread;
-    private final Map<Long, Path> accounts = new HashMap<>();
-    private final Map<Long, Long> before = new HashMap<>();
-    private final Histogram waits = new Histogram(MOST_NANOS, 3);
-    private volatile boolean over;
+    private final Map<Long, Path> schedstatFiles = new HashMap<>();
+    private final Map<Long, Long> lastRunDelayNanos = new HashMap<>();
+    private final Histogram waitNanos = new Histogram(MAX_NANOS, SIGNIFICANT_DIGITS);
+    private volatile boolean isClosed;
 
+    /**
+     * Starts to measure.
+     *
+     * @param processes those to measure, asked for in each interval
+     */
     MachineMonitor(Supplier<List<Process>> processes) {
         this.processes = processes;
-        thread = new Thread(this::watch, "machine-watch");
+        thread = new Thread(this::sampleUntilClosed, "machine-monitor");
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void watch() {
-        while (!over) {
+    private void sampleUntilClosed() {
+        while (!isClosed) {
             try {
-                processes.get().forEach(this::look);
-                Thread.sleep(EVERY_MILLIS);
+                processes.get().forEach(this::sample);
+                Thread.sleep(INTERVAL_MILLIS);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private void look(Process process) {
+    private void sample(Process process) {
         long pid = process.pid();
         try {
-            Path account = accounts.get(pid);
-            if (account == null) {
-                account = account(pid);
-                if (account == null) {
+            Path schedstat = schedstatFiles.get(pid);
+            if (schedstat == null) {
+                schedstat = schedstatOfEventLoop(pid);
+                if (schedstat == null) {
                     return;
                 }
-                accounts.put(pid, account);
+                schedstatFiles.put(pid, schedstat);
             }
-            long waited = Long.parseLong(Files.readString(account).split(" ")[1]);
-            Long last = before.put(pid, waited);
-            if (last != null) {
-                synchronized (waits) {
-                    waits.recordValue(Math.min(MOST_NANOS, Math.max(0, waited - last)));
-                }
+            long runDelayNanos =
+                    Long.parseLong(Files.readString(schedstat).split(" ")[RUN_DELAY_FIELD]);
+            Long before = lastRunDelayNanos.put(pid, runDelayNanos);
+            if (before != null) {
+                record(runDelayNanos - before);
             }
         } catch (IOException | RuntimeException e) {
-            // It has gone, or this kernel keeps no such account.
-            accounts.remove(pid);
-            before.remove(pid);
+            // The process has ended, or the kernel has no such statistics.
+            schedstatFiles.remove(pid);
+            lastRunDelayNanos.remove(pid);
+        }
+    }
+
+    private void record(long nanos) {
+        synchronized (waitNanos) {
+            waitNanos.recordValue(Math.min(MAX_NANOS, Math.max(0, nanos)));
         }
     }
 
-    /** Of the one thread on which a dispatcher does all its work; null before there is one. */
-    private static Path account(long pid) throws IOException {
+    /** Returns the statistics of the event loop's thread; null before it has started. */
+    private static Path schedstatOfEventLoop(long pid) throws IOException {
         try (Stream<Path> tasks = Files.list(Path.of("/proc/" + pid + "/task"))) {
             for (Path task : tasks.toList()) {
-                if (Files.readString(task.resolve("comm")).strip().equals(THREAD)) {
+                if (Files.readString(task.resolve("comm")).strip().equals(EVENT_LOOP_THREAD)) {
                     return task.resolve("schedstat");
                 }
             }
@@ -83,22 +99,23 @@
         return null;
     }
 
-    /** Seconds of each tenth of a second, at the 99th percentile of all of them. */
+    /** Returns the 99th percentile of the seconds that a thread waited in one interval. */
     double p99() {
-        synchronized (waits) {
-            return waits.getValueAtPercentile(99) / NANOS;
+        synchronized (waitNanos) {
+            return waitNanos.getValueAtPercentile(99) / NANOS_PER_SECOND;
         }
     }
 
-    double most() {
-        synchronized (waits) {
-            return waits.getMaxValue() / NANOS;
+    /** Returns the most seconds that a thread waited in one interval. */
+    double max() {
+        synchronized (waitNanos) {
+            return waitNanos.getMaxValue() / NANOS_PER_SECOND;
         }
     }
 
     @Override
     public void close() {
-        over = true;
+        isClosed = true;
         thread.interrupt();
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/MembershipCheck.java
+++ b/kit/src/main/java/wheelroute/kit/process/MembershipCheck.java
@@ -8,8 +8,8 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Checks at the end of a run that each dispatcher believes just those peers alive that are; on the
- * loop's thread.
+ * Checks at the end of a run that each dispatcher counts exactly the running peers as alive. Used
+ * on the event loop's thread.
  */
 final class MembershipCheck {
     /** A member that is alive or suspected, in the answer of the admin server. */
@@ -33,8 +33,8 @@
         this.isListening = isListening;
     }
 
-    /** Calls all processes that are not paused; their answers count until the timeout. */
-    void start(double timeout) {
+    /** Calls all processes that are not paused; no answer within the timeout is a mismatch. */
+    void start(double timeoutSeconds) {
         for (int i = 0; i < dispatchers; i++) {
             int dispatcher = i;
             for (DaemonProcess process : fleet.processes(i)) {
@@ -43,35 +43,35 @@
                 }
                 AdminCall.call(
                         loop,
-                        Fleet.address(process.adminPort()),
+                        Loopback.address(process.adminPort()),
                         "PEERS",
-                        timeout,
+                        timeoutSeconds,
                         answer -> compare(dispatcher, answer));
             }
         }
     }
 
     private void compare(int dispatcher, String answer) {
-        long believed =
+        long believedAlive =
                 answer == null
                         ? 0
                         : answer.lines().filter(line -> ALIVE.matcher(line).matches()).count();
         long alive = IntStream.range(0, dispatchers).filter(isListening).count();
-        if (believed != alive) {
+        if (believedAlive != alive) {
             String text = answer == null ? "no answer" : answer.replace("\n", "; ");
             mismatches.add(
                     "n"
                             + dispatcher
-                            + " holds "
-                            + believed
-                            + " of "
+                            + " counts "
+                            + believedAlive
+                            + " members as alive, "
                             + alive
-                            + " to be there: "
+                            + " are: "
                             + text);
         }
     }
 
-    /** One description for each process that is wrong. */
+    /** Returns a description of each process whose membership is wrong. */
     List<String> mismatches() {
         return mismatches;
     }
--- a/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
+++ b/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntFunction;
+import java.util.function.Supplier;
 import wheelroute.kit.faults.ActiveLinkFaults;
 import wheelroute.kit.faults.DatagramRelay;
 import wheelroute.kit.faults.LinkState;
@@ -16,25 +17,37 @@
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.net.loop.EventLoop;
 
-/** The ways of a run. Where any can be harmed all of them lead through relays, else none does. */
+/**
+ * The links between the processes of a run. If the scenario has faults of any stream link, all of
+ * them lead through relays, otherwise none. Used on the event loop's thread.
+ */
 final class NetworkLinks {
-    /** Hears of each change before it is made. */
+    /** Follows the states of links. */
     interface Listener {
+        /** A link is about to have this state. */
         void onLinkChange(NetworkLink link, LinkState state);
     }
 
     private final EventLoop loop;
     private final SeededRandom random;
     private final Listener listener;
-    private final boolean relayed;
+    private final boolean areRelayed;
     private final List<Scenario.WorkerGroup> groups;
     private final int dispatchers;
     private final Map<NetworkLink, Relay> relays = new HashMap<>();
-    private final Map<NetworkLink, DatagramRelay> datagrams = new HashMap<>();
-    private final Map<Integer, InetSocketAddress> clients = new HashMap<>();
-    private final ActiveLinkFaults links = new ActiveLinkFaults(this::onLinkChanged);
-    private long pieces;
+    private final Map<NetworkLink, DatagramRelay> datagramRelays = new HashMap<>();
 
+    /** Where each dispatcher listens for clients, by number; this may change. */
+    private final Map<Integer, InetSocketAddress> clientAddresses = new HashMap<>();
+
+    private final ActiveLinkFaults faults = new ActiveLinkFaults(this::onLinkChanged);
+    private long draws;
+
+    /**
+     * Creates links without faults.
+     *
+     * @param groups the group of each worker, by worker number
+     */
     NetworkLinks(
             EventLoop loop,
             Scenario scenario,
@@ -44,102 +57,123 @@
         this.loop = loop;
         this.random = random;
         this.groups = groups;
-        dispatchers = scenario.dispatchers();
         this.listener = listener;
-        relayed =
-                scenario.faults().stream()
-                        .anyMatch(
-                                f ->
-                                        f.kind().affectsLinks()
-                                                && f.affectedLinks() != Scenario.LinkKind.PEERS);
+        dispatchers = scenario.dispatchers();
+        areRelayed = scenario.faults().stream().anyMatch(NetworkLinks::needsStreamRelay);
     }
 
+    private static boolean needsStreamRelay(Scenario.Fault fault) {
+        return fault.kind().affectsLinks() && fault.affectedLinks() != Scenario.LinkKind.PEERS;
+    }
+
+    /** Whether the links of streams lead through relays. */
     boolean areRelayed() {
-        return relayed;
+        return areRelayed;
     }
 
     private double draw() {
-        return random.uniform(SeededRandom.Purpose.LINK, pieces++, 0);
+        return random.uniform(SeededRandom.Purpose.LINK, draws++, 0);
     }
 
-    /** Where this worker is reached by this dispatcher. */
-    InetSocketAddress toWorker(int dispatcher, int worker, StubWorker far) throws IOException {
-        if (!relayed) {
-            return far.address();
+    /** Returns where a dispatcher reaches a worker. */
+    InetSocketAddress toWorker(int dispatcher, int workerNumber, StubWorker worker)
+            throws IOException {
+        if (!areRelayed) {
+            return worker.address();
         }
-        NetworkLink link = new NetworkLink(dispatcher, worker);
-        Relay relay = new Relay(loop, far::address, true, this::draw);
-        relay.onNearClosed(far::nearClosed);
-        relays.put(link, relay);
+        NetworkLink link = new NetworkLink(dispatcher, workerNumber);
+        Relay relay = addRelay(link, worker::address, true);
+        relay.onNearClosed(worker::onDispatcherClosed);
         return relay.address();
     }
 
-    InetSocketAddress toDiscovery(int dispatcher, StubDiscovery far) throws IOException {
-        if (!relayed) {
-            return far.address();
+    /** Returns where a dispatcher reaches its discovery. */
+    InetSocketAddress toDiscovery(int dispatcher, StubDiscovery discovery) throws IOException {
+        if (!areRelayed) {
+            return discovery.address();
         }
-        Relay relay = new Relay(loop, far::address, true, this::draw);
-        relays.put(NetworkLink.toDiscovery(dispatcher), relay);
-        return relay.address();
+        NetworkLink link = NetworkLink.toDiscovery(dispatcher);
+        return addRelay(link, discovery::address, true).address();
     }
 
-    /** Where clients reach this dispatcher, which takes them at its own address from now on. */
-    InetSocketAddress toClients(int dispatcher, InetSocketAddress own) throws IOException {
-        clients.put(dispatcher, own);
-        if (!relayed) {
-            return own;
+    /**
+     * Returns where clients reach a dispatcher.
+     *
+     * @param listening the address on which the dispatcher listens from now on
+     */
+    InetSocketAddress toClients(int dispatcher, InetSocketAddress listening) throws IOException {
+        clientAddresses.put(dispatcher, listening);
+        if (!areRelayed) {
+            return listening;
         }
         NetworkLink link = NetworkLink.toClients(dispatcher);
         if (!relays.containsKey(link)) {
-            relays.put(link, new Relay(loop, () -> clients.get(dispatcher), false, this::draw));
+            addRelay(link, () -> clientAddresses.get(dispatcher), false);
         }
         return relays.get(link).address();
     }
 
-    /** The addresses of all dispatchers as this one knows them: each is a way of its own. */
-    List<String> toPeers(int dispatcher, IntFunction<InetSocketAddress> far) throws IOException {
-        List<String> book = new ArrayList<>();
+    private Relay addRelay(
+            NetworkLink link, Supplier<InetSocketAddress> target, boolean isDispatcherNear)
+            throws IOException {
+        Relay relay = new Relay(loop, target, isDispatcherNear, this::draw);
+        relays.put(link, relay);
+        return relay;
+    }
+
+    /**
+     * Returns where a dispatcher reaches each of its peers; each has a link of its own.
+     *
+     * @param peerAddresses by dispatcher number; null while one is not running
+     */
+    List<String> toPeers(int dispatcher, IntFunction<InetSocketAddress> peerAddresses)
+            throws IOException {
+        List<String> addresses = new ArrayList<>();
         for (int i = 0; i < dispatchers; i++) {
             int peer = i;
-            DatagramRelay relay = new DatagramRelay(loop, () -> far.apply(peer), this::draw);
-            datagrams.put(NetworkLink.toPeer(dispatcher, peer), relay);
-            DatagramRelay back = datagrams.get(NetworkLink.toPeer(peer, dispatcher));
-            if (back != null) {
-                relay.pairWith(back);
-                back.pairWith(relay);
+            DatagramRelay relay =
+                    new DatagramRelay(loop, () -> peerAddresses.apply(peer), this::draw);
+            datagramRelays.put(NetworkLink.toPeer(dispatcher, peer), relay);
+            DatagramRelay reverse = datagramRelays.get(NetworkLink.toPeer(peer, dispatcher));
+            if (reverse != null) {
+                relay.pairWith(reverse);
+                reverse.pairWith(relay);
             }
-            book.add(
-                    relay.address().getAddress().getHostAddress()
-                            + ":"
-                            + relay.address().getPort());
+            InetSocketAddress address = relay.address();
+            addresses.add(address.getAddress().getHostAddress() + ":" + address.getPort());
         }
-        return book;
+        return addresses;
     }
 
+    /** Whether a link has no fault. */
     boolean isOpen(NetworkLink link) {
-        return links.state(link).equals(LinkState.OPEN);
+        return faults.state(link).equals(LinkState.OPEN);
     }
 
+    /** Begins or ends what a fault does to the links of one dispatcher. */
     void setFault(Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
-        links.set(fault, begins, NetworkLink.of(fault, dispatcher, targets, dispatchers, groups));
+        faults.set(fault, begins, NetworkLink.of(fault, dispatcher, targets, dispatchers, groups));
     }
 
     private void onLinkChanged(NetworkLink link, LinkState state) {
         listener.onLinkChange(link, state);
         if (link.isToPeer()) {
-            NetworkLink back =
-                    NetworkLink.toPeer(
-                            /* dispatcher= */ link.peer(), /* peer= */ link.dispatcher());
-            if (datagrams.containsKey(link)) {
-                datagrams.get(link).apply(state, links.state(back));
-                datagrams.get(back).apply(links.state(back), state);
-            }
+            applyToPeer(link, state);
             return;
         }
         Relay relay = relays.get(link);
-        // One that has never been up has no way to it yet.
+        // A dispatcher that was never ready has no link to clients yet.
         if (relay != null) {
             relay.apply(state);
         }
     }
+
+    private void applyToPeer(NetworkLink link, LinkState state) {
+        NetworkLink reverse =
+                NetworkLink.toPeer(/* dispatcher= */ link.peer(), /* peer= */ link.dispatcher());
+        if (datagramRelays.containsKey(link)) {
+            datagramRelays.get(link).apply(state, faults.state(reverse));
+            datagramRelays.get(reverse).apply(faults.state(reverse), state);
+        }
+    }
 }
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
@@ -13,32 +13,29 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import wheelroute.config.ConfigException;
-import wheelroute.kit.audit.MetricsAuditor;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.scenario.DaemonSettings;
 import wheelroute.kit.scenario.FaultScheduleGenerator;
-import wheelroute.kit.scenario.FigureNames;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.net.loop.Clock;
 import wheelroute.net.loop.EventLoop;
 
 /**
- * A run of a scenario in real time: each dispatcher is a process of its own, workers, discovery and
- * clients run on one thread of this process.
+ * Runs a scenario in real time: each dispatcher is a process of its own; workers, discovery and
+ * clients are stubs on one thread of this process.
  */
 public final class ProcessRun {
-    /** From the last dispatcher's readiness to the first request: the list has to reach it. */
-    private static final double SETTLE_TIME = 0.7;
+    /** From the last dispatcher's readiness to the first request: all must have their lists. */
+    private static final double SETTLE_SECONDS = 0.7;
 
-    /** The run continues for so long after the last request, to observe what comes too late. */
-    private static final double FINAL_TIME = 1;
+    /** The run continues for this time after the last request, to observe late effects. */
+    private static final double FINAL_SECONDS = 1;
 
-    private static final double CONNECT_TIMEOUT = 1;
-    private static final double END_CHECK_INTERVAL = 0.01;
+    private static final double CONNECT_TIMEOUT_SECONDS = 1;
+    private static final double END_CHECK_INTERVAL_SECONDS = 0.01;
     private static final int POLL_MILLIS = 50;
-    private static final double PROGRESS_SECONDS = 5;
+    private static final double PROGRESS_INTERVAL_SECONDS = 5;
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double MILLIS_PER_SECOND = 1e3;
 
     /** The key of a variant whose dispatchers do not know each other. */
     private static final String NO_PEERS = "no_peers";
@@ -46,12 +43,12 @@
     /**
      * What is run.
      *
-     * @param scenario in {@link #run}, random faults not yet drawn
-     * @param seconds how long requests arrive
+     * @param scenario {@link #run} draws its random faults
+     * @param seconds during which requests arrive
      * @param settings that differ from the scenario's
      * @param variantName of these settings, for the report
      * @param jar the dispatchers' build; null for this one
-     * @param older the build that faults call older; null for none
+     * @param older the build that replaces it where a fault says so; null for none
      */
     public record Options(
             Scenario scenario,
@@ -78,13 +75,12 @@
 
     private final Options options;
     private final boolean peering;
-    private final EventLoop loop = new EventLoop(new Clock(), CONNECT_TIMEOUT);
+    private final EventLoop loop = new EventLoop(new Clock(), CONNECT_TIMEOUT_SECONDS);
     private final LoopExecutor executor = new LoopExecutor(loop);
     private final TimerLag timerLag = new TimerLag(loop);
 
-    /** Null before the run has begun, as the two that follow. */
+    // Null before the run has started.
     private RunEnvironment environment;
-
     private MembershipCheck membership;
     private MachineMonitor machine;
     private RelayCost.Cost relayCost = RelayCost.Cost.NONE;
@@ -102,26 +98,27 @@
      * Runs a scenario to its end.
      *
      * @param stop ends the run early when it returns true; the report is partial then
-     * @param progress gets a line of text now and then
-     * @throws RehearsalException if the run cannot be made on this machine
+     * @param progress gets a line of text every few seconds
+     * @throws RehearsalException if the run cannot be made on this machine, or a dispatcher does
+     *     not start
      * @throws ConfigException if the settings cannot be used
      */
     public static Report run(Options options, BooleanSupplier stop, Consumer<String> progress)
             throws RehearsalException, ConfigException {
         ProcessRun run = new ProcessRun(options);
-        // Fails before any process is started if the settings are at fault.
+        // Throws before any process is started if the settings are invalid.
         DaemonSettings.settings(
                 options.seed(),
                 DaemonSettings.pairs(run.options.scenario(), run.options.settings()));
         try {
             run.start();
-            boolean partial = run.watch(stop, progress);
-            return run.executor.call(() -> run.report(partial));
+            boolean isPartial = run.awaitEnd(stop, progress);
+            return run.executor.call(() -> run.report(isPartial));
         } catch (Exception e) {
             if (e instanceof RehearsalException known) {
                 throw known;
             }
-            throw new RehearsalException("the run broke off: " + e);
+            throw new RehearsalException("the run failed: " + e, e);
         } finally {
             run.close();
         }
@@ -140,7 +137,7 @@
                     }
                     return null;
                 });
-        // Before the dispatchers, whose starts would be in the measurement.
+        // Before the dispatchers start, which would disturb the measurement.
         relayCost = cost.get(LoopExecutor.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         executor.call(
                 () -> {
@@ -153,7 +150,7 @@
         machine = new MachineMonitor(this::processes);
         executor.call(
                 () -> {
-                    loop.schedule(SETTLE_TIME, this::startRequests);
+                    loop.schedule(SETTLE_SECONDS, this::startRequests);
                     return null;
                 });
     }
@@ -169,12 +166,13 @@
     }
 
     private void awaitReady() throws RehearsalException, InterruptedException {
-        long due = System.nanoTime() + TimeUnit.SECONDS.toNanos(Fleet.READY_SECONDS);
+        long deadlineNanos =
+                System.nanoTime() + TimeUnit.SECONDS.toNanos(Fleet.READY_TIMEOUT_SECONDS);
         while (!environment.allReady.isDone()) {
             throwIfFailed();
-            if (System.nanoTime() > due) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new RehearsalException(
-                        "a dispatcher is not up after " + Fleet.READY_SECONDS + " s");
+                        "a dispatcher was not ready after " + Fleet.READY_TIMEOUT_SECONDS + " s");
             }
             Thread.sleep(POLL_MILLIS);
         }
@@ -189,56 +187,56 @@
     private void checkEnd() {
         if (environment.clients.isOver()) {
             if (peering) {
-                membership.start(FINAL_TIME / 2);
+                membership.start(FINAL_SECONDS / 2);
             }
-            loop.schedule(FINAL_TIME, () -> isOver = true);
+            loop.schedule(FINAL_SECONDS, () -> isOver = true);
         } else {
-            loop.schedule(END_CHECK_INTERVAL, this::checkEnd);
+            loop.schedule(END_CHECK_INTERVAL_SECONDS, this::checkEnd);
         }
     }
 
-    /** The dispatchers' processes; empty if the event loop does not answer. */
+    /** Returns the dispatchers' processes; none if the event loop does not answer in time. */
     private List<Process> processes() {
-        CompletableFuture<List<Process>> processes = new CompletableFuture<>();
-        loop.post(
-                () -> {
-                    List<Process> found = new ArrayList<>();
-                    for (int i = 0; i < options.scenario().dispatchers(); i++) {
-                        environment.fleet.processes(i).forEach(p -> found.add(p.process()));
-                    }
-                    processes.complete(found);
-                });
         try {
-            return processes.get(LoopExecutor.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            return LoopExecutor.submit(loop, this::processesOfFleet)
+                    .get(LoopExecutor.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException | InterruptedException e) {
             return List.of();
         }
     }
 
-    /** Waits for the end of the run; true if it was stopped before. */
-    private boolean watch(BooleanSupplier stop, Consumer<String> progress) throws Exception {
-        double lastProgress = 0;
-        long startedAt = System.nanoTime();
+    private List<Process> processesOfFleet() {
+        List<Process> processes = new ArrayList<>();
+        for (int i = 0; i < options.scenario().dispatchers(); i++) {
+            environment.fleet.processes(i).forEach(daemon -> processes.add(daemon.process()));
+        }
+        return processes;
+    }
+
+    /** Waits for the end of the run; returns whether it was stopped before. */
+    private boolean awaitEnd(BooleanSupplier stop, Consumer<String> progress) throws Exception {
+        double lastProgressSeconds = 0;
+        long startedNanos = System.nanoTime();
         while (!isOver) {
             throwIfFailed();
             if (stop.getAsBoolean()) {
                 return true;
             }
             Thread.sleep(POLL_MILLIS);
-            double passed = (System.nanoTime() - startedAt) / NANOS_PER_SECOND;
-            if (passed - lastProgress >= PROGRESS_SECONDS) {
-                lastProgress = passed;
-                progress.accept(executor.call(() -> progressText(passed)));
+            double elapsedSeconds = (System.nanoTime() - startedNanos) / NANOS_PER_SECOND;
+            if (elapsedSeconds - lastProgressSeconds >= PROGRESS_INTERVAL_SECONDS) {
+                lastProgressSeconds = elapsedSeconds;
+                progress.accept(executor.call(() -> progressText(elapsedSeconds)));
             }
         }
         return false;
     }
 
-    private String progressText(double passed) {
+    private String progressText(double elapsedSeconds) {
         return String.format(
                 Locale.ROOT,
-                "%.0f s of %.0f s: %d asked",
-                passed,
+                "%.0f of %.0f s: %d requests sent",
+                elapsedSeconds,
                 options.seconds(),
                 environment.recorder.tally().requestCount());
     }
@@ -249,82 +247,11 @@
         }
     }
 
-    private Report report(boolean partial) throws RehearsalException {
-        if (environment.recorder.tally().requestCount() == 0) {
-            throw new RehearsalException("it was stopped before anything was asked");
-        }
-        environment.auditor.finish();
-        Scenario scenario = options.scenario();
-        Report.Run run =
-                new Report.Run(
-                        scenario.name(),
-                        scenario.title(),
-                        "real",
-                        options.variantName(),
-                        options.seed(),
-                        options.seconds(),
-                        scenario.workers(),
-                        scenario.dispatchers());
+    private Report report(boolean isPartial) throws RehearsalException {
         Report.Lag lag =
-                new Report.Lag(timerLag.p99(), timerLag.max(), machine.p99(), machine.most());
-        return Report.of(
-                run,
-                environment.recorder,
-                environment.auditor,
-                environment.cluster,
-                lag,
-                new Report.Extra(figures(), notes()),
-                partial);
-    }
-
-    private Map<String, Double> figures() {
-        MetricsAuditor metrics = environment.metricsAuditor;
-        Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put(FigureNames.LIST_CALLS, (double) environment.discoveryCalls.maxPerSecond());
-        figures.put(FigureNames.METRICS_MISMATCH, metrics.mismatchFraction());
-        figures.put(FigureNames.ADMIN_CALLS_LATE, metrics.lateCallFraction());
-        figures.put(FigureNames.NOT_REPLACED, (double) environment.fleet.notReplaced());
-        figures.put(FigureNames.PEERS_WRONG, (double) membership.mismatches().size());
-        return figures;
-    }
-
-    private List<String> notes() {
-        MetricsAuditor metrics = environment.metricsAuditor;
-        Fleet fleet = environment.fleet;
-        List<String> notes = new ArrayList<>();
-        notes.add(
-                String.format(
-                        Locale.ROOT,
-                        "calls for the list: %d, %d in the busiest second",
-                        environment.discoveryCalls.total(),
-                        environment.discoveryCalls.maxPerSecond()));
-        notes.add(
-                String.format(
-                        Locale.ROOT,
-                        "operators' figures: %d held against what was seen, %.2f%%"
-                                + " untrue; doors late: %.2f%%",
-                        metrics.checkCount(),
-                        100 * metrics.mismatchFraction(),
-                        100 * metrics.lateCallFraction()));
-        metrics.mismatches().forEach(line -> notes.add("  " + line));
-        notes.addAll(membership.mismatches());
-        if (fleet.replacements() > 0) {
-            notes.add(
-                    fleet.replacements()
-                            + " replacements begun, "
-                            + fleet.notReplaced()
-                            + " not through in time");
-        }
-        if (environment.links.areRelayed()) {
-            notes.add(
-                    String.format(
-                            Locale.ROOT,
-                            "a short exchange through a relay takes %.2f ms at p99,"
-                                    + " straight %.2f ms",
-                            MILLIS_PER_SECOND * relayCost.relayed(),
-                            MILLIS_PER_SECOND * relayCost.direct()));
-        }
-        return notes;
+                new Report.Lag(timerLag.p99(), timerLag.max(), machine.p99(), machine.max());
+        return new ProcessRunReport(options, environment, membership, relayCost, lag)
+                .create(isPartial);
     }
 
     private void close() {
@@ -332,14 +259,14 @@
             machine.close();
         }
         if (environment != null) {
-            // A draining dispatcher waits for its clients.
+            // A draining dispatcher waits until its clients have closed.
             loop.post(environment.transport::closeIdle);
             environment.fleet.close();
         }
         try {
             loop.stop();
         } catch (Exception e) {
-            // The process of the rehearsal goes on without it.
+            // The report is complete without it.
             Thread.currentThread().interrupt();
         }
     }
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
@@ -0,0 +1,111 @@
+package wheelroute.kit.process;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import wheelroute.kit.audit.MetricsAuditor;
+import wheelroute.kit.report.Report;
+import wheelroute.kit.scenario.FigureNames;
+import wheelroute.kit.scenario.Scenario;
+
+/**
+ * Creates the report of a run of real processes from what was measured.
+ *
+ * @param lag how late timers and threads were
+ */
+record ProcessRunReport(
+        ProcessRun.Options options,
+        RunEnvironment environment,
+        MembershipCheck membership,
+        RelayCost.Cost relayCost,
+        Report.Lag lag) {
+    /** The value of this key in reports. */
+    private static final String CLOCK_NAME = "real";
+
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final double PERCENT = 100;
+
+    /**
+     * Creates the report, on the event loop's thread.
+     *
+     * @param isPartial whether the run was stopped early
+     * @throws RehearsalException if no request was sent
+     */
+    Report create(boolean isPartial) throws RehearsalException {
+        if (environment.recorder.tally().requestCount() == 0) {
+            throw new RehearsalException("the run was stopped before any request was sent");
+        }
+        environment.auditor.finish();
+        Scenario scenario = options.scenario();
+        Report.Run run =
+                new Report.Run(
+                        scenario.name(),
+                        scenario.title(),
+                        CLOCK_NAME,
+                        options.variantName(),
+                        options.seed(),
+                        options.seconds(),
+                        scenario.workers(),
+                        scenario.dispatchers());
+        return Report.of(
+                run,
+                environment.recorder,
+                environment.auditor,
+                environment.cluster,
+                lag,
+                new Report.Extra(figures(), notes()),
+                isPartial);
+    }
+
+    private Map<String, Double> figures() {
+        MetricsAuditor metrics = environment.metricsAuditor;
+        Map<String, Double> figures = new LinkedHashMap<>();
+        figures.put(FigureNames.LIST_CALLS, (double) environment.discoveryCalls.maxPerSecond());
+        figures.put(FigureNames.METRICS_MISMATCH, metrics.mismatchFraction());
+        figures.put(FigureNames.ADMIN_CALLS_LATE, metrics.lateCallFraction());
+        figures.put(FigureNames.NOT_REPLACED, (double) environment.fleet.failedReplacements());
+        figures.put(FigureNames.PEERS_WRONG, (double) membership.mismatches().size());
+        return figures;
+    }
+
+    private List<String> notes() {
+        MetricsAuditor metrics = environment.metricsAuditor;
+        List<String> notes = new ArrayList<>();
+        notes.add(
+                String.format(
+                        Locale.ROOT,
+                        "discovery calls: %d, at most %d within one second",
+                        environment.discoveryCalls.total(),
+                        environment.discoveryCalls.maxPerSecond()));
+        notes.add(
+                String.format(
+                        Locale.ROOT,
+                        "metrics: %d values checked, %.2f%% mismatches; admin calls timed out:"
+                                + " %.2f%%",
+                        metrics.checkCount(),
+                        PERCENT * metrics.mismatchFraction(),
+                        PERCENT * metrics.lateCallFraction()));
+        metrics.mismatches().forEach(line -> notes.add("  " + line));
+        notes.addAll(membership.mismatches());
+        Fleet fleet = environment.fleet;
+        if (fleet.replacements() > 0) {
+            notes.add(
+                    "process replacements: "
+                            + fleet.replacements()
+                            + " started, "
+                            + fleet.failedReplacements()
+                            + " not completed in time");
+        }
+        if (environment.links.areRelayed()) {
+            notes.add(
+                    String.format(
+                            Locale.ROOT,
+                            "round trip through a relay: %.2f ms at p99, direct: %.2f ms",
+                            MILLIS_PER_SECOND * relayCost.relayedSeconds(),
+                            MILLIS_PER_SECOND * relayCost.directSeconds()));
+        }
+        return notes;
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/process/ProcessSupervisor.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessSupervisor.java
@@ -8,20 +8,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sends signals to processes, and ends those that are left should this one die without a word: one
- * shell, whose standard input is a pipe from here. The JDK has no word for stopping a process, and
- * a shell of its own for each signal would cost more than the signal. When the pipe ends, for
- * whatever reason, all that is kept is killed, also what stands still just then.
+ * Pauses processes, and kills those that are left when this process ends, however it ends. It is a
+ * shell whose standard input is a pipe from here: when the pipe is closed, the shell kills all
+ * processes that were started by {@link #start}, even paused ones. The shell also sends signals,
+ * which the JDK cannot; a shell for each signal would be slow. Thread-safe.
  */
 public final class ProcessSupervisor implements AutoCloseable {
     /**
-     * It outlives a ^C that reaches the whole group: it must see our end, and clear up after it.
+     * Ignores ^C, which the terminal sends to the whole process group: it must clean up after it.
      */
     private static final String SCRIPT =
             """
             trap '' INT TERM HUP
-            while read -r word pid; do
-                kill -"$word" "$pid" 2> /dev/null
+            while read -r signal pid; do
+                kill -"$signal" "$pid" 2> /dev/null
             done
             : > "$0/closed"
             for file in "$0"/*.pid; do
@@ -30,63 +30,67 @@
             """;
 
     /**
-     * A process notes its number before it becomes what it is to be, and then looks whether it is
-     * too late: either the shell above finds the note, or this finds its mark. Noted from here it
-     * could be missed.
+     * Writes the process id before it executes the command, and then checks whether the supervisor
+     * has closed: either that finds the file, or this finds its mark. If the file were written by
+     * the kit, a process could be missed.
      */
     private static final String START_SCRIPT =
             "echo $$ > \"$0/$$.pid\"; [ ! -e \"$0/closed\" ] || exit 1;" + " exec \"$@\"";
 
-    private static final int END_SECONDS = 5;
+    private static final int CLOSE_TIMEOUT_SECONDS = 5;
 
-    private final Path folder;
+    private final Path directory;
     private final Process shell;
     private final BufferedWriter commands;
 
-    /** Notes lie in this folder, which is nobody else's. */
-    public ProcessSupervisor(Path folder) throws IOException {
-        this.folder = folder;
+    /**
+     * Starts the shell.
+     *
+     * @param directory for the files with process ids; no other supervisor may use it
+     */
+    public ProcessSupervisor(Path directory) throws IOException {
+        this.directory = directory;
         shell =
-                new ProcessBuilder("sh", "-c", SCRIPT, folder.toString())
+                new ProcessBuilder("sh", "-c", SCRIPT, directory.toString())
                         .redirectErrorStream(true)
                         .start();
         commands = shell.outputWriter();
     }
 
-    /** Should this process die first, the one started goes with it. */
+    /** Starts a process that is killed when this process ends. */
     public Process start(ProcessBuilder builder) throws IOException {
         List<String> command =
-                new ArrayList<>(List.of("sh", "-c", START_SCRIPT, folder.toString()));
+                new ArrayList<>(List.of("sh", "-c", START_SCRIPT, directory.toString()));
         command.addAll(builder.command());
         Process process = builder.command(command).start();
-        // Its number may be another's soon.
-        process.onExit().thenRun(() -> folder.resolve(process.pid() + ".pid").toFile().delete());
+        // The system may give its id to another process.
+        process.onExit().thenRun(() -> directory.resolve(process.pid() + ".pid").toFile().delete());
         return process;
     }
 
-    /** Stands still, or goes on. */
-    void setPaused(Process process, boolean begins) throws IOException {
+    /** Pauses or resumes a process. */
+    void setPaused(Process process, boolean isPaused) throws IOException {
         if (process.isAlive()) {
-            signal(begins ? "STOP" : "CONT", process);
+            signal(isPaused ? "STOP" : "CONT", process);
         }
     }
 
-    private synchronized void signal(String word, Process about) throws IOException {
-        commands.write(word + " " + about.pid() + "\n");
+    private synchronized void signal(String name, Process process) throws IOException {
+        commands.write(name + " " + process.pid() + "\n");
         commands.flush();
     }
 
-    /** Whatever still runs is killed. */
+    /** Kills the processes that are left. */
     @Override
     public void close() {
         try {
             commands.close();
         } catch (IOException e) {
-            // It ends all the same: its pipe has ended.
+            // The pipe is broken, so the shell has ended or is about to.
             shell.destroy();
         }
         try {
-            if (!shell.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
+            if (!shell.waitFor(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 shell.destroyForcibly();
             }
         } catch (InterruptedException e) {
--- a/kit/src/main/java/wheelroute/kit/process/RehearsalException.java
+++ b/kit/src/main/java/wheelroute/kit/process/RehearsalException.java
@@ -1,11 +1,16 @@
 package wheelroute.kit.process;
 
-/** A run that cannot begin or go on; the message says why. */
-public final class RehearsalException extends Exception {
+/** Thrown if a run cannot begin or go on; the message says why. */
+public class RehearsalException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Makes an exception for a run that cannot go on. */
-    public RehearsalException(String why) {
-        super(why);
+    /** Creates an exception without a cause. */
+    public RehearsalException(String message) {
+        super(message);
+    }
+
+    /** Creates an exception with the cause that ended the run. */
+    public RehearsalException(String message, Throwable cause) {
+        super(message, cause);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/RelayCost.java
+++ b/kit/src/main/java/wheelroute/kit/process/RelayCost.java
@@ -1,11 +1,11 @@
 package wheelroute.kit.process;
 
 import java.io.IOException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.ServerSocketChannel;
 import java.util.function.Consumer;
+import java.util.function.DoubleConsumer;
 import org.HdrHistogram.Histogram;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
@@ -13,69 +13,83 @@
 import wheelroute.net.loop.EventLoop;
 import wheelroute.net.loop.StreamConnection;
 
-/** What the relays themselves cost: the same short exchanges, straight and through one. */
+/**
+ * Measures what a relay adds to a round trip, by the same short exchanges direct and through one.
+ * Used on the event loop's thread.
+ */
 final class RelayCost {
-    /** How long exchanges take, in seconds at the 99th percentile; NaN where not measured. */
-    record Cost(double direct, double relayed) {
+    /** Round trip times in seconds, at the 99th percentile; NaN where not measured. */
+    record Cost(double directSeconds, double relayedSeconds) {
         static final Cost NONE = new Cost(Double.NaN, Double.NaN);
     }
 
-    /** The first of them meet cold code and are not counted. */
-    private static final int COLD = 300;
+    /** Exchanges that are not counted, because the code is not compiled yet. */
+    private static final int WARM_UP_EXCHANGES = 300;
 
     private static final int EXCHANGES = 500;
-    private static final int SIZE = 400;
-    private static final long MOST_NANOS = 10_000_000_000L;
-    private static final double NANOS = 1e9;
+    private static final int MESSAGE_BYTES = 400;
+    private static final long MAX_NANOS = 10_000_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final EventLoop loop;
-    private final Consumer<Cost> hearer;
+    private final Consumer<Cost> listener;
     private final ServerSocketChannel server;
     private final Relay relay;
 
     private RelayCost(EventLoop loop, Consumer<Cost> listener) throws IOException {
         this.loop = loop;
-        this.hearer = listener;
-        server =
-                loop.listen(
-                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                        new EventLoop.ChannelHandler() {
-                            @Override
-                            public Connection onOpened(EndPoint endPoint) {
-                                return new EchoServer(endPoint, loop);
-                            }
-
-                            @Override
-                            public void onFailed(Throwable cause) {
-                                // Then there is nothing to compare.
-                            }
-                        });
-        InetSocketAddress far = Fleet.address(server.socket().getLocalPort());
-        relay = new Relay(loop, () -> far, true, () -> 1);
+        this.listener = listener;
+        server = loop.listen(Loopback.anyPort(), new EchoAcceptor(loop));
+        InetSocketAddress target = serverAddress();
+        relay = new Relay(loop, () -> target, true, () -> 1);
     }
 
+    private InetSocketAddress serverAddress() {
+        return Loopback.address(server.socket().getLocalPort());
+    }
+
+    /** Starts to measure; the listener gets the result. */
     static void measure(EventLoop loop, Consumer<Cost> listener) throws IOException {
         RelayCost cost = new RelayCost(loop, listener);
-        loop.connect(
-                Fleet.address(cost.server.socket().getLocalPort()),
-                new EchoClient(
-                        loop,
-                        direct ->
-                                loop.connect(
-                                        cost.relay.address(),
-                                        new EchoClient(
-                                                loop, relayed -> cost.end(direct, relayed)))));
+        cost.measureRoundTrips(
+                cost.serverAddress(),
+                direct ->
+                        cost.measureRoundTrips(
+                                cost.relay.address(), relayed -> cost.finish(direct, relayed)));
+    }
+
+    private void measureRoundTrips(InetSocketAddress address, DoubleConsumer onMeasured) {
+        loop.connect(address, new EchoClient(loop, onMeasured));
     }
 
-    private void end(double direct, double relayed) {
+    private void finish(double directSeconds, double relayedSeconds) {
         try {
             loop.unlisten(server);
             relay.close();
         } catch (IOException e) {
-            // Two ports stay open for as long as the run.
+            // Two ports stay open until the run ends.
             return;
         } finally {
-            hearer.accept(new Cost(direct, relayed));
+            listener.accept(new Cost(directSeconds, relayedSeconds));
+        }
+    }
+
+    private static final class EchoAcceptor implements EventLoop.ChannelHandler {
+        private final EventLoop loop;
+
+        EchoAcceptor(EventLoop loop) {
+            this.loop = loop;
+        }
+
+        @Override
+        public Connection onOpened(EndPoint endPoint) {
+            return new EchoServer(endPoint, loop);
+        }
+
+        @Override
+        public void onFailed(Throwable cause) {
+            // The client finds out.
         }
     }
 
@@ -105,67 +119,70 @@
         }
     }
 
-    /** One exchange after the other on one connection. */
-    private static final class EchoClient implements EventLoop.ChannelHandler {
-        private final EventLoop loop;
-        private final Consumer<Double> done;
-        private final Histogram took = new Histogram(MOST_NANOS, 3);
-        private long askedAt;
-        private int missing;
-        private int asked;
+    /** Connects an {@link EchoConnection}; an error counts as not measured. */
+    private record EchoClient(EventLoop loop, DoubleConsumer onMeasured)
+            implements EventLoop.ChannelHandler {
+        @Override
+        public Connection onOpened(EndPoint endPoint) {
+            EchoConnection connection = new EchoConnection(endPoint, loop, onMeasured);
+            loop.post(connection::sendMessage);
+            return connection;
+        }
 
-        EchoClient(EventLoop loop, Consumer<Double> done) {
-            this.loop = loop;
-            this.done = done;
+        @Override
+        public void onFailed(Throwable cause) {
+            onMeasured.accept(Double.NaN);
+        }
+    }
+
+    /** Exchanges one message after the other. */
+    private static final class EchoConnection extends StreamConnection {
+        private final DoubleConsumer onMeasured;
+        private final WriteQueue out;
+        private final Histogram roundTripNanos = new Histogram(MAX_NANOS, SIGNIFICANT_DIGITS);
+        private long sentNanos;
+        private int missingBytes;
+        private int sentMessages;
+
+        EchoConnection(EndPoint endPoint, EventLoop loop, DoubleConsumer onMeasured) {
+            super(endPoint, loop);
+            this.onMeasured = onMeasured;
+            out = new WriteQueue(endPoint, () -> onMeasured.accept(Double.NaN));
+        }
+
+        void sendMessage() {
+            missingBytes = MESSAGE_BYTES;
+            sentMessages++;
+            sentNanos = System.nanoTime();
+            out.send(ByteBuffer.allocate(MESSAGE_BYTES));
         }
 
         @Override
-        public Connection onOpened(EndPoint endPoint) {
-            WriteQueue out = new WriteQueue(endPoint, () -> done.accept(Double.NaN));
-            StreamConnection link =
-                    new StreamConnection(endPoint, loop) {
-                        @Override
-                        protected void onBytes(ByteBuffer in) {
-                            missing -= in.remaining();
-                            in.position(in.limit());
-                            if (missing > 0) {
-                                return;
-                            }
-                            if (asked > COLD) {
-                                took.recordValue(Math.min(MOST_NANOS, System.nanoTime() - askedAt));
-                            }
-                            if (took.getTotalCount() < EXCHANGES) {
-                                ask(out);
-                            } else {
-                                close();
-                                done.accept(took.getValueAtPercentile(99) / NANOS);
-                            }
-                        }
-
-                        @Override
-                        protected void onEndOfStream() {
-                            close();
-                        }
-
-                        @Override
-                        protected void onFailure(Throwable cause) {
-                            close();
-                        }
-                    };
-            loop.post(() -> ask(out));
-            return link;
+        protected void onBytes(ByteBuffer in) {
+            missingBytes -= in.remaining();
+            in.position(in.limit());
+            if (missingBytes > 0) {
+                return;
+            }
+            if (sentMessages > WARM_UP_EXCHANGES) {
+                roundTripNanos.recordValue(Math.min(MAX_NANOS, System.nanoTime() - sentNanos));
+            }
+            if (roundTripNanos.getTotalCount() < EXCHANGES) {
+                sendMessage();
+            } else {
+                close();
+                onMeasured.accept(roundTripNanos.getValueAtPercentile(99) / NANOS_PER_SECOND);
+            }
         }
 
-        private void ask(WriteQueue out) {
-            missing = SIZE;
-            asked++;
-            askedAt = System.nanoTime();
-            out.send(ByteBuffer.allocate(SIZE));
+        @Override
+        protected void onEndOfStream() {
+            close();
         }
 
         @Override
-        public void onFailed(Throwable cause) {
-            done.accept(Double.NaN);
+        protected void onFailure(Throwable cause) {
+            close();
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
+++ b/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
@@ -1,7 +1,6 @@
 package wheelroute.kit.process;
 
 import java.io.IOException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,15 +20,15 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * All that a run of real processes consists of: stub workers and discovery, clients, links, the
+ * The parts of a run of real processes: stub workers and discovery, clients, links, the
  * dispatchers' processes and the auditors. Created and used on the event loop's thread.
  */
 final class RunEnvironment {
-    /** What loopback, a timer and a busy core may add to a time before a rule counts as broken. */
-    static final double SLACK = 0.1;
+    /** Delays of loopback, timers and a busy machine that no audit rule counts as a breach. */
+    static final double AUDIT_SLACK_SECONDS = 0.1;
 
-    /** No message of a run is larger: bounds what a slow link may add to its delay. */
-    private static final int MAX_MESSAGE_SIZE = 1000;
+    /** Largest message of a run; bounds the time that it takes on a link of limited bandwidth. */
+    private static final int MAX_MESSAGE_BYTES = 1000;
 
     final Scenario scenario;
     final EventLoop loop;
@@ -51,7 +50,7 @@
     /**
      * Creates the stubs and links; no dispatcher is started yet.
      *
-     * @param peering whether dispatchers know each other
+     * @param peering whether dispatchers are members of one group
      * @param onFailure gets the reason if a dispatcher cannot be run
      */
     RunEnvironment(
@@ -61,7 +60,7 @@
         scenario = options.scenario();
         random = new SeededRandom(options.seed());
         EventLoopTimeline time = new EventLoopTimeline(loop);
-        auditor = new Auditor(scenario, time, SLACK);
+        auditor = new Auditor(scenario, time, AUDIT_SLACK_SECONDS);
         metricsAuditor = new MetricsAuditor(time, scenario.clients().writePause() > 0);
         recorder = new Recorder(scenario, time, options.seconds(), auditor, metricsAuditor);
         cluster = new ClusterModel(scenario, time, random, options.seconds(), recorder);
@@ -69,12 +68,12 @@
         clients = new Clients(scenario, time, random, options.seconds(), transport, recorder);
         List<StubWorker> workers = new ArrayList<>();
         for (WorkerModel model : cluster.workers) {
-            workers.add(new StubWorker(loop, model, auditor, anyPort()));
+            workers.add(new StubWorker(loop, model, auditor, Loopback.anyPort()));
         }
         List<Scenario.WorkerGroup> groups =
                 cluster.workers.stream().map(worker -> worker.group).toList();
         links = new NetworkLinks(loop, scenario, random, groups, this::onLinkChange);
-        List<InetSocketAddress> discoveries = startDiscovery(workers);
+        List<InetSocketAddress> discoveryAddresses = startDiscovery(workers);
         List<List<String>> peerAddresses = new ArrayList<>();
         for (int i = 0; i < scenario.dispatchers(); i++) {
             peerAddresses.add(peering ? links.toPeers(i, this::peerAddress) : List.of());
@@ -82,21 +81,26 @@
         fleet =
                 new Fleet(
                         loop,
-                        scenario,
-                        random,
-                        DaemonSettings.pairs(scenario, options.settings()),
-                        options.jar(),
-                        options.older(),
-                        discoveries::get,
-                        peerAddresses::get,
+                        new FleetSpec(
+                                scenario,
+                                random,
+                                DaemonSettings.pairs(scenario, options.settings()),
+                                options.jar(),
+                                options.older(),
+                                discoveryAddresses::get,
+                                peerAddresses::get),
                         new FleetMonitor(this, random, onFailure));
     }
 
     private InetSocketAddress peerAddress(int dispatcher) {
-        return fleet.peersOf(dispatcher);
+        return fleet.peerAddress(dispatcher);
     }
 
-    /** A stub of discovery for each dispatcher, with the workers' addresses on its own links. */
+    /**
+     * Starts a discovery for each dispatcher, with the workers' addresses on its own links.
+     *
+     * @return where each dispatcher reaches its discovery
+     */
     private List<InetSocketAddress> startDiscovery(List<StubWorker> workers) throws IOException {
         List<InetSocketAddress> addresses = new ArrayList<>();
         for (int i = 0; i < scenario.dispatchers(); i++) {
@@ -115,18 +119,14 @@
                                     scenario,
                                     workerAddresses::get,
                                     discoveryCalls),
-                            anyPort(),
+                            Loopback.anyPort(),
                             () -> links.isOpen(NetworkLink.toDiscovery(dispatcher)));
             addresses.add(links.toDiscovery(i, discovery));
         }
         return addresses;
     }
 
-    private static InetSocketAddress anyPort() {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    }
-
-    /** Tells the auditors what a change excuses, before it is made. */
+    /** Informs the auditors, before a link changes, of the effects that it excuses. */
     private void onLinkChange(NetworkLink link, LinkState state) {
         if (link.isToPeer()) {
             return;
@@ -137,8 +137,8 @@
             if (!isOpen) {
                 metricsAuditor.onAttemptsLost(link.dispatcher());
             }
-            double delay = state.maxDelay(MAX_MESSAGE_SIZE);
-            auditor.setLinkDelay(link.dispatcher(), link.worker(), delay);
+            double delaySeconds = state.maxDelay(MAX_MESSAGE_BYTES);
+            auditor.setLinkDelay(link.dispatcher(), link.worker(), delaySeconds);
         } else if (link.worker() == NetworkLink.CLIENTS) {
             auditor.setClientsImpaired(link.dispatcher(), !isOpen);
             if (state.refuses()) {
--- a/kit/src/main/java/wheelroute/kit/process/ScenarioBehavior.java
+++ b/kit/src/main/java/wheelroute/kit/process/ScenarioBehavior.java
@@ -4,8 +4,12 @@
 import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.Scenario;
 
-/** How a scenario's clients use connections, drawn by the seed. */
-final class ScenarioBehavior implements ClientPool.ConnectionBehavior {
+/** The connection behavior of a scenario's clients, drawn by the seed. */
+final class ScenarioBehavior implements ConnectionBehavior {
+    private static final int NEW_CONNECTION_DRAW = 0;
+    private static final int WRITE_PAUSE_DRAW = 1;
+    private static final long DRAWS_PER_ATTEMPT = 2;
+
     private final Scenario.Clients clients;
     private final SeededRandom random;
 
@@ -15,20 +19,20 @@
     }
 
     @Override
-    public boolean isFresh(ClientAttempt clientAttempt) {
-        return draw(clientAttempt, 0) < clients.newConnectionFraction();
+    public boolean usesNewConnection(ClientAttempt attempt) {
+        return draw(attempt, NEW_CONNECTION_DRAW) < clients.newConnectionFraction();
     }
 
     @Override
-    public double pause(ClientAttempt clientAttempt) {
-        double max = Math.min(clients.writePause(), clientAttempt.timeout() / 2);
-        return max <= 0 || !isFresh(clientAttempt) ? 0 : max * draw(clientAttempt, 1);
+    public double writePauseSeconds(ClientAttempt attempt) {
+        double max = Math.min(clients.writePause(), attempt.timeout() / 2);
+        return max <= 0 || !usesNewConnection(attempt) ? 0 : max * draw(attempt, WRITE_PAUSE_DRAW);
     }
 
-    private double draw(ClientAttempt clientAttempt, int draw) {
+    private double draw(ClientAttempt attempt, int draw) {
         return random.uniform(
                 SeededRandom.Purpose.CLIENT,
-                clientAttempt.request().number(),
-                2L * clientAttempt.number() + draw);
+                attempt.request().number(),
+                DRAWS_PER_ATTEMPT * attempt.number() + draw);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
+++ b/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
@@ -11,25 +11,26 @@
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * A connection that a stub has accepted: it reads messages as the daemon itself would, and
- * strictly.
+ * A connection that a stub has accepted. It decodes requests as strictly as the daemon does. Used
+ * on the event loop's thread.
  */
 public abstract class ServerConnection extends StreamConnection {
-    /** Bodies held at once by all of one kind of stub. */
-    private static final long ROOM = 64L << 20;
+    private static final long MAX_BODY_BYTES = 64L << 20;
 
     protected final WriteQueue out;
-    private final ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(ROOM));
-    private boolean ended;
+    private final ClientRequestDecoder decoder =
+            new ClientRequestDecoder(new MemoryQuota(MAX_BODY_BYTES));
+    private boolean isEnded;
 
     protected ServerConnection(EndPoint endPoint, EventLoop loop) {
         super(endPoint, loop);
         out = new WriteQueue(endPoint, () -> onFailure(null));
     }
 
+    /** A request has arrived completely. */
     protected abstract void onRequest(ClientRequest message);
 
-    /** The connection is over, whoever ended it; called once. */
+    /** The connection is closed, by either side; called once. */
     protected abstract void onClosed();
 
     @Override
@@ -57,10 +58,10 @@
         closeNow();
     }
 
-    /** Ends it now: what is not out yet is lost. */
+    /** Closes the connection at once; what is queued is dropped. */
     protected final void closeNow() {
-        if (!ended) {
-            ended = true;
+        if (!isEnded) {
+            isEnded = true;
             close();
             onClosed();
         }
@@ -69,8 +70,8 @@
     @Override
     public void onClose(Throwable cause) {
         super.onClose(cause);
-        if (!ended) {
-            ended = true;
+        if (!isEnded) {
+            isEnded = true;
             loop.post(this::onClosed);
         }
     }
--- a/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
@@ -1,19 +1,16 @@
 package wheelroute.kit.process;
 
 import java.io.IOException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.IntFunction;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import wheelroute.kit.audit.Auditor;
@@ -22,69 +19,61 @@
 import wheelroute.net.clients.ClientRequest;
 import wheelroute.net.loop.EventLoop;
 
-/** Discovery as one dispatcher sees it: the registry behind the protocol's list and its watches. */
+/**
+ * Discovery as one dispatcher sees it: serves the model's registry by the discovery protocol. Used
+ * on the event loop's thread.
+ */
 final class StubDiscovery implements EventLoop.ChannelHandler {
-    private static final Pattern WATCH =
-            Pattern.compile("/v1/servers\\?from=(\\d{1,18})&hold_ms=(\\d{1,6})");
-    private static final double MILLIS = 1e3;
+    private static final double MILLIS_PER_SECOND = 1e3;
 
     /**
-     * What is not heard by then counts as told all the same: a watch that was missed is no excuse.
+     * A change counts as known to the dispatcher after this time even if it was not sent: a missed
+     * watch is not an excuse for using an old list.
      */
-    private static final double TOLD_AT_LAST = 6;
+    private static final double NOTIFICATION_DEADLINE_SECONDS = 6;
 
     private final EventLoop loop;
     private final int dispatcher;
-    private final EndpointRegistry registry;
-    private final Auditor auditor;
-    private final Scenario scenario;
-    private final IntFunction<InetSocketAddress> addresses;
-    private final Set<DispatcherConnection> lines = new HashSet<>();
+    private final Subject subject;
+    private final BooleanSupplier isReachable;
+    private final Set<DispatcherConnection> connections = new HashSet<>();
     private final InetSocketAddress address;
-    private final DiscoveryCallCounter calls;
-
-    /** False while what is written here need not arrive. */
-    private final BooleanSupplier heard;
 
     /**
-     * What all dispatchers are told.
+     * What is common to the stubs of all dispatchers.
      *
-     * @param addresses where each worker is reached, by its number
+     * @param workerAddresses as this dispatcher reaches them, by worker number
+     * @param calls counts the calls of all dispatchers
      */
     record Subject(
             EndpointRegistry registry,
             Auditor auditor,
             Scenario scenario,
-            IntFunction<InetSocketAddress> addresses,
+            IntFunction<InetSocketAddress> workerAddresses,
             DiscoveryCallCounter calls) {}
 
     /**
-     * Listens for one dispatcher.
+     * Starts to listen for one dispatcher.
      *
-     * @param wanted the address to listen at
-     * @param heard false while what is written here need not arrive
+     * @param wanted the address to listen on
+     * @param isReachable false while responses may not arrive
      */
     StubDiscovery(
             EventLoop loop,
             int dispatcher,
             Subject subject,
             InetSocketAddress wanted,
-            BooleanSupplier heard)
+            BooleanSupplier isReachable)
             throws IOException {
-        calls = subject.calls;
-        this.heard = heard;
         this.loop = loop;
         this.dispatcher = dispatcher;
-        registry = subject.registry;
-        auditor = subject.auditor;
-        scenario = subject.scenario;
-        addresses = subject.addresses;
+        this.subject = subject;
+        this.isReachable = isReachable;
         ServerSocketChannel server = loop.listen(wanted, this);
-        address =
-                new InetSocketAddress(
-                        InetAddress.getLoopbackAddress(), server.socket().getLocalPort());
-        registry.watch(this::changed);
-        registry.onOutage(() -> new ArrayList<>(lines).forEach(DispatcherConnection::outage));
+        address = Loopback.address(server.socket().getLocalPort());
+        subject.registry.watch(this::onChanged);
+        subject.registry.onOutage(
+                () -> new ArrayList<>(connections).forEach(DispatcherConnection::failOutage));
     }
 
     InetSocketAddress address() {
@@ -93,64 +82,61 @@
 
     @Override
     public Connection onOpened(EndPoint endPoint) {
-        DispatcherConnection line = new DispatcherConnection(endPoint);
-        lines.add(line);
-        return line;
+        DispatcherConnection connection = new DispatcherConnection(endPoint);
+        connections.add(connection);
+        return connection;
     }
 
     @Override
     public void onFailed(Throwable cause) {
-        // The caller comes again.
+        // The dispatcher retries.
     }
 
-    private void changed(EndpointRegistry.Entry entry) {
-        new ArrayList<>(lines).forEach(DispatcherConnection::changed);
+    private void onChanged(EndpointRegistry.Entry entry) {
+        new ArrayList<>(connections).forEach(DispatcherConnection::answerIfChanged);
         loop.schedule(
-                TOLD_AT_LAST,
+                NOTIFICATION_DEADLINE_SECONDS,
                 () -> {
-                    if (registry.entries().contains(entry)) {
-                        auditor.onNotified(dispatcher, entry.worker().number, entry.state());
+                    if (subject.registry.entries().contains(entry)) {
+                        notifyAuditor(entry);
                     }
                 });
     }
 
-    private String json(List<EndpointRegistry.Entry> entries, boolean whole) {
+    private void notifyAuditor(EndpointRegistry.Entry entry) {
+        subject.auditor.onNotified(dispatcher, entry.worker().number, entry.state());
+    }
+
+    private String listJson(List<EndpointRegistry.Entry> entries, boolean isComplete) {
         List<String> listed = new ArrayList<>();
         for (EndpointRegistry.Entry entry : entries) {
-            // What need not arrive counts as told only at last; that one is back can only be in its
-            // favour.
-            if (heard.getAsBoolean() || entry.state() == EndpointRegistry.State.READY) {
-                auditor.onNotified(dispatcher, entry.worker().number, entry.state());
+            // A response that may not arrive counts only at the deadline, unless it is in the
+            // dispatcher's favor.
+            if (isReachable.getAsBoolean() || entry.state() == EndpointRegistry.State.READY) {
+                notifyAuditor(entry);
             }
-            if (!whole || entry.state() != EndpointRegistry.State.GONE) {
-                listed.add(json(entry));
+            if (!isComplete || entry.state() != EndpointRegistry.State.GONE) {
+                listed.add(entryJson(entry));
             }
         }
-        return String.format(
-                Locale.ROOT,
-                "{\"version\":%d,\"full\":%b,\"servers\":[%s]}",
-                registry.version(),
-                whole,
-                String.join(",", listed));
+        return DiscoveryJson.list(subject.registry.version(), isComplete, listed);
     }
 
-    private String json(EndpointRegistry.Entry entry) {
-        InetSocketAddress at = addresses.apply(entry.worker().number);
-        return String.format(
-                Locale.ROOT,
-                "{\"id\":\"%s\",\"addr\":\"%s:%d\",\"zone\":\"%s\",\"kind\":\"%s\",\"cell\":%d,"
-                        + "\"state\":\"%s\",\"weight\":1.0,\"started_ms\":%d}",
-                entry.worker().name,
-                at.getAddress().getHostAddress(),
-                at.getPort(),
-                entry.worker().group.zone(),
-                entry.worker().group.model(),
-                scenario.groups().indexOf(entry.worker().group),
-                name(entry.state()),
-                Double.isNaN(entry.startedAt()) ? 0 : Math.round(entry.startedAt() * MILLIS));
+    private String entryJson(EndpointRegistry.Entry entry) {
+        Scenario.WorkerGroup group = entry.worker().group;
+        boolean isStartKnown = !Double.isNaN(entry.startedAt());
+        return new DiscoveryJson.Endpoint(
+                        entry.worker().name,
+                        subject.workerAddresses.apply(entry.worker().number),
+                        group.zone(),
+                        group.model(),
+                        subject.scenario.groups().indexOf(group),
+                        stateName(entry.state()),
+                        isStartKnown ? Math.round(entry.startedAt() * MILLIS_PER_SECOND) : 0)
+                .json();
     }
 
-    private static String name(EndpointRegistry.State state) {
+    private static String stateName(EndpointRegistry.State state) {
         return switch (state) {
             case READY -> "ready";
             case DRAINING -> "draining";
@@ -158,12 +144,14 @@
         };
     }
 
-    /** One call after the other; a watch is held. */
+    /** One connection of the dispatcher: one call at a time; a watch is held until a change. */
     private final class DispatcherConnection extends ServerConnection {
-        /** The version it waits to see passed; -1 when it waits for nothing. */
-        private long heldFrom = -1;
+        private static final long NONE = -1;
+
+        /** The version after which a held watch wants changes; NONE while no watch is held. */
+        private long heldVersion = NONE;
 
-        private EventLoop.Timer hold;
+        private EventLoop.Timer holdTimeout;
 
         DispatcherConnection(EndPoint endPoint) {
             super(endPoint, StubDiscovery.this.loop);
@@ -171,43 +159,45 @@
 
         @Override
         protected void onRequest(ClientRequest message) {
-            Matcher watch = WATCH.matcher(message.target());
-            calls.record(loop.now());
-            if (registry.isDown()) {
-                outage();
+            Optional<DiscoveryWatch> watch = DiscoveryWatch.parse(message.target());
+            subject.calls.record(loop.now());
+            if (subject.registry.isDown()) {
+                failOutage();
             } else if (message.target().equals("/v1/servers")) {
-                answer(registry.entries(), true);
-            } else if (watch.matches()) {
-                heldFrom = Long.parseLong(watch.group(1));
-                hold =
-                        loop.schedule(
-                                Double.parseDouble(watch.group(2)) / MILLIS, this::answerChanges);
-                changed();
+                respond(subject.registry.entries(), true);
+            } else if (watch.isPresent()) {
+                heldVersion = watch.get().version();
+                holdTimeout = loop.schedule(watch.get().holdSeconds(), this::answerHeldWatch);
+                answerIfChanged();
             } else {
                 out.send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             }
         }
 
-        private void changed() {
-            if (heldFrom >= 0 && registry.version() > heldFrom) {
-                answerChanges();
+        private void answerIfChanged() {
+            if (heldVersion >= 0 && subject.registry.version() > heldVersion) {
+                answerHeldWatch();
             }
         }
 
-        private void answerChanges() {
-            if (heldFrom < 0) {
+        private void answerHeldWatch() {
+            if (heldVersion < 0) {
                 return;
             }
-            long from = heldFrom;
-            answer(registry.entries().stream().filter(e -> e.version() > from).toList(), false);
+            long version = heldVersion;
+            respond(
+                    subject.registry.entries().stream()
+                            .filter(entry -> entry.version() > version)
+                            .toList(),
+                    false);
         }
 
-        private void answer(List<EndpointRegistry.Entry> entries, boolean whole) {
-            heldFrom = -1;
-            if (hold != null) {
-                hold.cancel();
+        private void respond(List<EndpointRegistry.Entry> entries, boolean isComplete) {
+            heldVersion = NONE;
+            if (holdTimeout != null) {
+                holdTimeout.cancel();
             }
-            String json = json(entries, whole);
+            String json = listJson(entries, isComplete);
             out.send(
                     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
                             + json.getBytes(StandardCharsets.UTF_8).length
@@ -215,18 +205,18 @@
                             + json);
         }
 
-        private void outage() {
-            heldFrom = -1;
+        private void failOutage() {
+            heldVersion = NONE;
             out.send("HTTP/1.1 503 Down\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
             out.close();
         }
 
         @Override
         protected void onClosed() {
-            lines.remove(this);
-            heldFrom = -1;
-            if (hold != null) {
-                hold.cancel();
+            connections.remove(this);
+            heldVersion = NONE;
+            if (holdTimeout != null) {
+                holdTimeout.cancel();
             }
         }
     }
--- a/kit/src/main/java/wheelroute/kit/process/StubRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubRun.java
@@ -1,11 +1,9 @@
 package wheelroute.kit.process;
 
 import java.io.IOException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -17,111 +15,107 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Workers and discovery of a scenario, with its faults, for a dispatcher that somebody else
- * started.
+ * Runs the workers and the discovery of a scenario, with its faults, for an external dispatcher.
  */
 public final class StubRun {
-    private static final int POLL_MILLIS = 100;
-    private static final double CONNECT = 1;
-    private static final double NANOS = 1e9;
+    private static final int STOP_POLL_MILLIS = 100;
+    private static final double CONNECT_TIMEOUT_SECONDS = 1;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    private StubRun() {}
+    private final Scenario scenario;
+    private final long seed;
+    private final double seconds;
+    private final EventLoop loop = new EventLoop(new Clock(), CONNECT_TIMEOUT_SECONDS);
 
-    /** Until the time is over or it is told to stop. Ports of 0 are the system's choice. */
+    private StubRun(Scenario scenario, long seed, double seconds) {
+        this.scenario = scenario;
+        this.seed = seed;
+        this.seconds = seconds;
+    }
+
+    /**
+     * Runs the stubs until the time is over or the run is stopped.
+     *
+     * @param discoveryPort 0 lets the system choose it
+     * @param firstWorkerPort those of the other workers follow; 0 lets the system choose them
+     * @param output gets a line of text with the address of each stub
+     * @throws RehearsalException if a port cannot be used or the run fails
+     */
     public static void run(
             Scenario scenario,
             long seed,
             double seconds,
             int discoveryPort,
-            int firstWorker,
+            int firstWorkerPort,
             BooleanSupplier stop,
-            Consumer<String> tell)
+            Consumer<String> output)
             throws RehearsalException {
-        EventLoop loop = new EventLoop(new Clock(), CONNECT);
+        StubRun run = new StubRun(scenario, seed, seconds);
         try {
-            loop.start();
-            CompletableFuture<List<String>> ready = new CompletableFuture<>();
-            loop.post(
-                    () -> {
-                        try {
-                            ready.complete(
-                                    begin(
-                                            loop,
-                                            scenario,
-                                            seed,
-                                            seconds,
-                                            discoveryPort,
-                                            firstWorker));
-                        } catch (IOException | RuntimeException e) {
-                            ready.completeExceptionally(e);
-                        }
-                    });
-            ready.get().forEach(tell);
-            long end = System.nanoTime() + (long) (seconds * NANOS);
-            while (!stop.getAsBoolean() && System.nanoTime() < end) {
-                Thread.sleep(POLL_MILLIS);
-            }
-            loop.stop();
+            run.loop.start();
+            LoopExecutor.submit(run.loop, () -> run.start(discoveryPort, firstWorkerPort))
+                    .get()
+                    .forEach(output);
+            run.awaitEnd(stop);
+            run.loop.stop();
         } catch (ExecutionException e) {
             throw new RehearsalException(
-                    "the stand-ins cannot listen: " + e.getCause().getMessage());
+                    "the stubs cannot listen: " + e.getCause().getMessage(), e.getCause());
         } catch (Exception e) {
-            throw new RehearsalException("the stand-ins broke off: " + e);
+            throw new RehearsalException("the stubs failed: " + e, e);
+        }
+    }
+
+    private void awaitEnd(BooleanSupplier stop) throws InterruptedException {
+        long endNanos = System.nanoTime() + (long) (seconds * NANOS_PER_SECOND);
+        while (!stop.getAsBoolean() && System.nanoTime() < endNanos) {
+            Thread.sleep(STOP_POLL_MILLIS);
         }
     }
 
-    /** Dispatchers that somebody else starts and ends. */
-    private static final class ForeignDispatchers implements ClusterModel.DispatcherControl {
+    /** Faults of dispatchers have no effect: they are not processes of this run. */
+    private static final class ExternalDispatchers implements ClusterModel.DispatcherControl {
         @Override
         public void kill(int dispatcher) {
-            // Not ours.
+            // External.
         }
 
         @Override
         public void terminate(int dispatcher) {
-            // Not ours.
+            // External.
         }
 
         @Override
         public void start(int dispatcher, Scenario.How how) {
-            // Not ours.
+            // External.
         }
     }
 
-    private static List<String> begin(
-            EventLoop loop,
-            Scenario scenario,
-            long seed,
-            double seconds,
-            int discoveryPort,
-            int firstWorker)
-            throws IOException {
+    /** Starts the stubs, on the event loop's thread; returns a line for each. */
+    private List<String> start(int discoveryPort, int firstWorkerPort) throws IOException {
         EventLoopTimeline time = new EventLoopTimeline(loop);
-        // Somebody else's requests are unknown to it: what it finds says nothing here, and is
-        // not told.
+        // Its findings are not reported, because it does not see the external clients' requests.
         Auditor auditor = new Auditor(scenario, time, 0);
         ClusterModel cluster =
                 new ClusterModel(scenario, time, new SeededRandom(seed), seconds, auditor);
         List<StubWorker> workers = new ArrayList<>();
         for (int i = 0; i < cluster.workers.size(); i++) {
-            workers.add(
-                    new StubWorker(
-                            loop,
-                            cluster.workers.get(i),
-                            auditor,
-                            local(firstWorker == 0 ? 0 : firstWorker + i)));
+            InetSocketAddress wanted =
+                    Loopback.address(firstWorkerPort == 0 ? 0 : firstWorkerPort + i);
+            workers.add(new StubWorker(loop, cluster.workers.get(i), auditor, wanted));
         }
         StubDiscovery.Subject subject =
                 new StubDiscovery.Subject(
                         cluster.registry,
                         auditor,
                         scenario,
-                        n -> workers.get(n).address(),
+                        number -> workers.get(number).address(),
                         new DiscoveryCallCounter());
-        StubDiscovery list = new StubDiscovery(loop, 0, subject, local(discoveryPort), () -> true);
-        cluster.start(new ForeignDispatchers());
+        StubDiscovery discovery =
+                new StubDiscovery(loop, 0, subject, Loopback.address(discoveryPort), () -> true);
+        cluster.start(new ExternalDispatchers());
         List<String> lines = new ArrayList<>();
-        lines.add("discovery at " + text(list.address()));
+        lines.add("discovery at " + text(discovery.address()));
         for (int i = 0; i < workers.size(); i++) {
             lines.add(
                     "worker "
@@ -132,10 +126,6 @@
         return lines;
     }
 
-    private static InetSocketAddress local(int port) {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
-    }
-
     private static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
