--- a/kit/src/test/java/wheelroute/kit/faults/DatagramRelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/DatagramRelayTest.java
@@ -13,31 +13,35 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import wheelroute.kit.EventLoopHarness;
 import wheelroute.net.loop.DatagramSocket;
 
-/** A pair of ways for datagrams on loopback sockets: what passes, what is lost, late, doubled. */
+/** A pair of relays between two sockets on loopback. */
 public class DatagramRelayTest extends EventLoopHarness {
-    private static final double FULL = Double.POSITIVE_INFINITY;
-    private static final LinkState CUT = new LinkState(false, false, false, 0, 0, 0, FULL, 0);
-    private static final LinkState HEARD_ONLY = new LinkState(false, true, false, 0, 0, 0, FULL, 0);
-    private static final LinkState LOSSY = new LinkState(false, true, true, 0, 0, 0.5, FULL, 0);
-    private static final LinkState DOUBLED = new LinkState(false, true, true, 0, 0, 0, FULL, 0.5);
-    private static final LinkState LATE = new LinkState(false, true, true, 0.05, 0, 0, FULL, 0);
+    private static final int MAX_DATAGRAM_BYTES = 256;
+    private static final long DELAY_NANOS = 50_000_000L;
+    private static final LinkState LOSING = LinkStates.losing(0.5);
+    private static final LinkState DUPLICATING = LinkStates.duplicating(0.5);
+    private static final LinkState DELAYED = LinkStates.delayed(DELAY_NANOS / 1e9, 0);
+
+    /** Lines of receiver, text and the port of the sender. */
+    private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
+
+    /** What the relays draw. */
+    private volatile double draw = 0;
 
-    private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-    private volatile double chance = 0;
     private DatagramSocket near;
     private DatagramSocket far;
-    private DatagramRelay forth;
-    private DatagramRelay back;
+    private DatagramRelay toFar;
+    private DatagramRelay toNear;
 
     private DatagramSocket socket(String name) throws Exception {
         return new DatagramSocket(
                 loop,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                256,
+                MAX_DATAGRAM_BYTES,
                 (from, bytes) ->
-                        heard.add(
+                        received.add(
                                 name
                                         + " "
                                         + StandardCharsets.UTF_8.decode(bytes)
@@ -47,107 +51,109 @@
 
     @BeforeMethod
     public void begin() throws Exception {
-        heard.clear();
+        received.clear();
         startLoop();
         onLoop(
                 () -> {
                     near = socket("near");
                     far = socket("far");
-                    forth = new DatagramRelay(loop, () -> far.address(), () -> chance);
-                    back = new DatagramRelay(loop, () -> near.address(), () -> chance);
-                    forth.pairWith(back);
-                    back.pairWith(forth);
+                    toFar = new DatagramRelay(loop, () -> far.address(), () -> draw);
+                    toNear = new DatagramRelay(loop, () -> near.address(), () -> draw);
+                    toFar.pairWith(toNear);
+                    toNear.pairWith(toFar);
                     return null;
                 });
     }
 
-    private void send(DatagramSocket from, DatagramRelay way, String text) throws Exception {
-        onLoop(
-                () -> {
-                    from.send(
-                            way.address(), ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
-                    return null;
-                });
+    private void send(DatagramSocket from, DatagramRelay relay, String text) throws Exception {
+        runOnLoop(
+                () ->
+                        from.send(
+                                relay.address(),
+                                ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8))));
     }
 
-    private void set(LinkState nears, LinkState fars) throws Exception {
-        onLoop(
+    private void apply(LinkState nearLink, LinkState farLink) throws Exception {
+        runOnLoop(
                 () -> {
-                    forth.apply(nears, fars);
-                    back.apply(fars, nears);
-                    return null;
+                    toFar.apply(nearLink, farLink);
+                    toNear.apply(farLink, nearLink);
                 });
     }
 
-    /** Whoever is sent to can answer to the address that it comes from. */
-    @Test(timeOut = 2 * PATIENCE)
-    public void itComesFromTheWayThatLeadsBack() throws Exception {
-        send(near, forth, "one");
-        assertEquals(heard.take(), "far one " + back.address().getPort());
-        send(far, back, "two");
-        assertEquals(heard.take(), "near two " + forth.address().getPort());
+    @Test(timeOut = 2 * TIMEOUT_MILLIS)
+    public void sendsFromAddressOfOppositeRelay() throws Exception {
+        send(near, toFar, "one");
+        assertEquals(received.take(), "far one " + toNear.address().getPort());
+        send(far, toNear, "two");
+        assertEquals(received.take(), "near two " + toFar.address().getPort());
     }
 
     @DataProvider
-    public Object[][] harms() {
+    public Object[][] links() {
         return new Object[][] {
-            // the near one's way, the far one's, chance, how many come of one there and one back
+            // state of the near link, of the far link, draw, datagrams that arrive at far, at near
             {LinkState.OPEN, LinkState.OPEN, 0.0, 1, 1},
-            {CUT, LinkState.OPEN, 0.0, 0, 0},
-            {LinkState.OPEN, CUT, 0.0, 0, 0},
-            {HEARD_ONLY, LinkState.OPEN, 0.0, 1, 0},
-            {LinkState.OPEN, HEARD_ONLY, 0.0, 0, 1},
-            {LOSSY, LinkState.OPEN, 0.4, 0, 0},
-            {LOSSY, LinkState.OPEN, 0.6, 1, 1},
-            {DOUBLED, LinkState.OPEN, 0.4, 2, 2},
-            {DOUBLED, LOSSY, 0.4, 0, 0},
-            {LATE, LinkState.OPEN, 0.0, 1, 1},
+            {LinkStates.PARTITIONED, LinkState.OPEN, 0.0, 0, 0},
+            {LinkState.OPEN, LinkStates.PARTITIONED, 0.0, 0, 0},
+            {LinkStates.OUTBOUND_ONLY, LinkState.OPEN, 0.0, 1, 0},
+            {LinkState.OPEN, LinkStates.OUTBOUND_ONLY, 0.0, 0, 1},
+            {LOSING, LinkState.OPEN, 0.4, 0, 0},
+            {LOSING, LinkState.OPEN, 0.6, 1, 1},
+            {DUPLICATING, LinkState.OPEN, 0.4, 2, 2},
+            {DUPLICATING, LOSING, 0.4, 0, 0},
+            {DELAYED, LinkState.OPEN, 0.0, 1, 1},
         };
     }
 
-    /** What passes is followed by one on an open way: whatever had not come by then is lost. */
-    @Test(dataProvider = "harms", timeOut = 4 * PATIENCE)
-    public void whatPassesIsAsManyAsItShouldBe(
-            LinkState nears, LinkState fars, double draw, int there, int hither) throws Exception {
-        chance = draw;
-        set(nears, fars);
-        long from = System.nanoTime();
-        send(near, forth, "x");
-        send(far, back, "x");
-        while (onLoop(() -> forth.received() + back.received()) < 2) {
+    @Test(dataProvider = "links", timeOut = 4 * TIMEOUT_MILLIS)
+    public void forwardsAsTheLinksAllow(
+            LinkState nearLink, LinkState farLink, double draws, int expectedFar, int expectedNear)
+            throws Exception {
+        draw = draws;
+        apply(nearLink, farLink);
+        long sentNanos = System.nanoTime();
+        send(near, toFar, "x");
+        send(far, toNear, "x");
+        while (onLoop(() -> toFar.received() + toNear.received()) < 2) {
             Thread.onSpinWait();
         }
-        int expected = there + hither;
-        int far = 0;
-        int near = 0;
-        for (int i = 0; i < expected; i++) {
-            if (heard.take().startsWith("far")) {
-                far++;
+        int atFar = 0;
+        int atNear = 0;
+        for (int i = 0; i < expectedFar + expectedNear; i++) {
+            if (received.take().startsWith("far")) {
+                atFar++;
             } else {
-                near++;
+                atNear++;
             }
         }
-        assertTrue(nears != LATE || System.nanoTime() - from >= 50_000_000L, "it came too soon");
-        chance = 1;
-        set(LinkState.OPEN, LinkState.OPEN);
-        send(this.near, forth, "last");
-        send(this.far, back, "last");
+        assertTrue(
+                nearLink != DELAYED || System.nanoTime() - sentNanos >= DELAY_NANOS,
+                "it arrived too early");
+        assertNothingElseArrives();
+        assertEquals(atFar, expectedFar);
+        assertEquals(atNear, expectedNear);
+    }
+
+    /** Sends one more on open links: whatever has not arrived before it is lost. */
+    private void assertNothingElseArrives() throws Exception {
+        draw = 1;
+        apply(LinkState.OPEN, LinkState.OPEN);
+        send(near, toFar, "last");
+        send(far, toNear, "last");
         for (int end = 0; end < 2; end++) {
-            assertTrue(heard.take().contains(" last "), "more came");
+            assertTrue(received.take().contains(" last "), "more datagrams arrived");
         }
-        assertEquals(far, there);
-        assertEquals(near, hither);
     }
 
     @AfterMethod(alwaysRun = true)
     public void end() throws Exception {
-        onLoop(
+        runOnLoop(
                 () -> {
                     near.close();
                     far.close();
-                    forth.close();
-                    back.close();
-                    return null;
+                    toFar.close();
+                    toNear.close();
                 });
         loop.stop();
     }
--- a/kit/src/test/java/wheelroute/kit/faults/RelayTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/RelayTest.java
@@ -20,209 +20,203 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import wheelroute.kit.EventLoopHarness;
 
-/** A relay on loopback sockets, between a client and a far end that sends back what it hears. */
+/** A relay on loopback sockets between a client and an echo server. */
 public class RelayTest extends EventLoopHarness {
-    /** Long enough that what passes would have come: a read that times out is what is asserted. */
-    private static final int SILENCE = 300;
+    /** A read that times out after this time shows that nothing arrives. */
+    private static final int NOTHING_ARRIVES_MILLIS = 300;
 
-    private static final LinkState SHUT =
-            new LinkState(false, false, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
-    private static final LinkState ONE_WAY =
-            new LinkState(false, true, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
-    private static final LinkState REFUSES =
-            new LinkState(true, false, false, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
+    private static final int BACKLOG = 50;
+    private static final double DELAY_SECONDS = 0.1;
+    private static final long ROUND_TRIP_DELAY_NANOS = 200_000_000L;
 
     private final List<AutoCloseable> open = new ArrayList<>();
     private Relay relay;
-    private ServerSocket far;
+    private ServerSocket server;
 
-    /** Of this case alone: threads of the last one may still be at their end. */
-    private AtomicLong heard;
-
-    private volatile double chance = 1;
+    /** A new one for each test, because threads of the last test may still be running. */
+    private AtomicLong bytesAtServer;
 
     @BeforeMethod
     public void begin() throws Exception {
-        AtomicLong counted = new AtomicLong();
-        heard = counted;
+        bytesAtServer = new AtomicLong();
         startLoop();
-        far = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        open.add(far);
-        Thread echo =
-                new Thread(
-                        () -> {
-                            while (!far.isClosed()) {
-                                try {
-                                    Socket socket = far.accept();
-                                    open.add(socket);
-                                    Thread each = new Thread(() -> echo(socket, counted));
-                                    each.setDaemon(true);
-                                    each.start();
-                                } catch (IOException e) {
-                                    return;
-                                }
-                            }
-                        });
-        echo.setDaemon(true);
-        echo.start();
+        server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+        open.add(server);
+        ServerSocket listening = server;
+        AtomicLong counter = bytesAtServer;
+        startThread(() -> acceptAll(listening, counter));
         relay =
                 onLoop(
                         () ->
                                 new Relay(
                                         loop,
-                                        () -> (InetSocketAddress) far.getLocalSocketAddress(),
+                                        () -> (InetSocketAddress) server.getLocalSocketAddress(),
                                         true,
-                                        () -> chance));
+                                        () -> 1));
+    }
+
+    private static void startThread(Runnable task) {
+        Thread thread = new Thread(task);
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private void acceptAll(ServerSocket listening, AtomicLong counter) {
+        while (!listening.isClosed()) {
+            try {
+                Socket socket = listening.accept();
+                open.add(socket);
+                startThread(() -> echo(socket, counter));
+            } catch (IOException e) {
+                return;
+            }
+        }
     }
 
-    private static void echo(Socket socket, AtomicLong counted) {
+    private static void echo(Socket socket, AtomicLong counter) {
         try (socket) {
-            byte[] bytes = new byte[8192];
-            for (int got = socket.getInputStream().read(bytes);
-                    got >= 0;
-                    got = socket.getInputStream().read(bytes)) {
-                counted.addAndGet(got);
-                socket.getOutputStream().write(bytes, 0, got);
+            byte[] buffer = new byte[8192];
+            InputStream in = socket.getInputStream();
+            for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+                counter.addAndGet(count);
+                socket.getOutputStream().write(buffer, 0, count);
             }
             socket.shutdownOutput();
         } catch (IOException e) {
-            // Reset on purpose, or the case is over.
+            // Reset by the test, or the test is over.
             return;
         }
     }
 
-    private void set(LinkState state) throws Exception {
-        onLoop(
-                () -> {
-                    relay.apply(state);
-                    return null;
-                });
+    private void apply(LinkState state) throws Exception {
+        runOnLoop(() -> relay.apply(state));
     }
 
     private Socket connect() throws IOException {
         Socket socket = new Socket(relay.address().getAddress(), relay.address().getPort());
         open.add(socket);
-        socket.setSoTimeout(PATIENCE);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         return socket;
     }
 
-    private static void assertEchoes(Socket socket, String text) throws IOException {
+    private static void send(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(UTF_8));
+    }
+
+    private static void assertReceives(Socket socket, String text) throws IOException {
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         assertEquals(new String(socket.getInputStream().readNBytes(text.length()), UTF_8), text);
     }
 
-    @DataProvider
-    public Object[][] shut() {
-        return new Object[][] {
-            // what the way lets through, whether the far end still hears
-            {SHUT, false},
-            {ONE_WAY, true},
-        };
+    private static void assertEchoes(Socket socket, String text) throws IOException {
+        send(socket, text);
+        assertReceives(socket, text);
     }
 
-    /** Nothing comes back while it is harmed; healed, all of it comes, in its order. */
-    @Test(dataProvider = "shut", timeOut = 2 * PATIENCE)
-    public void whatIsHeldBackGoesOnWhenHealed(LinkState state, boolean hears) throws Exception {
-        Socket socket = connect();
-        assertEchoes(socket, "before");
-        set(state);
-        socket.getOutputStream().write("first ".getBytes(UTF_8));
-        socket.getOutputStream().write("second".getBytes(UTF_8));
-        socket.setSoTimeout(SILENCE);
+    private static void assertReceivesNothing(Socket socket) throws IOException {
+        socket.setSoTimeout(NOTHING_ARRIVES_MILLIS);
         expectThrows(SocketTimeoutException.class, () -> socket.getInputStream().read());
-        assertEquals(heard.get(), hears ? 18 : 6);
-        set(LinkState.OPEN);
-        socket.setSoTimeout(PATIENCE);
-        assertEquals(new String(socket.getInputStream().readNBytes(12), UTF_8), "first second");
     }
 
-    @Test(timeOut = 2 * PATIENCE)
-    public void aRefusedWayResetsAndRefusesAndComesBack() throws Exception {
-        Socket socket = connect();
-        assertEchoes(socket, "before");
-        set(REFUSES);
+    /** Whether by a reset or by an end of stream. */
+    private static void assertEnds(Socket socket) {
         expectThrows(
                 IOException.class,
                 () -> {
                     if (socket.getInputStream().read() < 0) {
-                        throw new IOException("an end, where a reset or an end may come");
+                        throw new IOException("end of stream");
                     }
                 });
+    }
+
+    @DataProvider
+    public Object[][] blockedLinks() {
+        return new Object[][] {
+            // state of the link, whether the server still receives
+            {LinkStates.PARTITIONED, false},
+            {LinkStates.OUTBOUND_ONLY, true},
+        };
+    }
+
+    @Test(dataProvider = "blockedLinks", timeOut = 2 * TIMEOUT_MILLIS)
+    public void forwardsHeldBytesInOrderWhenOpenAgain(LinkState state, boolean serverReceives)
+            throws Exception {
+        Socket socket = connect();
+        assertEchoes(socket, "before");
+        apply(state);
+        send(socket, "first ");
+        send(socket, "second");
+        assertReceivesNothing(socket);
+        assertEquals(bytesAtServer.get(), serverReceives ? 18 : 6);
+        apply(LinkState.OPEN);
+        assertReceives(socket, "first second");
+    }
+
+    @Test(timeOut = 2 * TIMEOUT_MILLIS)
+    public void resetsAndRefusesConnectionsUntilOpenAgain() throws Exception {
+        Socket socket = connect();
+        assertEchoes(socket, "before");
+        apply(LinkStates.REFUSING);
+        assertEnds(socket);
         expectThrows(IOException.class, this::connect);
-        set(LinkState.OPEN);
+        apply(LinkState.OPEN);
         assertEchoes(connect(), "after");
     }
 
-    @Test(timeOut = 2 * PATIENCE)
-    public void aSlowWayIsSlowBothWays() throws Exception {
+    @Test(timeOut = 2 * TIMEOUT_MILLIS)
+    public void delaysBothDirections() throws Exception {
         Socket socket = connect();
         assertEchoes(socket, "before");
-        set(new LinkState(false, true, true, 0.1, 0, 0, Double.POSITIVE_INFINITY, 0));
-        long from = System.nanoTime();
+        apply(LinkStates.delayed(DELAY_SECONDS, 0));
+        long sentNanos = System.nanoTime();
         assertEchoes(socket, "slow");
-        assertTrue(System.nanoTime() - from >= 200_000_000L, "came too soon");
+        assertTrue(System.nanoTime() - sentNanos >= ROUND_TRIP_DELAY_NANOS, "it arrived too early");
     }
 
-    /**
-     * More than is held for one direction: the sender waits, and nothing is lost or out of order.
-     */
-    @Test(timeOut = 4 * PATIENCE)
-    public void muchMorePassesThanIsHeld() throws Exception {
+    @Test(timeOut = 4 * TIMEOUT_MILLIS)
+    public void forwardsMoreThanItBuffersCompletelyAndInOrder() throws Exception {
         Socket socket = connect();
         byte[] all = new byte[6 << 20];
         for (int i = 0; i < all.length; i++) {
             all[i] = (byte) (i * 31 + i / 977);
         }
-        Thread writer =
-                new Thread(
-                        () -> {
-                            try {
-                                socket.getOutputStream().write(all);
-                                socket.shutdownOutput();
-                            } catch (IOException e) {
-                                // The reader finds out.
-                                return;
-                            }
-                        });
-        writer.setDaemon(true);
-        writer.start();
+        startThread(() -> sendAndEnd(socket, all));
         InputStream in = socket.getInputStream();
-        assertTrue(
-                Arrays.equals(in.readNBytes(all.length), all),
-                "what came back is not what was sent");
-        assertEquals(in.read(), -1, "and then its end");
+        assertTrue(Arrays.equals(in.readNBytes(all.length), all), "received other bytes than sent");
+        assertEquals(in.read(), -1, "end of stream");
+    }
+
+    private static void sendAndEnd(Socket socket, byte[] bytes) {
+        try {
+            socket.getOutputStream().write(bytes);
+            socket.shutdownOutput();
+        } catch (IOException e) {
+            // The reader finds out.
+            return;
+        }
     }
 
-    /** A sender that closes on a cut way takes with it what had not arrived. */
-    @Test(timeOut = 2 * PATIENCE)
-    public void whatASenderClosedWhileCutNeverArrives() throws Exception {
+    @Test(timeOut = 2 * TIMEOUT_MILLIS)
+    public void dropsHeldBytesOfClosedSender() throws Exception {
         Socket socket = connect();
         assertEchoes(socket, "before");
-        set(SHUT);
-        socket.getOutputStream().write("lost".getBytes(UTF_8));
+        apply(LinkStates.PARTITIONED);
+        send(socket, "lost");
         socket.close();
         Socket other = connect();
-        other.getOutputStream().write("held".getBytes(UTF_8));
-        other.setSoTimeout(SILENCE);
-        expectThrows(SocketTimeoutException.class, () -> other.getInputStream().read());
-        set(LinkState.OPEN);
-        other.setSoTimeout(PATIENCE);
-        assertEquals(new String(other.getInputStream().readNBytes(4), UTF_8), "held");
-        assertEquals(heard.get(), 10);
-    }
-
-    @Test(timeOut = 2 * PATIENCE)
-    public void aFarEndThatIsNotThereShowsAsAnEnd() throws Exception {
-        far.close();
-        Socket socket = connect();
-        expectThrows(
-                IOException.class,
-                () -> {
-                    if (socket.getInputStream().read() < 0) {
-                        throw new IOException("an end, where a reset or an end may come");
-                    }
-                });
+        send(other, "held");
+        assertReceivesNothing(other);
+        apply(LinkState.OPEN);
+        assertReceives(other, "held");
+        assertEquals(bytesAtServer.get(), 10);
+    }
+
+    @Test(timeOut = 2 * TIMEOUT_MILLIS)
+    public void endsConnectionWhenTargetDoesNotListen() throws Exception {
+        server.close();
+        assertEnds(connect());
     }
 
     @AfterMethod(alwaysRun = true)
--- a/kit/src/test/java/wheelroute/kit/faults/ScheduleMinimizerTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/ScheduleMinimizerTest.java
@@ -10,12 +10,14 @@
 import org.testng.annotations.Test;
 import wheelroute.kit.scenario.Scenario;
 
-/** Schedules made smaller, with players whose verdict is known. */
 public class ScheduleMinimizerTest {
+    private static final int UNLIMITED_RUNS = 10_000;
+
+    /** Returns faults that differ in start and pick. */
     private static List<Scenario.Fault> faults(int count) {
-        List<Scenario.Fault> all = new ArrayList<>();
+        List<Scenario.Fault> faults = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(
+            faults.add(
                     new Scenario.Fault(
                             Scenario.Kind.CRASH,
                             i,
@@ -32,7 +34,7 @@
                             Scenario.How.USUAL,
                             1));
         }
-        return all;
+        return faults;
     }
 
     private static List<Integer> picks(List<Scenario.Fault> faults) {
@@ -40,8 +42,9 @@
     }
 
     @DataProvider
-    public Object[][] needed() {
+    public Object[][] neededFaults() {
         return new Object[][] {
+            // number of faults, those without which the run does not fail
             {8, List.of(3)},
             {8, List.of(0, 7)},
             {8, List.of(2, 3, 6)},
@@ -50,47 +53,47 @@
         };
     }
 
-    /** What is left is what it takes, and all of it as small as it may be. */
-    @Test(dataProvider = "needed")
-    public void onlyWhatItTakesIsLeft(int count, List<Integer> needed) throws Exception {
+    @Test(dataProvider = "neededFaults")
+    public void keepsNeededFaultsOnlyAndShrinksThem(int count, List<Integer> needed)
+            throws Exception {
         ScheduleMinimizer.Result result =
                 ScheduleMinimizer.of(
-                        faults(count), 10_000, some -> picks(some).containsAll(needed));
+                        faults(count),
+                        UNLIMITED_RUNS,
+                        candidate -> picks(candidate).containsAll(needed));
         assertEquals(picks(result.faults()), needed);
         assertTrue(result.complete());
-        result.faults()
-                .forEach(
-                        fault -> {
-                            assertEquals(fault.length(), 0.2);
-                            assertEquals(fault.share(), 0.05);
-                            assertEquals(fault.startSpread(), 0.0);
-                        });
+        for (Scenario.Fault fault : result.faults()) {
+            assertEquals(fault.length(), 0.2);
+            assertEquals(fault.share(), 0.05);
+            assertEquals(fault.startSpread(), 0.0);
+        }
     }
 
     @Test
-    public void whatMustBeLongStaysLong() throws Exception {
+    public void keepsLengthThatFailureNeeds() throws Exception {
         ScheduleMinimizer.Result result =
                 ScheduleMinimizer.of(
                         faults(4),
-                        10_000,
-                        some -> some.stream().anyMatch(f -> f.pick() == 2 && f.length() > 1));
+                        UNLIMITED_RUNS,
+                        candidate ->
+                                candidate.stream().anyMatch(f -> f.pick() == 2 && f.length() > 1));
         assertEquals(picks(result.faults()), List.of(2));
         assertEquals(result.faults().get(0).length(), 1.6);
     }
 
-    /** Plays cost time: it stops in between, with a schedule that is known to fail. */
     @Test
-    public void itStopsAtItsBound() throws Exception {
-        int[] plays = {0};
+    public void stopsAtMaxRunsWithFailingSchedule() throws Exception {
+        int[] runs = {0};
         ScheduleMinimizer.Result result =
                 ScheduleMinimizer.of(
                         faults(32),
                         7,
-                        some -> {
-                            plays[0]++;
-                            return picks(some).containsAll(List.of(5, 20));
+                        candidate -> {
+                            runs[0]++;
+                            return picks(candidate).containsAll(List.of(5, 20));
                         });
-        assertEquals(plays[0], 7);
+        assertEquals(runs[0], 7);
         assertFalse(result.complete());
         assertTrue(picks(result.faults()).containsAll(List.of(5, 20)));
         assertTrue(result.faults().size() < 32);
--- a/kit/src/test/java/wheelroute/kit/process/DiscoveryCallCounterTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/DiscoveryCallCounterTest.java
@@ -4,10 +4,9 @@
 
 import org.testng.annotations.Test;
 
-/** A herd at the list service is counted as one, wherever its second begins. */
 public class DiscoveryCallCounterTest {
     @Test
-    public void theBusiestSecondCounts() {
+    public void countsCallsWithinAnySecondSinceReset() {
         DiscoveryCallCounter calls = new DiscoveryCallCounter();
         calls.record(0.5);
         calls.reset();
--- a/kit/src/test/java/wheelroute/kit/process/JudgedRuns.java
+++ b/kit/src/test/java/wheelroute/kit/process/JudgedRuns.java
@@ -1,24 +1,28 @@
 package wheelroute.kit.process;
 
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertTrue;
+
 import java.util.Map;
 import org.testng.SkipException;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
 import wheelroute.kit.scenario.Scenario;
 
-/**
- * Plays for tests that assert on rules and figures: what the machine was too busy to judge is no
- * verdict.
- */
+/** Runs scenarios for tests whose assertions hold only if the machine was not too busy. */
 final class JudgedRuns {
-    private static final int TRIES = 3;
+    private static final int MAX_RUNS = 3;
 
     private JudgedRuns() {}
 
-    /** The first play that can be judged; without one the test is skipped, and says why. */
-    static Report play(Scenario scenario, long seed, double seconds) throws Exception {
+    /**
+     * Returns the report of the first run that can be judged.
+     *
+     * @throws SkipException with the last report, if no run can be judged
+     */
+    static Report run(Scenario scenario, long seed, double seconds) throws Exception {
         Report report = null;
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_RUNS; i++) {
             report =
                     ProcessRun.run(
                             new ProcessRun.Options(
@@ -29,6 +33,24 @@
                 return report;
             }
         }
-        throw new SkipException("not judged in " + TRIES + " plays: " + TableWriter.text(report));
+        throw new SkipException("not judged in " + MAX_RUNS + " runs: " + TableWriter.text(report));
+    }
+
+    /** Asserts that each request has ended in exactly one way. */
+    static void assertEachRequestEndedOnce(Report.Row all, String message) {
+        assertEquals(
+                all.inTime()
+                        + all.late()
+                        + all.rejected()
+                        + all.failed()
+                        + all.unanswered()
+                        + all.cancelled(),
+                all.requested(),
+                message);
+    }
+
+    /** Asserts that no rule was broken. */
+    static void assertKeepsRules(Report report) {
+        assertTrue(report.keepsRules(), TableWriter.text(report));
     }
 }
--- a/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
@@ -9,11 +9,56 @@
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
 import wheelroute.kit.scenario.FigureNames;
-import wheelroute.kit.scenario.ScenarioReader;
+import wheelroute.kit.scenario.Scenario;
 
-/** Five processes of the program at once, and each kind of fault between them. */
+/** Several processes of the daemon, with overlapping faults of processes and links. */
 public class LinkFaultsTest {
-    private static final int PROCESSES = 5;
+    private static final int DISPATCHERS = 5;
+    private static final long SEED = 5;
+    private static final double SECONDS = 5;
+    private static final String REAL_CLOCK = "clocks = [\"real\"]";
+
+    private static final String DISPATCHERS_END =
+            fault("dispatcher-kill", 0.5, 1.5, "share = 0.4\nwithin = 1")
+                    + fault("dispatcher-restart", 2.5, 2, "share = 0.2\npick = 1");
+
+    private static final String DISPATCHERS_PAUSE_WHILE_WORKERS_DRAIN =
+            fault("dispatcher-pause", 0.5, 0.4, "share = 0.6\nwithin = 1")
+                    + fault("dispatcher-pause", 2, 2.5, "share = 0.2\npick = 1")
+                    + fault("drain", 1.8, 2, "group = \"far\"\nshare = 0.5");
+
+    private static final String WORKER_AND_DISCOVERY_LINKS_BREAK =
+            fault("link-cut", 0.5, 1.5, "group = \"near\"\nshare = 0.4")
+                    + fault("link-refuse", 1, 1.5, "group = \"far\"\nshare = 0.4\npick = 1")
+                    + fault("list-cut", 2, 2, "share = 0.6\npick = 2");
+
+    private static final String LINKS_DEGRADE_WHILE_WORKERS_CRASH =
+            fault("link-one-way", 0.5, 1.5, "group = \"near\"\nshare = 0.4")
+                    + fault("link-slow", 1, 3, "share = 0.4\nlevel = 0.05\npick = 1")
+                    + fault("crash", 2.5, 1, "group = \"far\"\nshare = 0.5");
+
+    private static final String CLIENT_LINKS_BREAK =
+            fault("link-cut", 0.5, 1, "to = \"clients\"\nshare = 0.4")
+                    + fault("link-refuse", 2, 1, "to = \"clients\"\nshare = 0.4\npick = 1")
+                    + fault(
+                            "link-slow",
+                            3,
+                            1.5,
+                            "to = \"clients\"\nlevel = 0.05\nspread = 0.05\npick = 2")
+                    + fault("link-refuse", 1, 1.5, "to = \"list\"\nshare = 0.6\npick = 3");
+
+    private static final String LINKS_LOSE_WHILE_CPU_IS_LIMITED =
+            fault("link-unheard", 0.5, 1.5, "group = \"near\"\nshare = 0.4")
+                    + fault("link-loss", 1, 2, "share = 0.4\nlevel = 0.3\npick = 1")
+                    + fault("link-trickle", 2, 2, "share = 0.4\nlevel = 3000\npick = 2")
+                    + fault("dispatcher-starve", 0.5, 4, "share = 0.2\nlevel = 0.3\npick = 3");
+
+    private static final String REPLACEMENTS_FAIL_DURING_CONNECTION_FLOOD =
+            fault("dispatcher-replace", 0.5, 4, "share = 0.4")
+                    + replacement(0.5, "share = 0.2\npick = 1", "new-killed")
+                    + replacement(0.7, "share = 0.2\npick = 2", "old-killed")
+                    + replacement(0.9, "share = 0.2\npick = 3", "both-stopped")
+                    + fault("crowd", 0.5, 4, "share = 0.6\nlevel = 100");
 
     private static String fault(String kind, double at, double length, String more) {
         return "[[faults]]\nkind = \""
@@ -27,162 +72,47 @@
                 + "\n";
     }
 
+    private static String replacement(double at, String targets, String how) {
+        return fault("dispatcher-replace", at, 4, targets + "\nhow = \"" + how + "\"");
+    }
+
+    private static Report run(String faults) throws Exception {
+        Scenario scenario = SmallScenario.scenario(faults, DISPATCHERS, REAL_CLOCK);
+        return JudgedRuns.run(scenario, SEED, SECONDS);
+    }
+
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {
-                fault("dispatcher-kill", 0.5, 1.5, "share = 0.4\nwithin = 1")
-                        + fault("dispatcher-restart", 2.5, 2, "share = 0.2\npick = 1")
-            },
-            {
-                fault("dispatcher-pause", 0.5, 0.4, "share = 0.6\nwithin = 1")
-                        + fault("dispatcher-pause", 2, 2.5, "share = 0.2\npick = 1")
-                        + fault("drain", 1.8, 2, "group = \"far\"\nshare = 0.5")
-            },
-            {
-                fault("link-cut", 0.5, 1.5, "group = \"near\"\nshare = 0.4")
-                        + fault("link-refuse", 1, 1.5, "group = \"far\"\nshare = 0.4\npick = 1")
-                        + fault("list-cut", 2, 2, "share = 0.6\npick = 2")
-            },
-            {
-                fault("link-one-way", 0.5, 1.5, "group = \"near\"\nshare = 0.4")
-                        + fault("link-slow", 1, 3, "share = 0.4\nlevel = 0.05\npick = 1")
-                        + fault("crash", 2.5, 1, "group = \"far\"\nshare = 0.5")
-            },
-            {
-                fault("link-cut", 0.5, 1, "to = \"clients\"\nshare = 0.4")
-                        + fault("link-refuse", 2, 1, "to = \"clients\"\nshare = 0.4\npick = 1")
-                        + fault(
-                                "link-slow",
-                                3,
-                                1.5,
-                                "to = \"clients\"\nlevel = 0.05\nspread = 0.05\npick = 2")
-                        + fault("link-refuse", 1, 1.5, "to = \"list\"\nshare = 0.6\npick = 3")
-            },
-            {
-                fault("link-unheard", 0.5, 1.5, "group = \"near\"\nshare = 0.4")
-                        + fault("link-loss", 1, 2, "share = 0.4\nlevel = 0.3\npick = 1")
-                        + fault("link-trickle", 2, 2, "share = 0.4\nlevel = 3000\npick = 2")
-                        + fault("dispatcher-starve", 0.5, 4, "share = 0.2\nlevel = 0.3\npick = 3")
-            },
-            {
-                fault("dispatcher-replace", 0.5, 4, "share = 0.4")
-                        + fault(
-                                "dispatcher-replace",
-                                0.5,
-                                4,
-                                "share = 0.2\npick = 1\nhow = \"new-killed\"")
-                        + fault(
-                                "dispatcher-replace",
-                                0.7,
-                                4,
-                                "share = 0.2\npick = 2\nhow = \"old-killed\"")
-                        + fault(
-                                "dispatcher-replace",
-                                0.9,
-                                4,
-                                "share = 0.2\npick = 3\nhow = \"both-stopped\"")
-                        + fault("crowd", 0.5, 4, "share = 0.6\nlevel = 100")
-            },
+            {DISPATCHERS_END},
+            {DISPATCHERS_PAUSE_WHILE_WORKERS_DRAIN},
+            {WORKER_AND_DISCOVERY_LINKS_BREAK},
+            {LINKS_DEGRADE_WHILE_WORKERS_CRASH},
+            {CLIENT_LINKS_BREAK},
+            {LINKS_LOSE_WHILE_CPU_IS_LIMITED},
+            {REPLACEMENTS_FAIL_DURING_CONNECTION_FLOOD},
         };
     }
 
-    /** Every ask ends in one way and no rule breaks, over all processes together. */
     @Test(dataProvider = "faults")
-    public void allTogetherKeepTheRules(String faults) throws Exception {
-        Report report =
-                JudgedRuns.play(
-                        SmallScenario.scenario(faults, PROCESSES, "clocks = [\"real\"]"), 5, 5);
+    public void keepsRulesDuringFaults(String faults) throws Exception {
+        Report report = run(faults);
         Report.Row all = report.total();
-        assertEquals(
-                all.inTime()
-                        + all.late()
-                        + all.rejected()
-                        + all.failed()
-                        + all.unanswered()
-                        + all.cancelled(),
-                all.requested());
-        assertTrue(report.keepsRules(), TableWriter.text(report));
+        JudgedRuns.assertEachRequestEndedOnce(all, faults);
+        JudgedRuns.assertKeepsRules(report);
         assertTrue(all.inTime() > all.requested() / 3, TableWriter.text(report));
         assertEquals(report.figures().get(FigureNames.NOT_REPLACED), 0.0, TableWriter.text(report));
     }
 
-    /**
-     * The doors' figures through kills, restarts and replacements, by what clients and workers saw.
-     */
     @Test
-    public void figuresStayTrueThroughRestarts() throws Exception {
+    public void metricsMatchObservationsThroughRestarts() throws Exception {
         Report report =
-                JudgedRuns.play(
-                        SmallScenario.scenario(
-                                fault("dispatcher-kill", 1, 1, "share = 0.2")
-                                        + fault("dispatcher-replace", 1, 4, "share = 0.2\npick = 1")
-                                        + fault("burst", 1, 2, "group = \"far\"\nlevel = 0.5"),
-                                PROCESSES,
-                                "clocks = [\"real\"]"),
-                        5,
-                        5);
+                run(
+                        fault("dispatcher-kill", 1, 1, "share = 0.2")
+                                + fault("dispatcher-replace", 1, 4, "share = 0.2\npick = 1")
+                                + fault("burst", 1, 2, "group = \"far\"\nlevel = 0.5"));
         assertEquals(
                 report.figures().get(FigureNames.METRICS_MISMATCH), 0.0, TableWriter.text(report));
-        assertTrue(report.keepsRules(), TableWriter.text(report));
-    }
-
-    private static final int MEMBERS = 7;
-
-    @DataProvider
-    public Object[][] amongPeers() {
-        return new Object[][] {
-            {
-                fault("dispatcher-kill", 0.5, 1, "share = 0.3\nwithin = 0.5")
-                        + fault("crash", 1, 1, "group = \"near\"\nshare = 0.5")
-                        + fault("link-loss", 2, 2, "to = \"peers\"\nlevel = 0.3")
-            },
-            {
-                fault("link-cut", 0.5, 2, "to = \"peers\"\nshare = 0.4")
-                        + fault("link-one-way", 2.5, 1, "to = \"peers\"\nshare = 0.2\npick = 1")
-                        + fault("crash", 1, 1, "group = \"far\"\nshare = 0.5")
-            },
-            {
-                fault("dispatcher-pause", 0.5, 1.5, "share = 0.3")
-                        + fault("dispatcher-replace", 0.6, 4, "share = 0.3\npick = 1")
-                        + fault(
-                                "dispatcher-replace",
-                                0.7,
-                                4,
-                                "share = 0.1\npick = 3\nhow = \"new-killed\"")
-                        + fault("link-double", 0.5, 4, "to = \"peers\"\nlevel = 0.5")
-                        + fault(
-                                "link-slow",
-                                0.5,
-                                4,
-                                "to = \"peers\"\nlevel = 0.02\nspread = 0.1\npick = 2")
-            },
-        };
-    }
-
-    /**
-     * Dispatchers that know each other, and lose each other: the rules hold, and at the end all
-     * agree.
-     */
-    @Test(dataProvider = "amongPeers")
-    public void peersKeepTheRulesAndAgreeInTheEnd(String faults) throws Exception {
-        Report report =
-                JudgedRuns.play(
-                        ScenarioReader.read(
-                                "peers",
-                                SmallScenario.TEXT
-                                                .replace(
-                                                        "cycle = 5",
-                                                        "cycle = 20\nclocks = [\"real\"]\npeers = true")
-                                                .replace(
-                                                        "dispatchers = 1",
-                                                        "dispatchers = " + MEMBERS)
-                                        + faults),
-                        5,
-                        12);
-        assertTrue(report.keepsRules(), TableWriter.text(report));
-        assertEquals(report.figures().get(FigureNames.PEERS_WRONG), 0.0, TableWriter.text(report));
-        assertTrue(
-                report.total().inTime() > report.total().requested() / 3, TableWriter.text(report));
+        JudgedRuns.assertKeepsRules(report);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
@@ -16,110 +16,118 @@
 import wheelroute.kit.simulation.SimulationRun;
 import wheelroute.kit.strategy.Strategies;
 
-/** Whole runs on sockets, each daemon a process of its own. */
+/** Complete runs on sockets, each daemon a process of its own. */
 public class ProcessRunTest {
-    private static Report play(Scenario scenario, double seconds) throws Exception {
-        return JudgedRuns.play(scenario, 3, seconds);
-    }
+    private static final long SEED = 3;
+    private static final double SECONDS = 4;
+
+    /** Between the two clocks' fractions of requests in time. */
+    private static final double SERVICE_TOLERANCE = 0.03;
 
     @DataProvider
-    public Object[][] troubles() {
+    public Object[][] faults() {
         return new Object[][] {
             {"none", ""},
             {
-                "a burst of errors",
-                "[[faults]]\nkind = \"burst\"\nat = 1\nfor = 2\ngroup = \"far\"\nlevel =" + " 0.5\n"
+                "burst of errors",
+                """
+                [[faults]]
+                kind = "burst"
+                at = 1
+                for = 2
+                group = "far"
+                level = 0.5
+                """
             },
             {
-                "a crash, and back cold",
-                "[[faults]]\nkind = \"crash\"\nat = 1\nfor = 2\ngroup ="
-                        + " \"near\"\nshare = 0.5\n"
+                "crash and cold restart of workers",
+                """
+                [[faults]]
+                kind = "crash"
+                at = 1
+                for = 2
+                group = "near"
+                share = 0.5
+                """
             },
             {
-                "a drain",
-                "[[faults]]\nkind = \"drain\"\nat = 0.5\nfor = 3\ngroup = \"near\"\nshare = 0.5\n"
+                "drain of workers",
+                """
+                [[faults]]
+                kind = "drain"
+                at = 0.5
+                for = 3
+                group = "near"
+                share = 0.5
+                """
             },
             {
-                "a machine cut off",
-                "[[faults]]\nkind = \"vanish\"\nat = 1\nfor = 2\ngroup = \"near\"\nshare"
-                        + " = 0.5\n"
+                "unreachable machine",
+                """
+                [[faults]]
+                kind = "vanish"
+                at = 1
+                for = 2
+                group = "near"
+                share = 0.5
+                """
             },
-            {"discovery down", "[[faults]]\nkind = \"list-down\"\nat = 1\nfor = 2\n"},
+            {"outage of discovery", "[[faults]]\nkind = \"list-down\"\nat = 1\nfor = 2\n"},
             {
-                "a dispatcher killed",
+                "kill of a dispatcher",
                 "[[faults]]\nkind = \"dispatcher-kill\"\nat = 1\nfor = 1\nshare = 0.5\n"
             },
             {
-                "a dispatcher told to end",
-                "[[faults]]\nkind = \"dispatcher-restart\"\nat = 1\nfor =" + " 2\nshare = 0.5\n"
+                "restart of a dispatcher",
+                "[[faults]]\nkind = \"dispatcher-restart\"\nat = 1\nfor = 2\nshare = 0.5\n"
             },
-            {"clients that hang up", "[clients]\nimpatient = 0.5\nretries = 1\n"},
+            {"clients that cancel", "[clients]\nimpatient = 0.5\nretries = 1\n"},
         };
     }
 
-    /** Every ask ends in one way, and no rule breaks, whatever goes wrong. */
-    @Test(dataProvider = "troubles")
-    public void theDaemonKeepsTheRulesAmidTrouble(String trouble, String more) throws Exception {
-        // With two, nobody has to wait for a start: what one just started reads late, it cannot
-        // answer in
-        // time.
-        int dispatchers = more.contains("dispatcher-") ? 2 : 1;
-        Report report = play(SmallScenario.scenario(more, dispatchers), 4);
+    @Test(dataProvider = "faults")
+    public void keepsRulesDuringFault(String name, String scenarioText) throws Exception {
+        // With a single dispatcher, requests that it reads late after its start could not be
+        // answered in time.
+        int dispatchers = scenarioText.contains("dispatcher-") ? 2 : 1;
+        Report report =
+                JudgedRuns.run(SmallScenario.scenario(scenarioText, dispatchers), SEED, SECONDS);
         Report.Row all = report.total();
-        assertEquals(
-                all.inTime()
-                        + all.late()
-                        + all.rejected()
-                        + all.failed()
-                        + all.unanswered()
-                        + all.cancelled(),
-                all.requested(),
-                trouble);
+        JudgedRuns.assertEachRequestEndedOnce(all, name);
         assertTrue(all.requested() > 120, TableWriter.text(report));
-        assertTrue(report.keepsRules(), TableWriter.text(report));
+        JudgedRuns.assertKeepsRules(report);
         assertTrue(all.inTime() > all.requested() / 4, TableWriter.text(report));
     }
 
-    /**
-     * The two clocks ask the same and serve alike: a model that drifts from the sockets is found
-     * here.
-     */
+    /** A model that deviates from the real sockets is found here. */
     @Test
-    public void theClocksAgree() throws Exception {
+    public void agreesWithSimulation() throws Exception {
         Scenario scenario = SmallScenario.scenario("");
-        Report real = play(scenario, 4);
+        Report real = JudgedRuns.run(scenario, SEED, SECONDS);
         Report virtual =
                 SimulationRun.run(
                         scenario,
-                        3,
-                        4,
+                        SEED,
+                        SECONDS,
                         Map.of(),
                         "as-built",
                         w -> Strategies.factory(Strategies.POLICY, w),
                         () -> false);
         assertEquals(real.total().requested(), virtual.total().requested());
-        assertEquals(real.total().service(), virtual.total().service(), 0.03);
+        assertEquals(real.total().service(), virtual.total().service(), SERVICE_TOLERANCE);
     }
 
     @Test
-    public void aDaemonThatDoesNotStartIsTold() throws Exception {
-        Path jar = Files.createTempFile("none", ".jar");
+    public void failsIfDaemonDoesNotStart() throws Exception {
+        Path invalidJar = Files.createTempFile("none", ".jar");
+        ProcessRun.Options options =
+                new ProcessRun.Options(
+                        SmallScenario.scenario(""), SEED, 5, Map.of(), "x", invalidJar, null);
         RehearsalException e =
                 expectThrows(
                         RehearsalException.class,
-                        () ->
-                                ProcessRun.run(
-                                        new ProcessRun.Options(
-                                                SmallScenario.scenario(""),
-                                                3,
-                                                5,
-                                                Map.of(),
-                                                "x",
-                                                jar,
-                                                null),
-                                        () -> false,
-                                        text -> {}));
+                        () -> ProcessRun.run(options, () -> false, text -> {}));
         assertTrue(e.getMessage().contains("n0 did not start"), e.getMessage());
-        Files.delete(jar);
+        Files.delete(invalidJar);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/process/ProcessSupervisorTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessSupervisorTest.java
@@ -7,122 +7,130 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import java.util.stream.Stream;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Processes that are signalled, and that do not outlive who started them. */
 public class ProcessSupervisorTest {
-    private static final int PATIENCE = 20;
-    private Process kept;
-    private Process rig;
-    private Path folder;
+    private static final int TIMEOUT_SECONDS = 20;
+
+    // States of processes in /proc.
+    private static final char STOPPED = 'T';
+    private static final char SLEEPING = 'S';
+
+    /** Killed after the test, if it still runs. */
+    private Process supervised;
+
+    private Process other;
+    private Path directory;
 
     @BeforeMethod
     public void begin() throws Exception {
-        folder = Files.createTempDirectory("keeper");
+        directory = Files.createTempDirectory("supervisor");
     }
 
-    private static Process sleeper(ProcessSupervisor supervisor) throws Exception {
+    private static Process startSleep(ProcessSupervisor supervisor) throws Exception {
         return supervisor.start(new ProcessBuilder("sleep", "600"));
     }
 
-    /**
-     * The letter that the kernel has for its state, once it is the one expected or patience is
-     * over.
-     */
-    private static char state(Process process, char expected) throws Exception {
+    /** Returns the state of a process once it is the expected one, or after the timeout. */
+    private static char awaitState(Process process, char expected) throws Exception {
         Path stat = Path.of("/proc/" + process.pid() + "/stat");
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         char state;
         do {
             String text = Files.readString(stat);
             state = text.charAt(text.lastIndexOf(')') + 2);
             Thread.onSpinWait();
-        } while (state != expected && System.nanoTime() < end);
+        } while (state != expected && System.nanoTime() < deadlineNanos);
         return state;
     }
 
     @Test
-    public void aProcessStandsStillAndGoesOn() throws Exception {
-        try (ProcessSupervisor supervisor = new ProcessSupervisor(folder)) {
-            kept = sleeper(supervisor);
-            supervisor.setPaused(kept, true);
-            assertEquals(state(kept, 'T'), 'T');
-            supervisor.setPaused(kept, false);
-            assertEquals(state(kept, 'S'), 'S');
+    public void pausesAndResumesProcess() throws Exception {
+        try (ProcessSupervisor supervisor = new ProcessSupervisor(directory)) {
+            supervised = startSleep(supervisor);
+            supervisor.setPaused(supervised, true);
+            assertEquals(awaitState(supervised, STOPPED), STOPPED);
+            supervisor.setPaused(supervised, false);
+            assertEquals(awaitState(supervised, SLEEPING), SLEEPING);
         }
     }
 
-    /** Also one that stands still as its keeper goes. */
     @Test
-    public void whatIsKeptGoesWithItsKeeper() throws Exception {
-        ProcessSupervisor supervisor = new ProcessSupervisor(folder);
-        kept = sleeper(supervisor);
-        Process other = sleeper(supervisor);
-        assertEquals(state(kept, 'S'), 'S');
-        supervisor.setPaused(kept, true);
-        other.destroy();
-        assertTrue(other.waitFor(PATIENCE, TimeUnit.SECONDS));
+    public void killsPausedProcessOnCloseAndStartsNoneAfterwards() throws Exception {
+        ProcessSupervisor supervisor = new ProcessSupervisor(directory);
+        supervised = startSleep(supervisor);
+        Process ended = startSleep(supervisor);
+        assertEquals(awaitState(supervised, SLEEPING), SLEEPING);
+        supervisor.setPaused(supervised, true);
+        ended.destroy();
+        assertTrue(ended.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
         supervisor.close();
-        assertTrue(kept.waitFor(PATIENCE, TimeUnit.SECONDS), "it outlived its keeper");
-        // One that is late, as its starter was killed in the middle of starting it, does not even
-        // begin.
-        rig = supervisor.start(new ProcessBuilder("sleep", "600"));
-        assertTrue(rig.waitFor(PATIENCE, TimeUnit.SECONDS), "it began after its keeper had gone");
-        assertEquals(rig.exitValue(), 1);
+        assertTrue(
+                supervised.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                "it outlived its supervisor");
+
+        // As if the starting process were killed while it starts another one.
+        other = startSleep(supervisor);
+        assertTrue(
+                other.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS),
+                "it was started after its supervisor had closed");
+        assertEquals(other.exitValue(), 1);
     }
 
-    /** The rig itself is killed, which it cannot see coming: nothing it started is left. */
     @Test
-    public void noDaemonOutlivesAKilledRig() throws Exception {
-        rig =
-                new ProcessBuilder(
-                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                                "-cp",
-                                System.getProperty("java.class.path"),
-                                "wheelroute.kit.cli.Wheelroute",
-                                "rehearse",
-                                "calm",
-                                "--clock",
-                                "real",
-                                "--seconds",
-                                "60")
-                        .redirectErrorStream(true)
-                        .start();
-        List<ProcessHandle> started = List.of();
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE);
-        while (started.stream().noneMatch(ProcessSupervisorTest::isDaemon)
-                && System.nanoTime() < end) {
-            started = rig.descendants().toList();
-            Thread.onSpinWait();
-        }
+    public void killsDaemonsWhenStartingProcessIsKilled() throws Exception {
+        other = startRehearsal();
+        List<ProcessHandle> started = awaitDaemon(other);
         assertTrue(
                 started.stream().anyMatch(ProcessSupervisorTest::isDaemon),
                 "no daemon was started");
-        rig.destroyForcibly();
+        other.destroyForcibly();
         for (ProcessHandle one : started) {
-            one.onExit().get(PATIENCE, TimeUnit.SECONDS);
+            one.onExit().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
+    private static Process startRehearsal() throws Exception {
+        return new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "wheelroute.kit.cli.Wheelroute",
+                        "rehearse",
+                        "calm",
+                        "--clock",
+                        "real",
+                        "--seconds",
+                        "60")
+                .redirectErrorStream(true)
+                .start();
+    }
+
+    /** Returns the descendants of a process once there is a daemon, or after the timeout. */
+    private static List<ProcessHandle> awaitDaemon(Process process) {
+        List<ProcessHandle> started = List.of();
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (started.stream().noneMatch(ProcessSupervisorTest::isDaemon)
+                && System.nanoTime() < deadlineNanos) {
+            started = process.descendants().toList();
+            Thread.onSpinWait();
+        }
+        return started;
+    }
+
     private static boolean isDaemon(ProcessHandle process) {
         return process.info().command().orElse("").endsWith("java");
     }
 
     @AfterMethod(alwaysRun = true)
     public void end() throws Exception {
-        for (Process process : new Process[] {kept, rig}) {
+        for (Process process : new Process[] {supervised, other}) {
             if (process != null) {
                 process.destroyForcibly().waitFor();
             }
         }
-        try (Stream<Path> left = Files.list(folder)) {
-            for (Path file : left.toList()) {
-                Files.deleteIfExists(file);
-            }
-        }
-        Files.deleteIfExists(folder);
+        TemporaryDirectory.delete(directory);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/process/ScriptedDispatchers.java
+++ b/kit/src/test/java/wheelroute/kit/process/ScriptedDispatchers.java
@@ -5,26 +5,32 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
-import java.util.Comparator;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.DoubleSupplier;
-import java.util.stream.Stream;
 
-/** Processes by the shipped script, each with a configuration and a log in one folder. */
+/**
+ * Dispatchers, by number, that are started by the shipped script; their configurations and logs are
+ * in one temporary directory.
+ */
 final class ScriptedDispatchers implements AutoCloseable {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
-    private static final double POLL_INTERVAL = 0.02;
+    private static final double POLL_INTERVAL_SECONDS = 0.02;
+    private static final String LISTENING = "listens on";
 
     private final Path directory;
     private final Process[] processes;
 
-    /** When each was seen to take clients; NaN before. */
+    /** When each was first seen to listen; NaN before. */
     private final double[] listeningAt;
 
     private final DoubleSupplier now;
 
-    /** In a folder of their own, with times by this clock. */
+    /**
+     * Creates the directory; no process is started yet.
+     *
+     * @param now the clock, in seconds
+     */
     ScriptedDispatchers(int count, DoubleSupplier now) throws IOException {
         directory = Files.createTempDirectory("dispatchers");
         processes = new Process[count];
@@ -32,7 +38,7 @@
         this.now = now;
     }
 
-    /** Starts one, possibly in place of one that has ended. */
+    /** Starts a dispatcher, possibly in place of one that has ended. */
     void start(int number, String config) throws IOException {
         Path file = directory.resolve("config" + number);
         Files.writeString(file, config);
@@ -46,25 +52,29 @@
                 builder.redirectErrorStream(true).redirectOutput(log(number).toFile()).start();
     }
 
-    /** Returns when all take clients, or the time is over. */
-    void awaitListening(double seconds) throws IOException {
-        double until = now.getAsDouble() + seconds;
-        while (noteListening() && now.getAsDouble() < until) {
-            pause(POLL_INTERVAL);
+    /** Waits until all listen, or for the timeout. */
+    void awaitListening(double timeoutSeconds) throws IOException {
+        double deadline = now.getAsDouble() + timeoutSeconds;
+        recordListening();
+        while (!areAllListening() && now.getAsDouble() < deadline) {
+            sleep(POLL_INTERVAL_SECONDS);
+            recordListening();
         }
     }
 
-    /** Returns whether some do not take clients yet. */
-    private boolean noteListening() throws IOException {
+    private void recordListening() throws IOException {
         for (int i = 0; i < processes.length; i++) {
-            if (Double.isNaN(listeningAt[i]) && logText(i).contains("listens on")) {
+            if (Double.isNaN(listeningAt[i]) && logText(i).contains(LISTENING)) {
                 listeningAt[i] = now.getAsDouble();
             }
         }
-        return Arrays.stream(listeningAt).anyMatch(Double::isNaN);
     }
 
-    /** When it was seen to take clients; NaN before. */
+    private boolean areAllListening() {
+        return Arrays.stream(listeningAt).noneMatch(Double::isNaN);
+    }
+
+    /** Returns when a dispatcher was first seen to listen; NaN before. */
     double listeningAt(int number) {
         return listeningAt[number];
     }
@@ -79,12 +89,12 @@
         return directory.resolve("log" + number);
     }
 
-    /** SIGKILL, as of a machine that is lost; returns once it is gone. */
+    /** Sends SIGKILL and waits until the process has ended. */
     void kill(int number) throws InterruptedException {
         processes[number].destroyForcibly().waitFor();
     }
 
-    /** SIGTERM to all; returns their exit codes. */
+    /** Sends SIGTERM to all and returns their exit codes. */
     int[] terminateAll() throws InterruptedException {
         for (Process process : processes) {
             process.toHandle().destroy();
@@ -96,14 +106,14 @@
         return codes;
     }
 
-    static void pause(double seconds) {
-        long until = System.nanoTime() + (long) (seconds * TimeUnit.SECONDS.toNanos(1));
-        while (System.nanoTime() < until) {
-            LockSupport.parkNanos(until - System.nanoTime());
+    static void sleep(double seconds) {
+        long endNanos = System.nanoTime() + (long) (seconds * TimeUnit.SECONDS.toNanos(1));
+        while (System.nanoTime() < endNanos) {
+            LockSupport.parkNanos(endNanos - System.nanoTime());
         }
     }
 
-    /** Kills those that run still, and deletes the folder. */
+    /** Kills the processes that are left, and deletes the directory. */
     @Override
     public void close() throws IOException {
         for (Process process : processes) {
@@ -111,10 +121,6 @@
                 process.destroyForcibly().onExit().join();
             }
         }
-        try (Stream<Path> files = Files.walk(directory)) {
-            for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(file);
-            }
-        }
+        TemporaryDirectory.delete(directory);
     }
 }
