--- a/kit/src/test/java/wheelroute/kit/process/ProcessSupervisorTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessSupervisorTest.java
@@ -18,6 +18,9 @@
     private static final char STOPPED = 'T';
     private static final char SLEEPING = 'S';
 
+    /** An option of the daemon's JVM that the rehearsal's JVM does not have. */
+    private static final String DAEMON_OPTION = "-XX:+UseSerialGC";
+
     /** Killed after the test, if it still runs. */
     private Process supervised;
 
@@ -120,8 +123,13 @@
         return started;
     }
 
+    /**
+     * Whether a process is a daemon. Until a started process executes its command, it is a copy of
+     * the JVM that starts it, so the executable alone does not tell.
+     */
     private static boolean isDaemon(ProcessHandle process) {
-        return process.info().command().orElse("").endsWith("java");
+        return process.info().command().orElse("").endsWith("java")
+                && process.info().commandLine().orElse("").contains(DAEMON_OPTION);
     }
 
     @AfterMethod(alwaysRun = true)
