--- a/daemon/src/main/java/wheelroute/decision/estimates/FleetEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/FleetEstimates.java
@@ -19,7 +19,7 @@
      */
     private static final double MIN_REMEMBERED_ATTEMPTS = 32;
 
-    private static final double MAX_MEMORY_STRETCH = 16;
+    private static final double MAX_MEMORY_FACTOR = 16;
 
     private final DecisionClock clock;
     private final WorkerTable workers;
@@ -76,12 +76,12 @@
     private void updateModelWaits(double now) {
         double rate = traffic.rate(now);
         double needed = MIN_REMEMBERED_ATTEMPTS / (WorkerEstimates.MEMORY_SECONDS * rate);
-        double stretch = Math.max(1, Math.min(MAX_MEMORY_STRETCH, needed));
+        double factor = Math.max(1, Math.min(MAX_MEMORY_FACTOR, needed));
         for (ModelStatistics model : workers.models().values()) {
             model.updateWaits(
                     now,
-                    stretch * WorkerEstimates.MEMORY_SECONDS,
-                    stretch * WorkerEstimates.RECENT_MEMORY_SECONDS);
+                    factor * WorkerEstimates.MEMORY_SECONDS,
+                    factor * WorkerEstimates.RECENT_MEMORY_SECONDS);
         }
     }
 
--- a/daemon/src/main/java/wheelroute/decision/estimates/ModelStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/ModelStatistics.java
@@ -44,7 +44,7 @@
     /** Seconds by which attempts that have not started exceed the mean wait, summed over them. */
     private double overdueWait;
 
-    /** Waits estimated from results are as noisy as the sizes of jobs, and need a heavier prior. */
+    /** The weight of a prior sample of no wait. */
     private final double priorWeight;
 
     /** Creates the statistics of one model from the windows that hold its samples. */
--- a/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
@@ -23,7 +23,7 @@
      * The mean wait of its model weighs as much as this many of a worker's own waits, because a
      * single long job can distort those.
      */
-    public static final double WAIT_PRIOR = 4;
+    private static final double MODEL_PRIOR_SAMPLES = 4;
 
     /** A worker's own runs weigh as much as its model's after this many jobs of mean size. */
     private static final double PRIOR_JOBS = 2;
@@ -136,9 +136,11 @@
             double now, double rampFraction, double memorySeconds, double modelMean) {
         // A worker in slow start gets little, so it has no queue, whatever its model's mean is. One
         // that is warm gets its model's mean, or all would prefer those that have just warmed up.
-        double prior = rampFraction < 1 ? 0 : WAIT_PRIOR * modelMean;
+        double prior = rampFraction < 1 ? 0 : MODEL_PRIOR_SAMPLES * modelMean;
         double mean =
-                worker.statistics().waits.decayedMeanOfFirst(now, memorySeconds, prior, WAIT_PRIOR);
+                worker.statistics()
+                        .waits
+                        .decayedMeanOfFirst(now, memorySeconds, prior, MODEL_PRIOR_SAMPLES);
         return Math.max(0, Math.max(mean, overdueSeconds(now)));
     }
 
--- a/daemon/src/main/java/wheelroute/decision/state/WorkerTable.java
+++ b/daemon/src/main/java/wheelroute/decision/state/WorkerTable.java
@@ -12,15 +12,20 @@
 import wheelroute.decision.estimates.ModelStatistics;
 import wheelroute.decision.estimates.SampleWindow;
 import wheelroute.decision.estimates.TrafficStatistics;
-import wheelroute.decision.estimates.WorkerEstimates;
 import wheelroute.decision.slowstart.SlowStartBudget;
 
 /** All workers that are listed or still hold attempts, and what is measured of their models. */
 public final class WorkerTable {
     private static final int SAMPLE_COUNT = 64;
 
-    /** Light, so that a model with little traffic is judged by its own waits all the same. */
-    private static final double MODEL_WAIT_PRIOR = 1;
+    /**
+     * Prior samples of no wait, for waits that workers report: few, so that a model with little
+     * traffic is judged by its own waits all the same.
+     */
+    private static final double REPORTED_WAIT_PRIOR_SAMPLES = 1;
+
+    /** The same for waits estimated from results, which are as noisy as the sizes of jobs. */
+    private static final double ESTIMATED_WAIT_PRIOR_SAMPLES = 4;
 
     private final Settings settings;
     private final TrafficStatistics traffic;
@@ -90,11 +95,11 @@
     }
 
     private ModelStatistics newModel() {
-        boolean ownWaits = settings.reportsStart();
+        boolean reportsWaits = settings.reportsStart();
         return new ModelStatistics(
                 new SampleWindow(SAMPLE_COUNT),
-                ownWaits ? new SampleWindow(SAMPLE_COUNT) : estimatedWaits,
-                ownWaits ? MODEL_WAIT_PRIOR : WorkerEstimates.WAIT_PRIOR);
+                reportsWaits ? new SampleWindow(SAMPLE_COUNT) : estimatedWaits,
+                reportsWaits ? REPORTED_WAIT_PRIOR_SAMPLES : ESTIMATED_WAIT_PRIOR_SAMPLES);
     }
 
     /** Forgets workers that are not ready and hold no attempt. */
--- a/daemon/src/test/java/wheelroute/IdsTest.java
+++ b/daemon/src/test/java/wheelroute/IdsTest.java
@@ -7,10 +7,10 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Ids;
 
-/** Ids say themselves what makes them equal: by their value, and never across kinds. */
+/** The equality of ids, which they define themselves. */
 public class IdsTest {
     @DataProvider
-    public Object[][] kinds() {
+    public Object[][] idsOfEachType() {
         return new Object[][] {
             {new Ids.Request(1L << 40), new Ids.Request(1L << 40), new Ids.Request(1)},
             {new Ids.Worker(3), new Ids.Worker(3), new Ids.Worker(4)},
@@ -26,12 +26,12 @@
         };
     }
 
-    @Test(dataProvider = "kinds")
-    public void areEqualByValueWithinTheirKind(Object id, Object same, Object other) {
+    @Test(dataProvider = "idsOfEachType")
+    public void equalOnlyIdsOfSameTypeAndValue(Object id, Object same, Object other) {
         assertEquals(id, same);
         assertEquals(id.hashCode(), same.hashCode());
         assertNotEquals(id, other);
-        for (Object[] row : kinds()) {
+        for (Object[] row : idsOfEachType()) {
             assertEquals(
                     id.equals(row[0]), id.getClass() == row[0].getClass(), id + " and " + row[0]);
         }
--- a/daemon/src/test/java/wheelroute/decision/admission/AdmissionTest.java
+++ b/daemon/src/test/java/wheelroute/decision/admission/AdmissionTest.java
@@ -13,15 +13,15 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** What is rejected early, and what is not. */
+/** Which requests are rejected because they would wait too long. */
 public class AdmissionTest {
     private static PolicyHarness harness() {
         return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(2);
     }
 
-    /** Prevents sending into a stopped queue where only progress tells that a attempt has begun. */
+    /** Where starts are not reported, only progress shows that an attempt has begun. */
     @Test
-    public void anAttemptWithoutProgressTellsOfAQueue() {
+    public void rejectsOnceProgressOfAnEarlierAttemptIsOverdue() {
         PolicyHarness.SettingsFixture fixture = new PolicyHarness.SettingsFixture();
         fixture.reportsStart = false;
         fixture.progressIntervalSeconds = 1;
@@ -31,19 +31,14 @@
         first.onEnded(0, Outcome.SUCCEEDED, true, new LoadReport(3));
         harness.accept(0.1);
         harness.advanceWithWakeups(15).accept(0.1);
-        assertEquals(
-                harness.countActions("reject"),
-                0,
-                "it may have run for as long as no progress is told");
+        assertEquals(harness.countActions("reject"), 0, "progress is not overdue yet");
         harness.advanceWithWakeups(8).accept(0.1);
         assertEquals(harness.lastAction().substring(0, 6), "reject");
     }
 
-    /**
-     * Prevents jams: under overload what cannot be in time is rejected while a retry is harmless.
-     */
+    /** A retry is harmless only before the first attempt, so a rejection must come that early. */
     @Test
-    public void overloadIsRejectedEarly() {
+    public void rejectsUnderOverloadBeforeFirstAttempt() {
         PolicyHarness harness =
                 PolicyHarness.of(Idempotency.NON_IDEMPOTENT, IdempotencyScope.CELL).listWorkers(2);
         for (int i = 0; i < 50; i++) {
@@ -53,9 +48,8 @@
         assertTrue(harness.countActions("attempt") >= 2);
     }
 
-    /** Prevents bouncing for good on waits seen long ago. */
     @Test
-    public void oldWaitsFade() {
+    public void acceptsAgainOnceLongWaitsAreOld() {
         PolicyHarness harness =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(1);
         RequestHandle handle = harness.accept(0.1, harness.now + 100);
@@ -68,9 +62,9 @@
         assertTrue(harness.lastAction().startsWith("attempt"), harness.actions.toString());
     }
 
-    /** Prevents a patient class that fills the queues in which another starves. */
+    /** A class with a long objective must not fill the queues in which another starves. */
     @Test
-    public void patientClassesStopAtTheImpatientOnesBound() {
+    public void limitsWaitOfEachClassByThatOfTheShortestObjective() {
         PolicyHarness harness =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(1);
         harness.serve(0.5, 0.5);
@@ -86,9 +80,8 @@
         return new Object[][] {{"t", "attempt"}, {"greedy", "reject"}};
     }
 
-    /** Prevents a tenant far past its share that crowds out the others under overload. */
     @Test(dataProvider = "tenants")
-    public void aTenantFarPastItsQuotaBearsShorterWaits(String tenant, String next) {
+    public void allowsTenantBeyondItsQuotaShorterWaits(String tenant, String nextAction) {
         PolicyHarness harness =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(1);
         for (int i = 0; i < 200; i++) {
@@ -103,14 +96,12 @@
         }
         harness.accept(0.5).onStarted(0);
         harness.accept("job", tenant, 0.05, harness.now + PolicyHarness.TIMEOUT_SECONDS);
-        assertTrue(harness.lastAction().startsWith(next), harness.lastAction());
+        assertTrue(harness.lastAction().startsWith(nextAction), harness.lastAction());
     }
 
-    /**
-     * Prevents a rejection from a fleet with an idle worker, because the fastest one has a queue.
-     */
+    /** The cheapest worker may be a fast one with a queue. */
     @Test
-    public void anIdleWorkerIsChosenBeforeARejection() {
+    public void choosesIdleWorkerBeforeRejecting() {
         PolicyHarness harness = harness();
         for (long slow = 1; slow <= 2; slow++) {
             harness.updateWorker(slow, Double.NaN, State.DRAINING)
@@ -125,13 +116,13 @@
                 harness.actions.toString());
     }
 
-    /** Prevents seeing only the lucky: attempts that still wait tell of their model's queues. */
+    /** Waits that have ended are the shorter ones; those that have not must count as well. */
     @Test
-    public void attemptsStillWaitingCount() {
+    public void countsWaitsOfAttemptsThatHaveNotStarted() {
         PolicyHarness harness = harness();
         RequestHandle slow = harness.accept(0.1);
         harness.advance(3);
-        // Such waits have been seen, long ago: the next one is no silence yet.
+        // After such a wait the worker does not count as unresponsive at the next one.
         slow.onStarted(0);
         harness.endAttempt(slow, 0, Outcome.SUCCEEDED);
         harness.advance(100).accept(0.1);
--- a/daemon/src/test/java/wheelroute/decision/endpoints/EndpointLeaseTest.java
+++ b/daemon/src/test/java/wheelroute/decision/endpoints/EndpointLeaseTest.java
@@ -12,10 +12,9 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Rule 3: how long a list is used that an overloaded discovery does not confirm. */
+/** Rule 3: how long an unconfirmed endpoint list is used. */
 public class EndpointLeaseTest {
-    /** What is left when a change that was missed has to be acted on. */
-    private static final double DURATION =
+    private static final double DURATION_SECONDS =
             EndpointLease.NOTIFICATION_LIMIT_SECONDS + 2 - EndpointLease.MARGIN_SECONDS;
 
     private static PolicyHarness confirmed(Idempotency idempotency) {
@@ -25,20 +24,21 @@
     }
 
     @DataProvider
-    public Object[][] moments() {
+    public Object[][] ages() {
         return new Object[][] {
-            // overloaded, seconds since the list was confirmed, whether it may be used
-            {true, DURATION - 0.01, true},
-            {true, DURATION + 0.01, false},
-            {false, DURATION + 0.01, true},
+            // discovery is overloaded, seconds since the list was confirmed, the list is used
+            {true, DURATION_SECONDS - 0.01, true},
+            {true, DURATION_SECONDS + 0.01, false},
+            {false, DURATION_SECONDS + 0.01, true},
             {false, 600.0, true},
         };
     }
 
-    @Test(dataProvider = "moments")
-    public void onlyOverloadEndsTheUseOfTheList(boolean overloaded, double age, boolean used) {
+    @Test(dataProvider = "ages")
+    public void expiresOnlyWhileDiscoveryIsOverloaded(
+            boolean overloaded, double ageSeconds, boolean used) {
         PolicyHarness harness = confirmed(Idempotency.IDEMPOTENT);
-        harness.advance(age);
+        harness.advance(ageSeconds);
         if (overloaded) {
             harness.policy.onDiscoveryOverloaded();
         }
@@ -49,10 +49,10 @@
     }
 
     @Test
-    public void anAnswerRenewsTheLease() {
+    public void isRenewedByAnswerOfDiscovery() {
         PolicyHarness harness = confirmed(Idempotency.IDEMPOTENT);
         harness.policy.onDiscoveryOverloaded();
-        harness.advance(DURATION + 1);
+        harness.advance(DURATION_SECONDS + 1);
         assertTrue(harness.policy.isEndpointLeaseExpired());
         harness.policy.onEndpointsConfirmed();
         assertFalse(harness.policy.isEndpointLeaseExpired());
@@ -60,14 +60,13 @@
         assertEquals(harness.countActions("attempt"), 1);
     }
 
-    /** A retry is an attempt as well; what may have run elsewhere ends as its rule says. */
     @Test
-    public void nothingIsRetriedOnAnExpiredList() {
+    public void permitsNoRetryAfterExpiry() {
         for (Idempotency idempotency : Idempotency.values()) {
             PolicyHarness harness = confirmed(idempotency);
             RequestHandle handle = harness.accept(0.1);
             harness.policy.onDiscoveryOverloaded();
-            harness.advance(DURATION + 0.01).endAttempt(handle, 0, Outcome.CONNECTION_LOST);
+            harness.advance(DURATION_SECONDS + 0.01).endAttempt(handle, 0, Outcome.CONNECTION_LOST);
             assertEquals(harness.countActions("attempt"), 1, harness.actions.toString());
             boolean mayHaveRun = idempotency == Idempotency.NON_IDEMPOTENT;
             assertTrue(harness.lastAction().startsWith(mayHaveRun ? "fail" : "reject"));
--- a/daemon/src/test/java/wheelroute/decision/health/OutlierEjectionTest.java
+++ b/daemon/src/test/java/wheelroute/decision/health/OutlierEjectionTest.java
@@ -13,7 +13,7 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Which workers are ejected, and what is held against none. */
+/** Which workers are ejected, and what an ejected worker gets. */
 public class OutlierEjectionTest {
     private static PolicyHarness harness() {
         return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(2);
@@ -36,12 +36,9 @@
                 harness.attemptsAtBadWorkers(12, 0.1, worker -> worker == 1, outcome) <= 3, ejects);
     }
 
-    /**
-     * A spell of requests that fail anywhere: no worker is avoided for it, and they cost one
-     * attempt.
-     */
+    /** Requests that fail on every worker cost one attempt each. */
     @Test
-    public void errorsThatFollowARequestAreNoWorkersFault() {
+    public void ejectsNoWorkerWhileErrorsAreAttributedToRequests() {
         PolicyHarness harness =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(4);
         long lateAttempts = 0;
@@ -55,13 +52,13 @@
             }
             lateAttempts += i >= 40 && bad ? harness.countActions("attempt") : 0;
         }
-        assertEquals(lateAttempts, 10, "one attempt for each that fails anywhere");
+        assertEquals(lateAttempts, 10, "one attempt for each request that fails");
         assertEquals(harness.policy.avoidedEndpoints(), 0);
     }
 
-    /** Its evidence ages: a worker that fails by itself afterwards is found out as ever. */
+    /** The retries that blamed requests are forgotten after a while. */
     @Test
-    public void aWorkersOwnErrorsAreStillItsFault() {
+    public void ejectsFailingWorkerAfterErrorsWereAttributedToRequests() {
         PolicyHarness harness =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(4);
         harness.attemptsAtBadWorkers(10, 0.1, worker -> true, Outcome.FAILED);
@@ -73,42 +70,41 @@
                 harness.attemptsAtBadWorkers(30, 0.1, worker -> worker == 1, Outcome.FAILED) <= 4);
     }
 
-    /** Prevents a worker that errs at once, sheds its work, and so looks cheapest. */
+    /** A worker that fails fast has no queue, and would look cheapest. */
     @Test
-    public void aWorkerThatFailsFastIsEjected() {
+    public void ejectsWorkerThatFailsFast() {
         int toBad = harness().attemptsAtBadWorkers(100, 0.1, worker -> worker == 1, Outcome.FAILED);
         assertTrue(toBad < 12, "attempts to the failing worker: " + toBad);
     }
 
     @Test
-    public void aWorkerThatRejectsIsBackedOffFrom() {
+    public void backsOffFromWorkerThatRejects() {
         PolicyHarness harness = harness();
         RequestHandle handle = harness.accept(0.1);
-        final long full = harness.lastWorker();
+        final long rejecting = harness.lastWorker();
         harness.endAttempt(handle, 0, Outcome.REJECTED);
-        assertNotEquals(harness.lastWorker(), full);
-        assertNotEquals(harness.serve(0.1, 0.05), full);
+        assertNotEquals(harness.lastWorker(), rejecting);
+        assertNotEquals(harness.serve(0.1, 0.05), rejecting);
     }
 
-    /** Prevents unreachable workers that come back into the choice because most are unreachable. */
     @Test
-    public void moreThanHalfOfTheWorkersCanBeEjected() {
+    public void ejectsMoreThanHalfOfTheWorkersIfTheyFail() {
         PolicyHarness harness =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(4);
-        int dead =
+        int toUnreachable =
                 harness.attemptsAtBadWorkers(
                         100, 0.01, worker -> worker > 1, Outcome.CONNECT_FAILED);
-        assertTrue(dead < 20, "attempts to unreachable workers: " + dead);
+        assertTrue(toUnreachable < 20, "attempts to unreachable workers: " + toUnreachable);
     }
 
     @DataProvider
-    public Object[][] servesSome() {
+    public Object[][] fallbacks() {
         return new Object[][] {
-            // effect, group, seconds since its last answer, attempts it gets while the other worker
-            // fills up
+            // idempotency, its scope, seconds since the last success, attempts that the ejected
+            // worker gets while the other one's queue grows
             {Idempotency.IDEMPOTENT, IdempotencyScope.CELL, 0.0, 1L},
             {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.ALL, 0.0, 1L},
-            // An error there would bind these to their group, or end them.
+            // After an error there, these could be retried only within the scope or not at all.
             {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.ZONE, 0.0, 0L},
             {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.CELL, 0.0, 0L},
             {Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, 0.0, 0L},
@@ -116,18 +112,18 @@
         };
     }
 
-    /**
-     * While half of a fleet errs now and then, the other half is full: a fifth of all was rejected
-     * beside workers that still answered half of what came.
-     */
-    @Test(dataProvider = "servesSome")
-    public void anEjectedWorkerThatServesSomeComesBeforeARejection(
-            Idempotency idempotency, IdempotencyScope scope, double ago, long attempts) {
+    /** The worker still answers half of its requests. */
+    @Test(dataProvider = "fallbacks")
+    public void usesEjectedWorkerThatStillAnswersBeforeRejecting(
+            Idempotency idempotency,
+            IdempotencyScope scope,
+            double secondsSinceSuccess,
+            long attempts) {
         PolicyHarness harness =
                 PolicyHarness.of(idempotency, scope)
                         .listWorkers(2)
                         .updateWorker(2, Double.NaN, State.DRAINING);
-        // Ejected, with a pause that outlasts this case; every other attempt is answered.
+        // The next trial of the ejected worker is due only after the end of this test.
         for (int i = 0; i < 5; i++) {
             for (Outcome outcome : new Outcome[] {Outcome.FAILED, Outcome.SUCCEEDED}) {
                 RequestHandle handle = harness.accept(0.1);
@@ -137,25 +133,26 @@
                 }
             }
         }
-        harness.updateWorker(2, Double.NaN, State.READY).advance(ago).acceptUntilRejection(1);
+        harness.updateWorker(2, Double.NaN, State.READY)
+                .advance(secondsSinceSuccess)
+                .acceptUntilRejection(1);
         assertEquals(
                 harness.actions.stream()
-                        .filter(did -> did.startsWith("attempt") && did.endsWith(" 1"))
+                        .filter(action -> action.startsWith("attempt") && action.endsWith(" 1"))
                         .count(),
                 attempts,
                 harness.actions.toString());
     }
 
-    /** Failures go along: a worker ejected at the old process is no fresh one to the new. */
     @Test
-    public void aSuccessorKeepsEjections() {
-        PolicyHarness old =
+    public void successorKeepsEjections() {
+        PolicyHarness predecessor =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).listWorkers(2);
-        old.attemptsAtBadWorkers(3, 0.2, worker -> true, Outcome.FAILED);
-        assertEquals(old.policy.avoidedEndpoints(), 2);
-        PolicyHarness next =
+        predecessor.attemptsAtBadWorkers(3, 0.2, worker -> true, Outcome.FAILED);
+        assertEquals(predecessor.policy.avoidedEndpoints(), 2);
+        PolicyHarness successor =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).listWorkers(2);
-        next.policy.importState(old.policy.exportState());
-        assertEquals(next.policy.avoidedEndpoints(), 2);
+        successor.policy.importState(predecessor.policy.exportState());
+        assertEquals(successor.policy.avoidedEndpoints(), 2);
     }
 }
--- a/daemon/src/test/java/wheelroute/decision/health/UnresponsiveWorkerDetectorTest.java
+++ b/daemon/src/test/java/wheelroute/decision/health/UnresponsiveWorkerDetectorTest.java
@@ -14,28 +14,28 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Workers and attempts that fall silent, and hedged requests. */
+/** Workers and attempts without a response, and the hedged requests for them. */
 public class UnresponsiveWorkerDetectorTest {
     private static PolicyHarness harness() {
         return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(2);
     }
 
-    /** Prevents a hung worker, which starts nothing and looks merely busy. */
+    /** A worker that hangs starts nothing, which alone would look as if it were busy. */
     @Test
-    public void aSilentWorkerIsEjectedAndItsAttemptHedged() {
+    public void ejectsUnresponsiveWorkerAndHedgesItsAttempt() {
         PolicyHarness harness = harness().fillHedgingBudget();
         harness.accept(0.1);
-        final long silent = harness.lastWorker();
+        final long unresponsive = harness.lastWorker();
         harness.advanceWithWakeups(20);
         assertEquals(harness.countActions("attempt"), 2, harness.actions.toString());
-        assertNotEquals(harness.lastWorker(), silent);
+        assertNotEquals(harness.lastWorker(), unresponsive);
         for (int i = 0; i < 5; i++) {
-            assertNotEquals(harness.serve(0.1, 0.1), silent);
+            assertNotEquals(harness.serve(0.1, 0.1), unresponsive);
         }
     }
 
     @DataProvider
-    public Object[][] silentAttempts() {
+    public Object[][] attemptsWithoutProgress() {
         // How many times one attempt tells of its progress, a second apart; whether it is fixture
         // up
         // by a time,
@@ -48,17 +48,17 @@
         };
     }
 
-    /** Prevents one connection that falls silent at a worker that goes on answering the others. */
-    @Test(dataProvider = "silentAttempts")
-    public void aSilentAttemptIsRetriedBesideOthersThatGoOn(
-            Idempotency idempotency, int words, int tenths, int cancels) {
+    /** A single connection may hang at a worker that answers on the others. */
+    @Test(dataProvider = "attemptsWithoutProgress")
+    public void cancelsSingleUnresponsiveAttemptIfItMayBeRetried(
+            Idempotency idempotency, int progressReports, int tenths, int cancels) {
         PolicyHarness.SettingsFixture fixture = new PolicyHarness.SettingsFixture();
         fixture.idempotency = idempotency;
         fixture.mayHedge = false;
         fixture.reportsStart = false;
         fixture.progressIntervalSeconds = 1;
         PolicyHarness harness = new PolicyHarness(fixture).listWorkers(2);
-        // Two at a time, so that the others need not wait for the one.
+        // Two run at a time, so that other requests need not wait for the unresponsive attempt.
         List<RequestHandle> two =
                 List.of(
                         harness.accept(1.2),
@@ -69,28 +69,28 @@
         two.forEach(handle -> handle.onProgress(0, 0.9));
         harness.advance(0.1).policy.onWakeup();
         two.forEach(handle -> harness.endAttempt(handle, 0, Outcome.SUCCEEDED));
-        // The first is the faster one, so that the others go there beside the one.
+        // Worker 1 is faster, so that the other requests go there too.
         for (int i = 0; i < 60; i++) {
             RequestHandle handle = harness.accept(0.1);
             harness.advance(harness.lastWorker() == 1 ? 0.1 : 0.5)
                     .endAttempt(handle, 0, Outcome.SUCCEEDED);
         }
         harness.actions.clear();
-        RequestHandle silent = harness.accept(0.4);
+        RequestHandle unresponsive = harness.accept(0.4);
         for (int i = 0; i < tenths; i++) {
             RequestHandle other = harness.accept(0.1);
             harness.advance(0.1).endAttempt(other, 0, Outcome.SUCCEEDED);
             harness.policy.onWakeup();
-            if (i % 10 == 9 && i / 10 < words) {
-                silent.onProgress(0, 0.01 * (i + 1));
+            if (i % 10 == 9 && i / 10 < progressReports) {
+                unresponsive.onProgress(0, 0.01 * (i + 1));
             }
         }
         assertEquals(harness.countActions("cancel"), cancels, harness.actions.toString());
     }
 
-    /** Prevents hedged requests that feed a jam: silence everywhere must not hedge everything. */
+    /** When no worker responds, hedging all requests would add to the overload. */
     @Test
-    public void hedgedRequestsAreRationed() {
+    public void limitsHedgedRequestsByBudget() {
         PolicyHarness harness =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(4);
         for (int i = 0; i < 20; i++) {
@@ -102,7 +102,7 @@
     }
 
     @Test
-    public void attemptsOfARestartedWorkerAreRetriedElsewhere() {
+    public void retriesAttemptsOfRestartedWorkerElsewhere() {
         PolicyHarness harness = harness();
         harness.accept(0.1);
         final long restarted = harness.lastWorker();
--- a/daemon/src/test/java/wheelroute/decision/order/KeyOrderTest.java
+++ b/daemon/src/test/java/wheelroute/decision/order/KeyOrderTest.java
@@ -16,15 +16,15 @@
 import wheelroute.decision.RequestHandle;
 
 /**
- * The rule on keys: one at a time, in the order of their taking, and a rest after what may still
- * run.
+ * The order of keys: their requests run one at a time, in the order of acceptance, and a key is
+ * blocked after an attempt that may still run.
  */
 public class KeyOrderTest {
-    private static final double OBJECTIVE = 1;
+    private static final double OBJECTIVE_SECONDS = 1;
     private PolicyHarness.SettingsFixture fixture;
 
     @BeforeMethod
-    public void plainSettings() {
+    public void createSettings() {
         fixture = new PolicyHarness.SettingsFixture();
         fixture.ordered = true;
         fixture.idempotency = Idempotency.NON_IDEMPOTENT;
@@ -44,10 +44,9 @@
     }
 
     @DataProvider
-    public Object[][] neighbours() {
+    public Object[][] secondRequests() {
         return new Object[][] {
-            // the second one's class and key, whether the classes keep order, whether it goes
-            // at once
+            // class and key of the second request, the classes are ordered, it begins at once
             {"job", "a", true, false},
             {"batch", "a", true, false},
             {"job", "b", true, true},
@@ -56,8 +55,9 @@
         };
     }
 
-    @Test(dataProvider = "neighbours")
-    public void whoWaitsForWhom(String requestClass, String key, boolean ordered, boolean atOnce) {
+    @Test(dataProvider = "secondRequests")
+    public void waitsOnlyForRequestOfSameKey(
+            String requestClass, String key, boolean ordered, boolean atOnce) {
         fixture.ordered = ordered;
         PolicyHarness harness = harness();
         accept(harness, "a");
@@ -66,9 +66,9 @@
     }
 
     @DataProvider
-    public Object[][] ends() {
+    public Object[][] outcomes() {
         return new Object[][] {
-            // how the first one's only attempt ended, how long the key rests after it
+            // outcome of the first request's only attempt, seconds for which its key is blocked
             {Outcome.SUCCEEDED, 0.0},
             {Outcome.FAILED, 0.0},
             {Outcome.INVALID_REQUEST, 0.0},
@@ -80,9 +80,8 @@
         };
     }
 
-    @Test(dataProvider = "ends")
-    public void theNextBeginsWhenTheFirstIsCompleteAndItsKeyWasQuiet(
-            Outcome outcome, double quietPeriod) {
+    @Test(dataProvider = "outcomes")
+    public void beginsNextRequestAfterQuietPeriod(Outcome outcome, double quietPeriodSeconds) {
         PolicyHarness harness = harness();
         RequestHandle first = accept(harness, "a");
         accept(harness, "a");
@@ -90,20 +89,19 @@
         assertTrue(first.isComplete());
         assertEquals(
                 harness.countActions("attempt"),
-                quietPeriod > 0 ? 1 : 2,
+                quietPeriodSeconds > 0 ? 1 : 2,
                 harness.actions.toString());
         harness.advance(0.19).policy.onWakeup();
         assertEquals(
                 harness.countActions("attempt"),
-                quietPeriod > 0 ? 1 : 2,
+                quietPeriodSeconds > 0 ? 1 : 2,
                 harness.actions.toString());
         harness.advance(0.02).policy.onWakeup();
         assertEquals(harness.countActions("attempt"), 2, harness.actions.toString());
     }
 
-    /** A rest also holds for one that is taken while it lasts, and nothing else has to wake it. */
     @Test
-    public void aQuietPeriodHoldsForLaterRequestsAndEndsByItself() {
+    public void schedulesWakeupForRequestAcceptedDuringQuietPeriod() {
         PolicyHarness harness = harness();
         RequestHandle first = accept(harness, "a");
         harness.endAttempt(first, 0, Outcome.CONNECTION_LOST);
@@ -115,9 +113,8 @@
         assertEquals(harness.countActions("attempt"), 2);
     }
 
-    /** However many rests there are, each has one wake: they must not call for one another. */
     @Test
-    public void wakeupsDoNotMultiply() {
+    public void schedulesOneWakeupPerQuietPeriod() {
         PolicyHarness harness = harness();
         for (int i = 0; i < 10; i++) {
             harness.endAttempt(accept(harness, "key" + i), 0, Outcome.CONNECTION_LOST);
@@ -130,9 +127,8 @@
         assertTrue(harness.wakeups.size() <= 4, harness.wakeups.toString());
     }
 
-    /** The one whose turn it is may be tried again and copied as ever. */
     @Test
-    public void theFirstIsRetriedWithoutAQuietPeriod() {
+    public void retriesFirstRequestDuringQuietPeriod() {
         fixture.idempotency = Idempotency.IDEMPOTENT;
         PolicyHarness harness = harness();
         RequestHandle first = accept(harness, "a");
@@ -142,16 +138,14 @@
         harness.endAttempt(first, 1, Outcome.SUCCEEDED);
         harness.advance(0.19).policy.onWakeup();
         assertEquals(
-                harness.countActions("attempt 2 "),
-                0,
-                "the break of its first attempt still counts");
+                harness.countActions("attempt 2 "), 0, "the first attempt may still be running");
         harness.advance(0.02).policy.onWakeup();
         assertEquals(harness.countActions("attempt 2 "), 1);
     }
 
-    /** A client that leaves is done with, but its key is not free before its attempt has ended. */
+    /** The key of a client that is gone stays blocked until its attempt has ended. */
     @Test
-    public void aClientThatLeavesGivesUpItsTurn() {
+    public void skipsRequestsOfClientsThatAreGone() {
         PolicyHarness harness = harness();
         RequestHandle first = accept(harness, "a");
         RequestHandle second = accept(harness, "a");
@@ -167,27 +161,23 @@
         assertEquals(harness.lastAction().substring(0, 9), "attempt 3", harness.actions.toString());
     }
 
-    /** A line longer than the quoted time lasts: the last ones hear at once, and when to come. */
     @Test
-    public void whoCannotBeInTimeIsRejectedAtOnce() {
+    public void rejectsAtOnceRequestsThatCannotBeginInTime() {
         PolicyHarness harness = harness();
         for (int i = 0; i < 30; i++) {
             harness.accept("job", "t", 0.2, harness.now + PolicyHarness.TIMEOUT_SECONDS, "a");
         }
         long rejected = harness.countActions("reject");
-        assertTrue(rejected >= 20, "told " + rejected);
+        assertTrue(rejected >= 20, "rejected " + rejected);
         assertEquals(harness.countActions("attempt"), 1);
         assertTrue(
-                harness.retryAfterSeconds >= OBJECTIVE
+                harness.retryAfterSeconds >= OBJECTIVE_SECONDS
                         && harness.retryAfterSeconds <= fixture.maxRetryAfterSeconds,
-                "come back after " + harness.retryAfterSeconds);
+                "advice to retry after " + harness.retryAfterSeconds);
     }
 
-    /**
-     * One of great value behind lesser ones of its key, which run long: the lesser one gives way.
-     */
     @Test
-    public void requestsOfLessValueGiveWay() {
+    public void rejectsRequestOfLessValueToBeginAnotherInTime() {
         fixture.batchPriorityWeight = 0.1;
         PolicyHarness harness = harness();
         harness.accept("job", "t", 0.5, harness.now + PolicyHarness.TIMEOUT_SECONDS, "a");
@@ -201,48 +191,43 @@
     }
 
     @DataProvider
-    public Object[][] limits() {
+    public Object[][] timeouts() {
         return new Object[][] {{0.15}, {0.5}, {0.9}};
     }
 
-    /** The head never reports: whoever waits is answered before its own outer limit, once. */
-    @Test(dataProvider = "limits")
-    public void whoWaitsIsAnsweredBeforeItsLimit(double limit) {
+    /** The first request of the key never ends. */
+    @Test(dataProvider = "timeouts")
+    public void rejectsWaitingRequestBeforeItsDeadline(double timeoutSeconds) {
         PolicyHarness harness = harness();
         accept(harness, "a");
-        double end = harness.now + limit;
-        RequestHandle waits = harness.accept("job", "t", 0.1, end, "a");
-        while (!waits.isComplete() && harness.now < end) {
+        double deadline = harness.now + timeoutSeconds;
+        RequestHandle waiting = harness.accept("job", "t", 0.1, deadline, "a");
+        while (!waiting.isComplete() && harness.now < deadline) {
             harness.advance(0.1).policy.onWakeup();
         }
         assertTrue(
-                waits.isComplete() && harness.now < end,
-                "answered by " + harness.now + " of " + end);
-        waits.onDeadline();
-        waits.onClientGone();
+                waiting.isComplete() && harness.now < deadline,
+                "answered by " + harness.now + " of " + deadline);
+        waiting.onDeadline();
+        waiting.onClientGone();
         assertEquals(harness.countActions("reject"), 1, harness.actions.toString());
     }
 
-    /** A driver whose timer is late tells it so itself; its place is free at once. */
     @Test
-    public void theDriverMayEndAWaitingRequest() {
+    public void rejectsWaitingRequestOnDeadlineEvent() {
         PolicyHarness harness = harness();
         RequestHandle first = accept(harness, "a");
         RequestHandle second = accept(harness, "a");
         accept(harness, "a");
         second.onDeadline();
         first.onDeadline();
-        assertEquals(
-                harness.countActions("reject"),
-                1,
-                "the first has an attempt in flight, whose end comes");
+        assertEquals(harness.countActions("reject"), 1, "the first still has an attempt in flight");
         harness.endAttempt(first, 0, Outcome.SUCCEEDED);
         assertEquals(harness.lastAction().substring(0, 9), "attempt 3");
     }
 
-    /** Long random histories, checked against the rule's own words. */
     @Test
-    public void randomHistoriesKeepTheRule() {
+    public void keepsOrderAndQuietPeriodsInRandomHistories() {
         for (int seed = 0; seed < 20; seed++) {
             fixture.idempotency = Idempotency.values()[seed % 3];
             RandomHistory history = new RandomHistory(seed, harness());
@@ -253,7 +238,7 @@
         }
     }
 
-    /** Requests of three keys that are accepted and end by chance. */
+    /** Requests of three keys that are accepted and end at random. */
     private final class RandomHistory {
         private final int seed;
         private final Random random;
@@ -299,12 +284,12 @@
             harness.endAttempt(handles.get(pick), number, outcome);
         }
 
-        /** Every attempt since the last check came in its turn, and after its key's quiet time. */
+        /** Checks the order and the quiet period of every attempt since the last check. */
         void check() {
             for (; checked < harness.actions.size(); checked++) {
-                String[] words = harness.actions.get(checked).split(" ");
-                if (words[0].equals("attempt")) {
-                    checkAttempt(Integer.parseInt(words[1]) - 1, attemptsBefore(words[1]));
+                String[] fields = harness.actions.get(checked).split(" ");
+                if (fields[0].equals("attempt")) {
+                    checkAttempt(Integer.parseInt(fields[1]) - 1, attemptsBefore(fields[1]));
                 }
             }
         }
@@ -321,11 +306,11 @@
             for (int other = 0; other < id; other++) {
                 assertTrue(
                         !keys.get(other).equals(keys.get(id)) || handles.get(other).isComplete(),
-                        "seed " + seed + ": " + id + " before " + other + " was over");
+                        "seed " + seed + ": " + id + " before " + other + " was complete");
             }
             assertTrue(
                     number > 0 || harness.now >= quietUntil[keys.get(id)],
-                    "a quiet time was not kept");
+                    "began within a quiet period");
         }
     }
 }
--- a/daemon/src/test/java/wheelroute/decision/routing/KeyAffinityTest.java
+++ b/daemon/src/test/java/wheelroute/decision/routing/KeyAffinityTest.java
@@ -15,15 +15,15 @@
 import wheelroute.decision.Ids;
 import wheelroute.decision.estimates.CacheMissCost;
 
-/** Keys' homes, and what a fetch is learned to take. */
+/** Which workers are preferred for a key, and the learned cost of a cache miss. */
 public class KeyAffinityTest {
     private static final int KEYS = 400;
 
-    private static Endpoint worker(long id, String model, double size) {
+    private static Endpoint worker(long id, String model, double weight) {
         return new Endpoint(
                 new Ids.Worker(id),
                 new Ids.Model(model),
-                size,
+                weight,
                 new Ids.Zone("z"),
                 Double.NaN,
                 new Ids.Cell(0),
@@ -48,9 +48,9 @@
         return new Ids.Key(String.format("%016x", 77L * i));
     }
 
-    /** Nobody tells anybody: the order in which workers came to be known must not matter. */
+    /** Dispatchers exchange nothing about keys, and list the workers in different orders. */
     @Test
-    public void allDispatchersReckonTheSameHomes() {
+    public void allDispatchersPreferTheSameWorkers() {
         List<Endpoint> fleet = fleet(20);
         List<Endpoint> shuffled = new ArrayList<>(fleet);
         Collections.shuffle(shuffled, new Random(3));
@@ -64,9 +64,8 @@
         }
     }
 
-    /** A worker that leaves moves only the keys that it was home to. */
     @Test
-    public void aLossMovesOnlyItsOwnKeys() {
+    public void removedWorkerMovesOnlyItsOwnKeys() {
         List<Endpoint> fleet = fleet(20);
         KeyAffinity<Endpoint> affinity = affinity(fleet);
         List<Endpoint> before = new ArrayList<>();
@@ -85,7 +84,7 @@
     }
 
     @Test
-    public void requestsOfAModelPreferItsWorkers() {
+    public void prefersOnlyWorkersOfTheModel() {
         KeyAffinity<Endpoint> affinity = affinity(fleet(20));
         for (int i = 0; i < KEYS; i++) {
             assertTrue(
@@ -96,9 +95,9 @@
     }
 
     @DataProvider
-    public Object[][] sizes() {
+    public Object[][] weights() {
         return new Object[][] {
-            // the size of one of ten workers, the least and the most of 400 keys it is home to
+            // weight of one of ten workers, the least and the most of 400 keys that prefer it
             {1.0, 20, 65},
             {4.0, 85, 165},
             {0.0, 0, 8},
@@ -106,10 +105,10 @@
         };
     }
 
-    @Test(dataProvider = "sizes")
-    public void aHeavierWorkerIsPreferredForMoreKeys(double size, int min, int max) {
+    @Test(dataProvider = "weights")
+    public void prefersHeavierWorkerForMoreKeys(double weight, int min, int max) {
         List<Endpoint> fleet = fleet(9);
-        Endpoint heavy = worker(5, "odd", Double.isNaN(size) ? 0 : size);
+        Endpoint heavy = worker(5, "odd", Double.isNaN(weight) ? 0 : weight);
         fleet.add(heavy);
         KeyAffinity<Endpoint> affinity = affinity(fleet);
         int preferredCount = 0;
@@ -119,13 +118,13 @@
             all.add(first);
             preferredCount += first == heavy ? 1 : 0;
         }
-        assertTrue(preferredCount >= min && preferredCount <= max, "home to " + preferredCount);
+        assertTrue(
+                preferredCount >= min && preferredCount <= max, "preferred for " + preferredCount);
         assertTrue(all.size() >= 9);
     }
 
-    /** It is remembered until other keys must have taken its room there. */
     @Test
-    public void aKeyIsTakenToBeEvictedAfterOtherAttempts() {
+    public void assumesKeyIsEvictedAfterEightLaterAttempts() {
         KeyAffinity<Endpoint> affinity = affinity(fleet(3));
         KeyAffinity<Endpoint>.Placement key = affinity.forKey(key(1));
         Endpoint sentTo = fleet(3).get(1);
@@ -138,9 +137,8 @@
         }
     }
 
-    /** One is a key more than is remembered; none of them may take memory for ever. */
     @Test
-    public void keysThatComeOnceAreForgotten() {
+    public void forgetsLeastRecentlyUsedKey() {
         KeyAffinity<Endpoint> affinity = affinity(fleet(3));
         KeyAffinity<Endpoint>.Placement first = affinity.forKey(key(0));
         assertTrue(affinity.forKey(key(0)) == first);
@@ -151,10 +149,10 @@
     }
 
     @DataProvider
-    public Object[][] fetches() {
+    public Object[][] missTimes() {
         return new Object[][] {
-            // how much longer a run away from home takes, the least and the most that is learned,
-            // in seconds
+            // seconds by which a run without cached data takes longer, the least and the most that
+            // is learned
             {0.0, 0.0, 0.01},
             {0.5, 0.45, 0.55},
             {3.0, 2.8, 3.2},
@@ -162,9 +160,10 @@
         };
     }
 
-    /** Jobs of very different size: the long ones' noise must not hide what the short ones show. */
-    @Test(dataProvider = "fetches")
-    public void theCostOfAMissIsLearnedFromRuns(double longer, double min, double max) {
+    /** The noise of long jobs must not hide what short jobs show. */
+    @Test(dataProvider = "missTimes")
+    public void learnsCostOfMissFromJobsOfDifferentSize(
+            double missSeconds, double min, double max) {
         CacheMissCost missCost = new CacheMissCost();
         Random random = new Random(5);
         missCost.update(1);
@@ -174,12 +173,13 @@
                     i,
                     KeyAffinity.PREFERRED_COUNT,
                     work,
-                    longer + work * (random.nextDouble() - 0.5));
+                    missSeconds + work * (random.nextDouble() - 0.5));
         }
         missCost.update(1);
-        double time = missCost.expectedSeconds(KeyAffinity.PREFERRED_COUNT);
-        assertTrue(time >= min && time <= max, "learned " + time);
+        double learned = missCost.expectedSeconds(KeyAffinity.PREFERRED_COUNT);
+        assertTrue(learned >= min && learned <= max, "learned " + learned);
         assertEquals(missCost.expectedSeconds(KeyAffinity.CACHED), 0.0);
-        assertEquals(missCost.missProbability(KeyAffinity.PREFERRED_COUNT), time > 0 ? 1.0 : 0.0);
+        assertEquals(
+                missCost.missProbability(KeyAffinity.PREFERRED_COUNT), learned > 0 ? 1.0 : 0.0);
     }
 }
--- a/daemon/src/test/java/wheelroute/decision/slowstart/SlowStartBudgetTest.java
+++ b/daemon/src/test/java/wheelroute/decision/slowstart/SlowStartBudgetTest.java
@@ -13,11 +13,11 @@
 /** What all dispatchers together send to a worker in slow start, each sending all it may. */
 public class SlowStartBudgetTest {
     private static final double MULTIPLE = 3;
-    private static final double WINDOW = 2;
+    private static final double WINDOW_SECONDS = 2;
     private static final double BUDGET_FRACTION = 0.65;
-    private static final double START = 100;
-    private static final int STEPS = 1500;
-    private static final double STEP = 0.02;
+    private static final double START_SECONDS = 100;
+    private static final int STEP_COUNT = 1500;
+    private static final double STEP_SECONDS = 0.02;
 
     private static SlowStartBudget.Shares ownShare(int position, int dispatchers) {
         return new SlowStartBudget.Shares() {
@@ -36,7 +36,7 @@
     /** Work that arrived at the worker: the maximum within any window, and the total. */
     private record ArrivedWork(double maxPerWindow, double total) {
         double meanPerWindow() {
-            return total / (STEPS * STEP / WINDOW);
+            return total / (STEP_COUNT * STEP_SECONDS / WINDOW_SECONDS);
         }
     }
 
@@ -50,8 +50,8 @@
                                     dispatchers,
                                     knowsPosition ? i / processes : -1,
                                     MULTIPLE,
-                                    WINDOW));
-            budget.onWorkerStarted(START, draw);
+                                    WINDOW_SECONDS));
+            budget.onWorkerStarted(START_SECONDS, draw);
             budgets.add(budget);
         }
         return budgets;
@@ -71,8 +71,8 @@
         double sum = 0;
         double max = 0;
         double total = 0;
-        for (int step = 0; step < STEPS; step++) {
-            double now = START + step * STEP;
+        for (int step = 0; step < STEP_COUNT; step++) {
+            double now = START_SECONDS + step * STEP_SECONDS;
             for (int i = 0; i < budgets.size(); i++) {
                 // Sizes are heavy-tailed, as they are in service.
                 double work = -Math.log(1 - random.nextDouble());
@@ -90,7 +90,7 @@
                     total += work;
                 }
             }
-            while (!window.isEmpty() && window.peekFirst()[0] <= now - WINDOW) {
+            while (!window.isEmpty() && window.peekFirst()[0] <= now - WINDOW_SECONDS) {
                 sum -= window.pollFirst()[1];
             }
             max = Math.max(max, sum);
@@ -125,7 +125,7 @@
         assertTrue(
                 arrived.maxPerWindow() <= BUDGET_FRACTION * MULTIPLE * capacity * 1.000001,
                 arrived.maxPerWindow() + " of " + MULTIPLE * capacity);
-        double windows = STEPS * STEP / WINDOW;
+        double windows = STEP_COUNT * STEP_SECONDS / WINDOW_SECONDS;
         assertTrue(
                 arrived.total() > 0.25 * BUDGET_FRACTION * MULTIPLE * capacity * windows,
                 "only " + arrived.total() / windows + " per window");
@@ -173,14 +173,19 @@
     @Test(dataProvider = "sendTimes")
     public void countsWorkSentBeforeNotification(double sentAfterStart, boolean counts) {
         SlowStartBudget budget =
-                new SlowStartBudget(new SlowStartBudget.Limits(1, 0, MULTIPLE, WINDOW));
-        budget.recordSent(START + sentAfterStart, 4);
-        budget.onWorkerStarted(START, 0);
+                new SlowStartBudget(new SlowStartBudget.Limits(1, 0, MULTIPLE, WINDOW_SECONDS));
+        budget.recordSent(START_SECONDS + sentAfterStart, 4);
+        budget.onWorkerStarted(START_SECONDS, 0);
         assertEquals(
-                budget.allows(START + 1, 1, 4 / BUDGET_FRACTION / MULTIPLE, 1, ownShare(0, 1)),
+                budget.allows(
+                        START_SECONDS + 1, 1, 4 / BUDGET_FRACTION / MULTIPLE, 1, ownShare(0, 1)),
                 !counts);
         assertTrue(
                 budget.allows(
-                        START + 1 + WINDOW, 1, 4 / BUDGET_FRACTION / MULTIPLE, 1, ownShare(0, 1)));
+                        START_SECONDS + 1 + WINDOW_SECONDS,
+                        1,
+                        4 / BUDGET_FRACTION / MULTIPLE,
+                        1,
+                        ownShare(0, 1)));
     }
 }
