--- a/daemon/src/main/java/wheelroute/decision/admission/Admission.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/Admission.java
@@ -20,7 +20,10 @@
         Collection<RequestClassState> requestClasses,
         TrafficStatistics traffic,
         CacheMissCost cacheMissCost) {
-    /** However long a request runs, it may wait at least this part of its latency objective. */
+    /**
+     * However long its expected run, a request may wait this part of its latency objective: the run
+     * is a rough estimate, and a rejection saves only the wait.
+     */
     private static final double MIN_WAIT_FRACTION = 0.5;
 
     /** Returns the limits on this request's wait that hold at every worker. */
@@ -33,7 +36,7 @@
     }
 
     /**
-     * Returns whether the request may wait at this worker.
+     * Returns whether the request may wait for this worker.
      *
      * @param fraction the part of the maximum wait that is allowed here
      */
@@ -44,12 +47,10 @@
                 candidate.ownWaitSeconds()
                         + candidate.worker().estimates().recentExternalWait(now)
                         + cacheMissCost.expectedSeconds(candidate.affinityRank());
-        // The expected run counts against the maximum only in part: it is a rough estimate, and a
-        // rejection cannot shorten it.
         double run = request.work() / candidate.speed();
         double maxWait = maxWaitSeconds(request.requestClass(), request.work(), run);
-        if (wait
-                > fraction * Math.min(maxWait, limits.maxWaitSeconds()) * limits.fairnessFactor()) {
+        double shared = Math.min(maxWait, limits.maxWaitSeconds());
+        if (wait > fraction * shared * limits.fairnessFactor()) {
             return AdmissionDecision.WAIT_TOO_LONG;
         }
         // Time in the queue of a key fills no worker's queue, so only its own objective limits it.
--- a/daemon/src/main/java/wheelroute/decision/estimates/CacheMissCost.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/CacheMissCost.java
@@ -10,7 +10,7 @@
 public final class CacheMissCost {
     private static final int SAMPLE_COUNT = 64;
 
-    /** Until enough runs are measured, a miss is taken to cost this part of a mean job. */
+    /** Until enough runs are measured, a miss is assumed to cost this part of a mean job. */
     private static final double PRIOR_COST = 0.25;
 
     private static final double PRIOR_RUNS = 2;
@@ -54,19 +54,17 @@
     public void update(double newMeanWork) {
         meanWork = newMeanWork;
         double prior = PRIOR_RUNS / (meanWork * meanWork);
-        for (int i = expectedSeconds.length - 1; i >= 0; i--) {
-            double guess = PRIOR_COST * meanWork * i / KeyAffinity.PREFERRED_COUNT;
-            expectedSeconds[i] =
-                    Math.max(
-                            0,
-                            (guess * prior + excess[i].sumOfFirst())
-                                    / (prior + excess[i].sumOfSecond()));
-            // Workers of a lower rank have the data at least as often. Without this bound a prior
-            // that is too high might never be corrected, as its workers would get no requests.
-            expectedSeconds[i] =
-                    i == KeyAffinity.PREFERRED_COUNT
-                            ? expectedSeconds[i]
-                            : Math.min(expectedSeconds[i], expectedSeconds[i + 1]);
+        // Workers of a lower rank have the data at least as often. Without this bound a prior that
+        // is
+        // too high might never be corrected, as its workers would get no requests.
+        double bound = Double.POSITIVE_INFINITY;
+        for (int rank = KeyAffinity.PREFERRED_COUNT; rank >= 0; rank--) {
+            double priorSeconds = PRIOR_COST * meanWork * rank / KeyAffinity.PREFERRED_COUNT;
+            double mean =
+                    (priorSeconds * prior + excess[rank].sumOfFirst())
+                            / (prior + excess[rank].sumOfSecond());
+            bound = Math.min(Math.max(0, mean), bound);
+            expectedSeconds[rank] = bound;
         }
     }
 
--- a/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
@@ -33,7 +33,7 @@
 
     /**
      * A job counts as running beside others only this long after its start, as a message about the
-     * end of an earlier job may still be on its way.
+     * end of an earlier job may arrive late.
      */
     private static final double SETTLING_SECONDS = 0.05;
 
--- a/daemon/src/main/java/wheelroute/decision/estimates/WorkerStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerStatistics.java
@@ -11,7 +11,7 @@
     final SampleWindow waits;
 
     /** One sample for each failure that counts against the worker. */
-    public final SampleWindow failures;
+    private final SampleWindow failures;
 
     /** Creates empty windows of this many samples. */
     public WorkerStatistics(int sampleCount) {
@@ -20,6 +20,21 @@
         failures = new SampleWindow(sampleCount);
     }
 
+    /** Records a failure that counts against the worker. */
+    public void recordFailure(double now) {
+        failures.add(now, 1, 1);
+    }
+
+    /** Returns the number of failures since a time. */
+    public int failuresSince(double time) {
+        return failures.countSince(time);
+    }
+
+    /** Drops the failures, as the worker was reinstated. */
+    public void clearFailures() {
+        failures.clear();
+    }
+
     /** Returns the samples for another process, with ages in place of times. */
     public LearnedState.WorkerSamples export(double now) {
         return new LearnedState.WorkerSamples(
--- a/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
+++ b/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
@@ -68,12 +68,12 @@
 
     /** Returns the number of failures that still count against the worker. */
     public int recentFailures(WorkerState worker) {
-        return worker.statistics().failures.countSince(clock.now() - FAILURE_MEMORY_SECONDS);
+        return worker.statistics().failuresSince(clock.now() - FAILURE_MEMORY_SECONDS);
     }
 
     private void onFailure(WorkerState worker) {
         double now = clock.now();
-        worker.statistics().failures.add(now, 1, 1);
+        worker.statistics().recordFailure(now);
         WorkerHealth health = worker.health();
         health.recordFailure();
         if (worker.isUnlisted()) {
@@ -90,7 +90,7 @@
     private void onSuccess(WorkerState worker) {
         if (worker.health().recordSuccess(clock.now()) >= SUCCESSES_TO_REINSTATE) {
             worker.health().reinstate(FIRST_TRIAL_DELAY_SECONDS);
-            worker.statistics().failures.clear();
+            worker.statistics().clearFailures();
         }
     }
 
--- a/daemon/src/main/java/wheelroute/decision/health/WorkerHealth.java
+++ b/daemon/src/main/java/wheelroute/decision/health/WorkerHealth.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Whether the worker gets no attempts now because it rejected one or could not be connected to
-     * a moment ago.
+     * Whether the worker gets no attempts now because it has just rejected one or could not be
+     * connected to.
      */
     public boolean isBackingOff(double now) {
         return now < backoffUntil;
--- a/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
@@ -11,13 +11,13 @@
  * settings have for the choice. The unit is seconds times priority weight.
  */
 final class AdmittanceCost {
-    /** The offered load is taken to be at most this, as the cost's factor has a pole at 1. */
+    /** An upper bound of the offered load, as the cost goes to infinity at 1. */
     private static final double MAX_LOAD = 0.95;
 
     /** A miss costs others too: it uses the shared store, and evicts data that others need. */
     private static final double CACHE_MISS_FACTOR = 3;
 
-    /** The least part of its value that a late answer is taken to lose, whatever settings say. */
+    /** A late answer is assumed to lose at least this part of its value. */
     private static final double MIN_LATE_LOSS = 0.1;
 
     /** A wait is never late if the slack is this many times the expected wait. */
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Returns the cost of a request under the offered load of now. The other dispatchers' traffic
-     * is taken to be like this one's, as requests of all of them arrive at a worker.
+     * Returns the cost of a request under the present offered load. The requests of all dispatchers
+     * arrive at a worker; the others' traffic is assumed to equal this one's.
      *
      * @param capacity work that all ready workers do in a second
      */
--- a/daemon/src/main/java/wheelroute/decision/routing/EligibilityVerdict.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/EligibilityVerdict.java
@@ -14,7 +14,7 @@
     EXCLUDED_BY_RETRY_RULES,
     /** See {@code SlowStart.admits}. */
     EXCLUDED_BY_SLOW_START,
-    /** It rejected an attempt or could not be connected to a moment ago. */
+    /** It just rejected an attempt or could not be connected to; see {@code OutlierEjection}. */
     BACKING_OFF;
 
     /** Whether the other verdict is this one or a better one. */
--- a/daemon/src/test/java/wheelroute/decision/retry/RetryRulesTest.java
+++ b/daemon/src/test/java/wheelroute/decision/retry/RetryRulesTest.java
@@ -17,7 +17,7 @@
     @DataProvider
     public Object[][] afterOneOutcome() {
         return new Object[][] {
-            // idempotency, its scope, the first attempt's outcome, the action that follows it
+            // idempotency, its scope, the first attempt's outcome, the last action after it
             {Idempotency.IDEMPOTENT, IdempotencyScope.CELL, Outcome.FAILED, "attempt"},
             {Idempotency.IDEMPOTENT, IdempotencyScope.CELL, Outcome.CONNECTION_LOST, "attempt"},
             {Idempotency.IDEMPOTENT, IdempotencyScope.CELL, Outcome.REJECTED, "attempt"},
--- a/daemon/src/test/java/wheelroute/decision/slowstart/SlowStartTest.java
+++ b/daemon/src/test/java/wheelroute/decision/slowstart/SlowStartTest.java
@@ -17,8 +17,7 @@
     public Object[][] slowStartBudgets() {
         return new Object[][] {
             // dispatchers, processes of this one, seconds since the worker's start, work of each
-            // request, maximum of it in a window: with a capacity of 1 that is 4 * ramp fraction *
-            // 3 s
+            // request, maximum work in a window (4 * 3 s * ramp fraction, for a capacity of 1)
             {1, 1, 0.1, 0.3, 12.0 * 0.26},
             {1, 2, 0.1, 0.3, 12.0 * 0.26 / 2},
             {4, 1, 0.1, 0.3, 12.0 * 0.26 / 4},
@@ -53,9 +52,8 @@
     public Object[][] modelWorkRates() {
         return new Object[][] {
             // results of 0.3 s, one after the other, from two workers past their slow start; the
-            // least and the most that is sent, in budgets of a worker with one slot. Ten
-            // dispatchers
-            // with such traffic keep five slots of each worker busy.
+            // least and the most work that is sent, as a multiple of the budget of one slot. (Ten
+            // dispatchers with such traffic keep five slots of each worker busy.)
             {2, 0, 1}, {40, 2, 5},
         };
     }
@@ -89,6 +87,9 @@
                 sent + " of " + budgetOfOneSlot);
     }
 
+    /** Work that was sent at an age of the worker. */
+    private record SentWork(double ageSeconds, double work) {}
+
     /** Even shares of the budget would be too small for any request. */
     @Test
     public void manyDispatchersTakeTurnsAndStayWithinBudgetTogether() {
@@ -101,27 +102,32 @@
                     new PolicyHarness(fixture)
                             .updateWorker(1, PolicyHarness.START_SECONDS - 0.1, State.READY));
         }
-        List<double[]> sent = new ArrayList<>();
+        List<SentWork> sent = new ArrayList<>();
         for (double age = 0.1; age < 19; age += 0.1) {
             for (PolicyHarness harness : all) {
                 harness.actions.clear();
                 RequestHandle handle = harness.accept(0.5);
                 if (harness.lastWorker() == 1) {
-                    sent.add(new double[] {age, 0.5});
+                    sent.add(new SentWork(age, 0.5));
                     harness.endAttempt(handle, 0, Outcome.REJECTED);
                 }
                 harness.advance(0.1);
             }
         }
-        for (double[] last : sent) {
-            double from = last[0] - 3;
+        for (SentWork last : sent) {
+            double windowStart = last.ageSeconds() - 3;
             double work =
                     sent.stream()
-                            .filter(s -> s[0] > from && s[0] <= last[0])
-                            .mapToDouble(s -> s[1])
+                            .filter(
+                                    other ->
+                                            other.ageSeconds() > windowStart
+                                                    && other.ageSeconds() <= last.ageSeconds())
+                            .mapToDouble(SentWork::work)
                             .sum();
-            double rampFraction = 0.25 + 0.75 * Math.max(0, from) / 20;
-            assertTrue(work <= 12 * rampFraction, work + " in the window that ends at " + last[0]);
+            double rampFraction = 0.25 + 0.75 * Math.max(0, windowStart) / 20;
+            assertTrue(
+                    work <= 12 * rampFraction,
+                    work + " in the window that ends at " + last.ageSeconds());
         }
         assertTrue(sent.size() > 10, "the worker gets too little: " + sent.size());
     }
