--- a/kit/src/main/java/wheelroute/kit/audit/AttemptRules.java
+++ b/kit/src/main/java/wheelroute/kit/audit/AttemptRules.java
@@ -44,15 +44,16 @@
         RequestRecord record = attempt.record;
         double now = attempt.arrivedAt;
         if (now > record.respondedAt + slack) {
-            breaches.add(Rule.ONE_ANSWER, "a launch after the final answer", record);
+            breaches.add(Rule.ONE_FINAL_ANSWER, "a launch after the final answer", record);
         }
         boolean timed = !record.startUnknown && !record.pausedMidTurn;
         if (timed && now > record.deadline() + slack) {
-            breaches.add(Rule.ONE_ANSWER, "a launch after the outer limit", record);
+            breaches.add(Rule.ONE_FINAL_ANSWER, "a launch after the outer limit", record);
         }
         if (timed && now > record.cancelledAt + CANCELLATION_DELAY + slack) {
             String late = RequestRecord.seconds(now - record.cancelledAt);
-            breaches.add(Rule.ONE_ANSWER, "a launch " + late + " s after its client left", record);
+            breaches.add(
+                    Rule.ONE_FINAL_ANSWER, "a launch " + late + " s after its client left", record);
         }
     }
 
@@ -61,10 +62,11 @@
         WorkerModel worker = attempt.worker;
         double now = attempt.arrivedAt;
         Double drainingSince = conditions.drainingSince(record.dispatcher(), worker.number);
-        if (drainingSince != null && now > drainingSince + scenario.terms().grace() + slack) {
+        if (drainingSince != null
+                && now > drainingSince + scenario.terms().drainGraceSeconds() + slack) {
             String late = RequestRecord.seconds(now - drainingSince);
             breaches.add(
-                    Rule.NO_LATE_LAUNCH,
+                    Rule.NO_ATTEMPT_WHEN_DRAINING,
                     "a launch " + late + " s after " + worker.name + " was told draining or gone",
                     record);
         }
@@ -81,19 +83,21 @@
             return;
         }
         if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            breaches.add(Rule.NO_EFFECT_TWICE, "launched again, though it may have run", record);
+            breaches.add(Rule.AT_MOST_ONE_EFFECT, "launched again, though it may have run", record);
         } else if (!isSameScope(requestClass.idempotencyScope(), earlier.worker, attempt.worker)) {
-            breaches.add(Rule.NO_EFFECT_TWICE, "a repeat outside its group", record);
+            breaches.add(Rule.AT_MOST_ONE_EFFECT, "a repeat outside its group", record);
         } else if (attempt.arrivedAt
                 > earlier.arrivedAt + requestClass.idempotencyWindowSeconds() + slack) {
-            breaches.add(Rule.NO_EFFECT_TWICE, "a repeat after its window", record);
+            breaches.add(Rule.AT_MOST_ONE_EFFECT, "a repeat after its window", record);
         }
     }
 
     private void checkNotHedged(ObservedAttempt earlier) {
         if (!earlier.ended) {
             breaches.add(
-                    Rule.NO_EFFECT_TWICE, "a second copy while the first is out", earlier.record);
+                    Rule.AT_MOST_ONE_EFFECT,
+                    "a second copy while the first is out",
+                    earlier.record);
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -109,25 +109,26 @@
     public void onResponse(ClientAttempt clientAttempt, FinalResponse response) {
         RequestRecord record = records.get(clientAttempt.key());
         if (record == null) {
-            breaches.add(Rule.ONE_ANSWER, "an answer to a submission long over", null);
+            breaches.add(Rule.ONE_FINAL_ANSWER, "an answer to a submission long over", null);
             return;
         }
         double now = timeline.now();
         record.addEvent(now, RESPONSE_LABELS[response.ordinal()]);
         if (record.response != null) {
-            breaches.add(Rule.ONE_ANSWER, "a second final answer", record);
+            breaches.add(Rule.ONE_FINAL_ANSWER, "a second final answer", record);
             return;
         }
         record.response = response;
         record.respondedAt = now;
         if (!record.excused && now > record.deadline() + slack) {
-            breaches.add(Rule.ONE_ANSWER, "an answer after the outer limit", record);
+            breaches.add(Rule.ONE_FINAL_ANSWER, "an answer after the outer limit", record);
         }
         if (response == FinalResponse.SUCCEEDED && !record.succeeded) {
-            breaches.add(Rule.ONE_ANSWER, "fulfilled with what no worker made for it", record);
+            breaches.add(
+                    Rule.ONE_FINAL_ANSWER, "fulfilled with what no worker made for it", record);
         }
         if (response == FinalResponse.REJECTED && !AttemptRules.mayReject(record)) {
-            breaches.add(Rule.NO_EFFECT_TWICE, "bounced, though it may have run", record);
+            breaches.add(Rule.AT_MOST_ONE_EFFECT, "bounced, though it may have run", record);
         }
     }
 
@@ -137,7 +138,7 @@
      * @param ownWish whether it cancelled; else its timeout was reached, for which the dispatcher
      *     is to blame
      */
-    public void onGaveUp(ClientAttempt clientAttempt, boolean ownWish) {
+    public void onAbandoned(ClientAttempt clientAttempt, boolean ownWish) {
         RequestRecord record = records.get(clientAttempt.key());
         if (record == null) {
             return;
@@ -148,7 +149,7 @@
             record.cancelledAt = timeline.now();
         }
         if (!ownWish && !record.excused && record.response == null) {
-            breaches.add(Rule.ONE_ANSWER, "no answer before the outer limit", record);
+            breaches.add(Rule.ONE_FINAL_ANSWER, "no answer before the outer limit", record);
         }
     }
 
@@ -161,7 +162,7 @@
         record.addEvent(timeline.now(), "connection lost");
         record.abandoned = true;
         if (!record.excused && !conditions.isStopped(clientAttempt.dispatcher())) {
-            breaches.add(Rule.ONE_ANSWER, "the connection ended without an answer", record);
+            breaches.add(Rule.ONE_FINAL_ANSWER, "the connection ended without an answer", record);
         }
     }
 
@@ -179,7 +180,7 @@
     /** A dispatcher's process ended of its own accord. */
     public void onCrash(int dispatcher, String lastWords) {
         String description = "dispatcher " + dispatcher + " ended unasked; " + lastWords;
-        breaches.add(Rule.STAYS_UP, description, null);
+        breaches.add(Rule.NO_CRASH, description, null);
     }
 
     /** A dispatcher was killed or has ended: its requests are lost, its attempts still count. */
@@ -260,7 +261,7 @@
         double now = timeline.now();
         if (record == null) {
             String description = "a launch of a submission long over, at " + worker.name;
-            breaches.add(Rule.ONE_ANSWER, description, null);
+            breaches.add(Rule.ONE_FINAL_ANSWER, description, null);
             return;
         }
         record.addEvent(now, "launch at", worker.number);
@@ -284,7 +285,7 @@
             int request = record.clientAttempt.request().number();
             Set<Integer> workers = effects.computeIfAbsent(request, key -> new HashSet<>());
             if (!workers.isEmpty()) {
-                breaches.add(Rule.NO_EFFECT_TWICE, "its effect happened twice", record);
+                breaches.add(Rule.AT_MOST_ONE_EFFECT, "its effect happened twice", record);
             }
             workers.add(worker.number);
         }
@@ -320,7 +321,7 @@
 
     @Override
     public void onCollapsed(WorkerModel worker) {
-        breaches.add(Rule.COLD_WORKER, worker.name + " fell over while cold", null);
+        breaches.add(Rule.NO_SLOW_START_OVERLOAD, worker.name + " fell over while cold", null);
     }
 
     // ---- results
@@ -331,7 +332,8 @@
             RequestRecord oldest = recordsByAge.peekFirst();
             ClientAttempt clientAttempt = oldest.clientAttempt;
             // A dispatcher that cannot know when the time began may count it twice.
-            double deadline = oldest.requestClass().deadline() * (oldest.startUnknown ? 2 : 1);
+            double deadline =
+                    oldest.requestClass().deadlineSeconds() * (oldest.startUnknown ? 2 : 1);
             double expiry = clientAttempt.sentAt() + deadline + RETENTION + slack;
             if (now < expiry + conditions.maxLinkDelay()) {
                 return;
@@ -347,7 +349,7 @@
         for (RequestRecord record : recordsByAge) {
             boolean isDue = timeline.now() > record.deadline() + slack;
             if (record.response == null && !record.abandoned && !record.excused && isDue) {
-                breaches.add(Rule.ONE_ANSWER, "no answer at all", record);
+                breaches.add(Rule.ONE_FINAL_ANSWER, "no answer at all", record);
             }
         }
     }
--- a/kit/src/main/java/wheelroute/kit/audit/RequestRecord.java
+++ b/kit/src/main/java/wheelroute/kit/audit/RequestRecord.java
@@ -55,7 +55,7 @@
 
     /** When the client's timeout is reached. */
     double deadline() {
-        return clientAttempt.sentAt() + clientAttempt.timeout();
+        return clientAttempt.sentAt() + clientAttempt.timeoutSeconds();
     }
 
     void addEvent(double time, String text) {
@@ -79,7 +79,7 @@
                         + " ("
                         + TomlFields.configuredName(requestClass().idempotency())
                         + "), waits "
-                        + seconds(clientAttempt.timeout())
+                        + seconds(clientAttempt.timeoutSeconds())
                         + " s");
         for (Event event : events) {
             String subject = event.subject() < 0 ? "" : " " + event.subject();
--- a/kit/src/main/java/wheelroute/kit/audit/Rule.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Rule.java
@@ -1,19 +1,29 @@
 package wheelroute.kit.audit;
 
-/**
- * The rules that a run must keep: the operators' four, and that no process crashes. The constants'
- * names in lower case are keys of reports.
- */
+/** The rules that a run must keep: the operators' four, and that no process crashes. */
 public enum Rule {
-    ONE_ANSWER("exactly one final answer, in time, and nothing after it"),
-    NO_EFFECT_TWICE("no effect twice"),
-    NO_LATE_LAUNCH("no launch to a worker that was told draining or gone"),
-    COLD_WORKER("a cold worker is not pushed over"),
-    STAYS_UP("no process ends that nobody told to");
+    ONE_FINAL_ANSWER("one_answer", "exactly one final answer in time, and no attempt after it"),
+    AT_MOST_ONE_EFFECT("no_effect_twice", "no request takes effect twice"),
+    NO_ATTEMPT_WHEN_DRAINING(
+            "no_late_launch", "no attempt at a worker known to be draining or removed"),
+    NO_SLOW_START_OVERLOAD("cold_worker", "no worker collapses under overload in slow start"),
+    NO_CRASH("stays_up", "no dispatcher crashes");
 
-    public final String description;
+    private final String key;
+    private final String description;
 
-    Rule(String text) {
-        this.description = text;
+    Rule(String key, String description) {
+        this.key = key;
+        this.description = description;
+    }
+
+    /** Returns the rule's key in reports for programs, which never changes. */
+    public String key() {
+        return key;
+    }
+
+    /** Returns the rule as people read it. */
+    public String description() {
+        return description;
     }
 }
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/cli/AdminClient.java
@@ -0,0 +1,106 @@
+package wheelroute.kit.cli;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
+import wheelroute.config.ConfigReader;
+
+/** Calls the admin server of a dispatcher, and waits for the complete answer. */
+final class AdminClient {
+    static final String FAIL = "fail";
+    private static final String OK = "ok";
+    private static final String END_OF_FIGURES = "eof";
+
+    /** Far more than any dispatcher's metrics, as another kind of server may listen there. */
+    private static final int MAX_ANSWER_CHARS = 1 << 20;
+
+    private static final int BUFFER_BYTES = 4096;
+    private static final double MIN_TIMEOUT_SECONDS = 0.01;
+    private static final double MAX_TIMEOUT_SECONDS = 60;
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final double NANOS_PER_SECOND = 1e9;
+
+    private final String address;
+    private final InetSocketAddress server;
+    private final double timeoutSeconds;
+
+    private AdminClient(String address, InetSocketAddress server, double timeoutSeconds) {
+        this.address = address;
+        this.server = server;
+        this.timeoutSeconds = timeoutSeconds;
+    }
+
+    /** Creates a client; rejects what is no address and a timeout that is out of bounds. */
+    static AdminClient create(String address, double timeoutSeconds) throws CommandLineException {
+        InetSocketAddress server = ConfigReader.parse(address);
+        if (server == null) {
+            throw new CommandLineException("HOST:PORT: " + address + " is no address");
+        }
+        if (!(timeoutSeconds >= MIN_TIMEOUT_SECONDS && timeoutSeconds <= MAX_TIMEOUT_SECONDS)) {
+            throw new CommandLineException(
+                    "--timeout: " + timeoutSeconds + " is not from 0.01 to 60");
+        }
+        return new AdminClient(address, server, timeoutSeconds);
+    }
+
+    /** Returns the complete answer to a command. */
+    String call(String command) throws CommandLineException {
+        if (!command.matches("[!-~]+")) {
+            throw new CommandLineException("CALL: " + command + " is no command");
+        }
+        String answer = exchange(command);
+        if (!isComplete(answer)) {
+            throw new CommandLineException(
+                    address
+                            + " gave no complete answer: it is no admin server, or closed the"
+                            + " connection early");
+        }
+        return answer;
+    }
+
+    private static boolean isComplete(String answer) {
+        boolean isStatus = answer.startsWith(OK) || answer.startsWith(FAIL);
+        String lastLine =
+                answer.substring(answer.lastIndexOf('\n', answer.length() - 2) + 1).strip();
+        return answer.endsWith("\n") && (isStatus || lastLine.equals(END_OF_FIGURES));
+    }
+
+    private String exchange(String command) throws CommandLineException {
+        long deadlineNanos = System.nanoTime() + (long) (timeoutSeconds * NANOS_PER_SECOND);
+        try (Socket socket = new Socket()) {
+            socket.connect(server, millisUntil(deadlineNanos));
+            socket.getOutputStream().write((command + "\n").getBytes(StandardCharsets.US_ASCII));
+            return readToEnd(socket, deadlineNanos);
+        } catch (SocketTimeoutException e) {
+            throw new CommandLineException(
+                    address + " has not answered within " + timeoutSeconds + " s");
+        } catch (IOException e) {
+            throw new CommandLineException(address + " cannot be called: " + e.getMessage());
+        }
+    }
+
+    private static String readToEnd(Socket socket, long deadlineNanos) throws IOException {
+        InputStream in = socket.getInputStream();
+        StringBuilder answer = new StringBuilder();
+        byte[] buffer = new byte[BUFFER_BYTES];
+        for (int count = 0; count >= 0 && answer.length() < MAX_ANSWER_CHARS; ) {
+            answer.append(new String(buffer, 0, count, StandardCharsets.ISO_8859_1));
+            // Before each read, as the timeout applies to the answer and not to a single read.
+            socket.setSoTimeout(millisUntil(deadlineNanos));
+            count = in.read(buffer);
+        }
+        return answer.toString();
+    }
+
+    /** Never returns 0, which a socket takes for no timeout. */
+    private static int millisUntil(long deadlineNanos) throws SocketTimeoutException {
+        double leftSeconds = (deadlineNanos - System.nanoTime()) / NANOS_PER_SECOND;
+        if (leftSeconds <= 0) {
+            throw new SocketTimeoutException("no time left");
+        }
+        return (int) Math.max(1, leftSeconds * MILLIS_PER_SECOND);
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/cli/Capacity.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Capacity.java
@@ -1,6 +1,7 @@
 package wheelroute.kit.cli;
 
 import java.io.IOException;
+import java.io.PrintWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -19,24 +20,24 @@
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
-        description = "Work the tables of a capacity page out from the slopes of a scale run.")
+        description = "Compute the tables of a capacity page from the slopes of a scale run.")
 final class Capacity implements Callable<Integer> {
     static final String SIZE = "docs/capacity/size.toml";
 
-    /** One of the three. */
-    static final class What {
+    /** What is done with the tables: exactly one of the three. */
+    static final class Action {
         @Option(
                 names = "--check",
                 paramLabel = "PAGE",
                 required = true,
-                description = "end with 3 where the page says something else")
+                description = "end with 3 if the page's tables differ")
         private Path check;
 
         @Option(
                 names = "--write",
                 paramLabel = "PAGE",
                 required = true,
-                description = "put them on the page")
+                description = "write them into the page")
         private Path write;
 
         @Option(names = "--print", required = true, description = "print them")
@@ -44,7 +45,7 @@
     }
 
     @ArgGroup(multiplicity = "1")
-    private What what;
+    private Action action;
 
     @Option(
             names = "--slopes",
@@ -64,38 +65,41 @@
 
     @Override
     public Integer call() throws Exception {
-        Map<String, String> tables;
+        Map<String, String> tables = tables();
+        PrintWriter out = spec.commandLine().getOut();
+        if (action.print) {
+            tables.forEach((name, table) -> out.println(name + "\n" + table));
+        } else if (action.write != null) {
+            String page = Files.readString(existing("--write", action.write));
+            Files.writeString(action.write, CapacityPage.filled(page, tables));
+        } else {
+            return check(tables, out);
+        }
+        return Exit.HOLDS;
+    }
+
+    private Map<String, String> tables() throws CommandLineException {
         try {
-            ScaleResults found = ScaleResults.read(Files.readString(existing("--slopes", slopes)));
-            tables =
-                    new CapacityModel(found, DeploymentSize.read(existing("--size", size)))
-                            .tables();
+            ScaleResults results =
+                    ScaleResults.read(Files.readString(existing("--slopes", slopes)));
+            DeploymentSize deployment = DeploymentSize.read(existing("--size", size));
+            return new CapacityModel(results, deployment).tables();
         } catch (IOException | IllegalArgumentException e) {
             throw new CommandLineException(slopes + ": " + e.getMessage());
         }
-        if (what.print) {
-            tables.forEach(
-                    (name, table) -> spec.commandLine().getOut().println(name + "\n" + table));
-        } else if (what.write != null) {
-            String page = Files.readString(existing("--write", what.write));
-            Files.writeString(what.write, CapacityPage.filled(page, tables));
-        } else {
-            List<String> faults =
-                    CapacityPage.faults(Files.readString(existing("--check", what.check)), tables);
-            faults.forEach(spec.commandLine().getOut()::println);
-            spec.commandLine()
-                    .getOut()
-                    .println(
-                            what.check
-                                    + (faults.isEmpty()
-                                            ? " follows from "
-                                            : " does not" + " follow from ")
-                                    + slopes);
-            return faults.isEmpty() ? Exit.HOLDS : Exit.DOES_NOT_HOLD;
-        }
-        return Exit.HOLDS;
     }
 
+    private int check(Map<String, String> tables, PrintWriter out)
+            throws IOException, CommandLineException {
+        String page = Files.readString(existing("--check", action.check));
+        List<String> differences = CapacityPage.faults(page, tables);
+        differences.forEach(out::println);
+        String verb = differences.isEmpty() ? " follows from " : " does not follow from ";
+        out.println(action.check + verb + slopes);
+        return differences.isEmpty() ? Exit.HOLDS : Exit.DOES_NOT_HOLD;
+    }
+
+    /** Returns the path of an option, which must be that of a file. */
     static Path existing(String option, Path path) throws CommandLineException {
         if (!Files.isRegularFile(path)) {
             throw new CommandLineException(option + ": " + path + " is no file");
--- a/kit/src/main/java/wheelroute/kit/cli/Check.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Check.java
@@ -1,5 +1,6 @@
 package wheelroute.kit.cli;
 
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashMap;
@@ -10,18 +11,21 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import wheelroute.config.Config;
+import wheelroute.config.ConfigException;
 import wheelroute.config.ConfigReader;
 import wheelroute.kit.scenario.DaemonSettings;
 import wheelroute.kit.scenario.Scenario;
+import wheelroute.kit.scenario.ScenarioException;
 import wheelroute.kit.scenario.ScenarioReader;
 
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description =
-                "Read a scenario or a daemon's configuration as a whole, and say what is wrong with"
-                        + " it.")
+        description = "Read a scenario or a dispatcher's configuration, and report all its faults.")
 final class Check implements Callable<Integer> {
+    /** The address to listen on, which only a configuration has. */
+    private static final String LISTEN_KEY = "(?s)(^|.*\\n)\\s*listen\\s*=.*";
+
     @Parameters(paramLabel = "FILE", description = "a scenario or a configuration, TOML or JSON")
     private Path file;
 
@@ -32,31 +36,33 @@
         if (!Files.isRegularFile(file)) {
             throw new CommandLineException(file + " is no file");
         }
-        String text = Files.readString(file);
-        boolean toml = file.toString().endsWith(".toml");
-        String found;
-        // What only a configuration has: where to listen.
-        if (toml && !text.matches("(?s)(^|.*\\n)\\s*listen\\s*=.*")) {
-            Scenario scenario = ScenarioReader.read(file);
-            DaemonSettings.settings(0, DaemonSettings.pairs(scenario, Map.of()));
-            found =
-                    "a scenario of "
-                            + scenario.workers()
-                            + " workers, "
-                            + scenario.requestClasses().size()
-                            + " offerings, "
-                            + scenario.faults().size()
-                            + " faults";
-        } else {
-            Map<String, String> environment = new HashMap<>(System.getenv());
-            environment.put("LB_CONFIG", file.toString());
-            Config config = ConfigReader.read(environment);
-            found =
-                    "a configuration of "
-                            + config.settings().requestClasses().size()
-                            + " offerings";
-        }
-        spec.commandLine().getOut().println(file + ": " + found);
+        String content = isScenario() ? checkScenario() : checkConfiguration();
+        spec.commandLine().getOut().println(file + ": " + content);
         return Exit.HOLDS;
     }
+
+    private boolean isScenario() throws IOException {
+        return file.toString().endsWith(".toml") && !Files.readString(file).matches(LISTEN_KEY);
+    }
+
+    private String checkScenario() throws ScenarioException, ConfigException {
+        Scenario scenario = ScenarioReader.read(file);
+        DaemonSettings.settings(0, DaemonSettings.settingsByPath(scenario, Map.of()));
+        return "a scenario of "
+                + scenario.workerCount()
+                + " workers, "
+                + scenario.requestClasses().size()
+                + " request classes, "
+                + scenario.faults().size()
+                + " faults";
+    }
+
+    private String checkConfiguration() throws IOException, ConfigException {
+        Map<String, String> environment = new HashMap<>(System.getenv());
+        environment.put("LB_CONFIG", file.toString());
+        Config config = ConfigReader.read(environment);
+        return "a configuration of "
+                + config.settings().requestClasses().size()
+                + " request classes";
+    }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/Load.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Load.java
@@ -14,52 +14,59 @@
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
-        description = "Clients alone against a dispatcher at an address of this machine.")
+        description = "Generate load for a dispatcher at an address of this machine.")
 final class Load implements Callable<Integer> {
-    private static final double MOST_RATE = 1e6;
-    private static final int MOST_CONNECTIONS = 10_000;
+    private static final double MAX_RATE = 1e6;
+    private static final int MAX_CONNECTIONS = 10_000;
+    private static final double MIN_WORK_SECONDS = 1e-6;
+    private static final double MAX_WORK_SECONDS = 3600;
+    private static final double MAX_SPREAD = 4;
+    private static final double MIN_TIMEOUT_SECONDS = 0.01;
+    private static final double MAX_TIMEOUT_SECONDS = 3600;
+    private static final double MIN_DURATION_SECONDS = 0.1;
+    private static final double MAX_DURATION_SECONDS = 86_400;
 
-    @Parameters(paramLabel = "HOST:PORT")
+    @Parameters(paramLabel = "HOST:PORT", description = "the dispatcher's address")
     private String address;
 
     @Option(
             names = "--offering",
             required = true,
             paramLabel = "NAME",
-            description = "what is asked for")
-    private String offering;
+            description = "the request class")
+    private String requestClass;
 
     @Option(
             names = "--keys",
-            description = "send an Idempotency-Key with each, as deduplicated offerings" + " need")
+            description = "send an Idempotency-Key with each request, as some classes need")
     private boolean keys;
 
     @Option(
             names = "--rate",
             defaultValue = "0",
             paramLabel = "N",
-            description = "open loop: asks a second")
+            description = "open loop: requests per second")
     private double rate;
 
     @Option(
             names = "--connections",
             defaultValue = "0",
             paramLabel = "N",
-            description = "closed loop: each always has one out")
+            description = "closed loop: connections, each with one request in flight")
     private int connections;
 
     @Option(
             names = "--work",
             defaultValue = "0.05",
             paramLabel = "S",
-            description = "mean work, told to stand-in workers (default: ${DEFAULT-VALUE})")
+            description = "mean work at stub workers, in seconds (default: ${DEFAULT-VALUE})")
     private double work;
 
     @Option(
             names = "--spread",
             defaultValue = "0.5",
             paramLabel = "X",
-            description = "of the work's logarithm (default: ${DEFAULT-VALUE})")
+            description = "deviation of the work's logarithm (default: ${DEFAULT-VALUE})")
     private double spread;
 
     @Option(
@@ -87,62 +94,68 @@
 
     @Override
     public Integer call() throws Exception {
-        InetSocketAddress to = ConfigReader.parse(address);
-        if (to == null) {
+        InetSocketAddress to = parseAddress();
+        checkOptions();
+        StopSignal stop = new StopSignal();
+        try {
+            spec.commandLine().getOut().println(LoadRun.run(load(to), stop).text());
+            spec.commandLine().getOut().flush();
+        } finally {
+            stop.finished();
+        }
+        return Exit.HOLDS;
+    }
+
+    private InetSocketAddress parseAddress() throws CommandLineException {
+        InetSocketAddress parsed = ConfigReader.parse(address);
+        if (parsed == null) {
             throw new CommandLineException("HOST:PORT: " + address + " is no address");
         }
-        if (!LoadRun.isLocal(to)) {
+        if (!LoadRun.isLocal(parsed)) {
             throw new CommandLineException(
                     "HOST:PORT: " + address + " is no address of this machine");
         }
-        if (!offering.matches("[A-Za-z0-9._~-]{1,100}")) {
-            throw new CommandLineException("--offering: " + offering + " cannot stand in a path");
+        return parsed;
+    }
+
+    private void checkOptions() throws CommandLineException {
+        if (!requestClass.matches("[A-Za-z0-9._~-]{1,100}")) {
+            throw new CommandLineException(
+                    "--offering: " + requestClass + " cannot be part of a path");
         }
         if (rate > 0 == connections > 0) {
             throw new CommandLineException(
-                    "--rate, --connections: one of them must be above 0, and only one");
-        }
-        within("--rate", rate, 0, MOST_RATE);
-        within("--connections", connections, 0, MOST_CONNECTIONS);
-        within("--work", work, 1e-6, 3600);
-        within("--spread", spread, 0, 4);
-        within("--timeout", timeout, 0.01, 3600);
-        within("--seconds", seconds, 0.1, 86_400);
-        StopSignal stop = new StopSignal();
-        try {
-            spec.commandLine()
-                    .getOut()
-                    .println(
-                            LoadRun.run(
-                                            new LoadRun.Load(
-                                                    to,
-                                                    offering,
-                                                    keys
-                                                            ? Idempotency.IDEMPOTENT_BY_KEY
-                                                            : Idempotency.IDEMPOTENT,
-                                                    rate,
-                                                    connections,
-                                                    work,
-                                                    spread,
-                                                    timeout,
-                                                    seconds,
-                                                    seed,
-                                                    0,
-                                                    0),
-                                            stop)
-                                    .text());
-            spec.commandLine().getOut().flush();
-        } finally {
-            stop.finished();
+                    "--rate, --connections: exactly one of them must be above 0");
         }
-        return Exit.HOLDS;
+        requireWithin("--rate", rate, 0, MAX_RATE);
+        requireWithin("--connections", connections, 0, MAX_CONNECTIONS);
+        requireWithin("--work", work, MIN_WORK_SECONDS, MAX_WORK_SECONDS);
+        requireWithin("--spread", spread, 0, MAX_SPREAD);
+        requireWithin("--timeout", timeout, MIN_TIMEOUT_SECONDS, MAX_TIMEOUT_SECONDS);
+        requireWithin("--seconds", seconds, MIN_DURATION_SECONDS, MAX_DURATION_SECONDS);
+    }
+
+    private LoadRun.Load load(InetSocketAddress to) {
+        return new LoadRun.Load(
+                to,
+                requestClass,
+                keys ? Idempotency.IDEMPOTENT_BY_KEY : Idempotency.IDEMPOTENT,
+                rate,
+                connections,
+                work,
+                spread,
+                timeout,
+                seconds,
+                seed,
+                0,
+                0);
     }
 
-    private static void within(String option, double value, double least, double most)
+    private static void requireWithin(String option, double value, double min, double max)
             throws CommandLineException {
-        if (!(value >= least && value <= most)) {
+        if (!(value >= min && value <= max)) {
             throw new CommandLineException(
-                    option + ": " + value + " is not from " + least + " to " + most);
+                    option + ": " + value + " is not from " + min + " to " + max);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/OutputFile.java
+++ b/kit/src/main/java/wheelroute/kit/cli/OutputFile.java
@@ -7,64 +7,71 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * A file that a rehearsal is to write: tried before the run, so that no run is played for nothing.
+ * A file to which a command writes its result. It is opened before the command runs, so that a path
+ * that cannot be written is reported at once.
  */
-final class OutputFile {
+final class OutputFile implements AutoCloseable {
+    /** Null for no file: what is written is dropped. */
     private final Path path;
-    private final Path part;
 
-    private OutputFile(Path path, Path part) {
+    private final Path partialFile;
+
+    private OutputFile(Path path, Path partialFile) {
         this.path = path;
-        this.part = part;
+        this.partialFile = partialFile;
     }
 
-    /** Null for no path. */
+    /**
+     * Opens a file beside the path, which replaces it once it is written.
+     *
+     * @param path null for no file
+     */
     static OutputFile open(String option, Path path) throws CommandLineException {
         if (path == null) {
-            return null;
+            return new OutputFile(null, null);
+        }
+        if (Files.isDirectory(path)) {
+            throw new CommandLineException(option + ": " + path + " is a directory");
         }
-        Path folder = path.toAbsolutePath().getParent();
-        if (Files.isDirectory(path) || folder == null || !Files.isDirectory(folder)) {
+        Path directory = path.toAbsolutePath().getParent();
+        if (directory == null || !Files.isDirectory(directory)) {
             throw new CommandLineException(
-                    option
-                            + ": "
-                            + path
-                            + (Files.isDirectory(path)
-                                    ? " is a folder"
-                                    : " lies in a folder that is not there"));
+                    option + ": " + path + " is in a directory that does not exist");
         }
         try {
-            // Not a temporary file of the runtime's: those only their owner can read.
-            Path part =
-                    Files.createFile(
-                            folder.resolve(
-                                    "."
-                                            + path.getFileName()
-                                            + "."
-                                            + ProcessHandle.current().pid()
-                                            + ".part"));
-            part.toFile().deleteOnExit();
-            return new OutputFile(path, part);
+            // Not a temporary file of the JDK's: only its owner could read it.
+            String name = "." + path.getFileName() + "." + ProcessHandle.current().pid() + ".part";
+            Path partialFile = Files.createFile(directory.resolve(name));
+            partialFile.toFile().deleteOnExit();
+            return new OutputFile(path, partialFile);
         } catch (IOException e) {
             throw new CommandLineException(option + ": " + path + " cannot be written: " + e);
         }
     }
 
-    /** Whole or not at all: a reader never sees half a report. */
+    /** Writes the whole text at once: a reader never sees a part of it. */
     void write(String text) throws CommandLineException {
+        if (path == null) {
+            return;
+        }
         try {
-            Files.writeString(part, text, StandardCharsets.UTF_8);
-            Files.move(part, path, StandardCopyOption.REPLACE_EXISTING);
+            Files.writeString(partialFile, text, StandardCharsets.UTF_8);
+            Files.move(partialFile, path, StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             throw new CommandLineException(path + " cannot be written: " + e);
         }
     }
 
-    void drop() {
+    /** Deletes the partial file, if nothing was written. */
+    @Override
+    public void close() {
+        if (path == null) {
+            return;
+        }
         try {
-            Files.deleteIfExists(part);
+            Files.deleteIfExists(partialFile);
         } catch (IOException e) {
-            part.toFile().deleteOnExit();
+            partialFile.toFile().deleteOnExit();
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/Peers.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Peers.java
@@ -10,22 +10,22 @@
 @Command(
         name = "peers",
         mixinStandardHelpOptions = true,
-        description = "Ask a dispatcher's operators' door whom it knows, and what share it holds.")
+        description = "Print the members that a dispatcher knows, and the quotas that it holds.")
 final class Peers implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "HOST:PORT", description = "the door's address")
+    @Parameters(index = "0", paramLabel = "HOST:PORT", description = "the admin server's address")
     private String address;
 
     @Option(
             names = "--timeout",
             defaultValue = "1",
             paramLabel = "S",
-            description = "for the whole answer (default: ${DEFAULT-VALUE})")
-    private double timeout;
+            description = "for the complete answer (default: ${DEFAULT-VALUE})")
+    private double timeoutSeconds;
 
     @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
-        return Admin.ask(spec, address, "PEERS", timeout);
+        return Admin.call(spec, address, "PEERS", timeoutSeconds);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/Scale.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Scale.java
@@ -19,12 +19,12 @@
         name = "scale",
         mixinStandardHelpOptions = true,
         description =
-                "Measure what dispatchers and a list service cost as workers, changes, launches,"
-                        + " tenants and dispatchers grow, and hold it against a size.")
+                "Measure what dispatchers and discovery cost as workers, changes, attempts, tenants"
+                        + " and dispatchers grow, and compare it with a deployment's size.")
 final class Scale implements Callable<Integer> {
     /** One of the two. */
     static final class Kind {
-        // Read by nobody: it only names the default.
+        // Never read: the option only names the default.
         @SuppressWarnings("UnusedVariable")
         @Option(names = "--quick", description = "small sizes, under a minute (the default)")
         private boolean quick;
@@ -41,65 +41,63 @@
             names = "--size",
             paramLabel = "FILE",
             defaultValue = Capacity.SIZE,
-            description = "the size to hold it against (default: ${DEFAULT-VALUE})")
+            description = "the deployment's size (default: ${DEFAULT-VALUE})")
     private Path size;
 
-    @Option(names = "--json", paramLabel = "FILE", description = "keep the slopes there")
+    @Option(names = "--json", paramLabel = "FILE", description = "write the slopes as JSON")
     private Path json;
 
-    @Option(names = "--html", paramLabel = "FILE", description = "draw them on a page there")
+    @Option(names = "--html", paramLabel = "FILE", description = "write a page with plots")
     private Path html;
 
     @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
-        PrintWriter out = spec.commandLine().getOut();
-        PrintWriter err = spec.commandLine().getErr();
-        DeploymentSize wanted = DeploymentSize.read(Capacity.existing("--size", size));
-        OutputFile jsonFile = null;
-        OutputFile htmlFile = null;
+        DeploymentSize deployment = DeploymentSize.read(Capacity.existing("--size", size));
         StopSignal stop = new StopSignal();
-        try {
-            jsonFile = OutputFile.open("--json", json);
-            htmlFile = OutputFile.open("--html", html);
-            boolean full = kind != null && kind.full;
-            ScaleResults slopes =
-                    ScaleRun.run(
-                            full ? ScaleRun.Sizes.full() : ScaleRun.Sizes.quick(),
-                            stop,
-                            text -> {
-                                err.println(text);
-                                err.flush();
-                            });
-            CapacityModel reckoning = new CapacityModel(slopes, wanted);
-            List<String> over = reckoning.verdict();
-            reckoning.tables().forEach((name, table) -> out.println(name + "\n" + table));
-            if (jsonFile != null) {
-                jsonFile.write(slopes.json());
-            }
-            if (htmlFile != null) {
-                htmlFile.write(ScalePage.text(slopes, over));
-            }
-            over.forEach(out::println);
-            out.println(
-                    !slopes.notJudged().isEmpty()
-                            ? "not judged: " + slopes.notJudged()
-                            : over.isEmpty()
-                                    ? "the size '" + wanted.name() + "' fits"
-                                    : "the size '" + wanted.name() + "' does not fit");
+        try (OutputFile jsonFile = OutputFile.open("--json", json);
+                OutputFile htmlFile = OutputFile.open("--html", html)) {
+            ScaleResults results = ScaleRun.run(sizes(), stop, this::printProgress);
+            CapacityModel capacity = new CapacityModel(results, deployment);
+            List<String> exceeded = capacity.verdict();
+            PrintWriter out = spec.commandLine().getOut();
+            capacity.tables().forEach((name, table) -> out.println(name + "\n" + table));
+            jsonFile.write(results.json());
+            htmlFile.write(ScalePage.text(results, exceeded));
+            exceeded.forEach(out::println);
+            out.println(verdict(results, deployment, exceeded));
             out.flush();
-            return !slopes.notJudged().isEmpty()
-                    ? Exit.NOT_JUDGED
-                    : over.isEmpty() ? Exit.HOLDS : Exit.DOES_NOT_HOLD;
+            return exitCode(results, exceeded);
         } finally {
-            if (jsonFile != null) {
-                jsonFile.drop();
-            }
-            if (htmlFile != null) {
-                htmlFile.drop();
-            }
             stop.finished();
         }
     }
+
+    private ScaleRun.Sizes sizes() {
+        return kind != null && kind.full ? ScaleRun.Sizes.full() : ScaleRun.Sizes.quick();
+    }
+
+    private void printProgress(String line) {
+        PrintWriter err = spec.commandLine().getErr();
+        err.println(line);
+        err.flush();
+    }
+
+    private static String verdict(
+            ScaleResults results, DeploymentSize deployment, List<String> exceeded) {
+        if (!results.notJudged().isEmpty()) {
+            return "not judged: " + results.notJudged();
+        }
+        return "the size '"
+                + deployment.name()
+                + (exceeded.isEmpty() ? "' fits" : "' does not fit");
+    }
+
+    private static int exitCode(ScaleResults results, List<String> exceeded) {
+        if (!results.notJudged().isEmpty()) {
+            return Exit.NOT_JUDGED;
+        }
+        return exceeded.isEmpty() ? Exit.HOLDS : Exit.DOES_NOT_HOLD;
+    }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/StandIn.java
+++ b/kit/src/main/java/wheelroute/kit/cli/StandIn.java
@@ -13,13 +13,14 @@
         name = "stand-in",
         mixinStandardHelpOptions = true,
         description =
-                "A scenario's workers and discovery alone, on loopback, for a daemon of your own.")
+                "Run a scenario's stub workers and discovery alone, on loopback, for a dispatcher"
+                        + " that you start.")
 final class StandIn implements Callable<Integer> {
     @Parameters(
             arity = "0..1",
             paramLabel = "NAME|FILE",
             defaultValue = "calm",
-            description = "whose workers and faults (default: ${DEFAULT-VALUE})")
+            description = "the scenario of workers and faults (default: ${DEFAULT-VALUE})")
     private String name;
 
     @Option(
@@ -33,15 +34,15 @@
             names = "--discovery",
             defaultValue = "8500",
             paramLabel = "PORT",
-            description = "where discovery listens (default: ${DEFAULT-VALUE}); 0 for any")
-    private int discovery;
+            description = "discovery's port (default: ${DEFAULT-VALUE}); 0 for any")
+    private int discoveryPort;
 
     @Option(
             names = "--workers",
             defaultValue = "0",
             paramLabel = "PORT",
             description = "the first worker's port, the others' follow; 0 for any (default)")
-    private int workers;
+    private int firstWorkerPort;
 
     @Option(
             names = "--seconds",
@@ -60,16 +61,18 @@
                     ScenarioLibrary.find(name),
                     seed,
                     seconds,
-                    discovery,
-                    workers,
+                    discoveryPort,
+                    firstWorkerPort,
                     stop,
-                    text -> {
-                        spec.commandLine().getOut().println(text);
-                        spec.commandLine().getOut().flush();
-                    });
+                    this::printLine);
         } finally {
             stop.finished();
         }
         return Exit.HOLDS;
     }
+
+    private void printLine(String line) {
+        spec.commandLine().getOut().println(line);
+        spec.commandLine().getOut().flush();
+    }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/StopSignal.java
+++ b/kit/src/main/java/wheelroute/kit/cli/StopSignal.java
@@ -5,11 +5,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * ^C: the run ends early, its children are ended and its partial report is written before the
- * process goes.
+ * Whether the process was asked to end, as by ^C. The JVM then waits for the command to end its
+ * child processes and to write its partial report.
+ *
+ * <p>Thread-safe: the request comes on the thread of a shutdown hook.
  */
 final class StopSignal implements BooleanSupplier {
-    private static final int MOST_SECONDS = 15;
+    private static final int MAX_WAIT_SECONDS = 15;
 
     private final CountDownLatch finished = new CountDownLatch(1);
     private final Thread hook = new Thread(this::request, "stop");
@@ -22,7 +24,7 @@
     private void request() {
         requested = true;
         try {
-            finished.await(MOST_SECONDS, TimeUnit.SECONDS);
+            finished.await(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -33,14 +35,14 @@
         return requested;
     }
 
-    /** All is written. */
+    /** Lets the JVM end: the command has written everything. */
     void finished() {
         finished.countDown();
         if (!requested) {
             try {
                 Runtime.getRuntime().removeShutdownHook(hook);
             } catch (IllegalStateException e) {
-                // It is running already: asked in this very moment.
+                // The shutdown has begun in between.
                 requested = true;
             }
         }
--- a/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
@@ -10,114 +10,116 @@
 import wheelroute.kit.report.TableWriter;
 import wheelroute.kit.scenario.FigureNames;
 
-/** Whether the same was found twice: by two runs of one seed, or by the two clocks. */
+/** Whether two sets of runs agree: repetitions with the same seeds, or runs on the two clocks. */
 public final class Agreement {
-    /** Two runs on the real clock may differ by so much of service. */
-    private static final double REPEATS = 0.005;
+    /** Allowed difference in service between two repetitions on the real clock. */
+    private static final double MAX_REPEAT_DIFFERENCE = 0.005;
 
-    /** The two clocks may differ by so much in the service of any request class. */
-    private static final double CLOCKS = 0.03;
+    /** Allowed difference in the mean service of a request class between the two clocks. */
+    private static final double MAX_CLOCK_DIFFERENCE = 0.03;
 
     private final List<String[]> rows = new ArrayList<>();
     private final String title;
     private boolean holds = true;
 
-    private Agreement(String title) {
+    private Agreement(String title, String first, String second) {
         this.title = title;
+        rows.add(new String[] {"", "figure", first, second, "difference", "allowed"});
     }
 
-    /** On the simulated clock byte for byte, on the real one within half a percent of service. */
-    public static Agreement ofRepeats(List<Report> once, List<Report> again) {
-        Agreement agreement = new Agreement("the same seed twice");
-        agreement.rows.add(new String[] {"", "figure", "once", "again", "differs by", "allowed"});
-        for (int i = 0; i < Math.min(once.size(), again.size()); i++) {
-            if (once.get(i).run().clock().equals("virtual")) {
-                boolean same =
-                        JsonWriter.text(List.of(once.get(i)))
-                                .equals(JsonWriter.text(List.of(again.get(i))));
-                agreement.holds &= same;
-                agreement.rows.add(
-                        new String[] {
-                            name(once.get(i)),
-                            "whole report",
-                            "",
-                            "",
-                            same ? "nothing" : "SOMETHING",
-                            "nothing"
-                        });
+    /**
+     * Compares repetitions: on the virtual clock the reports must be identical, on the real one the
+     * service may differ slightly.
+     */
+    public static Agreement ofRepeats(List<Report> firstRuns, List<Report> secondRuns) {
+        Agreement agreement = new Agreement("the same seed twice", "first", "second");
+        for (int i = 0; i < Math.min(firstRuns.size(), secondRuns.size()); i++) {
+            Report first = firstRuns.get(i);
+            Report second = secondRuns.get(i);
+            if (first.run().clock().equals(Plan.Clock.VIRTUAL.label())) {
+                agreement.compareWhole(first, second);
             } else {
                 agreement.compare(
-                        name(once.get(i)),
+                        name(first),
                         FigureNames.SERVICE,
-                        once.get(i).figures().get(FigureNames.SERVICE),
-                        again.get(i).figures().get(FigureNames.SERVICE),
-                        REPEATS);
+                        first.figures().get(FigureNames.SERVICE),
+                        second.figures().get(FigureNames.SERVICE),
+                        MAX_REPEAT_DIFFERENCE);
             }
         }
         return agreement;
     }
 
+    private static String name(Report report) {
+        return report.run().scenario() + " " + report.run().seed() + " " + report.run().variant();
+    }
+
+    private void compareWhole(Report first, Report second) {
+        boolean isSame = JsonWriter.text(List.of(first)).equals(JsonWriter.text(List.of(second)));
+        holds &= isSame;
+        String difference = isSame ? "none" : "SOME";
+        rows.add(new String[] {name(first), "whole report", "", "", difference, "none"});
+    }
+
     /**
-     * Service by request class on the virtual and on the real clock, each the mean over the seeds.
+     * Compares the service of each request class on the two clocks. Means over the seeds are
+     * compared, as single runs differ widely where all queues are full.
      */
     public static Agreement ofClocks(List<Report> virtual, List<Report> real) {
-        Agreement agreement = new Agreement("the two clocks");
-        agreement.rows.add(new String[] {"", "figure", "virtual", "real", "differs by", "allowed"});
-        Map<String, List<Integer>> groups = new LinkedHashMap<>();
+        Agreement agreement = new Agreement("the two clocks", "virtual", "real");
+        Map<String, List<Integer>> indicesByName = new LinkedHashMap<>();
         for (int i = 0; i < Math.min(virtual.size(), real.size()); i++) {
             Report.Run run = virtual.get(i).run();
-            groups.computeIfAbsent(run.scenario() + " " + run.variant(), n -> new ArrayList<>())
-                    .add(i);
+            String name = run.scenario() + " " + run.variant();
+            indicesByName.computeIfAbsent(name, key -> new ArrayList<>()).add(i);
         }
-        groups.forEach(
-                (name, places) ->
-                        virtual.get(places.get(0)).figures().keySet().stream()
-                                .filter(figure -> figure.startsWith(FigureNames.REQUEST_CLASS))
-                                .forEach(
-                                        figure -> {
-                                            // Where all queues are full one attempt decides where
-                                            // the next go: single days scatter.
-                                            agreement.compare(
-                                                    name + ", " + places.size() + " seeds",
-                                                    figure,
-                                                    mean(virtual, places, figure),
-                                                    mean(real, places, figure),
-                                                    CLOCKS);
-                                        }));
+        indicesByName.forEach(
+                (name, indices) -> agreement.compareMeans(name, indices, virtual, real));
         return agreement;
     }
 
-    private static double mean(List<Report> reports, List<Integer> places, String figure) {
-        return places.stream()
+    private void compareMeans(
+            String name, List<Integer> indices, List<Report> virtual, List<Report> real) {
+        for (String figure : virtual.get(indices.get(0)).figures().keySet()) {
+            if (figure.startsWith(FigureNames.REQUEST_CLASS)) {
+                compare(
+                        name + ", " + indices.size() + " seeds",
+                        figure,
+                        mean(virtual, indices, figure),
+                        mean(real, indices, figure),
+                        MAX_CLOCK_DIFFERENCE);
+            }
+        }
+    }
+
+    private static double mean(List<Report> reports, List<Integer> indices, String figure) {
+        return indices.stream()
                 .mapToDouble(i -> reports.get(i).figures().get(figure))
                 .average()
                 .orElseThrow();
     }
 
-    private static String name(Report report) {
-        return report.run().scenario() + " " + report.run().seed() + " " + report.run().variant();
-    }
-
-    private void compare(String name, String figure, double a, double b, double allowed) {
-        boolean near = Math.abs(a - b) <= allowed;
-        holds &= near;
+    private void compare(String name, String figure, double first, double second, double allowed) {
+        double difference = Math.abs(first - second);
+        boolean isAllowed = difference <= allowed;
+        holds &= isAllowed;
         rows.add(
                 new String[] {
                     name,
                     figure,
-                    String.format(Locale.ROOT, "%.4f", a),
-                    String.format(Locale.ROOT, "%.4f", b),
-                    String.format(Locale.ROOT, "%.4f", Math.abs(a - b)) + (near ? "" : " TOO MUCH"),
+                    String.format(Locale.ROOT, "%.4f", first),
+                    String.format(Locale.ROOT, "%.4f", second),
+                    String.format(Locale.ROOT, "%.4f", difference) + (isAllowed ? "" : " TOO MUCH"),
                     String.format(Locale.ROOT, "%.3f", allowed)
                 });
     }
 
-    /** Whether both clocks agree within the tolerance. */
+    /** Whether all differences are allowed. */
     public boolean holds() {
         return holds;
     }
 
-    /** The comparison as a text for a terminal. */
+    /** Returns the comparison as a table for people. */
     public String text() {
         return title + (holds ? " agree\n" : " DO NOT AGREE\n") + TableWriter.aligned(rows);
     }
--- a/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
@@ -11,9 +11,9 @@
 import wheelroute.kit.scenario.FigureNames;
 
 /**
- * What several runs say together: each figure's mean and spread over the seeds, and how a variant
- * differs from the first one on the same seeds. Asks are the same for all variants of a seed, so
- * differences are paired: their spread is that of the difference, not of the days.
+ * Statistics over several runs: the mean and spread of each figure over the seeds, and the
+ * difference of each variant from the first. All variants get the same requests with a seed, so
+ * differences are paired by seed, and their standard error excludes what the seeds differ by.
  */
 public final class Comparison {
     private static final List<String> FIGURES =
@@ -25,12 +25,16 @@
                     FigureNames.P99,
                     FigureNames.ATTEMPTS);
 
+    private static final String[] COLUMNS = {
+        "scenario", "figure", "variant", "seeds", "mean", "+-", "min", "max", "difference", "+-"
+    };
+
     /**
-     * Of one scenario and variant.
+     * The statistics of a figure in the runs of one scenario and variant.
      *
-     * @param error the standard error of the mean; NaN with one seed
-     * @param difference from the first variant, the mean over seeds; 0 for that one itself
-     * @param differenceError the standard error of the difference; NaN with one seed
+     * @param error standard error of the mean; NaN with one seed
+     * @param difference mean difference from the first variant; 0 for the first variant
+     * @param differenceError standard error of the difference; NaN with one seed
      */
     public record Cell(
             String scenario,
@@ -39,56 +43,50 @@
             int seeds,
             double mean,
             double error,
-            double least,
-            double most,
+            double min,
+            double max,
             double difference,
             double differenceError) {}
 
     private Comparison() {}
 
-    /** One cell for each scenario, variant and request class of the reports. */
+    /** Returns a cell for each scenario, figure and variant of the reports. */
     public static List<Cell> of(List<Report> reports) {
-        Map<String, Map<String, Map<Long, Report>>> tree = new LinkedHashMap<>();
+        Map<String, Map<String, Map<Long, Report>>> byScenarioVariantSeed = new LinkedHashMap<>();
         for (Report report : reports) {
-            tree.computeIfAbsent(report.run().scenario(), s -> new LinkedHashMap<>())
-                    .computeIfAbsent(report.run().variant(), v -> new LinkedHashMap<>())
+            byScenarioVariantSeed
+                    .computeIfAbsent(report.run().scenario(), key -> new LinkedHashMap<>())
+                    .computeIfAbsent(report.run().variant(), key -> new LinkedHashMap<>())
                     .put(report.run().seed(), report);
         }
         List<Cell> cells = new ArrayList<>();
-        tree.forEach(
-                (scenario, variants) -> {
-                    Map<Long, Report> first = variants.values().iterator().next();
-                    for (String figure : FIGURES) {
-                        variants.forEach(
-                                (variant, runs) ->
-                                        cells.add(cell(scenario, variant, figure, runs, first)));
-                    }
-                });
+        byScenarioVariantSeed.forEach((scenario, variants) -> addCells(scenario, variants, cells));
         return cells;
     }
 
+    private static void addCells(
+            String scenario, Map<String, Map<Long, Report>> variants, List<Cell> cells) {
+        Map<Long, Report> first = variants.values().iterator().next();
+        for (String figure : FIGURES) {
+            variants.forEach(
+                    (variant, runs) -> cells.add(cell(scenario, variant, figure, runs, first)));
+        }
+    }
+
     private static Cell cell(
             String scenario,
             String variant,
             String figure,
             Map<Long, Report> runs,
-            Map<Long, Report> first) {
+            Map<Long, Report> firstRuns) {
         double[] values =
-                runs.values().stream().mapToDouble(r -> r.figures().get(figure)).toArray();
-        TreeSet<Long> both = new TreeSet<>(runs.keySet());
-        both.retainAll(first.keySet());
-        double[] differences =
-                both.stream()
-                        .mapToDouble(
-                                seed ->
-                                        runs.get(seed).figures().get(figure)
-                                                - first.get(seed).figures().get(figure))
-                        .toArray();
-        double least = Double.POSITIVE_INFINITY;
-        double most = Double.NEGATIVE_INFINITY;
+                runs.values().stream().mapToDouble(run -> run.figures().get(figure)).toArray();
+        double[] differences = differences(figure, runs, firstRuns);
+        double min = Double.POSITIVE_INFINITY;
+        double max = Double.NEGATIVE_INFINITY;
         for (double value : values) {
-            least = Math.min(least, value);
-            most = Math.max(most, value);
+            min = Math.min(min, value);
+            max = Math.max(max, value);
         }
         return new Cell(
                 scenario,
@@ -96,11 +94,23 @@
                 figure,
                 values.length,
                 mean(values),
-                error(values),
-                least,
-                most,
+                standardError(values),
+                min,
+                max,
                 mean(differences),
-                error(differences));
+                standardError(differences));
+    }
+
+    private static double[] differences(
+            String figure, Map<Long, Report> runs, Map<Long, Report> firstRuns) {
+        TreeSet<Long> commonSeeds = new TreeSet<>(runs.keySet());
+        commonSeeds.retainAll(firstRuns.keySet());
+        return commonSeeds.stream()
+                .mapToDouble(
+                        seed ->
+                                runs.get(seed).figures().get(figure)
+                                        - firstRuns.get(seed).figures().get(figure))
+                .toArray();
     }
 
     static double mean(double[] values) {
@@ -111,8 +121,8 @@
         return sum / values.length;
     }
 
-    /** The standard error of the mean. */
-    static double error(double[] values) {
+    /** Returns the standard error of the mean; NaN for a single value. */
+    static double standardError(double[] values) {
         if (values.length < 2) {
             return Double.NaN;
         }
@@ -124,22 +134,10 @@
         return Math.sqrt(squares / (values.length - 1) / values.length);
     }
 
-    /** The cells as a table for a terminal. */
+    /** Returns the cells as a table for people. */
     public static String text(List<Cell> cells) {
         List<String[]> rows = new ArrayList<>();
-        rows.add(
-                new String[] {
-                    "scenario",
-                    "figure",
-                    "variant",
-                    "seeds",
-                    "mean",
-                    "+-",
-                    "least",
-                    "most",
-                    "less first",
-                    "+-"
-                });
+        rows.add(COLUMNS);
         for (Cell cell : cells) {
             rows.add(
                     new String[] {
@@ -149,8 +147,8 @@
                         Integer.toString(cell.seeds()),
                         number(cell.mean()),
                         number(cell.error()),
-                        number(cell.least()),
-                        number(cell.most()),
+                        number(cell.min()),
+                        number(cell.max()),
                         number(cell.difference()),
                         number(cell.differenceError())
                     });
--- a/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
@@ -18,73 +18,89 @@
 import wheelroute.kit.simulation.SimulationRun;
 import wheelroute.kit.strategy.Strategies;
 
-/** Plays a plan, so many runs side by side. */
+/**
+ * Runs the items of a plan, several in parallel.
+ *
+ * <p>A matrix is used by one thread; it calls stop and progress on threads of its own.
+ */
 public final class Matrix {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final Plan plan;
-    private final int cores;
+    private final int parallelRuns;
     private final BooleanSupplier stop;
     private final Consumer<String> progress;
+    private final AtomicInteger completedRuns = new AtomicInteger();
+    private final AtomicBoolean hasFailed = new AtomicBoolean();
 
     /**
-     * Makes the plays of a plan.
+     * Creates the runs of a plan.
      *
-     * @param cores how many plays run side by side
-     * @param stop asked between plays, whether to end early
-     * @param progress hears of progress, a line at a time
+     * @param parallelRuns how many runs there are at a time
+     * @param stop no run begins after it returns true, and those that have begun end early
+     * @param progress receives a line after each run
      */
-    public Matrix(Plan plan, int cores, BooleanSupplier stop, Consumer<String> progress) {
+    public Matrix(Plan plan, int parallelRuns, BooleanSupplier stop, Consumer<String> progress) {
         this.plan = plan;
-        this.cores = cores;
+        this.parallelRuns = parallelRuns;
         this.stop = stop;
         this.progress = progress;
     }
 
     /**
-     * The reports in the plan's order, whatever order they were played in; fewer when it was
-     * stopped.
+     * Runs all items.
+     *
+     * @return the reports in the plan's order; fewer after a stop
+     * @throws RehearsalException if a run cannot be completed
+     * @throws ConfigException if the settings of a run cannot be used
      */
     public List<Report> run() throws RehearsalException, ConfigException {
         List<Plan.Item> items = plan.items();
-        ExecutorService pool = Executors.newFixedThreadPool(cores);
-        AtomicInteger done = new AtomicInteger();
-        AtomicBoolean failed = new AtomicBoolean();
+        ExecutorService pool = Executors.newFixedThreadPool(parallelRuns);
         List<Future<Report>> futures = new ArrayList<>();
         for (Plan.Item item : items) {
-            futures.add(
-                    pool.submit(
-                            () -> {
-                                if (stop.getAsBoolean() || failed.get()) {
-                                    return null;
-                                }
-                                try {
-                                    long begun = System.nanoTime();
-                                    Report report = run(item);
-                                    progress.accept(
-                                            String.format(
-                                                    Locale.ROOT,
-                                                    "%d of %d runs played: %s, %d asks in %.2f s,"
-                                                            + " %s",
-                                                    done.incrementAndGet(),
-                                                    items.size(),
-                                                    item.text(),
-                                                    report.total().requested(),
-                                                    (System.nanoTime() - begun) / NANOS,
-                                                    report.judgement()
-                                                            .name()
-                                                            .toLowerCase(Locale.ROOT)
-                                                            .replace('_', ' ')));
-                                    return report;
-                                } catch (ConfigException
-                                        | RehearsalException
-                                        | RuntimeException e) {
-                                    failed.set(true);
-                                    throw e;
-                                }
-                            }));
+            futures.add(pool.submit(() -> runUnlessStopped(item, items.size())));
         }
         pool.shutdown();
+        try {
+            return reportsOf(futures);
+        } finally {
+            pool.shutdownNow();
+        }
+    }
+
+    /** Returns null after a stop, or after another run has failed. */
+    private Report runUnlessStopped(Plan.Item item, int itemCount)
+            throws RehearsalException, ConfigException {
+        if (stop.getAsBoolean() || hasFailed.get()) {
+            return null;
+        }
+        try {
+            long startNanos = System.nanoTime();
+            Report report = run(item);
+            double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
+            progress.accept(progressLine(item, report, itemCount, seconds));
+            return report;
+        } catch (ConfigException | RehearsalException | RuntimeException e) {
+            hasFailed.set(true);
+            throw e;
+        }
+    }
+
+    private String progressLine(Plan.Item item, Report report, int itemCount, double seconds) {
+        return String.format(
+                Locale.ROOT,
+                "%d of %d runs complete: %s, %d requests in %.2f s, %s",
+                completedRuns.incrementAndGet(),
+                itemCount,
+                item.text(),
+                report.total().requested(),
+                seconds,
+                report.judgement().name().toLowerCase(Locale.ROOT).replace('_', ' '));
+    }
+
+    private static List<Report> reportsOf(List<Future<Report>> futures)
+            throws RehearsalException, ConfigException {
         List<Report> reports = new ArrayList<>();
         try {
             for (Future<Report> future : futures) {
@@ -99,16 +115,14 @@
             }
             throw e.getCause() instanceof RehearsalException cause
                     ? cause
-                    : new RehearsalException("a run broke off: " + e.getCause());
+                    : new RehearsalException("a run failed: " + e.getCause());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-        } finally {
-            pool.shutdownNow();
         }
         return reports;
     }
 
-    /** One of them alone. */
+    /** Runs one item. */
     public Report run(Plan.Item item) throws RehearsalException, ConfigException {
         Variant variant = item.variant();
         if (plan.clock() == Plan.Clock.REAL) {
@@ -120,7 +134,7 @@
                             variant.settings(),
                             variant.name(),
                             variant.jar(),
-                            plan.older()),
+                            plan.olderJar()),
                     stop,
                     text -> progress.accept(item.text() + ": " + text));
         }
@@ -130,7 +144,7 @@
                 item.seconds(),
                 variant.settings(),
                 variant.name(),
-                cluster -> Strategies.factory(variant.brain(), cluster),
+                cluster -> Strategies.factory(variant.strategy(), cluster),
                 stop);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/experiment/Plan.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Plan.java
@@ -3,12 +3,15 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * All runs of a rehearsal, in the order of its reports.
+ * All runs of a rehearsal on one clock, in the order of their reports.
  *
- * @param older the jar of the build that faults call older; null for none
+ * @param seconds how long requests arrive; 0 for the scenario's duration
+ * @param quick whether a run is limited to {@link #QUICK_SECONDS}
+ * @param olderJar the daemon of an older build, which some faults start; null for none
  */
 public record Plan(
         List<Scenario> scenarios,
@@ -17,48 +20,52 @@
         Clock clock,
         double seconds,
         boolean quick,
-        Path older) {
-    /** A quick run lasts no longer than this. */
+        Path olderJar) {
+    /** The maximum duration of a quick run. */
     public static final double QUICK_SECONDS = 30;
 
-    /** Which time a plan is played in. */
+    /** The clock of a run. */
     public enum Clock {
+        /** Simulated time and simulated dispatchers. */
         VIRTUAL,
+        /** Processes on sockets. */
         REAL;
 
-        /** How the command line and reports name the clock. */
-        public String word() {
-            return name().toLowerCase(java.util.Locale.ROOT);
+        /** Returns the clock's name on the command line, in scenarios and in reports. */
+        public String label() {
+            return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** One run; at is its place in the plan. */
-    public record Item(int at, Scenario scenario, long seed, Variant variant, double seconds) {
-        /** The same run of another scenario. */
+    /** One run; index is its place in the plan. */
+    public record Item(int index, Scenario scenario, long seed, Variant variant, double seconds) {
+        /** Returns the same run of another scenario. */
         public Item with(Scenario other) {
-            return new Item(at, other, seed, variant, seconds);
+            return new Item(index, other, seed, variant, seconds);
         }
 
-        /** The item in a line. */
+        /** Returns scenario, seed and variant as text. */
         public String text() {
             return scenario.name() + ", seed " + seed + ", " + variant.name();
         }
     }
 
-    /** All plays, in the order of scenarios, variants and seeds. */
+    /** Returns all runs, in the order of scenarios, variants and seeds. */
     public List<Item> items() {
         List<Item> items = new ArrayList<>();
         for (Scenario scenario : scenarios) {
-            double length = seconds > 0 ? seconds : scenario.seconds();
-            if (quick) {
-                length = Math.min(length, QUICK_SECONDS);
-            }
+            double itemSeconds = secondsOf(scenario);
             for (Variant variant : variants) {
                 for (long seed : seeds) {
-                    items.add(new Item(items.size(), scenario, seed, variant, length));
+                    items.add(new Item(items.size(), scenario, seed, variant, itemSeconds));
                 }
             }
         }
         return items;
     }
+
+    private double secondsOf(Scenario scenario) {
+        double full = seconds > 0 ? seconds : scenario.durationSeconds();
+        return quick ? Math.min(full, QUICK_SECONDS) : full;
+    }
 }
--- a/kit/src/main/java/wheelroute/kit/faults/ActiveLinkFaults.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ActiveLinkFaults.java
@@ -91,9 +91,9 @@
     public void set(Scenario.Fault fault, boolean begins, Collection<NetworkLink> links) {
         LinkFault linkFault = LinkFault.of(fault.kind());
         if (begins) {
-            add(linkFault, fault.level(), fault.spread(), links);
+            add(linkFault, fault.level(), fault.delaySpreadSeconds(), links);
         } else {
-            remove(linkFault, fault.level(), fault.spread(), links);
+            remove(linkFault, fault.level(), fault.delaySpreadSeconds(), links);
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
@@ -1,6 +1,6 @@
 package wheelroute.kit.faults;
 
-import wheelroute.kit.scenario.Scenario;
+import wheelroute.kit.scenario.FaultKind;
 
 /**
  * What can be done to a way. Each heals on its own; what was held back then goes on in its order.
@@ -33,16 +33,16 @@
     DUPLICATE;
 
     /** The fault of a link that a scenario's kind of fault stands for. */
-    public static LinkFault of(Scenario.Kind kind) {
+    public static LinkFault of(FaultKind kind) {
         return switch (kind) {
             case LINK_REFUSE -> REFUSE;
-            case LINK_ONE_WAY -> ONE_WAY;
-            case LINK_UNHEARD -> UNHEARD;
-            case LINK_SLOW -> SLOW;
+            case LINK_INBOUND_CUT -> ONE_WAY;
+            case LINK_OUTBOUND_CUT -> UNHEARD;
+            case LINK_DELAY -> SLOW;
             case LINK_LOSS -> LOSS;
-            case LINK_TRICKLE -> BANDWIDTH;
-            case LINK_DOUBLE -> DUPLICATE;
-            case LINK_CUT, LIST_CUT -> PARTITION;
+            case LINK_BANDWIDTH -> BANDWIDTH;
+            case LINK_DUPLICATION -> DUPLICATE;
+            case LINK_CUT, DISCOVERY_LINK_CUT -> PARTITION;
             default -> throw new IllegalArgumentException("no harm to a way: " + kind);
         };
     }
--- a/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
+++ b/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
@@ -60,7 +60,7 @@
             int dispatchers,
             List<Scenario.WorkerGroup> groups) {
         return switch (fault.affectedLinks()) {
-            case LIST -> List.of(toDiscovery(dispatcher));
+            case DISCOVERY -> List.of(toDiscovery(dispatcher));
             case CLIENTS -> List.of(toClients(dispatcher));
             case PEERS ->
                     IntStream.range(0, dispatchers)
@@ -70,7 +70,7 @@
                             .toList();
             case WORKERS ->
                     IntStream.range(0, groups.size())
-                            .filter(n -> fault.matches(groups.get(n)))
+                            .filter(n -> fault.affects(groups.get(n)))
                             .mapToObj(n -> new NetworkLink(dispatcher, n))
                             .toList();
         };
--- a/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
@@ -41,21 +41,21 @@
             throws Exception {
         ScheduleMinimizer cut = new ScheduleMinimizer(List.copyOf(faults), mostPlays, player);
         cut.removeFaults();
-        cut.shrink(f -> with(f, f.length(), f.share(), 0));
+        cut.shrink(f -> with(f, f.durationSeconds(), f.targetFraction(), 0));
         cut.shrink(
                 f ->
                         with(
                                 f,
-                                Math.max(MIN_LENGTH, round(f.length() / 2)),
-                                f.share(),
-                                f.startSpread()));
+                                Math.max(MIN_LENGTH, round(f.durationSeconds() / 2)),
+                                f.targetFraction(),
+                                f.startSpreadSeconds()));
         cut.shrink(
                 f ->
                         with(
                                 f,
-                                f.length(),
-                                Math.max(MIN_SHARE, round(f.share() / 2)),
-                                f.startSpread()));
+                                f.durationSeconds(),
+                                Math.max(MIN_SHARE, round(f.targetFraction() / 2)),
+                                f.startSpreadSeconds()));
         return new Result(cut.faults, cut.runs, cut.runs < mostPlays);
     }
 
@@ -109,7 +109,7 @@
             Scenario.Fault f, double length, double share, double within) {
         return new Scenario.Fault(
                 f.kind(),
-                f.start(),
+                f.startSeconds(),
                 length,
                 f.group(),
                 share,
@@ -117,10 +117,10 @@
                 f.pick(),
                 within,
                 f.linkKind(),
-                f.zone(),
-                f.from(),
-                f.spread(),
-                f.how(),
+                f.workerZone(),
+                f.dispatcherZone(),
+                f.delaySpreadSeconds(),
+                f.mode(),
                 f.peerFraction());
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/ClientRequest.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClientRequest.java
@@ -7,20 +7,22 @@
  *
  * @param number from 0, in the order of the first attempts
  * @param sendAt when the first attempt is sent, in seconds from the start of the run
- * @param work in seconds on a worker of speed 1
+ * @param workSeconds in seconds on a worker of speed 1
  * @param costEstimate the client's estimate of the work; NaN for none
- * @param cancelsAfter the client cancels after so long without a response; infinite if it waits
+ * @param cancelAfterSeconds the client cancels after so long without a response; infinite if it
+ *     waits
  */
 public record ClientRequest(
         int number,
         double sendAt,
         Scenario.RequestClass requestClass,
         Scenario.Tenant tenant,
-        double work,
+        double workSeconds,
         double costEstimate,
-        double cancelsAfter) {
+        double cancelAfterSeconds) {
     /** A response after this many seconds is late. */
     public double latencyObjectiveSeconds() {
-        return requestClass.latencyObjectiveSeconds() + requestClass.objectivePerWork() * work;
+        return requestClass.latencyObjectiveSeconds()
+                + requestClass.objectivePerWork() * workSeconds;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/Clients.java
+++ b/kit/src/main/java/wheelroute/kit/model/Clients.java
@@ -6,12 +6,16 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * The clients: they send what traffic says, wait, retry what may be retried, hang up, and remember
- * how it went.
+ * The clients of a run, an open-loop load: requests are sent at the times that the scenario's load
+ * gives, however long responses take. Clients wait, cancel, and retry what may be retried.
+ *
+ * <p>Not thread-safe: all calls come from tasks of the run's timeline.
  */
 public final class Clients implements ResponseListener {
-    /** Who finds no dispatcher tries the next one after this long. */
-    private static final double RECONNECT_DELAY = 0.2;
+    /** Delay until another dispatcher is tried when none accepts connections. */
+    private static final double RECONNECT_DELAY_SECONDS = 0.2;
+
+    private static final int NO_DISPATCHER = -1;
 
     /** How a request ended for its client. */
     public enum Result {
@@ -19,49 +23,53 @@
         LATE,
         REJECTED,
         FAILED,
-        /** No answer came before its time was up, or its connection was lost with no time left. */
+        /** The deadline passed without a response, or too little time was left for a retry. */
         UNANSWERED,
-        /** The client hung up before an answer; it counts for nobody. */
+        /** The client cancelled before a response; the request does not count. */
         CANCELLED
     }
 
-    /** The way to the dispatchers. */
+    /** The connections to the dispatchers. */
     public interface Transport {
         /** Sends an attempt to its dispatcher. */
         void submit(ClientAttempt clientAttempt);
 
-        /** Closes the connection of a request that is still open. */
+        /** Closes the connection of an attempt without a response. */
         void cancel(ClientAttempt clientAttempt);
 
         /** Whether a dispatcher accepts connections, as far as its clients know. */
         boolean isOpen(int dispatcher);
     }
 
-    /** Hears of each ask as it begins and ends, and of each request. */
+    /** Observes requests and their attempts. */
     public interface Observer {
-        /** A client begins a request. */
+        /** A client has a new request. */
         void onRequest(ClientRequest request);
 
         /**
-         * A client's request is over.
+         * A client's request is complete.
          *
-         * @param latency seconds from the moment at which it was meant to be sent
+         * @param latency seconds from the time at which the load places the request
          */
         void onFinished(ClientRequest request, Result result, double latency);
 
         /** An attempt of a request was sent to a dispatcher. */
         void onSent(ClientAttempt clientAttempt);
 
-        /** A dispatcher answered an attempt. */
+        /** A dispatcher responded to an attempt. */
         void onResponse(ClientAttempt clientAttempt, FinalResponse response);
 
-        /** The client waits no longer; by its own wish, or as its time is up. */
-        void onGaveUp(ClientAttempt clientAttempt, boolean ownWish);
+        /**
+         * The client no longer waits for a response.
+         *
+         * @param cancelled whether it cancelled; otherwise its timeout was reached
+         */
+        void onAbandoned(ClientAttempt clientAttempt, boolean cancelled);
 
-        /** The connection ended with no answer. */
+        /** The connection ended without a response. */
         void onConnectionLost(ClientAttempt clientAttempt);
 
-        /** It never reached a dispatcher. */
+        /** The connection was refused. */
         void onRefused(ClientAttempt clientAttempt);
     }
 
@@ -72,23 +80,43 @@
     private final Observer observer;
     private final RequestGenerator generator;
     private final Map<Integer, PendingRequest> pending = new HashMap<>();
-    private double start;
-    private boolean allSent;
+    private double startAt;
+    private boolean isGeneratorExhausted;
 
-    /** One ask under way. */
+    /** A request that is not complete. */
     private static final class PendingRequest {
         final ClientRequest request;
-        final double firstSent;
+
+        /**
+         * When the load places the first attempt. Latency counts from here, so that a client that
+         * sends late does not make the response look faster.
+         */
+        final double scheduledAt;
+
+        /** Null while no attempt is open. */
         ClientAttempt openAttempt;
+
         int attemptCount;
 
-        PendingRequest(ClientRequest request, double firstSent) {
+        PendingRequest(ClientRequest request, double scheduledAt) {
             this.request = request;
-            this.firstSent = firstSent;
+            this.scheduledAt = scheduledAt;
+        }
+
+        double deadline() {
+            return scheduledAt + request.requestClass().deadlineSeconds();
+        }
+
+        boolean isIdempotent() {
+            return request.requestClass().idempotency() == Idempotency.IDEMPOTENT;
         }
     }
 
-    /** Makes the clients of one scenario; {@link #start} begins the traffic. */
+    /**
+     * Creates the clients of a scenario; {@link #start} begins the load.
+     *
+     * @param seconds how long requests arrive
+     */
     public Clients(
             Scenario scenario,
             Timeline timeline,
@@ -104,169 +132,172 @@
         generator = new RequestGenerator(scenario, random, seconds);
     }
 
-    /** Begins the traffic of all request classes. */
+    /** Begins the load of all request classes. */
     public void start() {
-        start = timeline.now();
-        sendNext();
+        startAt = timeline.now();
+        scheduleNext();
     }
 
-    /** All has been asked, and all of it has ended. */
+    /** Whether all requests have been sent and are complete. */
     public boolean isOver() {
-        return allSent && pending.isEmpty();
+        return isGeneratorExhausted && pending.isEmpty();
     }
 
-    private void sendNext() {
+    private void scheduleNext() {
         ClientRequest request = generator.next();
         if (request == null) {
-            allSent = true;
+            isGeneratorExhausted = true;
             return;
         }
         timeline.schedule(
-                Math.max(0, start + request.sendAt() - timeline.now()),
-                () -> {
-                    // Counted from when it was meant to go: a sender that lags must not flatter who
-                    // answers.
-                    PendingRequest state = new PendingRequest(request, start + request.sendAt());
-                    pending.put(request.number(), state);
-                    observer.onRequest(request);
-                    send(state);
-                    if (request.cancelsAfter() < request.requestClass().deadline()) {
-                        timeline.schedule(request.cancelsAfter(), () -> cancel(state));
-                    }
-                    sendNext();
-                });
+                Math.max(0, startAt + request.sendAt() - timeline.now()), () -> begin(request));
+    }
+
+    private void begin(ClientRequest request) {
+        PendingRequest state = new PendingRequest(request, startAt + request.sendAt());
+        pending.put(request.number(), state);
+        observer.onRequest(request);
+        send(state);
+        if (request.cancelAfterSeconds() < request.requestClass().deadlineSeconds()) {
+            timeline.schedule(request.cancelAfterSeconds(), () -> cancel(state));
+        }
+        scheduleNext();
     }
 
     private void send(PendingRequest state) {
-        double left = state.firstSent + state.request.requestClass().deadline() - timeline.now();
-        int dispatcher = dispatcherFor(state);
-        if (dispatcher < 0) {
-            // Nobody listens: the front refuses, and the client knows it at once.
-            retryOrFinish(state, Result.UNANSWERED, RECONNECT_DELAY, true);
+        double timeoutSeconds = state.deadline() - timeline.now();
+        int dispatcher = chooseDispatcher(state);
+        if (dispatcher == NO_DISPATCHER) {
+            retryOrFinish(state, Result.UNANSWERED, RECONNECT_DELAY_SECONDS, true);
             return;
         }
-        ClientAttempt clientAttempt =
+        ClientAttempt attempt =
                 new ClientAttempt(
-                        state.request, state.attemptCount++, dispatcher, timeline.now(), left);
-        state.openAttempt = clientAttempt;
-        observer.onSent(clientAttempt);
-        timeline.schedule(
-                left,
-                () -> {
-                    if (state.openAttempt == clientAttempt) {
-                        state.openAttempt = null;
-                        observer.onGaveUp(clientAttempt, false);
-                        transport.cancel(clientAttempt);
-                        finish(state, Result.UNANSWERED);
-                    }
-                });
-        transport.submit(clientAttempt);
+                        state.request,
+                        state.attemptCount++,
+                        dispatcher,
+                        timeline.now(),
+                        timeoutSeconds);
+        state.openAttempt = attempt;
+        observer.onSent(attempt);
+        timeline.schedule(timeoutSeconds, () -> onTimeout(state, attempt));
+        transport.submit(attempt);
     }
 
-    private int dispatcherFor(PendingRequest state) {
-        int count = scenario.dispatchers();
-        int first =
-                (int)
-                        (random.uniform(
-                                        SeededRandom.Purpose.DISPATCHER,
-                                        state.request.number(),
-                                        state.attemptCount)
-                                * count);
+    private void onTimeout(PendingRequest state, ClientAttempt attempt) {
+        if (state.openAttempt == attempt) {
+            state.openAttempt = null;
+            observer.onAbandoned(attempt, false);
+            transport.cancel(attempt);
+            finish(state, Result.UNANSWERED);
+        }
+    }
+
+    /** Returns a random dispatcher, or the next one after it that accepts connections. */
+    private int chooseDispatcher(PendingRequest state) {
+        int count = scenario.dispatcherCount();
+        double draw =
+                random.uniform(
+                        SeededRandom.Purpose.DISPATCHER,
+                        state.request.number(),
+                        state.attemptCount);
+        int first = (int) (draw * count);
         for (int i = 0; i < count; i++) {
-            if (transport.isOpen((first + i) % count)) {
-                return (first + i) % count;
+            int dispatcher = (first + i) % count;
+            if (transport.isOpen(dispatcher)) {
+                return dispatcher;
             }
         }
-        return -1;
+        return NO_DISPATCHER;
     }
 
     private void cancel(PendingRequest state) {
         if (pending.get(state.request.number()) != state) {
             return;
         }
-        ClientAttempt clientAttempt = state.openAttempt;
+        ClientAttempt attempt = state.openAttempt;
         state.openAttempt = null;
-        if (clientAttempt != null) {
-            observer.onGaveUp(clientAttempt, true);
-            transport.cancel(clientAttempt);
+        if (attempt != null) {
+            observer.onAbandoned(attempt, true);
+            transport.cancel(attempt);
         }
         finish(state, Result.CANCELLED);
     }
 
-    /** An answer has come, whole; advice to return of 0 is none. */
+    /** Returns the request of an attempt and closes the attempt; null if it is not open. */
+    private PendingRequest closeIfOpen(ClientAttempt attempt) {
+        PendingRequest state = pending.get(attempt.request().number());
+        if (state == null || state.openAttempt != attempt) {
+            return null;
+        }
+        state.openAttempt = null;
+        return state;
+    }
+
+    /** Handles a final response; a retryAfter of 0 is no advice. */
     @Override
     public void onResponse(ClientAttempt clientAttempt, FinalResponse response, double retryAfter) {
         observer.onResponse(clientAttempt, response);
-        PendingRequest state = pending.get(clientAttempt.request().number());
-        if (state == null || state.openAttempt != clientAttempt) {
+        PendingRequest state = closeIfOpen(clientAttempt);
+        if (state == null) {
             return;
         }
-        state.openAttempt = null;
         switch (response) {
-            case SUCCEEDED ->
-                    finish(
-                            state,
-                            timeline.now() - state.firstSent
-                                            <= state.request.latencyObjectiveSeconds()
-                                    ? Result.IN_TIME
-                                    : Result.LATE);
-            // What may have run is asked for again only where a repeat does no harm.
-            case FAILED ->
-                    retryOrFinish(
-                            state,
-                            Result.FAILED,
-                            0,
-                            state.request.requestClass().idempotency() == Idempotency.IDEMPOTENT);
+            case SUCCEEDED -> finish(state, isInTime(state) ? Result.IN_TIME : Result.LATE);
+            case FAILED -> retryOrFinish(state, Result.FAILED, 0, state.isIdempotent());
             case REJECTED -> retryOrFinish(state, Result.REJECTED, retryAfter, true);
         }
     }
 
-    /** It reached nobody: trying again does no harm. */
+    private boolean isInTime(PendingRequest state) {
+        return timeline.now() - state.scheduledAt <= state.request.latencyObjectiveSeconds();
+    }
+
+    /** Handles a refused connection: no dispatcher has the attempt, so a retry is safe. */
     @Override
     public void onRefused(ClientAttempt clientAttempt) {
-        PendingRequest state = pending.get(clientAttempt.request().number());
-        if (state != null && state.openAttempt == clientAttempt) {
-            state.openAttempt = null;
+        PendingRequest state = closeIfOpen(clientAttempt);
+        if (state != null) {
             observer.onRefused(clientAttempt);
-            retryOrFinish(state, Result.UNANSWERED, RECONNECT_DELAY, true);
+            retryOrFinish(state, Result.UNANSWERED, RECONNECT_DELAY_SECONDS, true);
         }
     }
 
-    /** The connection ended before an answer. */
+    /** Handles a connection that ended without a response: the attempt may have run. */
     @Override
     public void onConnectionLost(ClientAttempt clientAttempt) {
-        PendingRequest state = pending.get(clientAttempt.request().number());
-        if (state == null || state.openAttempt != clientAttempt) {
-            return;
+        PendingRequest state = closeIfOpen(clientAttempt);
+        if (state != null) {
+            observer.onConnectionLost(clientAttempt);
+            retryOrFinish(state, Result.UNANSWERED, 0, state.isIdempotent());
         }
-        state.openAttempt = null;
-        observer.onConnectionLost(clientAttempt);
-        retryOrFinish(
-                state,
-                Result.UNANSWERED,
-                0,
-                state.request.requestClass().idempotency() == Idempotency.IDEMPOTENT);
     }
 
+    /**
+     * Retries a request after a delay, or finishes it with this result if a retry is not allowed or
+     * too little time would be left.
+     *
+     * @param minDelaySeconds the least delay before the retry
+     */
     private void retryOrFinish(
-            PendingRequest state, Result result, double notBefore, boolean mayRetry) {
+            PendingRequest state, Result result, double minDelaySeconds, boolean mayRetry) {
+        Scenario.Clients behavior = scenario.clients();
         double spread =
                 1
                         + random.uniform(
                                 SeededRandom.Purpose.RETRY,
                                 state.request.number(),
                                 state.attemptCount);
-        double wait = Math.max(notBefore, scenario.clients().retryDelay() * spread);
-        double left =
-                state.firstSent + state.request.requestClass().deadline() - timeline.now() - wait;
+        double delaySeconds = Math.max(minDelaySeconds, behavior.retryDelaySeconds() * spread);
+        double leftSeconds = state.deadline() - timeline.now() - delaySeconds;
         if (!mayRetry
-                || state.attemptCount > scenario.clients().retries()
-                || left < scenario.clients().minTimeout()) {
+                || state.attemptCount > behavior.maxRetries()
+                || leftSeconds < behavior.minTimeoutSeconds()) {
             finish(state, result);
             return;
         }
         timeline.schedule(
-                wait,
+                delaySeconds,
                 () -> {
                     if (pending.get(state.request.number()) == state) {
                         send(state);
@@ -276,6 +307,6 @@
 
     private void finish(PendingRequest state, Result result) {
         pending.remove(state.request.number());
-        observer.onFinished(state.request, result, timeline.now() - state.firstSent);
+        observer.onFinished(state.request, result, timeline.now() - state.scheduledAt);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
@@ -2,65 +2,67 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.function.IntConsumer;
+import wheelroute.kit.scenario.FaultKind;
+import wheelroute.kit.scenario.FaultMode;
 import wheelroute.kit.scenario.Scenario;
 
-/** Workers, their list and their faults, put together from a scenario and a seed. */
+/**
+ * The workers of a scenario, their endpoint list, and the schedule of all faults of the run.
+ *
+ * <p>Not thread-safe: all calls come from tasks of the run's timeline.
+ */
 public final class ClusterModel {
-    /** Draws of moments lie far from those of targets, which are numbered from 0. */
-    private static final long MOMENT = -1;
-
-    /**
-     * Who can end a dispatcher and start it again, and do more to real processes and their ways.
-     */
+    /** Injects faults into dispatchers' processes and links. */
     public interface DispatcherControl {
         /** Kills the dispatcher's process at once. */
         void kill(int dispatcher);
 
-        /** Tells the dispatcher's process to end in order. */
+        /** Asks the dispatcher's process to drain and end. */
         void terminate(int dispatcher);
 
         /** Starts a process of the dispatcher. */
-        void start(int dispatcher, Scenario.How how);
+        void start(int dispatcher, FaultMode mode);
 
-        /** Its process stands still, or goes on. */
+        /** Pauses or resumes the dispatcher's process. */
         default void setPaused(int dispatcher, boolean begins) {
-            throw new IllegalStateException("no process stands still here");
+            throw new UnsupportedFaultException("a pause of a dispatcher");
         }
 
         /**
-         * The ways of a dispatcher that the fault is about are harmed, or heal; targets are all it
-         * meets.
+         * Begins or ends a fault of a dispatcher's links.
+         *
+         * @param targets all dispatchers that the fault affects
          */
         default void setLinkFault(
                 Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
-            throw new IllegalStateException("no ways are harmed here");
+            throw new UnsupportedFaultException("a link fault");
         }
 
-        /** It gets a core for no more than this share of the time; 1 for as it likes. */
+        /** Limits the dispatcher to this fraction of a core; 1 for no limit. */
         default void limitCpu(int dispatcher, double share) {
-            throw new IllegalStateException("no process shares a core here");
+            throw new UnsupportedFaultException("a limit of CPU time");
         }
 
-        /** A second process takes its place. */
-        default void replace(int dispatcher, Scenario.How how, double limit) {
-            throw new IllegalStateException("no process is replaced here");
+        /**
+         * Replaces the dispatcher's process by a second one.
+         *
+         * @param limit seconds in which the replacement must be complete
+         */
+        default void replace(int dispatcher, FaultMode mode, double limit) {
+            throw new UnsupportedFaultException("a replacement of a dispatcher's process");
         }
 
-        /** So many more strangers a second come to it; under 0 so many fewer. */
+        /** Adds to the rate of idle connections to the dispatcher; a negative rate subtracts. */
         default void changeFloodRate(int dispatcher, double rate) {
-            throw new IllegalStateException("no strangers come here");
+            throw new UnsupportedFaultException("a flood of idle connections");
         }
     }
 
-    /** A fault with its time in the run and those it meets. */
-    public record ScheduledFault(Scenario.Fault fault, double start, double end, int[] targets) {}
+    /** A fault with its period in the run, in seconds from its start, and its targets. */
+    public record ScheduledFault(
+            Scenario.Fault fault, double startAt, double endAt, int[] targets) {}
 
     public final Scenario scenario;
     public final Timeline timeline;
@@ -70,15 +72,10 @@
     public final List<ScheduledFault> scheduledFaults;
 
     /**
-     * By dispatcher, the faults that keep it down, or still: it is up again when the last of them
-     * is over.
+     * Creates workers, endpoint list and fault schedule of a scenario.
+     *
+     * @param seconds how long requests arrive
      */
-    private final Map<Integer, Set<ScheduledFault>> outages = new HashMap<>();
-
-    private final Map<Integer, Set<ScheduledFault>> pauses = new HashMap<>();
-    private final Map<Integer, Set<ScheduledFault>> starvations = new HashMap<>();
-
-    /** Makes workers, endpoint list and fault schedule of one scenario. */
     public ClusterModel(
             Scenario scenario,
             Timeline timeline,
@@ -88,252 +85,133 @@
         this.scenario = scenario;
         this.timeline = timeline;
         this.random = random;
-        registry = new EndpointRegistry(timeline, scenario.terms().listLag());
+        registry = new EndpointRegistry(timeline, scenario.terms().endpointListLagSeconds());
+        ModelContext context =
+                new ModelContext(timeline, scenario.terms(), random, registry, listener);
         for (Scenario.WorkerGroup group : scenario.groups()) {
             for (int i = 0; i < group.count(); i++) {
                 WorkerModel worker =
-                        new WorkerModel(
-                                workers.size(),
-                                group.name() + "-" + i,
-                                group,
-                                timeline,
-                                scenario.terms(),
-                                random,
-                                registry,
-                                listener);
+                        new WorkerModel(workers.size(), group.name() + "-" + i, group, context);
                 workers.add(worker);
                 registry.add(worker);
             }
         }
-        scheduledFaults = scheduleFaults(seconds);
-    }
-
-    private List<ScheduledFault> scheduleFaults(double seconds) {
-        List<ScheduledFault> all = new ArrayList<>();
-        for (int cycle = 0; cycle * scenario.cycle() < seconds; cycle++) {
-            for (Scenario.Fault fault : scenario.faults()) {
-                double from = cycle * scenario.cycle() + fault.start();
-                if (from >= seconds) {
-                    continue;
-                }
-                int[] targets = targets(fault, cycle);
-                if (fault.startSpread() == 0) {
-                    all.add(new ScheduledFault(fault, from, from + fault.length(), targets));
-                } else {
-                    // A moment of its own for each, which depends on the seed alone.
-                    for (int target : targets) {
-                        double at =
-                                from
-                                        + fault.startSpread()
-                                                * random.uniform(
-                                                        SeededRandom.Purpose.FAULT,
-                                                        fault.pick() * 1000L + cycle,
-                                                        MOMENT - target);
-                        all.add(
-                                new ScheduledFault(
-                                        fault, at, at + fault.length(), new int[] {target}));
-                    }
-                }
-            }
-        }
-        all.sort(Comparator.comparingDouble(ScheduledFault::start));
-        return all;
-    }
-
-    /**
-     * The first so many of an order that chance makes anew each cycle, but the same for one pick.
-     */
-    private int[] targets(Scenario.Fault fault, int cycle) {
-        List<Integer> open = new ArrayList<>();
-        if (fault.kind().affectsDispatchers()) {
-            for (int i = 0; i < scenario.dispatchers(); i++) {
-                if (fault.from().isEmpty() || fault.from().equals(scenario.zoneOf(i))) {
-                    open.add(i);
-                }
-            }
-        } else {
-            workers.stream().filter(w -> fault.matches(w.group)).forEach(w -> open.add(w.number));
-        }
-        long pick = fault.pick() * 1000L + cycle;
-        open.sort(
-                Comparator.comparingLong(i -> random.seedOf(SeededRandom.Purpose.FAULT, pick, i)));
-        int count = (int) Math.max(1, Math.round(fault.share() * open.size()));
-        return open.stream().limit(count).mapToInt(i -> i).toArray();
+        scheduledFaults = new FaultScheduler(scenario, random, workers).schedule(seconds);
     }
 
-    /** Sets every fault on the timeline, which must stand at the start of the run. */
+    /** Schedules every fault on the timeline; called at the start of the run. */
     public void start(DispatcherControl dispatchers) {
-        for (ScheduledFault happening : scheduledFaults) {
-            timeline.schedule(happening.start(), () -> apply(happening, true, dispatchers));
-            // A replacement's own end is not ours to set.
-            if (happening.fault().kind() != Scenario.Kind.DEPLOY
-                    && happening.fault().kind() != Scenario.Kind.DISPATCHER_REPLACE) {
-                timeline.schedule(happening.end(), () -> apply(happening, false, dispatchers));
+        DispatcherFaults dispatcherFaults = new DispatcherFaults(dispatchers);
+        for (ScheduledFault fault : scheduledFaults) {
+            timeline.schedule(
+                    fault.startAt(), () -> apply(fault, true, dispatchers, dispatcherFaults));
+            // Deployments and replacements end by themselves.
+            if (fault.fault().kind() != FaultKind.ROLLING_DEPLOY
+                    && fault.fault().kind() != FaultKind.DISPATCHER_REPLACE) {
+                timeline.schedule(
+                        fault.endAt(), () -> apply(fault, false, dispatchers, dispatcherFaults));
             }
         }
     }
 
-    private void apply(ScheduledFault happening, boolean begins, DispatcherControl dispatchers) {
-        Scenario.Fault fault = happening.fault();
+    private void apply(
+            ScheduledFault scheduled,
+            boolean begins,
+            DispatcherControl dispatchers,
+            DispatcherFaults dispatcherFaults) {
+        Scenario.Fault fault = scheduled.fault();
         switch (fault.kind()) {
-            case LIST_DOWN -> registry.setDown(begins);
-            case LIST_LATE -> registry.addLag(begins ? fault.level() : -fault.level());
-            case DEPLOY -> deploy(happening);
+            case DISCOVERY_DOWN -> registry.setDown(begins);
+            case DISCOVERY_DELAY -> registry.addLag(begins ? fault.level() : -fault.level());
+            case ROLLING_DEPLOY -> deploy(scheduled);
             case DISPATCHER_KILL, DISPATCHER_RESTART ->
                     forEachTarget(
-                            happening,
-                            dispatcher -> setDown(happening, dispatcher, begins, dispatchers));
+                            scheduled,
+                            dispatcher -> dispatcherFaults.setDown(scheduled, dispatcher, begins));
             case DISPATCHER_PAUSE ->
                     forEachTarget(
-                            happening,
-                            dispatcher -> setPaused(happening, dispatcher, begins, dispatchers));
-            case DISPATCHER_STARVE ->
-                    forEachTarget(
-                            happening,
-                            dispatcher -> setStarved(happening, dispatcher, begins, dispatchers));
-            case DISPATCHER_REPLACE ->
-                    forEachTarget(
-                            happening,
-                            dispatcher -> {
-                                if (begins) {
-                                    dispatchers.replace(dispatcher, fault.how(), fault.length());
-                                }
-                            });
-            case CROWD ->
-                    forEachTarget(
-                            happening,
+                            scheduled,
                             dispatcher ->
-                                    dispatchers.changeFloodRate(
-                                            dispatcher,
-                                            (begins ? 1 : -1)
-                                                    * fault.level()
-                                                    / happening.targets().length));
-            case LINK_CUT,
-                    LINK_REFUSE,
-                    LINK_ONE_WAY,
-                    LINK_UNHEARD,
-                    LINK_SLOW,
-                    LINK_LOSS,
-                    LINK_TRICKLE,
-                    LINK_DOUBLE,
-                    LIST_CUT ->
+                                    dispatcherFaults.setPaused(scheduled, dispatcher, begins));
+            case DISPATCHER_CPU_LIMIT ->
                     forEachTarget(
-                            happening,
+                            scheduled,
                             dispatcher ->
-                                    dispatchers.setLinkFault(
-                                            fault, dispatcher, happening.targets(), begins));
-            default ->
-                    Arrays.stream(happening.targets())
-                            .mapToObj(workers::get)
-                            .forEach(worker -> apply(worker, fault, begins));
+                                    dispatcherFaults.setCpuLimited(scheduled, dispatcher, begins));
+            case DISPATCHER_REPLACE -> replace(scheduled, begins, dispatchers);
+            case IDLE_CONNECTION_FLOOD -> changeFloodRate(scheduled, begins, dispatchers);
+            default -> {
+                if (fault.kind().affectsLinks()) {
+                    setLinkFault(scheduled, begins, dispatchers);
+                } else {
+                    forEachTarget(scheduled, worker -> apply(workers.get(worker), fault, begins));
+                }
+            }
         }
     }
 
-    private static void forEachTarget(ScheduledFault happening, IntConsumer task) {
-        Arrays.stream(happening.targets()).forEach(task);
-    }
-
-    private static Set<ScheduledFault> faultsOf(
-            Map<Integer, Set<ScheduledFault>> faults, int dispatcher) {
-        return faults.computeIfAbsent(dispatcher, d -> new LinkedHashSet<>());
+    private static void forEachTarget(ScheduledFault fault, IntConsumer task) {
+        Arrays.stream(fault.targets()).forEach(task);
     }
 
-    private void setDown(
-            ScheduledFault happening,
-            int dispatcher,
-            boolean begins,
-            DispatcherControl dispatchers) {
-        Set<ScheduledFault> all = faultsOf(outages, dispatcher);
+    private static void replace(
+            ScheduledFault scheduled, boolean begins, DispatcherControl dispatchers) {
+        Scenario.Fault fault = scheduled.fault();
         if (begins) {
-            boolean first = all.isEmpty();
-            all.add(happening);
-            if (happening.fault().kind() == Scenario.Kind.DISPATCHER_KILL) {
-                // Also one that was told to end: it may still be at it.
-                faultsOf(pauses, dispatcher).clear();
-                dispatchers.kill(dispatcher);
-            } else if (first) {
-                dispatchers.terminate(dispatcher);
-            }
-        } else if (all.remove(happening) && all.isEmpty()) {
-            faultsOf(pauses, dispatcher).clear();
-            dispatchers.start(dispatcher, happening.fault().how());
+            forEachTarget(
+                    scheduled,
+                    dispatcher ->
+                            dispatchers.replace(dispatcher, fault.mode(), fault.durationSeconds()));
         }
     }
 
-    private void setPaused(
-            ScheduledFault happening,
-            int dispatcher,
-            boolean begins,
-            DispatcherControl dispatchers) {
-        Set<ScheduledFault> all = faultsOf(pauses, dispatcher);
-        // One that is down cannot stand still, nor does the next one at its start.
-        if (begins && faultsOf(outages, dispatcher).isEmpty()) {
-            all.add(happening);
-            if (all.size() == 1) {
-                dispatchers.setPaused(dispatcher, true);
-            }
-        } else if (!begins && all.remove(happening) && all.isEmpty()) {
-            dispatchers.setPaused(dispatcher, false);
-        }
+    /** The level is the rate over all targets. */
+    private static void changeFloodRate(
+            ScheduledFault scheduled, boolean begins, DispatcherControl dispatchers) {
+        double change = (begins ? 1 : -1) * scheduled.fault().level() / scheduled.targets().length;
+        forEachTarget(scheduled, dispatcher -> dispatchers.changeFloodRate(dispatcher, change));
     }
 
-    private void setStarved(
-            ScheduledFault happening,
-            int dispatcher,
-            boolean begins,
-            DispatcherControl dispatchers) {
-        Set<ScheduledFault> all = faultsOf(starvations, dispatcher);
-        if (begins) {
-            all.add(happening);
-        } else {
-            all.remove(happening);
-        }
-        dispatchers.limitCpu(
-                dispatcher, all.stream().mapToDouble(h -> h.fault().level()).min().orElse(1));
+    private static void setLinkFault(
+            ScheduledFault scheduled, boolean begins, DispatcherControl dispatchers) {
+        forEachTarget(
+                scheduled,
+                dispatcher ->
+                        dispatchers.setLinkFault(
+                                scheduled.fault(), dispatcher, scheduled.targets(), begins));
     }
 
     private static void apply(WorkerModel worker, Scenario.Fault fault, boolean begins) {
         double level = fault.level();
         switch (fault.kind()) {
-            case BURST -> worker.changeFailureRate(begins ? level : -level);
+            case ERROR_BURST -> worker.changeFailureFraction(begins ? level : -level);
             case STALL -> worker.setStalled(begins);
-            case SLOW -> worker.changeSpeed(begins ? level : 1 / level);
-            case SILENCE -> worker.setSilent(begins);
-            case VANISH -> worker.setPartitioned(begins);
-            case CRASH -> {
-                if (begins) {
-                    worker.crash();
-                } else {
-                    worker.start();
-                }
-            }
-            case DRAIN -> {
-                if (begins) {
-                    worker.drain();
-                } else {
-                    worker.start();
-                }
-            }
-            case LATE_REPORTS -> worker.delayReports(begins ? level : -level);
-            default -> throw new IllegalStateException("no fault of a worker: " + fault.kind());
+            case SLOWDOWN -> worker.changeSpeed(begins ? level : 1 / level);
+            case UNRESPONSIVE -> worker.setUnresponsive(begins);
+            case PARTITION -> worker.setPartitioned(begins);
+            case CRASH -> run(begins, worker::crash, worker::start);
+            case DRAIN -> run(begins, worker::drain, worker::start);
+            case LOAD_REPORT_DELAY -> worker.changeReportDelay(begins ? level : -level);
+            default -> throw new UnsupportedFaultException(fault.kind() + " at a worker");
         }
     }
 
-    /**
-     * One group after the other, each of so many workers as the level says, in equal parts of the
-     * length.
-     */
-    private void deploy(ScheduledFault happening) {
-        int atOnce = (int) Math.max(1, Math.round(happening.fault().level()));
-        int[] targets = happening.targets();
-        int steps = (targets.length + atOnce - 1) / atOnce;
-        double step = happening.fault().length() / steps;
+    private static void run(boolean begins, Runnable atBegin, Runnable atEnd) {
+        (begins ? atBegin : atEnd).run();
+    }
+
+    /** Restarts the targets in batches of the fault's level, in equal parts of its duration. */
+    private void deploy(ScheduledFault scheduled) {
+        int batchSize = (int) Math.max(1, Math.round(scheduled.fault().level()));
+        int[] targets = scheduled.targets();
+        int batches = (targets.length + batchSize - 1) / batchSize;
+        double batchSeconds = scheduled.fault().durationSeconds() / batches;
         for (int i = 0; i < targets.length; i++) {
             WorkerModel worker = workers.get(targets[i]);
-            int round = i / atOnce;
-            double at = round * step;
-            timeline.schedule(at, worker::drain);
-            timeline.schedule(at + step, worker::start);
+            int batch = i / batchSize;
+            double delaySeconds = batch * batchSeconds;
+            timeline.schedule(delaySeconds, worker::drain);
+            timeline.schedule(delaySeconds + batchSeconds, worker::start);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/EndpointRegistry.java
+++ b/kit/src/main/java/wheelroute/kit/model/EndpointRegistry.java
@@ -9,36 +9,36 @@
 
 /** The endpoint list of discovery: each update of a worker takes effect after a lag. */
 public final class EndpointRegistry {
-    /** Interval in seconds of checks for a slow condition. */
-    static final double POLL_INTERVAL = 0.1;
+    /** How often a draining worker checks whether it is empty. */
+    static final double POLL_INTERVAL_SECONDS = 0.1;
 
     /** A worker's state in the list. */
     public enum State {
         READY,
         DRAINING,
-        GONE
+        REMOVED
     }
 
     /** A worker's entry; startedAt is NaN for a start long ago. */
     public record Entry(WorkerModel worker, State state, double startedAt, long version) {}
 
     private final Timeline timeline;
-    private final double lag;
+    private final double lagSeconds;
     private final Map<Integer, Entry> entries = new LinkedHashMap<>();
     private final List<Consumer<Entry>> watchers = new ArrayList<>();
-    private final List<Runnable> outages = new ArrayList<>();
+    private final List<Runnable> outageListeners = new ArrayList<>();
 
     /** By worker: the number of the last update in effect. */
     private final Map<Integer, Long> appliedUpdates = new HashMap<>();
 
     private long updateCount;
     private long version;
-    private double extraLag;
+    private double extraLagSeconds;
     private int activeOutages;
 
-    EndpointRegistry(Timeline timeline, double lag) {
+    EndpointRegistry(Timeline timeline, double lagSeconds) {
         this.timeline = timeline;
-        this.lag = lag;
+        this.lagSeconds = lagSeconds;
     }
 
     void add(WorkerModel worker) {
@@ -46,21 +46,22 @@
     }
 
     void update(WorkerModel worker, State state, double startedAt) {
-        long word = ++updateCount;
+        long update = ++updateCount;
         timeline.schedule(
-                lag + extraLag,
-                () -> {
-                    // As the lag changes, updates may overtake each other: only the newest counts.
-                    if (word > appliedUpdates.getOrDefault(worker.number, 0L)) {
-                        appliedUpdates.put(worker.number, word);
-                        Entry entry = new Entry(worker, state, startedAt, ++version);
-                        entries.put(worker.number, entry);
-                        new ArrayList<>(watchers).forEach(watcher -> watcher.accept(entry));
-                    }
-                });
+                lagSeconds + extraLagSeconds, () -> apply(update, worker, state, startedAt));
     }
 
-    /** Adds a watcher of all changes from now on; the state before is in {@link #entries}. */
+    private void apply(long update, WorkerModel worker, State state, double startedAt) {
+        // The lag changes, so updates may overtake each other: only a newer one is applied.
+        if (update > appliedUpdates.getOrDefault(worker.number, 0L)) {
+            appliedUpdates.put(worker.number, update);
+            Entry entry = new Entry(worker, state, startedAt, ++version);
+            entries.put(worker.number, entry);
+            new ArrayList<>(watchers).forEach(watcher -> watcher.accept(entry));
+        }
+    }
+
+    /** Adds a watcher of all changes from now on; {@link #entries} has the state before them. */
     public void watch(Consumer<Entry> watcher) {
         watchers.add(watcher);
     }
@@ -72,15 +73,15 @@
 
     /** Adds a task that runs whenever discovery goes down. */
     public void onOutage(Runnable task) {
-        outages.add(task);
+        outageListeners.add(task);
     }
 
-    /** The current entries; a copy. */
+    /** Returns a copy of the current entries. */
     public List<Entry> entries() {
         return new ArrayList<>(entries.values());
     }
 
-    /** The number of changes so far. */
+    /** Returns the number of changes so far. */
     public long version() {
         return version;
     }
@@ -93,11 +94,11 @@
     void setDown(boolean begins) {
         activeOutages += begins ? 1 : -1;
         if (begins) {
-            new ArrayList<>(outages).forEach(Runnable::run);
+            new ArrayList<>(outageListeners).forEach(Runnable::run);
         }
     }
 
-    void addLag(double by) {
-        extraLag += by;
+    void addLag(double changeSeconds) {
+        extraLagSeconds += changeSeconds;
     }
 }
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/model/LoadReportHistory.java
@@ -0,0 +1,44 @@
+package wheelroute.kit.model;
+
+import java.util.ArrayDeque;
+
+/** The free slots of a worker over time, from which load reports of any age are made. */
+final class LoadReportHistory {
+    private record Sample(double at, int freeSlots) {}
+
+    private final int slots;
+    private final double lagSeconds;
+    private final ArrayDeque<Sample> samples = new ArrayDeque<>();
+
+    /**
+     * Creates the history of a worker that is idle.
+     *
+     * @param lagSeconds the age of a report when it is sent; negative for no reports
+     */
+    LoadReportHistory(int slots, double lagSeconds) {
+        this.slots = slots;
+        this.lagSeconds = lagSeconds;
+    }
+
+    void record(double now, int freeSlots) {
+        if (lagSeconds >= 0) {
+            samples.addLast(new Sample(now, freeSlots));
+        }
+    }
+
+    /** The free slots that a report sent now states; NaN without reports. */
+    double reportedFreeSlots(double now, double extraLagSeconds) {
+        if (lagSeconds < 0) {
+            return Double.NaN;
+        }
+        double asOf = now - lagSeconds - extraLagSeconds;
+        double freeSlots = slots;
+        while (samples.size() > 1 && samples.peekFirst().at() <= asOf) {
+            freeSlots = samples.pollFirst().freeSlots();
+        }
+        if (!samples.isEmpty() && samples.peekFirst().at() <= asOf) {
+            freeSlots = samples.peekFirst().freeSlots();
+        }
+        return freeSlots;
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/model/RequestGenerator.java
+++ b/kit/src/main/java/wheelroute/kit/model/RequestGenerator.java
@@ -2,13 +2,17 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
+import java.util.function.ToDoubleFunction;
 import wheelroute.kit.scenario.Scenario;
 
-/** Generates the requests of a run: a Poisson process whose rate follows the scenario's load. */
+/**
+ * Generates the requests of a run: open-loop arrivals of a Poisson process whose rate follows the
+ * scenario's load. What is generated depends on the seed alone.
+ */
 public final class RequestGenerator {
     private final Scenario scenario;
     private final SeededRandom random;
-    private final double seconds;
+    private final double durationSeconds;
     private final double maxRate;
     private final double[] requestClassShares;
     private final double[] tenantShares;
@@ -16,29 +20,28 @@
     private int arrivalCount;
     private int requestCount;
 
-    /** Creates the requests of so many seconds, by the seed alone. */
-    public RequestGenerator(Scenario scenario, SeededRandom random, double seconds) {
+    /** Creates a generator of requests that arrive within this duration. */
+    public RequestGenerator(Scenario scenario, SeededRandom random, double durationSeconds) {
         this.scenario = scenario;
         this.random = random;
-        this.seconds = seconds;
-        maxRate = scenario.load().stream().mapToDouble(Scenario.LoadPoint::rate).max().orElse(0);
+        this.durationSeconds = durationSeconds;
+        maxRate =
+                scenario.load().stream()
+                        .mapToDouble(Scenario.LoadPoint::requestsPerSecond)
+                        .max()
+                        .orElse(0);
         requestClassShares =
-                cumulative(
-                        scenario.requestClasses().stream()
-                                .mapToDouble(Scenario.RequestClass::share)
-                                .toArray());
-        tenantShares =
-                cumulative(
-                        scenario.tenants().stream().mapToDouble(Scenario.Tenant::share).toArray());
+                cumulativeShares(scenario.requestClasses(), Scenario.RequestClass::share);
+        tenantShares = cumulativeShares(scenario.tenants(), Scenario.Tenant::share);
     }
 
-    /** The next request; null when the run's time is over. */
+    /** Returns the next request; null at the end of the run's duration. */
     public ClientRequest next() {
         while (maxRate > 0) {
             SplittableRandom arrival =
                     random.generator(SeededRandom.Purpose.ARRIVAL, arrivalCount++, 0);
             time -= Math.log(1 - arrival.nextDouble()) / maxRate;
-            if (time >= seconds) {
+            if (time >= durationSeconds) {
                 return null;
             }
             // Thinning: of a process with the maximum rate, keeps the fraction that the current
@@ -51,79 +54,96 @@
     }
 
     private ClientRequest createRequest(int number) {
-        Scenario.RequestClass requestClass =
-                scenario.requestClasses()
-                        .get(
-                                indexOf(
-                                        requestClassShares,
-                                        random.uniform(
-                                                SeededRandom.Purpose.REQUEST_CLASS, number, 0)));
-        Scenario.Tenant tenant =
-                scenario.tenants().isEmpty()
-                        ? Scenario.Tenant.NONE
-                        : scenario.tenants()
-                                .get(
-                                        indexOf(
-                                                tenantShares,
-                                                random.uniform(
-                                                        SeededRandom.Purpose.TENANT, number, 0)));
-        double work =
-                Math.max(
-                        Scenario.MIN_WORK,
-                        requestClass.work()
-                                * SeededRandom.lognormal(
-                                        random.generator(SeededRandom.Purpose.WORK, number, 0),
-                                        requestClass.spread()));
-        double hint = Double.NaN;
-        if (requestClass.estimateError() >= 0) {
-            hint =
-                    work
-                            * SeededRandom.lognormal(
-                                    random.generator(SeededRandom.Purpose.COST_ESTIMATE, number, 0),
-                                    requestClass.estimateError());
+        Scenario.RequestClass requestClass = drawRequestClass(number);
+        double work = drawWork(requestClass, number);
+        return new ClientRequest(
+                number,
+                time,
+                requestClass,
+                drawTenant(number),
+                work,
+                drawCostEstimate(requestClass, work, number),
+                drawCancellation(requestClass, number));
+    }
+
+    private Scenario.RequestClass drawRequestClass(int number) {
+        double draw = random.uniform(SeededRandom.Purpose.REQUEST_CLASS, number, 0);
+        return scenario.requestClasses().get(indexOf(requestClassShares, draw));
+    }
+
+    private Scenario.Tenant drawTenant(int number) {
+        if (scenario.tenants().isEmpty()) {
+            return Scenario.Tenant.NONE;
         }
-        double leaves = Double.POSITIVE_INFINITY;
-        SplittableRandom impatience =
-                random.generator(SeededRandom.Purpose.CANCELLATION, number, 0);
-        if (impatience.nextDouble() < scenario.clients().cancelFraction()) {
-            leaves = impatience.nextDouble() * requestClass.deadline();
+        double draw = random.uniform(SeededRandom.Purpose.TENANT, number, 0);
+        return scenario.tenants().get(indexOf(tenantShares, draw));
+    }
+
+    private double drawWork(Scenario.RequestClass requestClass, int number) {
+        SplittableRandom generator = random.generator(SeededRandom.Purpose.WORK, number, 0);
+        double factor = SeededRandom.lognormal(generator, requestClass.workSpread());
+        return Math.max(Scenario.MIN_WORK_SECONDS, requestClass.meanWorkSeconds() * factor);
+    }
+
+    /** Returns NaN for a request class without estimates. */
+    private double drawCostEstimate(Scenario.RequestClass requestClass, double work, int number) {
+        if (requestClass.estimateError() < 0) {
+            return Double.NaN;
+        }
+        SplittableRandom generator =
+                random.generator(SeededRandom.Purpose.COST_ESTIMATE, number, 0);
+        return work * SeededRandom.lognormal(generator, requestClass.estimateError());
+    }
+
+    /** Returns the seconds after which the client cancels; infinity if it does not. */
+    private double drawCancellation(Scenario.RequestClass requestClass, int number) {
+        SplittableRandom generator = random.generator(SeededRandom.Purpose.CANCELLATION, number, 0);
+        if (generator.nextDouble() < scenario.clients().cancelFraction()) {
+            return generator.nextDouble() * requestClass.deadlineSeconds();
         }
-        return new ClientRequest(number, time, requestClass, tenant, work, hint, leaves);
+        return Double.POSITIVE_INFINITY;
     }
 
-    /** Requests per second at this time; the load repeats in each cycle. */
+    /** Returns the requests per second at this time; the load repeats in each cycle. */
     public double rateAt(double at) {
-        double within = at % scenario.cycle();
+        double atInCycle = at % scenario.cycleSeconds();
         List<Scenario.LoadPoint> points = scenario.load();
         Scenario.LoadPoint before = points.get(0);
         for (Scenario.LoadPoint point : points) {
-            if (point.time() > within) {
-                double part =
-                        point.time() > before.time()
-                                ? Math.max(0, within - before.time())
-                                        / (point.time() - before.time())
-                                : 0;
-                return before.rate() + part * (point.rate() - before.rate());
+            if (point.atSeconds() > atInCycle) {
+                return interpolate(before, point, atInCycle);
             }
             before = point;
         }
-        return before.rate();
+        return before.requestsPerSecond();
+    }
+
+    private static double interpolate(
+            Scenario.LoadPoint from, Scenario.LoadPoint to, double atInCycle) {
+        double fraction =
+                to.atSeconds() > from.atSeconds()
+                        ? Math.max(0, atInCycle - from.atSeconds())
+                                / (to.atSeconds() - from.atSeconds())
+                        : 0;
+        return from.requestsPerSecond()
+                + fraction * (to.requestsPerSecond() - from.requestsPerSecond());
     }
 
-    private static double[] cumulative(double[] shares) {
+    private static <T> double[] cumulativeShares(List<T> items, ToDoubleFunction<T> share) {
+        double[] shares = items.stream().mapToDouble(share).toArray();
         for (int i = 1; i < shares.length; i++) {
             shares[i] += shares[i - 1];
         }
         return shares;
     }
 
-    private static int indexOf(double[] summed, double draw) {
-        double at = draw * summed[summed.length - 1];
-        for (int i = 0; i < summed.length - 1; i++) {
-            if (at < summed[i]) {
+    private static int indexOf(double[] cumulativeShares, double draw) {
+        double at = draw * cumulativeShares[cumulativeShares.length - 1];
+        for (int i = 0; i < cumulativeShares.length - 1; i++) {
+            if (at < cumulativeShares[i]) {
                 return i;
             }
         }
-        return summed.length - 1;
+        return cumulativeShares.length - 1;
     }
 }
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/model/SlowStartModel.java
@@ -0,0 +1,79 @@
+package wheelroute.kit.model;
+
+import java.util.ArrayDeque;
+import wheelroute.kit.scenario.Scenario;
+
+/**
+ * The slow start of a worker's process: its capacity ramps up, and it collapses when too much work
+ * arrives before it has warmed up.
+ */
+final class SlowStartModel {
+    /** The standard deviations of a Poisson count that random arrivals are allowed. */
+    private static final int ALLOWED_DEVIATIONS = 2;
+
+    private record Arrival(double at, double workSeconds) {}
+
+    private final Scenario.WorkerGroup group;
+    private final ArrayDeque<Arrival> recentArrivals = new ArrayDeque<>();
+
+    /** NaN for a process that has been running since long before the run. */
+    private double startedAt = Double.NaN;
+
+    SlowStartModel(Scenario.WorkerGroup group) {
+        this.group = group;
+    }
+
+    void onProcessStarted(double now) {
+        startedAt = now;
+    }
+
+    void onProcessEnded() {
+        recentArrivals.clear();
+    }
+
+    double startedAt() {
+        return startedAt;
+    }
+
+    /** The fraction of its capacity that the worker has at this time. */
+    double rampFraction(double at) {
+        double age = at - startedAt;
+        if (!(age < group.slowStartDurationSeconds())) {
+            return 1;
+        }
+        return group.slowStartFraction()
+                + (1 - group.slowStartFraction())
+                        * Math.max(0, age)
+                        / group.slowStartDurationSeconds();
+    }
+
+    /** Adds the work of an arrival, and returns whether it makes the worker collapse. */
+    boolean collapsesUnder(double workSeconds, double now) {
+        double windowStart = now - group.overloadWindowSeconds();
+        double rampFraction = rampFraction(windowStart);
+        if (rampFraction >= 1) {
+            return false;
+        }
+        recentArrivals.addLast(new Arrival(now, workSeconds));
+        while (recentArrivals.peekFirst().at() <= windowStart) {
+            recentArrivals.pollFirst();
+        }
+        double recentWork = recentArrivals.stream().mapToDouble(Arrival::workSeconds).sum();
+        return recentWork > maxWork(rampFraction);
+    }
+
+    /** The most work that may arrive within the overload window. */
+    private double maxWork(double rampFraction) {
+        double max =
+                group.overloadMultiple()
+                        * rampFraction
+                        * group.speed()
+                        * group.slots()
+                        * group.overloadWindowSeconds();
+        double meanWork = group.overloadMeanWork();
+        if (meanWork > 0) {
+            max += (ALLOWED_DEVIATIONS * Math.sqrt(max / meanWork) + ALLOWED_DEVIATIONS) * meanWork;
+        }
+        return max;
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
@@ -15,39 +15,52 @@
     }
 
     public final long requestId;
-    public final double work;
+
+    /** Seconds on a worker of speed 1. */
+    public final double workSeconds;
+
     final int slots;
     final double memory;
     final Reply reply;
-    double remaining;
+
+    /** Work that was left at {@link #progressedAt}. */
+    double remainingSeconds;
+
     double progressedAt;
     double startedAt = Double.NaN;
-    int planVersion;
-    private Object attachment;
+
+    /** Changes whenever the completion is scheduled anew, which voids the earlier schedule. */
+    int completionVersion;
+
     boolean ended;
+
+    /** The connection is closed: nothing that the worker sends arrives. */
     boolean cancelled;
 
-    /** The worker could not send an event of this attempt. */
-    boolean notificationLost;
+    /** An event of this attempt was lost, and so is everything after it. */
+    boolean eventLost;
+
+    private Object attachment;
 
     /** Creates an attempt that has not arrived yet. */
-    public WorkerAttempt(long requestId, double work, int slots, double memory, Reply reply) {
+    public WorkerAttempt(
+            long requestId, double workSeconds, int slots, double memory, Reply reply) {
         this.requestId = requestId;
-        this.work = work;
+        this.workSeconds = workSeconds;
         this.slots = slots;
         this.memory = memory;
         this.reply = reply;
-        remaining = work;
+        remainingSeconds = workSeconds;
     }
 
-    /** What the event listener has attached, which saves it a look-up at each event. */
+    /** Returns the event listener's own object, which saves it a look-up at each event. */
     public Object attachment() {
         return attachment;
     }
 
     /** Attaches an object of the event listener's. */
-    public void attachment(Object newMark) {
-        attachment = newMark;
+    public void attachment(Object newAttachment) {
+        attachment = newAttachment;
     }
 
     /** Whether the worker has ended the attempt, even if its response could not be sent. */
--- a/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
@@ -6,23 +6,23 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * One worker: slots served from one queue in order, at a speed that faults and warmth change. A job
- * runs at the warmth of its start; slow-downs and stalls change the pace of what runs already.
+ * A worker: slots served from one bounded queue in order of arrival, at a speed that slow start and
+ * faults change. An attempt runs at the ramp fraction of its start; slowdowns and stalls also
+ * affect attempts that are running already.
+ *
+ * <p>Not thread-safe: all calls come from tasks of the run's timeline.
  */
 public final class WorkerModel {
-    /** An error comes at once: so long after the attempt. */
-    private static final double ERROR_DELAY = 0.002;
+    private static final double ERROR_DELAY_SECONDS = 0.002;
+    private static final double COLLAPSE_RESTART_SECONDS = 3;
 
-    /** A worker that fell over is back after so long. */
-    private static final double COLLAPSE_DURATION = 3;
-
-    /** Who opens and closes its door; a closed one refuses connections. */
+    /** Opens and closes the worker's port; a closed port refuses connections. */
     public interface PortListener {
         /** The worker listens on its port from now on. */
         void onOpened(WorkerModel worker);
 
-        /** The worker's port is closed: connections to it are refused or break. */
-        void closed(WorkerModel worker);
+        /** The worker's port is closed: its connections break and new ones are refused. */
+        void onClosed(WorkerModel worker);
     }
 
     public final int number;
@@ -33,421 +33,360 @@
     private final SeededRandom random;
     private final EndpointRegistry registry;
     private final EventListener listener;
-    private final ArrayDeque<WorkerAttempt> waiting = new ArrayDeque<>();
+    private final WorkerFaults faults = new WorkerFaults();
+    private final WorkerResponses responses;
+    private final SlowStartModel slowStart;
+    private final LoadReportHistory loadReports;
+    private final ArrayDeque<WorkerAttempt> queue = new ArrayDeque<>();
     private final List<WorkerAttempt> running = new ArrayList<>();
-
-    /** Those who were not told something: broken off when the worker can speak again. */
-    private final List<WorkerAttempt> unnotified = new ArrayList<>();
-
-    private final ArrayDeque<double[]> coldArrivals = new ArrayDeque<>();
-    private final ArrayDeque<double[]> freeSlotHistory = new ArrayDeque<>();
     private PortListener portListener;
     private int slotsInUse;
     private double memoryInUse;
     private boolean up = true;
-    private double startedAt = Double.NaN;
-    private double slowdown = 1;
-    private int stalls;
-    private int silences;
-    private int cuts;
-    private double failing;
-    private double reportDelay;
+
+    /** Changes whenever the process starts or ends, so that timers of an earlier one do nothing. */
     private int incarnation;
 
-    WorkerModel(
-            int number,
-            String name,
-            Scenario.WorkerGroup group,
-            Timeline timeline,
-            Scenario.PlatformTerms terms,
-            SeededRandom random,
-            EndpointRegistry registry,
-            EventListener listener) {
+    WorkerModel(int number, String name, Scenario.WorkerGroup group, ModelContext context) {
         this.number = number;
         this.name = name;
         this.group = group;
-        this.timeline = timeline;
-        this.terms = terms;
-        this.random = random;
-        this.registry = registry;
-        this.listener = listener;
+        timeline = context.timeline();
+        terms = context.terms();
+        random = context.random();
+        registry = context.registry();
+        listener = context.listener();
+        responses = new WorkerResponses(this, faults, listener);
+        slowStart = new SlowStartModel(group);
+        loadReports = new LoadReportHistory(group.slots(), terms.loadReportLagSeconds());
     }
 
-    /** Sets who hears that the worker's port opens and closes. */
-    public void portListener(PortListener newDoor) {
-        portListener = newDoor;
+    /** Sets the listener that is called when the worker's port opens or closes. */
+    public void portListener(PortListener newListener) {
+        portListener = newListener;
     }
 
-    // ---- what dispatchers do to it
+    // ---- attempts
 
-    /** False while its process is down: connections are refused. */
+    /** Whether the worker's process runs; connections are refused otherwise. */
     public boolean isUp() {
         return up;
     }
 
-    /** An attempt's last byte has come. */
+    /** Accepts an attempt whose last byte has arrived: queues, starts, fails or rejects it. */
     public void accept(WorkerAttempt attempt) {
         listener.onArrived(attempt, this);
-        if (cuts > 0) {
-            attempt.notificationLost = true;
-            unnotified.add(attempt);
-            return;
-        }
-        if (wouldCollapse(attempt.work)) {
-            listener.onCollapsed(this);
-            end(attempt, AttemptEnding.CONNECTION_LOST);
-            crash();
-            int life = incarnation;
-            timeline.schedule(
-                    COLLAPSE_DURATION,
-                    () -> {
-                        if (life == incarnation) {
-                            start();
-                        }
-                    });
-            return;
-        }
-        if (failing > 0
-                && random.uniform(SeededRandom.Purpose.FAILURE, attempt.requestId, number)
-                        < failing) {
-            int life = incarnation;
-            timeline.schedule(
-                    ERROR_DELAY,
+        if (faults.isPartitioned()) {
+            responses.markInterrupted(attempt);
+        } else if (slowStart.collapsesUnder(attempt.workSeconds, timeline.now())) {
+            collapse(attempt);
+        } else if (isDrawnToFail(attempt)) {
+            runInThisProcess(
+                    ERROR_DELAY_SECONDS,
                     () -> {
-                        if (life == incarnation && !attempt.ended) {
+                        if (!attempt.ended) {
                             end(attempt, AttemptEnding.FAILED);
                         }
                     });
-            return;
-        }
-        if ((waiting.size() >= group.queue() && !canStart(attempt))
-                || memoryInUse + attempt.memory > group.memory()) {
+        } else if (isFull(attempt)) {
             end(attempt, AttemptEnding.REJECTED);
-            return;
+        } else {
+            memoryInUse += attempt.memory;
+            queue.addLast(attempt);
+            startQueued();
         }
-        memoryInUse += attempt.memory;
-        waiting.addLast(attempt);
-        startNext();
+    }
+
+    private void collapse(WorkerAttempt attempt) {
+        listener.onCollapsed(this);
+        end(attempt, AttemptEnding.CONNECTION_LOST);
+        crash();
+        runInThisProcess(COLLAPSE_RESTART_SECONDS, this::start);
+    }
+
+    private boolean isDrawnToFail(WorkerAttempt attempt) {
+        double fraction = faults.failureFraction();
+        return fraction > 0
+                && random.uniform(SeededRandom.Purpose.FAILURE, attempt.requestId, number)
+                        < fraction;
+    }
+
+    private boolean isFull(WorkerAttempt attempt) {
+        return (queue.size() >= group.queueCapacity() && !canStartAtOnce(attempt))
+                || memoryInUse + attempt.memory > group.memoryCapacity();
+    }
+
+    private boolean canStartAtOnce(WorkerAttempt attempt) {
+        return queue.isEmpty() && slotsInUse + slotsOf(attempt) <= group.slots();
     }
 
     /**
-     * Its connection was closed by the other side: what waits is forgotten, what runs goes on
-     * unheard.
+     * Notices that an attempt's connection was closed by the dispatcher: a queued attempt is
+     * dropped, a running one continues without a connection.
      */
     public void cancel(WorkerAttempt attempt) {
         attempt.cancelled = true;
-        if (!attempt.ended && waiting.remove(attempt)) {
+        if (!attempt.ended && queue.remove(attempt)) {
             memoryInUse -= attempt.memory;
             attempt.ended = true;
-            startNext();
+            startQueued();
         }
     }
 
-    // ---- its work
+    /** Runs a task after a delay, unless the process has ended or restarted in between. */
+    private void runInThisProcess(double delaySeconds, Runnable task) {
+        int scheduledIn = incarnation;
+        timeline.schedule(
+                delaySeconds,
+                () -> {
+                    if (scheduledIn == incarnation) {
+                        task.run();
+                    }
+                });
+    }
+
+    // ---- slots
 
-    private boolean canStart(WorkerAttempt attempt) {
-        return waiting.isEmpty()
-                && slotsInUse + Math.min(attempt.slots, group.slots()) <= group.slots();
+    /** The slots of an attempt; one that asks for more than there are gets all of them. */
+    private int slotsOf(WorkerAttempt attempt) {
+        return Math.min(attempt.slots, group.slots());
     }
 
-    private void startNext() {
-        while (!waiting.isEmpty() && stalls == 0) {
-            WorkerAttempt next = waiting.peekFirst();
-            int need = Math.min(next.slots, group.slots());
-            if (slotsInUse + need > group.slots()) {
+    private void startQueued() {
+        while (!queue.isEmpty() && !faults.isStalled()) {
+            WorkerAttempt next = queue.peekFirst();
+            if (slotsInUse + slotsOf(next) > group.slots()) {
                 return;
             }
-            waiting.pollFirst();
-            slotsInUse += need;
-            recordFreeSlots();
-            running.add(next);
-            next.startedAt = timeline.now();
-            next.progressedAt = next.startedAt;
-            // The warmth of the start counts for the whole job, as if it were more work.
-            next.remaining = next.work / warmth(next.startedAt);
-            listener.onStarted(next, this);
-            if (terms.reportsStart()) {
-                deliver(next, next.reply::onStarted);
-            }
-            plan(next);
-            if (terms.progressIntervalSeconds() > 0) {
-                progress(next, next.remaining);
-            }
+            queue.pollFirst();
+            start(next);
+        }
+    }
+
+    private void start(WorkerAttempt attempt) {
+        slotsInUse += slotsOf(attempt);
+        recordFreeSlots();
+        running.add(attempt);
+        attempt.startedAt = timeline.now();
+        attempt.progressedAt = attempt.startedAt;
+        // The ramp fraction of the start applies to the whole attempt, as if it had more work.
+        attempt.remainingSeconds = attempt.workSeconds / rampFraction(attempt.startedAt);
+        listener.onStarted(attempt, this);
+        if (terms.reportsStart()) {
+            responses.deliver(attempt, attempt.reply::onStarted);
+        }
+        scheduleCompletion(attempt);
+        if (terms.progressIntervalSeconds() > 0) {
+            scheduleProgress(attempt, attempt.remainingSeconds);
         }
     }
 
+    /** Seconds of work done in a second, without slow start. */
     private double pace() {
-        return stalls > 0 ? 0 : group.speed() * slowdown;
+        return faults.isStalled() ? 0 : group.speed() * faults.speedFactor();
     }
 
-    private void plan(WorkerAttempt attempt) {
+    private void scheduleCompletion(WorkerAttempt attempt) {
         double pace = pace();
-        int plan = ++attempt.planVersion;
+        int version = ++attempt.completionVersion;
         if (pace > 0) {
             timeline.schedule(
-                    attempt.remaining / pace,
+                    attempt.remainingSeconds / pace,
                     () -> {
-                        if (plan == attempt.planVersion && !attempt.ended) {
-                            finish(attempt);
+                        if (version == attempt.completionVersion && !attempt.ended) {
+                            complete(attempt);
                         }
                     });
         }
     }
 
-    private void finish(WorkerAttempt attempt) {
+    private void complete(WorkerAttempt attempt) {
         running.remove(attempt);
-        slotsInUse -= Math.min(attempt.slots, group.slots());
+        slotsInUse -= slotsOf(attempt);
         memoryInUse -= attempt.memory;
         recordFreeSlots();
         end(attempt, AttemptEnding.SUCCEEDED);
-        startNext();
+        startQueued();
     }
 
-    private void progress(WorkerAttempt attempt, double whole) {
+    private void scheduleProgress(WorkerAttempt attempt, double totalSeconds) {
         timeline.schedule(
                 terms.progressIntervalSeconds(),
                 () -> {
                     if (!attempt.ended && !attempt.cancelled) {
-                        double left =
-                                Math.max(
-                                        0,
-                                        attempt.remaining
-                                                - (timeline.now() - attempt.progressedAt) * pace());
-                        deliver(attempt, () -> attempt.reply.onProgress(1 - left / whole));
-                        progress(attempt, whole);
+                        double left = remainingSeconds(attempt);
+                        responses.deliver(
+                                attempt, () -> attempt.reply.onProgress(1 - left / totalSeconds));
+                        scheduleProgress(attempt, totalSeconds);
                     }
                 });
     }
 
-    /** What runs goes on at the new pace. */
-    private void updatePace(Runnable change) {
-        double before = pace();
+    private double remainingSeconds(WorkerAttempt attempt) {
+        return remainingSeconds(attempt, timeline.now(), pace());
+    }
+
+    private static double remainingSeconds(WorkerAttempt attempt, double now, double pace) {
+        return Math.max(0, attempt.remainingSeconds - (now - attempt.progressedAt) * pace);
+    }
+
+    /** Applies a change of the pace to the attempts that are running. */
+    private void changePace(Runnable change) {
+        double paceBefore = pace();
         change.run();
         double now = timeline.now();
         for (WorkerAttempt attempt : running) {
-            attempt.remaining =
-                    Math.max(0, attempt.remaining - (now - attempt.progressedAt) * before);
+            attempt.remainingSeconds = remainingSeconds(attempt, now, paceBefore);
             attempt.progressedAt = now;
-            plan(attempt);
+            scheduleCompletion(attempt);
         }
-        startNext();
+        startQueued();
     }
 
     private void end(WorkerAttempt attempt, AttemptEnding ending) {
         attempt.ended = true;
-        boolean heard = ending == AttemptEnding.CONNECTION_LOST || (silences == 0 && cuts == 0);
-        listener.onEnded(attempt, this, ending, heard && !attempt.cancelled);
-        double free = reportedFree();
-        deliver(attempt, () -> attempt.reply.onEnded(ending, free));
-    }
-
-    private void deliver(WorkerAttempt attempt, Runnable word) {
-        if (attempt.cancelled) {
-            return;
-        }
-        if (silences > 0 || cuts > 0) {
-            if (!attempt.notificationLost) {
-                attempt.notificationLost = true;
-                unnotified.add(attempt);
-            }
-            return;
-        }
-        if (!attempt.notificationLost) {
-            word.run();
-        }
-    }
-
-    /** Connections on which something went unsaid are of no more use to anyone. */
-    private void dropUnnotified() {
-        List<WorkerAttempt> broken = new ArrayList<>(unnotified);
-        unnotified.clear();
-        for (WorkerAttempt attempt : broken) {
-            if (!attempt.cancelled) {
-                // Whatever becomes of the job, its connection ends here.
-                attempt.cancelled = true;
-                listener.onEnded(attempt, this, AttemptEnding.CONNECTION_LOST, true);
-                attempt.reply.onEnded(AttemptEnding.CONNECTION_LOST, Double.NaN);
-            }
-        }
-    }
-
-    // ---- warmth
-
-    /** The part of its capacity it has, from coldShare at its start to 1. */
-    public double warmth(double at) {
-        double age = at - startedAt;
-        if (!(age < group.slowStartDurationSeconds())) {
-            return 1;
-        }
-        return group.slowStartShare()
-                + (1 - group.slowStartShare())
-                        * Math.max(0, age)
-                        / group.slowStartDurationSeconds();
+        boolean isDelivered = ending == AttemptEnding.CONNECTION_LOST || !faults.areResponsesLost();
+        listener.onEnded(attempt, this, ending, isDelivered && !attempt.cancelled);
+        double freeSlots =
+                loadReports.reportedFreeSlots(timeline.now(), faults.reportDelaySeconds());
+        responses.deliver(attempt, () -> attempt.reply.onEnded(ending, freeSlots));
     }
 
-    private boolean wouldCollapse(double work) {
-        double now = timeline.now();
-        double from = now - group.overloadWindowSeconds();
-        double warm = warmth(from);
-        if (warm >= 1) {
-            return false;
-        }
-        coldArrivals.addLast(new double[] {now, work});
-        while (coldArrivals.peekFirst()[0] <= from) {
-            coldArrivals.pollFirst();
-        }
-        double sum = coldArrivals.stream().mapToDouble(entry -> entry[1]).sum();
-        double most =
-                group.overloadMultiple()
-                        * warm
-                        * group.speed()
-                        * group.slots()
-                        * group.overloadWindowSeconds();
-        if (group.overloadMeanWork() > 0) {
-            most += (2 * Math.sqrt(most / group.overloadMeanWork()) + 2) * group.overloadMeanWork();
-        }
-        return sum > most;
-    }
-
-    // ---- reports
-
     private void recordFreeSlots() {
-        if (terms.reportLag() >= 0) {
-            freeSlotHistory.addLast(new double[] {timeline.now(), group.slots() - slotsInUse});
-        }
-    }
-
-    /** Free slots as they were some time ago. */
-    private double reportedFree() {
-        if (terms.reportLag() < 0) {
-            return Double.NaN;
-        }
-        double as = timeline.now() - terms.reportLag() - reportDelay;
-        double free = group.slots();
-        while (freeSlotHistory.size() > 1 && freeSlotHistory.peekFirst()[0] <= as) {
-            free = freeSlotHistory.pollFirst()[1];
-        }
-        if (!freeSlotHistory.isEmpty() && freeSlotHistory.peekFirst()[0] <= as) {
-            free = freeSlotHistory.peekFirst()[1];
-        }
-        return free;
+        loadReports.record(timeline.now(), group.slots() - slotsInUse);
     }
 
     // ---- faults
 
-    void changeFailureRate(double part) {
-        failing = Math.max(0, Math.min(1, failing + part));
+    void changeFailureFraction(double change) {
+        faults.changeFailureFraction(change);
     }
 
     void setStalled(boolean begins) {
-        updatePace(() -> stalls += begins ? 1 : -1);
+        changePace(() -> faults.setStalled(begins));
     }
 
     void changeSpeed(double factor) {
-        updatePace(() -> slowdown *= factor);
+        changePace(() -> faults.multiplySpeed(factor));
     }
 
-    void delayReports(double by) {
-        reportDelay += by;
+    void changeReportDelay(double changeSeconds) {
+        faults.changeReportDelay(changeSeconds);
     }
 
-    void setSilent(boolean begins) {
-        silences += begins ? 1 : -1;
-        if (silences == 0 && cuts == 0) {
-            dropUnnotified();
-        }
+    void setUnresponsive(boolean begins) {
+        faults.setUnresponsive(begins);
+        resetInterruptedIfReachable();
     }
 
     void setPartitioned(boolean begins) {
-        cuts += begins ? 1 : -1;
-        if (cuts == 0 && silences == 0) {
-            dropUnnotified();
+        faults.setPartitioned(begins);
+        resetInterruptedIfReachable();
+    }
+
+    private void resetInterruptedIfReachable() {
+        if (!faults.areResponsesLost()) {
+            responses.resetInterrupted();
         }
     }
 
-    /** Told draining now; it ends when it is empty, but not before all have had time to hear it. */
+    // ---- process
+
+    /**
+     * Drains the worker: it is listed as draining now, and ends once it is empty, but not before
+     * every dispatcher has had time to learn of it.
+     */
     void drain() {
-        registry.update(this, EndpointRegistry.State.DRAINING, startedAt);
-        int life = incarnation;
-        timeline.schedule(terms.listLag() + terms.grace(), () -> endIfEmpty(life));
+        registry.update(this, EndpointRegistry.State.DRAINING, slowStart.startedAt());
+        runInThisProcess(
+                terms.endpointListLagSeconds() + terms.drainGraceSeconds(), this::crashWhenEmpty);
     }
 
-    private void endIfEmpty(int life) {
-        if (life != incarnation) {
-            return;
-        }
-        if (running.isEmpty() && waiting.isEmpty()) {
+    private void crashWhenEmpty() {
+        if (running.isEmpty() && queue.isEmpty()) {
             crash();
         } else {
-            timeline.schedule(EndpointRegistry.POLL_INTERVAL, () -> endIfEmpty(life));
+            runInThisProcess(EndpointRegistry.POLL_INTERVAL_SECONDS, this::crashWhenEmpty);
         }
     }
 
-    /** The process ends with all it holds. */
+    /** Ends the process; the connections of its attempts are lost. */
     void crash() {
         incarnation++;
         up = false;
-        registry.update(this, EndpointRegistry.State.GONE, startedAt);
+        registry.update(this, EndpointRegistry.State.REMOVED, slowStart.startedAt());
         List<WorkerAttempt> lost = new ArrayList<>(running);
-        lost.addAll(waiting);
+        lost.addAll(queue);
         running.clear();
-        waiting.clear();
+        queue.clear();
         slotsInUse = 0;
         memoryInUse = 0;
-        coldArrivals.clear();
+        slowStart.onProcessEnded();
         if (portListener != null) {
-            portListener.closed(this);
+            portListener.onClosed(this);
         }
         lost.forEach(attempt -> end(attempt, AttemptEnding.CONNECTION_LOST));
-        dropUnnotified();
+        responses.resetInterrupted();
     }
 
-    /** A new process, cold. */
+    /** Starts a new process, which begins with slow start. */
     void start() {
         if (up) {
             crash();
         }
         incarnation++;
         up = true;
-        startedAt = timeline.now();
+        slowStart.onProcessStarted(timeline.now());
         if (portListener != null) {
             portListener.onOpened(this);
         }
-        registry.update(this, EndpointRegistry.State.READY, startedAt);
+        registry.update(this, EndpointRegistry.State.READY, slowStart.startedAt());
     }
 
-    // ---- what those see who see all
+    // ---- the true state, which no dispatcher sees
 
-    /** Jobs that run now. */
-    public int running() {
+    /** The fraction of its capacity that the worker has at this time. */
+    public double rampFraction(double at) {
+        return slowStart.rampFraction(at);
+    }
+
+    /** The number of attempts that are running. */
+    public int runningCount() {
         return running.size();
     }
 
-    /** Jobs that wait for a slot now. */
-    public int waiting() {
-        return waiting.size();
+    /** The number of attempts that wait for a slot. */
+    public int queuedCount() {
+        return queue.size();
     }
 
-    /** The part of attempts that end in an error now. */
-    public double failureRate() {
-        return failing;
+    /** The fraction of attempts that fail as soon as they arrive. */
+    public double failureFraction() {
+        return faults.failureFraction();
     }
 
-    /** When a job that came now would be done; infinite where it would not be. */
-    public double workDoneBy(double work) {
+    /**
+     * Returns when an attempt that arrived now would be completed; infinity if it would not be, as
+     * far as the faults in force show.
+     */
+    public double expectedCompletion(double workSeconds) {
         double now = timeline.now();
-        double pace = pace() * warmth(now);
-        if (!up || cuts > 0 || silences > 0 || !(pace > 0) || waiting.size() >= group.queue()) {
+        double pace = pace() * rampFraction(now);
+        if (!up
+                || faults.areResponsesLost()
+                || !(pace > 0)
+                || queue.size() >= group.queueCapacity()) {
             return Double.POSITIVE_INFINITY;
         }
-        double ahead = 0;
-        for (WorkerAttempt attempt : waiting) {
-            ahead += attempt.work;
+        double workAhead = 0;
+        for (WorkerAttempt attempt : queue) {
+            workAhead += attempt.workSeconds;
         }
         for (WorkerAttempt attempt : running) {
-            ahead += Math.max(0, attempt.remaining - (now - attempt.progressedAt) * pace());
+            workAhead += remainingSeconds(attempt);
         }
-        double wait = slotsInUse < group.slots() && waiting.isEmpty() ? 0 : ahead / group.slots();
-        return now + (wait + work) / pace;
+        boolean hasFreeSlot = slotsInUse < group.slots() && queue.isEmpty();
+        double waitSeconds = hasFreeSlot ? 0 : workAhead / group.slots();
+        return now + (waitSeconds + workSeconds) / pace;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientPool.java
@@ -229,7 +229,9 @@
             next.wasWritten = true;
             // What it waits is counted from its last byte.
             byte[] message =
-                    message(next.submitted, Math.max(0.001, next.submitted.timeout() - next.pause));
+                    message(
+                            next.submitted,
+                            Math.max(0.001, next.submitted.timeoutSeconds() - next.pause));
             if (next.pause > 0) {
                 int half = message.length / 2;
                 out.send(ByteBuffer.wrap(message, 0, half));
--- a/kit/src/main/java/wheelroute/kit/process/FaultInjector.java
+++ b/kit/src/main/java/wheelroute/kit/process/FaultInjector.java
@@ -3,6 +3,7 @@
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.audit.MetricsAuditor;
 import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.scenario.FaultMode;
 import wheelroute.kit.scenario.Scenario;
 
 /** Injects a scenario's faults into the dispatchers' processes and links. */
@@ -51,7 +52,7 @@
     }
 
     @Override
-    public void replace(int dispatcher, Scenario.How how, double limit) {
+    public void replace(int dispatcher, FaultMode how, double limit) {
         fleet.replace(dispatcher, how, limit);
     }
 
@@ -75,7 +76,7 @@
     }
 
     @Override
-    public void start(int dispatcher, Scenario.How how) {
+    public void start(int dispatcher, FaultMode how) {
         fleet.start(dispatcher, how);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/process/Fleet.java
@@ -16,7 +16,9 @@
 import java.util.function.IntFunction;
 import java.util.stream.Stream;
 import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.scenario.DaemonConfigFile;
 import wheelroute.kit.scenario.DaemonSettings;
+import wheelroute.kit.scenario.FaultMode;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.net.loop.EventLoop;
 
@@ -110,7 +112,7 @@
         DaemonProcess killedBeside;
 
         /** To be started once the last process is gone; null for not. */
-        Scenario.How startsAs;
+        FaultMode startsAs;
 
         DispatcherSlot(int number) throws IOException {
             this.number = number;
@@ -140,7 +142,7 @@
         this.listener = listener;
         folder = Files.createTempDirectory("wheelroute");
         supervisor = new ProcessSupervisor(folder);
-        for (int i = 0; i < scenario.dispatchers(); i++) {
+        for (int i = 0; i < scenario.dispatcherCount(); i++) {
             slots.add(new DispatcherSlot(i));
         }
     }
@@ -173,7 +175,7 @@
 
     // ---- starts and ends
 
-    void start(int dispatcher, Scenario.How how) {
+    void start(int dispatcher, FaultMode how) {
         DispatcherSlot slot = slots.get(dispatcher);
         if (!slot.alive.isEmpty()) {
             // The old one may still be at its end.
@@ -216,24 +218,25 @@
     }
 
     private DaemonProcess launch(
-            DispatcherSlot slot, Scenario.How how, DaemonProcess.Listener processHearer) {
+            DispatcherSlot slot, FaultMode how, DaemonProcess.Listener processHearer) {
         try {
-            Map<String, String> own = DaemonSettings.pairsOf(scenario, slot.number, pairs);
-            if (how == Scenario.How.CHANGED) {
+            Map<String, String> own =
+                    DaemonSettings.settingsOfDispatcher(scenario, slot.number, pairs);
+            if (how == FaultMode.CHANGED_SETTINGS) {
                 own.putAll(scenario.changedSettings());
             }
             Path config = slot.home.resolve("config-" + slot.starts + ".json");
             long seed = random.seedOf(SeededRandom.Purpose.STRATEGY, slot.number, slot.starts++);
             Files.writeString(
                     config,
-                    DaemonSettings.file(
-                            "n" + slot.number,
-                            seed,
-                            scenario.limits().memoryMb(),
-                            scenario.limits().sockets(),
-                            own,
-                            peers.apply(slot.number)));
-            Path from = how == Scenario.How.OLDER && older != null ? older : jar;
+                    new DaemonConfigFile(
+                                    "n" + slot.number,
+                                    seed,
+                                    scenario.limits(),
+                                    own,
+                                    peers.apply(slot.number))
+                            .text());
+            Path from = how == FaultMode.OLDER_BUILD && older != null ? older : jar;
             DaemonProcess process =
                     DaemonProcess.start(
                             new DaemonProcess.Spec(
@@ -282,7 +285,7 @@
         }
         listener.onStopped(slot.number);
         if (slot.startsAs != null || crashed) {
-            start(slot.number, crashed ? Scenario.How.USUAL : slot.startsAs);
+            start(slot.number, crashed ? FaultMode.USUAL : slot.startsAs);
         }
     }
 
@@ -347,7 +350,7 @@
     // ---- one process in another's place
 
     /** It is to be through within the limit; what is not counts as {@link #notReplaced}. */
-    void replace(int dispatcher, Scenario.How how, double limit) {
+    void replace(int dispatcher, FaultMode how, double limit) {
         DispatcherSlot slot = slots.get(dispatcher);
         if (slot.alive.size() != 1 || slot.startsAs != null || slot.port == 0) {
             // Down, or in the middle of another: an operator would wait too.
@@ -372,7 +375,7 @@
                         });
         slot.next = next;
         double due = loop.now() + limit;
-        if (how == Scenario.How.NEW_KILLED) {
+        if (how == FaultMode.SUCCESSOR_KILLED) {
             double after =
                     NEW_KILLED_WITHIN
                             * random.uniform(SeededRandom.Purpose.FAULT, slot.number, slot.starts);
@@ -390,11 +393,7 @@
     }
 
     private void awaitReady(
-            DispatcherSlot slot,
-            DaemonProcess old,
-            DaemonProcess next,
-            Scenario.How how,
-            double due) {
+            DispatcherSlot slot, DaemonProcess old, DaemonProcess next, FaultMode how, double due) {
         if (slot.next != next) {
             return;
         }
@@ -425,14 +424,10 @@
     }
 
     private void ready(
-            DispatcherSlot slot,
-            DaemonProcess old,
-            DaemonProcess next,
-            Scenario.How how,
-            double due) {
+            DispatcherSlot slot, DaemonProcess old, DaemonProcess next, FaultMode how, double due) {
         slot.current = next;
         slot.next = null;
-        if (how == Scenario.How.BOTH_STOPPED) {
+        if (how == FaultMode.BOTH_PAUSED) {
             listener.onSplit(slot.number, true);
             setPaused(slot.number, true);
             loop.schedule(
@@ -444,7 +439,7 @@
                             endOld(slot, old, due);
                         }
                     });
-        } else if (how == Scenario.How.OLD_KILLED) {
+        } else if (how == FaultMode.PREDECESSOR_KILLED) {
             killBeside(slot, old);
         } else {
             endOld(slot, old, due);
--- a/kit/src/main/java/wheelroute/kit/process/JobCodec.java
+++ b/kit/src/main/java/wheelroute/kit/process/JobCodec.java
@@ -34,7 +34,7 @@
         return String.format(
                         Locale.ROOT,
                         "{\"work\":%.6f,\"slots\":%d,\"memory\":%.3f}",
-                        clientAttempt.request().work(),
+                        clientAttempt.request().workSeconds(),
                         requestClass.slots(),
                         requestClass.memory())
                 .getBytes(StandardCharsets.UTF_8);
@@ -51,7 +51,8 @@
                     String name = parser.currentName();
                     boolean number = parser.nextToken().isNumeric();
                     switch (number ? name : "") {
-                        case "work" -> work = Math.max(Scenario.MIN_WORK, parser.getDoubleValue());
+                        case "work" ->
+                                work = Math.max(Scenario.MIN_WORK_SECONDS, parser.getDoubleValue());
                         case "slots" -> slots = Math.max(1, parser.getIntValue());
                         case "memory" -> memory = Math.max(0, parser.getDoubleValue());
                         default -> parser.skipChildren();
--- a/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
+++ b/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
@@ -13,6 +13,7 @@
 import wheelroute.kit.faults.NetworkLink;
 import wheelroute.kit.faults.Relay;
 import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.scenario.LinkKind;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.net.loop.EventLoop;
 
@@ -44,14 +45,14 @@
         this.loop = loop;
         this.random = random;
         this.groups = groups;
-        dispatchers = scenario.dispatchers();
+        dispatchers = scenario.dispatcherCount();
         this.listener = listener;
         relayed =
                 scenario.faults().stream()
                         .anyMatch(
                                 f ->
                                         f.kind().affectsLinks()
-                                                && f.affectedLinks() != Scenario.LinkKind.PEERS);
+                                                && f.affectedLinks() != LinkKind.PEERS);
     }
 
     boolean areRelayed() {
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
@@ -16,6 +16,7 @@
 import wheelroute.kit.audit.MetricsAuditor;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.scenario.DaemonSettings;
+import wheelroute.kit.scenario.FaultMode;
 import wheelroute.kit.scenario.FaultScheduleGenerator;
 import wheelroute.kit.scenario.FigureNames;
 import wheelroute.kit.scenario.Scenario;
@@ -94,7 +95,7 @@
     private volatile String failure;
 
     private ProcessRun(Options options) {
-        peering = options.scenario().peers() && !options.settings().containsKey(NO_PEERS);
+        peering = options.scenario().peersEnabled() && !options.settings().containsKey(NO_PEERS);
         this.options = options.prepared();
     }
 
@@ -112,7 +113,7 @@
         // Fails before any process is started if the settings are at fault.
         DaemonSettings.settings(
                 options.seed(),
-                DaemonSettings.pairs(run.options.scenario(), run.options.settings()));
+                DaemonSettings.settingsByPath(run.options.scenario(), run.options.settings()));
         try {
             run.start();
             boolean partial = run.watch(stop, progress);
@@ -144,8 +145,8 @@
         relayCost = cost.get(LoopExecutor.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         executor.call(
                 () -> {
-                    for (int i = 0; i < options.scenario().dispatchers(); i++) {
-                        environment.fleet.start(i, Scenario.How.USUAL);
+                    for (int i = 0; i < options.scenario().dispatcherCount(); i++) {
+                        environment.fleet.start(i, FaultMode.USUAL);
                     }
                     return null;
                 });
@@ -164,7 +165,7 @@
                 new MembershipCheck(
                         loop,
                         environment.fleet,
-                        options.scenario().dispatchers(),
+                        options.scenario().dispatcherCount(),
                         environment.transport::isOpen);
     }
 
@@ -203,7 +204,7 @@
         loop.post(
                 () -> {
                     List<Process> found = new ArrayList<>();
-                    for (int i = 0; i < options.scenario().dispatchers(); i++) {
+                    for (int i = 0; i < options.scenario().dispatcherCount(); i++) {
                         environment.fleet.processes(i).forEach(p -> found.add(p.process()));
                     }
                     processes.complete(found);
@@ -263,28 +264,31 @@
                         options.variantName(),
                         options.seed(),
                         options.seconds(),
-                        scenario.workers(),
-                        scenario.dispatchers());
-        Report.Lag lag =
-                new Report.Lag(timerLag.p99(), timerLag.max(), machine.p99(), machine.most());
+                        scenario.workerCount(),
+                        scenario.dispatcherCount());
+        Report.MachineLag lag =
+                new Report.MachineLag(
+                        timerLag.p99(), timerLag.max(), machine.p99(), machine.most());
         return Report.of(
                 run,
                 environment.recorder,
                 environment.auditor,
                 environment.cluster,
                 lag,
-                new Report.Extra(figures(), notes()),
+                new Report.Measurements(figures(), notes()),
                 partial);
     }
 
     private Map<String, Double> figures() {
         MetricsAuditor metrics = environment.metricsAuditor;
         Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put(FigureNames.LIST_CALLS, (double) environment.discoveryCalls.maxPerSecond());
-        figures.put(FigureNames.METRICS_MISMATCH, metrics.mismatchFraction());
-        figures.put(FigureNames.ADMIN_CALLS_LATE, metrics.lateCallFraction());
-        figures.put(FigureNames.NOT_REPLACED, (double) environment.fleet.notReplaced());
-        figures.put(FigureNames.PEERS_WRONG, (double) membership.mismatches().size());
+        figures.put(
+                FigureNames.MAX_DISCOVERY_CALLS,
+                (double) environment.discoveryCalls.maxPerSecond());
+        figures.put(FigureNames.MISMATCHED_METRICS, metrics.mismatchFraction());
+        figures.put(FigureNames.ADMIN_CALL_TIMEOUTS, metrics.lateCallFraction());
+        figures.put(FigureNames.FAILED_REPLACEMENTS, (double) environment.fleet.notReplaced());
+        figures.put(FigureNames.PEERS_NOT_CONVERGED, (double) membership.mismatches().size());
         return figures;
     }
 
--- a/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
+++ b/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
@@ -62,10 +62,10 @@
         random = new SeededRandom(options.seed());
         EventLoopTimeline time = new EventLoopTimeline(loop);
         auditor = new Auditor(scenario, time, SLACK);
-        metricsAuditor = new MetricsAuditor(time, scenario.clients().writePause() > 0);
+        metricsAuditor = new MetricsAuditor(time, scenario.clients().writePauseSeconds() > 0);
         recorder = new Recorder(scenario, time, options.seconds(), auditor, metricsAuditor);
         cluster = new ClusterModel(scenario, time, random, options.seconds(), recorder);
-        transport = new ClientTransport(scenario.dispatchers());
+        transport = new ClientTransport(scenario.dispatcherCount());
         clients = new Clients(scenario, time, random, options.seconds(), transport, recorder);
         List<StubWorker> workers = new ArrayList<>();
         for (WorkerModel model : cluster.workers) {
@@ -76,7 +76,7 @@
         links = new NetworkLinks(loop, scenario, random, groups, this::onLinkChange);
         List<InetSocketAddress> discoveries = startDiscovery(workers);
         List<List<String>> peerAddresses = new ArrayList<>();
-        for (int i = 0; i < scenario.dispatchers(); i++) {
+        for (int i = 0; i < scenario.dispatcherCount(); i++) {
             peerAddresses.add(peering ? links.toPeers(i, this::peerAddress) : List.of());
         }
         fleet =
@@ -84,7 +84,7 @@
                         loop,
                         scenario,
                         random,
-                        DaemonSettings.pairs(scenario, options.settings()),
+                        DaemonSettings.settingsByPath(scenario, options.settings()),
                         options.jar(),
                         options.older(),
                         discoveries::get,
@@ -99,7 +99,7 @@
     /** A stub of discovery for each dispatcher, with the workers' addresses on its own links. */
     private List<InetSocketAddress> startDiscovery(List<StubWorker> workers) throws IOException {
         List<InetSocketAddress> addresses = new ArrayList<>();
-        for (int i = 0; i < scenario.dispatchers(); i++) {
+        for (int i = 0; i < scenario.dispatcherCount(); i++) {
             int dispatcher = i;
             List<InetSocketAddress> workerAddresses = new ArrayList<>();
             for (int j = 0; j < workers.size(); j++) {
@@ -153,6 +153,6 @@
         discoveryCalls.reset();
         cluster.start(new FaultInjector(this, flood));
         recorder.start(cluster, clients);
-        new AdminPoll(loop, fleet, metricsAuditor, scenario.dispatchers()).poll();
+        new AdminPoll(loop, fleet, metricsAuditor, scenario.dispatcherCount()).poll();
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/ScenarioBehavior.java
+++ b/kit/src/main/java/wheelroute/kit/process/ScenarioBehavior.java
@@ -21,7 +21,7 @@
 
     @Override
     public double pause(ClientAttempt clientAttempt) {
-        double max = Math.min(clients.writePause(), clientAttempt.timeout() / 2);
+        double max = Math.min(clients.writePauseSeconds(), clientAttempt.timeoutSeconds() / 2);
         return max <= 0 || !isFresh(clientAttempt) ? 0 : max * draw(clientAttempt, 1);
     }
 
--- a/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
@@ -122,7 +122,7 @@
             if (heard.getAsBoolean() || entry.state() == EndpointRegistry.State.READY) {
                 auditor.onNotified(dispatcher, entry.worker().number, entry.state());
             }
-            if (!whole || entry.state() != EndpointRegistry.State.GONE) {
+            if (!whole || entry.state() != EndpointRegistry.State.REMOVED) {
                 listed.add(json(entry));
             }
         }
@@ -154,7 +154,7 @@
         return switch (state) {
             case READY -> "ready";
             case DRAINING -> "draining";
-            case GONE -> "gone";
+            case REMOVED -> "gone";
         };
     }
 
--- a/kit/src/main/java/wheelroute/kit/process/StubRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubRun.java
@@ -12,6 +12,7 @@
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.model.ClusterModel;
 import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.scenario.FaultMode;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.net.loop.Clock;
 import wheelroute.net.loop.EventLoop;
@@ -83,7 +84,7 @@
         }
 
         @Override
-        public void start(int dispatcher, Scenario.How how) {
+        public void start(int dispatcher, FaultMode how) {
             // Not ours.
         }
     }
--- a/kit/src/main/java/wheelroute/kit/process/StubWorker.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubWorker.java
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void closed(WorkerModel worker) {
+    public void onClosed(WorkerModel worker) {
         try {
             if (server != null) {
                 loop.unlisten(server);
--- a/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
@@ -48,7 +48,7 @@
         json.writeBooleanField("partial", report.partial());
         json.writeBooleanField("holds", report.holds());
         json.writeStringField("judgement", lowerCase(report.judgement()));
-        json.writeStringField("why_not_judged", report.whyNotJudged());
+        json.writeStringField("why_not_judged", report.notJudgedReason());
         lag(json, report.lag());
         strings(json, "notes", report.notes());
         json.writeObjectFieldStart("figures");
@@ -67,7 +67,7 @@
             json.writeArray(point, 0, point.length);
         }
         json.writeEndArray();
-        faults(json, report.bands());
+        faults(json, report.faultPeriods());
         json.writeEndObject();
     }
 
@@ -76,30 +76,30 @@
         json.writeStringField("clock", run.clock());
         json.writeStringField("variant", run.variant());
         json.writeNumberField("seed", run.seed());
-        number(json, "seconds", run.seconds());
+        number(json, "seconds", run.durationSeconds());
         json.writeNumberField("workers", run.workers());
         json.writeNumberField("dispatchers", run.dispatchers());
     }
 
-    private static void lag(JsonGenerator json, Report.Lag lag) throws IOException {
+    private static void lag(JsonGenerator json, Report.MachineLag lag) throws IOException {
         json.writeObjectFieldStart("lag");
-        number(json, "p99", lag.p99());
-        number(json, "most", lag.max());
-        number(json, "core_wait_p99", lag.waitP99());
-        number(json, "core_wait_most", lag.waitMax());
+        number(json, "p99", lag.timerP99Seconds());
+        number(json, "most", lag.timerMaxSeconds());
+        number(json, "core_wait_p99", lag.coreWaitP99Seconds());
+        number(json, "core_wait_most", lag.coreWaitMaxSeconds());
         json.writeEndObject();
     }
 
     private static void breaches(JsonGenerator json, Report report) throws IOException {
         json.writeObjectFieldStart("rules");
         for (Map.Entry<Rule, Integer> count : report.breachCounts().entrySet()) {
-            json.writeNumberField(lowerCase(count.getKey()), count.getValue());
+            json.writeNumberField(count.getKey().key(), count.getValue());
         }
         json.writeEndObject();
         json.writeArrayFieldStart("breaches");
         for (Auditor.Breach breach : report.breaches()) {
             json.writeStartObject();
-            json.writeStringField("rule", lowerCase(breach.rule()));
+            json.writeStringField("rule", breach.rule().key());
             json.writeStringField("what", breach.description());
             strings(json, "history", breach.history());
             json.writeEndObject();
@@ -136,19 +136,20 @@
         json.writeEndObject();
     }
 
-    private static void faults(JsonGenerator json, List<Report.Band> bands) throws IOException {
+    private static void faults(JsonGenerator json, List<Report.FaultPeriod> bands)
+            throws IOException {
         json.writeArrayFieldStart("faults");
-        for (Report.Band band : bands) {
+        for (Report.FaultPeriod band : bands) {
             json.writeStartObject();
-            json.writeStringField("kind", band.name());
-            number(json, "from", band.from());
-            number(json, "to", band.to());
+            json.writeStringField("kind", band.kind());
+            number(json, "from", band.startSeconds());
+            number(json, "to", band.endSeconds());
             json.writeEndObject();
         }
         json.writeEndArray();
     }
 
-    /** The names of rules and judgements are keys of reports. */
+    /** The names of judgements are values in reports for programs. */
     private static String lowerCase(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
--- a/kit/src/main/java/wheelroute/kit/report/Recorder.java
+++ b/kit/src/main/java/wheelroute/kit/report/Recorder.java
@@ -63,7 +63,7 @@
     private void sampleQueues(ClusterModel cluster, Clients clients) {
         tally.sample(cluster);
         timeline.schedule(
-                tally.step(),
+                tally.sampleIntervalSeconds(),
                 () -> {
                     if (!clients.isOver()) {
                         sampleQueues(cluster, clients);
@@ -98,8 +98,8 @@
     }
 
     @Override
-    public void onGaveUp(ClientAttempt clientAttempt, boolean ownWish) {
-        auditor.onGaveUp(clientAttempt, ownWish);
+    public void onAbandoned(ClientAttempt clientAttempt, boolean ownWish) {
+        auditor.onAbandoned(clientAttempt, ownWish);
         metricsAuditor.onResponseLost(clientAttempt.dispatcher());
     }
 
