--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -11,7 +11,16 @@
 import wheelroute.kit.scenario.FigureNames;
 import wheelroute.kit.scenario.Scenario;
 
-/** One run's result. Nothing in it depends on the machine, where the clock is virtual. */
+/**
+ * The result of one run. On the virtual clock it does not depend on the machine: the same seed
+ * gives the same report.
+ *
+ * @param figures by name, see {@link FigureNames}
+ * @param breaches the first ones; all are counted
+ * @param distribution points of the latency distribution: fraction of requests, seconds
+ * @param notes lines for people
+ * @param partial whether the run was stopped before its end
+ */
 public record Report(
         Run run,
         Row total,
@@ -23,28 +32,28 @@
         List<Auditor.Breach> breaches,
         Series series,
         List<double[]> distribution,
-        List<Band> bands,
-        Lag lag,
+        List<FaultPeriod> faultPeriods,
+        MachineLag lag,
         List<String> notes,
         boolean partial) {
-    /** Past this lateness of the machine, in seconds at the 99th percentile, a run says nothing. */
-    public static final double MAX_LAG = 0.05;
+    /** A run on a machine whose lag has a 99th percentile above this is not judged. */
+    public static final double MAX_P99_LAG_SECONDS = 0.05;
 
-    /** A machine that was once so late may itself be why something came too late. */
-    public static final double MAX_SINGLE_LAG = 0.1;
+    /** A machine that lagged by more than this even once may be the cause of a late response. */
+    public static final double MAX_SINGLE_LAG_SECONDS = 0.1;
 
-    /** What was played. */
+    /** What was run. */
     public record Run(
             String scenario,
             String title,
             String clock,
             String variant,
             long seed,
-            double seconds,
+            double durationSeconds,
             int workers,
             int dispatchers) {}
 
-    /** Counts of asks; times in seconds, NaN where nothing was fulfilled. */
+    /** Counts of requests by result; latencies in seconds, NaN if no request succeeded. */
     public record Row(
             String name,
             long requested,
@@ -59,9 +68,14 @@
             double p99,
             double p999) {}
 
-    /** One expectation, and whether it holds. */
+    /** An expectation of the scenario, and whether it holds. */
     public record Verdict(String figure, double min, double max, double value, boolean holds) {
-        /** How the verdict is printed. */
+        static Verdict of(Scenario.Expectation expected, double value) {
+            boolean holds = value >= expected.min() && value <= expected.max();
+            return new Verdict(expected.figure(), expected.min(), expected.max(), value, holds);
+        }
+
+        /** Returns the verdict as a line for people. */
         public String text() {
             return figure
                     + (Double.isInfinite(min) ? "" : " at least " + min)
@@ -72,7 +86,7 @@
         }
     }
 
-    /** Over time; queues by group of workers. */
+    /** Rates and service over time; attempts at a worker by worker group. */
     public record Series(
             double[] times,
             double[] requested,
@@ -80,49 +94,78 @@
             double[] service,
             Map<String, double[]> queues) {}
 
-    /** A fault's time in the run. */
-    public record Band(String name, double from, double to) {}
+    /** The period of a fault, in seconds from the start of the run. */
+    public record FaultPeriod(String kind, double startSeconds, double endSeconds) {}
 
     /**
-     * How late the machine was, in seconds; zeros on the simulated clock.
+     * How late the machine ran the kit and the dispatchers; zeros on the virtual clock.
      *
-     * @param p99 of the stand-ins' own timers
-     * @param waitP99 of each tenth of a second, how long a dispatcher was ready to run and had no
-     *     core
+     * @param timerP99Seconds lag of the kit's own timers, 99th percentile
+     * @param coreWaitP99Seconds how long a dispatcher that was ready to run waited for a core in
+     *     each tenth of a second, 99th percentile
      */
-    public record Lag(double p99, double max, double waitP99, double waitMax) {
-        public static final Lag NONE = new Lag(0, 0, 0, 0);
+    public record MachineLag(
+            double timerP99Seconds,
+            double timerMaxSeconds,
+            double coreWaitP99Seconds,
+            double coreWaitMaxSeconds) {
+        public static final MachineLag NONE = new MachineLag(0, 0, 0, 0);
+
+        boolean isEverAbove(double seconds) {
+            return Math.max(timerMaxSeconds, coreWaitMaxSeconds) > seconds;
+        }
     }
 
-    /** What only some runs can measure: figures by name, and lines for people. */
-    public record Extra(Map<String, Double> figures, List<String> notes) {
-        public static final Extra NONE = new Extra(Map.of(), List.of());
+    /** What only some kinds of runs can measure: figures by name, and lines for people. */
+    public record Measurements(Map<String, Double> figures, List<String> notes) {
+        public static final Measurements NONE = new Measurements(Map.of(), List.of());
     }
 
-    /** What a run is good for. */
+    /** The judgement of a run. Names in lower case are values in reports for programs. */
     public enum Judgement {
         HOLDS,
         DOES_NOT_HOLD,
-        /** This machine was too busy to say. */
+        /** The machine was too busy for a judgement. */
         NOT_JUDGED,
-        /** Stopped before its end. */
+        /** The run was stopped before its end. */
         PARTIAL
     }
 
-    /** Puts a run's parts together and judges it. */
+    /** Creates the report of a run that has ended. */
     public static Report of(
             Run run,
             Recorder recorder,
             Auditor auditor,
             ClusterModel cluster,
-            Lag lag,
-            Extra extra,
+            MachineLag lag,
+            Measurements measurements,
             boolean partial) {
         Tally tally = recorder.tally();
+        Map<String, Double> figures = figures(recorder, auditor);
+        figures.putAll(measurements.figures());
+        return new Report(
+                run,
+                tally.total(),
+                tally.requestClassRows(),
+                tally.tenantRows(),
+                figures,
+                verdicts(cluster.scenario, figures),
+                breachCounts(auditor),
+                auditor.breaches(),
+                tally.series(cluster),
+                tally.distribution(),
+                faultPeriods(cluster),
+                lag,
+                measurements.notes(),
+                partial);
+    }
+
+    private static Map<String, Double> figures(Recorder recorder, Auditor auditor) {
+        Tally tally = recorder.tally();
         Row total = tally.total();
+        double counted = Math.max(1, total.requested() - total.cancelled());
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put(FigureNames.SERVICE, total.service());
-        double counted = Math.max(1, total.requested() - total.cancelled());
         figures.put(FigureNames.IN_TIME, total.inTime() / counted);
         figures.put(FigureNames.REJECTED, total.rejected() / counted);
         figures.put(FigureNames.FAILED, total.failed() / counted);
@@ -136,66 +179,48 @@
                 .forEach(row -> figures.put(FigureNames.REQUEST_CLASS + row.name(), row.service()));
         tally.tenantRows()
                 .forEach(row -> figures.put(FigureNames.TENANT + row.name(), row.service()));
-        figures.putAll(extra.figures());
+        return figures;
+    }
+
+    private static List<Verdict> verdicts(Scenario scenario, Map<String, Double> figures) {
         List<Verdict> verdicts = new ArrayList<>();
-        for (Scenario.Expectation e : cluster.scenario.expectations()) {
-            double value = figures.getOrDefault(e.figure(), Double.NaN);
-            verdicts.add(
-                    new Verdict(
-                            e.figure(),
-                            e.min(),
-                            e.max(),
-                            value,
-                            value >= e.min() && value <= e.max()));
+        for (Scenario.Expectation expected : scenario.expectations()) {
+            double value = figures.getOrDefault(expected.figure(), Double.NaN);
+            verdicts.add(Verdict.of(expected, value));
         }
+        return verdicts;
+    }
+
+    private static Map<Rule, Integer> breachCounts(Auditor auditor) {
         Map<Rule, Integer> counts = new LinkedHashMap<>();
         for (Rule rule : Rule.values()) {
             counts.put(rule, auditor.count(rule));
         }
-        List<Band> bands =
-                cluster.scheduledFaults.stream()
-                        .map(
-                                h ->
-                                        new Band(
-                                                h.fault()
-                                                        .kind()
-                                                        .name()
-                                                        .toLowerCase(Locale.ROOT)
-                                                        .replace('_', '-'),
-                                                h.start(),
-                                                h.end()))
-                        .toList();
-        return new Report(
-                run,
-                total,
-                tally.requestClassRows(),
-                tally.tenantRows(),
-                figures,
-                verdicts,
-                counts,
-                auditor.breaches(),
-                tally.series(cluster),
-                tally.distribution(),
-                bands,
-                lag,
-                extra.notes(),
-                partial);
+        return counts;
     }
 
-    /** Null where the machine kept up; else why this run cannot be judged. */
-    public String whyNotJudged() {
-        if (lag.p99() > MAX_LAG) {
-            return "the stand-ins were late";
+    private static List<FaultPeriod> faultPeriods(ClusterModel cluster) {
+        return cluster.scheduledFaults.stream()
+                .map(
+                        scheduled ->
+                                new FaultPeriod(
+                                        scheduled.fault().kind().key(),
+                                        scheduled.startAt(),
+                                        scheduled.endAt()))
+                .toList();
+    }
+
+    /** Returns why the machine does not allow a judgement of the run; null if it does. */
+    public String notJudgedReason() {
+        if (lag.timerP99Seconds() > MAX_P99_LAG_SECONDS) {
+            return "the kit's own timers were late";
         }
-        if (lag.waitP99() > MAX_LAG) {
+        if (lag.coreWaitP99Seconds() > MAX_P99_LAG_SECONDS) {
             return "dispatchers waited for a core";
         }
-        boolean fails = !keepsRules() || !verdicts.stream().allMatch(Verdict::holds);
-        // What happens twice does so on any machine; what comes too late may be the machine's
-        // doing.
-        boolean onlyLate = breachCounts.getOrDefault(Rule.NO_EFFECT_TWICE, 0) == 0;
-        if (fails && onlyLate && Math.max(lag.max(), lag.waitMax()) > MAX_SINGLE_LAG) {
-            return "the machine stood still for a moment, and what fails may come of that";
+        boolean mayBeCausedByLag = breachCounts.getOrDefault(Rule.AT_MOST_ONE_EFFECT, 0) == 0;
+        if (!meetsAll() && mayBeCausedByLag && lag.isEverAbove(MAX_SINGLE_LAG_SECONDS)) {
+            return "the machine stalled for a moment, which may be the cause of what fails";
         }
         return null;
     }
@@ -205,20 +230,22 @@
         return breachCounts.values().stream().allMatch(count -> count == 0);
     }
 
-    /** The verdict on the run. */
+    private boolean meetsAll() {
+        return keepsRules() && verdicts.stream().allMatch(Verdict::holds);
+    }
+
+    /** Returns the judgement of the run. */
     public Judgement judgement() {
         if (partial) {
             return Judgement.PARTIAL;
         }
-        if (whyNotJudged() != null) {
+        if (notJudgedReason() != null) {
             return Judgement.NOT_JUDGED;
         }
-        return keepsRules() && verdicts.stream().allMatch(Verdict::holds)
-                ? Judgement.HOLDS
-                : Judgement.DOES_NOT_HOLD;
+        return meetsAll() ? Judgement.HOLDS : Judgement.DOES_NOT_HOLD;
     }
 
-    /** Played to its end, in time, no rule broken, and all that was expected holds. */
+    /** Whether the run was judged, no rule was broken and all expectations hold. */
     public boolean holds() {
         return judgement() == Judgement.HOLDS;
     }
--- a/kit/src/main/java/wheelroute/kit/report/TableWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/TableWriter.java
@@ -6,95 +6,73 @@
 import java.util.Map;
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.audit.Rule;
+import wheelroute.kit.scenario.FigureNames;
 
-/** A run's result as text for people. */
+/** Writes a report as text for people. */
 public final class TableWriter {
-    private static final double MILLIS = 1e3;
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final String[] COLUMNS = {
+        "",
+        "requests",
+        "in time",
+        "late",
+        "rejected",
+        "failed",
+        "unanswered",
+        "cancelled",
+        "service",
+        "p50 ms",
+        "p99 ms",
+        "p99.9 ms"
+    };
+
+    private final StringBuilder out = new StringBuilder();
 
     private TableWriter() {}
 
-    /** The report as a text of tables, for a terminal. */
+    /** Returns the report as text for a terminal. */
     public static String text(Report report) {
-        StringBuilder out = new StringBuilder();
-        Report.Run run = report.run();
+        TableWriter writer = new TableWriter();
+        writer.writeRun(report.run());
+        writer.writeRows(report);
+        writer.writeFigures(report);
+        writer.writeRules(report);
+        for (Report.Verdict verdict : report.verdicts()) {
+            writer.line("expected: " + verdict.text());
+        }
+        writer.line(judgement(report));
+        return writer.out.toString();
+    }
+
+    private void line(String line) {
+        out.append(line).append('\n');
+    }
+
+    private void writeRun(Report.Run run) {
         out.append(
                 String.format(
                         Locale.ROOT,
-                        "%s, %s clock, seed %d, %s: %.0f s, %d workers, %d" + " dispatchers%n",
+                        "%s, %s clock, seed %d, %s: %.0f s, %d workers, %d dispatchers%n",
                         run.scenario(),
                         run.clock(),
                         run.seed(),
                         run.variant(),
-                        run.seconds(),
+                        run.durationSeconds(),
                         run.workers(),
                         run.dispatchers()));
         if (!run.title().isEmpty()) {
-            out.append(run.title()).append('\n');
+            line(run.title());
         }
-        out.append('\n');
+        line("");
+    }
+
+    private void writeRows(Report report) {
         List<String[]> rows = new ArrayList<>();
-        rows.add(
-                new String[] {
-                    "",
-                    "asked",
-                    "in time",
-                    "late",
-                    "bounced",
-                    "scrapped",
-                    "unanswered",
-                    "left",
-                    "service",
-                    "p50 ms",
-                    "p99 ms",
-                    "p99.9 ms"
-                });
+        rows.add(COLUMNS);
         report.requestClasses().forEach(row -> rows.add(cells(row)));
         report.tenants().forEach(row -> rows.add(cells(row)));
         rows.add(cells(report.total()));
-        out.append(aligned(rows)).append('\n');
-        out.append(
-                String.format(
-                        Locale.ROOT,
-                        "launches a submission: %.3f%n",
-                        report.figures().get("launches_per_submission")));
-        if (report.lag().p99() > 0) {
-            out.append(
-                    String.format(
-                            Locale.ROOT,
-                            "lateness of this machine: %.1f ms at p99, %.1f ms at"
-                                    + " most; dispatchers waited for a core: %.1f and %.1f ms%n",
-                            MILLIS * report.lag().p99(),
-                            MILLIS * report.lag().max(),
-                            MILLIS * report.lag().waitP99(),
-                            MILLIS * report.lag().waitMax()));
-        }
-        report.notes().forEach(note -> out.append(note).append('\n'));
-        for (Map.Entry<Rule, Integer> rule : report.breachCounts().entrySet()) {
-            out.append("rule: ")
-                    .append(rule.getKey().description)
-                    .append(": ")
-                    .append(rule.getValue() == 0 ? "kept" : "BROKEN " + rule.getValue() + " times")
-                    .append('\n');
-        }
-        for (Auditor.Breach breach : report.breaches()) {
-            out.append("  ")
-                    .append(breach.rule())
-                    .append(": ")
-                    .append(breach.description())
-                    .append('\n');
-            breach.history().forEach(line -> out.append("      ").append(line).append('\n'));
-        }
-        report.verdicts()
-                .forEach(verdict -> out.append("expected: ").append(verdict.text()).append('\n'));
-        out.append(
-                        switch (report.judgement()) {
-                            case HOLDS -> "holds";
-                            case DOES_NOT_HOLD -> "DOES NOT HOLD";
-                            case NOT_JUDGED -> "NOT JUDGED: " + report.whyNotJudged();
-                            case PARTIAL -> "PARTIAL: stopped before its end";
-                        })
-                .append('\n');
-        return out.toString();
+        line(aligned(rows));
     }
 
     private static String[] cells(Report.Row row) {
@@ -115,10 +93,51 @@
     }
 
     private static String millis(double seconds) {
-        return Double.isNaN(seconds) ? "-" : String.format(Locale.ROOT, "%.1f", MILLIS * seconds);
+        return Double.isNaN(seconds)
+                ? "-"
+                : String.format(Locale.ROOT, "%.1f", MILLIS_PER_SECOND * seconds);
+    }
+
+    private void writeFigures(Report report) {
+        double attempts = report.figures().get(FigureNames.ATTEMPTS);
+        line(String.format(Locale.ROOT, "attempts per request: %.3f", attempts));
+        Report.MachineLag lag = report.lag();
+        if (lag.timerP99Seconds() > 0) {
+            line(
+                    String.format(
+                            Locale.ROOT,
+                            "lag of the kit's timers: p99 %.1f ms, max %.1f ms; dispatchers'"
+                                    + " wait for a core: p99 %.1f ms, max %.1f ms",
+                            MILLIS_PER_SECOND * lag.timerP99Seconds(),
+                            MILLIS_PER_SECOND * lag.timerMaxSeconds(),
+                            MILLIS_PER_SECOND * lag.coreWaitP99Seconds(),
+                            MILLIS_PER_SECOND * lag.coreWaitMaxSeconds()));
+        }
+        report.notes().forEach(this::line);
+    }
+
+    private void writeRules(Report report) {
+        for (Map.Entry<Rule, Integer> rule : report.breachCounts().entrySet()) {
+            int count = rule.getValue();
+            String result = count == 0 ? "kept" : "BROKEN " + count + " times";
+            line("rule: " + rule.getKey().description() + ": " + result);
+        }
+        for (Auditor.Breach breach : report.breaches()) {
+            line("  " + breach.rule() + ": " + breach.description());
+            breach.history().forEach(event -> line("      " + event));
+        }
+    }
+
+    private static String judgement(Report report) {
+        return switch (report.judgement()) {
+            case HOLDS -> "holds";
+            case DOES_NOT_HOLD -> "DOES NOT HOLD";
+            case NOT_JUDGED -> "NOT JUDGED: " + report.notJudgedReason();
+            case PARTIAL -> "PARTIAL: stopped before its end";
+        };
     }
 
-    /** The first column to the left, the others to the right. */
+    /** Returns the rows as a table: the first column aligned left, the others right. */
     public static String aligned(List<String[]> rows) {
         int[] widths = new int[rows.get(0).length];
         for (String[] row : rows) {
@@ -126,15 +145,15 @@
                 widths[i] = Math.max(widths[i], row[i].length());
             }
         }
-        StringBuilder out = new StringBuilder();
+        StringBuilder table = new StringBuilder();
         for (String[] row : rows) {
             StringBuilder line = new StringBuilder();
             for (int i = 0; i < row.length; i++) {
-                String pad = " ".repeat(widths[i] - row[i].length());
-                line.append(i == 0 ? row[i] + pad : "  " + pad + row[i]);
+                String padding = " ".repeat(widths[i] - row[i].length());
+                line.append(i == 0 ? row[i] + padding : "  " + padding + row[i]);
             }
-            out.append(line.toString().stripTrailing()).append('\n');
+            table.append(line.toString().stripTrailing()).append('\n');
         }
-        return out.toString();
+        return table.toString();
     }
 }
--- a/kit/src/main/java/wheelroute/kit/report/Tally.java
+++ b/kit/src/main/java/wheelroute/kit/report/Tally.java
@@ -4,62 +4,26 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.HdrHistogram.Histogram;
 import wheelroute.kit.model.ClientRequest;
 import wheelroute.kit.model.Clients;
 import wheelroute.kit.model.ClusterModel;
 import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
 
-/** Counts as a run goes on: by request class, by tenant, over time. */
+/** Counts the requests of a run by result: in total, by request class, by tenant and over time. */
 public final class Tally {
-    /** Latencies are kept to a tenth of a percent, up to a day. */
-    private static final long MAX_MICROS = 86_400_000_000L;
-
-    private static final int DIGITS = 3;
-    private static final double MICROS = 1e6;
-
-    /** Points of a plot: more cannot be told apart. */
+    /** The points of a series, which are as many as a plot can show. */
     private static final int MAX_POINTS = 600;
 
-    /** One line of a report while it grows. */
-    private static final class OutcomeCounter {
-        final long[] results = new long[Clients.Result.values().length];
-        final Histogram latencies = new Histogram(MAX_MICROS, DIGITS);
-        long requestCount;
-        double valueRequested;
-        double valueEarned;
-
-        Report.Row row(String name) {
-            return new Report.Row(
-                    name,
-                    requestCount,
-                    count(Clients.Result.IN_TIME),
-                    count(Clients.Result.LATE),
-                    count(Clients.Result.REJECTED),
-                    count(Clients.Result.FAILED),
-                    count(Clients.Result.UNANSWERED),
-                    count(Clients.Result.CANCELLED),
-                    valueRequested > 0 ? valueEarned / valueRequested : 1,
-                    percentile(50),
-                    percentile(99),
-                    percentile(99.9));
-        }
+    private static final double MIN_INTERVAL_SECONDS = 1;
 
-        private long count(Clients.Result result) {
-            return results[result.ordinal()];
-        }
+    /** Each point of the latency distribution has this fraction of requests left above it. */
+    private static final double DISTRIBUTION_STEP = 0.8;
 
-        private double percentile(double part) {
-            return latencies.getTotalCount() == 0
-                    ? Double.NaN
-                    : latencies.getValueAtPercentile(part) / MICROS;
-        }
-    }
+    private static final double MIN_DISTRIBUTION_TAIL = 1e-5;
 
     private final Scenario scenario;
-    private double start;
-    private final double step;
+    private final double sampleIntervalSeconds;
     private final OutcomeCounter all = new OutcomeCounter();
     private final Map<String, OutcomeCounter> requestClasses = new LinkedHashMap<>();
     private final Map<String, OutcomeCounter> tenants = new LinkedHashMap<>();
@@ -67,45 +31,54 @@
     private final double[] valueRequested;
     private final double[] valueEarned;
     private final double[] attemptCounts;
-    private final List<double[]> queues = new ArrayList<>();
 
-    /** Makes an empty tally of a run that lasts so many seconds. */
+    /** For each sample, the attempts at each worker. */
+    private final List<double[]> queueSamples = new ArrayList<>();
+
+    private double startAt;
+
+    /**
+     * Creates an empty tally.
+     *
+     * @param seconds how long requests arrive
+     */
     public Tally(Scenario scenario, double seconds) {
         this.scenario = scenario;
-        step = Math.max(1, Math.ceil(seconds / MAX_POINTS));
-        int points = (int) Math.ceil(seconds / step);
+        sampleIntervalSeconds = Math.max(MIN_INTERVAL_SECONDS, Math.ceil(seconds / MAX_POINTS));
+        int points = (int) Math.ceil(seconds / sampleIntervalSeconds);
         requestCounts = new double[points];
         valueRequested = new double[points];
         valueEarned = new double[points];
         attemptCounts = new double[points];
         scenario.requestClasses()
-                .forEach(
-                        requestClass ->
-                                requestClasses.put(requestClass.name(), new OutcomeCounter()));
+                .forEach(each -> requestClasses.put(each.name(), new OutcomeCounter()));
         scenario.tenants().forEach(tenant -> tenants.put(tenant.name(), new OutcomeCounter()));
     }
 
     void startAt(double time) {
-        start = time;
+        startAt = time;
     }
 
-    /** Seconds from one sample of the queues to the next. */
-    public double step() {
-        return step;
+    /** Returns the interval of the samples of the queues. */
+    public double sampleIntervalSeconds() {
+        return sampleIntervalSeconds;
     }
 
     /** Counts a request of a client. */
     public void onRequest(ClientRequest request) {
-        all.requestCount++;
-        requestClasses.get(request.requestClass().name()).requestCount++;
-        if (tenants.containsKey(request.tenant().name())) {
-            tenants.get(request.tenant().name()).requestCount++;
-        }
+        countersOf(request).forEach(OutcomeCounter::onRequest);
         requestCounts[point(request.sendAt())]++;
     }
 
-    private int point(double at) {
-        return (int) Math.max(0, Math.min(requestCounts.length - 1, at / step));
+    private List<OutcomeCounter> countersOf(ClientRequest request) {
+        OutcomeCounter requestClass = requestClasses.get(request.requestClass().name());
+        OutcomeCounter tenant = tenants.get(request.tenant().name());
+        return tenant == null ? List.of(all, requestClass) : List.of(all, requestClass, tenant);
+    }
+
+    private int point(double seconds) {
+        return (int)
+                Math.max(0, Math.min(requestCounts.length - 1, seconds / sampleIntervalSeconds));
     }
 
     /**
@@ -114,58 +87,33 @@
      * @param latency in seconds
      */
     public void onFinished(ClientRequest request, Clients.Result result, double latency) {
-        onFinished(all, request, result, latency);
-        onFinished(requestClasses.get(request.requestClass().name()), request, result, latency);
-        if (tenants.containsKey(request.tenant().name())) {
-            onFinished(tenants.get(request.tenant().name()), request, result, latency);
-        }
+        countersOf(request).forEach(counter -> counter.onFinished(request, result, latency));
         if (result != Clients.Result.CANCELLED) {
-            valueRequested[point(request.sendAt())] += request.requestClass().priorityWeight();
-            valueEarned[point(request.sendAt())] += earned(request, result);
-        }
-    }
-
-    private static void onFinished(
-            OutcomeCounter line, ClientRequest request, Clients.Result result, double latency) {
-        line.results[result.ordinal()]++;
-        if (result == Clients.Result.CANCELLED) {
-            return;
+            int point = point(request.sendAt());
+            valueRequested[point] += request.requestClass().priorityWeight();
+            valueEarned[point] += OutcomeCounter.earnedValue(request, result);
         }
-        line.valueRequested += request.requestClass().priorityWeight();
-        line.valueEarned += earned(request, result);
-        if (result == Clients.Result.IN_TIME || result == Clients.Result.LATE) {
-            line.latencies.recordValue(Math.min(MAX_MICROS, Math.round(latency * MICROS)));
-        }
-    }
-
-    private static double earned(ClientRequest request, Clients.Result result) {
-        return switch (result) {
-            case IN_TIME -> request.requestClass().priorityWeight();
-            case LATE ->
-                    request.requestClass().priorityWeight() * request.requestClass().lateValue();
-            default -> 0;
-        };
     }
 
     /** Counts an attempt at a worker. */
     public void onAttempt(double now) {
-        attemptCounts[point(now - start)]++;
+        attemptCounts[point(now - startAt)]++;
     }
 
-    /** How many jobs each worker holds now. */
+    /** Samples the number of attempts at each worker. */
     public void sample(ClusterModel cluster) {
-        if (queues.size() < requestCounts.length) {
+        if (queueSamples.size() < requestCounts.length) {
             double[] sample = new double[cluster.workers.size()];
             for (WorkerModel worker : cluster.workers) {
-                sample[worker.number] = worker.waiting() + worker.running();
+                sample[worker.number] = worker.queuedCount() + worker.runningCount();
             }
-            queues.add(sample);
+            queueSamples.add(sample);
         }
     }
 
-    /** Requests counted so far. */
+    /** Returns the number of requests counted so far. */
     public long requestCount() {
-        return all.requestCount;
+        return all.requestCount();
     }
 
     Report.Row total() {
@@ -173,55 +121,64 @@
     }
 
     List<Report.Row> requestClassRows() {
-        return requestClasses.entrySet().stream().map(e -> e.getValue().row(e.getKey())).toList();
+        return rows(requestClasses);
     }
 
     List<Report.Row> tenantRows() {
-        return tenants.entrySet().stream().map(e -> e.getValue().row(e.getKey())).toList();
+        return rows(tenants);
+    }
+
+    private static List<Report.Row> rows(Map<String, OutcomeCounter> counters) {
+        return counters.entrySet().stream()
+                .map(entry -> entry.getValue().row(entry.getKey()))
+                .toList();
     }
 
     Report.Series series(ClusterModel cluster) {
         int points = requestCounts.length;
         double[] times = new double[points];
         double[] service = new double[points];
-        double[] rate = new double[points];
-        double[] sent = new double[points];
+        double[] requestRates = new double[points];
+        double[] attemptRates = new double[points];
         for (int i = 0; i < points; i++) {
-            times[i] = i * step;
-            rate[i] = requestCounts[i] / step;
-            sent[i] = attemptCounts[i] / step;
+            times[i] = i * sampleIntervalSeconds;
+            requestRates[i] = requestCounts[i] / sampleIntervalSeconds;
+            attemptRates[i] = attemptCounts[i] / sampleIntervalSeconds;
             service[i] = valueRequested[i] > 0 ? valueEarned[i] / valueRequested[i] : Double.NaN;
         }
-        Map<String, double[]> byGroup = new LinkedHashMap<>();
+        Map<String, double[]> queues = new LinkedHashMap<>();
         for (Scenario.WorkerGroup group : scenario.groups()) {
-            double[] mean = new double[points];
-            double[] most = new double[points];
-            for (int i = 0; i < points && i < queues.size(); i++) {
-                for (WorkerModel worker : cluster.workers) {
-                    if (worker.group == group) {
-                        mean[i] += queues.get(i)[worker.number] / group.count();
-                        most[i] = Math.max(most[i], queues.get(i)[worker.number]);
-                    }
+            addQueues(group, cluster, queues);
+        }
+        return new Report.Series(times, requestRates, attemptRates, service, queues);
+    }
+
+    private void addQueues(
+            Scenario.WorkerGroup group, ClusterModel cluster, Map<String, double[]> queues) {
+        int points = requestCounts.length;
+        double[] mean = new double[points];
+        double[] max = new double[points];
+        for (int i = 0; i < points && i < queueSamples.size(); i++) {
+            double[] sample = queueSamples.get(i);
+            for (WorkerModel worker : cluster.workers) {
+                if (worker.group == group) {
+                    mean[i] += sample[worker.number] / group.count();
+                    max[i] = Math.max(max[i], sample[worker.number]);
                 }
             }
-            byGroup.put(group.name() + " mean", mean);
-            byGroup.put(group.name() + " most", most);
         }
-        return new Report.Series(times, rate, sent, service, byGroup);
+        queues.put(group.name() + " mean", mean);
+        queues.put(group.name() + " most", max);
     }
 
-    /** Latency in seconds at each of these parts of all that was fulfilled, for the plot. */
+    /** Returns points of the latency distribution: fraction of successful requests, seconds. */
     List<double[]> distribution() {
-        List<double[]> curve = new ArrayList<>();
-        double missing = 1;
-        while (missing > 1e-5 && all.latencies.getTotalCount() * missing > 1) {
-            curve.add(
-                    new double[] {
-                        1 - missing,
-                        all.latencies.getValueAtPercentile(100 * (1 - missing)) / MICROS
-                    });
-            missing *= 0.8;
+        List<double[]> points = new ArrayList<>();
+        double tail = 1;
+        while (tail > MIN_DISTRIBUTION_TAIL && all.latencyCount() * tail > 1) {
+            points.add(new double[] {1 - tail, all.latencySecondsAt(100 * (1 - tail))});
+            tail *= DISTRIBUTION_STEP;
         }
-        return curve;
+        return points;
     }
 }
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultReader.java
@@ -0,0 +1,126 @@
+package wheelroute.kit.scenario;
+
+import java.util.List;
+import wheelroute.config.TomlFields;
+
+/** Reads the faults of a scenario file and checks each against the rest of the scenario. */
+final class FaultReader {
+    private static final int MAX_FAULTS_PER_CYCLE = 100;
+    private static final int MAX_PICK = 1000;
+    private static final double DEFAULT_MAX_DURATION_SECONDS = 4;
+
+    private final double cycleSeconds;
+    private final List<Scenario.WorkerGroup> groups;
+    private final List<String> dispatcherZones;
+    private final boolean isSimulated;
+
+    /**
+     * Creates a reader of the faults of one scenario.
+     *
+     * @param isSimulated whether the scenario can run on the virtual clock
+     */
+    FaultReader(
+            double cycleSeconds,
+            List<Scenario.WorkerGroup> groups,
+            List<String> dispatcherZones,
+            boolean isSimulated) {
+        this.cycleSeconds = cycleSeconds;
+        this.groups = groups;
+        this.dispatcherZones = dispatcherZones;
+        this.isSimulated = isSimulated;
+    }
+
+    Scenario.Fault fault(TomlFields fields) {
+        FaultKind kind = ScenarioFields.constant(fields, "kind", null, FaultKind.class);
+        String group = fields.text("group", "");
+        if (!group.isEmpty() && groups.stream().noneMatch(each -> each.name().equals(group))) {
+            fields.addFault("group", "names no group of workers: " + group);
+        }
+        Scenario.Fault fault = fault(fields, kind, group);
+        checkTimes(fields, fault);
+        checkLinks(fields, fault);
+        checkTargets(fields, fault);
+        checkMode(fields, fault);
+        return fault;
+    }
+
+    private Scenario.Fault fault(TomlFields fields, FaultKind kind, String group) {
+        return new Scenario.Fault(
+                kind,
+                fields.number("at", ScenarioFields.REQUIRED, 0, cycleSeconds),
+                fields.number("for", ScenarioFields.REQUIRED, 0.01, ScenarioFields.MAX_SECONDS),
+                group,
+                fields.number("share", 1, 0, 1),
+                fields.number("level", kind.defaultLevel(), kind.minLevel(), kind.maxLevel()),
+                fields.integer("pick", 0, 0, MAX_PICK),
+                fields.number("within", 0, 0, ScenarioFields.MAX_SECONDS),
+                ScenarioFields.constant(fields, "to", LinkKind.WORKERS, LinkKind.class),
+                fields.text("zone", ""),
+                fields.text("from", ""),
+                fields.number("spread", 0, 0, 60),
+                ScenarioFields.constant(fields, "how", FaultMode.USUAL, FaultMode.class),
+                fields.number("others", 1, 0, 1));
+    }
+
+    private void checkTimes(TomlFields fields, Scenario.Fault fault) {
+        if (fault.endSeconds() > cycleSeconds) {
+            fields.addFault("for", "goes on past the end of the cycle, " + cycleSeconds + " s");
+        }
+        if (fault.startSpreadSeconds() > 0 && !fault.kind().affectsDispatchers()) {
+            fields.addFault("within", "is for faults of dispatchers only");
+        }
+    }
+
+    private static void checkLinks(TomlFields fields, Scenario.Fault fault) {
+        FaultKind kind = fault.kind();
+        if (fields.contains("to")
+                && (!kind.affectsLinks() || kind == FaultKind.DISCOVERY_LINK_CUT)) {
+            fields.addFault("to", "is for links only");
+        }
+        if (kind == FaultKind.LINK_DUPLICATION && fault.linkKind() != LinkKind.PEERS) {
+            fields.addFault("kind", "is for links to peers only: to must be \"peers\"");
+        }
+    }
+
+    private void checkTargets(TomlFields fields, Scenario.Fault fault) {
+        if (!fault.workerZone().isEmpty() && groups.stream().noneMatch(fault::affects)) {
+            fields.addFault("zone", "names no zone of those workers: " + fault.workerZone());
+        }
+        if (fault.dispatcherZone().isEmpty()) {
+            return;
+        }
+        if (!fault.kind().affectsDispatchers()) {
+            fields.addFault("from", "is for faults of dispatchers only");
+        } else if (!dispatcherZones.contains(fault.dispatcherZone())) {
+            fields.addFault("from", "is none of run.zones: " + fault.dispatcherZone());
+        }
+    }
+
+    private void checkMode(TomlFields fields, Scenario.Fault fault) {
+        FaultKind kind = fault.kind();
+        if (!kind.allowedModes().contains(fault.mode())) {
+            fields.addFault(
+                    "how", "is not available for " + kind.key() + ": " + fault.mode().key());
+        }
+        if (kind.needsProcesses() && isSimulated) {
+            fields.addFault("kind", "needs processes: run.clocks must be [\"real\"]");
+        }
+    }
+
+    Scenario.RandomFaults randomFaults(TomlFields fields) {
+        List<FaultKind> allowed = FaultScheduleGenerator.kinds(!isSimulated);
+        List<String> allowedKeys = allowed.stream().map(FaultKind::key).toList();
+        List<String> keys = fields.textList("kinds", allowedKeys, allowedKeys);
+        double minSeconds = FaultScheduleGenerator.MIN_DURATION_SECONDS;
+        Scenario.RandomFaults randomFaults =
+                new Scenario.RandomFaults(
+                        fields.integer("faults", 0, 0, MAX_FAULTS_PER_CYCLE),
+                        fields.number(
+                                "longest",
+                                Math.min(DEFAULT_MAX_DURATION_SECONDS, cycleSeconds / 2),
+                                minSeconds,
+                                Math.max(minSeconds, cycleSeconds / 2)),
+                        allowed.stream().filter(kind -> keys.contains(kind.key())).toList());
+        return randomFaults.countPerCycle() == 0 ? Scenario.RandomFaults.NONE : randomFaults;
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/scenario/FaultScheduleGenerator.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultScheduleGenerator.java
@@ -10,142 +10,174 @@
 import wheelroute.kit.model.SeededRandom;
 
 /**
- * Schedules drawn from a seed: which faults, when, how long and whom they meet depends on the seed
- * alone, so that one that fails can be played again, and written down as a scenario.
+ * Draws the random faults of a scenario. Kinds, times and targets depend on the seed alone, so a
+ * schedule that fails can be run again and written as a scenario file.
  */
 public final class FaultScheduleGenerator {
-    /** Shorter than this nobody would notice. */
-    static final double MIN_LENGTH = 0.1;
+    static final double MIN_DURATION_SECONDS = 0.1;
 
-    /** Before the first fault all is as usual for so long, and so long after the last one. */
-    private static final double QUIET_TIME = 0.5;
+    /** Time without faults at the start and at the end of a cycle. */
+    private static final double QUIET_SECONDS = 0.5;
 
-    /** Times and levels have two decimals: a person may read what is written down. */
-    private static final double STEPS = 100;
+    /** Times and levels are rounded to two decimals, which keeps written scenarios legible. */
+    private static final double ROUNDING_STEPS = 100;
 
-    /** Faults drawn have picks of their own, so that taking one out moves none of the others. */
+    /** Each random fault has its own pick: removing one does not change the others' targets. */
     private static final int FIRST_RANDOM_PICK = 100;
 
-    /** The most of its dispatchers or workers that a drawn fault meets. */
-    private static final double MAX_SHARE = 0.6;
+    private static final double MIN_TARGET_FRACTION = 0.01;
+    private static final double MAX_TARGET_FRACTION = 0.6;
+    private static final double MAX_DELAY_SPREAD_SECONDS = 0.1;
 
-    /** Whatever the share, one of them is met. */
-    private static final double MIN_SHARE = 0.01;
+    /** Kinds that are useful only as part of a plan. */
+    private static final Set<FaultKind> NEVER_RANDOM =
+            EnumSet.of(
+                    FaultKind.ROLLING_DEPLOY,
+                    FaultKind.LOAD_REPORT_DELAY,
+                    FaultKind.LINK_DUPLICATION);
 
-    private static final Set<Scenario.Kind> PLANNED =
-            EnumSet.of(Scenario.Kind.DEPLOY, Scenario.Kind.LATE_REPORTS, Scenario.Kind.LINK_DOUBLE);
-
-    /** Ways to peers are harmed by plan: few scenarios have any. */
-    private static final List<Scenario.LinkKind> ENDS =
-            List.of(Scenario.LinkKind.WORKERS, Scenario.LinkKind.LIST, Scenario.LinkKind.CLIENTS);
+    /** Links to peers are left out, as few scenarios have any. */
+    private static final List<LinkKind> RANDOM_LINKS =
+            List.of(LinkKind.WORKERS, LinkKind.DISCOVERY, LinkKind.CLIENTS);
 
     private FaultScheduleGenerator() {}
 
-    /** What may be drawn: whatever the clocks can play, less what only makes sense by plan. */
-    static List<Scenario.Kind> kinds(boolean processes) {
-        return Arrays.stream(Scenario.Kind.values())
-                .filter(kind -> processes || !kind.needsProcesses())
-                .filter(kind -> !PLANNED.contains(kind))
+    /** Returns the kinds that may be drawn. */
+    static List<FaultKind> kinds(boolean hasProcesses) {
+        return Arrays.stream(FaultKind.values())
+                .filter(kind -> hasProcesses || !kind.needsProcesses())
+                .filter(kind -> !NEVER_RANDOM.contains(kind))
                 .toList();
     }
 
-    /** All faults of a run with this seed: those that the scenario names, and those drawn. */
+    /** Returns the scenario with the faults that this seed draws in addition to its own. */
     public static Scenario withRandomFaults(Scenario scenario, long seed) {
-        if (scenario.randomFaults().perCycle() == 0) {
+        if (scenario.randomFaults().countPerCycle() == 0) {
             return scenario;
         }
-        List<Scenario.Fault> all = new ArrayList<>(scenario.faults());
-        List<Scenario.Fault> drawn = new ArrayList<>();
+        List<Scenario.Fault> randomFaults = new ArrayList<>();
         SeededRandom random = new SeededRandom(seed);
-        for (int i = 0; i < scenario.randomFaults().perCycle(); i++) {
-            drawn.add(
-                    randomFault(
-                            scenario,
-                            random.generator(SeededRandom.Purpose.SCHEDULE, i, 0),
-                            FIRST_RANDOM_PICK + i));
+        for (int i = 0; i < scenario.randomFaults().countPerCycle(); i++) {
+            SplittableRandom generator = random.generator(SeededRandom.Purpose.SCHEDULE, i, 0);
+            randomFaults.add(randomFault(scenario, generator, FIRST_RANDOM_PICK + i));
         }
-        drawn.sort(Comparator.comparingDouble(Scenario.Fault::start));
-        all.addAll(drawn);
-        return scenario.with(all);
+        randomFaults.sort(Comparator.comparingDouble(Scenario.Fault::startSeconds));
+        List<Scenario.Fault> all = new ArrayList<>(scenario.faults());
+        all.addAll(randomFaults);
+        return scenario.withFaults(all);
     }
 
+    /** The order of the draws is part of what a seed means. */
     private static Scenario.Fault randomFault(
             Scenario scenario, SplittableRandom random, int pick) {
-        Scenario.RandomFaults bounds = scenario.randomFaults();
-        Scenario.Kind kind = randomItem(bounds.kinds(), random);
-        double most = Math.min(bounds.maxLength(), scenario.cycle() - 2 * QUIET_TIME);
-        double length = round(MIN_LENGTH + (most - MIN_LENGTH) * random.nextDouble());
-        // Half of them strike all at one moment, the others one after another.
-        double within =
-                kind.affectsDispatchers() && random.nextBoolean()
-                        ? round(random.nextDouble() * Math.max(0, most - length))
-                        : 0;
-        double at =
-                round(
-                        QUIET_TIME
-                                + random.nextDouble()
-                                        * Math.max(
-                                                0,
-                                                scenario.cycle()
-                                                        - 2 * QUIET_TIME
-                                                        - length
-                                                        - within));
-        String group =
-                !kind.affectsDispatchers() || (kind.affectsLinks() && random.nextBoolean())
-                        ? randomItem(scenario.groups(), random).name()
-                        : "";
-        double share = round(MIN_SHARE + (MAX_SHARE - MIN_SHARE) * random.nextDouble());
-        Scenario.LinkKind ends =
-                kind.affectsLinks() && kind != Scenario.Kind.LIST_CUT
-                        ? randomItem(ENDS, random)
-                        : Scenario.LinkKind.WORKERS;
-        Scenario.How how =
-                randomItem(
-                        kind.allowedHows().stream()
-                                .filter(h -> h != Scenario.How.OLDER)
-                                .filter(
-                                        h ->
-                                                h != Scenario.How.CHANGED
-                                                        || !scenario.changedSettings().isEmpty())
-                                .toList(),
-                        random);
-        double spread = kind == Scenario.Kind.LINK_SLOW ? round(random.nextDouble() * 0.1) : 0;
+        FaultKind kind = randomItem(scenario.randomFaults().kinds(), random);
+        double maxSeconds =
+                Math.min(
+                        scenario.randomFaults().maxDurationSeconds(),
+                        scenario.cycleSeconds() - 2 * QUIET_SECONDS);
+        double durationSeconds = randomDuration(maxSeconds, random);
+        double startSpreadSeconds = randomStartSpread(kind, maxSeconds - durationSeconds, random);
+        double startSeconds =
+                randomStart(scenario.cycleSeconds(), durationSeconds, startSpreadSeconds, random);
+        String group = randomGroup(scenario, kind, random);
+        double targetFraction = randomTargetFraction(random);
+        LinkKind links = randomLinks(kind, random);
+        FaultMode mode = randomMode(scenario, kind, random);
+        double delaySpreadSeconds = randomDelaySpread(kind, random);
         return new Scenario.Fault(
                 kind,
-                at,
-                length,
-                ends == Scenario.LinkKind.WORKERS ? group : "",
-                share,
-                level(kind, random),
+                startSeconds,
+                durationSeconds,
+                links == LinkKind.WORKERS ? group : "",
+                targetFraction,
+                randomLevel(kind, random),
                 pick,
-                within,
-                ends,
+                startSpreadSeconds,
+                links,
                 "",
                 "",
-                spread,
-                how,
+                delaySpreadSeconds,
+                mode,
                 1);
     }
 
-    private static double level(Scenario.Kind kind, SplittableRandom random) {
-        double part = random.nextDouble();
+    private static double randomDuration(double maxSeconds, SplittableRandom random) {
+        return round(
+                MIN_DURATION_SECONDS + (maxSeconds - MIN_DURATION_SECONDS) * random.nextDouble());
+    }
+
+    /** Half of the faults of dispatchers affect all targets at once. */
+    private static double randomStartSpread(
+            FaultKind kind, double maxSeconds, SplittableRandom random) {
+        return kind.affectsDispatchers() && random.nextBoolean()
+                ? round(random.nextDouble() * Math.max(0, maxSeconds))
+                : 0;
+    }
+
+    private static double randomStart(
+            double cycleSeconds,
+            double durationSeconds,
+            double startSpreadSeconds,
+            SplittableRandom random) {
+        double latest = cycleSeconds - 2 * QUIET_SECONDS - durationSeconds - startSpreadSeconds;
+        return round(QUIET_SECONDS + random.nextDouble() * Math.max(0, latest));
+    }
+
+    /** Returns the name of a worker group; empty for all groups. */
+    private static String randomGroup(Scenario scenario, FaultKind kind, SplittableRandom random) {
+        boolean isOneGroup =
+                !kind.affectsDispatchers() || (kind.affectsLinks() && random.nextBoolean());
+        return isOneGroup ? randomItem(scenario.groups(), random).name() : "";
+    }
+
+    private static double randomTargetFraction(SplittableRandom random) {
+        return round(
+                MIN_TARGET_FRACTION
+                        + (MAX_TARGET_FRACTION - MIN_TARGET_FRACTION) * random.nextDouble());
+    }
+
+    private static LinkKind randomLinks(FaultKind kind, SplittableRandom random) {
+        return kind.affectsLinks() && kind != FaultKind.DISCOVERY_LINK_CUT
+                ? randomItem(RANDOM_LINKS, random)
+                : LinkKind.WORKERS;
+    }
+
+    private static FaultMode randomMode(
+            Scenario scenario, FaultKind kind, SplittableRandom random) {
+        boolean hasChangedSettings = !scenario.changedSettings().isEmpty();
+        List<FaultMode> modes =
+                kind.allowedModes().stream()
+                        .filter(mode -> mode != FaultMode.OLDER_BUILD)
+                        .filter(mode -> mode != FaultMode.CHANGED_SETTINGS || hasChangedSettings)
+                        .toList();
+        return randomItem(modes, random);
+    }
+
+    private static double randomDelaySpread(FaultKind kind, SplittableRandom random) {
+        return kind == FaultKind.LINK_DELAY
+                ? round(random.nextDouble() * MAX_DELAY_SPREAD_SECONDS)
+                : 0;
+    }
+
+    private static double randomLevel(FaultKind kind, SplittableRandom random) {
+        double draw = random.nextDouble();
         return switch (kind) {
-            case BURST, LINK_LOSS -> round(0.1 + 0.9 * part);
-            case SLOW -> round(0.05 + 0.6 * part);
-            case LIST_LATE -> round(0.2 + 3 * part);
-            case LINK_SLOW -> round(0.02 + 0.4 * part);
-            case LINK_TRICKLE -> Math.rint(500 + 20_000 * part);
-            case DISPATCHER_STARVE -> round(0.1 + 0.5 * part);
-            case CROWD -> Math.rint(20 + 200 * part);
-            default -> ScenarioReader.levels(kind)[0];
+            case ERROR_BURST, LINK_LOSS -> round(0.1 + 0.9 * draw);
+            case SLOWDOWN -> round(0.05 + 0.6 * draw);
+            case DISCOVERY_DELAY -> round(0.2 + 3 * draw);
+            case LINK_DELAY -> round(0.02 + 0.4 * draw);
+            case LINK_BANDWIDTH -> Math.rint(500 + 20_000 * draw);
+            case DISPATCHER_CPU_LIMIT -> round(0.1 + 0.5 * draw);
+            case IDLE_CONNECTION_FLOOD -> Math.rint(20 + 200 * draw);
+            default -> kind.defaultLevel();
         };
     }
 
-    private static <T> T randomItem(List<T> open, SplittableRandom random) {
-        return open.get(random.nextInt(open.size()));
+    private static <T> T randomItem(List<T> items, SplittableRandom random) {
+        return items.get(random.nextInt(items.size()));
     }
 
     private static double round(double value) {
-        return Math.rint(value * STEPS) / STEPS;
+        return Math.rint(value * ROUNDING_STEPS) / ROUNDING_STEPS;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
@@ -19,19 +19,19 @@
     public static final String P999 = "p999";
 
     /** Calls to the list service in the second in which there were most, by all dispatchers. */
-    public static final String LIST_CALLS = "list_calls_most";
+    public static final String MAX_DISCOVERY_CALLS = "list_calls_most";
 
     /** Of the operators' figures the part that was not true, or missing. */
-    public static final String METRICS_MISMATCH = "figures_untrue";
+    public static final String MISMATCHED_METRICS = "figures_untrue";
 
     /** Of the calls at admin servers the part that was not answered within a second. */
-    public static final String ADMIN_CALLS_LATE = "doors_late";
+    public static final String ADMIN_CALL_TIMEOUTS = "doors_late";
 
     /** Replacements that were not through in time. */
-    public static final String NOT_REPLACED = "not_replaced";
+    public static final String FAILED_REPLACEMENTS = "not_replaced";
 
     /** Dispatchers that do not hold just those to be there that are, as the requests end. */
-    public static final String PEERS_WRONG = "peers_wrong";
+    public static final String PEERS_NOT_CONVERGED = "peers_wrong";
 
     /** The service of one request class or tenant: the name follows. */
     public static final String REQUEST_CLASS = "offering:";
@@ -50,11 +50,11 @@
                     P50,
                     P99,
                     P999,
-                    LIST_CALLS,
-                    METRICS_MISMATCH,
-                    ADMIN_CALLS_LATE,
-                    NOT_REPLACED,
-                    PEERS_WRONG,
+                    MAX_DISCOVERY_CALLS,
+                    MISMATCHED_METRICS,
+                    ADMIN_CALL_TIMEOUTS,
+                    FAILED_REPLACEMENTS,
+                    PEERS_NOT_CONVERGED,
                     REQUEST_CLASS + "NAME",
                     TENANT + "NAME");
 
@@ -72,11 +72,11 @@
                     P50,
                     P99,
                     P999,
-                    LIST_CALLS,
-                    METRICS_MISMATCH,
-                    ADMIN_CALLS_LATE,
-                    NOT_REPLACED,
-                    PEERS_WRONG ->
+                    MAX_DISCOVERY_CALLS,
+                    MISMATCHED_METRICS,
+                    ADMIN_CALL_TIMEOUTS,
+                    FAILED_REPLACEMENTS,
+                    PEERS_NOT_CONVERGED ->
                     true;
             default -> name.startsWith(REQUEST_CLASS) || name.startsWith(TENANT);
         };
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -1,226 +1,179 @@
 package wheelroute.kit.scenario;
 
-import java.math.BigDecimal;
-import java.util.List;
-import java.util.Locale;
-import java.util.Map;
-import java.util.stream.Collectors;
 import wheelroute.config.TomlFields;
 
-/** A scenario as a file that {@link ScenarioReader} reads as the same scenario. */
+/** Writes a scenario as a file that {@link ScenarioReader} reads as the same scenario. */
 public final class ScenarioWriter {
-    private final StringBuilder out = new StringBuilder();
+    private final TomlWriter toml = new TomlWriter();
 
     private ScenarioWriter() {}
 
-    /** The scenario as a TOML file that reads back as the same scenario. */
-    public static String text(Scenario s) {
+    /** Returns the scenario as a TOML file. */
+    public static String text(Scenario scenario) {
         ScenarioWriter writer = new ScenarioWriter();
-        writer.write(s);
-        return writer.out.toString();
+        writer.write(scenario);
+        return writer.toml.text();
     }
 
-    private void write(Scenario s) {
-        text("title", s.title());
-        table("run")
-                .number("seconds", s.seconds())
-                .number("cycle", s.cycle())
-                .texts("clocks", s.clocks())
-                .number("dispatchers", s.dispatchers())
-                .texts("zones", s.zones())
-                .flag("peers", s.peers());
-        table("limits")
-                .number("memory_mb", s.limits().memoryMb())
-                .number("sockets", s.limits().sockets());
-        s.groups().forEach(this::write);
-        s.requestClasses().forEach(this::write);
-        for (Scenario.Tenant tenant : s.tenants()) {
-            item("tenants")
-                    .text("name", tenant.name())
-                    .number("share", tenant.share())
-                    .number("quota", tenant.quota());
-        }
-        for (Scenario.LoadPoint point : s.load()) {
-            item("load").number("at", point.time()).number("rate", point.rate());
-        }
-        Scenario.Clients c = s.clients();
-        table("clients")
-                .number("retries", c.retries())
-                .number("pause", c.retryDelay())
-                .number("least_wait", c.minTimeout())
-                .number("impatient", c.cancelFraction())
-                .number("fresh", c.newConnectionFraction())
-                .number("writes", c.writePause());
-        table("network")
-                .number("delay", s.network().delay())
-                .number("jitter", s.network().jitter());
-        Scenario.PlatformTerms t = s.terms();
-        table("terms")
-                .flag("tells_start", t.reportsStart())
-                .number("progress_every", t.progressIntervalSeconds())
-                .flag("may_cancel", t.mayCancel())
-                .flag("may_copy", t.mayHedge())
-                .number("most_launches", t.maxAttempts())
-                .flag("retry_after", t.sendsRetryAfter())
-                .number("longest_retry_after", t.maxRetryAfterSeconds())
-                .number("list_lag", t.listLag())
-                .number("report_lag", t.reportLag())
-                .number("grace", t.grace())
-                .number("connect_limit", t.connectTimeoutSeconds())
-                .number("cross_zone_price", t.crossZonePrice())
-                .number("over_share_value", t.overQuotaValue());
-        s.faults().forEach(this::write);
-        if (s.randomFaults().perCycle() > 0) {
-            table("drawn")
-                    .number("faults", s.randomFaults().perCycle())
-                    .number("longest", s.randomFaults().maxLength())
-                    .texts(
-                            "kinds",
-                            s.randomFaults().kinds().stream()
-                                    .map(TomlFields::configuredName)
-                                    .toList());
-        }
-        map("daemon", s.overrides());
-        map("changed", s.changedSettings());
-        for (Scenario.Expectation e : s.expectations()) {
-            table("expect." + quoted(e.figure()));
-            if (Double.isFinite(e.min())) {
-                number("least", e.min());
-            }
-            if (Double.isFinite(e.max())) {
-                number("most", e.max());
-            }
-        }
+    private void write(Scenario scenario) {
+        toml.text("title", scenario.title());
+        writeRun(scenario);
+        writeLimits(scenario.limits());
+        scenario.groups().forEach(this::write);
+        scenario.requestClasses().forEach(this::write);
+        scenario.tenants().forEach(this::write);
+        scenario.load().forEach(this::write);
+        write(scenario.clients());
+        write(scenario.network());
+        write(scenario.terms());
+        scenario.faults().forEach(this::write);
+        write(scenario.randomFaults());
+        toml.texts("daemon", scenario.settingOverrides());
+        toml.texts("changed", scenario.changedSettings());
+        scenario.expectations().forEach(this::write);
     }
 
-    private void write(Scenario.WorkerGroup g) {
-        item("workers")
-                .text("name", g.name())
-                .text("model", g.model())
-                .number("count", g.count())
-                .number("slots", g.slots())
-                .number("speed", g.speed())
-                .text("zone", g.zone())
-                .number("queue", g.queue())
-                .number("memory", g.memory())
-                .number("cold_share", g.slowStartShare())
-                .number("cold_for", g.slowStartDurationSeconds())
-                .number("tip_multiple", g.overloadMultiple())
-                .number("tip_window", g.overloadWindowSeconds())
-                .number("tip_request", g.overloadMeanWork());
+    private void writeRun(Scenario scenario) {
+        toml.table("run")
+                .number("seconds", scenario.durationSeconds())
+                .number("cycle", scenario.cycleSeconds())
+                .texts("clocks", scenario.clocks())
+                .number("dispatchers", scenario.dispatcherCount())
+                .texts("zones", scenario.zones())
+                .flag("peers", scenario.peersEnabled());
     }
 
-    private void write(Scenario.RequestClass o) {
-        item("offerings")
-                .text("name", o.name())
-                .text("effect", TomlFields.configuredName(o.idempotency()))
-                .text("group", TomlFields.configuredName(o.idempotencyScope()))
-                .number("share", o.share())
-                .number("work", o.work())
-                .number("spread", o.spread())
-                .number("hint_error", o.estimateError())
-                .number("quoted", o.latencyObjectiveSeconds())
-                .number("stretch", o.objectivePerWork())
-                .number("outer", o.deadline())
-                .number("value", o.priorityWeight())
-                .number("late_value", o.lateValue())
-                .number("window", o.idempotencyWindowSeconds())
-                .number("slots", o.slots())
-                .number("memory", o.memory());
+    private void writeLimits(Scenario.Limits limits) {
+        toml.table("limits")
+                .number("memory_mb", limits.memoryMb())
+                .number("sockets", limits.sockets());
     }
 
-    /** What has no meaning for a kind may not stand there. */
-    private void write(Scenario.Fault f) {
-        item("faults")
-                .text("kind", TomlFields.configuredName(f.kind()))
-                .number("at", f.start())
-                .number("for", f.length());
-        if (!f.group().isEmpty()) {
-            text("group", f.group());
-        }
-        number("share", f.share()).number("level", f.level()).number("pick", f.pick());
-        if (f.startSpread() > 0) {
-            number("within", f.startSpread());
-        }
-        if (f.linkKind() != Scenario.LinkKind.WORKERS) {
-            text("to", TomlFields.configuredName(f.linkKind()));
-        }
-        if (!f.zone().isEmpty()) {
-            text("zone", f.zone());
-        }
-        if (!f.from().isEmpty()) {
-            text("from", f.from());
-        }
-        if (f.spread() > 0) {
-            number("spread", f.spread());
-        }
-        if (f.peerFraction() < 1) {
-            number("others", f.peerFraction());
-        }
-        if (f.how() != Scenario.How.USUAL) {
-            text("how", TomlFields.configuredName(f.how()));
-        }
+    private void write(Scenario.WorkerGroup group) {
+        toml.item("workers")
+                .text("name", group.name())
+                .text("model", group.model())
+                .number("count", group.count())
+                .number("slots", group.slots())
+                .number("speed", group.speed())
+                .text("zone", group.zone())
+                .number("queue", group.queueCapacity())
+                .number("memory", group.memoryCapacity())
+                .number("cold_share", group.slowStartFraction())
+                .number("cold_for", group.slowStartDurationSeconds())
+                .number("tip_multiple", group.overloadMultiple())
+                .number("tip_window", group.overloadWindowSeconds())
+                .number("tip_request", group.overloadMeanWork());
     }
 
-    private ScenarioWriter table(String name) {
-        out.append("\n[").append(name).append("]\n");
-        return this;
+    private void write(Scenario.RequestClass requestClass) {
+        toml.item("offerings")
+                .text("name", requestClass.name())
+                .text("effect", TomlFields.configuredName(requestClass.idempotency()))
+                .text("group", TomlFields.configuredName(requestClass.idempotencyScope()))
+                .number("share", requestClass.share())
+                .number("work", requestClass.meanWorkSeconds())
+                .number("spread", requestClass.workSpread())
+                .number("hint_error", requestClass.estimateError())
+                .number("quoted", requestClass.latencyObjectiveSeconds())
+                .number("stretch", requestClass.objectivePerWork())
+                .number("outer", requestClass.deadlineSeconds())
+                .number("value", requestClass.priorityWeight())
+                .number("late_value", requestClass.lateValue())
+                .number("window", requestClass.idempotencyWindowSeconds())
+                .number("slots", requestClass.slots())
+                .number("memory", requestClass.memory());
     }
 
-    private ScenarioWriter item(String name) {
-        out.append("\n[[").append(name).append("]]\n");
-        return this;
+    private void write(Scenario.Tenant tenant) {
+        toml.item("tenants")
+                .text("name", tenant.name())
+                .number("share", tenant.share())
+                .number("quota", tenant.quota());
     }
 
-    private ScenarioWriter key(String key, String value) {
-        out.append(key).append(" = ").append(value).append('\n');
-        return this;
+    private void write(Scenario.LoadPoint point) {
+        toml.item("load").number("at", point.atSeconds()).number("rate", point.requestsPerSecond());
     }
 
-    private ScenarioWriter number(String key, double value) {
-        // Plain decimals: a person may read it, and it is the same number when read again.
-        return key(
-                key,
-                value == Math.rint(value) && Math.abs(value) < Long.MAX_VALUE
-                        ? Long.toString((long) value)
-                        : new BigDecimal(Double.toString(value)).toPlainString());
+    private void write(Scenario.Clients clients) {
+        toml.table("clients")
+                .number("retries", clients.maxRetries())
+                .number("pause", clients.retryDelaySeconds())
+                .number("least_wait", clients.minTimeoutSeconds())
+                .number("impatient", clients.cancelFraction())
+                .number("fresh", clients.newConnectionFraction())
+                .number("writes", clients.writePauseSeconds());
     }
 
-    private ScenarioWriter flag(String key, boolean value) {
-        return key(key, Boolean.toString(value));
+    private void write(Scenario.Network network) {
+        toml.table("network")
+                .number("delay", network.delaySeconds())
+                .number("jitter", network.jitterSeconds());
     }
 
-    private ScenarioWriter text(String key, String value) {
-        return key(key, quoted(value));
+    private void write(Scenario.PlatformTerms terms) {
+        toml.table("terms")
+                .flag("tells_start", terms.reportsStart())
+                .number("progress_every", terms.progressIntervalSeconds())
+                .flag("may_cancel", terms.mayCancel())
+                .flag("may_copy", terms.mayHedge())
+                .number("most_launches", terms.maxAttempts())
+                .flag("retry_after", terms.sendsRetryAfter())
+                .number("longest_retry_after", terms.maxRetryAfterSeconds())
+                .number("list_lag", terms.endpointListLagSeconds())
+                .number("report_lag", terms.loadReportLagSeconds())
+                .number("grace", terms.drainGraceSeconds())
+                .number("connect_limit", terms.connectTimeoutSeconds())
+                .number("cross_zone_price", terms.crossZonePrice())
+                .number("over_share_value", terms.overQuotaValue());
     }
 
-    private ScenarioWriter texts(String key, List<String> values) {
-        return key(
-                key,
-                values.stream()
-                        .map(ScenarioWriter::quoted)
-                        .collect(Collectors.joining(", ", "[", "]")));
+    /** Leaves out what is at its default, as the reader rejects some keys for other kinds. */
+    private void write(Scenario.Fault fault) {
+        toml.item("faults")
+                .text("kind", fault.kind().key())
+                .number("at", fault.startSeconds())
+                .number("for", fault.durationSeconds())
+                .textUnlessEmpty("group", fault.group())
+                .number("share", fault.targetFraction())
+                .number("level", fault.level())
+                .number("pick", fault.pick());
+        if (fault.startSpreadSeconds() > 0) {
+            toml.number("within", fault.startSpreadSeconds());
+        }
+        if (fault.linkKind() != LinkKind.WORKERS) {
+            toml.text("to", fault.linkKind().key());
+        }
+        toml.textUnlessEmpty("zone", fault.workerZone());
+        toml.textUnlessEmpty("from", fault.dispatcherZone());
+        if (fault.delaySpreadSeconds() > 0) {
+            toml.number("spread", fault.delaySpreadSeconds());
+        }
+        if (fault.peerFraction() < 1) {
+            toml.number("others", fault.peerFraction());
+        }
+        if (fault.mode() != FaultMode.USUAL) {
+            toml.text("how", fault.mode().key());
+        }
     }
 
-    private void map(String name, Map<String, String> values) {
-        if (!values.isEmpty()) {
-            table(name);
-            values.forEach((key, value) -> text(quoted(key), value));
+    private void write(Scenario.RandomFaults faults) {
+        if (faults.countPerCycle() > 0) {
+            toml.table("drawn")
+                    .number("faults", faults.countPerCycle())
+                    .number("longest", faults.maxDurationSeconds())
+                    .texts("kinds", faults.kinds().stream().map(FaultKind::key).toList());
         }
     }
 
-    private static String quoted(String text) {
-        StringBuilder quoted = new StringBuilder("\"");
-        for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (c == '"' || c == '\\') {
-                quoted.append('\\').append(c);
-            } else if (c < ' ' || c == 0x7f) {
-                quoted.append(String.format(Locale.ROOT, "\\u%04x", (int) c));
-            } else {
-                quoted.append(c);
-            }
+    private void write(Scenario.Expectation expectation) {
+        toml.table("expect." + TomlWriter.quoted(expectation.figure()));
+        if (Double.isFinite(expectation.min())) {
+            toml.number("least", expectation.min());
+        }
+        if (Double.isFinite(expectation.max())) {
+            toml.number("most", expectation.max());
         }
-        return quoted.append('"').toString();
     }
 }
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedAttempt.java
@@ -76,7 +76,7 @@
         workerAttempt =
                 new WorkerAttempt(
                         request.clientAttempt().key(),
-                        request.clientAttempt().request().work(),
+                        request.clientAttempt().request().workSeconds(),
                         requestClass.slots(),
                         requestClass.memory(),
                         this);
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
@@ -131,7 +131,7 @@
         List<Endpoint> endpoints = new ArrayList<>();
         for (EndpointRegistry.Entry entry : entries) {
             auditor.onNotified(number, entry.worker().number, entry.state());
-            if (!isComplete || entry.state() != EndpointRegistry.State.GONE) {
+            if (!isComplete || entry.state() != EndpointRegistry.State.REMOVED) {
                 endpoints.add(toEndpoint(entry));
             }
         }
@@ -150,7 +150,7 @@
                 switch (entry.state()) {
                     case READY -> Endpoint.State.READY;
                     case DRAINING -> Endpoint.State.DRAINING;
-                    case GONE -> Endpoint.State.REMOVED;
+                    case REMOVED -> Endpoint.State.REMOVED;
                 });
     }
 }
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedNetwork.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedNetwork.java
@@ -47,9 +47,9 @@
      */
     void transmit(LinkState state, Runnable arrival) {
         Scenario.Network network = cluster.scenario.network();
-        double delay = network.delay();
-        if (network.jitter() > 0) {
-            delay += network.jitter() * draw(SeededRandom.Purpose.NETWORK);
+        double delay = network.delaySeconds();
+        if (network.jitterSeconds() > 0) {
+            delay += network.jitterSeconds() * draw(SeededRandom.Purpose.NETWORK);
         }
         if (!state.equals(LinkState.OPEN)) {
             delay += state.extraDelay(() -> draw(SeededRandom.Purpose.LINK));
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedRequest.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedRequest.java
@@ -32,7 +32,7 @@
     SimulatedRequest(SimulatedDispatcher dispatcher, ClientAttempt clientAttempt) {
         this.dispatcher = dispatcher;
         this.clientAttempt = clientAttempt;
-        double timeout = clientAttempt.timeout();
+        double timeout = clientAttempt.timeoutSeconds();
         double margin = Math.min(RESPONSE_MARGIN, RESPONSE_MARGIN_FRACTION * timeout);
         Scenario.RequestClass requestClass = clientAttempt.request().requestClass();
         request =
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
@@ -17,6 +17,7 @@
 import wheelroute.kit.report.Recorder;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.scenario.DaemonSettings;
+import wheelroute.kit.scenario.FaultMode;
 import wheelroute.kit.scenario.FaultScheduleGenerator;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.strategy.Strategy;
@@ -70,8 +71,8 @@
                         variantName,
                         seed,
                         seconds,
-                        scenario.workers(),
-                        scenario.dispatchers());
+                        scenario.workerCount(),
+                        scenario.dispatcherCount());
         return new SimulationRun(stop).run(scenario, run, variant, strategies);
     }
 
@@ -82,16 +83,24 @@
             Function<ClusterModel, Strategy.Factory> strategies)
             throws ConfigException {
         SeededRandom random = new SeededRandom(run.seed());
-        double slack = LINK_CROSSINGS * (scenario.network().delay() + scenario.network().jitter());
+        double slack =
+                LINK_CROSSINGS
+                        * (scenario.network().delaySeconds() + scenario.network().jitterSeconds());
         Auditor auditor = new Auditor(scenario, time, slack);
-        Recorder recorder = new Recorder(scenario, time, run.seconds(), auditor);
-        ClusterModel cluster = new ClusterModel(scenario, time, random, run.seconds(), recorder);
-        Map<String, String> pairs = DaemonSettings.pairs(scenario, variant);
+        Recorder recorder = new Recorder(scenario, time, run.durationSeconds(), auditor);
+        ClusterModel cluster =
+                new ClusterModel(scenario, time, random, run.durationSeconds(), recorder);
+        Map<String, String> pairs = DaemonSettings.settingsByPath(scenario, variant);
         List<SimulatedDispatcher> dispatchers =
                 dispatchers(cluster, pairs, strategies.apply(cluster), auditor);
         Clients clients =
                 new Clients(
-                        scenario, time, random, run.seconds(), transport(dispatchers), recorder);
+                        scenario,
+                        time,
+                        random,
+                        run.durationSeconds(),
+                        transport(dispatchers),
+                        recorder);
         dispatchers.forEach(dispatcher -> dispatcher.clients(clients));
         dispatchers.forEach(SimulatedDispatcher::start);
         cluster.start(dispatcherControl(cluster, dispatchers));
@@ -101,7 +110,13 @@
         advanceWhile(() -> time.now() < end);
         auditor.finish();
         return Report.of(
-                run, recorder, auditor, cluster, Report.Lag.NONE, Report.Extra.NONE, isStopped);
+                run,
+                recorder,
+                auditor,
+                cluster,
+                Report.MachineLag.NONE,
+                Report.Measurements.NONE,
+                isStopped);
     }
 
     private static List<SimulatedDispatcher> dispatchers(
@@ -112,11 +127,11 @@
             throws ConfigException {
         Scenario scenario = cluster.scenario;
         List<SimulatedDispatcher> dispatchers = new ArrayList<>();
-        for (int i = 0; i < scenario.dispatchers(); i++) {
+        for (int i = 0; i < scenario.dispatcherCount(); i++) {
             Settings settings =
                     DaemonSettings.settings(
                             cluster.random.seedOf(SeededRandom.Purpose.STRATEGY, i, 0),
-                            DaemonSettings.pairsOf(scenario, i, pairs));
+                            DaemonSettings.settingsOfDispatcher(scenario, i, pairs));
             dispatchers.add(new SimulatedDispatcher(i, cluster, settings, factory, auditor));
         }
         return dispatchers;
@@ -169,7 +184,7 @@
             }
 
             @Override
-            public void start(int dispatcher, Scenario.How how) {
+            public void start(int dispatcher, FaultMode how) {
                 dispatchers.get(dispatcher).start();
             }
 
--- a/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
@@ -17,29 +17,19 @@
 import wheelroute.decision.Settings;
 
 /**
- * Textbook dispatching that keeps the first three rules: a choice among the active workers, again
- * elsewhere where a repeat is allowed, else the answer that the rules leave. It bounces only what
- * cannot be placed.
+ * A textbook load balancer: sends a request to a ready worker, retries it elsewhere where that is
+ * allowed, and then rejects or fails it. It keeps the rules of retries and draining, but sheds no
+ * load and does not spare workers in slow start.
  */
 public final class BaselineStrategy implements Strategy {
-    /** Nothing is launched with less than this left. */
-    private static final double MIN_TIME_LEFT = 0.02;
-
-    /** Taken off the window in which repeats are known, for the way to the worker. */
-    private static final double TRANSIT_MARGIN = 0.5;
-
-    /** A failed watch is asked for again after this long. */
-    private static final double POLL_DELAY = 0.5;
-
-    /** How a worker is chosen. */
-    public interface WorkerSelector {
-        /** One of the workers, of which there is at least one; null where none is worth it. */
-        Ids.Worker choose(
-                List<Endpoint> open,
-                Request request,
-                Map<Ids.Worker, Integer> out,
-                SplittableRandom random);
-    }
+    /** No attempt is started with less time than this left. */
+    private static final double MIN_TIME_LEFT_SECONDS = 0.02;
+
+    /** Subtracted from the idempotency window, for the transit of the retry to its worker. */
+    private static final double TRANSIT_MARGIN_SECONDS = 0.5;
+
+    /** Delay until discovery is called again after a failure. */
+    private static final double POLL_DELAY_SECONDS = 0.5;
 
     private final Settings settings;
     private final ActionHandler actions;
@@ -49,17 +39,16 @@
     private final Map<Ids.Worker, Integer> inFlight = new HashMap<>();
     private final Map<Ids.RequestClass, Settings.RequestClass> requestClasses = new HashMap<>();
     private double now;
-    private boolean pollPending;
+    private boolean isPollPending;
 
-    /** Makes a baseline that keeps the rules and chooses workers in its own way. */
-    public BaselineStrategy(Settings settings, ActionHandler dispatcher, WorkerSelector choice) {
+    /** Creates the strategy of one dispatcher, and calls discovery. */
+    BaselineStrategy(Settings settings, ActionHandler actions, WorkerSelector selector) {
         this.settings = settings;
-        this.actions = dispatcher;
-        this.selector = choice;
+        this.actions = actions;
+        this.selector = selector;
         random = new SplittableRandom(settings.seed());
-        settings.requestClasses()
-                .forEach(requestClass -> requestClasses.put(requestClass.id(), requestClass));
-        dispatcher.watchEndpoints();
+        settings.requestClasses().forEach(each -> requestClasses.put(each.id(), each));
+        actions.watchEndpoints();
     }
 
     @Override
@@ -69,28 +58,28 @@
 
     @Override
     public void onWakeup() {
-        if (pollPending) {
-            pollPending = false;
+        if (isPollPending) {
+            isPollPending = false;
             actions.watchEndpoints();
         }
     }
 
     @Override
     public void onEndpointsFailed() {
-        pollPending = true;
-        actions.scheduleWakeup(POLL_DELAY);
+        isPollPending = true;
+        actions.scheduleWakeup(POLL_DELAY_SECONDS);
     }
 
     @Override
-    public void onEndpoints(List<Endpoint> entries, boolean whole) {
-        if (whole) {
+    public void onEndpoints(List<Endpoint> endpoints, boolean isComplete) {
+        if (isComplete) {
             readyEndpoints.clear();
         }
-        for (Endpoint entry : entries) {
-            if (entry.state() == Endpoint.State.READY) {
-                readyEndpoints.put(entry.worker(), entry);
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.state() == Endpoint.State.READY) {
+                readyEndpoints.put(endpoint.worker(), endpoint);
             } else {
-                readyEndpoints.remove(entry.worker());
+                readyEndpoints.remove(endpoint.worker());
             }
         }
     }
@@ -101,20 +90,21 @@
         if (requestClass == null) {
             return null;
         }
-        AcceptedRequest taken = new AcceptedRequest(request, requestClass);
-        taken.startAttempt();
-        return taken;
+        AcceptedRequest accepted = new AcceptedRequest(request, requestClass);
+        accepted.startAttemptOrAnswer();
+        return accepted;
     }
 
-    /** One attempt: where, when, and what became of it. */
     private static final class SentAttempt {
         final Endpoint endpoint;
         final double sentAt;
+
+        /** Null while the attempt is in flight. */
         Outcome outcome;
 
-        SentAttempt(Endpoint place, double at) {
-            this.endpoint = place;
-            this.sentAt = at;
+        SentAttempt(Endpoint endpoint, double sentAt) {
+            this.endpoint = endpoint;
+            this.sentAt = sentAt;
         }
 
         boolean mayHaveRun() {
@@ -127,85 +117,98 @@
         private final Settings.RequestClass requestClass;
         private final List<SentAttempt> attempts = new ArrayList<>(2);
         private int openAttempts;
-        private boolean answered;
+        private boolean isAnswered;
 
         AcceptedRequest(Request request, Settings.RequestClass requestClass) {
             this.request = request;
             this.requestClass = requestClass;
         }
 
-        void startAttempt() {
+        void startAttemptOrAnswer() {
             List<Endpoint> candidates = candidates();
             Ids.Worker worker =
                     candidates.isEmpty()
                             ? null
                             : selector.choose(candidates, request, inFlight, random);
             if (worker != null) {
-                attempts.add(new SentAttempt(readyEndpoints.get(worker), now));
-                openAttempts++;
-                inFlight.merge(worker, 1, Integer::sum);
-                actions.startAttempt(request.id(), worker, 0);
+                startAttempt(worker);
                 return;
             }
-            answered = true;
-            boolean harmless =
-                    requestClass.idempotency() == Idempotency.IDEMPOTENT
-                            || (requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                                    && requestClass.idempotencyScope() == IdempotencyScope.ALL)
-                            || attempts.stream().noneMatch(SentAttempt::mayHaveRun);
-            if (harmless) {
+            isAnswered = true;
+            if (mayReject()) {
                 actions.reject(request.id(), 0);
             } else {
                 actions.fail(request.id());
             }
         }
 
+        private void startAttempt(Ids.Worker worker) {
+            attempts.add(new SentAttempt(readyEndpoints.get(worker), now));
+            openAttempts++;
+            inFlight.merge(worker, 1, Integer::sum);
+            actions.startAttempt(request.id(), worker, 0);
+        }
+
+        /** A rejection promises that a retry by the client is safe. */
+        private boolean mayReject() {
+            return requestClass.idempotency() == Idempotency.IDEMPOTENT
+                    || (requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
+                            && requestClass.idempotencyScope() == IdempotencyScope.ALL)
+                    || !mayHaveRun();
+        }
+
+        private boolean mayHaveRun() {
+            return attempts.stream().anyMatch(SentAttempt::mayHaveRun);
+        }
+
+        /** Returns the workers of the next attempt, new ones if there are any. */
         private List<Endpoint> candidates() {
-            boolean again = attempts.stream().anyMatch(SentAttempt::mayHaveRun);
+            boolean mayHaveRun = mayHaveRun();
             if (attempts.size() >= settings.maxAttempts()
-                    || now > request.deadline() - MIN_TIME_LEFT
-                    || (again && requestClass.idempotency() == Idempotency.NON_IDEMPOTENT)) {
+                    || now > request.deadline() - MIN_TIME_LEFT_SECONDS
+                    || (mayHaveRun && requestClass.idempotency() == Idempotency.NON_IDEMPOTENT)) {
                 return List.of();
             }
-            List<Endpoint> all = new ArrayList<>(readyEndpoints.values());
-            if (again && requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
-                all.removeIf(
-                        to ->
+            List<Endpoint> allowed = new ArrayList<>(readyEndpoints.values());
+            if (mayHaveRun && requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
+                allowed.removeIf(
+                        endpoint ->
                                 attempts.stream()
-                                        .anyMatch(
-                                                sent ->
-                                                        sent.mayHaveRun()
-                                                                && (!isSameScope(sent.endpoint, to)
-                                                                        || now
-                                                                                > sent.sentAt
-                                                                                        + requestClass
-                                                                                                .idempotencyWindowSeconds()
-                                                                                        - TRANSIT_MARGIN)));
+                                        .anyMatch(sent -> mayRepeatEffect(sent, endpoint)));
             }
-            List<Endpoint> fresh = new ArrayList<>(all);
-            fresh.removeIf(
-                    to ->
-                            attempts.stream()
-                                    .anyMatch(sent -> sent.endpoint.worker().equals(to.worker())));
-            return fresh.isEmpty() ? all : fresh;
+            List<Endpoint> untried = new ArrayList<>(allowed);
+            untried.removeIf(this::isTried);
+            return untried.isEmpty() ? allowed : untried;
+        }
+
+        /** Whether the key of an earlier attempt may be unknown at this worker. */
+        private boolean mayRepeatEffect(SentAttempt sent, Endpoint endpoint) {
+            double windowSeconds = requestClass.idempotencyWindowSeconds();
+            boolean isWindowOver = now > sent.sentAt + windowSeconds - TRANSIT_MARGIN_SECONDS;
+            return sent.mayHaveRun() && (!isSameScope(sent.endpoint, endpoint) || isWindowOver);
+        }
+
+        private boolean isTried(Endpoint endpoint) {
+            return attempts.stream()
+                    .anyMatch(sent -> sent.endpoint.worker().equals(endpoint.worker()));
         }
 
-        private boolean isSameScope(Endpoint a, Endpoint b) {
+        private boolean isSameScope(Endpoint one, Endpoint other) {
             return switch (requestClass.idempotencyScope()) {
                 case ALL -> true;
-                case ZONE -> a.zone().equals(b.zone());
-                case CELL -> a.cell().equals(b.cell());
+                case ZONE -> one.zone().equals(other.zone());
+                case CELL -> one.cell().equals(other.cell());
             };
         }
 
         @Override
         public boolean isComplete() {
-            return answered && openAttempts == 0;
+            return isAnswered && openAttempts == 0;
         }
 
         @Override
         public void onClientGone() {
-            answered = true;
+            isAnswered = true;
             for (int i = 0; i < attempts.size() && settings.mayCancel(); i++) {
                 if (attempts.get(i).outcome == null) {
                     actions.cancelAttempt(request.id(), i);
@@ -215,16 +218,17 @@
 
         @Override
         public void onStarted(int attempt) {
-            // Choices like these look at nothing but their own attempts.
+            // Baselines count attempts in flight only.
         }
 
         @Override
         public void onProgress(int attempt, double share) {
-            // As above.
+            // Baselines count attempts in flight only.
         }
 
         @Override
-        public void onEnded(int attempt, Outcome outcome, boolean over, LoadReport report) {
+        public void onEnded(
+                int attempt, Outcome outcome, boolean hasFinalAnswer, LoadReport report) {
             SentAttempt sent = attempts.get(attempt);
             if (sent.outcome != null) {
                 return;
@@ -232,13 +236,13 @@
             sent.outcome = outcome;
             openAttempts--;
             inFlight.merge(sent.endpoint.worker(), -1, Integer::sum);
-            if (over || outcome == Outcome.SUCCEEDED) {
-                answered = true;
-            } else if (outcome == Outcome.INVALID_REQUEST && !answered) {
-                answered = true;
+            if (hasFinalAnswer || outcome == Outcome.SUCCEEDED) {
+                isAnswered = true;
+            } else if (outcome == Outcome.INVALID_REQUEST && !isAnswered) {
+                isAnswered = true;
                 actions.fail(request.id());
-            } else if (!answered) {
-                startAttempt();
+            } else if (!isAnswered) {
+                startAttemptOrAnswer();
             }
         }
     }
--- a/kit/src/main/java/wheelroute/kit/strategy/PolicyStrategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/PolicyStrategy.java
@@ -11,21 +11,21 @@
 import wheelroute.decision.Settings;
 import wheelroute.net.discovery.Backoff;
 
-/** The daemon's own module, and its own pauses between calls for the list. */
+/** The dispatcher's own policy, with its backoff between failed calls to discovery. */
 public final class PolicyStrategy implements Strategy {
-    /** Guards against a wake that the sums of times bring a breath too early. */
-    private static final double TIME_TOLERANCE = 1e-6;
+    /** Rounding may let a wakeup come this much before the time that it was scheduled for. */
+    private static final double ROUNDING_TOLERANCE_SECONDS = 1e-6;
 
     private final Policy policy;
     private final ActionHandler actions;
     private final Backoff backoff;
     private double now;
-    private double pollAt = Double.POSITIVE_INFINITY;
+    private double nextPollAt = Double.POSITIVE_INFINITY;
 
-    /** Makes the daemon's own decisions. */
-    public PolicyStrategy(Settings settings, ActionHandler dispatcher) {
-        this.actions = dispatcher;
-        policy = new Policy(settings, dispatcher);
+    /** Creates the policy of one dispatcher. */
+    public PolicyStrategy(Settings settings, ActionHandler actions) {
+        this.actions = actions;
+        policy = new Policy(settings, actions);
         backoff = new Backoff(settings.seed());
     }
 
@@ -37,24 +37,24 @@
 
     @Override
     public void onWakeup() {
-        if (now > pollAt - TIME_TOLERANCE) {
-            pollAt = Double.POSITIVE_INFINITY;
+        if (now > nextPollAt - ROUNDING_TOLERANCE_SECONDS) {
+            nextPollAt = Double.POSITIVE_INFINITY;
             actions.watchEndpoints();
         }
         policy.onWakeup();
     }
 
     @Override
-    public void onEndpoints(List<Endpoint> entries, boolean whole) {
+    public void onEndpoints(List<Endpoint> endpoints, boolean isComplete) {
         backoff.reset();
-        policy.onEndpoints(entries, whole);
+        policy.onEndpoints(endpoints, isComplete);
     }
 
     @Override
     public void onEndpointsFailed() {
-        double pause = backoff.nextDelay(0);
-        pollAt = now + pause;
-        actions.scheduleWakeup(pause);
+        double delaySeconds = backoff.nextDelay(0);
+        nextPollAt = now + delaySeconds;
+        actions.scheduleWakeup(delaySeconds);
     }
 
     @Override
@@ -85,8 +85,8 @@
         }
 
         @Override
-        public void onEnded(int attempt, Outcome outcome, boolean over, LoadReport report) {
-            handle.onEnded(attempt, outcome, over, report);
+        public void onEnded(int attempt, Outcome outcome, boolean isAnswered, LoadReport report) {
+            handle.onEnded(attempt, outcome, isAnswered, report);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/strategy/Strategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategy.java
@@ -8,52 +8,55 @@
 import wheelroute.decision.Request;
 import wheelroute.decision.Settings;
 
-/** The decisions of one dispatcher, as the daemon's module is spoken to. */
+/**
+ * Makes the decisions of one simulated dispatcher. The calls are those of the dispatcher's policy,
+ * so a baseline can take its place.
+ */
 public interface Strategy {
-    /** Makes one for each dispatcher, and anew at its restarts. */
+    /** Creates the strategy of each dispatcher, and a new one at its restart. */
     interface Factory {
-        /** Makes a strategy for one dispatcher, which acts through the handler. */
-        Strategy create(Settings settings, ActionHandler dispatcher);
+        /** Creates a strategy, which acts through the handler. */
+        Strategy create(Settings settings, ActionHandler actions);
     }
 
-    /** The time, in seconds, of the events that follow. */
+    /** Sets the time of the events that follow, in seconds. */
     void advanceTo(double time);
 
-    /** The delay of a scheduled wakeup is over. */
+    /** The delay of a scheduled wakeup has passed. */
     void onWakeup();
 
     /**
-     * The endpoint list or a change of it.
+     * The endpoint list, or a change of it, has arrived.
      *
-     * @param whole whether it is the complete list
+     * @param isComplete whether it is the complete list
      */
-    void onEndpoints(List<Endpoint> entries, boolean whole);
+    void onEndpoints(List<Endpoint> endpoints, boolean isComplete);
 
-    /** A call for the endpoint list failed. */
+    /** A call for the endpoint list has failed. */
     void onEndpointsFailed();
 
-    /** Null when it knows no such request class. */
+    /** Accepts a request; returns null if its request class is unknown. */
     Handle accept(Request request);
 
-    /** One request, from its taking until its last attempt has ended. */
+    /** An accepted request, until its last attempt has ended. */
     interface Handle {
-        /** Whether the request has its answer and no attempt is in flight. */
+        /** Whether the request has its final answer and no attempt is in flight. */
         boolean isComplete();
 
-        /** The client left, or has its answer. */
+        /** The client has cancelled the request, or its connection is lost. */
         void onClientGone();
 
-        /** The worker has begun an attempt. */
+        /** The worker has started an attempt. */
         void onStarted(int attempt);
 
-        /** The worker tells what part of an attempt is done, from 0 to 1. */
+        /** The worker has completed this fraction of an attempt. */
         void onProgress(int attempt, double share);
 
         /**
-         * An attempt ended.
+         * An attempt has ended.
          *
-         * @param over whether the request has its final answer
+         * @param isAnswered whether the request has its final answer
          */
-        void onEnded(int attempt, Outcome outcome, boolean over, LoadReport report);
+        void onEnded(int attempt, Outcome outcome, boolean isAnswered, LoadReport report);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/cli/AdminTest.java
+++ b/kit/src/test/java/wheelroute/kit/cli/AdminTest.java
@@ -26,10 +26,10 @@
             {"fail draining\n", Exit.DOES_NOT_HOLD, "fail draining\n"},
             {"app.pending:1|g\neof\n", Exit.HOLDS, "app.pending:1|g\neof\n"},
             {"eof\n", Exit.HOLDS, "eof\n"},
-            {"app.pending:1|g\n", Exit.BAD_INPUT, "no whole answer"},
-            {"ok rea", Exit.BAD_INPUT, "no whole answer"},
-            {"", Exit.BAD_INPUT, "no whole answer"},
-            {"HTTP/1.1 400 Bad Request\r\n\r\n", Exit.BAD_INPUT, "no whole answer"},
+            {"app.pending:1|g\n", Exit.BAD_INPUT, "no complete answer"},
+            {"ok rea", Exit.BAD_INPUT, "no complete answer"},
+            {"", Exit.BAD_INPUT, "no complete answer"},
+            {"HTTP/1.1 400 Bad Request\r\n\r\n", Exit.BAD_INPUT, "no complete answer"},
             {MUTE, Exit.BAD_INPUT, "has not answered within 0.2 s"},
         };
     }
@@ -94,7 +94,7 @@
         return new Object[][] {
             {"9500 READY", "HOST:PORT: 9500 is no address"},
             {"127.0.0.1:9500 READY --timeout 0", "--timeout: 0.0 is not from"},
-            {"127.0.0.1:9500 R\u00c4DY", "is no word"},
+            {"127.0.0.1:9500 R\u00c4DY", "is no command"},
         };
     }
 
@@ -112,7 +112,7 @@
         gone.close();
         StringWriter said = new StringWriter();
         assertEquals(run(said, "127.0.0.1:" + gone.getLocalPort(), "READY"), Exit.BAD_INPUT);
-        assertTrue(said.toString().contains("cannot be asked"), said.toString());
+        assertTrue(said.toString().contains("cannot be called"), said.toString());
     }
 
     private static int run(StringWriter said, String... args) {
--- a/kit/src/test/java/wheelroute/kit/cli/CommandLineTest.java
+++ b/kit/src/test/java/wheelroute/kit/cli/CommandLineTest.java
@@ -42,7 +42,7 @@
             {
                 "rehearse hundred --clock real",
                 Exit.BAD_INPUT,
-                "hundred cannot be played on the real clock"
+                "hundred cannot run on the real clock"
             },
             {"rehearse calm --clock real --baselines", Exit.BAD_INPUT, "on the virtual clock only"},
             {"rehearse calm --seed x", Exit.BAD_INPUT, "--seed: x is no whole number"},
@@ -52,9 +52,9 @@
             {
                 "rehearse calm --json /nowhere/at/all.json",
                 Exit.BAD_INPUT,
-                "lies in a folder that is not there"
+                "is in a directory that does not exist"
             },
-            {"rehearse calm --html /", Exit.BAD_INPUT, "--html: / is a folder"},
+            {"rehearse calm --html /", Exit.BAD_INPUT, "--html: / is a directory"},
             {"rehearse calm --variant as-built", Exit.BAD_INPUT, "as-built is named twice"},
             {"rehearse calm --sead 3", Exit.BAD_USAGE, "Unknown option"},
             {"check /nowhere/at/all", Exit.BAD_INPUT, "/nowhere/at/all is no file"},
@@ -68,7 +68,7 @@
             {
                 "load 127.0.0.1:1 --offering a/b --rate 1",
                 Exit.BAD_INPUT,
-                "--offering: a/b cannot stand in a path"
+                "--offering: a/b cannot be part of a path"
             },
             {
                 "load 127.0.0.1:1 --offering x --rate 1 --work 0",
--- a/kit/src/test/java/wheelroute/kit/experiment/MatrixTest.java
+++ b/kit/src/test/java/wheelroute/kit/experiment/MatrixTest.java
@@ -59,7 +59,7 @@
                 Math.pow(d[0] - mean, 2) + Math.pow(d[1] - mean, 2) + Math.pow(d[2] - mean, 2);
         assertEquals(cell.difference(), mean, 1e-12);
         assertEquals(cell.differenceError(), Math.sqrt(squares / 2 / 3), 1e-12);
-        assertEquals(cell.least(), Math.min(p99[3], Math.min(p99[4], p99[5])));
+        assertEquals(cell.min(), Math.min(p99[3], Math.min(p99[4], p99[5])));
         assertTrue(Comparison.text(Comparison.of(reports)).contains("round-robin"));
     }
 
@@ -82,7 +82,7 @@
             {":a=b", "has no name before its colon"},
             {"x:a", "'a' is not KEY=VALUE"},
             {"x:=b", "'=b' is not KEY=VALUE"},
-            {"x:brain=none", "no brain 'none'; there are least-outstanding, module"},
+            {"x:brain=none", "no strategy 'none'; there are least-outstanding, module"},
             {"x:daemon=/nowhere/at/all.jar", "no daemon at /nowhere/at/all.jar"},
         };
     }
@@ -99,7 +99,7 @@
     public void aVariantHasSettingsBrainAndDaemon() throws Exception {
         Path jar = Files.createTempFile("daemon", ".jar");
         Variant variant = Variant.parse("x:brain=random, permissions.most_tries = 2,daemon=" + jar);
-        assertEquals(variant.brain(), "random");
+        assertEquals(variant.strategy(), "random");
         assertEquals(variant.settings().get("permissions.most_tries"), "2");
         assertEquals(variant.jar(), jar.toAbsolutePath());
         Files.delete(jar);
--- a/kit/src/test/java/wheelroute/kit/faults/ScheduleMinimizerTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/ScheduleMinimizerTest.java
@@ -8,6 +8,9 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import wheelroute.kit.scenario.FaultKind;
+import wheelroute.kit.scenario.FaultMode;
+import wheelroute.kit.scenario.LinkKind;
 import wheelroute.kit.scenario.Scenario;
 
 /** Schedules made smaller, with players whose verdict is known. */
@@ -17,7 +20,7 @@
         for (int i = 0; i < count; i++) {
             all.add(
                     new Scenario.Fault(
-                            Scenario.Kind.CRASH,
+                            FaultKind.CRASH,
                             i,
                             3.2,
                             "",
@@ -25,11 +28,11 @@
                             1,
                             i,
                             1,
-                            Scenario.LinkKind.WORKERS,
+                            LinkKind.WORKERS,
                             "",
                             "",
                             0,
-                            Scenario.How.USUAL,
+                            FaultMode.USUAL,
                             1));
         }
         return all;
@@ -61,9 +64,9 @@
         result.faults()
                 .forEach(
                         fault -> {
-                            assertEquals(fault.length(), 0.2);
-                            assertEquals(fault.share(), 0.05);
-                            assertEquals(fault.startSpread(), 0.0);
+                            assertEquals(fault.durationSeconds(), 0.2);
+                            assertEquals(fault.targetFraction(), 0.05);
+                            assertEquals(fault.startSpreadSeconds(), 0.0);
                         });
     }
 
@@ -73,9 +76,11 @@
                 ScheduleMinimizer.of(
                         faults(4),
                         10_000,
-                        some -> some.stream().anyMatch(f -> f.pick() == 2 && f.length() > 1));
+                        some ->
+                                some.stream()
+                                        .anyMatch(f -> f.pick() == 2 && f.durationSeconds() > 1));
         assertEquals(picks(result.faults()), List.of(2));
-        assertEquals(result.faults().get(0).length(), 1.6);
+        assertEquals(result.faults().get(0).durationSeconds(), 1.6);
     }
 
     /** Plays cost time: it stops in between, with a schedule that is known to fail. */
--- a/kit/src/test/java/wheelroute/kit/process/JudgedRuns.java
+++ b/kit/src/test/java/wheelroute/kit/process/JudgedRuns.java
@@ -25,7 +25,7 @@
                                     scenario, seed, seconds, Map.of(), "as-built", null, null),
                             () -> false,
                             text -> {});
-            if (report.whyNotJudged() == null) {
+            if (report.notJudgedReason() == null) {
                 return report;
             }
         }
--- a/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
@@ -104,7 +104,10 @@
                 all.requested());
         assertTrue(report.keepsRules(), TableWriter.text(report));
         assertTrue(all.inTime() > all.requested() / 3, TableWriter.text(report));
-        assertEquals(report.figures().get(FigureNames.NOT_REPLACED), 0.0, TableWriter.text(report));
+        assertEquals(
+                report.figures().get(FigureNames.FAILED_REPLACEMENTS),
+                0.0,
+                TableWriter.text(report));
     }
 
     /**
@@ -123,7 +126,9 @@
                         5,
                         5);
         assertEquals(
-                report.figures().get(FigureNames.METRICS_MISMATCH), 0.0, TableWriter.text(report));
+                report.figures().get(FigureNames.MISMATCHED_METRICS),
+                0.0,
+                TableWriter.text(report));
         assertTrue(report.keepsRules(), TableWriter.text(report));
     }
 
@@ -181,7 +186,10 @@
                         5,
                         12);
         assertTrue(report.keepsRules(), TableWriter.text(report));
-        assertEquals(report.figures().get(FigureNames.PEERS_WRONG), 0.0, TableWriter.text(report));
+        assertEquals(
+                report.figures().get(FigureNames.PEERS_NOT_CONVERGED),
+                0.0,
+                TableWriter.text(report));
         assertTrue(
                 report.total().inTime() > report.total().requested() / 3, TableWriter.text(report));
     }
--- a/kit/src/test/java/wheelroute/kit/scenario/FaultScheduleGeneratorTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/FaultScheduleGeneratorTest.java
@@ -39,15 +39,17 @@
     @Test
     public void whatIsDrawnIsSoundAndComesBackFromItsFile() throws Exception {
         Scenario scenario = real(DRAWN + "[[faults]]\nkind = \"burst\"\nat = 1\nfor = 1\n");
-        Set<Scenario.Kind> kinds = EnumSet.noneOf(Scenario.Kind.class);
-        Set<Scenario.LinkKind> ends = EnumSet.noneOf(Scenario.LinkKind.class);
+        Set<FaultKind> kinds = EnumSet.noneOf(FaultKind.class);
+        Set<LinkKind> ends = EnumSet.noneOf(LinkKind.class);
         for (int seed = 0; seed < 300; seed++) {
             Scenario drawn = FaultScheduleGenerator.withRandomFaults(scenario, seed);
             assertEquals(drawn.faults().size(), 7);
             assertEquals(ScenarioReader.read(drawn.name(), ScenarioWriter.text(drawn)), drawn);
             for (Scenario.Fault fault : drawn.faults().subList(1, 7)) {
-                assertTrue(fault.start() >= 0.5 && fault.end() <= 4.5 + 1e-9, fault.toString());
-                assertTrue(fault.length() <= 2, fault.toString());
+                assertTrue(
+                        fault.startSeconds() >= 0.5 && fault.endSeconds() <= 4.5 + 1e-9,
+                        fault.toString());
+                assertTrue(fault.durationSeconds() <= 2, fault.toString());
                 kinds.add(fault.kind());
                 ends.add(fault.affectedLinks());
             }
@@ -57,7 +59,7 @@
                     7);
         }
         assertEquals(kinds, EnumSet.copyOf(FaultScheduleGenerator.kinds(true)));
-        assertEquals(ends, EnumSet.complementOf(EnumSet.of(Scenario.LinkKind.PEERS)));
+        assertEquals(ends, EnumSet.complementOf(EnumSet.of(LinkKind.PEERS)));
     }
 
     @Test
@@ -79,7 +81,7 @@
                         FaultScheduleGenerator.withRandomFaults(scenario, 1).faults().stream()
                                 .map(Scenario.Fault::kind)
                                 .toList()),
-                EnumSet.of(Scenario.Kind.CRASH, Scenario.Kind.LIST_CUT));
+                EnumSet.of(FaultKind.CRASH, FaultKind.DISCOVERY_LINK_CUT));
     }
 
     @DataProvider
--- a/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
@@ -76,7 +76,7 @@
             {
                 "[[faults]]\nkind = \"crash\"\nat = 1\nfor = 1\nhow = \"older\"\n",
                 4,
-                "how is no way of crash"
+                "how is not available for crash"
             },
             {
                 "[drawn]\nfaults = 3\nkinds = [\"crowd\"]\n",
@@ -179,7 +179,8 @@
     public void whatIsShippedCanBePlayed(String name) throws Exception {
         Scenario scenario = ScenarioLibrary.find(name);
         assertTrue(scenario.expectations().size() > 0, "it expects nothing");
-        Settings settings = DaemonSettings.settings(1, DaemonSettings.pairs(scenario, Map.of()));
+        Settings settings =
+                DaemonSettings.settings(1, DaemonSettings.settingsByPath(scenario, Map.of()));
         assertEquals(settings.requestClasses().size(), scenario.requestClasses().size());
     }
 
@@ -194,7 +195,7 @@
                         "[terms]\nmost_launches = 4\nmay_copy = false\n"
                                 + "[[tenants]]\nname = \"t\"\nquota = 7\n[daemon]\n\"permissions.most_tries\" = \"5\"\n");
         Map<String, String> pairs =
-                DaemonSettings.pairs(scenario, Map.of("prices.cross_zone", "0.5"));
+                DaemonSettings.settingsByPath(scenario, Map.of("prices.cross_zone", "0.5"));
         Settings settings = DaemonSettings.settings(3, pairs);
         assertEquals(settings.maxAttempts(), 5, "the scenario's own word on the daemon goes first");
         assertEquals(settings.crossZonePrice(), 0.5);
@@ -202,7 +203,10 @@
         assertEquals(settings.quotas().size(), 1);
         assertEquals(settings.requestClasses().get(1).idempotencyWindowSeconds(), 1.0);
         Path file = Files.createTempFile("daemon", ".json");
-        Files.writeString(file, DaemonSettings.file("n0", 3, 192, 512, pairs, List.of()));
+        Files.writeString(
+                file,
+                new DaemonConfigFile("n0", 3, new Scenario.Limits(192, 512), pairs, List.of())
+                        .text());
         var config =
                 wheelroute.config.ConfigReader.read(
                         Map.of(
--- a/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
@@ -57,7 +57,7 @@
     public void aShippedScenarioHolds(String name) throws Exception {
         Scenario scenario = ScenarioLibrary.find(name);
         // A third of the largest is enough to see it hold, and keeps this test short.
-        double seconds = scenario.dispatchers() > 10 ? QUICK / 3 : QUICK;
+        double seconds = scenario.dispatcherCount() > 10 ? QUICK / 3 : QUICK;
         Report report = play(scenario, 7, seconds, Strategies.POLICY);
         assertTrue(report.holds(), TableWriter.text(report));
     }
@@ -209,19 +209,31 @@
 
     @DataProvider
     public Object[][] lags() {
-        double much = Report.MAX_LAG * 1.01;
-        double once = Report.MAX_SINGLE_LAG * 1.01;
+        double much = Report.MAX_P99_LAG_SECONDS * 1.01;
+        double once = Report.MAX_SINGLE_LAG_SECONDS * 1.01;
         return new Object[][] {
             // lateness, what breaks a rule, the judgement
-            {new Report.Lag(much, 1, 0, 0), null, Report.Judgement.NOT_JUDGED},
-            {new Report.Lag(0, 0, much, 1), null, Report.Judgement.NOT_JUDGED},
-            {new Report.Lag(0, once, 0, once), null, Report.Judgement.HOLDS},
-            {new Report.Lag(0, 0, 0, 0), Rule.ONE_ANSWER, Report.Judgement.DOES_NOT_HOLD},
-            {new Report.Lag(0, once, 0, 0), Rule.ONE_ANSWER, Report.Judgement.NOT_JUDGED},
-            {new Report.Lag(0, 0, 0, once), Rule.COLD_WORKER, Report.Judgement.NOT_JUDGED},
+            {new Report.MachineLag(much, 1, 0, 0), null, Report.Judgement.NOT_JUDGED},
+            {new Report.MachineLag(0, 0, much, 1), null, Report.Judgement.NOT_JUDGED},
+            {new Report.MachineLag(0, once, 0, once), null, Report.Judgement.HOLDS},
             {
-                new Report.Lag(0, once, 0, once),
-                Rule.NO_EFFECT_TWICE,
+                new Report.MachineLag(0, 0, 0, 0),
+                Rule.ONE_FINAL_ANSWER,
+                Report.Judgement.DOES_NOT_HOLD
+            },
+            {
+                new Report.MachineLag(0, once, 0, 0),
+                Rule.ONE_FINAL_ANSWER,
+                Report.Judgement.NOT_JUDGED
+            },
+            {
+                new Report.MachineLag(0, 0, 0, once),
+                Rule.NO_SLOW_START_OVERLOAD,
+                Report.Judgement.NOT_JUDGED
+            },
+            {
+                new Report.MachineLag(0, once, 0, once),
+                Rule.AT_MOST_ONE_EFFECT,
                 Report.Judgement.DOES_NOT_HOLD
             },
         };
@@ -232,8 +244,8 @@
      * one.
      */
     @Test(dataProvider = "lags")
-    public void aRunOnASlowMachineIsNotJudged(Report.Lag lag, Rule broken, Report.Judgement judged)
-            throws Exception {
+    public void aRunOnASlowMachineIsNotJudged(
+            Report.MachineLag lag, Rule broken, Report.Judgement judged) throws Exception {
         Report r = play(SmallScenario.scenario(""), 1, 5, Strategies.POLICY);
         assertTrue(r.holds(), TableWriter.text(r));
         Map<Rule, Integer> counts = new LinkedHashMap<>(r.breachCounts());
@@ -252,7 +264,7 @@
                         r.breaches(),
                         r.series(),
                         r.distribution(),
-                        r.bands(),
+                        r.faultPeriods(),
                         lag,
                         r.notes(),
                         false);
