--- a/kit/src/main/java/wheelroute/kit/audit/AttemptRules.java
+++ b/kit/src/main/java/wheelroute/kit/audit/AttemptRules.java
@@ -8,8 +8,8 @@
 
 /** Checks an attempt that arrives at a worker against the rules. */
 final class AttemptRules {
-    /** A dispatcher notices within this that a client has cancelled a request that waits. */
-    private static final double CANCELLATION_DELAY = 0.3;
+    /** How soon a dispatcher must notice that a client has cancelled a request that waits. */
+    private static final double CANCELLATION_DELAY_SECONDS = 0.3;
 
     private final Scenario scenario;
     private final Timeline timeline;
@@ -30,65 +30,71 @@
     /**
      * Checks an attempt that has just arrived.
      *
-     * @param slack seconds that the attempt may be late by
+     * @param slackSeconds how late the attempt may be
      */
-    void checkArrival(ObservedAttempt attempt, double slack) {
-        checkTime(attempt, slack);
-        checkEndpoint(attempt, slack);
+    void checkArrival(ObservedAttempt attempt, double slackSeconds) {
+        checkTime(attempt, slackSeconds);
+        checkEndpoint(attempt, slackSeconds);
         for (ObservedAttempt earlier : attempt.record.attempts) {
-            checkRetry(earlier, attempt, slack);
+            checkRetry(earlier, attempt, slackSeconds);
         }
     }
 
-    private void checkTime(ObservedAttempt attempt, double slack) {
+    private void checkTime(ObservedAttempt attempt, double slackSeconds) {
         RequestRecord record = attempt.record;
         double now = attempt.arrivedAt;
-        if (now > record.respondedAt + slack) {
-            breaches.add(Rule.ONE_FINAL_ANSWER, "a launch after the final answer", record);
+        if (now > record.respondedAt + slackSeconds) {
+            breaches.add(Rule.ONE_FINAL_ANSWER, "an attempt after the final response", record);
         }
         boolean timed = !record.startUnknown && !record.pausedMidTurn;
-        if (timed && now > record.deadline() + slack) {
-            breaches.add(Rule.ONE_FINAL_ANSWER, "a launch after the outer limit", record);
+        if (timed && now > record.deadline() + slackSeconds) {
+            breaches.add(Rule.ONE_FINAL_ANSWER, "an attempt after the deadline", record);
         }
-        if (timed && now > record.cancelledAt + CANCELLATION_DELAY + slack) {
+        if (timed && now > record.cancelledAt + CANCELLATION_DELAY_SECONDS + slackSeconds) {
             String late = RequestRecord.seconds(now - record.cancelledAt);
             breaches.add(
-                    Rule.ONE_FINAL_ANSWER, "a launch " + late + " s after its client left", record);
+                    Rule.ONE_FINAL_ANSWER,
+                    "an attempt " + late + " s after the cancellation",
+                    record);
         }
     }
 
-    private void checkEndpoint(ObservedAttempt attempt, double slack) {
+    private void checkEndpoint(ObservedAttempt attempt, double slackSeconds) {
         RequestRecord record = attempt.record;
         WorkerModel worker = attempt.worker;
         double now = attempt.arrivedAt;
         Double drainingSince = conditions.drainingSince(record.dispatcher(), worker.number);
         if (drainingSince != null
-                && now > drainingSince + scenario.terms().drainGraceSeconds() + slack) {
+                && now > drainingSince + scenario.terms().drainGraceSeconds() + slackSeconds) {
             String late = RequestRecord.seconds(now - drainingSince);
             breaches.add(
                     Rule.NO_ATTEMPT_WHEN_DRAINING,
-                    "a launch " + late + " s after " + worker.name + " was told draining or gone",
+                    "an attempt "
+                            + late
+                            + " s after the dispatcher knew "
+                            + worker.name
+                            + " to be draining or removed",
                     record);
         }
     }
 
-    private void checkRetry(ObservedAttempt earlier, ObservedAttempt attempt, double slack) {
+    private void checkRetry(ObservedAttempt earlier, ObservedAttempt attempt, double slackSeconds) {
         RequestRecord record = attempt.record;
         Scenario.RequestClass requestClass = record.requestClass();
         if (!scenario.terms().mayHedge() && !earlier.ended) {
             // The end of the earlier connection may be noticed a moment after the new attempt.
-            timeline.schedule(slack, () -> checkNotHedged(earlier));
+            timeline.schedule(slackSeconds, () -> checkNotHedged(earlier));
         }
         if (earlier.neverRan || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
             return;
         }
         if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
-            breaches.add(Rule.AT_MOST_ONE_EFFECT, "launched again, though it may have run", record);
+            breaches.add(Rule.AT_MOST_ONE_EFFECT, "retried, though it may have run", record);
         } else if (!isSameScope(requestClass.idempotencyScope(), earlier.worker, attempt.worker)) {
-            breaches.add(Rule.AT_MOST_ONE_EFFECT, "a repeat outside its group", record);
+            breaches.add(Rule.AT_MOST_ONE_EFFECT, "retried outside the scope of its key", record);
         } else if (attempt.arrivedAt
-                > earlier.arrivedAt + requestClass.idempotencyWindowSeconds() + slack) {
-            breaches.add(Rule.AT_MOST_ONE_EFFECT, "a repeat after its window", record);
+                > earlier.arrivedAt + requestClass.idempotencyWindowSeconds() + slackSeconds) {
+            breaches.add(Rule.AT_MOST_ONE_EFFECT, "retried after the window of its key", record);
         }
     }
 
@@ -96,7 +102,7 @@
         if (!earlier.ended) {
             breaches.add(
                     Rule.AT_MOST_ONE_EFFECT,
-                    "a second copy while the first is out",
+                    "a hedged request, which is not allowed",
                     earlier.record);
         }
     }
--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -1,16 +1,8 @@
 package wheelroute.kit.audit;
 
-import java.util.ArrayDeque;
 import java.util.Arrays;
-import java.util.Deque;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.function.Consumer;
 import java.util.function.Function;
-import java.util.function.Predicate;
 import wheelroute.decision.Idempotency;
 import wheelroute.kit.model.AttemptEnding;
 import wheelroute.kit.model.ClientAttempt;
@@ -25,6 +17,8 @@
 /**
  * Checks the rules on what workers and clients observe. A request's record is kept until no event
  * can break a rule any more, so that a run of any length takes bounded memory.
+ *
+ * <p>Not thread-safe: all calls come from tasks of the run's timeline.
  */
 public final class Auditor implements EventListener {
     /**
@@ -34,49 +28,42 @@
      */
     public record Breach(Rule rule, String description, List<String> history) {}
 
-    /** How long a request's record is kept after its deadline. */
-    private static final double RETENTION = 1;
-
     /** From a request's sending to the end of the event in which the dispatcher accepts it. */
-    private static final double TURN_DURATION = 0.02;
+    private static final double TURN_SECONDS = 0.02;
 
-    /** Texts of the histories, made once: they are noted millions of times and seldom read. */
+    /** Texts of histories, created once because each is added millions of times. */
     private static final String[] RESPONSE_LABELS =
-            labels("answered ", FinalResponse.values(), FinalResponse::reportName, "");
+            labels("response: ", FinalResponse.values(), FinalResponse::label, "");
 
     private static final String[] ENDING_LABELS =
-            labels("", AttemptEnding.values(), AttemptEnding::reportName, " at");
+            labels("", AttemptEnding.values(), AttemptEnding::label, " at worker");
     private static final String[] UNDELIVERED_ENDING_LABELS =
-            labels("untold: ", AttemptEnding.values(), AttemptEnding::reportName, " at");
+            labels("undelivered: ", AttemptEnding.values(), AttemptEnding::label, " at worker");
 
     private final Timeline timeline;
 
-    /** What the network and the lateness of the machine may add to any time. */
-    private final double slack;
+    /** What network and machine may add to any time. */
+    private final double slackSeconds;
 
     private final DispatcherConditions conditions;
     private final BreachLog breaches;
     private final AttemptRules attemptRules;
-    private final Map<Long, RequestRecord> records = new HashMap<>();
-    private final Deque<RequestRecord> recordsByAge = new ArrayDeque<>();
-
-    /** By request: the workers that have started a non-idempotent one. */
-    private final Map<Integer, Set<Integer>> effects = new HashMap<>();
+    private final RequestRecords records = new RequestRecords();
 
     /**
      * Creates an auditor of one run.
      *
-     * @param slack seconds that any event may be late by without fault of a dispatcher
+     * @param slackSeconds how late any event may be without fault of a dispatcher
      */
-    public Auditor(Scenario scenario, Timeline timeline, double slack) {
+    public Auditor(Scenario scenario, Timeline timeline, double slackSeconds) {
         this.timeline = timeline;
-        this.slack = slack;
+        this.slackSeconds = slackSeconds;
         conditions = new DispatcherConditions(timeline);
         breaches = new BreachLog(timeline.now());
         attemptRules = new AttemptRules(scenario, timeline, conditions, breaches);
     }
 
-    /** One label for each constant, by its ordinal. */
+    /** Returns a label for each constant, by its ordinal. */
     private static <E extends Enum<E>> String[] labels(
             String prefix, E[] constants, Function<E, String> name, String suffix) {
         return Arrays.stream(constants)
@@ -84,7 +71,7 @@
                 .toArray(String[]::new);
     }
 
-    /** Histories show times from now on. */
+    /** Sets the time from which histories count. */
     public void start() {
         breaches.startAt(timeline.now());
     }
@@ -99,76 +86,74 @@
         record.startUnknown = conditions.areClientsImpaired(dispatcher);
         record.excused = conditions.excusesRequests(dispatcher);
         Double pausedSince = conditions.pausedSince(dispatcher);
-        record.pausedMidTurn = pausedSince != null && timeline.now() - pausedSince < TURN_DURATION;
-        records.put(clientAttempt.key(), record);
-        recordsByAge.addLast(record);
-        removeExpired();
+        record.pausedMidTurn = pausedSince != null && timeline.now() - pausedSince < TURN_SECONDS;
+        records.add(record);
+        records.removeExpired(timeline.now(), slackSeconds, conditions.maxLinkDelay());
     }
 
     /** A client has received a final response. */
     public void onResponse(ClientAttempt clientAttempt, FinalResponse response) {
-        RequestRecord record = records.get(clientAttempt.key());
+        RequestRecord record = records.find(clientAttempt.key());
         if (record == null) {
-            breaches.add(Rule.ONE_FINAL_ANSWER, "an answer to a submission long over", null);
+            breaches.add(Rule.ONE_FINAL_ANSWER, "a response long after the deadline", null);
             return;
         }
         double now = timeline.now();
         record.addEvent(now, RESPONSE_LABELS[response.ordinal()]);
         if (record.response != null) {
-            breaches.add(Rule.ONE_FINAL_ANSWER, "a second final answer", record);
+            breaches.add(Rule.ONE_FINAL_ANSWER, "a second final response", record);
             return;
         }
         record.response = response;
         record.respondedAt = now;
-        if (!record.excused && now > record.deadline() + slack) {
-            breaches.add(Rule.ONE_FINAL_ANSWER, "an answer after the outer limit", record);
+        if (!record.excused && now > record.deadline() + slackSeconds) {
+            breaches.add(Rule.ONE_FINAL_ANSWER, "a response after the deadline", record);
         }
         if (response == FinalResponse.SUCCEEDED && !record.succeeded) {
-            breaches.add(
-                    Rule.ONE_FINAL_ANSWER, "fulfilled with what no worker made for it", record);
+            breaches.add(Rule.ONE_FINAL_ANSWER, "success without a completed attempt", record);
         }
         if (response == FinalResponse.REJECTED && !AttemptRules.mayReject(record)) {
-            breaches.add(Rule.AT_MOST_ONE_EFFECT, "bounced, though it may have run", record);
+            breaches.add(Rule.AT_MOST_ONE_EFFECT, "rejected, though it may have run", record);
         }
     }
 
     /**
-     * A client waits no longer.
+     * A client no longer waits for a response.
      *
-     * @param ownWish whether it cancelled; else its timeout was reached, for which the dispatcher
-     *     is to blame
+     * @param cancelled whether it cancelled; otherwise its timeout was reached, which is a fault of
+     *     the dispatcher
      */
-    public void onAbandoned(ClientAttempt clientAttempt, boolean ownWish) {
-        RequestRecord record = records.get(clientAttempt.key());
+    public void onAbandoned(ClientAttempt clientAttempt, boolean cancelled) {
+        RequestRecord record = records.find(clientAttempt.key());
         if (record == null) {
             return;
         }
-        record.addEvent(timeline.now(), ownWish ? "client hung up" : "client's time is up");
+        record.addEvent(timeline.now(), cancelled ? "cancelled by client" : "client's timeout");
         record.abandoned = true;
-        if (ownWish && record.response == null) {
+        if (cancelled && record.response == null) {
             record.cancelledAt = timeline.now();
         }
-        if (!ownWish && !record.excused && record.response == null) {
-            breaches.add(Rule.ONE_FINAL_ANSWER, "no answer before the outer limit", record);
+        if (!cancelled && !record.excused && record.response == null) {
+            breaches.add(Rule.ONE_FINAL_ANSWER, "no response before the deadline", record);
         }
     }
 
     /** A client's connection ended without a response, as only a killed dispatcher may do it. */
     public void onConnectionLost(ClientAttempt clientAttempt) {
-        RequestRecord record = records.get(clientAttempt.key());
+        RequestRecord record = records.find(clientAttempt.key());
         if (record == null) {
             return;
         }
         record.addEvent(timeline.now(), "connection lost");
         record.abandoned = true;
         if (!record.excused && !conditions.isStopped(clientAttempt.dispatcher())) {
-            breaches.add(Rule.ONE_FINAL_ANSWER, "the connection ended without an answer", record);
+            breaches.add(Rule.ONE_FINAL_ANSWER, "the connection ended without a response", record);
         }
     }
 
-    /** A client's connection was refused, so no dispatcher owes a response. */
+    /** A client's connection was refused, so no dispatcher has to respond. */
     public void onRefused(ClientAttempt clientAttempt) {
-        RequestRecord record = records.get(clientAttempt.key());
+        RequestRecord record = records.find(clientAttempt.key());
         if (record != null) {
             record.addEvent(timeline.now(), "connection refused");
             record.abandoned = true;
@@ -177,9 +162,13 @@
 
     // ---- events at dispatchers
 
-    /** A dispatcher's process ended of its own accord. */
-    public void onCrash(int dispatcher, String lastWords) {
-        String description = "dispatcher " + dispatcher + " ended unasked; " + lastWords;
+    /**
+     * A dispatcher's process ended though nobody stopped it.
+     *
+     * @param lastOutput the last lines that it logged
+     */
+    public void onCrash(int dispatcher, String lastOutput) {
+        String description = "dispatcher " + dispatcher + " crashed; " + lastOutput;
         breaches.add(Rule.NO_CRASH, description, null);
     }
 
@@ -191,7 +180,7 @@
 
     /**
      * One of a dispatcher's two processes is being killed, or both are paused. Requests of that
-     * process may be lost until this ends, and which these are cannot be told from outside.
+     * process may be lost until this ends, and which these are cannot be observed from outside.
      */
     public void setDispatcherSplit(int dispatcher, boolean isSplit) {
         conditions.setSplit(dispatcher, isSplit);
@@ -210,7 +199,7 @@
         conditions.setClientsImpaired(dispatcher, isImpaired);
         if (isImpaired) {
             excusePending(dispatcher);
-            forEachRecord(
+            records.forEach(
                     record -> record.dispatcher() == dispatcher && record.response == null,
                     record -> record.startUnknown = true);
         }
@@ -221,10 +210,10 @@
         double now = timeline.now();
         conditions.onPaused(dispatcher);
         excusePending(dispatcher);
-        forEachRecord(
+        records.forEach(
                 record ->
                         record.dispatcher() == dispatcher
-                                && now - record.clientAttempt.sentAt() < TURN_DURATION,
+                                && now - record.clientAttempt.sentAt() < TURN_SECONDS,
                 record -> record.pausedMidTurn = true);
     }
 
@@ -234,8 +223,8 @@
     }
 
     /** Messages from a dispatcher to a worker are late by at most this from now on. */
-    public void setLinkDelay(int dispatcher, int worker, double delay) {
-        conditions.setLinkDelay(dispatcher, worker, delay);
+    public void setLinkDelay(int dispatcher, int worker, double delaySeconds) {
+        conditions.setLinkDelay(dispatcher, worker, delaySeconds);
     }
 
     /** A dispatcher has received a worker's state from discovery. */
@@ -244,30 +233,26 @@
     }
 
     private void excusePending(int dispatcher) {
-        forEachRecord(
+        records.forEach(
                 record -> record.dispatcher() == dispatcher && record.response == null,
                 record -> record.excused = true);
     }
 
-    private void forEachRecord(Predicate<RequestRecord> condition, Consumer<RequestRecord> task) {
-        records.values().stream().filter(condition).forEach(task);
-    }
-
     // ---- events at workers
 
     @Override
     public void onArrived(WorkerAttempt attempt, WorkerModel worker) {
-        RequestRecord record = records.get(attempt.requestId);
+        RequestRecord record = records.find(attempt.requestId);
         double now = timeline.now();
         if (record == null) {
-            String description = "a launch of a submission long over, at " + worker.name;
+            String description = "an attempt at " + worker.name + " long after the deadline";
             breaches.add(Rule.ONE_FINAL_ANSWER, description, null);
             return;
         }
-        record.addEvent(now, "launch at", worker.number);
+        record.addEvent(now, "attempt at worker", worker.number);
         ObservedAttempt observed = new ObservedAttempt(record, worker, now);
         double linkDelay = conditions.linkDelay(record.dispatcher(), worker.number);
-        attemptRules.checkArrival(observed, slack + linkDelay);
+        attemptRules.checkArrival(observed, slackSeconds + linkDelay);
         record.attempts.add(observed);
         attempt.attachment(observed);
     }
@@ -279,15 +264,13 @@
             return;
         }
         RequestRecord record = observed.record;
-        record.addEvent(timeline.now(), "began at", worker.number);
+        record.addEvent(timeline.now(), "started at worker", worker.number);
         // Over all attempts of a client: a rejection promises that a retry is safe.
         if (record.requestClass().idempotency() == Idempotency.NON_IDEMPOTENT) {
             int request = record.clientAttempt.request().number();
-            Set<Integer> workers = effects.computeIfAbsent(request, key -> new HashSet<>());
-            if (!workers.isEmpty()) {
-                breaches.add(Rule.AT_MOST_ONE_EFFECT, "its effect happened twice", record);
+            if (records.addStart(request, worker.number)) {
+                breaches.add(Rule.AT_MOST_ONE_EFFECT, "started twice", record);
             }
-            workers.add(worker.number);
         }
     }
 
@@ -315,67 +298,49 @@
         if (observed != null && !observed.ended) {
             observed.ended = true;
             observed.record.addEvent(
-                    timeline.now(), "connection closed at", observed.worker.number);
+                    timeline.now(), "connection closed to worker", observed.worker.number);
         }
     }
 
     @Override
     public void onCollapsed(WorkerModel worker) {
-        breaches.add(Rule.NO_SLOW_START_OVERLOAD, worker.name + " fell over while cold", null);
+        String description = worker.name + " collapsed under overload in slow start";
+        breaches.add(Rule.NO_SLOW_START_OVERLOAD, description, null);
     }
 
     // ---- results
 
-    private void removeExpired() {
-        double now = timeline.now();
-        while (!recordsByAge.isEmpty()) {
-            RequestRecord oldest = recordsByAge.peekFirst();
-            ClientAttempt clientAttempt = oldest.clientAttempt;
-            // A dispatcher that cannot know when the time began may count it twice.
-            double deadline =
-                    oldest.requestClass().deadlineSeconds() * (oldest.startUnknown ? 2 : 1);
-            double expiry = clientAttempt.sentAt() + deadline + RETENTION + slack;
-            if (now < expiry + conditions.maxLinkDelay()) {
-                return;
-            }
-            recordsByAge.pollFirst();
-            records.remove(clientAttempt.key());
-            effects.remove(clientAttempt.request().number());
-        }
-    }
-
-    /** At the end of the run: finds requests without a response whose deadline has passed. */
+    /** Finds, at the end of the run, the requests without a response whose deadline has passed. */
     public void finish() {
-        for (RequestRecord record : recordsByAge) {
-            boolean isDue = timeline.now() > record.deadline() + slack;
+        for (RequestRecord record : records.byAge()) {
+            boolean isDue = timeline.now() > record.deadline() + slackSeconds;
             if (record.response == null && !record.abandoned && !record.excused && isDue) {
-                breaches.add(Rule.ONE_FINAL_ANSWER, "no answer at all", record);
+                breaches.add(Rule.ONE_FINAL_ANSWER, "no response at all", record);
             }
         }
     }
 
-    /** The first breaches, in order; not all are kept. */
+    /** Returns the first breaches, in order; not all are kept. */
     public List<Breach> breaches() {
         return breaches.breaches();
     }
 
-    /** The number of breaches of a rule. */
+    /** Returns the number of breaches of a rule. */
     public int count(Rule rule) {
         return breaches.count(rule);
     }
 
-    /** The number of breaches of all rules. */
+    /** Returns the number of breaches of all rules. */
     public int total() {
         return breaches.total();
     }
 
-    /** A client's attempt by its key; null for one whose record is not kept any more. */
+    /** Returns a client's attempt by its key; null for one whose record is not kept any more. */
     public ClientAttempt clientAttempt(long key) {
-        RequestRecord record = records.get(key);
+        RequestRecord record = records.find(key);
         return record == null ? null : record.clientAttempt;
     }
 
-    /** The number of records that are kept. */
     int recordCount() {
         return records.size();
     }
--- a/kit/src/main/java/wheelroute/kit/audit/CounterHistory.java
+++ b/kit/src/main/java/wheelroute/kit/audit/CounterHistory.java
@@ -4,7 +4,7 @@
 
 /** A counter and its values over the last few seconds. */
 final class CounterHistory {
-    private static final double RETENTION = 5;
+    private static final double RETENTION_SECONDS = 5;
 
     private record Point(double time, long value) {}
 
@@ -12,13 +12,13 @@
     private long value;
 
     /** The value before the oldest one that is kept. */
-    private long forgotten;
+    private long droppedValue;
 
     void add(double now, long change) {
         value += change;
         points.addLast(new Point(now, value));
-        while (points.size() > 1 && points.peekFirst().time < now - RETENTION) {
-            forgotten = points.pollFirst().value;
+        while (points.size() > 1 && points.peekFirst().time < now - RETENTION_SECONDS) {
+            droppedValue = points.pollFirst().value;
         }
     }
 
@@ -26,9 +26,9 @@
         return value;
     }
 
-    /** The value at this time; for a time before what is kept the last one that was forgotten. */
+    /** Returns the value at this time; before what is kept, the last value that was dropped. */
     long valueAt(double time) {
-        long last = forgotten;
+        long last = droppedValue;
         for (Point point : points) {
             if (point.time > time) {
                 break;
@@ -38,7 +38,7 @@
         return last;
     }
 
-    /** The minimum value within a period. */
+    /** Returns the minimum value within a period. */
     long min(double from, double to) {
         long min = valueAt(from);
         for (Point point : points) {
@@ -49,7 +49,7 @@
         return min;
     }
 
-    /** The maximum value within a period. */
+    /** Returns the maximum value within a period. */
     long max(double from, double to) {
         long max = valueAt(from);
         for (Point point : points) {
--- a/kit/src/main/java/wheelroute/kit/audit/MetricsAuditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/MetricsAuditor.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -15,12 +14,20 @@
  *
  * <p>Counts start at 0 in each process, also in one that replaces another: while a dispatcher has
  * two processes, the sum of their metrics is compared.
+ *
+ * <p>Not thread-safe: all calls come from tasks of the run's timeline.
  */
 public final class MetricsAuditor {
-    /** Metrics may be older, or newer, than the clients' observations by this many seconds. */
-    private static final double TOLERATED_DELAY = 0.5;
+    /** By how much metrics may be older, or newer, than the clients' observations. */
+    private static final double TOLERATED_DELAY_SECONDS = 0.5;
+
+    /** The longest time between two reports of a process. */
+    private static final double MAX_REPORT_INTERVAL_SECONDS = 1;
 
-    /** The fraction by which a count may be off, or {@link #MIN_TOLERANCE}. */
+    /** Nothing is compared this long after a fault, when delayed messages arrive all at once. */
+    private static final double SETTLE_SECONDS = 2.5;
+
+    /** The fractions by which a figure may be off; at least {@link #MIN_TOLERANCE}. */
     private static final double COUNT_TOLERANCE = 0.01;
 
     private static final double ATTEMPT_TOLERANCE = 0.02;
@@ -30,51 +37,34 @@
     /** More than any count: the bound of what cannot be observed. */
     private static final long UNBOUNDED = 1L << 60;
 
-    /** Nothing is compared for so long after a fault: delayed messages arrive all at once. */
-    private static final double SETTLE_TIME = 2.5;
-
-    /** Mismatches kept in full; more are counted. */
+    /** Mismatches that are described; more are counted. */
     private static final int MAX_DETAILED_MISMATCHES = 10;
 
     private static final String ATTEMPTS = "upstream_requests";
     private static final String PENDING = "pending";
 
-    /** A count of a dispatcher. */
-    private static final class Count {
-        final CounterHistory observed = new CounterHistory();
-
-        /** Bounds of how many of those observed were counted by a process that has ended. */
-        long minBefore;
-
-        long maxBefore;
-    }
-
-    /** The metrics that a process reported last. */
-    private static final class ReportedMetrics {
-        final Map<String, Long> counts = new HashMap<>();
-        boolean received;
-    }
-
-    /** What is known of a dispatcher. */
-    private static final class DispatcherMetrics {
-        final Map<String, Count> counts = new LinkedHashMap<>();
-        final CounterHistory pending = new CounterHistory();
-
-        /** Requests whose response nobody received: any response's count may include them. */
-        final CounterHistory unattributed = new CounterHistory();
+    /** The values of a metric that the observations allow, before any tolerance. */
+    private record Bounds(long min, long max) {
+        Bounds widenedBy(double fraction) {
+            double base = Math.max(0, Math.min(max, UNBOUNDED / 2));
+            long slack = Math.max(MIN_TOLERANCE, (long) Math.ceil(fraction * base));
+            return new Bounds(min - slack, max + slack);
+        }
 
-        final Map<Object, ReportedMetrics> processes = new LinkedHashMap<>();
-        double suspendedUntil = Double.NEGATIVE_INFINITY;
-        boolean suspended;
+        boolean contains(long value) {
+            return value >= min && value <= max;
+        }
 
-        /** Attempts that a running process has sent may have been lost on a link. */
-        boolean attemptsLost;
+        @Override
+        public String toString() {
+            return (min == -UNBOUNDED ? "any" : min) + " to " + (max >= UNBOUNDED ? "any" : max);
+        }
     }
 
     private final Timeline timeline;
+    private final boolean writesInPieces;
     private final Map<Integer, DispatcherMetrics> dispatchers = new HashMap<>();
     private final List<String> mismatches = new ArrayList<>();
-    private final boolean writesInPieces;
     private long checkCount;
     private long mismatchCount;
     private long callCount;
@@ -95,11 +85,7 @@
         return dispatchers.computeIfAbsent(dispatcher, key -> new DispatcherMetrics());
     }
 
-    private static Count count(DispatcherMetrics metrics, String name) {
-        return metrics.counts.computeIfAbsent(name, key -> new Count());
-    }
-
-    /** The name of the metric that counts this response. */
+    /** Returns the name of the metric that counts this response. */
     public static String metricName(FinalResponse response, String requestClass) {
         return switch (response) {
                     case SUCCEEDED -> "completed.";
@@ -118,10 +104,9 @@
 
     /** A client has received a final response. */
     public void onResponse(int dispatcher, String requestClass, FinalResponse response) {
-        metricsOf(dispatcher).pending.add(timeline.now(), -1);
-        count(metricsOf(dispatcher), metricName(response, requestClass))
-                .observed
-                .add(timeline.now(), 1);
+        DispatcherMetrics metrics = metricsOf(dispatcher);
+        metrics.pending.add(timeline.now(), -1);
+        metrics.count(metricName(response, requestClass)).observed.add(timeline.now(), 1);
     }
 
     /** A client will receive no response: it has cancelled, or its connection was lost. */
@@ -132,25 +117,14 @@
 
     /** A worker has received an attempt. */
     public void onAttempt(int dispatcher) {
-        count(metricsOf(dispatcher), ATTEMPTS).observed.add(timeline.now(), 1);
+        metricsOf(dispatcher).count(ATTEMPTS).observed.add(timeline.now(), 1);
     }
 
     // ---- processes
 
-    /** A process of the dispatcher has started; processes are told apart by identity. */
+    /** A process of the dispatcher has started; processes are distinguished by identity. */
     public void onProcessStarted(int dispatcher, Object process) {
-        DispatcherMetrics metrics = metricsOf(dispatcher);
-        if (metrics.processes.isEmpty()) {
-            metrics.counts
-                    .values()
-                    .forEach(
-                            count -> {
-                                count.minBefore = count.observed.current();
-                                count.maxBefore = count.observed.current();
-                            });
-            metrics.attemptsLost = false;
-        }
-        metrics.processes.put(process, new ReportedMetrics());
+        metricsOf(dispatcher).addProcess(process);
     }
 
     /**
@@ -159,43 +133,45 @@
      */
     public void onProcessEnded(int dispatcher, Object process) {
         DispatcherMetrics metrics = metricsOf(dispatcher);
-        ReportedMetrics reported = metrics.processes.remove(process);
-        if (reported == null || metrics.processes.isEmpty()) {
+        Map<String, Long> reported = metrics.removeProcess(process);
+        if (reported == null || metrics.processCount() == 0) {
             return;
         }
-        double now = timeline.now();
+        double reportedAt =
+                timeline.now() - 2 * TOLERATED_DELAY_SECONDS - MAX_REPORT_INTERVAL_SECONDS;
+        long unattributed = increaseSince(metrics.unattributed, reportedAt);
         metrics.counts.forEach(
                 (name, count) -> {
-                    long last = reported.counts.getOrDefault(name, 0L);
-                    long since =
-                            count.observed.current()
-                                    - count.observed.valueAt(now - 2 * TOLERATED_DELAY - 1)
-                                    + metrics.unattributed.current()
-                                    - metrics.unattributed.valueAt(now - 2 * TOLERATED_DELAY - 1);
+                    long last = reported.getOrDefault(name, 0L);
+                    long since = increaseSince(count.observed, reportedAt) + unattributed;
                     count.minBefore += last;
                     count.maxBefore += last + since + MIN_TOLERANCE;
                 });
         suspendChecks(dispatcher);
     }
 
+    private static long increaseSince(CounterHistory counter, double time) {
+        return counter.current() - counter.valueAt(time);
+    }
+
     /** A fault has just affected the dispatcher: nothing is compared for a while. */
     public void suspendChecks(int dispatcher) {
-        metricsOf(dispatcher).suspendedUntil = timeline.now() + SETTLE_TIME;
+        metricsOf(dispatcher).suspendUntil(timeline.now() + SETTLE_SECONDS);
     }
 
     /** A fault that affects the dispatcher begins or ends. */
     public void suspendChecks(int dispatcher, boolean begins) {
-        metricsOf(dispatcher).suspended = begins;
+        metricsOf(dispatcher).setFaultActive(begins);
         suspendChecks(dispatcher);
     }
 
     /** Attempts may be lost on a link: the dispatcher may count more than workers observe. */
     public void onAttemptsLost(int dispatcher) {
-        metricsOf(dispatcher).attemptsLost = true;
+        metricsOf(dispatcher).areAttemptsLost = true;
     }
 
     private boolean isSuspended(DispatcherMetrics metrics) {
-        return metrics.suspended || timeline.now() < metrics.suspendedUntil;
+        return metrics.isSuspended(timeline.now());
     }
 
     // ---- reported metrics
@@ -211,85 +187,57 @@
     /** A process has reported its metrics. */
     public void onMetrics(int dispatcher, Object process, Map<String, Long> values) {
         DispatcherMetrics metrics = metricsOf(dispatcher);
-        ReportedMetrics reported = metrics.processes.get(process);
-        if (reported == null) {
+        if (!metrics.hasProcess(process)) {
             return;
         }
         callCount++;
-        reported.counts.clear();
-        reported.counts.putAll(values);
-        reported.received = true;
-        if (isSuspended(metrics)
-                || !metrics.processes.values().stream().allMatch(each -> each.received)) {
+        metrics.onReported(process, values);
+        if (isSuspended(metrics) || !metrics.haveAllReported()) {
             return;
         }
         // Two processes were called at different times, which widens the window.
-        double window = metrics.processes.size() > 1 ? 2 * TOLERATED_DELAY : TOLERATED_DELAY;
-        Map<String, Long> sums = new HashMap<>();
-        metrics.processes
-                .values()
-                .forEach(
-                        each ->
-                                each.counts.forEach(
-                                        (name, value) -> sums.merge(name, value, Long::sum)));
-        double time = timeline.now();
+        double windowSeconds =
+                metrics.processCount() > 1 ? 2 * TOLERATED_DELAY_SECONDS : TOLERATED_DELAY_SECONDS;
+        Map<String, Long> sums = metrics.sums();
+        double reportedAt = timeline.now();
         timeline.schedule(
-                TOLERATED_DELAY,
+                TOLERATED_DELAY_SECONDS,
                 () -> {
                     if (!isSuspended(metrics)) {
-                        compare(dispatcher, metrics, sums, time, window);
+                        compare(dispatcher, sums, reportedAt, windowSeconds);
                     }
                 });
     }
 
     private void compare(
-            int dispatcher,
-            DispatcherMetrics metrics,
-            Map<String, Long> sums,
-            double time,
-            double window) {
+            int dispatcher, Map<String, Long> sums, double reportedAt, double windowSeconds) {
+        DispatcherMetrics metrics = metricsOf(dispatcher);
+        double from = reportedAt - windowSeconds;
+        double to = reportedAt + TOLERATED_DELAY_SECONDS;
         long unattributed = metrics.unattributed.current();
         metrics.counts.forEach(
                 (name, count) -> {
-                    long min = count.observed.valueAt(time - window) - count.maxBefore;
-                    long max = count.observed.valueAt(time + TOLERATED_DELAY) - count.minBefore;
-                    if (name.equals(ATTEMPTS)) {
-                        check(
-                                dispatcher,
-                                name,
-                                sums.get(name),
-                                min,
-                                metrics.attemptsLost ? UNBOUNDED : max,
-                                ATTEMPT_TOLERANCE);
+                    long min = count.observed.valueAt(from) - count.maxBefore;
+                    long max = count.observed.valueAt(to) - count.minBefore;
+                    boolean isAttempts = name.equals(ATTEMPTS);
+                    if (isAttempts) {
+                        max = metrics.areAttemptsLost ? UNBOUNDED : max;
                     } else {
-                        check(
-                                dispatcher,
-                                name,
-                                sums.get(name),
-                                min,
-                                max + unattributed,
-                                COUNT_TOLERANCE);
+                        max += unattributed;
                     }
+                    double tolerance = isAttempts ? ATTEMPT_TOLERANCE : COUNT_TOLERANCE;
+                    check(dispatcher, name, sums.get(name), new Bounds(min, max), tolerance);
                 });
-        check(
-                dispatcher,
-                PENDING,
-                sums.get(PENDING),
-                writesInPieces
-                        ? -UNBOUNDED
-                        : metrics.pending.min(time - window, time + TOLERATED_DELAY),
-                metrics.pending.max(time - window, time + TOLERATED_DELAY),
-                PENDING_TOLERANCE);
+        long minPending = writesInPieces ? -UNBOUNDED : metrics.pending.min(from, to);
+        Bounds pending = new Bounds(minPending, metrics.pending.max(from, to));
+        check(dispatcher, PENDING, sums.get(PENDING), pending, PENDING_TOLERANCE);
     }
 
+    /** Counts a check; reported is null for a metric that is missing. */
     private void check(
-            int dispatcher, String name, Long reported, long min, long max, double tolerance) {
+            int dispatcher, String name, Long reported, Bounds bounds, double tolerance) {
         checkCount++;
-        long slack =
-                Math.max(
-                        MIN_TOLERANCE,
-                        (long) Math.ceil(tolerance * Math.max(0, Math.min(max, UNBOUNDED / 2))));
-        if (reported != null && reported >= min - slack && reported <= max + slack) {
+        if (reported != null && bounds.widenedBy(tolerance).contains(reported)) {
             return;
         }
         mismatchCount++;
@@ -297,33 +245,32 @@
             mismatches.add(
                     String.format(
                             Locale.ROOT,
-                            "n%d tells %s %s, seen were %s to %s",
+                            "n%d reports %s %s, observed were %s",
                             dispatcher,
                             name,
-                            reported == null ? "nothing" : reported,
-                            min == -UNBOUNDED ? "any" : min,
-                            max >= UNBOUNDED ? "any" : max));
+                            reported == null ? "not at all" : reported,
+                            bounds));
         }
     }
 
     // ---- results
 
-    /** The fraction of compared metrics that did not match or were missing. */
+    /** Returns the fraction of compared metrics that did not match or were missing. */
     public double mismatchFraction() {
         return checkCount == 0 ? 0 : (double) mismatchCount / checkCount;
     }
 
-    /** The fraction of calls that timed out. */
+    /** Returns the fraction of calls that timed out. */
     public double lateCallFraction() {
         return callCount == 0 ? 0 : (double) lateCallCount / callCount;
     }
 
-    /** The number of metrics compared. */
+    /** Returns the number of metrics compared. */
     public long checkCount() {
         return checkCount;
     }
 
-    /** Descriptions of the first mismatches. */
+    /** Returns descriptions of the first mismatches. */
     public List<String> mismatches() {
         return List.copyOf(mismatches);
     }
--- a/kit/src/main/java/wheelroute/kit/audit/ObservedAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/audit/ObservedAttempt.java
@@ -11,7 +11,7 @@
     /** The dispatcher can know that the attempt has ended. */
     boolean ended;
 
-    /** The worker has told the dispatcher that the attempt was never started. */
+    /** The dispatcher is notified that the attempt was never started. */
     boolean neverRan;
 
     ObservedAttempt(RequestRecord record, WorkerModel worker, double arrivedAt) {
--- a/kit/src/main/java/wheelroute/kit/audit/RequestRecord.java
+++ b/kit/src/main/java/wheelroute/kit/audit/RequestRecord.java
@@ -24,10 +24,10 @@
     /** When the client cancelled of its own accord, before any response. */
     double cancelledAt = Double.NaN;
 
-    /** The client has given up, or its connection was lost or refused. */
+    /** The client no longer waits, or its connection was lost or refused. */
     boolean abandoned;
 
-    /** No response is owed, owing to a fault at the dispatcher. */
+    /** A fault at the dispatcher excuses it from a response. */
     boolean excused;
 
     /** The link from the client was impaired: the dispatcher cannot know when its time began. */
@@ -70,15 +70,15 @@
     List<String> history(double start) {
         List<String> lines = new ArrayList<>();
         lines.add(
-                "ask "
+                "request "
                         + clientAttempt.request().number()
-                        + ", try "
+                        + ", attempt "
                         + clientAttempt.number()
                         + ", "
                         + requestClass().name()
                         + " ("
                         + TomlFields.configuredName(requestClass().idempotency())
-                        + "), waits "
+                        + "), timeout "
                         + seconds(clientAttempt.timeoutSeconds())
                         + " s");
         for (Event event : events) {
--- a/kit/src/main/java/wheelroute/kit/audit/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/audit/package-info.java
@@ -1,2 +1,2 @@
-/** Checks the operators' rules from outside: on what clients, workers and discovery observe. */
+/** Checks the rules from outside, on what clients, workers and discovery observe. */
 package wheelroute.kit.audit;
--- a/kit/src/main/java/wheelroute/kit/cli/Adapter.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Adapter.java
@@ -8,8 +8,8 @@
         name = "adapter",
         mixinStandardHelpOptions = true,
         description =
-                "The decisions alone, on the bench's wire: events on standard input, actions on"
-                        + " output.")
+                "Run the policy alone: events of the bench's protocol on standard input, actions on"
+                        + " standard output.")
 final class Adapter implements Callable<Integer> {
     @Override
     public Integer call() {
--- a/kit/src/main/java/wheelroute/kit/cli/CommandLineException.java
+++ b/kit/src/main/java/wheelroute/kit/cli/CommandLineException.java
@@ -1,6 +1,6 @@
 package wheelroute.kit.cli;
 
-/** Input that cannot be used; the message names the place. */
+/** An argument or its file cannot be used; the message names it. */
 final class CommandLineException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/kit/src/main/java/wheelroute/kit/cli/Exit.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Exit.java
@@ -4,19 +4,19 @@
 final class Exit {
     static final int HOLDS = 0;
 
-    /** Input that cannot be used, or a run that could not go on. */
+    /** An input cannot be used, or a run could not be completed. */
     static final int BAD_INPUT = 1;
 
     /** What picocli itself ends with on a wrong command line. */
     static final int BAD_USAGE = 2;
 
-    /** A rule was broken, or something expected does not hold. */
+    /** A rule was broken, or an expectation does not hold. */
     static final int DOES_NOT_HOLD = 3;
 
-    /** This machine was too busy to say: never a pass. */
+    /** The machine was too busy for a judgement. */
     static final int NOT_JUDGED = 4;
 
-    /** Stopped from outside: what was written is partial. */
+    /** Stopped by a signal: what was written is partial. */
     static final int STOPPED = 130;
 
     private Exit() {}
--- a/kit/src/main/java/wheelroute/kit/cli/Serve.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Serve.java
@@ -11,12 +11,13 @@
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
-        description = "Dispatch on sockets, by a file of the operator's or by LB_CONFIG.")
+        description = "Run a dispatcher, configured by a file or by LB_CONFIG.")
 final class Serve implements Callable<Integer> {
     @Parameters(
             arity = "0..1",
             paramLabel = "FILE",
-            description = "TOML or JSON; LB_CONFIG names it" + " otherwise")
+            description =
+                    "the configuration, TOML or JSON; by default the file that LB_CONFIG names")
     private String file;
 
     @Option(
@@ -36,7 +37,7 @@
             args.add(file);
         }
         Main.main(args.toArray(new String[0]));
-        // The service's thread goes on; the process ends with it.
+        // The service runs on a thread of its own, and ends the process.
         Thread.currentThread().join();
         return Exit.HOLDS;
     }
--- a/kit/src/main/java/wheelroute/kit/cli/Wheelroute.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Wheelroute.java
@@ -11,13 +11,13 @@
 import wheelroute.kit.process.RehearsalException;
 import wheelroute.kit.scenario.ScenarioException;
 
-/** The command line: one subcommand for each thing that can be done. */
+/** The command line of dispatcher and kit. */
 @Command(
         name = "wheelroute",
         mixinStandardHelpOptions = true,
         versionProvider = Wheelroute.Version.class,
         description =
-                "A dispatcher that sits beside each submitter and pushes jobs to workers, and its"
+                "A dispatcher that runs beside each client and sends its requests to workers, and its"
                         + " test kit.",
         subcommands = {
             Serve.class,
@@ -34,15 +34,14 @@
         },
         footer = {
             "",
-            "Exit codes: 0 done, and all that was expected holds; 1 input that cannot be used,"
-                    + " or a run "
-                    + "that could not go on; 2 wrong usage; 3 a rule broken or an expectation that does not hold; "
-                    + "4 the machine is too slow for the load; 130 stopped."
+            "Exit codes: 0 success, all expectations hold; 1 an input cannot be used, or a run could"
+                    + " not be completed; 2 wrong usage; 3 a rule was broken or an expectation does"
+                    + " not hold; 4 the machine is too slow for the load; 130 stopped."
         })
 public final class Wheelroute implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
-    /** Only what the build wrote into the jar. */
+    /** The version that the build wrote into the jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/kit/src/main/java/wheelroute/kit/cli/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line over daemon and kit. */
+/** The command line of dispatcher and kit. */
 package wheelroute.kit.cli;
--- a/kit/src/main/java/wheelroute/kit/experiment/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Runs side by side: scenarios by seeds by variants, and their comparison. */
+/** Several runs: scenarios, seeds and variants, run in parallel and compared. */
 package wheelroute.kit.experiment;
--- a/kit/src/main/java/wheelroute/kit/model/AttemptEnding.java
+++ b/kit/src/main/java/wheelroute/kit/model/AttemptEnding.java
@@ -2,24 +2,24 @@
 
 /** How a worker ends an attempt. */
 public enum AttemptEnding {
-    SUCCEEDED("done"),
+    SUCCEEDED("succeeded"),
     FAILED("failed"),
-    /** Handed back by a draining worker before it was started. */
+    /** Returned by a draining worker before it was started. */
     RETURNED("returned"),
     /** Not accepted: the worker's queue or memory is full. */
-    REJECTED("turned_away"),
+    REJECTED("rejected"),
     /** The connection was lost: the process died, or the machine dropped it. */
-    CONNECTION_LOST("broken");
+    CONNECTION_LOST("connection lost");
 
-    private final String reportName;
+    private final String label;
 
-    AttemptEnding(String reportName) {
-        this.reportName = reportName;
+    AttemptEnding(String label) {
+        this.label = label;
     }
 
-    /** The ending's name in reports. */
-    public String reportName() {
-        return reportName;
+    /** Returns the ending as people read it. */
+    public String label() {
+        return label;
     }
 
     /** Whether the protocol proves that the attempt was never started. */
--- a/kit/src/main/java/wheelroute/kit/model/EventListener.java
+++ b/kit/src/main/java/wheelroute/kit/model/EventListener.java
@@ -8,8 +8,9 @@
     /** An attempt was started. */
     void onStarted(WorkerAttempt attempt, WorkerModel worker);
 
-    /** An attempt has ended; told is whether the worker could send its response. */
-    void onEnded(WorkerAttempt attempt, WorkerModel worker, AttemptEnding ending, boolean told);
+    /** An attempt has ended; delivered is whether the worker could send its response. */
+    void onEnded(
+            WorkerAttempt attempt, WorkerModel worker, AttemptEnding ending, boolean delivered);
 
     /** A worker in slow start was overloaded and has crashed. */
     void onCollapsed(WorkerModel worker);
--- a/kit/src/main/java/wheelroute/kit/model/FinalResponse.java
+++ b/kit/src/main/java/wheelroute/kit/model/FinalResponse.java
@@ -2,18 +2,18 @@
 
 /** The final response of a dispatcher to a client's request. */
 public enum FinalResponse {
-    SUCCEEDED("fulfilled"),
-    REJECTED("bounced"),
-    FAILED("scrapped");
+    SUCCEEDED("succeeded"),
+    REJECTED("rejected"),
+    FAILED("failed");
 
-    private final String reportName;
+    private final String label;
 
-    FinalResponse(String reportName) {
-        this.reportName = reportName;
+    FinalResponse(String label) {
+        this.label = label;
     }
 
-    /** The response's name in reports. */
-    public String reportName() {
-        return reportName;
+    /** Returns the response as people read it. */
+    public String label() {
+        return label;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/SeededRandom.java
+++ b/kit/src/main/java/wheelroute/kit/model/SeededRandom.java
@@ -4,7 +4,7 @@
 
 /**
  * Random numbers that depend only on the seed, the purpose and two indices, and not on earlier
- * draws. Both clocks, and any two builds, therefore draw the same whatever they did in between.
+ * draws. Runs on both clocks, and of different builds, therefore draw the same numbers.
  */
 public final class SeededRandom {
     /** What is drawn. Ordinals are part of the seed's meaning: new constants go to the end. */
@@ -27,7 +27,7 @@
         CLIENT
     }
 
-    /** Two odd constants of splitmix64: keys that differ in one bit end far apart. */
+    /** Constants of splitmix64, by which keys that differ in one bit get unrelated seeds. */
     private static final long GOLDEN = 0x9e3779b97f4a7c15L;
 
     private static final long MIX = 0xbf58476d1ce4e5b9L;
@@ -39,17 +39,17 @@
         this.seed = seed;
     }
 
-    /** A generator for this purpose and these indices. */
+    /** Returns a generator for this purpose and these indices. */
     public SplittableRandom generator(Purpose what, long a, long b) {
         return new SplittableRandom(seedOf(what, a, b));
     }
 
-    /** A single draw from 0 (inclusive) to 1 (exclusive), cheaper than a generator. */
+    /** Returns a draw from 0 (inclusive) to 1 (exclusive), cheaper than a generator. */
     public double uniform(Purpose what, long a, long b) {
         return (mix(seedOf(what, a, b)) >>> 11) * 0x1.0p-53;
     }
 
-    /** A seed for this purpose and these indices. */
+    /** Returns a seed for this purpose and these indices. */
     public long seedOf(Purpose what, long a, long b) {
         return mix(mix(mix(seed + GOLDEN * (what.ordinal() + 1)) + a) + GOLDEN * b);
     }
@@ -60,7 +60,7 @@
         return z ^ z >>> 31;
     }
 
-    /** A lognormal draw of mean 1; the shape is the deviation of its logarithm, 0 for no spread. */
+    /** Returns a lognormal draw of mean 1; the shape is the standard deviation of its logarithm. */
     public static double lognormal(SplittableRandom random, double shape) {
         if (shape == 0) {
             return 1;
--- a/kit/src/main/java/wheelroute/kit/model/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The model of what a dispatcher serves: workers, discovery, clients and faults. No I/O, no clock,
- * no thread: time comes from a {@link wheelroute.kit.model.Timeline}.
+ * Models what surrounds a dispatcher: workers, discovery, clients and faults. Without I/O, clock or
+ * thread: time comes from a {@link wheelroute.kit.model.Timeline}.
  */
 package wheelroute.kit.model;
--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -28,16 +28,16 @@
 
     private static final int FIRST_PORT = 10_000;
 
-    /** How long a member that stalls repeatedly runs in between, in seconds. */
-    private static final double RUN_BETWEEN_STALLS = 0.3;
+    /** How long a member that stalls repeatedly runs in between. */
+    private static final double RUN_BETWEEN_STALLS_SECONDS = 0.3;
 
-    /** Interval at which a condition is looked at, in seconds. */
-    private static final double CHECK_INTERVAL = 0.1;
+    /** Interval at which a condition is checked. */
+    private static final double CHECK_INTERVAL_SECONDS = 0.1;
 
-    /** What a member's clock shows in seconds when the model starts. */
-    private static final double CLOCK_AT_START = 1e6;
+    /** What a member's clock shows when the model starts. */
+    private static final double CLOCK_AT_START_SECONDS = 1e6;
 
-    private static final double MILLISECONDS = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
     private static final int CLUSTER = 7;
     private static final String NAME_PREFIX = "n";
 
@@ -109,8 +109,8 @@
             for (int i = 0; i < seeds; i++) {
                 seedAddresses.add(address(i));
             }
-            double clock = CLOCK_AT_START + time.now() - startTime + clockAhead;
-            long incarnation = (long) (MILLISECONDS * clock);
+            double clock = CLOCK_AT_START_SECONDS + time.now() - startTime + clockAhead;
+            long incarnation = (long) (MILLIS_PER_SECOND * clock);
             membership =
                     new Membership(
                             new MembershipConfig(
@@ -160,7 +160,7 @@
                         stallSeconds * (0.5 + draw()),
                         () -> {
                             pause(false);
-                            time.schedule(RUN_BETWEEN_STALLS, this::stallRepeatedly);
+                            time.schedule(RUN_BETWEEN_STALLS_SECONDS, this::stallRepeatedly);
                         });
             }
         }
@@ -203,7 +203,7 @@
                 Message message = MessageCodec.decode(datagram);
                 runEvent(() -> membership.receive(address(from), message));
             } catch (MalformedMessageException e) {
-                throw new IllegalStateException("a member sent a malformed datagram", e);
+                throw new AssertionError("a member sent a malformed datagram", e);
             }
         }
 
@@ -317,14 +317,14 @@
         network.block(newBlocked);
     }
 
-    /** Starts all members at random times within so many seconds. */
+    /** Starts all members at random times within this many seconds. */
     public void startAll(double within) {
         for (Member member : members) {
             time.schedule(within * draw(), () -> member.start(0));
         }
     }
 
-    /** Runs the model for so many seconds. */
+    /** Runs the model for this many seconds. */
     public void advance(double seconds) {
         boolean[] elapsed = {false};
         time.schedule(seconds, () -> elapsed[0] = true);
@@ -336,7 +336,7 @@
     /**
      * Runs the model until a condition holds.
      *
-     * @param timeout seconds after which it gives up
+     * @param timeout how long it runs at most, in seconds
      * @return seconds that it took; NaN if the condition did not hold in time
      */
     public double advanceUntil(BooleanSupplier condition, double timeout) {
@@ -345,7 +345,7 @@
             if (condition.getAsBoolean()) {
                 return time.now() - from;
             }
-            advance(CHECK_INTERVAL);
+            advance(CHECK_INTERVAL_SECONDS);
         }
         return Double.NaN;
     }
--- a/kit/src/main/java/wheelroute/kit/peers/PeerNetwork.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerNetwork.java
@@ -10,11 +10,10 @@
  * datagrams, and counts what is sent.
  */
 final class PeerNetwork {
-    /** Least delay of a datagram in seconds. */
-    private static final double DELAY = 0.0005;
+    private static final double MIN_DELAY_SECONDS = 0.0005;
 
-    /** Random part of the delay in seconds, from 0 on. */
-    private static final double JITTER = 0.001;
+    /** Maximum random part of the delay. */
+    private static final double JITTER_SECONDS = 0.001;
 
     private final SimulatedTime time;
     private final DoubleSupplier random;
@@ -30,7 +29,7 @@
     private long bytes;
     private int largestDatagram;
 
-    /** Takes the datagrams that arrive. */
+    /** Receives the datagrams that arrive. */
     interface Receiver {
         void onDatagram(int from, int to, ByteBuffer datagram);
     }
@@ -73,7 +72,10 @@
         }
         for (int copies = random.getAsDouble() < duplication ? 2 : 1; copies > 0; copies--) {
             ByteBuffer copy = datagram.duplicate();
-            double delay = DELAY + JITTER * random.getAsDouble() + spread * random.getAsDouble();
+            double delay =
+                    MIN_DELAY_SECONDS
+                            + JITTER_SECONDS * random.getAsDouble()
+                            + spread * random.getAsDouble();
             time.schedule(delay, () -> receiver.onDatagram(from, to, copy));
         }
     }
--- a/kit/src/main/java/wheelroute/kit/peers/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/peers/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Simulation of {@link wheelroute.peers.Membership} on the virtual clock: a cluster, its network
- * and the faults that both may have.
- */
+/** Simulates {@link wheelroute.peers.Membership}: a cluster, its network and their faults. */
 package wheelroute.kit.peers;
--- a/kit/src/main/java/wheelroute/kit/process/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadRun.java
@@ -241,7 +241,7 @@
                 String.format(
                         Locale.ROOT, "%d sent in %.1f s, %.0f a second", sent, took, sent / took));
         for (FinalResponse response : FinalResponse.values()) {
-            lines.add(response.reportName() + ": " + answers.getOrDefault(response, 0L));
+            lines.add(response.label() + ": " + answers.getOrDefault(response, 0L));
         }
         lines.add(
                 "refused: "
--- a/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
@@ -6,17 +6,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** One page with all that a rehearsal found; it needs nothing beside itself. */
+/** Writes reports as an HTML page that needs no other file. */
 public final class HtmlWriter {
-    private static final String OURS = "/wheelroute/kit/report/";
-    private static final String PLOT = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
+    private static final String KIT_RESOURCES = "/wheelroute/kit/report/";
+    private static final String PLOT_RESOURCES = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
 
     private HtmlWriter() {}
 
     /**
-     * The reports as one page that needs no other file.
+     * Returns the page of these reports.
      *
-     * @param comparison of the reports, as a text; null for none
+     * @param comparison of the reports as text; empty for none
      */
     public static String text(List<Report> reports, String comparison) {
         StringBuilder page = new StringBuilder("<h1>wheelroute rehearsal</h1>\n");
@@ -48,26 +48,26 @@
         return page("wheelroute rehearsal", page.toString(), JsonWriter.text(reports), "page.js");
     }
 
-    /** A whole page: the script of ours draws what is in the JSON. */
+    /** Returns a page whose script draws what is in the JSON. */
     public static String page(String title, String body, String json, String script) {
-        // Within a script only "</" could end it early.
+        // Escaped, as "</" could end the script element early.
         return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>"
                 + title
                 + "</title>\n<style>"
-                + resource(PLOT + "uPlot.min.css")
-                + resource(OURS + "page.css")
+                + resource(PLOT_RESOURCES + "uPlot.min.css")
+                + resource(KIT_RESOURCES + "page.css")
                 + "</style></head><body>\n"
                 + body
                 + "<script id=\"data\" type=\"application/json\">"
                 + json.replace("</", "<\\/")
                 + "</script>\n<script>"
-                + resource(PLOT + "uPlot.iife.min.js")
+                + resource(PLOT_RESOURCES + "uPlot.iife.min.js")
                 + "</script>\n<script>"
-                + resource(OURS + script)
+                + resource(KIT_RESOURCES + script)
                 + "</script>\n</body></html>\n";
     }
 
-    /** The text with the signs of HTML escaped. */
+    /** Returns the text with HTML special characters escaped. */
     public static String escaped(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
@@ -76,7 +76,7 @@
         try (InputStream in = HtmlWriter.class.getResourceAsStream(path)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new UncheckedIOException("a part of the kit is missing: " + path, e);
+            throw new UncheckedIOException("a resource of the kit cannot be read: " + path, e);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
@@ -13,16 +13,19 @@
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.audit.Rule;
 
-/** Writes reports as JSON, for programs. Times in seconds; what was not measured is null. */
+/**
+ * Writes reports as JSON, for programs. Times are in seconds; what was not measured is null. With
+ * {@link wheelroute.kit.audit.Rule}, the only place that knows the keys of this format.
+ */
 public final class JsonWriter {
-    /** Raised when a reader of the last version would misread the next. */
+    /** Raised when readers of the earlier format would misread the new one. */
     private static final int VERSION = 2;
 
     private static final JsonFactory JSON = new JsonFactory();
 
     private JsonWriter() {}
 
-    /** The reports as one JSON document. */
+    /** Returns the reports as one JSON document. */
     public static String text(List<Report> reports) {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(out)) {
--- a/kit/src/main/java/wheelroute/kit/report/Recorder.java
+++ b/kit/src/main/java/wheelroute/kit/report/Recorder.java
@@ -14,7 +14,7 @@
 import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
 
-/** Hears clients and workers, for the tally and the auditor; the same under both clocks. */
+/** Passes the events of clients and workers to the tally and the auditors, on both clocks. */
 public final class Recorder implements Clients.Observer, EventListener {
     private final Tally tally;
     private final Auditor auditor;
@@ -23,12 +23,12 @@
     private long requestCount;
     private long attemptCount;
 
-    /** Without admin servers. */
+    /** Creates a recorder of a run without admin servers. */
     public Recorder(Scenario scenario, Timeline timeline, double seconds, Auditor auditor) {
         this(scenario, timeline, seconds, auditor, new MetricsAuditor(timeline, false));
     }
 
-    /** Makes a recorder of one run. */
+    /** Creates a recorder of one run. */
     public Recorder(
             Scenario scenario,
             Timeline timeline,
@@ -41,17 +41,17 @@
         tally = new Tally(scenario, seconds);
     }
 
-    /** What was counted so far. */
+    /** Returns what was counted so far. */
     public Tally tally() {
         return tally;
     }
 
-    /** Attempts at workers for each request of a client. */
+    /** Returns the number of attempts at workers per attempt of a client. */
     public double attemptsPerRequest() {
         return (double) attemptCount / Math.max(1, requestCount);
     }
 
-    /** The first ask goes now. */
+    /** Starts the clients' requests, and samples the queues until they have ended. */
     public void start(ClusterModel cluster, Clients clients) {
         tally.startAt(timeline.now());
         auditor.start();
@@ -59,7 +59,6 @@
         sampleQueues(cluster, clients);
     }
 
-    /** Looks at the queues now and then, until the requests have ended. */
     private void sampleQueues(ClusterModel cluster, Clients clients) {
         tally.sample(cluster);
         timeline.schedule(
@@ -98,8 +97,8 @@
     }
 
     @Override
-    public void onAbandoned(ClientAttempt clientAttempt, boolean ownWish) {
-        auditor.onAbandoned(clientAttempt, ownWish);
+    public void onAbandoned(ClientAttempt clientAttempt, boolean cancelled) {
+        auditor.onAbandoned(clientAttempt, cancelled);
         metricsAuditor.onResponseLost(clientAttempt.dispatcher());
     }
 
@@ -133,8 +132,8 @@
 
     @Override
     public void onEnded(
-            WorkerAttempt attempt, WorkerModel worker, AttemptEnding ending, boolean told) {
-        auditor.onEnded(attempt, worker, ending, told);
+            WorkerAttempt attempt, WorkerModel worker, AttemptEnding ending, boolean delivered) {
+        auditor.onEnded(attempt, worker, ending, delivered);
     }
 
     @Override
--- a/kit/src/main/java/wheelroute/kit/report/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/report/package-info.java
@@ -1,2 +1,2 @@
-/** The results of a run, and their forms as tables, JSON and a page. */
+/** The result of a run, and its forms: tables for people, JSON for programs, a page. */
 package wheelroute.kit.report;
--- a/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
@@ -1,8 +1,8 @@
 package wheelroute.kit.scenario;
 
-/** The names of a report's figures, as scenarios may expect them and matrices compare them. */
+/** The names of a report's figures, of which scenarios may expect bounds. */
 public final class FigureNames {
-    /** Value earned over value asked, from 0 to 1. */
+    /** Value earned over value requested, from 0 to 1. */
     public static final String SERVICE = "service";
 
     public static final String IN_TIME = "in_time";
@@ -18,19 +18,19 @@
     public static final String P99 = "p99";
     public static final String P999 = "p999";
 
-    /** Calls to the list service in the second in which there were most, by all dispatchers. */
+    /** The most calls to discovery within one second, by all dispatchers. */
     public static final String MAX_DISCOVERY_CALLS = "list_calls_most";
 
-    /** Of the operators' figures the part that was not true, or missing. */
+    /** The fraction of dispatchers' metrics that were wrong or missing. */
     public static final String MISMATCHED_METRICS = "figures_untrue";
 
-    /** Of the calls at admin servers the part that was not answered within a second. */
+    /** The fraction of calls to admin servers that timed out. */
     public static final String ADMIN_CALL_TIMEOUTS = "doors_late";
 
-    /** Replacements that were not through in time. */
+    /** Replacements of dispatchers' processes that were not complete in time. */
     public static final String FAILED_REPLACEMENTS = "not_replaced";
 
-    /** Dispatchers that do not hold just those to be there that are, as the requests end. */
+    /** Dispatchers whose list of alive members is wrong at the end of the requests. */
     public static final String PEERS_NOT_CONVERGED = "peers_wrong";
 
     /** The service of one request class or tenant: the name follows. */
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioException.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A scenario that cannot be played; every fault found is told, with its line and key. */
+/** A scenario cannot be used; the message has every fault found, with its line and key. */
 public final class ScenarioException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -19,7 +19,7 @@
         this.faults = List.copyOf(faults);
     }
 
-    /** The faults, each with its line. */
+    /** Returns the faults, each with its line. */
     public List<String> faults() {
         return faults;
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioLibrary.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioLibrary.java
@@ -7,9 +7,9 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The scenarios that are shipped. */
+/** The scenarios that are shipped with the kit. */
 public final class ScenarioLibrary {
-    /** In the order in which they are listed: the first is the one played when none is named. */
+    /** In the order in which they are listed; the first is the default of a rehearsal. */
     public static final List<String> NAMES =
             List.of(
                     "closing-prices",
@@ -39,7 +39,7 @@
 
     private ScenarioLibrary() {}
 
-    /** By its name, or from a file of the operator's: a path has a dot or a slash. */
+    /** Finds a shipped scenario by name, or reads a file, whose path has a dot or a slash. */
     public static Scenario find(String nameOrFile) throws ScenarioException {
         if (NAMES.contains(nameOrFile)) {
             return shipped(nameOrFile);
--- a/kit/src/main/java/wheelroute/kit/scenario/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** Scenarios: the files that say what a rehearsal runs, read and checked as a whole. */
+/** Scenarios: what a run consists of and what must hold, their files, and random faults. */
 package wheelroute.kit.scenario;
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedAttempt.java
@@ -149,7 +149,8 @@
         link.remove(this);
         dispatcher.dispatch(
                 () -> {
-                    // As in the daemon, the client has its response before the strategy is told.
+                    // As in the daemon, the client has its response before the strategy learns of
+                    // the end.
                     if (outcome == Outcome.SUCCEEDED) {
                         request.respond(FinalResponse.SUCCEEDED, 0);
                     }
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
@@ -14,7 +14,7 @@
 /** A simulated dispatcher's watch of the endpoint list, and how it fails. */
 final class SimulatedDiscoveryWatch {
     /** A watch without a response fails after its hold time and another 1.5 s. */
-    private static final double WATCH_TIMEOUT = 6.5;
+    private static final double WATCH_TIMEOUT_SECONDS = 6.5;
 
     /** Timeout of a call for the complete list, which discovery answers at once. */
     private static final double CALL_TIMEOUT_SECONDS = 1.5;
@@ -44,9 +44,7 @@
         cluster.registry.onOutage(this::onOutage);
     }
 
-    /**
-     * Calls discovery: the strategy gets the complete list, then changes, or hears of a failure.
-     */
+    /** Calls discovery: the strategy gets the complete list and then its changes, or a failure. */
     void start() {
         LinkState state = network.toDiscovery().state();
         if (cluster.registry.isDown() || state.refuses()) {
@@ -73,7 +71,7 @@
             fail();
         } else if (wasPassing && !(state.outbound() && state.inbound())) {
             process.schedule(
-                    WATCH_TIMEOUT,
+                    WATCH_TIMEOUT_SECONDS,
                     () -> {
                         LinkState now = network.toDiscovery().state();
                         if (!now.inbound() || !now.outbound()) {
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
@@ -25,14 +25,14 @@
 /**
  * A dispatcher without sockets: what the daemon does around its policy, event by event, with links
  * that only delay messages. The daemon's order of events is kept: a client has its response before
- * the strategy is told of the attempt's end.
+ * the strategy learns of the attempt's end.
  */
 final class SimulatedDispatcher implements ActionHandler {
-    /** What is pending this long after SIGTERM is failed. */
-    private static final double DRAIN_TIMEOUT = 3.5;
+    /** Requests that are pending this long after SIGTERM fail. */
+    private static final double DRAIN_TIMEOUT_SECONDS = 3.5;
 
-    /** A response may be under way for as long as a process can be paused. */
-    private static final double CANCELLATION_MEMORY = 60;
+    /** How long a cancellation is remembered: a pause may delay the response by as much. */
+    private static final double CANCELLATION_RETENTION_SECONDS = 60;
 
     private final int number;
     private final ClusterModel cluster;
@@ -51,7 +51,7 @@
     /** Attempts that have arrived but are not read yet, by key. */
     private final Map<Long, ClientAttempt> unread = new HashMap<>();
 
-    /** Keys of attempts whose clients wait no longer. */
+    /** Keys of attempts that their clients have cancelled. */
     private final Set<Long> cancelled = new HashSet<>();
 
     private Clients clients;
@@ -137,7 +137,7 @@
     void terminate() {
         isListening = false;
         process.schedule(
-                DRAIN_TIMEOUT,
+                DRAIN_TIMEOUT_SECONDS,
                 () -> {
                     new ArrayList<>(pending.values()).forEach(SimulatedRequest::onDeadline);
                     kill();
@@ -237,7 +237,7 @@
     void cancel(ClientAttempt clientAttempt) {
         long key = clientAttempt.key();
         cancelled.add(key);
-        cluster.timeline.schedule(CANCELLATION_MEMORY, () -> cancelled.remove(key));
+        cluster.timeline.schedule(CANCELLATION_RETENTION_SECONDS, () -> cancelled.remove(key));
         SimulatedLink link = network.toClients();
         network.transmit(
                 () -> link.sendInbound(() -> process.receive(() -> onCancelled(key)), () -> true));
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedLink.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedLink.java
@@ -10,24 +10,22 @@
 import wheelroute.kit.model.Timeline;
 
 /**
- * One way of a dispatcher on the simulated clock: messages wait on it while it is cut, as on the
- * relays of the real one, and what was lost when its sender closed never comes.
+ * A link of a simulated dispatcher. While a direction is cut, its messages are held back, as by the
+ * relays of the real clock; they are dropped if their sender closes its connection meanwhile.
  */
 final class SimulatedLink {
-    /** What is on a way at one time belongs to a connection, which a refusing way breaks. */
+    /** A connection over the link, which is reset when the link refuses connections. */
     interface Connection {
-        /** Reset: both ends find out. */
+        /** Resets the connection; both ends are notified. */
         void reset();
     }
 
-    /** One message; it is lost if its sender has closed before it could pass. */
+    /** A message, which is dropped if it is no longer wanted when it could pass. */
     private record Message(Runnable arrival, BooleanSupplier stillWanted) {}
 
     private final Timeline timeline;
 
-    /**
-     * In the order in which they came, in which they are reset: a seed plays the same each time.
-     */
+    /** In the order of their creation: the same seed must reset them in the same order. */
     private final Set<Connection> connections = new LinkedHashSet<>();
 
     private final ArrayDeque<Message> heldOutbound = new ArrayDeque<>();
@@ -42,27 +40,27 @@
         return state;
     }
 
-    void add(Connection line) {
-        connections.add(line);
+    void add(Connection connection) {
+        connections.add(connection);
     }
 
-    void remove(Connection line) {
-        connections.remove(line);
+    void remove(Connection connection) {
+        connections.remove(connection);
     }
 
-    void apply(LinkState now) {
-        state = now;
-        if (now.refuses()) {
+    void apply(LinkState newState) {
+        state = newState;
+        if (newState.refuses()) {
             heldOutbound.clear();
             heldInbound.clear();
             List<Connection> broken = new ArrayList<>(connections);
             connections.clear();
             broken.forEach(Connection::reset);
         }
-        if (now.outbound()) {
+        if (newState.outbound()) {
             flush(heldOutbound);
         }
-        if (now.inbound()) {
+        if (newState.inbound()) {
             flush(heldInbound);
         }
     }
@@ -71,14 +69,13 @@
         while (!held.isEmpty()) {
             Message first = held.pollFirst();
             if (first.stillWanted().getAsBoolean()) {
-                // As an event of its own: whoever heals the way must not be in the middle of
-                // another.
+                // As a task of its own, since the link may recover in the middle of an event.
                 timeline.schedule(0, first.arrival());
             }
         }
     }
 
-    /** At the far end of the usual delay; what is held goes on in its order when the way heals. */
+    /** Passes a message on, or holds it back; held messages keep their order. */
     void sendOutbound(Runnable arrival, BooleanSupplier stillWanted) {
         deliver(state.outbound(), heldOutbound, arrival, stillWanted);
     }
@@ -88,8 +85,11 @@
     }
 
     private static void deliver(
-            boolean open, ArrayDeque<Message> held, Runnable arrival, BooleanSupplier stillWanted) {
-        if (open) {
+            boolean isOpen,
+            ArrayDeque<Message> held,
+            Runnable arrival,
+            BooleanSupplier stillWanted) {
+        if (isOpen) {
             arrival.run();
         } else {
             held.addLast(new Message(arrival, stillWanted));
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedRequest.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedRequest.java
@@ -12,8 +12,8 @@
 
 /** A request that a simulated dispatcher has read, until its last attempt has ended. */
 final class SimulatedRequest implements SimulatedLink.Connection {
-    /** What the daemon subtracts from the client's timeout, for the way of the response. */
-    private static final double RESPONSE_MARGIN = 0.08;
+    /** What the dispatcher subtracts from the client's timeout, for the transit of the response. */
+    private static final double RESPONSE_MARGIN_SECONDS = 0.08;
 
     /** The margin is at most this fraction of the timeout. */
     private static final double RESPONSE_MARGIN_FRACTION = 0.1;
@@ -33,7 +33,7 @@
         this.dispatcher = dispatcher;
         this.clientAttempt = clientAttempt;
         double timeout = clientAttempt.timeoutSeconds();
-        double margin = Math.min(RESPONSE_MARGIN, RESPONSE_MARGIN_FRACTION * timeout);
+        double margin = Math.min(RESPONSE_MARGIN_SECONDS, RESPONSE_MARGIN_FRACTION * timeout);
         Scenario.RequestClass requestClass = clientAttempt.request().requestClass();
         request =
                 new Request(
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedTime.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedTime.java
@@ -4,28 +4,26 @@
 import wheelroute.kit.model.Timeline;
 
 /**
- * Time that passes only from one task to the next. A run is little but this queue: so it is a heap
- * of four children a node over plain arrays, in which a step looks at neighbours and follows no
- * pointers.
+ * Simulated time, which advances from each task to the next. The queue of tasks is a heap with four
+ * children per node in plain arrays, because a run spends most of its time in it.
+ *
+ * <p>Not thread-safe: all tasks run on the thread that calls {@link #step}.
  */
 public final class SimulatedTime implements Timeline {
-    /**
-     * Any moment will do; the decisions must not meet times near 0, where "long ago" cannot be
-     * told.
-     */
-    private static final double START = 1e6;
+    /** Far from 0, so that times before the run are positive too. */
+    private static final double START_SECONDS = 1e6;
 
     private static final int CHILDREN = 4;
     private static final int INITIAL_CAPACITY = 1024;
 
     private double[] dueTimes = new double[INITIAL_CAPACITY];
 
-    /** Tasks due together run in the order in which they were asked for. */
+    /** Numbers in the order of scheduling, in which tasks that are due together run. */
     private long[] numbers = new long[INITIAL_CAPACITY];
 
     private Runnable[] tasks = new Runnable[INITIAL_CAPACITY];
     private int size;
-    private double now = START;
+    private double now = START_SECONDS;
     private long lastNumber;
 
     @Override
@@ -41,7 +39,7 @@
             tasks = Arrays.copyOf(tasks, 2 * size);
         }
         double at = now + Math.max(0, delay);
-        // The newest of those due together goes behind them: only a later time has to give way.
+        // The new task goes behind those due at the same time, so equal times stop the search.
         int hole = size++;
         while (hole > 0) {
             int parent = (hole - 1) / CHILDREN;
@@ -54,7 +52,7 @@
         put(hole, at, ++lastNumber, task);
     }
 
-    /** Runs the next task; false when there is none. */
+    /** Runs the next task; returns false if there is none. */
     public boolean step() {
         if (size == 0) {
             return false;
@@ -70,7 +68,7 @@
         return true;
     }
 
-    /** Finds the place, from the top, of what was last. */
+    /** Inserts a task at the root, whose place is empty, and restores the order of the heap. */
     private void siftDown(double at, long number, Runnable task) {
         int hole = 0;
         while (true) {
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
@@ -24,11 +24,13 @@
 
 /** A run of a scenario in simulated time. */
 public final class SimulationRun {
-    /** The run continues for so long after the last request, to observe what comes too late. */
-    private static final double SETTLE_TIME = 2;
+    /**
+     * How long the run continues after its last request, to observe late attempts and responses.
+     */
+    private static final double SETTLE_SECONDS = 2;
 
-    /** Link crossings of a request: attempt and response, each there and back. */
-    private static final double LINK_CROSSINGS = 4;
+    /** Messages of a request: to the dispatcher and the worker, and back from both. */
+    private static final double MESSAGES_PER_REQUEST = 4;
 
     /** Steps between two checks of whether the run is to stop. */
     private static final int STOP_CHECK_STEPS = 4096;
@@ -45,7 +47,7 @@
     /**
      * Runs a scenario to its end.
      *
-     * @param written the scenario, random faults not yet drawn
+     * @param written the scenario, whose random faults are not drawn yet
      * @param seconds how long requests arrive
      * @param variant settings that differ from the scenario's
      * @param variantName of the variant, for the report
@@ -84,15 +86,15 @@
             throws ConfigException {
         SeededRandom random = new SeededRandom(run.seed());
         double slack =
-                LINK_CROSSINGS
+                MESSAGES_PER_REQUEST
                         * (scenario.network().delaySeconds() + scenario.network().jitterSeconds());
         Auditor auditor = new Auditor(scenario, time, slack);
         Recorder recorder = new Recorder(scenario, time, run.durationSeconds(), auditor);
         ClusterModel cluster =
                 new ClusterModel(scenario, time, random, run.durationSeconds(), recorder);
-        Map<String, String> pairs = DaemonSettings.settingsByPath(scenario, variant);
+        Map<String, String> settingsByPath = DaemonSettings.settingsByPath(scenario, variant);
         List<SimulatedDispatcher> dispatchers =
-                dispatchers(cluster, pairs, strategies.apply(cluster), auditor);
+                dispatchers(cluster, settingsByPath, strategies.apply(cluster), auditor);
         Clients clients =
                 new Clients(
                         scenario,
@@ -106,7 +108,7 @@
         cluster.start(dispatcherControl(cluster, dispatchers));
         recorder.start(cluster, clients);
         advanceWhile(() -> !clients.isOver());
-        double end = time.now() + SETTLE_TIME;
+        double end = time.now() + SETTLE_SECONDS;
         advanceWhile(() -> time.now() < end);
         auditor.finish();
         return Report.of(
@@ -121,7 +123,7 @@
 
     private static List<SimulatedDispatcher> dispatchers(
             ClusterModel cluster,
-            Map<String, String> pairs,
+            Map<String, String> settingsByPath,
             Strategy.Factory factory,
             Auditor auditor)
             throws ConfigException {
@@ -131,7 +133,7 @@
             Settings settings =
                     DaemonSettings.settings(
                             cluster.random.seedOf(SeededRandom.Purpose.STRATEGY, i, 0),
-                            DaemonSettings.settingsOfDispatcher(scenario, i, pairs));
+                            DaemonSettings.settingsOfDispatcher(scenario, i, settingsByPath));
             dispatchers.add(new SimulatedDispatcher(i, cluster, settings, factory, auditor));
         }
         return dispatchers;
--- a/kit/src/main/java/wheelroute/kit/simulation/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/package-info.java
@@ -1,2 +1,2 @@
-/** Runs in simulated time: the model and its dispatchers, as fast as the machine allows. */
+/** Runs on the virtual clock, with simulated dispatchers and links. */
 package wheelroute.kit.simulation;
--- a/kit/src/main/java/wheelroute/kit/strategy/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/package-info.java
@@ -1,2 +1,2 @@
-/** How simulated dispatchers decide: the daemon's policy, or baselines to compare it with. */
+/** Strategies of simulated dispatchers: the dispatcher's own policy, and baselines. */
 package wheelroute.kit.strategy;
