--- a/kit/src/test/java/wheelroute/kit/audit/MetricsAuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/MetricsAuditorTest.java
@@ -1,208 +1,193 @@
 package wheelroute.kit.audit;
 
 import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
 import java.util.HashMap;
 import java.util.Map;
-import java.util.function.Consumer;
-import org.testng.annotations.DataProvider;
+import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 import wheelroute.kit.model.FinalResponse;
 import wheelroute.kit.simulation.SimulatedTime;
 
-/**
- * Doors that tell what is not so, each in one way: every one is found out, and honest ones are not.
- */
+/** Metrics of a dispatcher that serves ten requests per second, right and wrong. */
 public class MetricsAuditorTest {
-    private static final String OLD = "old";
-    private static final String NEW = "new";
-
-    /** A dispatcher that serves ten requests a second, with a door. */
-    private static final class Play {
-        final SimulatedTime time = new SimulatedTime();
-        final MetricsAuditor ledger = new MetricsAuditor(time, false);
-        final Map<String, Long> counted = new HashMap<>();
-
-        Play() {
-            ledger.onProcessStarted(0, OLD);
-            counted.put("pending", 0L);
+    private static final int DISPATCHER = 0;
+    private static final String PREDECESSOR = "predecessor";
+    private static final String SUCCESSOR = "successor";
+    private static final String COMPLETED = "completed.x";
+    private static final String ATTEMPTS = "upstream_requests";
+    private static final String PENDING = "pending";
+
+    private SimulatedTime time;
+    private MetricsAuditor auditor;
+
+    /** What a right dispatcher counts. */
+    private Map<String, Long> metrics;
+
+    @BeforeMethod
+    public void startProcess() {
+        time = new SimulatedTime();
+        auditor = new MetricsAuditor(time, false);
+        metrics = new HashMap<>(Map.of(PENDING, 0L));
+        auditor.onProcessStarted(DISPATCHER, PREDECESSOR);
+    }
+
+    private void advance(double seconds) {
+        boolean[] isOver = {false};
+        time.schedule(seconds, () -> isOver[0] = true);
+        while (!isOver[0] && time.step()) {
+            // Each step moves the simulated clock on.
         }
+    }
 
-        void pass(double seconds) {
-            boolean[] there = {false};
-            time.schedule(seconds, () -> there[0] = true);
-            while (!there[0] && time.step()) {
-                // Each step moves the simulated clock on.
-            }
+    private void serve(int count, FinalResponse response) {
+        for (int i = 0; i < count; i++) {
+            auditor.onSent(DISPATCHER);
+            auditor.onAttempt(DISPATCHER);
+            advance(0.05);
+            auditor.onResponse(DISPATCHER, "x", response);
+            metrics.merge(MetricsAuditor.metricName(response, "x"), 1L, Long::sum);
+            metrics.merge(ATTEMPTS, 1L, Long::sum);
+            advance(0.05);
         }
+    }
+
+    private void report(Object process, Map<String, Long> values) {
+        auditor.onMetrics(DISPATCHER, process, values);
+        advance(1);
+    }
+
+    private void assertMatch() {
+        assertTrue(auditor.checkCount() > 0, "nothing was compared");
+        assertTrue(auditor.mismatches().isEmpty(), auditor.mismatches().toString());
+    }
+
+    private void assertMismatch() {
+        assertTrue(auditor.checkCount() > 0, "nothing was compared");
+        assertFalse(auditor.mismatches().isEmpty(), "no mismatch was found");
+    }
+
+    @Test
+    public void acceptsMetricsThatMatchObservations() {
+        serve(100, FinalResponse.SUCCEEDED);
+        serve(20, FinalResponse.REJECTED);
+        report(PREDECESSOR, metrics);
+        assertMatch();
+    }
+
+    @Test
+    public void findsCountThatIsTooLow() {
+        serve(100, FinalResponse.SUCCEEDED);
+        metrics.merge(COMPLETED, -10L, Long::sum);
+        report(PREDECESSOR, metrics);
+        assertMismatch();
+    }
+
+    @Test
+    public void findsRejectionsCountedAsFailures() {
+        serve(20, FinalResponse.REJECTED);
+        metrics.put("failed.x", metrics.remove("rejected.x"));
+        report(PREDECESSOR, metrics);
+        assertMismatch();
+    }
 
-        void serve(int count, FinalResponse response) {
-            for (int i = 0; i < count; i++) {
-                ledger.onSent(0);
-                ledger.onAttempt(0);
-                pass(0.05);
-                ledger.onResponse(0, "x", response);
-                counted.merge(MetricsAuditor.metricName(response, "x"), 1L, Long::sum);
-                counted.merge("upstream_requests", 1L, Long::sum);
-                pass(0.05);
-            }
+    @Test
+    public void findsMissingMetric() {
+        serve(20, FinalResponse.FAILED);
+        metrics.remove("failed.x");
+        report(PREDECESSOR, metrics);
+        assertMismatch();
+    }
+
+    @Test
+    public void findsAttemptsCountedTwice() {
+        serve(100, FinalResponse.SUCCEEDED);
+        metrics.merge(ATTEMPTS, 100L, Long::sum);
+        report(PREDECESSOR, metrics);
+        assertMismatch();
+    }
+
+    @Test
+    public void findsPendingRequestsThatAreNotCounted() {
+        for (int i = 0; i < 20; i++) {
+            auditor.onSent(DISPATCHER);
         }
+        advance(2);
+        report(PREDECESSOR, metrics);
+        assertMismatch();
+    }
+
+    @Test
+    public void findsMetricsThatAreTwoSecondsOld() {
+        serve(100, FinalResponse.SUCCEEDED);
+        Map<String, Long> outdated = new HashMap<>(metrics);
+        serve(20, FinalResponse.SUCCEEDED);
+        report(PREDECESSOR, outdated);
+        assertMismatch();
+    }
 
-        void tell(Object process, Map<String, Long> figures) {
-            ledger.onMetrics(0, process, figures);
-            pass(1);
+    /** A cancelled request may have been completed or not. */
+    @Test
+    public void acceptsAnyResultOfCancelledRequests() {
+        serve(50, FinalResponse.SUCCEEDED);
+        for (int i = 0; i < 20; i++) {
+            auditor.onSent(DISPATCHER);
+            auditor.onResponseLost(DISPATCHER);
         }
+        advance(1);
+        metrics.merge(COMPLETED, 12L, Long::sum);
+        report(PREDECESSOR, metrics);
+        assertMatch();
+    }
+
+    @Test
+    public void acceptsSuccessorThatCountsFromZero() {
+        serve(100, FinalResponse.SUCCEEDED);
+        report(PREDECESSOR, metrics);
+        auditor.onProcessStarted(DISPATCHER, SUCCESSOR);
+        Map<String, Long> atPredecessor = new HashMap<>(metrics);
+        serve(20, FinalResponse.SUCCEEDED);
+        Map<String, Long> atSuccessor = Map.of(COMPLETED, 20L, ATTEMPTS, 20L, PENDING, 0L);
+        auditor.onMetrics(DISPATCHER, PREDECESSOR, atPredecessor);
+        report(SUCCESSOR, atSuccessor);
+        auditor.onProcessEnded(DISPATCHER, PREDECESSOR);
+        advance(3);
+        report(SUCCESSOR, atSuccessor);
+        assertMatch();
+    }
+
+    @Test
+    public void findsSuccessorThatContinuesCountsOfPredecessor() {
+        serve(100, FinalResponse.SUCCEEDED);
+        report(PREDECESSOR, metrics);
+        auditor.onProcessStarted(DISPATCHER, SUCCESSOR);
+        auditor.onProcessEnded(DISPATCHER, PREDECESSOR);
+        advance(3);
+        report(SUCCESSOR, metrics);
+        assertMismatch();
+    }
+
+    @Test
+    public void acceptsCountsFromZeroAfterKill() {
+        serve(100, FinalResponse.SUCCEEDED);
+        report(PREDECESSOR, metrics);
+        auditor.onProcessEnded(DISPATCHER, PREDECESSOR);
+        auditor.onProcessStarted(DISPATCHER, SUCCESSOR);
+        report(SUCCESSOR, Map.of(COMPLETED, 0L, ATTEMPTS, 0L, PENDING, 0L));
+        assertMatch();
     }
 
-    private static Object[] row(String name, boolean honest, Consumer<Play> does) {
-        return new Object[] {name, honest, does};
-    }
-
-    @DataProvider
-    public Object[][] doors() {
-        return new Object[][] {
-            row(
-                    "tells what was seen",
-                    true,
-                    p -> {
-                        p.serve(100, FinalResponse.SUCCEEDED);
-                        p.serve(20, FinalResponse.REJECTED);
-                        p.tell(OLD, p.counted);
-                    }),
-            row(
-                    "counts a tenth too few",
-                    false,
-                    p -> {
-                        p.serve(100, FinalResponse.SUCCEEDED);
-                        p.counted.merge("completed.x", -10L, Long::sum);
-                        p.tell(OLD, p.counted);
-                    }),
-            row(
-                    "counts bounces as scraps",
-                    false,
-                    p -> {
-                        p.serve(20, FinalResponse.REJECTED);
-                        p.counted.put("failed.x", p.counted.remove("rejected.x"));
-                        p.tell(OLD, p.counted);
-                    }),
-            row(
-                    "leaves one figure out",
-                    false,
-                    p -> {
-                        p.serve(20, FinalResponse.FAILED);
-                        p.counted.remove("failed.x");
-                        p.tell(OLD, p.counted);
-                    }),
-            row(
-                    "counts launches twice",
-                    false,
-                    p -> {
-                        p.serve(100, FinalResponse.SUCCEEDED);
-                        p.counted.merge("upstream_requests", 100L, Long::sum);
-                        p.tell(OLD, p.counted);
-                    }),
-            row(
-                    "forgets what is pending",
-                    false,
-                    p -> {
-                        for (int i = 0; i < 20; i++) {
-                            p.ledger.onSent(0);
-                        }
-                        p.pass(2);
-                        p.tell(OLD, p.counted);
-                    }),
-            row(
-                    "is two seconds late",
-                    false,
-                    p -> {
-                        p.serve(100, FinalResponse.SUCCEEDED);
-                        Map<String, Long> old = new HashMap<>(p.counted);
-                        p.serve(20, FinalResponse.SUCCEEDED);
-                        p.tell(OLD, old);
-                    }),
-            row(
-                    "counts what left in either way",
-                    true,
-                    p -> {
-                        p.serve(50, FinalResponse.SUCCEEDED);
-                        for (int i = 0; i < 20; i++) {
-                            p.ledger.onSent(0);
-                            p.ledger.onResponseLost(0);
-                        }
-                        p.pass(1);
-                        p.counted.merge("completed.x", 12L, Long::sum);
-                        p.tell(OLD, p.counted);
-                    }),
-            row(
-                    "goes on from 0 as another process, beside the old one",
-                    true,
-                    p -> {
-                        p.serve(100, FinalResponse.SUCCEEDED);
-                        p.tell(OLD, p.counted);
-                        p.ledger.onProcessStarted(0, NEW);
-                        Map<String, Long> atOld = new HashMap<>(p.counted);
-                        p.serve(20, FinalResponse.SUCCEEDED);
-                        Map<String, Long> atNew =
-                                new HashMap<>(
-                                        Map.of(
-                                                "completed.x",
-                                                20L,
-                                                "upstream_requests",
-                                                20L,
-                                                "pending",
-                                                0L));
-                        p.ledger.onMetrics(0, OLD, atOld);
-                        p.tell(NEW, atNew);
-                        p.ledger.onProcessEnded(0, OLD);
-                        p.pass(3);
-                        p.tell(NEW, atNew);
-                    }),
-            row(
-                    "goes on from the old one's numbers",
-                    false,
-                    p -> {
-                        p.serve(100, FinalResponse.SUCCEEDED);
-                        p.tell(OLD, p.counted);
-                        p.ledger.onProcessStarted(0, NEW);
-                        p.ledger.onProcessEnded(0, OLD);
-                        p.pass(3);
-                        p.tell(NEW, p.counted);
-                    }),
-            row(
-                    "begins anew after a kill",
-                    true,
-                    p -> {
-                        p.serve(100, FinalResponse.SUCCEEDED);
-                        p.tell(OLD, p.counted);
-                        p.ledger.onProcessEnded(0, OLD);
-                        p.ledger.onProcessStarted(0, NEW);
-                        p.tell(
-                                NEW,
-                                Map.of("completed.x", 0L, "upstream_requests", 0L, "pending", 0L));
-                    }),
-        };
-    }
-
-    @Test(dataProvider = "doors")
-    public void whatIsNotSoIsFoundOut(String name, boolean honest, Consumer<Play> does) {
-        Play play = new Play();
-        does.accept(play);
-        assertTrue(play.ledger.checkCount() > 0, "nothing was compared");
-        assertEquals(
-                play.ledger.mismatches().isEmpty(), honest, name + ": " + play.ledger.mismatches());
-    }
-
-    /** What stands still, or has no way, owes no answer; else one is due. */
+    /** A dispatcher that is paused or unreachable need not answer. */
     @Test
-    public void aDoorThatIsNotAnsweredCounts() {
-        Play play = new Play();
-        play.serve(10, FinalResponse.SUCCEEDED);
-        play.tell(OLD, play.counted);
-        play.ledger.onCallTimeout(0);
-        assertEquals(play.ledger.lateCallFraction(), 0.5);
-        play.ledger.suspendChecks(0, true);
-        play.ledger.onCallTimeout(0);
-        assertEquals(play.ledger.lateCallFraction(), 0.5);
+    public void countsTimeoutsOfCallsExceptDuringFaults() {
+        serve(10, FinalResponse.SUCCEEDED);
+        report(PREDECESSOR, metrics);
+        auditor.onCallTimeout(DISPATCHER);
+        assertEquals(auditor.lateCallFraction(), 0.5);
+        auditor.suspendChecks(DISPATCHER, true);
+        auditor.onCallTimeout(DISPATCHER);
+        assertEquals(auditor.lateCallFraction(), 0.5);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/cli/AdminTest.java
+++ b/kit/src/test/java/wheelroute/kit/cli/AdminTest.java
@@ -1,11 +1,10 @@
 package wheelroute.kit.cli;
 
 import static org.testng.Assert.assertEquals;
-import static org.testng.Assert.assertTrue;
 
 import java.io.BufferedReader;
+import java.io.IOException;
 import java.io.InputStreamReader;
-import java.io.StringWriter;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -14,10 +13,53 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The command that asks a door, against one that says what it is told to. */
+/** The commands that call an admin server, against one with a scripted answer. */
 public class AdminTest {
-    private static final int PATIENCE = 20_000;
-    private static final String MUTE = null;
+    private static final int TEST_TIMEOUT_MILLIS = 20_000;
+
+    /** In place of an answer: the server keeps the connection open and sends nothing. */
+    private static final String NO_ANSWER = null;
+
+    private final CommandLineHarness harness = new CommandLineHarness();
+
+    /** Accepts one connection, and answers its first line. */
+    private static final class ScriptedServer implements AutoCloseable {
+        final ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        final CompletableFuture<String> receivedLine = new CompletableFuture<>();
+
+        ScriptedServer(String answer) throws IOException {
+            Thread thread = new Thread(() -> serve(answer));
+            thread.setDaemon(true);
+            thread.start();
+        }
+
+        private void serve(String answer) {
+            try (Socket client = socket.accept()) {
+                receivedLine.complete(
+                        new BufferedReader(
+                                        new InputStreamReader(
+                                                client.getInputStream(), StandardCharsets.US_ASCII))
+                                .readLine());
+                if (answer == NO_ANSWER) {
+                    // Returns when the client closes the connection.
+                    client.getInputStream().read();
+                } else {
+                    client.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+                }
+            } catch (IOException e) {
+                receivedLine.completeExceptionally(e);
+            }
+        }
+
+        String address() {
+            return "127.0.0.1:" + socket.getLocalPort();
+        }
+
+        @Override
+        public void close() throws IOException {
+            socket.close();
+        }
+    }
 
     @DataProvider
     public Object[][] answers() {
@@ -30,67 +72,33 @@
             {"ok rea", Exit.BAD_INPUT, "no complete answer"},
             {"", Exit.BAD_INPUT, "no complete answer"},
             {"HTTP/1.1 400 Bad Request\r\n\r\n", Exit.BAD_INPUT, "no complete answer"},
-            {MUTE, Exit.BAD_INPUT, "has not answered within 0.2 s"},
+            {NO_ANSWER, Exit.BAD_INPUT, "has not answered within 0.2 s"},
         };
     }
 
-    @Test(dataProvider = "answers", timeOut = PATIENCE)
-    public void theExitCodeIsTheAnswer(String answer, int code, String told) throws Exception {
-        try (ServerSocket door = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            CompletableFuture<String> asked = new CompletableFuture<>();
-            Thread thread = new Thread(() -> serve(door, answer, asked));
-            thread.setDaemon(true);
-            thread.start();
-            StringWriter said = new StringWriter();
-            String wait = answer == MUTE ? "0.2" : "10";
-            assertEquals(
-                    run(said, "127.0.0.1:" + door.getLocalPort(), "READY", "--timeout", wait),
-                    code,
-                    said.toString());
-            assertTrue(said.toString().contains(told), said.toString());
-            assertEquals(asked.get(), "READY");
-        }
-    }
-
-    /** The same door, by a name of its own. */
-    @Test(timeOut = PATIENCE)
-    public void peersAsksWhoIsThere() throws Exception {
-        try (ServerSocket door = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            CompletableFuture<String> asked = new CompletableFuture<>();
-            Thread thread = new Thread(() -> serve(door, "n0 0 alive itself\neof\n", asked));
-            thread.setDaemon(true);
-            thread.start();
-            StringWriter said = new StringWriter();
-            assertEquals(
-                    CommandLineTest.run(
-                            said, "peers", "127.0.0.1:" + door.getLocalPort(), "--timeout", "10"),
-                    Exit.HOLDS,
-                    said.toString());
-            assertEquals(said.toString(), "n0 0 alive itself\neof\n");
-            assertEquals(asked.get(), "PEERS");
+    @Test(dataProvider = "answers", timeOut = TEST_TIMEOUT_MILLIS)
+    public void exitCodeFollowsAnswer(String answer, int exitCode, String output) throws Exception {
+        try (ScriptedServer server = new ScriptedServer(answer)) {
+            String timeout = answer == NO_ANSWER ? "0.2" : "10";
+            harness.assertExitCode(
+                    exitCode, "admin", server.address(), "READY", "--timeout", timeout);
+            harness.assertOutputContains(output);
+            assertEquals(server.receivedLine.get(), "READY");
         }
     }
 
-    private static void serve(ServerSocket door, String answer, CompletableFuture<String> asked) {
-        try (Socket caller = door.accept()) {
-            asked.complete(
-                    new BufferedReader(
-                                    new InputStreamReader(
-                                            caller.getInputStream(), StandardCharsets.US_ASCII))
-                            .readLine());
-            if (answer == MUTE) {
-                // Until the other side gives up.
-                caller.getInputStream().read();
-            } else {
-                caller.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
-            }
-        } catch (Exception e) {
-            asked.completeExceptionally(e);
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void peersPrintsMembers() throws Exception {
+        String members = "n0 0 alive itself\neof\n";
+        try (ScriptedServer server = new ScriptedServer(members)) {
+            harness.assertExitCode(Exit.HOLDS, "peers", server.address(), "--timeout", "10");
+            assertEquals(harness.output(), members);
+            assertEquals(server.receivedLine.get(), "PEERS");
         }
     }
 
     @DataProvider
-    public Object[][] bad() {
+    public Object[][] invalidArguments() {
         return new Object[][] {
             {"9500 READY", "HOST:PORT: 9500 is no address"},
             {"127.0.0.1:9500 READY --timeout 0", "--timeout: 0.0 is not from"},
@@ -98,27 +106,19 @@
         };
     }
 
-    @Test(dataProvider = "bad")
-    public void badInputIsNamed(String args, String told) {
-        StringWriter said = new StringWriter();
-        assertEquals(run(said, args.split(" ")), Exit.BAD_INPUT);
-        assertTrue(said.toString().contains(told), said.toString());
-    }
-
-    /** Nobody there is the usual case for a script that waits for a start. */
-    @Test(timeOut = PATIENCE)
-    public void nobodyThereIsTold() throws Exception {
-        ServerSocket gone = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        gone.close();
-        StringWriter said = new StringWriter();
-        assertEquals(run(said, "127.0.0.1:" + gone.getLocalPort(), "READY"), Exit.BAD_INPUT);
-        assertTrue(said.toString().contains("cannot be called"), said.toString());
+    @Test(dataProvider = "invalidArguments")
+    public void rejectsInvalidArgument(String args, String message) {
+        harness.assertExitCode(Exit.BAD_INPUT, ("admin " + args).split(" "));
+        harness.assertOutputContains(message);
     }
 
-    private static int run(StringWriter said, String... args) {
-        String[] all = new String[args.length + 1];
-        all[0] = "admin";
-        System.arraycopy(args, 0, all, 1, args.length);
-        return CommandLineTest.run(said, all);
+    /** As for a script that waits until a dispatcher has started. */
+    @Test(timeOut = TEST_TIMEOUT_MILLIS)
+    public void reportsRefusedConnection() throws Exception {
+        ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        closed.close();
+        harness.assertExitCode(
+                Exit.BAD_INPUT, "admin", "127.0.0.1:" + closed.getLocalPort(), "READY");
+        harness.assertOutputContains("cannot be called");
     }
 }
--- a/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
@@ -6,137 +6,162 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.List;
-import java.util.Map;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.decision.Settings;
 import wheelroute.kit.SmallScenario;
 
-/** Scenario files: what is wrong is told, all of it, with its place. */
+/** Invalid scenario files: every fault is reported, with its line and key. */
 public class ScenarioReaderTest {
-    private static final int NEXT_LINE = SmallScenario.TEXT.split("\n", -1).length;
+    private static final int FIRST_ADDED_LINE = SmallScenario.TEXT.split("\n", -1).length;
+
+    /** In place of a line of the added text: the fault belongs to no line of it. */
+    private static final int NO_LINE = 0;
+
+    private static String fault(String kind, int at, int durationSeconds) {
+        return String.format(
+                "[[faults]]\nkind = \"%s\"\nat = %d\nfor = %d\n", kind, at, durationSeconds);
+    }
 
     @DataProvider
-    public Object[][] faults() {
+    public Object[][] invalidFaultTimes() {
         return new Object[][] {
-            // what is added, the line from the end of the sound part, what is told of it
-            {
-                "[[faults]]\nkind = \"brust\"\nat = 1\nfor = 1\n",
-                1,
-                "faults[0].kind is none of burst, stall"
-            },
-            {"[[faults]]\nkind = \"stall\"\nat = 1\n", 0, "faults[0].for is missing"},
+            // added text, line of the fault in it, part of the message
+            {"[[faults]]\nkind = \"stall\"\nat = 1\n", NO_LINE, "faults[0].for is missing"},
+            {fault("stall", 9, 1), 2, "faults[0].at is not from 0 to 5: 9"},
+            {fault("stall", 4, 3), 3, "goes on past the end of the cycle"},
+            {fault("crash", 1, 1) + "within = 1\n", 4, "within is for faults of dispatchers only"},
             {
-                "[[faults]]\nkind = \"stall\"\nat = 9\nfor = 1\n",
-                2,
-                "faults[0].at is not from 0 to 5: 9"
-            },
-            {
-                "[[faults]]\nkind = \"stall\"\nat = 4\nfor = 3\n",
+                fault("dispatcher-kill", 1, 2) + "within = 3\n",
                 3,
                 "goes on past the end of the cycle"
             },
+        };
+    }
+
+    @Test(dataProvider = "invalidFaultTimes")
+    public void rejectsInvalidTimeOfFault(String added, int line, String message) {
+        assertRejected(added, line, message);
+    }
+
+    @DataProvider
+    public Object[][] invalidFaultTargets() {
+        return new Object[][] {
+            {fault("stall", 1, 1) + "group = \"none\"\n", 4, "names no group of workers"},
+            {fault("crash", 1, 1) + "to = \"list\"\n", 4, "to is for links only"},
+            {fault("link-cut", 1, 1) + "to = \"moon\"\n", 4, "to is none of workers"},
+            {fault("link-cut", 1, 1) + "zone = \"c\"\n", 4, "zone names no zone"},
+            {fault("link-cut", 1, 1) + "from = \"a\"\n", 4, "from is none of run.zones: a"},
+        };
+    }
+
+    @Test(dataProvider = "invalidFaultTargets")
+    public void rejectsInvalidTargetOfFault(String added, int line, String message) {
+        assertRejected(added, line, message);
+    }
+
+    @DataProvider
+    public Object[][] invalidFaultKinds() {
+        return new Object[][] {
+            {fault("brust", 1, 1), 1, "faults[0].kind is none of burst, stall"},
+            {fault("burst", 1, 1) + "level = 2\n", 4, "level is not from 0 to 1: 2"},
             {
-                "[[faults]]\nkind = \"stall\"\nat = 1\nfor = 1\ngroup = \"none\"\n",
-                4,
-                "names no group of workers"
-            },
-            {
-                "[[faults]]\nkind = \"burst\"\nat = 1\nfor = 1\nlevel = 2\n",
-                4,
-                "level is not from 0 to 1: 2"
-            },
-            {
-                "[[faults]]\nkind = \"dispatcher-starve\"\nat = 1\nfor = 1\n",
+                fault("dispatcher-starve", 1, 1),
                 1,
                 "kind needs processes: run.clocks must be [\"real\"]"
             },
-            {"[[faults]]\nkind = \"crowd\"\nat = 1\nfor = 1\n", 1, "kind needs processes"},
-            {
-                "[[faults]]\nkind = \"crash\"\nat = 1\nfor = 1\nto = \"list\"\n",
-                4,
-                "to is for links only"
-            },
-            {
-                "[[faults]]\nkind = \"link-cut\"\nat = 1\nfor = 1\nto = \"moon\"\n",
-                4,
-                "to is none of workers"
-            },
-            {
-                "[[faults]]\nkind = \"link-cut\"\nat = 1\nfor = 1\nzone = \"c\"\n",
-                4,
-                "zone names no zone"
-            },
-            {
-                "[[faults]]\nkind = \"link-cut\"\nat = 1\nfor = 1\nfrom = \"a\"\n",
-                4,
-                "from is none of run.zones: a"
-            },
-            {
-                "[[faults]]\nkind = \"crash\"\nat = 1\nfor = 1\nhow = \"older\"\n",
-                4,
-                "how is not available for crash"
-            },
+            {fault("crowd", 1, 1), 1, "kind needs processes"},
+            {fault("crash", 1, 1) + "how = \"older\"\n", 4, "how is not available for crash"},
             {
                 "[drawn]\nfaults = 3\nkinds = [\"crowd\"]\n",
                 2,
                 "drawn.kinds has an item that is none of"
             },
+        };
+    }
+
+    @Test(dataProvider = "invalidFaultKinds")
+    public void rejectsInvalidKindLevelOrModeOfFault(String added, int line, String message) {
+        assertRejected(added, line, message);
+    }
+
+    @DataProvider
+    public Object[][] invalidValues() {
+        return new Object[][] {
             {"[limits]\nsockets = 9\n", 1, "limits.sockets is not from 96"},
+            {"[terms]\ntells_start = 1\n", 1, "terms.tells_start is not true or false: 1"},
+            {"[clients]\nretries = 1.5\n", 1, "clients.retries is not a whole number: 1.5"},
+            {"[network]\ndelay = \"far\"\n", 1, "network.delay is not a number: far"},
+            {"[[tenants]]\nname = \"A b\"\n", 1, "tenants[0].name is not made of small letters"},
             {
-                "[[faults]]\nkind = \"crash\"\nat = 1\nfor = 1\nwithin = 1\n",
+                "[[offerings]]\nname = \"x\"\nwork = 1\nquoted = 2\nouter = 1\n",
                 4,
-                "within is for faults of dispatchers only"
-            },
-            {
-                "[[faults]]\nkind = \"dispatcher-kill\"\nat = 1\nfor = 2\nwithin = 3\n",
-                3,
-                "goes on past the end of the cycle"
+                "outer is under quoted"
             },
-            {"[terms]\ntells_start = 1\n", 1, "terms.tells_start is not true or false: 1"},
+        };
+    }
+
+    @Test(dataProvider = "invalidValues")
+    public void rejectsInvalidValue(String added, int line, String message) {
+        assertRejected(added, line, message);
+    }
+
+    @DataProvider
+    public Object[][] unknownKeys() {
+        return new Object[][] {
             {
                 "[terms]\ntels_start = true\n",
                 1,
                 "terms.tels_start is not known; known here: connect_limit"
             },
-            {"[clients]\nretries = 1.5\n", 1, "clients.retries is not a whole number: 1.5"},
-            {"[network]\ndelay = \"far\"\n", 1, "network.delay is not a number: far"},
-            {"[expect.servise]\nleast = 1\n", 0, "servise is no figure of a report"},
+            {"[expect.servise]\nleast = 1\n", NO_LINE, "servise is no figure of a report"},
             {"[expect.service]\nlest = 1\n", 1, "expect.service.lest is not known"},
-            {"[[tenants]]\nname = \"A b\"\n", 1, "tenants[0].name is not made of small letters"},
-            {"[[tenants]]\nname = \"a\"\n[[tenants]]\nname = \"a\"\n", 0, "tenants names a twice"},
+            {"[wokers]\n", NO_LINE, "wokers is not known"},
+        };
+    }
+
+    @Test(dataProvider = "unknownKeys")
+    public void rejectsUnknownKey(String added, int line, String message) {
+        assertRejected(added, line, message);
+    }
+
+    @DataProvider
+    public Object[][] invalidLists() {
+        return new Object[][] {
             {
-                "[[load]]\nat = 3\nrate = 1\n[[load]]\nat = 2\nrate = 1\n",
-                0,
-                "has a point before the one above"
+                "[[tenants]]\nname = \"a\"\n[[tenants]]\nname = \"a\"\n",
+                NO_LINE,
+                "tenants names a twice"
             },
             {
-                "[[offerings]]\nname = \"x\"\nwork = 1\nquoted = 2\nouter = 1\n",
-                4,
-                "outer is under quoted"
+                "[[load]]\nat = 3\nrate = 1\n[[load]]\nat = 2\nrate = 1\n",
+                NO_LINE,
+                "has a point before the one above"
             },
-            {"[wokers]\n", 0, "wokers is not known"},
             {"run = 5\n= 3\n", 1, "Unexpected"},
         };
     }
 
-    @Test(dataProvider = "faults")
-    public void aFaultIsToldWithItsLineAndKey(String more, int line, String told) {
+    @Test(dataProvider = "invalidLists")
+    public void rejectsInvalidListOrSyntax(String added, int line, String message) {
+        assertRejected(added, line, message);
+    }
+
+    private static void assertRejected(String added, int line, String message) {
         ScenarioException e =
                 expectThrows(
                         ScenarioException.class,
-                        () -> ScenarioReader.read("x.toml", SmallScenario.TEXT + more));
-        assertTrue(e.faults().stream().anyMatch(fault -> fault.contains(told)), e.getMessage());
-        if (line > 0) {
-            String place = "line " + (NEXT_LINE + line) + ": ";
+                        () -> ScenarioReader.read("x.toml", SmallScenario.TEXT + added));
+        assertTrue(e.faults().stream().anyMatch(f -> f.contains(message)), e.getMessage());
+        if (line != NO_LINE) {
+            String prefix = "line " + (FIRST_ADDED_LINE + line) + ": ";
             assertTrue(
-                    e.faults().stream().anyMatch(f -> f.startsWith(place)), e.getMessage() + place);
+                    e.faults().stream().anyMatch(f -> f.startsWith(prefix)),
+                    e.getMessage() + prefix);
         }
     }
 
     @Test
-    public void allFaultsAreToldAtOnce() {
+    public void reportsAllFaultsOfFileAtOnce() {
         ScenarioException e =
                 expectThrows(
                         ScenarioException.class,
@@ -149,75 +174,22 @@
     }
 
     @Test
-    public void aFileThatCannotBeReadIsNamed() throws Exception {
-        Path folder = Files.createTempDirectory("scenario");
-        ScenarioException none =
+    public void namesFileThatCannotBeRead() throws Exception {
+        Path directory = Files.createTempDirectory("scenario");
+        ScenarioException missing =
                 expectThrows(
                         ScenarioException.class,
-                        () -> ScenarioReader.read(folder.resolve("none.toml")));
+                        () -> ScenarioReader.read(directory.resolve("none.toml")));
         assertTrue(
-                none.getMessage().contains("none.toml")
-                        && none.getMessage().contains("cannot be read"));
-        Path large = folder.resolve("large.toml");
-        Files.write(large, new byte[2 << 20]);
+                missing.getMessage().contains("none.toml")
+                        && missing.getMessage().contains("cannot be read"));
+        Path tooLarge = directory.resolve("large.toml");
+        Files.write(tooLarge, new byte[2 << 20]);
         assertTrue(
-                expectThrows(ScenarioException.class, () -> ScenarioReader.read(large))
+                expectThrows(ScenarioException.class, () -> ScenarioReader.read(tooLarge))
                         .getMessage()
                         .contains("is over"));
-        Files.delete(large);
-        Files.delete(folder);
-    }
-
-    @DataProvider
-    public Object[][] shipped() {
-        return ScenarioLibrary.NAMES.stream()
-                .map(name -> new Object[] {name})
-                .toArray(Object[][]::new);
-    }
-
-    @Test(dataProvider = "shipped")
-    public void whatIsShippedCanBePlayed(String name) throws Exception {
-        Scenario scenario = ScenarioLibrary.find(name);
-        assertTrue(scenario.expectations().size() > 0, "it expects nothing");
-        Settings settings =
-                DaemonSettings.settings(1, DaemonSettings.settingsByPath(scenario, Map.of()));
-        assertEquals(settings.requestClasses().size(), scenario.requestClasses().size());
-    }
-
-    /**
-     * One source for both clocks: what the daemon reads from its file is what the virtual one is
-     * given.
-     */
-    @Test
-    public void theTermsReachTheDaemonsOwnWords() throws Exception {
-        Scenario scenario =
-                SmallScenario.scenario(
-                        "[terms]\nmost_launches = 4\nmay_copy = false\n"
-                                + "[[tenants]]\nname = \"t\"\nquota = 7\n[daemon]\n\"permissions.most_tries\" = \"5\"\n");
-        Map<String, String> pairs =
-                DaemonSettings.settingsByPath(scenario, Map.of("prices.cross_zone", "0.5"));
-        Settings settings = DaemonSettings.settings(3, pairs);
-        assertEquals(settings.maxAttempts(), 5, "the scenario's own word on the daemon goes first");
-        assertEquals(settings.crossZonePrice(), 0.5);
-        assertEquals(settings.mayHedge(), false);
-        assertEquals(settings.quotas().size(), 1);
-        assertEquals(settings.requestClasses().get(1).idempotencyWindowSeconds(), 1.0);
-        Path file = Files.createTempFile("daemon", ".json");
-        Files.writeString(
-                file,
-                new DaemonConfigFile("n0", 3, new Scenario.Limits(192, 512), pairs, List.of())
-                        .text());
-        var config =
-                wheelroute.config.ConfigReader.read(
-                        Map.of(
-                                "LB_CONFIG",
-                                file.toString(),
-                                "LB_LISTEN",
-                                "127.0.0.1:0",
-                                "LB_DISCOVERY",
-                                "127.0.0.1:1"));
-        assertEquals(config.settings(), settings);
-        Files.delete(file);
-        assertEquals(List.of(config.maxDescriptors()), List.of(512));
+        Files.delete(tooLarge);
+        Files.delete(directory);
     }
 }
