--- a/kit/src/test/java/wheelroute/kit/SmallScenario.java
+++ b/kit/src/test/java/wheelroute/kit/SmallScenario.java
@@ -4,7 +4,7 @@
 import wheelroute.kit.scenario.ScenarioException;
 import wheelroute.kit.scenario.ScenarioReader;
 
-/** Small scenarios to vary. */
+/** A small scenario, to which tests add lines. */
 public final class SmallScenario {
     /** Two groups of workers in two zones, three request classes, a steady load. */
     public static final String TEXT =
@@ -49,20 +49,21 @@
 
     private SmallScenario() {}
 
-    public static Scenario scenario(String more) {
-        return scenario(more, 1);
+    public static Scenario scenario(String lines) {
+        return scenario(lines, 1);
     }
 
-    public static Scenario scenario(String more, int dispatchers) {
-        return scenario(more, dispatchers, "");
+    public static Scenario scenario(String lines, int dispatchers) {
+        return scenario(lines, dispatchers, "");
     }
 
-    /** The same, with more of the table of the run. */
-    public static Scenario scenario(String more, int dispatchers, String run) {
+    /** Returns the scenario with these lines at its end and others in its table "run". */
+    public static Scenario scenario(String lines, int dispatchers, String runLines) {
         try {
             String text =
-                    TEXT.replace("dispatchers = 1", "dispatchers = " + dispatchers + "\n" + run);
-            return ScenarioReader.read("small", text + more);
+                    TEXT.replace(
+                            "dispatchers = 1", "dispatchers = " + dispatchers + "\n" + runLines);
+            return ScenarioReader.read("small", text + lines);
         } catch (ScenarioException e) {
             throw new IllegalArgumentException(e);
         }
--- a/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
@@ -9,17 +9,17 @@
 import wheelroute.peers.MemberUpdate;
 import wheelroute.peers.MessageCodec;
 
-/** Membership under faults, on the virtual clock and with every datagram through the codec. */
+/** Membership under faults, on the virtual clock; every datagram is encoded and decoded. */
 public class PeerModelTest {
     private static final int SEEDS = 3;
-    private static final double TIMEOUT = 120;
+    private static final double TIMEOUT_SECONDS = 120;
 
     private static PeerModel convergedCluster(int count, long seed, boolean localHealthAware) {
         PeerModel model = new PeerModel(count, SEEDS, seed, localHealthAware);
         model.startAll(0.5);
         model.advance(0.5);
         assertFalse(
-                Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT)),
+                Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT_SECONDS)),
                 "the cluster never converged");
         // Until the gossip of the start has ended.
         model.advance(10 + count / 5.0);
@@ -29,8 +29,8 @@
     @DataProvider
     public Object[][] sizes() {
         return new Object[][] {
-            // members; most seconds until a crash is known to all, until all agree after a healed
-            // partition, most bytes a second and member
+            // members; maximum seconds until all know of a crash, maximum seconds until all agree
+            // after a partition, maximum bytes per second and member
             {3, 6, 5, 400}, {10, 8, 6, 400}, {40, 14, 12, 500}, {100, 18, 20, 700},
         };
     }
@@ -41,27 +41,28 @@
      */
     @Test(dataProvider = "sizes")
     public void crashesAndHealedPartitionsAreDetectedInTime(
-            int count, double mostDetection, double mostHealing, double mostBytes) {
+            int count, double maxDetectionSeconds, double maxHealingSeconds, double maxBytes) {
         PeerModel model = convergedCluster(count, count, true);
         model.resetCounters();
         model.advance(10);
         assertEquals(model.falsePositives(), 0);
         double bytes = model.bytes() / 10.0 / count;
-        assertTrue(bytes < mostBytes, bytes + " bytes");
+        assertTrue(bytes < maxBytes, bytes + " bytes");
         assertTrue(model.largestDatagram() <= MessageCodec.MAX_DATAGRAM_BYTES);
         model.members.get(count - 1).crash();
-        double detection = model.advanceUntil(() -> model.isDeadEverywhere(count - 1), TIMEOUT);
-        assertTrue(detection < mostDetection, detection + " s until all knew it");
+        double detection =
+                model.advanceUntil(() -> model.isDeadEverywhere(count - 1), TIMEOUT_SECONDS);
+        assertTrue(detection < maxDetectionSeconds, detection + " s until all knew it");
         model.members.get(count - 1).start(0);
-        assertFalse(Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT)));
+        assertFalse(Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT_SECONDS)));
         int half = count / 2;
         model.block((from, to) -> from < half != to < half);
         model.advance(30);
         assertEquals(model.members.get(0).membership().aliveCount(), half);
         assertEquals(model.members.get(half).membership().aliveCount(), count - half);
         model.block((from, to) -> false);
-        double healing = model.advanceUntil(model::hasConverged, TIMEOUT);
-        assertTrue(healing < mostHealing, healing + " s until all agreed again");
+        double healing = model.advanceUntil(model::hasConverged, TIMEOUT_SECONDS);
+        assertTrue(healing < maxHealingSeconds, healing + " s until all agreed again");
     }
 
     /** Loss, duplicates and reordering: hardly any member that runs is declared dead. */
@@ -75,22 +76,20 @@
                 model.falsePositives() <= 1,
                 model.falsePositives() + " false positives in 40 minutes of members' time");
         model.setNetwork(0, 0, 0);
-        assertFalse(Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT)));
+        assertFalse(Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT_SECONDS)));
     }
 
-    /**
-     * A fault, played on a cluster of 12 that has converged; it may be left for the end to heal.
-     */
+    /** A fault of a converged cluster of 12 members; blocked links are unblocked at its end. */
     private interface Fault {
-        void play(PeerModel model);
+        void inject(PeerModel model);
     }
 
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
             {"seeds", (Fault) PeerModelTest::seedsCrash},
-            {"one way", (Fault) PeerModelTest::memberIsNotHeard},
-            {"all but one", (Fault) PeerModelTest::pairIsPartitioned},
+            {"outbound loss", (Fault) PeerModelTest::memberIsNotHeard},
+            {"pair", (Fault) PeerModelTest::pairIsPartitioned},
             {"thirds", (Fault) PeerModelTest::thirdsArePartitioned},
             {"flapping", (Fault) PeerModelTest::memberFlaps},
             {"clock", (Fault) PeerModelTest::memberRestartsWithClockBehind},
@@ -162,7 +161,7 @@
 
     private static void memberLeaves(PeerModel model) {
         model.members.get(4).leave();
-        double detection = model.advanceUntil(() -> model.isDeadEverywhere(4), TIMEOUT);
+        double detection = model.advanceUntil(() -> model.isDeadEverywhere(4), TIMEOUT_SECONDS);
         assertTrue(detection < 3, detection + " s, though it has announced that it leaves");
         model.members.get(4).start(1);
     }
@@ -171,10 +170,10 @@
     @Test(dataProvider = "faults")
     public void clusterConvergesAfterFault(String name, Fault fault) {
         PeerModel model = convergedCluster(12, 11, true);
-        fault.play(model);
+        fault.inject(model);
         model.block((from, to) -> false);
         assertFalse(
-                Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT)),
+                Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT_SECONDS)),
                 "no convergence after: " + name);
     }
 
--- /dev/null
+++ b/kit/src/test/java/wheelroute/kit/report/ReportTest.java
@@ -0,0 +1,99 @@
+package wheelroute.kit.report;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertFalse;
+import static org.testng.Assert.assertTrue;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import wheelroute.kit.SmallScenario;
+import wheelroute.kit.audit.Rule;
+import wheelroute.kit.report.Report.Judgement;
+import wheelroute.kit.report.Report.MachineLag;
+import wheelroute.kit.simulation.SimulatedRuns;
+
+/** The judgement of a run, and how it is shown. */
+public class ReportTest {
+    private static final double RUN_SECONDS = 5;
+
+    @Test
+    public void showsExpectationThatDoesNotHold() throws Exception {
+        Report report =
+                SimulatedRuns.run(
+                        SmallScenario.scenario(
+                                "[expect.service]\nleast = 1.01\n[expect.p99]\nmost = 10\n"),
+                        1,
+                        RUN_SECONDS);
+        assertFalse(report.holds());
+        assertEquals(report.verdicts().stream().filter(Report.Verdict::holds).count(), 1);
+        assertTrue(
+                TableWriter.text(report).contains("service at least 1.01"),
+                TableWriter.text(report));
+        String page = HtmlWriter.text(List.of(report), "a < b");
+        assertTrue(
+                page.contains("does not hold")
+                        && page.contains("a &lt; b")
+                        && page.contains("uPlot"));
+        assertTrue(
+                !page.contains("src=\"http") && !page.contains("href=\"http"),
+                "the page needs another file");
+    }
+
+    @DataProvider
+    public Object[][] lagsAndBreaches() {
+        double tooMuch = Report.MAX_P99_LAG_SECONDS * 1.01;
+        double tooMuchOnce = Report.MAX_SINGLE_LAG_SECONDS * 1.01;
+        MachineLag timersLag = new MachineLag(tooMuch, 1, 0, 0);
+        MachineLag coresLag = new MachineLag(0, 0, tooMuch, 1);
+        MachineLag timersLagOnce = new MachineLag(0, tooMuchOnce, 0, 0);
+        MachineLag coresLagOnce = new MachineLag(0, 0, 0, tooMuchOnce);
+        MachineLag bothLagOnce = new MachineLag(0, tooMuchOnce, 0, tooMuchOnce);
+        return new Object[][] {
+            // lag of the machine, rule that is broken, judgement
+            {timersLag, null, Judgement.NOT_JUDGED},
+            {coresLag, null, Judgement.NOT_JUDGED},
+            {bothLagOnce, null, Judgement.HOLDS},
+            {MachineLag.NONE, Rule.ONE_FINAL_ANSWER, Judgement.DOES_NOT_HOLD},
+            {timersLagOnce, Rule.ONE_FINAL_ANSWER, Judgement.NOT_JUDGED},
+            {coresLagOnce, Rule.NO_SLOW_START_OVERLOAD, Judgement.NOT_JUDGED},
+            {bothLagOnce, Rule.AT_MOST_ONE_EFFECT, Judgement.DOES_NOT_HOLD},
+        };
+    }
+
+    /** A lag may cause any breach but a repeated effect. */
+    @Test(dataProvider = "lagsAndBreaches")
+    public void doesNotJudgeRunOnMachineThatLags(
+            MachineLag lag, Rule brokenRule, Judgement expected) throws Exception {
+        Report report = SimulatedRuns.run(SmallScenario.scenario(""), 1, RUN_SECONDS);
+        assertTrue(report.holds(), TableWriter.text(report));
+        Report changed = withLagAndBreach(report, lag, brokenRule);
+        assertEquals(changed.judgement(), expected, TableWriter.text(changed));
+        assertEquals(
+                TableWriter.text(changed).contains("NOT JUDGED"), expected == Judgement.NOT_JUDGED);
+    }
+
+    private static Report withLagAndBreach(Report report, MachineLag lag, Rule brokenRule) {
+        Map<Rule, Integer> breachCounts = new LinkedHashMap<>(report.breachCounts());
+        if (brokenRule != null) {
+            breachCounts.put(brokenRule, 1);
+        }
+        return new Report(
+                report.run(),
+                report.total(),
+                report.requestClasses(),
+                report.tenants(),
+                report.figures(),
+                report.verdicts(),
+                breachCounts,
+                report.breaches(),
+                report.series(),
+                report.distribution(),
+                report.faultPeriods(),
+                lag,
+                report.notes(),
+                false);
+    }
+}
--- /dev/null
+++ b/kit/src/test/java/wheelroute/kit/simulation/ShippedScenariosTest.java
@@ -0,0 +1,78 @@
+package wheelroute.kit.simulation;
+
+import static org.testng.Assert.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
+import wheelroute.kit.experiment.Plan;
+import wheelroute.kit.report.Report;
+import wheelroute.kit.report.TableWriter;
+import wheelroute.kit.scenario.FigureNames;
+import wheelroute.kit.scenario.Scenario;
+import wheelroute.kit.scenario.ScenarioException;
+import wheelroute.kit.scenario.ScenarioLibrary;
+import wheelroute.kit.strategy.Strategies;
+
+/** The shipped scenarios on the virtual clock, with the dispatcher's policy and the baselines. */
+public class ShippedScenariosTest {
+    /** Runs of scenarios with more dispatchers than this are shorter, to keep the test short. */
+    private static final int MANY_DISPATCHERS = 10;
+
+    private static final int SLOW_START_SEEDS = 50;
+
+    /** By how much the policy's service exceeds that of any baseline under overload. */
+    private static final double MIN_ADVANTAGE = 0.1;
+
+    @DataProvider
+    public Object[][] simulatedScenarios() throws ScenarioException {
+        List<Object[]> rows = new ArrayList<>();
+        for (String name : ScenarioLibrary.NAMES) {
+            if (ScenarioLibrary.find(name).clocks().contains(Plan.Clock.VIRTUAL.label())) {
+                rows.add(new Object[] {name});
+            }
+        }
+        return rows.toArray(Object[][]::new);
+    }
+
+    @Test(dataProvider = "simulatedScenarios")
+    public void policyMeetsExpectations(String name) throws Exception {
+        Scenario scenario = ScenarioLibrary.find(name);
+        double seconds =
+                scenario.dispatcherCount() > MANY_DISPATCHERS
+                        ? Plan.QUICK_SECONDS / 3
+                        : Plan.QUICK_SECONDS;
+        Report report = SimulatedRuns.run(scenario, 7, seconds);
+        assertTrue(report.holds(), TableWriter.text(report));
+    }
+
+    /** Each of thirty dispatchers sees only its own attempts at a worker in slow start. */
+    @Test
+    public void thirtyDispatchersTogetherOverloadNoWorkerInSlowStart() throws Exception {
+        Scenario scenario = ScenarioLibrary.find("cold-thirty");
+        for (int seed = 1; seed <= SLOW_START_SEEDS; seed++) {
+            Report report = SimulatedRuns.run(scenario, seed, Plan.QUICK_SECONDS / 2);
+            assertTrue(report.keepsRules(), seed + ": " + TableWriter.text(report));
+        }
+    }
+
+    @Test
+    public void baselinesKeepRulesButServeLessThanPolicy() throws Exception {
+        Scenario scenario = ScenarioLibrary.find("overload");
+        double policyService =
+                SimulatedRuns.run(scenario, 3, Plan.QUICK_SECONDS)
+                        .figures()
+                        .get(FigureNames.SERVICE);
+        for (String strategy : Strategies.names()) {
+            Report report = SimulatedRuns.run(scenario, 3, Plan.QUICK_SECONDS, strategy);
+            assertTrue(report.keepsRules(), TableWriter.text(report));
+            if (!strategy.equals(Strategies.POLICY) && !strategy.equals(Strategies.OMNISCIENT)) {
+                double service = report.figures().get(FigureNames.SERVICE);
+                assertTrue(
+                        service < policyService - MIN_ADVANTAGE,
+                        strategy + ": " + service + ", policy: " + policyService);
+            }
+        }
+    }
+}
--- a/kit/src/test/java/wheelroute/kit/simulation/SimulatedLinkTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/SimulatedLinkTest.java
@@ -11,9 +11,9 @@
 public class SimulatedLinkTest {
     private static final int CONNECTIONS = 50;
 
-    /** What a seed plays must not depend on where objects lie in memory. */
+    /** The order must not depend on hash codes, or a seed would not give the same run twice. */
     @Test
-    public void connectionsAreResetInTheOrderInWhichTheyCame() {
+    public void resetsConnectionsInOrderOfCreation() {
         SimulatedLink link = new SimulatedLink(new SimulatedTime());
         List<Integer> reset = new ArrayList<>();
         for (int i = 0; i < CONNECTIONS; i++) {
