--- a/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
@@ -1,7 +1,6 @@
 package wheelroute.kit.model;
 
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.List;
 import wheelroute.kit.scenario.Scenario;
 
@@ -36,11 +35,9 @@
     private final WorkerFaults faults = new WorkerFaults();
     private final WorkerResponses responses;
     private final SlowStartModel slowStart;
-    private final LoadReportHistory loadReports;
+    private final RunningAttempts running;
     private final ArrayDeque<WorkerAttempt> queue = new ArrayDeque<>();
-    private final List<WorkerAttempt> running = new ArrayList<>();
     private PortListener portListener;
-    private int slotsInUse;
     private double memoryInUse;
     private boolean up = true;
 
@@ -58,7 +55,8 @@
         listener = context.listener();
         responses = new WorkerResponses(this, faults, listener);
         slowStart = new SlowStartModel(group);
-        loadReports = new LoadReportHistory(group.slots(), terms.loadReportLagSeconds());
+        running =
+                new RunningAttempts(this, context, faults, slowStart, responses, this::onCompleted);
     }
 
     /** Sets the listener that is called when the worker's port opens or closes. */
@@ -117,7 +115,7 @@
     }
 
     private boolean canStartAtOnce(WorkerAttempt attempt) {
-        return queue.isEmpty() && slotsInUse + slotsOf(attempt) <= group.slots();
+        return queue.isEmpty() && running.hasSlotsFor(attempt);
     }
 
     /**
@@ -145,117 +143,29 @@
                 });
     }
 
-    // ---- slots
-
-    /** The slots of an attempt; one that asks for more than there are gets all of them. */
-    private int slotsOf(WorkerAttempt attempt) {
-        return Math.min(attempt.slots, group.slots());
-    }
-
     private void startQueued() {
         while (!queue.isEmpty() && !faults.isStalled()) {
-            WorkerAttempt next = queue.peekFirst();
-            if (slotsInUse + slotsOf(next) > group.slots()) {
+            if (!running.hasSlotsFor(queue.peekFirst())) {
                 return;
             }
-            queue.pollFirst();
-            start(next);
+            running.start(queue.pollFirst());
         }
     }
 
-    private void start(WorkerAttempt attempt) {
-        slotsInUse += slotsOf(attempt);
-        recordFreeSlots();
-        running.add(attempt);
-        attempt.startedAt = timeline.now();
-        attempt.progressedAt = attempt.startedAt;
-        // The ramp fraction of the start applies to the whole attempt, as if it had more work.
-        attempt.remainingSeconds = attempt.workSeconds / rampFraction(attempt.startedAt);
-        listener.onStarted(attempt, this);
-        if (terms.reportsStart()) {
-            responses.deliver(attempt, attempt.reply::onStarted);
-        }
-        scheduleCompletion(attempt);
-        if (terms.progressIntervalSeconds() > 0) {
-            scheduleProgress(attempt, attempt.remainingSeconds);
-        }
-    }
-
-    /** Seconds of work done in a second, without slow start. */
-    private double pace() {
-        return faults.isStalled() ? 0 : group.speed() * faults.speedFactor();
-    }
-
-    private void scheduleCompletion(WorkerAttempt attempt) {
-        double pace = pace();
-        int version = ++attempt.completionVersion;
-        if (pace > 0) {
-            timeline.schedule(
-                    attempt.remainingSeconds / pace,
-                    () -> {
-                        if (version == attempt.completionVersion && !attempt.ended) {
-                            complete(attempt);
-                        }
-                    });
-        }
-    }
-
-    private void complete(WorkerAttempt attempt) {
-        running.remove(attempt);
-        slotsInUse -= slotsOf(attempt);
+    private void onCompleted(WorkerAttempt attempt) {
         memoryInUse -= attempt.memory;
-        recordFreeSlots();
         end(attempt, AttemptEnding.SUCCEEDED);
         startQueued();
     }
 
-    private void scheduleProgress(WorkerAttempt attempt, double totalSeconds) {
-        timeline.schedule(
-                terms.progressIntervalSeconds(),
-                () -> {
-                    if (!attempt.ended && !attempt.cancelled) {
-                        double left = remainingSeconds(attempt);
-                        responses.deliver(
-                                attempt, () -> attempt.reply.onProgress(1 - left / totalSeconds));
-                        scheduleProgress(attempt, totalSeconds);
-                    }
-                });
-    }
-
-    private double remainingSeconds(WorkerAttempt attempt) {
-        return remainingSeconds(attempt, timeline.now(), pace());
-    }
-
-    private static double remainingSeconds(WorkerAttempt attempt, double now, double pace) {
-        return Math.max(0, attempt.remainingSeconds - (now - attempt.progressedAt) * pace);
-    }
-
-    /** Applies a change of the pace to the attempts that are running. */
-    private void changePace(Runnable change) {
-        double paceBefore = pace();
-        change.run();
-        double now = timeline.now();
-        for (WorkerAttempt attempt : running) {
-            attempt.remainingSeconds = remainingSeconds(attempt, now, paceBefore);
-            attempt.progressedAt = now;
-            scheduleCompletion(attempt);
-        }
-        startQueued();
-    }
-
     private void end(WorkerAttempt attempt, AttemptEnding ending) {
         attempt.ended = true;
         boolean isDelivered = ending == AttemptEnding.CONNECTION_LOST || !faults.areResponsesLost();
         listener.onEnded(attempt, this, ending, isDelivered && !attempt.cancelled);
-        double freeSlots =
-                loadReports.reportedFreeSlots(timeline.now(), faults.reportDelaySeconds());
+        double freeSlots = running.reportedFreeSlots();
         responses.deliver(attempt, () -> attempt.reply.onEnded(ending, freeSlots));
     }
 
-    private void recordFreeSlots() {
-        loadReports.record(timeline.now(), group.slots() - slotsInUse);
-    }
-
     // ---- faults
 
     void changeFailureFraction(double change) {
@@ -263,11 +173,13 @@
     }
 
     void setStalled(boolean begins) {
-        changePace(() -> faults.setStalled(begins));
+        running.changePace(() -> faults.setStalled(begins));
+        startQueued();
     }
 
     void changeSpeed(double factor) {
-        changePace(() -> faults.multiplySpeed(factor));
+        running.changePace(() -> faults.multiplySpeed(factor));
+        startQueued();
     }
 
     void changeReportDelay(double changeSeconds) {
@@ -303,7 +215,7 @@
     }
 
     private void crashWhenEmpty() {
-        if (running.isEmpty() && queue.isEmpty()) {
+        if (running.count() == 0 && queue.isEmpty()) {
             crash();
         } else {
             runInThisProcess(EndpointRegistry.POLL_INTERVAL_SECONDS, this::crashWhenEmpty);
@@ -315,11 +227,9 @@
         incarnation++;
         up = false;
         registry.update(this, EndpointRegistry.State.REMOVED, slowStart.startedAt());
-        List<WorkerAttempt> lost = new ArrayList<>(running);
+        List<WorkerAttempt> lost = running.removeAll();
         lost.addAll(queue);
-        running.clear();
         queue.clear();
-        slotsInUse = 0;
         memoryInUse = 0;
         slowStart.onProcessEnded();
         if (portListener != null) {
@@ -352,7 +262,7 @@
 
     /** The number of attempts that are running. */
     public int runningCount() {
-        return running.size();
+        return running.count();
     }
 
     /** The number of attempts that wait for a slot. */
@@ -371,7 +281,7 @@
      */
     public double expectedCompletion(double workSeconds) {
         double now = timeline.now();
-        double pace = pace() * rampFraction(now);
+        double pace = running.pace() * rampFraction(now);
         if (!up
                 || faults.areResponsesLost()
                 || !(pace > 0)
@@ -382,10 +292,10 @@
         for (WorkerAttempt attempt : queue) {
             workAhead += attempt.workSeconds;
         }
-        for (WorkerAttempt attempt : running) {
-            workAhead += remainingSeconds(attempt);
+        for (WorkerAttempt attempt : running.attempts()) {
+            workAhead += running.remainingSeconds(attempt);
         }
-        boolean hasFreeSlot = slotsInUse < group.slots() && queue.isEmpty();
+        boolean hasFreeSlot = running.hasFreeSlot() && queue.isEmpty();
         double waitSeconds = hasFreeSlot ? 0 : workAhead / group.slots();
         return now + (waitSeconds + workSeconds) / pace;
     }
--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -1,20 +1,15 @@
 package wheelroute.kit.peers;
 
 import java.nio.ByteBuffer;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiPredicate;
 import java.util.function.BooleanSupplier;
 import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.simulation.SimulatedTime;
-import wheelroute.peers.MalformedMessageException;
 import wheelroute.peers.MemberAddress;
 import wheelroute.peers.MemberUpdate;
 import wheelroute.peers.Membership;
-import wheelroute.peers.MembershipConfig;
-import wheelroute.peers.Message;
-import wheelroute.peers.MessageCodec;
 import wheelroute.peers.PeerId;
 
 /**
@@ -28,240 +23,25 @@
 
     private static final int FIRST_PORT = 10_000;
 
-    /** How long a member that stalls repeatedly runs in between. */
-    private static final double RUN_BETWEEN_STALLS_SECONDS = 0.3;
-
     /** Interval at which a condition is checked. */
     private static final double CHECK_INTERVAL_SECONDS = 0.1;
 
-    /** What a member's clock shows when the model starts. */
-    private static final double CLOCK_AT_START_SECONDS = 1e6;
-
-    private static final double MILLIS_PER_SECOND = 1000;
-    private static final int CLUSTER = 7;
     private static final String NAME_PREFIX = "n";
 
     /** The clock of the whole model. */
     public final SimulatedTime time = new SimulatedTime();
 
     /** All members, up or not, in the order of their numbers. */
-    public final List<Member> members = new ArrayList<>();
+    public final List<SimulatedMember> members = new ArrayList<>();
 
     private final SeededRandom random;
     private final int seeds;
     private final boolean localHealthAware;
-    private final double startTime = time.now();
+    private final double startedAt = time.now();
     private long draws;
     private final PeerNetwork network = new PeerNetwork(time, this::draw, this::deliver);
     private long falsePositives;
 
-    /** One member: a process that runs, is paused, or is down. */
-    public final class Member implements Membership.Transport {
-        /** Index in {@link PeerModel#members}. */
-        public final int number;
-
-        private Membership membership;
-
-        /** Counts starts and ends, so that events of an earlier process are dropped. */
-        private int processCount;
-
-        private boolean paused;
-        private boolean up;
-        private double timerAt = Double.POSITIVE_INFINITY;
-
-        /** Mean length of its repeated stalls; 0 for none. */
-        private double stallSeconds;
-
-        /** Events that arrived while it was paused. */
-        private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
-
-        private Member(int number) {
-            this.number = number;
-        }
-
-        /** The membership of its latest process; null before the first. */
-        public Membership membership() {
-            return membership;
-        }
-
-        /** Whether it has a process, paused or not. */
-        public boolean isUp() {
-            return up;
-        }
-
-        /** Whether its process gets no CPU. */
-        public boolean isPaused() {
-            return paused;
-        }
-
-        /**
-         * Starts a new process of the same name.
-         *
-         * @param clockAhead seconds by which its clock is ahead; negative for behind
-         */
-        public void start(double clockAhead) {
-            processCount++;
-            up = true;
-            paused = false;
-            deferredEvents.clear();
-            timerAt = Double.POSITIVE_INFINITY;
-            List<MemberAddress> seedAddresses = new ArrayList<>();
-            for (int i = 0; i < seeds; i++) {
-                seedAddresses.add(address(i));
-            }
-            double clock = CLOCK_AT_START_SECONDS + time.now() - startTime + clockAhead;
-            long incarnation = (long) (MILLIS_PER_SECOND * clock);
-            membership =
-                    new Membership(
-                            new MembershipConfig(
-                                    CLUSTER,
-                                    id(number),
-                                    address(number),
-                                    incarnation,
-                                    seedAddresses,
-                                    random.seedOf(
-                                            SeededRandom.Purpose.STRATEGY, number, processCount),
-                                    localHealthAware),
-                            this);
-            runEvent(membership::start);
-        }
-
-        /** Ends the process without a message. */
-        public void crash() {
-            up = false;
-            processCount++;
-        }
-
-        /** Pauses the process, or resumes it; it then handles what arrived meanwhile. */
-        public void pause(boolean newPaused) {
-            paused = newPaused;
-            while (!paused && !deferredEvents.isEmpty()) {
-                deferredEvents.pollFirst().run();
-            }
-        }
-
-        /**
-         * Lets the process stall again and again, as on an overloaded machine.
-         *
-         * @param seconds mean length of a stall; 0 ends them
-         */
-        public void stall(double seconds) {
-            boolean wasStalling = stallSeconds > 0;
-            stallSeconds = seconds;
-            if (!wasStalling && seconds > 0) {
-                stallRepeatedly();
-            }
-        }
-
-        private void stallRepeatedly() {
-            if (stallSeconds > 0 && up) {
-                pause(true);
-                time.schedule(
-                        stallSeconds * (0.5 + draw()),
-                        () -> {
-                            pause(false);
-                            time.schedule(RUN_BETWEEN_STALLS_SECONDS, this::stallRepeatedly);
-                        });
-            }
-        }
-
-        /** Announces that it leaves, and ends the process. */
-        public void leave() {
-            runEvent(membership::leave);
-            crash();
-        }
-
-        private void runEvent(Runnable event) {
-            runEventOf(processCount, event);
-        }
-
-        private void runEventOf(int process, Runnable event) {
-            if (process != processCount) {
-                return;
-            }
-            if (paused) {
-                deferredEvents.addLast(() -> runEventOf(process, event));
-                return;
-            }
-            membership.advanceTo(time.now());
-            event.run();
-        }
-
-        @Override
-        public void send(MemberAddress to, Message message) {
-            ByteBuffer datagram = MessageCodec.encode(message);
-            int receiver = to.port() - FIRST_PORT;
-            boolean exists = receiver >= 0 && receiver < members.size();
-            network.send(number, receiver, exists, datagram);
-        }
-
-        private void receive(int from, ByteBuffer datagram) {
-            if (!up) {
-                return;
-            }
-            try {
-                Message message = MessageCodec.decode(datagram);
-                runEvent(() -> membership.receive(address(from), message));
-            } catch (MalformedMessageException e) {
-                throw new AssertionError("a member sent a malformed datagram", e);
-            }
-        }
-
-        @Override
-        public void scheduleTimer(double delay) {
-            double at = time.now() + delay;
-            if (at < timerAt) {
-                timerAt = at;
-                int process = processCount;
-                time.schedule(
-                        delay,
-                        () -> {
-                            if (process == processCount && timerAt == at) {
-                                timerAt = Double.POSITIVE_INFINITY;
-                                runEvent(membership::onTimer);
-                            }
-                        });
-            }
-        }
-
-        @Override
-        public void memberChanged(
-                MemberUpdate update, MemberUpdate.State previous, PeerId reportedBy) {
-            // Only at the member that declares the death: gossip of it is no further verdict.
-            if (update.state() == MemberUpdate.State.DEAD && reportedBy.equals(id(number))) {
-                Member dead = memberOf(update);
-                if (dead.up && !dead.paused && dead.stallSeconds == 0) {
-                    falsePositives++;
-                }
-            }
-        }
-
-        private boolean isReachable() {
-            return up && !paused;
-        }
-
-        /** Whether it holds exactly those members to be alive that are up. */
-        private boolean hasConverged(long upCount) {
-            if (membership.aliveCount() != upCount) {
-                return false;
-            }
-            for (MemberUpdate other : membership.others()) {
-                boolean heldAlive = other.state() == MemberUpdate.State.ALIVE;
-                if (heldAlive != memberOf(other).up) {
-                    return false;
-                }
-            }
-            return true;
-        }
-
-        private boolean holdsDead(int other) {
-            MemberUpdate update = membership.find(id(other));
-            return update == null
-                    || update.state() == MemberUpdate.State.DEAD
-                    || update.state() == MemberUpdate.State.LEFT;
-        }
-    }
-
     /**
      * Creates a cluster with no member started.
      *
@@ -274,15 +54,45 @@
         this.localHealthAware = localHealthAware;
         random = new SeededRandom(seed);
         for (int i = 0; i < count; i++) {
-            members.add(new Member(i));
+            members.add(new SimulatedMember(this, i));
         }
     }
 
+    // ---- what members use
+
+    int seedCount() {
+        return seeds;
+    }
+
+    boolean isLocalHealthAware() {
+        return localHealthAware;
+    }
+
+    double startedAt() {
+        return startedAt;
+    }
+
+    long seedOf(SeededRandom.Purpose purpose, long a, long b) {
+        return random.seedOf(purpose, a, b);
+    }
+
+    void send(int from, MemberAddress to, ByteBuffer datagram) {
+        int receiver = to.port() - FIRST_PORT;
+        boolean exists = receiver >= 0 && receiver < members.size();
+        network.send(from, receiver, exists, datagram);
+    }
+
     private void deliver(int from, int to, ByteBuffer datagram) {
         members.get(to).receive(from, datagram);
     }
 
-    private Member memberOf(MemberUpdate update) {
+    void onDeclaredDead(MemberUpdate update) {
+        if (memberOf(update).runsWithoutFault()) {
+            falsePositives++;
+        }
+    }
+
+    SimulatedMember memberOf(MemberUpdate update) {
         String number = update.id().name().substring(NAME_PREFIX.length());
         return members.get(Integer.parseInt(number));
     }
@@ -292,7 +102,7 @@
         return new PeerId(NAME_PREFIX + number);
     }
 
-    private static MemberAddress address(int number) {
+    static MemberAddress address(int number) {
         return new MemberAddress(HOST, FIRST_PORT + number);
     }
 
@@ -319,7 +129,7 @@
 
     /** Starts all members at random times within this many seconds. */
     public void startAll(double within) {
-        for (Member member : members) {
+        for (SimulatedMember member : members) {
             time.schedule(within * draw(), () -> member.start(0));
         }
     }
@@ -352,16 +162,16 @@
 
     /** Whether all members that run hold exactly those to be alive that are up. */
     public boolean hasConverged() {
-        long upCount = members.stream().filter(Member::isUp).count();
+        long upCount = members.stream().filter(SimulatedMember::isUp).count();
         return members.stream()
-                .filter(Member::isReachable)
+                .filter(SimulatedMember::isReachable)
                 .allMatch(member -> member.hasConverged(upCount));
     }
 
     /** Whether all others that are up hold this member to be dead, or to have left. */
     public boolean isDeadEverywhere(int number) {
         return members.stream()
-                .filter(member -> member.up && member.number != number)
+                .filter(member -> member.isUp() && member.number != number)
                 .allMatch(member -> member.holdsDead(number));
     }
 
