--- a/kit/src/main/java/wheelroute/kit/cli/AdminClient.java
+++ b/kit/src/main/java/wheelroute/kit/cli/AdminClient.java
@@ -6,7 +6,7 @@
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
-import wheelroute.config.ConfigReader;
+import wheelroute.config.SocketAddresses;
 
 /** Calls the admin server of a dispatcher, and waits for the complete answer. */
 final class AdminClient {
@@ -35,7 +35,7 @@
 
     /** Creates a client; rejects what is no address and a timeout that is out of bounds. */
     static AdminClient create(String address, double timeoutSeconds) throws CommandLineException {
-        InetSocketAddress server = ConfigReader.parse(address);
+        InetSocketAddress server = SocketAddresses.parse(address);
         if (server == null) {
             throw new CommandLineException("HOST:PORT: " + address + " is no address");
         }
--- a/kit/src/main/java/wheelroute/kit/cli/Capacity.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Capacity.java
@@ -71,7 +71,7 @@
             tables.forEach((name, table) -> out.println(name + "\n" + table));
         } else if (action.write != null) {
             String page = Files.readString(existing("--write", action.write));
-            Files.writeString(action.write, CapacityPage.filled(page, tables));
+            Files.writeString(action.write, CapacityPage.withTables(page, tables));
         } else {
             return check(tables, out);
         }
@@ -92,7 +92,7 @@
     private int check(Map<String, String> tables, PrintWriter out)
             throws IOException, CommandLineException {
         String page = Files.readString(existing("--check", action.check));
-        List<String> differences = CapacityPage.faults(page, tables);
+        List<String> differences = CapacityPage.mismatches(page, tables);
         differences.forEach(out::println);
         String verb = differences.isEmpty() ? " follows from " : " does not follow from ";
         out.println(action.check + verb + slopes);
--- a/kit/src/main/java/wheelroute/kit/cli/Load.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Load.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import wheelroute.config.ConfigReader;
+import wheelroute.config.SocketAddresses;
 import wheelroute.decision.Idempotency;
 import wheelroute.kit.process.LoadRun;
 
@@ -107,7 +107,7 @@
     }
 
     private InetSocketAddress parseAddress() throws CommandLineException {
-        InetSocketAddress parsed = ConfigReader.parse(address);
+        InetSocketAddress parsed = SocketAddresses.parse(address);
         if (parsed == null) {
             throw new CommandLineException("HOST:PORT: " + address + " is no address");
         }
--- a/kit/src/main/java/wheelroute/kit/cli/Scale.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Scale.java
@@ -12,6 +12,7 @@
 import wheelroute.kit.scale.CapacityModel;
 import wheelroute.kit.scale.DeploymentSize;
 import wheelroute.kit.scale.ScalePage;
+import wheelroute.kit.scale.ScalePlan;
 import wheelroute.kit.scale.ScaleResults;
 import wheelroute.kit.scale.ScaleRun;
 
@@ -58,7 +59,7 @@
         StopSignal stop = new StopSignal();
         try (OutputFile jsonFile = OutputFile.open("--json", json);
                 OutputFile htmlFile = OutputFile.open("--html", html)) {
-            ScaleResults results = ScaleRun.run(sizes(), stop, this::printProgress);
+            ScaleResults results = ScaleRun.run(plan(), stop, this::printProgress);
             CapacityModel capacity = new CapacityModel(results, deployment);
             List<String> exceeded = capacity.verdict();
             PrintWriter out = spec.commandLine().getOut();
@@ -74,8 +75,8 @@
         }
     }
 
-    private ScaleRun.Sizes sizes() {
-        return kind != null && kind.full ? ScaleRun.Sizes.full() : ScaleRun.Sizes.quick();
+    private ScalePlan plan() {
+        return kind != null && kind.full ? ScalePlan.full() : ScalePlan.quick();
     }
 
     private void printProgress(String line) {
