--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -309,7 +309,7 @@
 
     /** Reads a little, if there is anything; returns the bytes read, or less than 0 at the end. */
     private int peek() throws IOException {
-        ByteBuffer peeked = loop.lookBuffer();
+        ByteBuffer peeked = loop.peekBuffer();
         int count = getEndPoint().fill(peeked);
         if (count > 0) {
             read(peeked);
--- a/daemon/src/main/java/wheelroute/net/clients/ClientRequestDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientRequestDecoder.java
@@ -12,10 +12,11 @@
 import org.eclipse.jetty.http.HttpParser;
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.http.HttpVersion;
-import wheelroute.net.http.MessageReader;
+import wheelroute.net.http.HttpMessageReader;
 
 /** Decodes the requests on one client's connection, in whatever pieces they come. */
-public final class ClientRequestDecoder extends MessageReader implements HttpParser.RequestHandler {
+public final class ClientRequestDecoder extends HttpMessageReader
+        implements HttpParser.RequestHandler {
     /** In bytes: the protocol's limit on bodies. */
     static final int MAX_BODY_SIZE = 64 * 1024;
 
--- a/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.eclipse.jetty.http.HttpStatus;
-import wheelroute.net.http.HttpText;
+import wheelroute.net.http.HttpMessageBuilder;
 
 /**
  * A response to a client.
@@ -45,7 +45,7 @@
     public ByteBuffer[] encode(boolean lastOnConnection) {
         String roundedUp =
                 Double.toString(Math.ceil(retryAfter * MILLIS_PER_SECOND) / MILLIS_PER_SECOND);
-        return new HttpText("HTTP/1.1 " + status + " " + HttpStatus.getMessage(status))
+        return new HttpMessageBuilder("HTTP/1.1 " + status + " " + HttpStatus.getMessage(status))
                 .field("Retry-After", retryAfter > 0 ? roundedUp : null)
                 .field("Connection", lastOnConnection ? "close" : null)
                 .body(body);
--- a/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
@@ -194,7 +194,7 @@
     public void stopListening() {
         if (isListening) {
             isListening = false;
-            loop.unlistenEmptied(server);
+            loop.drainAndCloseListener(server);
         }
         if (!closesAfterResponse()) {
             return;
--- a/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
 import wheelroute.config.ConfigReader;
-import wheelroute.net.http.HttpText;
+import wheelroute.net.http.HttpMessageBuilder;
 import wheelroute.net.http.ResponseParser;
 import wheelroute.net.loop.EventLoop;
 import wheelroute.net.loop.StreamConnection;
@@ -156,7 +156,7 @@
                         : hold + WatchTiming.SILENCE_TIMEOUT_SECONDS);
         endPoint.write(
                 Callback.from(() -> {}, cause -> loop.post(() -> onFailed(cause))),
-                new HttpText("GET " + target(holdMillis) + " HTTP/1.1")
+                new HttpMessageBuilder("GET " + target(holdMillis) + " HTTP/1.1")
                         .field("Host", ConfigReader.text(address))
                         .noBody());
     }
--- a/daemon/src/main/java/wheelroute/net/handover/HandoverSocket.java
+++ b/daemon/src/main/java/wheelroute/net/handover/HandoverSocket.java
@@ -102,7 +102,7 @@
     private void stopListening() {
         try {
             if (server != null) {
-                loop.unlisten(server);
+                loop.closeListener(server);
             }
         } catch (IOException e) {
             LOG.debug("failed to close handover socket", e);
--- a/daemon/src/main/java/wheelroute/net/http/HttpText.java
+++ b/daemon/src/main/java/wheelroute/net/http/HttpMessageBuilder.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 
 /** Writes one HTTP message: a first line, header fields, a body. */
-public final class HttpText {
+public final class HttpMessageBuilder {
     /** In characters; longer heads make the buffer grow. */
     private static final int USUAL_HEAD_SIZE = 256;
 
@@ -15,12 +15,12 @@
      *
      * @param firstLine the request line or status line, without its end
      */
-    public HttpText(String firstLine) {
+    public HttpMessageBuilder(String firstLine) {
         head.append(firstLine).append("\r\n");
     }
 
     /** Adds a header field; a null value leaves it out. */
-    public HttpText field(String name, String value) {
+    public HttpMessageBuilder field(String name, String value) {
         if (value != null) {
             head.append(name).append(": ").append(value).append("\r\n");
         }
--- a/daemon/src/main/java/wheelroute/net/http/MessageReader.java
+++ b/daemon/src/main/java/wheelroute/net/http/HttpMessageReader.java
@@ -11,7 +11,7 @@
  * What HTTP requests and responses have in common: header fields, an end, and whether their
  * connection stays open.
  */
-public abstract class MessageReader implements HttpParser.HttpHandler {
+public abstract class HttpMessageReader implements HttpParser.HttpHandler {
     /** By their names in lower case; of several with one name the last. */
     protected final Map<String, String> fields = new HashMap<>();
 
--- a/daemon/src/main/java/wheelroute/net/http/ResponseParser.java
+++ b/daemon/src/main/java/wheelroute/net/http/ResponseParser.java
@@ -9,7 +9,7 @@
 import org.eclipse.jetty.http.HttpVersion;
 
 /** Parses the responses on one connection, in whatever pieces they come. */
-public final class ResponseParser extends MessageReader implements HttpParser.ResponseHandler {
+public final class ResponseParser extends HttpMessageReader implements HttpParser.ResponseHandler {
     /** Receives a response. Any method may reject it with an exception, which ends the parsing. */
     public interface Reader {
         /**
--- a/daemon/src/main/java/wheelroute/net/loop/DatagramSocket.java
+++ b/daemon/src/main/java/wheelroute/net/loop/DatagramSocket.java
@@ -55,7 +55,7 @@
         this.loop = loop;
         this.listener = listener;
         buffer = ByteBuffer.allocate(size);
-        channel = loop.datagrams(address, this, shared);
+        channel = loop.openDatagramChannel(address, this, shared);
     }
 
     /** The local address; with the port that was chosen if the configured one is 0. */
--- a/daemon/src/main/java/wheelroute/net/loop/EventLoop.java
+++ b/daemon/src/main/java/wheelroute/net/loop/EventLoop.java
@@ -76,13 +76,13 @@
     }
 
     private final Clock clock;
-    private final StandstillDetector standstill;
+    private final StallDetector standstill;
     private final LoopSelectorManager manager;
     private final ListeningSockets listeningSockets;
     private final TimerQueue timers;
     private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
     private final ByteBuffer readBuffer = BufferUtil.allocateDirect(READ_BUFFER_SIZE);
-    private final ByteBuffer lookBuffer = BufferUtil.allocate(PEEK_BUFFER_SIZE);
+    private final ByteBuffer peekBuffer = BufferUtil.allocate(PEEK_BUFFER_SIZE);
     private Thread thread;
 
     /** Null until the first pass. */
@@ -95,7 +95,7 @@
      */
     public EventLoop(Clock clock, double connectLimit) {
         this.clock = clock;
-        standstill = new StandstillDetector(clock);
+        standstill = new StallDetector(clock);
         timers = new TimerQueue(clock);
         manager = new LoopSelectorManager(this, standstill, connectLimit);
         listeningSockets = new ListeningSockets(this, manager);
@@ -190,9 +190,9 @@
      * An empty buffer apart from {@link #readBuffer}: one connection may be checked while another
      * one's bytes are read.
      */
-    public ByteBuffer lookBuffer() {
-        BufferUtil.clear(lookBuffer);
-        return lookBuffer;
+    public ByteBuffer peekBuffer() {
+        BufferUtil.clear(peekBuffer);
+        return peekBuffer;
     }
 
     // ---- sockets
@@ -234,8 +234,8 @@
     }
 
     /**
-     * Accepts connections for this handler until {@link #unlisten} is called. One loop may listen
-     * on many addresses, each with its own handler.
+     * Accepts connections for this handler until {@link #closeListener} is called. One loop may
+     * listen on many addresses, each with its own handler.
      *
      * @throws IOException if the address cannot be used
      */
@@ -266,12 +266,12 @@
     }
 
     /** Accepts no more connections there; those accepted stay, those that wait are reset. */
-    public void unlisten(ServerSocketChannel server) throws IOException {
+    public void closeListener(ServerSocketChannel server) throws IOException {
         listeningSockets.close(server);
     }
 
     /** The same without a connection lost: those that wait are accepted first. */
-    public void unlistenEmptied(ServerSocketChannel server) {
+    public void drainAndCloseListener(ServerSocketChannel server) {
         listeningSockets.drainAndClose(server);
     }
 
@@ -282,7 +282,7 @@
      *     part of what is sent there
      * @throws IOException if the address cannot be used
      */
-    public DatagramChannel datagrams(
+    public DatagramChannel openDatagramChannel(
             InetSocketAddress address, ChannelHandler handler, boolean shared) throws IOException {
         DatagramChannel channel = DatagramChannel.open(StandardProtocolFamily.INET);
         try {
--- a/daemon/src/main/java/wheelroute/net/loop/LoopSelectorManager.java
+++ b/daemon/src/main/java/wheelroute/net/loop/LoopSelectorManager.java
@@ -29,8 +29,8 @@
     /**
      * The selector waits no longer than this at a time, in seconds. What a peer sends while the
      * process stands still is found when it goes on, and a wait without a limit would not tell how
-     * long that took. With the threshold of {@link StandstillDetector} it is less than what is kept
-     * back of a client's timeout for the network.
+     * long that took. With the threshold of {@link StallDetector} it is less than what is kept back
+     * of a client's timeout for the network.
      */
     private static final double MAX_WAIT = 0.05;
 
@@ -43,7 +43,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(LoopSelectorManager.class);
 
     private final EventLoop loop;
-    private final StandstillDetector standstill;
+    private final StallDetector standstill;
     private final AcceptLimiter acceptLimiter = new AcceptLimiter();
 
     /**
@@ -51,8 +51,7 @@
      *
      * @param connectTimeoutSeconds in seconds
      */
-    LoopSelectorManager(
-            EventLoop loop, StandstillDetector standstill, double connectTimeoutSeconds) {
+    LoopSelectorManager(EventLoop loop, StallDetector standstill, double connectTimeoutSeconds) {
         super(loop::execute, new LoopScheduler(loop), 1);
         this.loop = loop;
         this.standstill = standstill;
--- a/daemon/src/main/java/wheelroute/net/loop/StandstillDetector.java
+++ b/daemon/src/main/java/wheelroute/net/loop/StallDetector.java
@@ -7,7 +7,7 @@
  * reason, all that lies unread may have arrived when it stopped: its age counts against timeouts.
  * Only for the event loop's thread.
  */
-final class StandstillDetector {
+final class StallDetector {
     /**
      * A pass is late by more than this, in seconds. A busy machine causes delays of some
      * milliseconds, which do no harm.
@@ -36,7 +36,7 @@
      */
     private final double[] unseenSince = new double[PASSES_TO_READ];
 
-    StandstillDetector(Clock clock) {
+    StallDetector(Clock clock) {
         this.clock = clock;
         lastPassAt = clock.now();
         Arrays.fill(unseenSince, Double.POSITIVE_INFINITY);
--- a/daemon/src/main/java/wheelroute/net/lifecycle/DrainAdmission.java
+++ b/daemon/src/main/java/wheelroute/net/requests/DrainAdmission.java
@@ -1,4 +1,4 @@
-package wheelroute.net.lifecycle;
+package wheelroute.net.requests;
 
 import java.util.function.BooleanSupplier;
 import wheelroute.decision.Idempotency;
--- a/daemon/src/main/java/wheelroute/net/requests/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/requests/Exchange.java
@@ -98,18 +98,18 @@
 
         @Override
         public void onStarted() {
-            dispatcher.turn(() -> handle.onStarted(number));
+            dispatcher.runEvent(() -> handle.onStarted(number));
         }
 
         @Override
         public void onProgress(double share) {
-            dispatcher.turn(() -> handle.onProgress(number, share));
+            dispatcher.runEvent(() -> handle.onProgress(number, share));
         }
 
         @Override
         public void onEnded(AttemptResult result, byte[] body, double freeSlots) {
             dispatcher.counters().count(result);
-            dispatcher.turn(
+            dispatcher.runEvent(
                     () -> {
                         if (result == AttemptResult.SUCCEEDED && !answered) {
                             answer(Counters.FinalAnswer.SUCCEEDED, ClientResponse.succeeded(body));
@@ -166,7 +166,7 @@
         answered = true;
         dispatcher.noLongerPending();
         // Another request's event may have answered this one, which then has no event of its own.
-        dispatcher.turn(this::removeIfComplete);
+        dispatcher.runEvent(this::removeIfComplete);
         for (Attempt attempt : attempts) {
             if (attempt.inFlight != null && !attempt.inFlight.isWritten()) {
                 attempt.giveUp(AttemptResult.CANCELLED);
@@ -176,7 +176,7 @@
 
     @Override
     public void onClientGone() {
-        dispatcher.turn(
+        dispatcher.runEvent(
                 () -> {
                     if (!answered) {
                         markAnswered();
@@ -191,14 +191,14 @@
         for (Attempt attempt : new ArrayList<>(attempts)) {
             attempt.giveUp(AttemptResult.TIMED_OUT);
         }
-        dispatcher.turn(
+        dispatcher.runEvent(
                 () -> {
                     if (!answered) {
                         handle.onDeadline();
                     }
                 });
         // An event of its own: a failure in the policy must not take the response with it.
-        dispatcher.turn(
+        dispatcher.runEvent(
                 () -> {
                     if (!answered) {
                         // Only such a failure leaves it open here; whether it ran is not known.
--- a/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
@@ -18,8 +18,6 @@
 import wheelroute.net.discovery.EndpointList;
 import wheelroute.net.discovery.EndpointWatch;
 import wheelroute.net.handover.Handover;
-import wheelroute.net.lifecycle.DrainAdmission;
-import wheelroute.net.lifecycle.StateTransfer;
 import wheelroute.net.loop.EventLoop;
 import wheelroute.net.metrics.Counters;
 import wheelroute.net.metrics.Gauges;
@@ -50,7 +48,7 @@
     private final Map<String, Settings.RequestClass> requestClasses = new HashMap<>();
     private final Map<String, Ids.Tenant> tenants = new HashMap<>();
     private final Policy policy;
-    private final TurnQueue turns;
+    private final SerialEventQueue turns;
     private final OpenRequests open = new OpenRequests();
     private final EndpointDirectory endpoints;
     private final DrainAdmission admission;
@@ -86,7 +84,7 @@
         policy.advanceTo(loop.now());
         // What a process is started with counts as known no sooner than if it were confirmed now.
         policy.onEndpointsConfirmed();
-        turns = new TurnQueue(() -> policy.advanceTo(loop.now()));
+        turns = new SerialEventQueue(() -> policy.advanceTo(loop.now()));
         endpoints = new EndpointDirectory(workers, new StartTimes(loop));
         admission = new DrainAdmission(loop, settings, open::hasSuccessor);
         stateTransfer =
@@ -120,7 +118,7 @@
     // ---- for the exchanges
 
     /** Runs an event for the policy: at once, or after the one that is being decided on. */
-    public void turn(Runnable event) {
+    public void runEvent(Runnable event) {
         turns.run(event);
     }
 
@@ -159,7 +157,7 @@
         open.add(request.id(), message.id(), exchange);
         counters.count(Counters.Counter.REQUESTS_ACCEPTED);
         pending++;
-        turn(() -> exchange.begin(policy));
+        runEvent(() -> exchange.begin(policy));
         return exchange;
     }
 
@@ -242,18 +240,18 @@
     @Override
     public void onEndpoints(EndpointList list) {
         EndpointDirectory.Update update = endpoints.apply(list);
-        turn(() -> policy.onEndpoints(update.endpoints(), list.complete()));
+        runEvent(() -> policy.onEndpoints(update.endpoints(), list.complete()));
         endpoints.settle(update);
     }
 
     @Override
     public void onConfirmed() {
-        turn(policy::onEndpointsConfirmed);
+        runEvent(policy::onEndpointsConfirmed);
     }
 
     @Override
     public void onOverloaded() {
-        turn(policy::onDiscoveryOverloaded);
+        runEvent(policy::onDiscoveryOverloaded);
     }
 
     /** Whether another process accepts clients in this one's place. */
@@ -268,7 +266,7 @@
 
     /** Divides this dispatcher's budgets among its processes. */
     public void setProcessCount(int processes) {
-        turn(() -> policy.setProcessCount(processes));
+        runEvent(() -> policy.setProcessCount(processes));
     }
 
     // ---- from the policy
@@ -298,7 +296,7 @@
 
     @Override
     public void scheduleWakeup(double delay) {
-        loop.schedule(delay, () -> turn(policy::onWakeup));
+        loop.schedule(delay, () -> runEvent(policy::onWakeup));
     }
 
     @Override
--- a/daemon/src/main/java/wheelroute/net/requests/TurnQueue.java
+++ b/daemon/src/main/java/wheelroute/net/requests/SerialEventQueue.java
@@ -8,8 +8,8 @@
  * Runs events one at a time: the policy is not reentrant, and what it asks for may cause the next
  * event at once. Only for the event loop's thread.
  */
-public final class TurnQueue {
-    private static final Logger LOG = LoggerFactory.getLogger(TurnQueue.class);
+public final class SerialEventQueue {
+    private static final Logger LOG = LoggerFactory.getLogger(SerialEventQueue.class);
 
     private final Runnable beforeEachEvent;
     private final ArrayDeque<Runnable> events = new ArrayDeque<>();
@@ -20,7 +20,7 @@
      *
      * @param beforeEachEvent run before each event; unlike an event's, its failures propagate
      */
-    TurnQueue(Runnable beforeEachEvent) {
+    SerialEventQueue(Runnable beforeEachEvent) {
         this.beforeEachEvent = beforeEachEvent;
     }
 
--- a/daemon/src/main/java/wheelroute/net/lifecycle/StateTransfer.java
+++ b/daemon/src/main/java/wheelroute/net/requests/StateTransfer.java
@@ -1,4 +1,4 @@
-package wheelroute.net.lifecycle;
+package wheelroute.net.requests;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -12,14 +12,12 @@
 import wheelroute.net.handover.Handover;
 import wheelroute.net.handover.LearnedStateCodec;
 import wheelroute.net.loop.EventLoop;
-import wheelroute.net.requests.EndpointDirectory;
-import wheelroute.net.requests.TurnQueue;
 
 /** Exports the dispatcher's state to a successor process, and imports a predecessor's. */
 public final class StateTransfer implements Handover.TransferableState {
     private final EventLoop loop;
     private final Policy policy;
-    private final TurnQueue turns;
+    private final SerialEventQueue turns;
     private final EndpointDirectory endpoints;
     private final Set<String> openRequestIds;
     private final Consumer<EndpointList> listImporter;
@@ -33,7 +31,7 @@
     public StateTransfer(
             EventLoop loop,
             Policy policy,
-            TurnQueue turns,
+            SerialEventQueue turns,
             EndpointDirectory endpoints,
             Set<String> openRequestIds,
             Consumer<EndpointList> listImporter) {
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.util.Locale;
-import wheelroute.net.http.HttpText;
+import wheelroute.net.http.HttpMessageBuilder;
 
 /**
  * What is sent to a worker on behalf of a client.
@@ -28,7 +28,7 @@
      * @param timeout how long the response is waited for, in seconds
      */
     public ByteBuffer[] encode(String host, double timeout) {
-        return new HttpText(method + " " + target + " HTTP/1.1")
+        return new HttpMessageBuilder(method + " " + target + " HTTP/1.1")
                 .field("Host", host)
                 .field("X-Request-ID", id)
                 .field("Idempotency-Key", idempotencyKey)
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
@@ -87,7 +87,7 @@
      */
     boolean isUsable() {
         try {
-            return !busy && getEndPoint().isOpen() && getEndPoint().fill(loop.lookBuffer()) == 0;
+            return !busy && getEndPoint().isOpen() && getEndPoint().fill(loop.peekBuffer()) == 0;
         } catch (IOException e) {
             return false;
         }
--- a/daemon/src/test/java/wheelroute/net/LeaversTest.java
+++ b/daemon/src/test/java/wheelroute/net/LeaversTest.java
@@ -24,7 +24,7 @@
 import wheelroute.config.Config;
 import wheelroute.decision.Idempotency;
 import wheelroute.net.lifecycle.Service;
-import wheelroute.net.loop.HeldEventLoop;
+import wheelroute.net.loop.ControlledEventLoop;
 import wheelroute.net.metrics.Counters;
 
 /**
@@ -185,7 +185,7 @@
                             maxTimeoutSeconds,
                             false,
                             null);
-            loop = new HeldEventLoop(clock, 0.5);
+            loop = new ControlledEventLoop(clock, 0.5);
             service = new Service(config, loop);
             service.start();
             while (!hasSocket(handoverDirectory)) {
--- a/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
+++ b/daemon/src/test/java/wheelroute/net/NarrowMomentsTest.java
@@ -693,7 +693,7 @@
                                     },
                                     false);
                     // There is no policy: its call fails as one would that throws.
-                    dispatcher.turn(() -> exchange.begin(null));
+                    dispatcher.runEvent(() -> exchange.begin(null));
                     exchange.onDeadline();
                 });
         assertEquals(status.get().intValue(), 502);
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -39,8 +39,8 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.Settings;
 import wheelroute.net.lifecycle.Service;
-import wheelroute.net.loop.HeldEventLoop;
-import wheelroute.net.loop.StepClock;
+import wheelroute.net.loop.ControlledEventLoop;
+import wheelroute.net.loop.ManualClock;
 import wheelroute.net.workers.AttemptResult;
 
 /** A dispatcher on loopback sockets, with stubs of clients, workers and discovery. */
@@ -97,8 +97,8 @@
     protected boolean inTurn;
     protected boolean mayHedge;
     protected boolean listIsPushed;
-    protected StepClock clock = new StepClock();
-    protected HeldEventLoop loop;
+    protected ManualClock clock = new ManualClock();
+    protected ControlledEventLoop loop;
     protected Path handoverDirectory;
     protected Config config;
     protected Service service;
@@ -267,7 +267,7 @@
                         maxTimeoutSeconds,
                         listIsPushed,
                         null);
-        loop = new HeldEventLoop(clock, 0.5);
+        loop = new ControlledEventLoop(clock, 0.5);
         service = new Service(config, loop);
         service.start();
         port = service.port();
@@ -403,7 +403,7 @@
             stub.defaultResponse = () -> SILENCE;
         }
         service = null;
-        clock = new StepClock();
+        clock = new ManualClock();
         listIsPushed = false;
         maxTimeoutSeconds = 2;
         hasAdminServer = false;
--- a/daemon/src/test/java/wheelroute/net/loop/HeldEventLoop.java
+++ b/daemon/src/test/java/wheelroute/net/loop/ControlledEventLoop.java
@@ -27,7 +27,7 @@
  * An event loop with which a test determines the order of events: connects and reads wait until the
  * test releases them.
  */
-public final class HeldEventLoop extends EventLoop {
+public final class ControlledEventLoop extends EventLoop {
     /** The addresses whose connects are held, in their order. */
     public final BlockingQueue<SocketAddress> connecting = new LinkedBlockingQueue<>();
 
@@ -42,9 +42,9 @@
     private final Queue<Optional<IOException>> accepts = new ConcurrentLinkedQueue<>();
 
     private final Queue<Optional<IOException>> beginnings = new ConcurrentLinkedQueue<>();
-    private final StepClock clock;
+    private final ManualClock clock;
 
-    public HeldEventLoop(StepClock clock, double connectLimit) {
+    public ControlledEventLoop(ManualClock clock, double connectLimit) {
         super(clock, connectLimit);
         this.clock = clock;
     }
--- a/daemon/src/test/java/wheelroute/net/loop/StepClock.java
+++ b/daemon/src/test/java/wheelroute/net/loop/ManualClock.java
@@ -1,7 +1,7 @@
 package wheelroute.net.loop;
 
 /** A clock that a test may stop, and then move in steps. */
-public final class StepClock extends Clock {
+public final class ManualClock extends Clock {
     private volatile double offset;
     private volatile double stoppedAt = Double.NaN;
     private volatile double wallStep;
--- a/daemon/src/test/java/wheelroute/net/requests/EndpointDirectoryTest.java
+++ b/daemon/src/test/java/wheelroute/net/requests/EndpointDirectoryTest.java
@@ -10,8 +10,8 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Endpoint;
 import wheelroute.net.discovery.EndpointList;
-import wheelroute.net.loop.HeldEventLoop;
-import wheelroute.net.loop.StepClock;
+import wheelroute.net.loop.ControlledEventLoop;
+import wheelroute.net.loop.ManualClock;
 import wheelroute.net.metrics.Counters;
 import wheelroute.net.workers.WorkerConnectionPools;
 
@@ -19,15 +19,15 @@
 public class EndpointDirectoryTest {
     private static final double IDLE_SECONDS = 10;
 
-    private StepClock clock;
+    private ManualClock clock;
     private EndpointDirectory directory;
     private long version;
 
     @BeforeMethod
     public void begin() {
-        clock = new StepClock();
+        clock = new ManualClock();
         clock.stop();
-        HeldEventLoop loop = new HeldEventLoop(clock, 1);
+        ControlledEventLoop loop = new ControlledEventLoop(clock, 1);
         Counters counters = new Counters(List.of());
         directory =
                 new EndpointDirectory(
--- a/daemon/src/test/java/wheelroute/net/requests/StartTimesTest.java
+++ b/daemon/src/test/java/wheelroute/net/requests/StartTimesTest.java
@@ -5,8 +5,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
-import wheelroute.net.loop.HeldEventLoop;
-import wheelroute.net.loop.StepClock;
+import wheelroute.net.loop.ControlledEventLoop;
+import wheelroute.net.loop.ManualClock;
 
 /**
  * Seen: after the wall clocks of all machines were stepped an hour back, new workers got 56
@@ -19,13 +19,13 @@
     /** Machines' clocks may differ by this much. */
     private static final double SKEW = 1;
 
-    private StepClock clock;
-    private HeldEventLoop loop;
+    private ManualClock clock;
+    private ControlledEventLoop loop;
 
     @BeforeMethod
     public void begin() {
-        clock = new StepClock();
-        loop = new HeldEventLoop(clock, 1);
+        clock = new ManualClock();
+        loop = new ControlledEventLoop(clock, 1);
     }
 
     @DataProvider
--- a/kit/src/main/java/wheelroute/kit/faults/Relay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/Relay.java
@@ -125,7 +125,7 @@
     private void unlisten() {
         try {
             if (server != null) {
-                loop.unlisten(server);
+                loop.closeListener(server);
                 server = null;
             }
         } catch (IOException e) {
--- a/kit/src/main/java/wheelroute/kit/process/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientPool.java
@@ -16,7 +16,7 @@
 import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.model.FinalResponse;
 import wheelroute.kit.model.ResponseListener;
-import wheelroute.net.http.HttpText;
+import wheelroute.net.http.HttpMessageBuilder;
 import wheelroute.net.http.ResponseParser;
 import wheelroute.net.loop.EventLoop;
 import wheelroute.net.loop.StreamConnection;
@@ -123,8 +123,11 @@
     }
 
     private byte[] message(ClientAttempt clientAttempt, double timeout) {
-        HttpText text =
-                new HttpText("POST /" + clientAttempt.request().requestClass().name() + " HTTP/1.1")
+        HttpMessageBuilder text =
+                new HttpMessageBuilder(
+                                "POST /"
+                                        + clientAttempt.request().requestClass().name()
+                                        + " HTTP/1.1")
                         .field("Host", address.getAddress().getHostAddress())
                         .field("X-Request-ID", JobCodec.encodeId(clientAttempt))
                         .field("X-Timeout", String.format(Locale.ROOT, "%.3f", timeout));
--- a/kit/src/main/java/wheelroute/kit/process/RelayCost.java
+++ b/kit/src/main/java/wheelroute/kit/process/RelayCost.java
@@ -69,7 +69,7 @@
 
     private void end(double direct, double relayed) {
         try {
-            loop.unlisten(server);
+            loop.closeListener(server);
             relay.close();
         } catch (IOException e) {
             // Two ports stay open for as long as the run.
--- a/kit/src/main/java/wheelroute/kit/process/StubWorker.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubWorker.java
@@ -85,7 +85,7 @@
     public void closed(WorkerModel worker) {
         try {
             if (server != null) {
-                loop.unlisten(server);
+                loop.closeListener(server);
                 server = null;
             }
         } catch (IOException e) {
--- a/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
@@ -152,7 +152,7 @@
     /** Its process ends: all calls break, and new ones are refused until it is back. */
     void restart(double away) throws IOException {
         for (ServerSocketChannel server : servers) {
-            loop.unlisten(server);
+            loop.closeListener(server);
         }
         new ArrayList<>(lines).forEach(DispatcherConnection::cut);
         loop.schedule(
