--- a/daemon/src/main/java/wheelroute/net/requests/EndpointDirectory.java
+++ b/daemon/src/main/java/wheelroute/net/requests/EndpointDirectory.java
@@ -11,10 +11,11 @@
 import wheelroute.net.workers.WorkerConnectionPools;
 
 /**
- * The workers on the endpoint list: maps discovery's names to the ids that the policy uses, and
- * keeps the connection pools in step with the list. Only for the event loop's thread.
+ * The workers on the endpoint list. Maps discovery's names to the ids that the policy uses, and
+ * opens and closes the workers' connection pools as the list changes. Only for the event loop's
+ * thread.
  */
-public final class EndpointDirectory {
+final class EndpointDirectory {
     private final WorkerConnectionPools pools;
     private final StartTimes startTimes;
     private final Map<String, Member> members = new HashMap<>();
@@ -24,16 +25,16 @@
     /**
      * A worker on the list, with its latest entry.
      *
-     * @param startedAt on this process's own time line
+     * @param startedAt on the event loop's clock, in seconds; NaN if unknown
      */
     private record Member(Ids.Worker worker, EndpointList.Entry entry, double startedAt) {}
 
     /**
-     * What a list or its changes mean.
+     * The effect of a list, or of changes to it.
      *
-     * @param endpoints the entries as the policy knows them, in the list's order
-     * @param draining workers that drain
-     * @param removed workers that have left the list, by name
+     * @param endpoints the entries in the policy's terms, in the list's order
+     * @param draining the workers that are draining
+     * @param removed the workers that are no longer on the list, by name
      */
     record Update(
             List<Endpoint> endpoints, List<Ids.Worker> draining, Map<String, Ids.Worker> removed) {}
@@ -43,10 +44,14 @@
         this.startTimes = startTimes;
     }
 
-    /** Takes over a list. Once the policy knows the update, {@link #settle} has to follow. */
+    /**
+     * Applies a list or its changes. Once the policy has been given the update's endpoints, the
+     * caller must pass the update to {@link #releaseObsolete}.
+     */
     Update apply(EndpointList list) {
         Update update = new Update(new ArrayList<>(), new ArrayList<>(), new HashMap<>());
         if (list.complete()) {
+            // Those that the list contains are taken out again below.
             members.forEach((name, member) -> update.removed.put(name, member.worker));
         }
         version = list.version();
@@ -60,7 +65,7 @@
     private void apply(EndpointList.Entry entry, Update update) {
         Member known = members.get(entry.id());
         Ids.Worker worker = known != null ? known.worker : new Ids.Worker(++lastWorkerId);
-        double startedAt = startOf(entry, known);
+        double startedAt = startedAt(entry, known);
         members.put(entry.id(), new Member(worker, entry, startedAt));
         if (entry.state() == Endpoint.State.REMOVED) {
             update.removed.put(entry.id(), worker);
@@ -75,12 +80,13 @@
     }
 
     /**
-     * A start that was listed before stays where it was, whatever the wall clock has done since.
+     * Returns the worker's start on the event loop's clock. A start time that has been converted
+     * before is not converted again: the wall clock may have been stepped since.
      */
-    private double startOf(EndpointList.Entry entry, Member known) {
+    private double startedAt(EndpointList.Entry entry, Member known) {
         boolean sameStart =
                 known != null && Double.compare(known.entry.startedAt(), entry.startedAt()) == 0;
-        return sameStart ? known.startedAt : startTimes.toTimeLine(entry.startedAt());
+        return sameStart ? known.startedAt : startTimes.toLoopTime(entry.startedAt());
     }
 
     private static Endpoint endpoint(
@@ -95,13 +101,14 @@
                 entry.state());
     }
 
-    /** Releases the connections and names that an update has made obsolete. */
-    void settle(Update update) {
+    /** Releases the connections and names of workers that an update has made obsolete. */
+    void releaseObsolete(Update update) {
         pools.settle(update.draining);
         update.removed.forEach(
                 (name, worker) -> {
                     pools.gone(worker);
-                    // Releases bring new names without end; a name that returns is a new worker.
+                    // Each release of the workers brings new names, so old ones are not kept. A
+                    // name that is listed again later is treated as a new worker.
                     members.remove(name);
                 });
     }
@@ -110,13 +117,13 @@
         return members.size();
     }
 
-    /** The version of the last list, or {@link EndpointWatch#NO_VERSION}. */
-    public long version() {
+    /** Returns the version of the last list, or {@link EndpointWatch#NO_VERSION}. */
+    long version() {
         return version;
     }
 
-    /** All workers as last listed; null before the first list. */
-    public EndpointList snapshot() {
+    /** Returns all workers as last listed, or null before the first list. */
+    EndpointList snapshot() {
         if (version == EndpointWatch.NO_VERSION) {
             return null;
         }
@@ -124,14 +131,14 @@
                 version, true, members.values().stream().map(Member::entry).toList());
     }
 
-    /** The worker of this name; null when it is not listed. */
-    public Ids.Worker worker(String name) {
+    /** Returns the worker of this name, or null if it is not listed. */
+    Ids.Worker worker(String name) {
         Member member = members.get(name);
         return member == null ? null : member.worker;
     }
 
-    /** Discovery's names by worker, at this moment. */
-    public Map<Ids.Worker, String> names() {
+    /** Returns a copy of discovery's names by worker. */
+    Map<Ids.Worker, String> names() {
         Map<Ids.Worker, String> names = new HashMap<>();
         members.forEach((name, member) -> names.put(member.worker, name));
         return names;
--- a/daemon/src/main/java/wheelroute/net/requests/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/requests/Exchange.java
@@ -18,32 +18,33 @@
 import wheelroute.net.workers.InFlightAttempt;
 
 /**
- * One accepted request: its handle in the policy, its attempts and its single final response. The
- * client's and the workers' side meet here. Only for the event loop's thread.
+ * One accepted request: its handle in the policy, its attempts and its single final response. It
+ * receives the events of the client's connection and of the attempts. Only for the event loop's
+ * thread.
  */
 public final class Exchange implements RequestAcceptor.AcceptedRequest {
-    private static final int USUAL_ATTEMPTS = 2;
+    private static final int TYPICAL_ATTEMPTS = 2;
 
     private final RequestDispatcher dispatcher;
     private final Request request;
     private final AttemptRequest message;
     private final RequestAcceptor.ResponseSender client;
-    private final List<Attempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+    private final List<Attempt> attempts = new ArrayList<>(TYPICAL_ATTEMPTS);
     private final EventLoop.Timer deadlineTimer;
 
     /** Null until the policy has accepted the request. */
     private RequestHandle handle;
 
-    /** The policy is accepting it: that its client is connected was checked a moment ago. */
+    /** Whether the policy is accepting it; the client's connection has only just been checked. */
     private boolean beingAccepted;
 
-    /** The client has its response, or has gone. */
+    /** Whether the client has been sent its response, or has closed its connection. */
     private boolean answered;
 
     /**
-     * Starts the deadline's timer; {@link #begin} has to follow.
+     * Creates an exchange and starts its deadline timer; {@link #begin} must follow.
      *
-     * @param atMostOnce whether a second run on a worker might do harm
+     * @param atMostOnce whether a second run on a worker could have a second effect
      */
     public Exchange(
             RequestDispatcher dispatcher,
@@ -67,25 +68,26 @@
         deadlineTimer = loop.schedule(request.deadline() - loop.now(), this::onDeadline);
     }
 
-    /** Hands the request to the policy, as an event of its own. */
+    /** Passes the request to the policy; must run as an event of its own. */
     public void begin(Policy policy) {
         beingAccepted = true;
         handle = policy.accept(request);
         beingAccepted = false;
     }
 
-    /** One attempt, from its number to its end. */
+    /** One attempt of this request; passes its events on to the policy. */
     private final class Attempt implements AttemptListener {
         private final int number;
 
-        /** Null until it is sent. */
+        /** Null until it is sent; stays null if it ends unsent. */
         private InFlightAttempt inFlight;
 
         Attempt(int number) {
             this.number = number;
         }
 
-        void giveUp(AttemptResult result) {
+        /** Ends the attempt, if it has been sent and has not ended. */
+        void end(AttemptResult result) {
             if (inFlight != null) {
                 inFlight.giveUp(result);
             }
@@ -121,11 +123,11 @@
         }
     }
 
-    /** Sends the next attempt to this worker. */
+    /** Sends the next attempt to this worker, unless the drain has ended or the client has left. */
     void startAttempt(Ids.Worker worker) {
         Attempt attempt = new Attempt(attempts.size());
         attempts.add(attempt);
-        if (dispatcher.hasEnded() || (!beingAccepted && hasClientLeft())) {
+        if (dispatcher.hasDrainEnded() || (!beingAccepted && hasClientLeft())) {
             attempt.onEnded(AttemptResult.NOT_SENT, AttemptListener.NO_RESULT, Double.NaN);
         } else {
             dispatcher.counters().count(Counters.Counter.ATTEMPTS);
@@ -135,9 +137,9 @@
     }
 
     /**
-     * Checks for a client that has left, so that no attempt runs for nobody: while the request
-     * waited for another attempt's end or for a connection, the client's end of stream may have
-     * stayed unread.
+     * Whether the client has closed its connection, so that no attempt is sent in vain. While the
+     * request waited for another attempt or for a connection, the client's end of stream may have
+     * remained unread.
      */
     private boolean hasClientLeft() {
         boolean left = client.hasClientLeft();
@@ -149,10 +151,10 @@
 
     /** Cancels the attempt of this number, if it has not ended. */
     void cancelAttempt(int number) {
-        attempts.get(number).giveUp(AttemptResult.CANCELLED);
+        attempts.get(number).end(AttemptResult.CANCELLED);
     }
 
-    /** Sends the final response, unless there has been one or the client has gone. */
+    /** Sends the final response, unless one has been sent or the client has left. */
     void answer(Counters.FinalAnswer kind, ClientResponse response) {
         if (!answered) {
             markAnswered();
@@ -161,15 +163,16 @@
         }
     }
 
-    /** From here on nothing more may be sent: attempts that are not written yet are ended. */
+    /** Records that no response is due any more, and ends the attempts not yet written. */
     private void markAnswered() {
         answered = true;
-        dispatcher.noLongerPending();
-        // Another request's event may have answered this one, which then has no event of its own.
+        dispatcher.onNoLongerPending();
+        // In an event of its own: the current event may be that of another request, after which
+        // nothing else would remove this one.
         dispatcher.runEvent(this::removeIfComplete);
         for (Attempt attempt : attempts) {
             if (attempt.inFlight != null && !attempt.inFlight.isWritten()) {
-                attempt.giveUp(AttemptResult.CANCELLED);
+                attempt.end(AttemptResult.CANCELLED);
             }
         }
     }
@@ -189,7 +192,7 @@
     /** Ends the attempts in flight; the policy then decides on the client's response. */
     public void onDeadline() {
         for (Attempt attempt : new ArrayList<>(attempts)) {
-            attempt.giveUp(AttemptResult.TIMED_OUT);
+            attempt.end(AttemptResult.TIMED_OUT);
         }
         dispatcher.runEvent(
                 () -> {
@@ -197,11 +200,11 @@
                         handle.onDeadline();
                     }
                 });
-        // An event of its own: a failure in the policy must not take the response with it.
+        // In an event of its own, so that it runs even if the policy throws in the one above.
         dispatcher.runEvent(
                 () -> {
                     if (!answered) {
-                        // Only such a failure leaves it open here; whether it ran is not known.
+                        // The policy has thrown; whether an attempt had an effect is unknown.
                         answer(Counters.FinalAnswer.FAILED, ClientResponse.failed());
                     }
                     dispatcher.remove(request.id(), message.id());
--- a/daemon/src/main/java/wheelroute/net/requests/OpenRequests.java
+++ b/daemon/src/main/java/wheelroute/net/requests/OpenRequests.java
@@ -11,24 +11,25 @@
 import wheelroute.net.handover.Handover;
 
 /**
- * The requests that are open here: accepted, with a response or an attempt still outstanding. Keeps
- * the other processes of this dispatcher informed. Only for the event loop's thread.
+ * The open requests of this process: accepted, with a response or an attempt still outstanding.
+ * Notifies the dispatcher's other processes of each one that is added or removed. Only for the
+ * event loop's thread.
  */
 final class OpenRequests {
     private final Map<Ids.Request, Exchange> exchanges = new HashMap<>();
 
-    /** The ids that the clients gave them. */
+    /** The ids that the clients gave to the open requests. */
     private final Set<String> clientIds = new HashSet<>();
 
-    /** Null where no other process can take over. */
+    /** Null if no other process can take over from this one. */
     private Handover handover;
 
-    /** Tells other processes from now on. */
+    /** Sets the handover, whose processes are notified from now on. */
     void setHandover(Handover newHandover) {
         handover = newHandover;
     }
 
-    /** Whether another process accepts clients in this one's place. */
+    /** Whether a successor process accepts clients in place of this one. */
     boolean hasSuccessor() {
         return handover != null && handover.hasSuccessor();
     }
@@ -37,27 +38,27 @@
         exchanges.put(id, exchange);
         clientIds.add(clientId);
         if (handover != null) {
-            handover.opened(clientId);
+            handover.onRequestOpened(clientId);
         }
     }
 
-    /** Does nothing when it has been removed already. */
+    /** Removes a request; does nothing if it has already been removed. */
     void remove(Ids.Request id, String clientId) {
         if (exchanges.remove(id) != null) {
             clientIds.remove(clientId);
             if (handover != null) {
-                handover.over(clientId);
+                handover.onRequestClosed(clientId);
             }
         }
     }
 
-    /** Whether a request of this client's id is open here or in another process. */
+    /** Whether a request with this client-given id is open, here or in another process. */
     boolean contains(String clientId) {
         return clientIds.contains(clientId)
                 || (handover != null && handover.isOpenElsewhere(clientId));
     }
 
-    /** Null when it is not open. */
+    /** Returns the exchange of a request, or null if it is not open. */
     Exchange get(Ids.Request id) {
         return exchanges.get(id);
     }
@@ -66,12 +67,12 @@
         return exchanges.size();
     }
 
-    /** A copy: ending one changes the original. */
+    /** Returns a copy of all exchanges, which may be removed while the caller iterates. */
     List<Exchange> all() {
         return new ArrayList<>(exchanges.values());
     }
 
-    /** A live, read-only view. */
+    /** Returns a live, read-only view of the ids that the clients gave. */
     Set<String> clientIds() {
         return Collections.unmodifiableSet(clientIds);
     }
--- a/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
@@ -1,7 +1,5 @@
 package wheelroute.net.requests;
 
-import java.util.HashMap;
-import java.util.Map;
 import org.eclipse.jetty.http.HttpStatus;
 import wheelroute.decision.ActionHandler;
 import wheelroute.decision.DispatcherShares;
@@ -18,40 +16,27 @@
 import wheelroute.net.discovery.EndpointList;
 import wheelroute.net.discovery.EndpointWatch;
 import wheelroute.net.handover.Handover;
+import wheelroute.net.handover.TransferableState;
 import wheelroute.net.loop.EventLoop;
 import wheelroute.net.metrics.Counters;
 import wheelroute.net.metrics.Gauges;
 import wheelroute.net.workers.WorkerConnectionPools;
 
 /**
- * Connects the policy with the sockets: turns what happens there into events for the policy, and
+ * Connects the policy with the sockets: turns what happens on them into events for the policy, and
  * carries out the actions that it decides on. Only for the event loop's thread.
  */
 public final class RequestDispatcher
         implements ActionHandler, RequestAcceptor, EndpointWatch.Listener {
-    /**
-     * Seconds kept back of a client's timeout, so that the response reaches it in time: on a busy
-     * core the message may have lain unread for tens of milliseconds.
-     */
-    private static final double RESPONSE_MARGIN = 0.08;
-
-    /** The margin is at most this fraction of the timeout. */
-    private static final double MAX_RESPONSE_MARGIN_FRACTION = 0.1;
-
-    /** Tenants without a quota share one: clients must not fill memory with names. */
-    private static final Ids.Tenant OTHER_TENANTS = new Ids.Tenant("");
-
     private final EventLoop loop;
     private final Counters counters;
     private final WorkerConnectionPools workers;
-    private final double maxTimeoutSeconds;
-    private final Map<String, Settings.RequestClass> requestClasses = new HashMap<>();
-    private final Map<String, Ids.Tenant> tenants = new HashMap<>();
+    private final RequestFactory requests;
     private final Policy policy;
-    private final SerialEventQueue turns;
+    private final SerialEventQueue events;
     private final OpenRequests open = new OpenRequests();
     private final EndpointDirectory endpoints;
-    private final DrainAdmission admission;
+    private final DrainAdmission drainAdmission;
     private final StateTransfer stateTransfer;
     private EndpointWatch watch;
     private ClientServer clients;
@@ -59,12 +44,10 @@
     /** Requests accepted, and neither answered nor abandoned by their clients. */
     private int pending;
 
-    private long lastRequestId;
-
     /**
-     * Makes the policy, too.
+     * Creates a dispatcher together with its policy.
      *
-     * @param maxTimeoutSeconds the longest timeout, in seconds, that a client is granted
+     * @param maxTimeoutSeconds the longest timeout that a client is granted
      */
     public RequestDispatcher(
             EventLoop loop,
@@ -75,24 +58,20 @@
         this.loop = loop;
         this.counters = counters;
         this.workers = workers;
-        this.maxTimeoutSeconds = maxTimeoutSeconds;
-        for (Settings.RequestClass requestClass : settings.requestClasses()) {
-            requestClasses.put(requestClass.id().name(), requestClass);
-        }
-        settings.quotas().keySet().forEach(tenant -> tenants.put(tenant.name(), tenant));
+        requests = new RequestFactory(settings, maxTimeoutSeconds);
         policy = new Policy(settings, this);
         policy.advanceTo(loop.now());
-        // What a process is started with counts as known no sooner than if it were confirmed now.
+        // The endpoint list that a process starts with is treated as confirmed at the start.
         policy.onEndpointsConfirmed();
-        turns = new SerialEventQueue(() -> policy.advanceTo(loop.now()));
+        events = new SerialEventQueue(() -> policy.advanceTo(loop.now()));
         endpoints = new EndpointDirectory(workers, new StartTimes(loop));
-        admission = new DrainAdmission(loop, settings, open::hasSuccessor);
+        drainAdmission = new DrainAdmission(loop, settings, open::hasSuccessor);
         stateTransfer =
                 new StateTransfer(
-                        loop, policy, turns, endpoints, open.clientIds(), this::onEndpoints);
+                        loop, policy, events, endpoints, open.clientIds(), this::onEndpoints);
     }
 
-    /** Replaces the watch; the old one is stopped. */
+    /** Replaces the endpoint watch; the old one is stopped. */
     public void setWatch(EndpointWatch newWatch) {
         if (watch != null) {
             watch.stop();
@@ -105,21 +84,21 @@
         clients = newClients;
     }
 
-    /** Sets the handover to other processes of this dispatcher. */
+    /** Sets the handover to the dispatcher's other processes; null for none. */
     public void setHandover(Handover newHandover) {
         open.setHandover(newHandover);
     }
 
-    /** What a successor process is given, and a predecessor's goes to. */
-    public Handover.TransferableState transferableState() {
+    /** Returns the state that is exported to a successor, and imported from a predecessor. */
+    public TransferableState transferableState() {
         return stateTransfer;
     }
 
     // ---- for the exchanges
 
-    /** Runs an event for the policy: at once, or after the one that is being decided on. */
+    /** Runs an event for the policy: immediately, or after the event that is being processed. */
     public void runEvent(Runnable event) {
-        turns.run(event);
+        events.run(event);
     }
 
     Counters counters() {
@@ -130,28 +109,36 @@
         return workers;
     }
 
-    /** Forgets a request that has nothing outstanding. */
+    /** Removes a request that has nothing outstanding. */
     void remove(Ids.Request id, String clientId) {
         open.remove(id, clientId);
     }
 
-    void noLongerPending() {
+    /** Records that a pending request has been answered or abandoned. */
+    void onNoLongerPending() {
         pending--;
     }
 
     // ---- from the clients
 
+    /**
+     * Accepts a request if its message is valid and it can complete before a shutdown, see {@link
+     * DrainAdmission}. An accepted request may still be rejected by the policy, for its expected
+     * wait.
+     */
     @Override
     public AcceptedRequest accept(ClientRequest message, double arrivedAt, ResponseSender responses)
             throws BadRequestException {
-        Settings.RequestClass requestClass = validated(message);
-        double deadline = deadline(message, arrivedAt);
-        if (deadline <= loop.now() || admission.mustReject(message, requestClass.idempotency())) {
+        Settings.RequestClass requestClass = requests.requestClass(message);
+        rejectOpenId(message);
+        double deadline = requests.deadline(message, arrivedAt);
+        if (deadline <= loop.now()
+                || drainAdmission.mustReject(message, requestClass.idempotency())) {
             onRejected(message);
-            responses.send(ClientResponse.rejected(admission.retryAfter(0)));
+            responses.send(ClientResponse.rejected(drainAdmission.retryAfterSeconds(0)));
             return () -> {};
         }
-        Request request = request(message, requestClass, deadline);
+        Request request = requests.create(message, requestClass, deadline);
         boolean atMostOnce = requestClass.idempotency() != Idempotency.IDEMPOTENT;
         Exchange exchange = new Exchange(this, loop, request, message, responses, atMostOnce);
         open.add(request.id(), message.id(), exchange);
@@ -161,47 +148,18 @@
         return exchange;
     }
 
-    private Settings.RequestClass validated(ClientRequest message) throws BadRequestException {
-        Settings.RequestClass requestClass = requestClasses.get(message.requestClass());
-        if (requestClass == null) {
-            throw new BadRequestException(HttpStatus.NOT_FOUND_404, "no such offering");
-        }
-        if (requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
-                && message.idempotencyKey() == null) {
-            throw new BadRequestException(
-                    HttpStatus.BAD_REQUEST_400, "this offering needs an Idempotency-Key");
-        }
+    /** Rejects a message whose id is open: workers know requests by this id. */
+    private void rejectOpenId(ClientRequest message) throws BadRequestException {
         if (open.contains(message.id())) {
-            // Workers know requests by this id: a second one might be taken for the first.
             throw new BadRequestException(
                     HttpStatus.CONFLICT_409, "a submission with this id is open");
         }
-        return requestClass;
-    }
-
-    private double deadline(ClientRequest message, double arrivedAt) {
-        double margin = Math.min(RESPONSE_MARGIN, MAX_RESPONSE_MARGIN_FRACTION * message.timeout());
-        return arrivedAt + Math.min(message.timeout(), maxTimeoutSeconds) - margin;
-    }
-
-    private Request request(
-            ClientRequest message, Settings.RequestClass requestClass, double deadline) {
-        return new Request(
-                new Ids.Request(++lastRequestId),
-                requestClass.id(),
-                tenants.getOrDefault(message.tenant(), OTHER_TENANTS),
-                deadline,
-                message.estimatedWork(),
-                message.slots(),
-                message.memory(),
-                message.clientRetry(),
-                message.routeKey() == null ? null : new Ids.Key(message.routeKey()));
     }
 
     @Override
     public void onRejected(ClientRequest message) {
         counters.count(Counters.Counter.REQUESTS_NOT_ACCEPTED);
-        Settings.RequestClass requestClass = requestClasses.get(message.requestClass());
+        Settings.RequestClass requestClass = requests.findRequestClass(message);
         if (requestClass != null) {
             counters.count(requestClass.id(), Counters.FinalAnswer.REJECTED);
         }
@@ -209,12 +167,12 @@
 
     @Override
     public boolean isDraining() {
-        return admission.isDraining();
+        return drainAdmission.isDraining();
     }
 
     @Override
     public boolean closesAfterResponse() {
-        return admission.closesAfterResponse();
+        return drainAdmission.closesAfterResponse();
     }
 
     @Override
@@ -222,7 +180,7 @@
         return counters.text(gauges());
     }
 
-    /** Returns the gauges' present values. */
+    /** Returns the gauges' current values. */
     public Gauges gauges() {
         policy.advanceTo(loop.now());
         return new Gauges(
@@ -241,7 +199,7 @@
     public void onEndpoints(EndpointList list) {
         EndpointDirectory.Update update = endpoints.apply(list);
         runEvent(() -> policy.onEndpoints(update.endpoints(), list.complete()));
-        endpoints.settle(update);
+        endpoints.releaseObsolete(update);
     }
 
     @Override
@@ -254,12 +212,12 @@
         runEvent(policy::onDiscoveryOverloaded);
     }
 
-    /** Whether another process accepts clients in this one's place. */
+    /** Whether a successor process accepts clients in place of this one. */
     public boolean hasSuccessor() {
         return open.hasSuccessor();
     }
 
-    /** Divides the common budgets among the dispatchers. */
+    /** Sets the division of the common budgets among the dispatchers. */
     public void setShares(DispatcherShares shares) {
         policy.setShares(shares);
     }
@@ -281,7 +239,7 @@
         open.get(request)
                 .answer(
                         Counters.FinalAnswer.REJECTED,
-                        ClientResponse.rejected(admission.retryAfter(retryAfter)));
+                        ClientResponse.rejected(drainAdmission.retryAfterSeconds(retryAfter)));
     }
 
     @Override
@@ -301,34 +259,37 @@
 
     @Override
     public void watchEndpoints() {
-        // The first call comes while the policy is being made, before there is a watch.
+        // Posted, because the policy first calls this from its constructor, before setWatch().
         loop.post(() -> watch.start());
     }
 
     // ---- graceful shutdown
 
     /**
-     * Starts to drain.
+     * Starts draining.
      *
-     * @param end Unix time in seconds at which requests in flight are given up
+     * @param deadline on the event loop's clock, in seconds, until which open requests may run
      */
-    public void drain(double end) {
-        admission.begin(end);
+    public void startDraining(double deadline) {
+        drainAdmission.begin(deadline);
     }
 
-    /** Requests that are neither answered nor abandoned by their clients. */
-    public int unanswered() {
+    /** Returns the number of requests that are neither answered nor abandoned by their clients. */
+    public int pendingRequests() {
         return pending;
     }
 
-    /** From here on every attempt ends unsent, so that the policy has to answer. */
-    boolean hasEnded() {
-        return admission.hasEnded();
+    /** Whether the drain is over: every further attempt ends unsent, so that the policy answers. */
+    boolean hasDrainEnded() {
+        return drainAdmission.hasEnded();
     }
 
-    /** Ends all attempts in flight; the policy then decides on each client's response. */
-    public void giveUpAll() {
-        admission.end();
+    /**
+     * Ends the drain and all attempts in flight, as at their deadline; the policy then decides on
+     * each client's response.
+     */
+    public void endAllRequests() {
+        drainAdmission.end();
         open.all().forEach(Exchange::onDeadline);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/requests/SerialEventQueue.java
+++ b/daemon/src/main/java/wheelroute/net/requests/SerialEventQueue.java
@@ -5,10 +5,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs events one at a time: the policy is not reentrant, and what it asks for may cause the next
- * event at once. Only for the event loop's thread.
+ * Runs the policy's events one at a time, in the order in which they were submitted. The policy is
+ * not reentrant, but carrying out one of its actions may cause the next event immediately; that
+ * event is queued until the current one is complete. Only for the event loop's thread.
  */
-public final class SerialEventQueue {
+final class SerialEventQueue {
     private static final Logger LOG = LoggerFactory.getLogger(SerialEventQueue.class);
 
     private final Runnable beforeEachEvent;
@@ -16,16 +17,20 @@
     private boolean running;
 
     /**
-     * Makes an empty queue.
+     * Creates an empty queue.
      *
-     * @param beforeEachEvent run before each event; unlike an event's, its failures propagate
+     * @param beforeEachEvent runs before each event; unlike those of an event, its exceptions
+     *     propagate to the caller of {@link #run}
      */
     SerialEventQueue(Runnable beforeEachEvent) {
         this.beforeEachEvent = beforeEachEvent;
     }
 
-    /** Runs the event before returning, or, when called by another event, after that one. */
-    public void run(Runnable event) {
+    /**
+     * Runs the event before returning or, if called from within another event, queues it to run
+     * after that one. An exception of the event is logged.
+     */
+    void run(Runnable event) {
         events.add(event);
         if (running) {
             return;
@@ -41,7 +46,7 @@
         }
     }
 
-    /** A faulty event fails alone: all other requests go on. */
+    /** Runs an event; its failure must not affect the events of other requests. */
     private static void runIsolated(Runnable event) {
         try {
             event.run();
--- a/daemon/src/main/java/wheelroute/net/requests/StateTransfer.java
+++ b/daemon/src/main/java/wheelroute/net/requests/StateTransfer.java
@@ -9,38 +9,41 @@
 import wheelroute.decision.LearnedState;
 import wheelroute.decision.Policy;
 import wheelroute.net.discovery.EndpointList;
-import wheelroute.net.handover.Handover;
 import wheelroute.net.handover.LearnedStateCodec;
+import wheelroute.net.handover.TransferableState;
 import wheelroute.net.loop.EventLoop;
 
-/** Exports the dispatcher's state to a successor process, and imports a predecessor's. */
-public final class StateTransfer implements Handover.TransferableState {
+/**
+ * Exports the dispatcher's state to a successor process, and imports a predecessor's. Only for the
+ * event loop's thread.
+ */
+final class StateTransfer implements TransferableState {
     private final EventLoop loop;
     private final Policy policy;
-    private final SerialEventQueue turns;
+    private final SerialEventQueue events;
     private final EndpointDirectory endpoints;
     private final Set<String> openRequestIds;
-    private final Consumer<EndpointList> listImporter;
+    private final Consumer<EndpointList> endpointImporter;
 
     /**
-     * Reads the given state whenever it is asked for.
+     * Creates a transfer that reads the given state at each export.
      *
-     * @param openRequestIds a live view of the clients' ids of open requests
-     * @param listImporter takes a predecessor's endpoint list as if it came from discovery
+     * @param openRequestIds a live view of the ids that clients gave to the open requests
+     * @param endpointImporter applies a predecessor's list as if it came from discovery
      */
-    public StateTransfer(
+    StateTransfer(
             EventLoop loop,
             Policy policy,
-            SerialEventQueue turns,
+            SerialEventQueue events,
             EndpointDirectory endpoints,
             Set<String> openRequestIds,
-            Consumer<EndpointList> listImporter) {
+            Consumer<EndpointList> endpointImporter) {
         this.loop = loop;
         this.policy = policy;
-        this.turns = turns;
+        this.events = events;
         this.endpoints = endpoints;
         this.openRequestIds = openRequestIds;
-        this.listImporter = listImporter;
+        this.endpointImporter = endpointImporter;
     }
 
     @Override
@@ -49,12 +52,12 @@
         return list == null ? null : list.encode();
     }
 
-    /** A list that discovery has sent in the meantime is the newer one. */
+    /** Imports a predecessor's list, unless discovery has already sent a newer one. */
     @Override
     public void importEndpoints(byte[] list) throws IOException {
         EndpointList imported = EndpointList.decode(list);
         if (imported.version() > endpoints.version()) {
-            listImporter.accept(imported);
+            endpointImporter.accept(imported);
         }
     }
 
@@ -68,7 +71,7 @@
     @Override
     public void importLearnedState(byte[] learned) throws IOException {
         LearnedState imported = LearnedStateCodec.decode(learned, endpoints::worker);
-        turns.run(() -> policy.importState(imported));
+        events.run(() -> policy.importState(imported));
     }
 
     @Override
--- a/daemon/src/test/java/wheelroute/net/admin/MetricsWireFormatTest.java
+++ b/daemon/src/test/java/wheelroute/net/admin/MetricsWireFormatTest.java
@@ -11,7 +11,7 @@
 import wheelroute.net.metrics.Gauges;
 import wheelroute.net.workers.AttemptResult;
 
-/** Dashboards and scripts read these names, labels and words, so they must not change. */
+/** The names, labels and words that dashboards and scripts read, which must not change. */
 public class MetricsWireFormatTest {
     private static final Ids.RequestClass JOB = new Ids.RequestClass("job");
     private static final Ids.RequestClass NAME_TO_ESCAPE = new Ids.RequestClass("a \"b\", c\\d");
@@ -80,19 +80,19 @@
     }
 
     @Test
-    public void answersReadyWithTheReason() {
+    public void answersReadyWithReason() {
         assertEquals(server(null, null).answer("READY"), "ok ready\n");
         assertEquals(server("draining", null).answer("READY"), "fail draining\n");
     }
 
     @Test
-    public void answersPeersWithALineForEach() {
+    public void answersPeersWithLineForEachMember() {
         assertEquals(server(null, null).answer("PEERS"), "fail this dispatcher knows no others\n");
         assertEquals(server(null, "n1 alive\n").answer("PEERS"), "n1 alive\neof\n");
     }
 
     @Test
-    public void namesTheCommandsToAnUnknownOne() {
+    public void answersUnknownCommandWithListOfCommands() {
         assertEquals(
                 server(null, null).answer("STAT"), "fail unknown call: READY, STATS or PEERS\n");
     }
--- a/daemon/src/test/java/wheelroute/net/discovery/BackoffTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/BackoffTest.java
@@ -9,10 +9,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Delays after failed calls, computed without clock or sockets. */
+/**
+ * The delays after failed calls, without clock or sockets; a fleet in which calls queue up is in
+ * {@link FleetBackoffTest}.
+ */
 public class BackoffTest {
     private static final int SEEDS = 2_000;
     private static final int FAILURES = 12;
+    private static final double OUTAGE_SECONDS = 17;
 
     @DataProvider
     public Object[][] callDurations() {
@@ -22,18 +26,20 @@
         };
     }
 
-    /** Whatever the jitter and the number of failures, the complete response comes in time. */
+    /**
+     * The longest recovery over all seeds and failures is within the maximum, but not far below.
+     */
     @Test(dataProvider = "callDurations")
-    public void recoversWithinTheMaximumTime(double callDuration) {
+    public void recoversWithinMaximumTime(double callDuration) {
         double worst = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            Backoff backoff = new Backoff(seed);
+            Backoff backoff = new Backoff(seed, 1);
             for (int i = 0; i < FAILURES; i++) {
                 worst =
                         Math.max(
                                 worst,
                                 callDuration
-                                        + backoff.nextDelay(callDuration)
+                                        + backoff.nextDelay(callDuration, false)
                                         + Backoff.CALL_TIMEOUT_SECONDS);
             }
         }
@@ -41,24 +47,23 @@
         assertTrue(worst > 4.7, "more calls than needed: " + worst);
     }
 
-    /** A call that used up the recovery time is followed by the minimum delay. */
+    /** A call that has used up the recovery time is followed by the minimum delay. */
     @Test
-    public void usesTheMinimumDelayAfterALongCall() {
-        Backoff backoff = new Backoff(1);
+    public void usesMinimumDelayAfterLongCall() {
+        Backoff backoff = new Backoff(1, 1);
         for (int i = 0; i < SEEDS; i++) {
-            double delay = backoff.nextDelay(100);
+            double delay = backoff.nextDelay(100, false);
             assertTrue(delay >= 0.1 && delay <= 0.2, "" + delay);
         }
     }
 
-    /** Delays double up to the maximum, and start again after a reset. */
     @Test
-    public void delaysGrowUntilReset() {
-        Backoff backoff = new Backoff(7);
+    public void doublesDelaysUpToMaximumUntilReset() {
+        Backoff backoff = new Backoff(7, 1);
         double[] delays = new double[4];
         for (int round = 0; round < 2; round++) {
             for (int i = 0; i < delays.length; i++) {
-                delays[i] = backoff.nextDelay(0);
+                delays[i] = backoff.nextDelay(0, false);
             }
             assertTrue(delays[0] >= 0.5 && delays[0] < 1, Arrays.toString(delays));
             assertTrue(delays[1] >= 1 && delays[1] < 2, Arrays.toString(delays));
@@ -68,10 +73,10 @@
         }
     }
 
-    /** A dispatcher's next call to discovery. */
+    /** The next call of a dispatcher. */
     private record Call(double time, Backoff backoff) {
         Call retryAfter(double callDuration) {
-            return new Call(time + callDuration + backoff.nextDelay(callDuration), backoff);
+            return new Call(time + callDuration + backoff.nextDelay(callDuration, false), backoff);
         }
     }
 
@@ -87,56 +92,55 @@
     }
 
     /**
-     * All dispatchers lose discovery at the same moment, and it returns 17 s later, serving calls
-     * in turn, abandoned ones included. No call times out then, and all have the list in time.
+     * All dispatchers lose discovery at the same time. It returns 17 s later and serves calls in
+     * order, including those that have timed out.
      */
     @Test(dataProvider = "fleets")
-    public void noCallTimesOutAfterAnOutage(
+    public void answersAllCallsWithoutTimeoutAfterOutage(
             int dispatchers, double callDuration, double responsesPerSecond) {
-        double outageEnd = 17;
         PriorityQueue<Call> calls = new PriorityQueue<>(Comparator.comparingDouble(Call::time));
         for (int i = 0; i < dispatchers; i++) {
-            Backoff backoff = new Backoff(1000 + i);
-            calls.add(new Call(backoff.nextDelay(0), backoff));
+            Backoff backoff = new Backoff(1000 + i, 1);
+            calls.add(new Call(backoff.nextDelay(0, false), backoff));
         }
-        double freeAt = outageEnd;
+        double queueEmptyAt = OUTAGE_SECONDS;
         double last = 0;
         int answered = 0;
         int received = 0;
         while (!calls.isEmpty()) {
             Call call = calls.poll();
-            if (call.time < outageEnd) {
+            if (call.time < OUTAGE_SECONDS) {
                 calls.add(call.retryAfter(callDuration));
                 continue;
             }
             received++;
-            freeAt = Math.max(freeAt, call.time) + 1 / responsesPerSecond;
-            if (freeAt - call.time > Backoff.CALL_TIMEOUT_SECONDS) {
+            queueEmptyAt = Math.max(queueEmptyAt, call.time) + 1 / responsesPerSecond;
+            if (queueEmptyAt - call.time > Backoff.CALL_TIMEOUT_SECONDS) {
                 calls.add(call.retryAfter(Backoff.CALL_TIMEOUT_SECONDS));
             } else {
                 answered++;
-                last = Math.max(last, freeAt);
+                last = Math.max(last, queueEmptyAt);
             }
         }
         assertEquals(answered, dispatchers);
         assertEquals(received, dispatchers, "some calls timed out in the queue");
-        assertTrue(last - outageEnd <= 4.8, "the last response after " + (last - outageEnd));
+        assertTrue(
+                last - OUTAGE_SECONDS <= 4.8, "the last response after " + (last - OUTAGE_SECONDS));
     }
 
-    /** Dispatchers whose calls fail together spread out: few call within a tenth of a second. */
     @Test
     public void spreadsCallsThatFailedTogether() {
         int dispatchers = 300;
         int[] callsPerTenth = new int[32];
         for (int i = 0; i < dispatchers; i++) {
-            Backoff backoff = new Backoff(1000 + i);
+            Backoff backoff = new Backoff(1000 + i, 1);
             double time = 0;
             while (time < 14) {
-                time += backoff.nextDelay(0);
+                time += backoff.nextDelay(0, false);
             }
             callsPerTenth[(int) ((time - 14) * 10)]++;
         }
         int max = Arrays.stream(callsPerTenth).max().getAsInt();
-        assertTrue(max <= 30, "a tenth of all in one tenth of a second: " + max);
+        assertTrue(max <= 30, "more than a tenth of all calls in a tenth of a second: " + max);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/discovery/EndpointListTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/EndpointListTest.java
@@ -10,7 +10,6 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Endpoint;
 
-/** Discovery's answers, and what is none. */
 public class EndpointListTest {
     private static final String ENTRY =
             "{'id':'s-5b','addr':'127.1.0.18:8081','zone':'a','kind':'m2',"
@@ -23,7 +22,7 @@
     }
 
     @Test
-    public void decodesAnEntry() throws IOException {
+    public void decodesEntry() throws IOException {
         EndpointList list = decode(LIST);
         assertTrue(list.complete());
         assertEquals(list.version(), 41);
@@ -43,13 +42,13 @@
     }
 
     @Test(dataProvider = "states")
-    public void decodesStates(String state, Endpoint.State readiness) throws IOException {
-        assertEquals(decode(LIST.replace("ready", state)).entries().get(0).state(), readiness);
+    public void decodesStates(String state, Endpoint.State expected) throws IOException {
+        assertEquals(decode(LIST.replace("ready", state)).entries().get(0).state(), expected);
         assertTrue(Double.isNaN(decode(LIST.replace("1500", "0")).entries().get(0).startedAt()));
     }
 
     @DataProvider
-    public Object[][] nonsense() {
+    public Object[][] malformedLists() {
         return new Object[][] {
             {""},
             {"[]"},
@@ -67,8 +66,8 @@
         };
     }
 
-    @Test(dataProvider = "nonsense")
-    public void refusesWhatIsNoList(String json) {
+    @Test(dataProvider = "malformedLists")
+    public void rejectsMalformedList(String json) {
         assertThrows(IOException.class, () -> decode(json));
     }
 }
--- a/daemon/src/test/java/wheelroute/net/discovery/OverloadDetectorTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/OverloadDetectorTest.java
@@ -6,43 +6,43 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Which failures tell of a crowd, and which of an outage. */
 public class OverloadDetectorTest {
-    private record Failure(double duration, boolean rejected) {}
+    private record Failure(double durationSeconds, boolean rejected) {}
 
-    private static final Failure TURNED_AWAY = new Failure(0.02, true);
-    private static final Failure REFUSED = new Failure(0, false);
-    private static final Failure SILENT = new Failure(2.3, false);
-    private static final Failure WAITED = new Failure(2, true);
+    private static final Failure REJECTED_PROMPTLY = new Failure(0.02, true);
+    private static final Failure CONNECTION_REFUSED = new Failure(0, false);
+    private static final Failure NO_RESPONSE = new Failure(2.3, false);
+    private static final Failure REJECTED_AFTER_WAIT = new Failure(2, true);
 
     @DataProvider
-    public Object[][] episodes() {
+    public Object[][] failures() {
         return new Object[][] {
             {false, new Failure[] {}},
-            {false, new Failure[] {TURNED_AWAY, TURNED_AWAY, TURNED_AWAY}},
-            {false, new Failure[] {SILENT, WAITED, SILENT}},
-            {false, new Failure[] {REFUSED, SILENT, REFUSED}},
-            {true, new Failure[] {SILENT, TURNED_AWAY}},
-            {true, new Failure[] {TURNED_AWAY, WAITED}},
-            {true, new Failure[] {TURNED_AWAY, REFUSED, SILENT}},
+            {false, new Failure[] {REJECTED_PROMPTLY, REJECTED_PROMPTLY, REJECTED_PROMPTLY}},
+            {false, new Failure[] {NO_RESPONSE, REJECTED_AFTER_WAIT, NO_RESPONSE}},
+            {false, new Failure[] {CONNECTION_REFUSED, NO_RESPONSE, CONNECTION_REFUSED}},
+            {true, new Failure[] {NO_RESPONSE, REJECTED_PROMPTLY}},
+            {true, new Failure[] {REJECTED_PROMPTLY, REJECTED_AFTER_WAIT}},
+            {true, new Failure[] {REJECTED_PROMPTLY, CONNECTION_REFUSED, NO_RESPONSE}},
         };
     }
 
-    @Test(dataProvider = "episodes")
-    public void bothWaysOfFailingMeanOverload(boolean overloaded, Failure... failures) {
+    @Test(dataProvider = "failures")
+    public void detectsOverloadByPromptRejectionAndLongWait(
+            boolean overloaded, Failure... failures) {
         OverloadDetector detector = new OverloadDetector();
         for (Failure failure : failures) {
-            detector.onFailure(failure.duration, failure.rejected);
+            detector.onFailure(failure.durationSeconds, failure.rejected);
         }
         assertEquals(detector.isOverloaded(), overloaded);
     }
 
     @Test
-    public void anAnswerEndsTheEpisode() {
+    public void forgetsFailuresAfterResponse() {
         OverloadDetector detector = new OverloadDetector();
-        detector.onFailure(SILENT.duration, SILENT.rejected);
-        detector.onAnswer();
-        detector.onFailure(TURNED_AWAY.duration, TURNED_AWAY.rejected);
+        detector.onFailure(NO_RESPONSE.durationSeconds, NO_RESPONSE.rejected);
+        detector.onResponse();
+        detector.onFailure(REJECTED_PROMPTLY.durationSeconds, REJECTED_PROMPTLY.rejected);
         assertFalse(detector.isOverloaded());
     }
 }
--- a/daemon/src/test/java/wheelroute/net/handover/HandoverWireFormatTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/HandoverWireFormatTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void takesAnUnknownMessageForOneOfAnotherVersion() {
+    public void decodesUnknownMessage() {
         assertEquals(HandoverMessage.decode("later 1").type(), MessageType.UNKNOWN);
     }
 
--- a/daemon/src/test/java/wheelroute/net/handover/LearnedStateCodecTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/LearnedStateCodecTest.java
@@ -33,9 +33,9 @@
                 name -> name.equals("one") ? new Ids.Worker(7) : null);
     }
 
-    /** Under the list's names, as the other process has its own; who is on no list is left out. */
+    /** Workers are identified by discovery's names; those without a name are left out. */
     @Test
-    public void goesFromOneToTheOther() throws IOException {
+    public void decodesWhatItEncodes() throws IOException {
         String text =
                 LearnedStateCodec.encode(learned(), worker -> worker.value() == 1 ? "one" : null);
         LearnedState read = decode(text);
@@ -49,7 +49,7 @@
     }
 
     @DataProvider
-    public Object[][] faults() {
+    public Object[][] malformedTexts() {
         String worker = "{\"workers\":{\"one\":{\"runs\":[R],\"waits\":[],\"failures\":[]}}}";
         return new Object[][] {
             {""},
@@ -68,9 +68,8 @@
         };
     }
 
-    /** Nothing of a text with a fault is used: half of it might say the opposite of the whole. */
-    @Test(dataProvider = "faults")
-    public void isWholeOrNothing(String text) {
+    @Test(dataProvider = "malformedTexts")
+    public void rejectsMalformedText(String text) {
         expectThrows(IOException.class, () -> decode(text));
     }
 }
--- a/daemon/src/test/java/wheelroute/net/handover/ProcessChainTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/ProcessChainTest.java
@@ -10,47 +10,52 @@
     @DataProvider
     public Object[][] histories() {
         return new Object[][] {
-            // what happens, in order; then processes, told to the one before, to the one after,
-            // succeeded
+            // events of the successor (s) and predecessor (p): + joins, - leaves, :n has n behind
+            // it
+            // then: processes, reported to the predecessor, reported to the successor, succeeded
             {"", 1, 0, 0, false},
-            {"after+", 2, 1, 0, false},
-            {"after+ serves", 2, 1, 0, true},
-            {"serves", 1, 0, 0, false},
-            {"after+ serves after-", 1, 0, 0, false},
-            {"before+", 2, 0, 1, false},
-            {"before+ after+ serves", 3, 1, 1, true},
-            {"before+ after+ before:1", 4, 1, 2, false},
-            {"before+ before:1 before-", 1, 0, 0, false},
-            {"before+ before:1 before- before+", 2, 0, 1, false},
-            {"before:3", 1, 0, 0, false},
-            {"after+ after:-5", 2, 1, 0, false},
-            {"after+ after:1000000", 9, 8, 0, false},
+            {"s+", 2, 1, 0, false},
+            {"s+ serving", 2, 1, 0, true},
+            {"serving", 1, 0, 0, false},
+            {"s+ serving s-", 1, 0, 0, false},
+            {"p+", 2, 0, 1, false},
+            {"p+ s+ serving", 3, 1, 1, true},
+            {"p+ s+ p:1", 4, 1, 2, false},
+            {"p+ p:1 p-", 1, 0, 0, false},
+            {"p+ p:1 p- p+", 2, 0, 1, false},
+            {"p:3", 1, 0, 0, false},
+            {"s+ s:-5", 2, 1, 0, false},
+            {"s+ s:1000000", 9, 8, 0, false},
         };
     }
 
-    /**
-     * Shares follow from who is known to be there, whatever the order in which they come, speak and
-     * go.
-     */
     @Test(dataProvider = "histories")
-    public void countsWhoIsThere(
-            String history, int processes, int before, int after, boolean succeeded) {
+    public void countsProcesses(
+            String history,
+            int processes,
+            int reportedToPredecessor,
+            int reportedToSuccessor,
+            boolean succeeded) {
         ProcessChain chain = new ProcessChain();
         for (String event : history.isEmpty() ? new String[0] : history.split(" ")) {
-            Role side = event.startsWith("before") ? Role.PREDECESSOR : Role.SUCCESSOR;
-            if (event.equals("serves")) {
-                chain.onSuccessorServes();
-            } else if (event.endsWith("+")) {
-                chain.join(side);
-            } else if (event.endsWith("-")) {
-                chain.leave(side);
-            } else {
-                chain.setBehind(side, Integer.parseInt(event.substring(event.indexOf(':') + 1)));
-            }
+            apply(event, chain);
+        }
+        assertEquals(chain.processCount(), processes);
+        assertEquals(chain.countBehindThisFor(Role.PREDECESSOR), reportedToPredecessor);
+        assertEquals(chain.countBehindThisFor(Role.SUCCESSOR), reportedToSuccessor);
+        assertEquals(chain.hasServingSuccessor(), succeeded);
+    }
+
+    private static void apply(String event, ProcessChain chain) {
+        Role role = event.startsWith("p") ? Role.PREDECESSOR : Role.SUCCESSOR;
+        if (event.equals("serving")) {
+            chain.onSuccessorServing();
+        } else if (event.endsWith("+")) {
+            chain.join(role);
+        } else if (event.endsWith("-")) {
+            chain.leave(role);
+        } else {
+            chain.setBehind(role, Integer.parseInt(event.substring(event.indexOf(':') + 1)));
         }
-        assertEquals(chain.processes(), processes);
-        assertEquals(chain.countBehindThisFor(Role.PREDECESSOR), before);
-        assertEquals(chain.countBehindThisFor(Role.SUCCESSOR), after);
-        assertEquals(chain.hasSuccessor(), succeeded);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/loop/ControlledEventLoop.java
+++ b/daemon/src/test/java/wheelroute/net/loop/ControlledEventLoop.java
@@ -24,66 +24,71 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * An event loop with which a test determines the order of events: connects and reads wait until the
- * test releases them.
+ * An event loop with which a test controls the order of events: connects and reads are held until
+ * the test releases them, and system calls fail as planned. Unless stated otherwise, the methods
+ * are for the test's thread.
  */
 public final class ControlledEventLoop extends EventLoop {
-    /** The addresses whose connects are held, in their order. */
+    /** The addresses whose connects have been held, in order. */
     public final BlockingQueue<SocketAddress> connecting = new LinkedBlockingQueue<>();
 
-    private final Queue<Runnable> connects = new ConcurrentLinkedQueue<>();
-    private final Set<SocketAddress> held = ConcurrentHashMap.newKeySet();
-    private final Set<Integer> unread = ConcurrentHashMap.newKeySet();
+    private final Queue<Runnable> heldConnects = new ConcurrentLinkedQueue<>();
+    private final Set<SocketAddress> heldAddresses = ConcurrentHashMap.newKeySet();
+    private final Set<Integer> heldReadPorts = ConcurrentHashMap.newKeySet();
 
-    /** On all connections together. */
+    /** The number of bytes read on all connections together. */
     public final AtomicLong bytesRead = new AtomicLong();
 
-    /** What the next calls to the system end in; null for a call that succeeds. */
-    private final Queue<Optional<IOException>> accepts = new ConcurrentLinkedQueue<>();
+    /** The results of the next accepts: empty for success. Further ones succeed. */
+    private final Queue<Optional<IOException>> acceptResults = new ConcurrentLinkedQueue<>();
+
+    /** The results of the next connects: empty for success. Further ones succeed. */
+    private final Queue<Optional<IOException>> connectResults = new ConcurrentLinkedQueue<>();
 
-    private final Queue<Optional<IOException>> beginnings = new ConcurrentLinkedQueue<>();
     private final ManualClock clock;
 
-    public ControlledEventLoop(ManualClock clock, double connectLimit) {
-        super(clock, connectLimit);
+    public ControlledEventLoop(ManualClock clock, double connectTimeoutSeconds) {
+        super(clock, connectTimeoutSeconds);
         this.clock = clock;
     }
 
     /** Holds connects to these addresses until {@link #releaseAll}. */
     public void holdConnects(Set<? extends SocketAddress> addresses) {
-        held.addAll(addresses);
+        heldAddresses.addAll(addresses);
     }
 
-    /** Holds reads from this peer's port, as if nothing had arrived yet. */
+    /** Holds reads from the peer with this port, as if nothing had arrived. */
     public void holdReads(int port) {
-        unread.add(port);
+        heldReadPorts.add(port);
     }
 
-    /** Holds nothing from here on; held connects are made. */
+    /** Releases all connects and reads, and holds none from now on. */
     public void releaseAll() {
-        unread.clear();
+        heldReadPorts.clear();
         releaseConnects();
     }
 
-    /** The same for connects only; reads stay held. */
+    /** Releases all connects, and holds none from now on; reads stay held. */
     public void releaseConnects() {
-        held.clear();
+        heldAddresses.clear();
         post(
                 () -> {
-                    for (Runnable next = connects.poll(); next != null; next = connects.poll()) {
+                    for (Runnable next = heldConnects.poll();
+                            next != null;
+                            next = heldConnects.poll()) {
                         next.run();
                     }
                 });
     }
 
-    /** The next accepts end so, one after the other; empty ones succeed. */
+    /** Sets the results of the next accepts, in order; empty ones succeed. */
     public void planAccepts(List<Optional<IOException>> results) {
-        accepts.addAll(results);
+        acceptResults.addAll(results);
     }
 
-    /** The next connects end so, one after the other; empty ones succeed. */
+    /** Sets the results of the next connects, in order; empty ones succeed. */
     public void planConnects(List<Optional<IOException>> results) {
-        beginnings.addAll(results);
+        connectResults.addAll(results);
     }
 
     private static void failIfPlanned(Queue<Optional<IOException>> plan) throws IOException {
@@ -95,28 +100,28 @@
 
     @Override
     protected SocketChannel accept(ServerSocketChannel server) throws IOException {
-        failIfPlanned(accepts);
+        failIfPlanned(acceptResults);
         return super.accept(server);
     }
 
     @Override
     protected boolean beginConnect(SocketChannel channel, SocketAddress address)
             throws IOException {
-        failIfPlanned(beginnings);
+        failIfPlanned(connectResults);
         return super.beginConnect(channel, address);
     }
 
-    /** Moves the stopped clock on, and returns when all that is due by then has run. */
+    /** Advances the stopped clock, and returns when everything that is due by then has run. */
     public void step(double seconds) throws InterruptedException {
-        // What is running completes at the time at which it began.
+        // What has already been posted runs before the clock advances.
         settle();
         clock.step(seconds);
         settle();
     }
 
-    /** Returns when all that has arrived has run, with what it has posted. */
+    /** Returns when all posted tasks have run, including those that they post. */
     public void settle() throws InterruptedException {
-        // Twice: timers run after posted tasks, and what they post runs after that.
+        // Twice, because timers run after posted tasks, and may post more.
         for (int i = 0; i < 2; i++) {
             CountDownLatch done = new CountDownLatch(1);
             post(done::countDown);
@@ -125,39 +130,42 @@
     }
 
     @Override
-    public void connect(SocketAddress address, ChannelHandler peer) {
-        if (held.contains(address)) {
-            connects.add(() -> super.connect(address, peer));
+    public void connect(SocketAddress address, ChannelHandler handler) {
+        if (heldAddresses.contains(address)) {
+            heldConnects.add(() -> super.connect(address, handler));
             connecting.add(address);
         } else {
-            super.connect(address, peer);
+            super.connect(address, handler);
         }
     }
 
     @Override
     protected EndPoint endPoint(
-            SocketChannel channel, ManagedSelector s, SelectionKey key, Scheduler timers) {
-        return new SocketChannelEndPoint(channel, s, key, timers) {
+            SocketChannel channel,
+            ManagedSelector selector,
+            SelectionKey key,
+            Scheduler scheduler) {
+        return new SocketChannelEndPoint(channel, selector, key, scheduler) {
             @Override
             public void fillInterested(Callback callback) {
-                if (!isHeld(channel)) {
+                if (!isReadHeld(channel)) {
                     super.fillInterested(callback);
                 }
             }
 
             @Override
             public int fill(ByteBuffer buffer) throws IOException {
-                int got = super.fill(buffer);
-                bytesRead.addAndGet(Math.max(0, got));
-                return got;
+                int count = super.fill(buffer);
+                bytesRead.addAndGet(Math.max(0, count));
+                return count;
             }
         };
     }
 
-    private boolean isHeld(SocketChannel channel) {
+    private boolean isReadHeld(SocketChannel channel) {
         try {
             return channel.getRemoteAddress() instanceof InetSocketAddress from
-                    && unread.contains(from.getPort());
+                    && heldReadPorts.contains(from.getPort());
         } catch (IOException e) {
             return false;
         }
--- a/daemon/src/test/java/wheelroute/net/loop/StreamConnectionTest.java
+++ b/daemon/src/test/java/wheelroute/net/loop/StreamConnectionTest.java
@@ -6,13 +6,12 @@
 import org.eclipse.jetty.io.ByteArrayEndPoint;
 import org.testng.annotations.Test;
 
-/** One connection's reads, beside the others that wait for theirs. */
 public class StreamConnectionTest {
-    /** Guards against one sender at full speed that keeps the thread from all others. */
+    /** The peer sends without end, and must not keep the thread from other connections. */
     @Test
-    public void leavesTheOthersTheirTurns() {
+    public void interruptsReadingAfterMaximumNumberOfReads() {
         int[] reads = new int[1];
-        ByteArrayEndPoint endless =
+        ByteArrayEndPoint endPoint =
                 new ByteArrayEndPoint() {
                     @Override
                     public int fill(ByteBuffer buffer) {
@@ -20,18 +19,18 @@
                         return 1;
                     }
                 };
-        StreamConnection link =
-                new StreamConnection(endless, new EventLoop(new Clock(), 1)) {
+        StreamConnection connection =
+                new StreamConnection(endPoint, new EventLoop(new Clock(), 1)) {
                     @Override
                     protected void onBytes(ByteBuffer in) {
                         if (reads[0] > 100) {
-                            throw new IllegalStateException("it never ends");
+                            throw new IllegalStateException("reading is not interrupted");
                         }
                     }
 
                     @Override
                     protected void onEndOfStream() {
-                        // Such a sender has none.
+                        // The peer sends without end.
                     }
 
                     @Override
@@ -39,9 +38,9 @@
                         reads[0] = -1;
                     }
                 };
-        endless.setConnection(link);
-        link.onFillable();
+        endPoint.setConnection(connection);
+        connection.onFillable();
         assertEquals(reads[0], 4);
-        assertEquals(link.isFillInterested(), true);
+        assertEquals(connection.isFillInterested(), true);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/requests/EndpointDirectoryTest.java
+++ b/daemon/src/test/java/wheelroute/net/requests/EndpointDirectoryTest.java
@@ -15,8 +15,11 @@
 import wheelroute.net.metrics.Counters;
 import wheelroute.net.workers.WorkerConnectionPools;
 
-/** What the decisions are told of a worker's start, on which its slow start depends. */
+/**
+ * The start times of workers, on which their slow start depends, when the wall clock is stepped.
+ */
 public class EndpointDirectoryTest {
+    private static final double CONNECT_TIMEOUT_SECONDS = 1;
     private static final double IDLE_SECONDS = 10;
 
     private ManualClock clock;
@@ -24,10 +27,10 @@
     private long version;
 
     @BeforeMethod
-    public void begin() {
+    public void createDirectory() {
         clock = new ManualClock();
         clock.stop();
-        ControlledEventLoop loop = new ControlledEventLoop(clock, 1);
+        ControlledEventLoop loop = new ControlledEventLoop(clock, CONNECT_TIMEOUT_SECONDS);
         Counters counters = new Counters(List.of());
         directory =
                 new EndpointDirectory(
@@ -35,7 +38,7 @@
                         new StartTimes(loop));
     }
 
-    private double startAfterListing(double listed) {
+    private double startedAtAfterListing(double listed) {
         EndpointList.Entry entry =
                 new EndpointList.Entry(
                         "w",
@@ -52,35 +55,34 @@
     }
 
     @DataProvider
-    public Object[][] steps() {
+    public Object[][] stepSeconds() {
         return new Object[][] {{-3600.0}, {-3.0}, {3.0}, {3600.0}};
     }
 
-    /** All machines read one clock, and it is stepped while this process runs. */
-    @Test(dataProvider = "steps")
-    public void aWorkerThatJoinsAfterAStepHasJustStarted(double step) {
+    /** The clocks of all machines are stepped while this process runs. */
+    @Test(dataProvider = "stepSeconds")
+    public void convertsStartOfWorkerThatJoinsAfterStep(double step) {
         clock.step(4);
         clock.stepWallClock(step);
-        assertEquals(startAfterListing(clock.wallTime()), clock.now(), 0.01);
+        assertEquals(startedAtAfterListing(clock.wallTime()), clock.now(), 0.01);
     }
 
-    /** A worker that is known did not start anew because the clock was stepped. */
-    @Test(dataProvider = "steps")
-    public void aWorkerThatIsKnownKeepsItsStart(double step) {
+    @Test(dataProvider = "stepSeconds")
+    public void keepsStartOfKnownWorkerAfterStep(double step) {
         double listed = clock.wallTime() - 100;
-        double before = startAfterListing(listed);
+        double before = startedAtAfterListing(listed);
         clock.step(4);
         clock.stepWallClock(step);
-        assertEquals(startAfterListing(listed), before);
+        assertEquals(startedAtAfterListing(listed), before);
     }
 
-    /** One that starts anew under its name after a step back is listed with an earlier time. */
+    /** After a step back a restarted worker is listed with an earlier start time than before. */
     @Test
-    public void aRestartAfterAStepBackIsALaterStart() {
-        double before = startAfterListing(clock.wallTime() - 100);
+    public void reportsLaterStartOfWorkerThatRestartsAfterStepBack() {
+        double before = startedAtAfterListing(clock.wallTime() - 100);
         clock.step(4);
         clock.stepWallClock(-3600);
-        double after = startAfterListing(clock.wallTime());
+        double after = startedAtAfterListing(clock.wallTime());
         assertEquals(after > before, true, before + ", then " + after);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/requests/StartTimesTest.java
+++ b/daemon/src/test/java/wheelroute/net/requests/StartTimesTest.java
@@ -9,78 +9,78 @@
 import wheelroute.net.loop.ManualClock;
 
 /**
- * Seen: after the wall clocks of all machines were stepped an hour back, new workers got 56
- * attempts in their first 2 s, where slow start lets 1 through; after a step forward they got none
- * in 10 s. A start time by the stepped clock was compared with a time that goes on as before.
+ * The wall clocks of all machines are stepped together. Without a conversion, workers that start
+ * after a step back skip their slow start, and workers that start after a step forward get nothing.
  */
 public class StartTimesTest {
-    private static final double NOT_STEPPED = 0;
+    private static final double NO_STEP_SECONDS = 0;
 
-    /** Machines' clocks may differ by this much. */
-    private static final double SKEW = 1;
+    private static final double CONNECT_TIMEOUT_SECONDS = 1;
+
+    /** The clocks of two machines may differ by this much. */
+    private static final double MAX_CLOCK_SKEW_SECONDS = 1;
 
     private ManualClock clock;
     private ControlledEventLoop loop;
 
     @BeforeMethod
-    public void begin() {
+    public void createLoop() {
         clock = new ManualClock();
-        loop = new ControlledEventLoop(clock, 1);
+        loop = new ControlledEventLoop(clock, CONNECT_TIMEOUT_SECONDS);
     }
 
     @DataProvider
-    public Object[][] steps() {
-        return new Object[][] {{NOT_STEPPED}, {-3600.0}, {-3.0}, {3.0}, {3600.0}};
+    public Object[][] stepSeconds() {
+        return new Object[][] {{NO_STEP_SECONDS}, {-3600.0}, {-3.0}, {3.0}, {3600.0}};
     }
 
-    /** Its machine reads the clock after the step. */
-    @Test(dataProvider = "steps")
-    public void aWorkerThatStartsAfterTheStepHasJustStarted(double step) {
+    @Test(dataProvider = "stepSeconds")
+    public void convertsStartReadAfterStep(double step) {
         clock.stop();
         StartTimes times = new StartTimes(loop);
         clock.stepWallClock(step);
         times.observeWallClock();
         double listed = clock.wallTime() - 2;
-        assertEquals(times.toTimeLine(listed), clock.now() - 2, 0.01);
+        assertEquals(times.toLoopTime(listed), clock.now() - 2, 0.01);
     }
 
-    /** Its machine read the clock before the step, and it is listed only after it. */
-    @Test(dataProvider = "steps")
-    public void aWorkerThatStartedBeforeTheStepIsNotTakenForWarm(double step) {
+    /** The worker started before the step and is listed after it; it must not count as warm. */
+    @Test(dataProvider = "stepSeconds")
+    public void doesNotPredateStartReadBeforeStep(double step) {
         clock.stop();
         StartTimes times = new StartTimes(loop);
         double listed = clock.wallTime();
         clock.step(2);
         clock.stepWallClock(step);
         times.observeWallClock();
-        double age = clock.now() - times.toTimeLine(listed);
+        double age = clock.now() - times.toLoopTime(listed);
         assertEquals(
-                age >= -SKEW && age <= 2.01, true, "it is taken to have started " + age + " s ago");
+                age >= -MAX_CLOCK_SKEW_SECONDS && age <= 2.01,
+                true,
+                "converted to " + age + " s ago");
     }
 
-    /** The step was before this process: it cannot know which, and does not wait for an hour. */
+    /** The clock was stepped before this process started, so that the step is unknown. */
     @Test
-    public void aStartInTheFutureIsNow() {
+    public void convertsStartInTheFutureToNow() {
         clock.stop();
         StartTimes times = new StartTimes(loop);
-        assertEquals(times.toTimeLine(clock.now() + 3600), clock.now());
+        assertEquals(times.toLoopTime(clock.now() + 3600), clock.now());
     }
 
     @Test
-    public void whatIsUnknownStaysUnknown() {
-        assertEquals(new StartTimes(loop).toTimeLine(Double.NaN), Double.NaN);
+    public void keepsUnknownStart() {
+        assertEquals(new StartTimes(loop).toLoopTime(Double.NaN), Double.NaN);
     }
 
-    /**
-     * Without a step times are what was listed, to the last digit: all dispatchers draw by them.
-     */
+    /** All dispatchers seed random draws with the start times, which must therefore be exact. */
     @Test
-    public void aClockThatDriftsChangesNothing() {
+    public void keepsStartExactlyWhenClockDrifts() {
         clock.stop();
         StartTimes times = new StartTimes(loop);
         clock.stepWallClock(0.3);
         times.observeWallClock();
         double listed = clock.now() - 7.123;
-        assertEquals(times.toTimeLine(listed), listed);
+        assertEquals(times.toLoopTime(listed), listed);
     }
 }
