--- a/daemon/src/main/java/wheelroute/net/lifecycle/ConfigReload.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/ConfigReload.java
@@ -26,7 +26,7 @@
 
     /** Applies a change of discovery's address; logs each other change, which needs a restart. */
     void apply(Config newConfig, ServiceComponents components) {
-        config.waitingForRestart(newConfig)
+        config.keysRequiringRestart(newConfig)
                 .forEach(key -> LOG.warn("reload: change of '{}' requires a restart", key));
         if (newConfig.discovery().equals(discovery)) {
             LOG.info("reload: discovery unchanged at {}", discovery);
--- a/daemon/src/main/java/wheelroute/net/requests/EndpointDirectory.java
+++ b/daemon/src/main/java/wheelroute/net/requests/EndpointDirectory.java
@@ -71,7 +71,7 @@
             update.removed.put(entry.id(), worker);
         } else {
             update.removed.remove(entry.id());
-            pools.listed(worker, entry.address(), entry.startedAt());
+            pools.onListed(worker, entry.address(), entry.startedAt());
             if (entry.state() == Endpoint.State.DRAINING) {
                 update.draining.add(worker);
             }
@@ -103,10 +103,10 @@
 
     /** Releases the connections and names of workers that an update has made obsolete. */
     void releaseObsolete(Update update) {
-        pools.settle(update.draining);
+        pools.onPolicyUpdated(update.draining);
         update.removed.forEach(
                 (name, worker) -> {
-                    pools.gone(worker);
+                    pools.remove(worker);
                     // Each release of the workers brings new names, so old ones are not kept. A
                     // name that is listed again later is treated as a new worker.
                     members.remove(name);
--- a/daemon/src/main/java/wheelroute/net/requests/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/requests/Exchange.java
@@ -89,13 +89,13 @@
         /** Ends the attempt, if it has been sent and has not ended. */
         void end(AttemptResult result) {
             if (inFlight != null) {
-                inFlight.giveUp(result);
+                inFlight.abort(result);
             }
         }
 
         @Override
-        public boolean isStillWanted() {
-            return !answered && !hasClientLeft();
+        public boolean isStillNeeded() {
+            return !answered && !isClientGone();
         }
 
         @Override
@@ -127,7 +127,7 @@
     void startAttempt(Ids.Worker worker) {
         Attempt attempt = new Attempt(attempts.size());
         attempts.add(attempt);
-        if (dispatcher.hasDrainEnded() || (!beingAccepted && hasClientLeft())) {
+        if (dispatcher.hasDrainEnded() || (!beingAccepted && isClientGone())) {
             attempt.onEnded(AttemptResult.NOT_SENT, AttemptListener.NO_RESULT, Double.NaN);
         } else {
             dispatcher.counters().count(Counters.Counter.ATTEMPTS);
@@ -141,12 +141,12 @@
      * request waited for another attempt or for a connection, the client's end of stream may have
      * remained unread.
      */
-    private boolean hasClientLeft() {
-        boolean left = client.hasClientLeft();
-        if (left) {
+    private boolean isClientGone() {
+        boolean gone = client.isClientGone();
+        if (gone) {
             onClientGone();
         }
-        return left;
+        return gone;
     }
 
     /** Cancels the attempt of this number, if it has not ended. */
--- a/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
@@ -186,8 +186,8 @@
         return new Gauges(
                 open.size(),
                 pending,
-                clients.open(),
-                workers.open(),
+                clients.openConnections(),
+                workers.openConnections(),
                 endpoints.size(),
                 policy.avoidedEndpoints(),
                 policy.isEndpointLeaseExpired() ? 1 : 0);
--- a/daemon/src/main/java/wheelroute/net/requests/RequestFactory.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestFactory.java
@@ -75,8 +75,10 @@
      */
     double deadline(ClientRequest message, double arrivedAt) {
         double margin =
-                Math.min(RESPONSE_MARGIN_SECONDS, MAX_RESPONSE_MARGIN_FRACTION * message.timeout());
-        return arrivedAt + Math.min(message.timeout(), maxTimeoutSeconds) - margin;
+                Math.min(
+                        RESPONSE_MARGIN_SECONDS,
+                        MAX_RESPONSE_MARGIN_FRACTION * message.timeoutSeconds());
+        return arrivedAt + Math.min(message.timeoutSeconds(), maxTimeoutSeconds) - margin;
     }
 
     /** Creates a request with a new id. */
