--- a/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import org.eclipse.jetty.http.HttpStatus;
-import wheelroute.net.http.HttpText;
+import wheelroute.net.http.HttpMessageBuilder;
 import wheelroute.units.TimeUnits;
 
 /**
@@ -49,7 +49,7 @@
      * @param isLast whether it is the last one on its connection
      */
     public ByteBuffer[] encode(boolean isLast) {
-        return new HttpText("HTTP/1.1 " + status + " " + HttpStatus.getMessage(status))
+        return new HttpMessageBuilder("HTTP/1.1 " + status + " " + HttpStatus.getMessage(status))
                 .field("Retry-After", retryAfterSeconds > 0 ? ceilToMillis() : null)
                 .field("Connection", isLast ? "close" : null)
                 .body(body);
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.util.Locale;
-import wheelroute.net.http.HttpText;
+import wheelroute.net.http.HttpMessageBuilder;
 
 /**
  * The request that an attempt sends to a worker. Immutable, but for the body, which is not copied.
@@ -28,7 +28,7 @@
      * @param timeoutSeconds how long this dispatcher waits for the response
      */
     public ByteBuffer[] encode(String host, double timeoutSeconds) {
-        return new HttpText(method + " " + target + " HTTP/1.1")
+        return new HttpMessageBuilder(method + " " + target + " HTTP/1.1")
                 .field("Host", host)
                 .field("X-Request-ID", id)
                 .field("Idempotency-Key", idempotencyKey)
--- a/daemon/src/test/java/wheelroute/net/DisconnectBeforeAttemptTest.java
+++ b/daemon/src/test/java/wheelroute/net/DisconnectBeforeAttemptTest.java
@@ -34,7 +34,7 @@
 import wheelroute.config.Config;
 import wheelroute.decision.Idempotency;
 import wheelroute.net.lifecycle.Service;
-import wheelroute.net.loop.HeldEventLoop;
+import wheelroute.net.loop.ControlledEventLoop;
 import wheelroute.net.metrics.Counters;
 
 /**
@@ -227,7 +227,7 @@
                         maxTimeoutSeconds,
                         false,
                         null);
-        loop = new HeldEventLoop(clock, 0.5);
+        loop = new ControlledEventLoop(clock, 0.5);
         service = new Service(config, loop);
         service.start();
         while (!hasSocket(handoverDirectory)) {
--- a/kit/src/main/java/wheelroute/kit/process/ClientMessageEncoder.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientMessageEncoder.java
@@ -6,7 +6,7 @@
 import wheelroute.decision.Idempotency;
 import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.model.ClientRequest;
-import wheelroute.net.http.HttpText;
+import wheelroute.net.http.HttpMessageBuilder;
 
 /** Encodes the requests that clients send to one dispatcher. */
 final class ClientMessageEncoder {
@@ -25,8 +25,8 @@
      */
     byte[] encode(ClientAttempt attempt, double timeoutSeconds) {
         ClientRequest request = attempt.request();
-        HttpText text =
-                new HttpText("POST /" + request.requestClass().name() + " HTTP/1.1")
+        HttpMessageBuilder text =
+                new HttpMessageBuilder("POST /" + request.requestClass().name() + " HTTP/1.1")
                         .field("Host", address.getAddress().getHostAddress())
                         .field("X-Request-ID", JobCodec.encodeId(attempt))
                         .field("X-Timeout", String.format(Locale.ROOT, "%.3f", timeoutSeconds));
@@ -38,7 +38,7 @@
     }
 
     private static void addOptionalFields(
-            HttpText text, ClientAttempt attempt, ClientRequest request) {
+            HttpMessageBuilder text, ClientAttempt attempt, ClientRequest request) {
         if (!Double.isNaN(request.costEstimate())) {
             text.field(
                     "X-Cost",
--- a/kit/src/main/java/wheelroute/kit/process/RelayCost.java
+++ b/kit/src/main/java/wheelroute/kit/process/RelayCost.java
@@ -65,7 +65,7 @@
 
     private void finish(double directSeconds, double relayedSeconds) {
         try {
-            loop.unlisten(server);
+            loop.closeListener(server);
             relay.close();
         } catch (IOException e) {
             // Two ports stay open until the run ends.
