--- a/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
@@ -30,8 +30,8 @@
     /**
      * Starts to receive.
      *
-     * @param target asked for at each datagram, because a process may move to another port; null
-     *     while it is not running
+     * @param target obtained anew at each datagram, because a process may move to another port;
+     *     null while it is not running
      * @param random draws from 0 to 1, for losses, jitter and duplicates
      */
     public DatagramRelay(EventLoop loop, Supplier<InetSocketAddress> target, DoubleSupplier random)
--- a/kit/src/main/java/wheelroute/kit/faults/Relay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/Relay.java
@@ -46,7 +46,7 @@
     /**
      * Starts to listen.
      *
-     * @param target asked for at each connection, because a process may move to another port
+     * @param target obtained anew at each connection, because a process may move to another port
      * @param isDispatcherNear whether it is the dispatcher that connects, not the target
      * @param random draws from 0 to 1, for losses and jitter
      */
--- a/kit/src/main/java/wheelroute/kit/faults/RelayedConnection.java
+++ b/kit/src/main/java/wheelroute/kit/faults/RelayedConnection.java
@@ -59,7 +59,7 @@
     }
 
     /**
-     * The target does not listen; the near end learns of it a moment later than without a relay.
+     * The target does not listen; the near end gets the error slightly later than without a relay.
      */
     @Override
     public void onFailed(Throwable cause) {
--- a/kit/src/main/java/wheelroute/kit/process/MachineMonitor.java
+++ b/kit/src/main/java/wheelroute/kit/process/MachineMonitor.java
@@ -37,7 +37,7 @@
     /**
      * Starts to measure.
      *
-     * @param processes those to measure, asked for in each interval
+     * @param processes those to measure, obtained anew in each interval
      */
     MachineMonitor(Supplier<List<Process>> processes) {
         this.processes = processes;
--- a/kit/src/main/java/wheelroute/kit/process/ProcessReplacer.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessReplacer.java
@@ -39,7 +39,7 @@
             DaemonProcess successor,
             Scenario.How how,
             double deadline) {
-        /** Whether the successor was neither taken over to nor abandoned. */
+        /** Whether the successor has neither become the current process nor been abandoned. */
         boolean isPending() {
             return slot.successor() == successor;
         }
--- a/kit/src/main/java/wheelroute/kit/scale/DiscoveryCallStatistics.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DiscoveryCallStatistics.java
@@ -3,8 +3,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What one kind of caller has asked of discovery since the last {@link #clear}. Used on the event
- * loop's thread.
+ * Counts the calls of one kind of caller since the last {@link #clear}. Used on the event loop's
+ * thread.
  */
 final class DiscoveryCallStatistics {
     private static final double MICROS_PER_SECOND = 1e6;
--- a/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
@@ -123,7 +123,8 @@
     }
 
     /**
-     * Returns the number of connections that have not asked for what follows the newest version.
+     * Returns the number of connections that have not requested the changes after the newest
+     * version.
      */
     long connectionsBehind() {
         return connections.stream()
@@ -162,7 +163,7 @@
 
         private final DiscoveryCallStatistics callerStatistics;
 
-        /** The version after which the last watch asked for changes; NONE before the first. */
+        /** The version after which the last watch requested changes; NONE before the first. */
         private long acknowledgedVersion = NONE;
 
         /** The version that a held watch has; NONE while no watch is held. */
--- a/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
@@ -2,6 +2,8 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
+import static wheelroute.kit.process.FaultTables.fault;
+import static wheelroute.kit.process.FaultTables.replacement;
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -60,22 +62,6 @@
                     + replacement(0.9, "share = 0.2\npick = 3", "both-stopped")
                     + fault("crowd", 0.5, 4, "share = 0.6\nlevel = 100");
 
-    private static String fault(String kind, double at, double length, String more) {
-        return "[[faults]]\nkind = \""
-                + kind
-                + "\"\nat = "
-                + at
-                + "\nfor = "
-                + length
-                + "\n"
-                + more
-                + "\n";
-    }
-
-    private static String replacement(double at, String targets, String how) {
-        return fault("dispatcher-replace", at, 4, targets + "\nhow = \"" + how + "\"");
-    }
-
     private static Report run(String faults) throws Exception {
         Scenario scenario = SmallScenario.scenario(faults, DISPATCHERS, REAL_CLOCK);
         return JudgedRuns.run(scenario, SEED, SECONDS);
--- a/kit/src/test/java/wheelroute/kit/process/PeerFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/PeerFaultsTest.java
@@ -2,6 +2,8 @@
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
+import static wheelroute.kit.process.FaultTables.fault;
+import static wheelroute.kit.process.FaultTables.replacement;
 
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -19,90 +21,33 @@
     private static final long SEED = 5;
     private static final double SECONDS = 12;
 
+    private static final String DISPATCHERS_DIE_ON_LOSSY_NETWORK =
+            fault("dispatcher-kill", 0.5, 1, "share = 0.3\nwithin = 0.5")
+                    + fault("crash", 1, 1, "group = \"near\"\nshare = 0.5")
+                    + fault("link-loss", 2, 2, "to = \"peers\"\nlevel = 0.3");
+
+    private static final String PEERS_ARE_PARTITIONED =
+            fault("link-cut", 0.5, 2, "to = \"peers\"\nshare = 0.4")
+                    + fault("link-one-way", 2.5, 1, "to = \"peers\"\nshare = 0.2\npick = 1")
+                    + fault("crash", 1, 1, "group = \"far\"\nshare = 0.5");
+
+    private static final String DISPATCHERS_ARE_REPLACED_WHILE_GOSSIP_IS_DELAYED =
+            fault("dispatcher-pause", 0.5, 1.5, "share = 0.3")
+                    + fault("dispatcher-replace", 0.6, 4, "share = 0.3\npick = 1")
+                    + replacement(0.7, "share = 0.1\npick = 3", "new-killed")
+                    + fault("link-double", 0.5, 4, "to = \"peers\"\nlevel = 0.5")
+                    + fault(
+                            "link-slow",
+                            0.5,
+                            4,
+                            "to = \"peers\"\nlevel = 0.02\nspread = 0.1\npick = 2");
+
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {
-                """
-                [[faults]]
-                kind = "dispatcher-kill"
-                at = 0.5
-                for = 1.0
-                share = 0.3
-                within = 0.5
-                [[faults]]
-                kind = "crash"
-                at = 1.0
-                for = 1.0
-                group = "near"
-                share = 0.5
-                [[faults]]
-                kind = "link-loss"
-                at = 2.0
-                for = 2.0
-                to = "peers"
-                level = 0.3
-                """
-            },
-            {
-                """
-                [[faults]]
-                kind = "link-cut"
-                at = 0.5
-                for = 2.0
-                to = "peers"
-                share = 0.4
-                [[faults]]
-                kind = "link-one-way"
-                at = 2.5
-                for = 1.0
-                to = "peers"
-                share = 0.2
-                pick = 1
-                [[faults]]
-                kind = "crash"
-                at = 1.0
-                for = 1.0
-                group = "far"
-                share = 0.5
-                """
-            },
-            {
-                """
-                [[faults]]
-                kind = "dispatcher-pause"
-                at = 0.5
-                for = 1.5
-                share = 0.3
-                [[faults]]
-                kind = "dispatcher-replace"
-                at = 0.6
-                for = 4.0
-                share = 0.3
-                pick = 1
-                [[faults]]
-                kind = "dispatcher-replace"
-                at = 0.7
-                for = 4.0
-                share = 0.1
-                pick = 3
-                how = "new-killed"
-                [[faults]]
-                kind = "link-double"
-                at = 0.5
-                for = 4.0
-                to = "peers"
-                level = 0.5
-                [[faults]]
-                kind = "link-slow"
-                at = 0.5
-                for = 4.0
-                to = "peers"
-                level = 0.02
-                spread = 0.1
-                pick = 2
-                """
-            },
+            {DISPATCHERS_DIE_ON_LOSSY_NETWORK},
+            {PEERS_ARE_PARTITIONED},
+            {DISPATCHERS_ARE_REPLACED_WHILE_GOSSIP_IS_DELAYED},
         };
     }
 
--- a/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
@@ -3,6 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
+import static wheelroute.kit.process.FaultTables.fault;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -28,59 +29,16 @@
     public Object[][] faults() {
         return new Object[][] {
             {"none", ""},
-            {
-                "burst of errors",
-                """
-                [[faults]]
-                kind = "burst"
-                at = 1
-                for = 2
-                group = "far"
-                level = 0.5
-                """
-            },
+            {"burst of errors", fault("burst", 1, 2, "group = \"far\"", "level = 0.5")},
             {
                 "crash and cold restart of workers",
-                """
-                [[faults]]
-                kind = "crash"
-                at = 1
-                for = 2
-                group = "near"
-                share = 0.5
-                """
-            },
-            {
-                "drain of workers",
-                """
-                [[faults]]
-                kind = "drain"
-                at = 0.5
-                for = 3
-                group = "near"
-                share = 0.5
-                """
-            },
-            {
-                "unreachable machine",
-                """
-                [[faults]]
-                kind = "vanish"
-                at = 1
-                for = 2
-                group = "near"
-                share = 0.5
-                """
-            },
-            {"outage of discovery", "[[faults]]\nkind = \"list-down\"\nat = 1\nfor = 2\n"},
-            {
-                "kill of a dispatcher",
-                "[[faults]]\nkind = \"dispatcher-kill\"\nat = 1\nfor = 1\nshare = 0.5\n"
-            },
-            {
-                "restart of a dispatcher",
-                "[[faults]]\nkind = \"dispatcher-restart\"\nat = 1\nfor = 2\nshare = 0.5\n"
+                fault("crash", 1, 2, "group = \"near\"", "share = 0.5")
             },
+            {"drain of workers", fault("drain", 0.5, 3, "group = \"near\"", "share = 0.5")},
+            {"unreachable machine", fault("vanish", 1, 2, "group = \"near\"", "share = 0.5")},
+            {"outage of discovery", fault("list-down", 1, 2)},
+            {"kill of a dispatcher", fault("dispatcher-kill", 1, 1, "share = 0.5")},
+            {"restart of a dispatcher", fault("dispatcher-restart", 1, 2, "share = 0.5")},
             {"clients that cancel", "[clients]\nimpatient = 0.5\nretries = 1\n"},
         };
     }
