--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -205,7 +205,7 @@
 
     /** Reads once without waiting. Returns the number of bytes, negative at the stream's end. */
     private int peek() throws IOException {
-        ByteBuffer peeked = loop.lookBuffer();
+        ByteBuffer peeked = loop.peekBuffer();
         int count = getEndPoint().fill(peeked);
         if (count > 0) {
             read(peeked);
--- a/daemon/src/main/java/wheelroute/net/clients/ClientRequestDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientRequestDecoder.java
@@ -8,7 +8,7 @@
 import org.eclipse.jetty.http.HttpParser;
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.http.HttpVersion;
-import wheelroute.net.http.MessageReader;
+import wheelroute.net.http.HttpMessageReader;
 import wheelroute.units.TimeUnits;
 
 /**
@@ -17,7 +17,8 @@
  * <p>Used on the event loop's thread only. After a {@link BadRequestException} the connection must
  * be closed, because it is unknown where the next request begins.
  */
-public final class ClientRequestDecoder extends MessageReader implements HttpParser.RequestHandler {
+public final class ClientRequestDecoder extends HttpMessageReader
+        implements HttpParser.RequestHandler {
     /** Far more than the protocol's fields need; many clients share the memory. */
     private static final int MAX_HEAD_BYTES = 8 * 1024;
 
