--- a/daemon/src/test/java/wheelroute/net/PolicyFailureTest.java
+++ b/daemon/src/test/java/wheelroute/net/PolicyFailureTest.java
@@ -44,7 +44,7 @@
                                     statusRecorder(status),
                                     false);
                     // Without a policy the call fails as it would if the policy threw.
-                    dispatcher.turn(() -> exchange.begin(null));
+                    dispatcher.runEvent(() -> exchange.begin(null));
                     exchange.onDeadline();
                 });
         assertEquals(status.get().intValue(), 502);
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -31,8 +31,8 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.Settings;
 import wheelroute.net.lifecycle.Service;
-import wheelroute.net.loop.HeldEventLoop;
-import wheelroute.net.loop.StepClock;
+import wheelroute.net.loop.ControlledEventLoop;
+import wheelroute.net.loop.ManualClock;
 import wheelroute.net.workers.AttemptResult;
 
 /** A dispatcher on loopback sockets, with stubs of clients, workers and discovery. */
@@ -79,8 +79,8 @@
     protected boolean ordered;
     protected boolean mayHedge;
     protected boolean endpointsArePushed;
-    protected StepClock clock = new StepClock();
-    protected HeldEventLoop loop;
+    protected ManualClock clock = new ManualClock();
+    protected ControlledEventLoop loop;
     protected Path handoverDirectory;
     protected Config config;
     protected Service service;
@@ -116,7 +116,7 @@
                         maxTimeoutSeconds,
                         endpointsArePushed,
                         null);
-        loop = new HeldEventLoop(clock, 0.5);
+        loop = new ControlledEventLoop(clock, 0.5);
         service = new Service(config, loop);
         service.start();
         port = service.port();
@@ -239,7 +239,7 @@
         workers.reset();
         discovery.reset();
         service = null;
-        clock = new StepClock();
+        clock = new ManualClock();
         endpointsArePushed = false;
         maxTimeoutSeconds = 2;
         hasAdminServer = false;
--- a/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
@@ -1,6 +1,6 @@
 package wheelroute.kit.faults;
 
-import wheelroute.kit.scenario.Scenario;
+import wheelroute.kit.scenario.FaultKind;
 
 /**
  * The kinds of faults of a link. What a stream's link holds back during a fault arrives in order
@@ -32,16 +32,16 @@
      *
      * @throws IllegalArgumentException if it is not a fault of links
      */
-    public static LinkFault of(Scenario.Kind kind) {
+    public static LinkFault of(FaultKind kind) {
         return switch (kind) {
             case LINK_REFUSE -> REFUSE;
-            case LINK_ONE_WAY -> ONE_WAY;
-            case LINK_UNHEARD -> UNHEARD;
-            case LINK_SLOW -> SLOW;
+            case LINK_INBOUND_CUT -> ONE_WAY;
+            case LINK_OUTBOUND_CUT -> UNHEARD;
+            case LINK_DELAY -> SLOW;
             case LINK_LOSS -> LOSS;
-            case LINK_TRICKLE -> BANDWIDTH;
-            case LINK_DOUBLE -> DUPLICATE;
-            case LINK_CUT, LIST_CUT -> PARTITION;
+            case LINK_BANDWIDTH -> BANDWIDTH;
+            case LINK_DUPLICATION -> DUPLICATE;
+            case LINK_CUT, DISCOVERY_LINK_CUT -> PARTITION;
             default -> throw new IllegalArgumentException("not a fault of links: " + kind);
         };
     }
--- a/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
@@ -114,17 +114,17 @@
     }
 
     private static Scenario.Fault withoutStartSpread(Scenario.Fault fault) {
-        return with(fault, fault.length(), fault.share(), 0);
+        return with(fault, fault.durationSeconds(), fault.targetFraction(), 0);
     }
 
     private static Scenario.Fault withHalfLength(Scenario.Fault fault) {
-        double length = Math.max(MIN_LENGTH_SECONDS, rounded(fault.length() / 2));
-        return with(fault, length, fault.share(), fault.startSpread());
+        double length = Math.max(MIN_LENGTH_SECONDS, rounded(fault.durationSeconds() / 2));
+        return with(fault, length, fault.targetFraction(), fault.startSpreadSeconds());
     }
 
     private static Scenario.Fault withHalfShare(Scenario.Fault fault) {
-        double share = Math.max(MIN_SHARE, rounded(fault.share() / 2));
-        return with(fault, fault.length(), share, fault.startSpread());
+        double share = Math.max(MIN_SHARE, rounded(fault.targetFraction() / 2));
+        return with(fault, fault.durationSeconds(), share, fault.startSpreadSeconds());
     }
 
     private static double rounded(double value) {
@@ -135,7 +135,7 @@
             Scenario.Fault fault, double length, double share, double startSpread) {
         return new Scenario.Fault(
                 fault.kind(),
-                fault.start(),
+                fault.startSeconds(),
                 length,
                 fault.group(),
                 share,
@@ -143,10 +143,10 @@
                 fault.pick(),
                 startSpread,
                 fault.linkKind(),
-                fault.zone(),
-                fault.from(),
-                fault.spread(),
-                fault.how(),
+                fault.workerZone(),
+                fault.dispatcherZone(),
+                fault.delaySpreadSeconds(),
+                fault.mode(),
                 fault.peerFraction());
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/DaemonLauncher.java
+++ b/kit/src/main/java/wheelroute/kit/process/DaemonLauncher.java
@@ -5,7 +5,9 @@
 import java.nio.file.Path;
 import java.util.Map;
 import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.scenario.DaemonConfigFile;
 import wheelroute.kit.scenario.DaemonSettings;
+import wheelroute.kit.scenario.FaultMode;
 import wheelroute.kit.scenario.Scenario;
 
 /** Writes the configuration of dispatchers and starts their processes. */
@@ -29,10 +31,10 @@
      * @param how which build and settings it has
      * @throws IOException if its configuration cannot be written or it cannot be started
      */
-    DaemonProcess start(DispatcherSlot slot, Scenario.How how, DaemonProcess.Listener listener)
+    DaemonProcess start(DispatcherSlot slot, FaultMode how, DaemonProcess.Listener listener)
             throws IOException {
         Path config = writeConfig(slot, how);
-        boolean isOlder = how == Scenario.How.OLDER && spec.olderJar() != null;
+        boolean isOlder = how == FaultMode.OLDER_BUILD && spec.olderJar() != null;
         return DaemonProcess.start(
                 new DaemonProcess.Spec(
                         slot.name(),
@@ -46,11 +48,11 @@
                 listener);
     }
 
-    private Path writeConfig(DispatcherSlot slot, Scenario.How how) throws IOException {
+    private Path writeConfig(DispatcherSlot slot, FaultMode how) throws IOException {
         Scenario scenario = spec.scenario();
         Map<String, String> settings =
-                DaemonSettings.pairsOf(scenario, slot.number(), spec.settings());
-        if (how == Scenario.How.CHANGED) {
+                DaemonSettings.settingsOfDispatcher(scenario, slot.number(), spec.settings());
+        if (how == FaultMode.CHANGED_SETTINGS) {
             settings.putAll(scenario.changedSettings());
         }
         Path config = slot.directory().resolve("config-" + slot.starts() + ".json");
@@ -59,13 +61,13 @@
         slot.onStart();
         Files.writeString(
                 config,
-                DaemonSettings.file(
-                        slot.name(),
-                        seed,
-                        scenario.limits().memoryMb(),
-                        scenario.limits().sockets(),
-                        settings,
-                        spec.peerAddresses().apply(slot.number())));
+                new DaemonConfigFile(
+                                slot.name(),
+                                seed,
+                                scenario.limits(),
+                                settings,
+                                spec.peerAddresses().apply(slot.number()))
+                        .text());
         return config;
     }
 
--- a/kit/src/main/java/wheelroute/kit/process/DispatcherSlot.java
+++ b/kit/src/main/java/wheelroute/kit/process/DispatcherSlot.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import wheelroute.kit.scenario.Scenario;
+import wheelroute.kit.scenario.FaultMode;
 
 /**
  * One dispatcher of a fleet, which is one process, or two while one replaces the other. Used on the
@@ -17,7 +17,7 @@
     private DaemonProcess current;
     private DaemonProcess successor;
     private DaemonProcess killedBesideOther;
-    private Scenario.How pendingStart;
+    private FaultMode pendingStart;
     private int port;
     private int starts;
     private boolean isPaused;
@@ -83,11 +83,11 @@
     }
 
     /** Returns how it is started once its last process has ended; null if it is not. */
-    Scenario.How pendingStart() {
+    FaultMode pendingStart() {
         return pendingStart;
     }
 
-    void setPendingStart(Scenario.How how) {
+    void setPendingStart(FaultMode how) {
         pendingStart = how;
     }
 
--- a/kit/src/main/java/wheelroute/kit/process/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/process/Fleet.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import wheelroute.kit.scenario.Scenario;
+import wheelroute.kit.scenario.FaultMode;
 import wheelroute.net.loop.EventLoop;
 
 /**
@@ -53,7 +53,7 @@
                         // A successor is ready once its admin server says so, which is polled.
                         (slot, how) -> startProcess(slot, how, process -> {}),
                         listener);
-        for (int i = 0; i < spec.scenario().dispatchers(); i++) {
+        for (int i = 0; i < spec.scenario().dispatcherCount(); i++) {
             slots.add(new DispatcherSlot(i, Files.createDirectory(directory.resolve("n" + i))));
         }
     }
@@ -89,7 +89,7 @@
     }
 
     /** Starts a dispatcher, once its last process has ended. */
-    void start(int dispatcher, Scenario.How how) {
+    void start(int dispatcher, FaultMode how) {
         DispatcherSlot slot = slots.get(dispatcher);
         if (!slot.processes().isEmpty()) {
             slot.setPendingStart(how);
@@ -114,7 +114,7 @@
     }
 
     private DaemonProcess startProcess(
-            DispatcherSlot slot, Scenario.How how, Consumer<DaemonProcess> onReady) {
+            DispatcherSlot slot, FaultMode how, Consumer<DaemonProcess> onReady) {
         try {
             DaemonProcess process =
                     launcher.start(
@@ -162,7 +162,7 @@
         }
         listener.onStopped(slot.number());
         if (slot.pendingStart() != null || hasCrashed) {
-            start(slot.number(), hasCrashed ? Scenario.How.USUAL : slot.pendingStart());
+            start(slot.number(), hasCrashed ? FaultMode.USUAL : slot.pendingStart());
         }
     }
 
@@ -193,7 +193,7 @@
     }
 
     /** Starts to replace the process of a dispatcher; see {@link ProcessReplacer#replace}. */
-    void replace(int dispatcher, Scenario.How how, double limitSeconds) {
+    void replace(int dispatcher, FaultMode how, double limitSeconds) {
         replacer.replace(slots.get(dispatcher), how, limitSeconds);
     }
 
--- a/kit/src/main/java/wheelroute/kit/process/ProcessReplacer.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessReplacer.java
@@ -1,7 +1,7 @@
 package wheelroute.kit.process;
 
 import wheelroute.kit.model.SeededRandom;
-import wheelroute.kit.scenario.Scenario;
+import wheelroute.kit.scenario.FaultMode;
 import wheelroute.net.loop.EventLoop;
 
 /**
@@ -11,7 +11,7 @@
 final class ProcessReplacer {
     /** Starts the process that replaces the current one of a dispatcher. */
     interface SuccessorLauncher {
-        DaemonProcess start(DispatcherSlot slot, Scenario.How how);
+        DaemonProcess start(DispatcherSlot slot, FaultMode how);
     }
 
     private static final double READY_POLL_SECONDS = 0.05;
@@ -37,9 +37,9 @@
             DispatcherSlot slot,
             DaemonProcess old,
             DaemonProcess successor,
-            Scenario.How how,
+            FaultMode how,
             double deadline) {
-        /** Whether the successor was neither taken over to nor abandoned. */
+        /** Whether the successor has neither become the current process nor been abandoned. */
         boolean isPending() {
             return slot.successor() == successor;
         }
@@ -74,7 +74,7 @@
      *
      * @param limitSeconds after which a replacement that is not complete has failed
      */
-    void replace(DispatcherSlot slot, Scenario.How how, double limitSeconds) {
+    void replace(DispatcherSlot slot, FaultMode how, double limitSeconds) {
         if (slot.processes().size() != 1 || slot.pendingStart() != null || slot.port() == 0) {
             return;
         }
@@ -84,7 +84,7 @@
         slot.setSuccessor(successor);
         Replacement replacement =
                 new Replacement(slot, old, successor, how, loop.now() + limitSeconds);
-        if (how == Scenario.How.NEW_KILLED) {
+        if (how == FaultMode.SUCCESSOR_KILLED) {
             killSuccessorLater(replacement);
         } else {
             awaitReady(replacement);
@@ -147,8 +147,8 @@
         slot.setCurrent(replacement.successor);
         slot.setSuccessor(null);
         switch (replacement.how) {
-            case BOTH_STOPPED -> pauseBoth(replacement);
-            case OLD_KILLED -> killBesideOther(slot, replacement.old);
+            case BOTH_PAUSED -> pauseBoth(replacement);
+            case PREDECESSOR_KILLED -> killBesideOther(slot, replacement.old);
             default -> terminateOld(replacement);
         }
     }
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
@@ -15,6 +15,7 @@
 import wheelroute.config.ConfigException;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.scenario.DaemonSettings;
+import wheelroute.kit.scenario.FaultMode;
 import wheelroute.kit.scenario.FaultScheduleGenerator;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.net.loop.Clock;
@@ -90,7 +91,7 @@
     private volatile String failure;
 
     private ProcessRun(Options options) {
-        peering = options.scenario().peers() && !options.settings().containsKey(NO_PEERS);
+        peering = options.scenario().peersEnabled() && !options.settings().containsKey(NO_PEERS);
         this.options = options.prepared();
     }
 
@@ -109,7 +110,7 @@
         // Throws before any process is started if the settings are invalid.
         DaemonSettings.settings(
                 options.seed(),
-                DaemonSettings.pairs(run.options.scenario(), run.options.settings()));
+                DaemonSettings.settingsByPath(run.options.scenario(), run.options.settings()));
         try {
             run.start();
             boolean isPartial = run.awaitEnd(stop, progress);
@@ -141,8 +142,8 @@
         relayCost = cost.get(LoopExecutor.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         executor.call(
                 () -> {
-                    for (int i = 0; i < options.scenario().dispatchers(); i++) {
-                        environment.fleet.start(i, Scenario.How.USUAL);
+                    for (int i = 0; i < options.scenario().dispatcherCount(); i++) {
+                        environment.fleet.start(i, FaultMode.USUAL);
                     }
                     return null;
                 });
@@ -161,7 +162,7 @@
                 new MembershipCheck(
                         loop,
                         environment.fleet,
-                        options.scenario().dispatchers(),
+                        options.scenario().dispatcherCount(),
                         environment.transport::isOpen);
     }
 
@@ -207,7 +208,7 @@
 
     private List<Process> processesOfFleet() {
         List<Process> processes = new ArrayList<>();
-        for (int i = 0; i < options.scenario().dispatchers(); i++) {
+        for (int i = 0; i < options.scenario().dispatcherCount(); i++) {
             environment.fleet.processes(i).forEach(daemon -> processes.add(daemon.process()));
         }
         return processes;
@@ -248,8 +249,8 @@
     }
 
     private Report report(boolean isPartial) throws RehearsalException {
-        Report.Lag lag =
-                new Report.Lag(timerLag.p99(), timerLag.max(), machine.p99(), machine.max());
+        Report.MachineLag lag =
+                new Report.MachineLag(timerLag.p99(), timerLag.max(), machine.p99(), machine.max());
         return new ProcessRunReport(options, environment, membership, relayCost, lag)
                 .create(isPartial);
     }
--- a/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
@@ -115,7 +115,7 @@
             if (isReachable.getAsBoolean() || entry.state() == EndpointRegistry.State.READY) {
                 notifyAuditor(entry);
             }
-            if (!isComplete || entry.state() != EndpointRegistry.State.GONE) {
+            if (!isComplete || entry.state() != EndpointRegistry.State.REMOVED) {
                 listed.add(entryJson(entry));
             }
         }
@@ -140,7 +140,7 @@
         return switch (state) {
             case READY -> "ready";
             case DRAINING -> "draining";
-            case GONE -> "gone";
+            case REMOVED -> "gone";
         };
     }
 
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedAttempt.java
@@ -76,7 +76,7 @@
         workerAttempt =
                 new WorkerAttempt(
                         request.clientAttempt().key(),
-                        request.clientAttempt().request().work(),
+                        request.clientAttempt().request().workSeconds(),
                         requestClass.slots(),
                         requestClass.memory(),
                         this);
@@ -149,7 +149,8 @@
         link.remove(this);
         dispatcher.dispatch(
                 () -> {
-                    // As in the daemon, the client has its response before the strategy is told.
+                    // As in the daemon, the client has its response before the strategy learns of
+                    // the end.
                     if (outcome == Outcome.SUCCEEDED) {
                         request.respond(FinalResponse.SUCCEEDED, 0);
                     }
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
@@ -14,7 +14,7 @@
 /** A simulated dispatcher's watch of the endpoint list, and how it fails. */
 final class SimulatedDiscoveryWatch {
     /** A watch without a response fails after its hold time and another 1.5 s. */
-    private static final double WATCH_TIMEOUT = 6.5;
+    private static final double WATCH_TIMEOUT_SECONDS = 6.5;
 
     /** Timeout of a call for the complete list, which discovery answers at once. */
     private static final double CALL_TIMEOUT_SECONDS = 1.5;
@@ -44,9 +44,7 @@
         cluster.registry.onOutage(this::onOutage);
     }
 
-    /**
-     * Calls discovery: the strategy gets the complete list, then changes, or hears of a failure.
-     */
+    /** Calls discovery: the strategy gets the complete list and then its changes, or a failure. */
     void start() {
         LinkState state = network.toDiscovery().state();
         if (cluster.registry.isDown() || state.refuses()) {
@@ -73,7 +71,7 @@
             fail();
         } else if (wasPassing && !(state.outbound() && state.inbound())) {
             process.schedule(
-                    WATCH_TIMEOUT,
+                    WATCH_TIMEOUT_SECONDS,
                     () -> {
                         LinkState now = network.toDiscovery().state();
                         if (!now.inbound() || !now.outbound()) {
@@ -131,7 +129,7 @@
         List<Endpoint> endpoints = new ArrayList<>();
         for (EndpointRegistry.Entry entry : entries) {
             auditor.onNotified(number, entry.worker().number, entry.state());
-            if (!isComplete || entry.state() != EndpointRegistry.State.GONE) {
+            if (!isComplete || entry.state() != EndpointRegistry.State.REMOVED) {
                 endpoints.add(toEndpoint(entry));
             }
         }
@@ -150,7 +148,7 @@
                 switch (entry.state()) {
                     case READY -> Endpoint.State.READY;
                     case DRAINING -> Endpoint.State.DRAINING;
-                    case GONE -> Endpoint.State.REMOVED;
+                    case REMOVED -> Endpoint.State.REMOVED;
                 });
     }
 }
