--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -58,7 +58,7 @@
      */
     public void onEndpoints(List<Endpoint> changed, boolean complete) {
         for (WorkerState worker : parts.endpointUpdates().apply(changed, complete)) {
-            if (worker.isUnlisted()) {
+            if (worker.isRetainedAfterRemoval()) {
                 // The list may be wrong about it, so that its attempts may still be running.
                 parts.replacer().replaceWithinBudget(worker, attempt -> true);
             } else {
--- a/daemon/src/main/java/wheelroute/decision/RequestEvents.java
+++ b/daemon/src/main/java/wheelroute/decision/RequestEvents.java
@@ -67,7 +67,7 @@
         request.end(attempt, outcome);
         parts.state().workers().remove(attempt);
         parts.measurements().recordEnd(attempt, report);
-        parts.ejection().onOutcome(attempt.worker, outcome);
+        parts.ejection().onOutcome(attempt.worker(), outcome);
         // Before the outcome is noted: a retry is one of a request that had failed before.
         parts.measurements().recordRetry(attempt);
         request.noteOutcome(outcome);
--- a/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
+++ b/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
@@ -104,7 +104,7 @@
             ejection.onRemoved(worker);
         } else {
             worker.setReady(endpoint.state() == Endpoint.State.READY);
-            worker.setUnlisted(false);
+            worker.setRetainedAfterRemoval(false);
         }
         if (restarted) {
             // The new process is judged neither by the speed nor by the faults of the old one.
--- a/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
@@ -113,7 +113,7 @@
         schedule.reset(slots);
         for (int i = 0; i < worker.inFlight().size(); i++) {
             Attempt attempt = worker.inFlight().get(i);
-            schedule.occupy(attempt.request.slots(), attempt.remainingSeconds(now, speed));
+            schedule.occupy(attempt.request().slots(), attempt.remainingSeconds(now, speed));
         }
     }
 
@@ -164,7 +164,7 @@
         int running = 0;
         for (Attempt attempt : worker.inFlight()) {
             boolean counts = attempt.hasStarted() && now - attempt.startedAt() > SETTLING_SECONDS;
-            running += counts ? (int) attempt.request.slots() : 0;
+            running += counts ? (int) attempt.request().slots() : 0;
         }
         worker.model().noteSlots(running);
     }
--- a/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
+++ b/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
@@ -76,7 +76,7 @@
         worker.statistics().recordFailure(now);
         WorkerHealth health = worker.health();
         health.recordFailure();
-        if (worker.isUnlisted()) {
+        if (worker.isRetainedAfterRemoval()) {
             worker.setReady(false);
             workers.ready().remove(worker);
         }
@@ -100,8 +100,8 @@
      */
     public void onRemoved(WorkerState worker) {
         worker.setReady(worker.isReady() && removalIsAdvisory);
-        if (worker.isReady() && !worker.isUnlisted()) {
-            worker.setUnlisted(true);
+        if (worker.isReady() && !worker.isRetainedAfterRemoval()) {
+            worker.setRetainedAfterRemoval(true);
             worker.health().eject();
             worker.health().scheduleTrial(clock.now(), worker.health().trialDelaySeconds());
         }
--- a/daemon/src/main/java/wheelroute/decision/health/UnresponsiveWorkerDetector.java
+++ b/daemon/src/main/java/wheelroute/decision/health/UnresponsiveWorkerDetector.java
@@ -37,7 +37,7 @@
     private void inspect(WorkerState worker, double now) {
         worker.estimates().recordRunningJobs(now);
         Attempt oldest = worker.inFlight().get(0);
-        double quietSeconds = now - Math.max(worker.health().lastResponseAt(), oldest.sentAt);
+        double quietSeconds = now - Math.max(worker.health().lastResponseAt(), oldest.sentAt());
         if (quietSeconds > timeoutSeconds(expectedQuietSeconds(worker, oldest, quietSeconds))) {
             if (!worker.health().isUnresponsive()) {
                 ejection.onUnresponsive(worker);
@@ -71,9 +71,9 @@
         double expected =
                 quietSeconds <= RESPONSE_SLACK_SECONDS
                         ? 0
-                        : Math.max(oldest.expectedWaitSeconds, worker.model().longestWait());
+                        : Math.max(oldest.expectedWaitSeconds(), worker.model().longestWait());
         if (oldest.hasStarted() || !settings.reportsStart()) {
-            double run = oldest.request.work() / worker.estimates().speed(clock.now());
+            double run = oldest.request().work() / worker.estimates().speed(clock.now());
             expected +=
                     settings.progressIntervalSeconds() > 0
                             ? settings.progressIntervalSeconds()
@@ -85,7 +85,7 @@
     /** Returns the seconds until the next message about a running attempt: progress or its end. */
     private double secondsBetweenMessages(Attempt attempt, double now) {
         double interval = settings.progressIntervalSeconds();
-        double run = attempt.request.work() / attempt.worker.estimates().speed(now);
+        double run = attempt.request().work() / attempt.worker().estimates().speed(now);
         return attempt.hasStarted() ? interval : Math.min(interval, run);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
@@ -38,7 +38,7 @@
 
     /** Returns whether the attempt was hedged or cancelled. */
     private boolean replace(Attempt attempt) {
-        TrackedRequest request = attempt.request;
+        TrackedRequest request = attempt.request();
         if (attempt.isReplaced() || request.isDone() || request.isStreaming()) {
             return false;
         }
--- a/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
@@ -81,7 +81,7 @@
         for (int i = 0; i < request.attempts().size(); i++) {
             Attempt earlier = request.attempts().get(i);
             boolean excludesWorker = earlier.isInFlight() || earlier.outcome() == Outcome.REJECTED;
-            if (earlier.worker == worker && excludesWorker) {
+            if (earlier.worker() == worker && excludesWorker) {
                 return false;
             }
             if (!recognizesRepeat(worker, earlier, request.settings())) {
@@ -98,8 +98,8 @@
             return true;
         }
         double windowSeconds = requestClass.idempotencyWindowSeconds();
-        return clock.now() <= earlier.sentAt + windowSeconds - TRANSIT_SECONDS
-                && requestClass.idempotencyScope().covers(earlier.endpoint, worker.endpoint());
+        return clock.now() <= earlier.sentAt() + windowSeconds - TRANSIT_SECONDS
+                && requestClass.idempotencyScope().covers(earlier.endpoint(), worker.endpoint());
     }
 
     /**
@@ -114,12 +114,12 @@
         }
         boolean canRetry =
                 settings.mayCancel()
-                        && switch (attempt.request.settings().idempotency()) {
+                        && switch (attempt.request().settings().idempotency()) {
                             case IDEMPOTENT -> true;
                             // Only if its worker responds to others, so that the fault is this
                             // attempt's alone, and another worker recognizes the key.
                             case IDEMPOTENT_BY_KEY ->
-                                    attempt.worker.health().lastResponseAt()
+                                    attempt.worker().health().lastResponseAt()
                                                     > attempt.lastMessageAt()
                                             && hasOtherWorker.getAsBoolean();
                             case NON_IDEMPOTENT -> false;
--- a/daemon/src/main/java/wheelroute/decision/routing/AttemptSender.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AttemptSender.java
@@ -58,7 +58,7 @@
     /** Cancels one attempt in flight. */
     public void cancel(Attempt attempt) {
         attempt.cancel();
-        actions.cancelAttempt(attempt.request.request().id(), attempt.number);
+        actions.cancelAttempt(attempt.request().request().id(), attempt.number());
     }
 
     /** Cancels what is in flight of a request that needs no answer any more, where allowed. */
--- a/daemon/src/main/java/wheelroute/decision/state/Attempt.java
+++ b/daemon/src/main/java/wheelroute/decision/state/Attempt.java
@@ -14,24 +14,14 @@
 
     private static final double NOT_STARTED = -1;
 
-    public final TrackedRequest request;
-    public final int number;
-    public final WorkerState worker;
-
-    /** The endpoint as listed at the send: its zone and cell bind a retry with the same key. */
-    public final Endpoint endpoint;
-
-    public final double sentAt;
-
-    /** Seconds it was expected to wait behind this dispatcher's own attempts. */
-    public final double ownWaitSeconds;
-
-    /** Seconds it was expected to wait in all. */
-    public final double expectedWaitSeconds;
-
-    /** See {@link Candidate#affinityRank}. */
-    public final int affinityRank;
-
+    private final TrackedRequest request;
+    private final int number;
+    private final WorkerState worker;
+    private final Endpoint endpoint;
+    private final double sentAt;
+    private final double ownWaitSeconds;
+    private final double expectedWaitSeconds;
+    private final int affinityRank;
     private double startedAt = NOT_STARTED;
     private double lastMessageAt = Double.POSITIVE_INFINITY;
     private double expectedRunSeconds;
@@ -51,6 +41,49 @@
         this.affinityRank = chosen.affinityRank();
     }
 
+    /** Returns the request that it is an attempt of. */
+    public TrackedRequest request() {
+        return request;
+    }
+
+    /** Returns its number among the attempts of its request, from 0. */
+    public int number() {
+        return number;
+    }
+
+    /** Returns the worker that it was sent to. */
+    public WorkerState worker() {
+        return worker;
+    }
+
+    /**
+     * Returns the worker's endpoint as listed at the send: its zone and cell bind a retry with the
+     * same key.
+     */
+    public Endpoint endpoint() {
+        return endpoint;
+    }
+
+    /** Returns when it was sent, in seconds. */
+    public double sentAt() {
+        return sentAt;
+    }
+
+    /** Returns how long it was expected to wait behind this dispatcher's own attempts. */
+    public double ownWaitSeconds() {
+        return ownWaitSeconds;
+    }
+
+    /** Returns how long it was expected to wait in all. */
+    public double expectedWaitSeconds() {
+        return expectedWaitSeconds;
+    }
+
+    /** Returns {@link Candidate#affinityRank} as of the send. */
+    public int affinityRank() {
+        return affinityRank;
+    }
+
     /** Records when the worker began it. */
     public void recordStart(double time) {
         startedAt = time;
--- a/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
+++ b/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
@@ -182,8 +182,8 @@
                 double ahead =
                         attempt.hasStarted()
                                 ? 0
-                                : attempt.sentAt + attempt.expectedWaitSeconds - now;
-                double run = attempt.remainingSeconds(now, attempt.worker.estimates().speed(now));
+                                : attempt.sentAt() + attempt.expectedWaitSeconds() - now;
+                double run = attempt.remainingSeconds(now, attempt.worker().estimates().speed(now));
                 longest = Math.max(longest, Math.max(0, ahead) + run);
             }
         }
--- a/daemon/src/main/java/wheelroute/decision/state/WorkerState.java
+++ b/daemon/src/main/java/wheelroute/decision/state/WorkerState.java
@@ -27,7 +27,7 @@
     private ModelStatistics model;
     private boolean ready;
     private boolean listed;
-    private boolean unlisted;
+    private boolean retainedAfterRemoval;
     private boolean inSameZone;
     private boolean warm;
     private int attemptCount;
@@ -95,13 +95,13 @@
      * Whether it is missing from the list but may still be sent to, as removals are advisory: the
      * first failure ends that.
      */
-    public boolean isUnlisted() {
-        return unlisted;
+    public boolean isRetainedAfterRemoval() {
+        return retainedAfterRemoval;
     }
 
     /** Sets whether it is missing from the list but may still be sent to. */
-    public void setUnlisted(boolean value) {
-        unlisted = value;
+    public void setRetainedAfterRemoval(boolean value) {
+        retainedAfterRemoval = value;
     }
 
     /** Returns the attempts in flight, in the order in which they were sent. */
@@ -158,7 +158,7 @@
      */
     public void recordBegun(Attempt begun, double now) {
         for (Attempt other : inFlight) {
-            if (other.sentAt <= begun.sentAt) {
+            if (other.sentAt() <= begun.sentAt()) {
                 other.recordBegunBy(now);
             }
         }
--- a/daemon/src/main/java/wheelroute/decision/state/WorkerTable.java
+++ b/daemon/src/main/java/wheelroute/decision/state/WorkerTable.java
@@ -109,7 +109,7 @@
 
     /** Adds an attempt that was sent; returns whether it is the worker's only one in flight. */
     public boolean add(Attempt attempt) {
-        WorkerState worker = attempt.worker;
+        WorkerState worker = attempt.worker();
         attemptsInFlight++;
         worker.inFlight().add(attempt);
         boolean first = worker.inFlight().size() == 1;
@@ -121,7 +121,7 @@
 
     /** Removes an attempt that has ended. */
     public void remove(Attempt attempt) {
-        WorkerState worker = attempt.worker;
+        WorkerState worker = attempt.worker();
         attemptsInFlight--;
         worker.inFlight().remove(attempt);
         if (worker.inFlight().isEmpty()) {
