--- a/daemon/src/main/java/wheelroute/decision/routing/AttemptSender.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AttemptSender.java
@@ -12,7 +12,7 @@
 /** Starts and cancels attempts as decided elsewhere, and keeps the state in step with that. */
 public final class AttemptSender {
     /** In place of a limit on the response time: the attempt may take until the deadline. */
-    private static final double UNTIL_DEADLINE = 0;
+    private static final double NO_LIMIT_SECONDS = 0;
 
     private final DecisionClock clock;
     private final ActionHandler actions;
@@ -52,7 +52,7 @@
             sweeps.schedule();
         }
         worker.slowStartBudget().recordSent(now, request.work() * request.slots());
-        actions.startAttempt(request.request().id(), worker.id(), UNTIL_DEADLINE);
+        actions.startAttempt(request.request().id(), worker.id(), NO_LIMIT_SECONDS);
     }
 
     /** Cancels one attempt in flight. */
--- a/daemon/src/main/java/wheelroute/net/discovery/Backoff.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/Backoff.java
@@ -31,7 +31,7 @@
  * call is answered. A dispatcher that knows that discovery is overloaded therefore calls no more
  * often than {@link #fleetInterval} allows, and ever more rarely while the overload lasts. A
  * dispatcher of a large fleet also does so without that knowledge, from {@link
- * #FAILURES_BEFORE_FLEET_INTERVAL} failures on. The recovery time is longer by as much.
+ * #FAILURES_BEFORE_FLEET_RATE} failures on. The recovery time is longer by as much.
  *
  * <p>Times are in seconds. Not thread-safe.
  */
@@ -62,7 +62,7 @@
     private static final double MAX_FLEET_INTERVAL_SECONDS = 5;
 
     /** With fewer failures there has been no time for an overload to build up. */
-    private static final int FAILURES_BEFORE_FLEET_INTERVAL = 3;
+    private static final int FAILURES_BEFORE_FLEET_RATE = 3;
 
     /** Under overload the interval doubles up to this, so that a recovery is still noticed soon. */
     private static final double MAX_OVERLOAD_INTERVAL_SECONDS = 20;
@@ -146,7 +146,7 @@
         if (overloaded) {
             interval = overloadInterval;
             overloadInterval = Math.min(2 * overloadInterval, MAX_OVERLOAD_INTERVAL_SECONDS);
-        } else if (failures >= FAILURES_BEFORE_FLEET_INTERVAL && isLargeFleet()) {
+        } else if (failures >= FAILURES_BEFORE_FLEET_RATE && isLargeFleet()) {
             interval = fleetInterval();
         }
         // Jitter of half the interval either way, so that the dispatchers' calls stay spread out.
--- a/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
@@ -9,16 +9,16 @@
 import wheelroute.net.metrics.Counters;
 
 public class InFlightAttemptTest {
-    private static final double DEADLINE = 100;
+    private static final double DEADLINE_SECONDS = 100;
 
     @DataProvider
     public Object[][] openedConnections() {
         // time of the opening, whether the attempt is still needed, whether it is sent, its results
         return new Object[][] {
-            {DEADLINE - 0.001, true, true, List.of()},
-            {DEADLINE, true, false, List.of(AttemptResult.NOT_SENT)},
-            {DEADLINE + 4, true, false, List.of(AttemptResult.NOT_SENT)},
-            {DEADLINE - 1, false, false, List.of()},
+            {DEADLINE_SECONDS - 0.001, true, true, List.of()},
+            {DEADLINE_SECONDS, true, false, List.of(AttemptResult.NOT_SENT)},
+            {DEADLINE_SECONDS + 4, true, false, List.of(AttemptResult.NOT_SENT)},
+            {DEADLINE_SECONDS - 1, false, false, List.of()},
         };
     }
 
@@ -33,7 +33,7 @@
         AttemptRequest message =
                 new AttemptRequest("POST", "/job/x", "77", null, null, new byte[0], true);
         InFlightAttempt attempt =
-                new InFlightAttempt(message, DEADLINE, listener, new Counters(List.of()));
+                new InFlightAttempt(message, DEADLINE_SECONDS, listener, new Counters(List.of()));
         assertEquals(attempt.mayBeSent(now), isSent);
         assertEquals(results, expected);
     }
