--- a/kit/src/main/java/wheelroute/kit/cli/Load.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Load.java
@@ -20,7 +20,7 @@
     private static final int MAX_CONNECTIONS = 10_000;
     private static final double MIN_WORK_SECONDS = 1e-6;
     private static final double MAX_WORK_SECONDS = 3600;
-    private static final double MAX_SPREAD = 4;
+    private static final double MAX_WORK_SIGMA = 4;
     private static final double MIN_TIMEOUT_SECONDS = 0.01;
     private static final double MAX_TIMEOUT_SECONDS = 3600;
     private static final double MIN_DURATION_SECONDS = 0.1;
@@ -130,7 +130,7 @@
         requireWithin("--rate", rate, 0, MAX_RATE);
         requireWithin("--connections", connections, 0, MAX_CONNECTIONS);
         requireWithin("--work", work, MIN_WORK_SECONDS, MAX_WORK_SECONDS);
-        requireWithin("--spread", spread, 0, MAX_SPREAD);
+        requireWithin("--spread", spread, 0, MAX_WORK_SIGMA);
         requireWithin("--timeout", timeout, MIN_TIMEOUT_SECONDS, MAX_TIMEOUT_SECONDS);
         requireWithin("--seconds", seconds, MIN_DURATION_SECONDS, MAX_DURATION_SECONDS);
     }
