--- a/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
@@ -38,11 +38,11 @@
 
     /** Returns whether the attempt was hedged or cancelled. */
     private boolean replace(Attempt attempt) {
-        TrackedRequest request = attempt.request();
-        if (attempt.isReplaced() || request.isDone() || request.isStreaming()) {
+        if (attempt.isReplaced()) {
             return false;
         }
         attempt.markReplaced();
+        TrackedRequest request = attempt.request();
         return switch (retryRules.replacementFor(attempt, () -> selector.hasFallback(request))) {
             case HEDGE -> placer.place(request) == PlacementResult.ATTEMPT_STARTED;
             case CANCEL_THEN_RETRY -> {
--- a/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
@@ -109,12 +109,16 @@
      * @param hasOtherWorker whether another worker could take the request now
      */
     Replacement replacementFor(Attempt attempt, BooleanSupplier hasOtherWorker) {
+        TrackedRequest request = attempt.request();
+        if (request.isDone() || request.isStreaming()) {
+            return Replacement.NONE;
+        }
         if (settings.mayHedge()) {
             return Replacement.HEDGE;
         }
         boolean canRetry =
                 settings.mayCancel()
-                        && switch (attempt.request().settings().idempotency()) {
+                        && switch (request.settings().idempotency()) {
                             case IDEMPOTENT -> true;
                             // Only if its worker responds to others, so that the fault is this
                             // attempt's alone, and another worker recognizes the key.
--- a/daemon/src/test/java/wheelroute/decision/estimates/EstimatesTest.java
+++ b/daemon/src/test/java/wheelroute/decision/estimates/EstimatesTest.java
@@ -110,7 +110,7 @@
         harness.acceptUntilRejection(0.5);
         assertTrue(
                 harness.countActions("attempt") >= 3,
-                "a new worker is taken to be as fast as its model: " + harness.actions);
+                "a new worker is not assumed to be as fast as its model: " + harness.actions);
     }
 
     /** A worker in slow start is preferred to one that is slower for good. */
--- a/daemon/src/test/java/wheelroute/decision/health/UnresponsiveWorkerDetectorTest.java
+++ b/daemon/src/test/java/wheelroute/decision/health/UnresponsiveWorkerDetectorTest.java
@@ -36,10 +36,8 @@
 
     @DataProvider
     public Object[][] attemptsWithoutProgress() {
-        // How many times one attempt tells of its progress, a second apart; whether it is fixture
-        // up
-        // by a time,
-        // in tenths of a second, at which its worker as a whole is not silent yet.
+        // idempotency, progress reports of the attempt (one per second), tenths of a second that
+        // pass without its worker becoming unresponsive, cancels
         return new Object[][] {
             {Idempotency.IDEMPOTENT, 0, 24, 1},
             {Idempotency.IDEMPOTENT, 9, 80, 0},
