--- a/daemon/src/main/java/wheelroute/decision/admission/Admission.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/Admission.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * A tenant beyond its quota must not crowd out the others: its requests wait less, in
-     * proportion to how much more of its quota it uses than the tenant that uses least.
+     * Returns the factor of the maximum wait of a tenant. It is below 1 beyond the quota, so that
+     * the others are not crowded out: the least use of a quota by any tenant divided by its own.
      */
     private double fairnessFactor(Ids.Tenant tenant) {
         double use = traffic.tenants().contains(tenant) ? quotaUse(tenant) : 0;
--- a/daemon/src/main/java/wheelroute/decision/estimates/AttemptMeasurements.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/AttemptMeasurements.java
@@ -44,7 +44,7 @@
         worker.health().recordResponse(now);
         worker.recordBegun(attempt, now);
         double unexplained = Math.max(0, attempt.unexplainedWait(startedAt));
-        worker.statistics().waits.add(now, unexplained, 1);
+        worker.statistics().recordWait(now, unexplained);
         worker.model().recordWait(now, startedAt - attempt.sentAt(), unexplained);
     }
 
@@ -92,7 +92,7 @@
         if (!attempt.hasStarted()) {
             double run = attempt.request().work() / worker.estimates().speed(now);
             double unexplained = attempt.unexplainedWait(now) - run;
-            worker.statistics().waits.add(now, unexplained, 1);
+            worker.statistics().recordWait(now, unexplained);
             worker.model().recordWait(now, now - attempt.sentAt(), unexplained);
         }
         if (attempt.hasStarted() || attempt.ownWaitSeconds() == 0) {
@@ -113,7 +113,7 @@
         }
         // Recorded as if the worker were warm: its speed is multiplied by the ramp fraction later.
         double rampFraction = estimates.rampFraction(from);
-        attempt.worker().statistics().runs.add(now, request.work(), run * rampFraction);
+        attempt.worker().statistics().recordRun(now, request.work(), run * rampFraction);
         if (rampFraction >= 1) {
             // Workers in slow start are left out, or a release would make the whole model look
             // slow.
--- a/daemon/src/main/java/wheelroute/decision/estimates/CostEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/CostEstimates.java
@@ -38,7 +38,7 @@
             // An estimate of 0 is ignored too: it would make the price of another zone infinite.
             return meanWork();
         }
-        estimates.add(0, estimate, 0);
+        estimates.add(0, estimate);
         return slope < 1
                 ? scale * Math.exp(slope * (Math.log(estimate) - meanLogEstimate))
                 : estimate;
--- a/daemon/src/main/java/wheelroute/decision/estimates/FleetEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/FleetEstimates.java
@@ -72,7 +72,9 @@
         return request.work() / meanSlotSpeed;
     }
 
-    /** Where traffic is thin the memory is longer, so that it holds enough attempts to judge by. */
+    /**
+     * Computes the mean waits. With little traffic the memory is longer, to hold enough attempts.
+     */
     private void updateModelWaits(double now) {
         double rate = traffic.rate(now);
         double needed = MIN_REMEMBERED_ATTEMPTS / (WorkerEstimates.MEMORY_SECONDS * rate);
--- a/daemon/src/main/java/wheelroute/decision/estimates/ModelStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/ModelStatistics.java
@@ -145,7 +145,7 @@
 
     /** Records that a worker past its slow start completed this much work times slots. */
     void recordCompletedWork(double now, double work) {
-        completedWork.add(now, work / warmWorkers, 0);
+        completedWork.add(now, work / warmWorkers);
     }
 
     /**
--- a/daemon/src/main/java/wheelroute/decision/estimates/SampleWindow.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/SampleWindow.java
@@ -1,8 +1,8 @@
 package wheelroute.decision.estimates;
 
 /**
- * The last samples of a measurement. Each is a time in seconds and two figures; the owner of a
- * window documents what they are.
+ * The last samples of a measurement. Each is a time in seconds and one or two figures. What these
+ * are is known only to the class that owns the window, which gives them names.
  */
 public final class SampleWindow {
     /** Numbers per sample: its time and two figures. */
@@ -25,6 +25,11 @@
         values = new double[STRIDE * capacity];
     }
 
+    /** Adds a sample with one figure; the oldest is dropped when the window is full. */
+    public void add(double time, double figure) {
+        add(time, figure, 0);
+    }
+
     /** Adds a sample; the oldest is dropped when the window is full. */
     public void add(double time, double first, double second) {
         values[STRIDE * next] = time;
@@ -177,7 +182,7 @@
         return factor * (priorFirst + first) / (priorSecond + second);
     }
 
-    /** An approximation of an exponential that is cheap to compute. */
+    /** Returns an approximation of an exponential that is cheap to compute. */
     private static double decayedWeight(double ageSeconds, double memorySeconds) {
         double x = ageSeconds / memorySeconds;
         return 1 / (1 + x + x * x / 2);
--- a/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
@@ -12,11 +12,13 @@
     private static final int RETRY_SAMPLE_COUNT = 8;
     private static final double STANDARD_WORK = 1;
 
+    /** Work and priority weight of each request. */
     private final SampleWindow arrivals = new SampleWindow(SAMPLE_COUNT);
 
     /** Work times slots of each request, the unit of a worker's capacity. */
     private final SampleWindow loads = new SampleWindow(SAMPLE_COUNT);
 
+    /** One sample for each request of a tenant that has a quota. */
     private final Map<Ids.Tenant, SampleWindow> tenants = new HashMap<>();
 
     /** Retries of requests that failed elsewhere: 1 for each that failed too, else 0. */
@@ -36,11 +38,11 @@
     public void record(TrackedRequest request, boolean tenantHasQuota) {
         double now = request.acceptedAt();
         arrivals.add(now, request.work(), request.value());
-        loads.add(now, request.work() * request.slots(), 0);
+        loads.add(now, request.work() * request.slots());
         if (tenantHasQuota) {
             tenants.computeIfAbsent(
                             request.request().tenant(), tenant -> new SampleWindow(SAMPLE_COUNT))
-                    .add(now, 1, 0);
+                    .add(now, 1);
         }
     }
 
@@ -101,7 +103,7 @@
 
     /** Records how a retry ended whose request had failed elsewhere before. */
     void recordRetry(double now, boolean failed) {
-        retryFailures.add(now, failed ? 1 : 0, 0);
+        retryFailures.add(now, failed ? 1 : 0);
     }
 
     /** Returns the number of such retries since a time. */
--- a/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
@@ -68,8 +68,7 @@
         double prior = PRIOR_JOBS * traffic.meanWork();
         double priorWork = prior * worker.model().speed();
         return worker.statistics()
-                .runs
-                .decayedRatio(now, MEMORY_SECONDS, priorWork, prior, rampFraction);
+                .smoothedSpeed(now, MEMORY_SECONDS, priorWork, prior, rampFraction);
     }
 
     /**
@@ -138,13 +137,14 @@
         // that is warm gets its model's mean, or all would prefer those that have just warmed up.
         double prior = rampFraction < 1 ? 0 : MODEL_PRIOR_SAMPLES * modelMean;
         double mean =
-                worker.statistics()
-                        .waits
-                        .decayedMeanOfFirst(now, memorySeconds, prior, MODEL_PRIOR_SAMPLES);
+                worker.statistics().smoothedWait(now, memorySeconds, prior, MODEL_PRIOR_SAMPLES);
         return Math.max(0, Math.max(mean, overdueSeconds(now)));
     }
 
-    /** The oldest attempt that has not started shows a stalled queue before any start could. */
+    /**
+     * Returns how long the first message about the oldest attempt that has not started is overdue,
+     * which shows a stalled queue before any start could.
+     */
     private double overdueSeconds(double now) {
         for (int i = 0; i < worker.inFlight().size(); i++) {
             if (!worker.inFlight().get(i).hasStarted()) {
@@ -154,7 +154,9 @@
         return 0;
     }
 
-    /** How long the first message about an attempt is overdue; negative before it is due. */
+    /**
+     * Returns how long the first message about an attempt is overdue; negative before it is due.
+     */
     private double overdueSeconds(Attempt attempt, double now) {
         return attempt.unexplainedWait(now) - settings.startNoticeDelaySeconds();
     }
--- a/daemon/src/main/java/wheelroute/decision/estimates/WorkerStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerStatistics.java
@@ -5,12 +5,12 @@
 /** What was measured of one worker. */
 public final class WorkerStatistics {
     /** Work and run time of jobs; run times are scaled to a worker past its slow start. */
-    final SampleWindow runs;
+    private final SampleWindow runs;
 
-    /** Seconds of unexplained waiting of attempts. */
-    final SampleWindow waits;
+    /** Seconds of unexplained waiting of attempts, and 1. */
+    private final SampleWindow waits;
 
-    /** One sample for each failure that counts against the worker. */
+    /** One sample for each failure that counts against the worker; both figures are 1. */
     private final SampleWindow failures;
 
     /** Creates empty windows of this many samples. */
@@ -20,6 +20,34 @@
         failures = new SampleWindow(sampleCount);
     }
 
+    /** Records a job's work, and its run time scaled to a worker past its slow start. */
+    void recordRun(double now, double work, double runSeconds) {
+        runs.add(now, work, runSeconds);
+    }
+
+    /**
+     * Returns the work per second of recent runs, to which a prior run is added, times the ramp
+     * fraction.
+     */
+    double smoothedSpeed(
+            double now,
+            double memorySeconds,
+            double priorWork,
+            double priorSeconds,
+            double rampFraction) {
+        return runs.decayedRatio(now, memorySeconds, priorWork, priorSeconds, rampFraction);
+    }
+
+    /** Records the part of an attempt's wait that this dispatcher's own attempts do not explain. */
+    void recordWait(double now, double unexplainedSeconds) {
+        waits.add(now, unexplainedSeconds, 1);
+    }
+
+    /** Returns the mean of recent unexplained waits, to which prior samples are added. */
+    double smoothedWait(double now, double memorySeconds, double priorSum, double priorSamples) {
+        return waits.decayedMeanOfFirst(now, memorySeconds, priorSum, priorSamples);
+    }
+
     /** Records a failure that counts against the worker. */
     public void recordFailure(double now) {
         failures.add(now, 1, 1);
--- a/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
@@ -63,7 +63,7 @@
                 : AttemptPermission.ALLOWED;
     }
 
-    /** All attempts but a few that failed locally, as no worker has seen those. */
+    /** Returns the attempts made, but for a few that failed locally: no worker has seen those. */
     private static int countedAttempts(TrackedRequest request) {
         int notSent = 0;
         for (int i = 0; i < request.attempts().size(); i++) {
--- a/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
@@ -29,6 +29,7 @@
     private final AdmittanceCostInputs inputs;
     private final TrackedRequest request;
     private final double objective;
+    private final double lateLoss;
     private final double crossing;
     private final double laterArrivalCost;
 
@@ -38,6 +39,7 @@
         this.request = request;
         this.laterArrivalCost = laterArrivalCost;
         objective = request.settings().latencyObjectiveSecondsFor(request.work());
+        lateLoss = Math.max(MIN_LATE_LOSS, 1 - request.settings().lateValue());
         crossing = asCost(inputs.settings().crossZonePrice());
     }
 
@@ -87,8 +89,7 @@
      * the cost, by what the request would lose if it were late.
      */
     private double asCost(double price) {
-        double loss = Math.max(MIN_LATE_LOSS, 1 - request.settings().lateValue());
-        return price * inputs.traffic().meanPrice() * objective / request.work() / loss;
+        return price * inputs.traffic().meanPrice() * objective / request.work() / lateLoss;
     }
 
     /** Returns the probability that a wait of this mean exceeds the slack before the objective. */
--- a/daemon/src/main/java/wheelroute/decision/routing/KeyAffinity.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/KeyAffinity.java
@@ -95,8 +95,8 @@
         }
 
         /**
-         * Weighted rendezvous hashing: the heavier a worker the more keys prefer it, and one that
-         * comes or goes moves only its own keys.
+         * Returns the preferred workers by weighted rendezvous hashing: the heavier a worker the
+         * more keys prefer it, and one that comes or goes moves only its own keys.
          */
         private List<W> rank(Ids.Model model) {
             List<W> nearest = new ArrayList<>(PREFERRED_COUNT + 1);
@@ -144,7 +144,10 @@
         }
     }
 
-    /** The finalizer of a 64-bit hash, so that similar keys and ids do not share their workers. */
+    /**
+     * Returns the finalizer of a 64-bit hash, so that similar keys and ids do not share their
+     * workers.
+     */
     private static long mix(long x) {
         long a = (x ^ x >>> 33) * 0xff51afd7ed558ccdL;
         long b = (a ^ a >>> 33) * 0xc4ceb9fe1a85ec53L;
--- a/daemon/src/main/java/wheelroute/decision/routing/RequestPlacer.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/RequestPlacer.java
@@ -78,8 +78,8 @@
     }
 
     /**
-     * Rule 1, one final answer: rejects the request, or fails it if a retry might do harm. To be
-     * called when nothing is in flight and nothing more may be attempted.
+     * Rejects the request, or fails it if a retry might do harm: the one final answer of rule 1, to
+     * be given when nothing is in flight and nothing more may be attempted.
      *
      * @param retryAfterSeconds the time after which a retry may succeed
      */
--- a/daemon/src/main/java/wheelroute/decision/slowstart/SlowStartBudget.java
+++ b/daemon/src/main/java/wheelroute/decision/slowstart/SlowStartBudget.java
@@ -59,10 +59,10 @@
 
     /** Which dispatchers' shares may be used here: this one's, and those held by lease. */
     public interface Shares {
-        /** The fraction of that dispatcher's share that may be used here, from 0 to 1. */
+        /** Returns the fraction of that dispatcher's share that may be used here, from 0 to 1. */
         double ofDispatcher(int dispatcher);
 
-        /** The fraction of all shares together that may be used here, from 0 to 1. */
+        /** Returns the fraction of all shares together that may be used here, from 0 to 1. */
         double total();
     }
 
