--- a/daemon/src/main/java/wheelroute/net/admin/AdminConnection.java
+++ b/daemon/src/main/java/wheelroute/net/admin/AdminConnection.java
@@ -75,9 +75,9 @@
         answered = true;
         timeout.cancel();
         timeout = loop.schedule(TIMEOUT_SECONDS, this::close);
-        // Only the output is closed: if the caller is still sending, closing both directions would
-        // reset
-        // the connection, and the response could be lost.
+        // Only the output is closed. Closing both directions while the caller is still sending
+        // would
+        // reset the connection, and the response could be lost.
         Callback written =
                 Callback.from(
                         () -> getEndPoint().shutdownOutput(), cause -> loop.post(this::close));
--- a/daemon/src/main/java/wheelroute/net/discovery/CallProgress.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/CallProgress.java
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Records that the request is being sent; starts a new call unless it is the connection's
+     * Records that a request is being sent. It starts a new call unless it is the connection's
      * first.
      *
      * @param newHoldSeconds how long discovery may hold the call; 0 if it is not to be held
--- a/daemon/src/main/java/wheelroute/net/lifecycle/ServiceComponents.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/ServiceComponents.java
@@ -138,8 +138,7 @@
      */
     void listen() throws ConfigException {
         try {
-            // A successor process must be able to listen too; it can exist only with an admin
-            // server.
+            // Shared if a successor process may listen too, which requires an admin server.
             clients.listen(config.listen(), config.admin() != null);
         } catch (IOException e) {
             throw new ConfigException("listen", "cannot be used: " + e.getMessage());
--- a/daemon/src/main/java/wheelroute/net/loop/DatagramSocket.java
+++ b/daemon/src/main/java/wheelroute/net/loop/DatagramSocket.java
@@ -121,8 +121,7 @@
                     listener.onDatagram(from, buffer.flip());
                 }
             } catch (IOException e) {
-                // The system may report in this way that an earlier datagram could not be
-                // delivered.
+                // The system reports in this way that a datagram could not be delivered.
                 LOG.debug("failed to receive datagram", e);
             }
             if (channel.isOpen()) {
--- a/daemon/src/main/java/wheelroute/net/loop/ListeningSockets.java
+++ b/daemon/src/main/java/wheelroute/net/loop/ListeningSockets.java
@@ -42,8 +42,7 @@
             throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         try {
-            // A restarted process listens at the same address shortly after the end of the last
-            // one.
+            // A restarted process listens at the same address shortly after its predecessor.
             server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             if (shared) {
                 server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
--- a/daemon/src/main/java/wheelroute/net/loop/LoopSelectorManager.java
+++ b/daemon/src/main/java/wheelroute/net/loop/LoopSelectorManager.java
@@ -108,8 +108,7 @@
             }
             return channel;
         } catch (IOException e) {
-            // If this were thrown, Jetty would close the connection accepted before in the same
-            // pass.
+            // Not thrown: Jetty would close the connection that it accepted before this one.
             LOG.warn("failed to accept connection, will retry: {}", e.toString());
             pauseAccepting((ServerSocketChannel) server);
             return null;
--- a/daemon/src/main/java/wheelroute/net/requests/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/requests/Exchange.java
@@ -95,7 +95,7 @@
 
         @Override
         public boolean isStillNeeded() {
-            return !answered && !isClientGone();
+            return !answered && !checkClientGone();
         }
 
         @Override
@@ -127,7 +127,7 @@
     void startAttempt(Ids.Worker worker) {
         Attempt attempt = new Attempt(attempts.size());
         attempts.add(attempt);
-        if (dispatcher.hasDrainEnded() || (!beingAccepted && isClientGone())) {
+        if (dispatcher.hasDrainEnded() || (!beingAccepted && checkClientGone())) {
             attempt.onEnded(AttemptResult.NOT_SENT, AttemptListener.NO_RESULT, Double.NaN);
         } else {
             dispatcher.counters().count(Counters.Counter.ATTEMPTS);
@@ -137,11 +137,10 @@
     }
 
     /**
-     * Whether the client has closed its connection, so that no attempt is sent in vain. While the
-     * request waited for another attempt or for a connection, the client's end of stream may have
-     * remained unread.
+     * Checks whether the client has closed its connection, and ends the request if so. While the
+     * request was waiting, the client's end of stream may have remained unread.
      */
-    private boolean isClientGone() {
+    private boolean checkClientGone() {
         boolean gone = client.isClientGone();
         if (gone) {
             onClientGone();
--- a/daemon/src/test/java/wheelroute/net/handover/ProcessChainTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/ProcessChainTest.java
@@ -10,9 +10,10 @@
     @DataProvider
     public Object[][] histories() {
         return new Object[][] {
-            // events of the successor (s) and predecessor (p): + joins, - leaves, :n has n behind
-            // it
-            // then: processes, reported to the predecessor, reported to the successor, succeeded
+            // Events of the successor (s) and the predecessor (p): + joins, - leaves, :n reports n
+            // processes behind it. Then the processes, the counts reported to the predecessor and
+            // to
+            // the successor, and whether this process is succeeded.
             {"", 1, 0, 0, false},
             {"s+", 2, 1, 0, false},
             {"s+ serving", 2, 1, 0, true},
