--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -21,9 +21,7 @@
     private static final double LINGER_SECONDS = 1;
 
     private final ClientServer clients;
-    private final ClientRequestDecoder decoder;
-    private final PipelinedInput pipelined;
-    private final MessageTimeout messageTimeout;
+    private final MessageInput input;
     private State state = State.READING;
 
     /** The request whose response is awaited; null if there is none. */
@@ -32,10 +30,6 @@
     /** Whether the response to the current message is the last one. */
     private boolean isLastMessage;
 
-    /** Whether the last message has begun and was not completed. */
-    private boolean hasPartialMessage;
-
-    private boolean hasReadMessage;
     private boolean hasAcceptedRequest;
 
     /** Whether the connection is over the limit, so that its requests are rejected. */
@@ -55,20 +49,23 @@
     ClientConnection(EndPoint endPoint, EventLoop loop, ClientServer clients) {
         super(endPoint, loop);
         this.clients = clients;
-        decoder = new ClientRequestDecoder(clients.bodyQuota());
-        pipelined = new PipelinedInput(clients.pipelinedQuota());
-        messageTimeout = new MessageTimeout(loop, this::onMessageTimeout);
+        input =
+                new MessageInput(
+                        loop,
+                        clients.bodyQuota(),
+                        clients.pipelinedQuota(),
+                        this::onMessageTimeout);
     }
 
     @Override
     public void onOpen() {
         isOverLimit = !clients.onOpened(this);
         super.onOpen();
-        messageTimeout.start();
+        input.startTimeout();
     }
 
     private void onMessageTimeout() {
-        if (hasPartialMessage) {
+        if (input.hasPartialMessage()) {
             refuse(
                     new BadRequestException(
                             HttpStatus.REQUEST_TIMEOUT_408, "the message has not come in time"));
@@ -86,7 +83,7 @@
     @Override
     protected boolean canRead() {
         // Between messages input is always read: full buffers of other clients must not prevent it.
-        return !isBusy() || !pipelined.isFull();
+        return !isBusy() || !input.isBufferFull();
     }
 
     @Override
@@ -96,7 +93,7 @@
         }
     }
 
-    /** A client that ends its output is taken to be gone. */
+    /** Treats the end of the client's output as its departure. */
     @Override
     protected void onEndOfStream() {
         onClientGone();
@@ -109,42 +106,24 @@
 
     private void read(ByteBuffer in) {
         if (isBusy()) {
-            pipelined.add(in, loop.earliestArrival());
+            input.buffer(in);
             return;
         }
         try {
-            if (!hasPartialMessage && hasReadMessage) {
-                messageTimeout.start();
-            }
-            hasPartialMessage = true;
-            ClientRequest message = decoder.decode(in);
+            MessageInput.ReceivedMessage message = input.decode(in);
             if (message == null) {
                 clients.update(this, ConnectionLimit.Stage.READING);
             } else {
-                onMessage(message, in);
+                handle(message.request(), message.arrivedAt());
             }
         } catch (BadRequestException e) {
             refuse(e);
         }
     }
 
-    private void onMessage(ClientRequest message, ByteBuffer in) {
-        messageTimeout.cancel();
-        hasPartialMessage = false;
-        hasReadMessage = true;
-        state = State.AWAITING_RESPONSE;
-        isLastMessage = !message.keepsOpen();
-        boolean isFromBuffer = in == pipelined.buffered();
-        double arrivedAt = isFromBuffer ? pipelined.arrivedAt() : loop.earliestArrival();
-        if (in.hasRemaining() && !isFromBuffer) {
-            pipelined.add(in, arrivedAt);
-        }
-        handle(message, arrivedAt);
-    }
-
     /** Responds to a malformed message, and closes, as it is unknown where the next one begins. */
     private void refuse(BadRequestException e) {
-        messageTimeout.cancel();
+        input.cancelTimeout();
         clients.onNotAccepted();
         clients.update(this, ConnectionLimit.Stage.IN_FLIGHT);
         isLastMessage = true;
@@ -155,6 +134,8 @@
     // ---- handling a message
 
     private void handle(ClientRequest message, double arrivedAt) {
+        state = State.AWAITING_RESPONSE;
+        isLastMessage = !message.keepsOpen();
         clients.update(this, ConnectionLimit.Stage.IN_FLIGHT);
         if (message.method().equals("GET")) {
             send(clients.page(message.path()));
@@ -236,7 +217,7 @@
     @Override
     public void send(ClientResponse response) {
         accepted = null;
-        decoder.release();
+        input.releaseBody();
         if (state == State.AWAITING_RESPONSE) {
             state = State.WRITING_RESPONSE;
         }
@@ -265,10 +246,10 @@
                 hasAcceptedRequest
                         ? ConnectionLimit.Stage.IDLE_CLIENT
                         : ConnectionLimit.Stage.IDLE_VISITOR);
-        if (!pipelined.isEmpty()) {
-            read(pipelined.buffered());
-            if (pipelined.isEmpty()) {
-                pipelined.release();
+        if (input.hasBuffered()) {
+            read(input.buffered());
+            if (!input.hasBuffered()) {
+                input.releaseBuffer();
             }
         }
         if (canRead() && getEndPoint().isOpen() && !isFillInterested()) {
@@ -282,7 +263,7 @@
     private void linger() {
         state = State.LINGERING;
         clients.update(this, ConnectionLimit.Stage.CLOSING);
-        pipelined.release();
+        input.releaseBuffer();
         getEndPoint().shutdownOutput();
         loop.schedule(LINGER_SECONDS, this::close);
         if (!isFillInterested() && getEndPoint().isOpen()) {
@@ -292,7 +273,7 @@
 
     /** Whether it is between two messages. A new connection may have its first one in transit. */
     private boolean isIdle() {
-        return hasReadMessage && state == State.READING && !hasPartialMessage;
+        return state == State.READING && input.isBetweenMessages();
     }
 
     /** Closes the connection if it is idle and no part of a message has arrived. */
@@ -319,15 +300,14 @@
      * be that of a slow client, a rejection is sent first.
      */
     void evict() {
-        if (!hasPartialMessage) {
+        if (!input.hasPartialMessage()) {
             close();
             return;
         }
         clients.onNotAccepted();
         // From now on it does not count against the limit, even before the response is written.
         clients.onClosed(this);
-        messageTimeout.cancel();
-        hasPartialMessage = false;
+        input.abandonMessage();
         state = State.LINGERING;
         Callback written =
                 Callback.from(() -> loop.post(this::close), cause -> loop.post(this::close));
@@ -361,7 +341,7 @@
 
     @Override
     public void close() {
-        messageTimeout.cancel();
+        input.cancelTimeout();
         release();
         super.close();
     }
@@ -373,8 +353,8 @@
     }
 
     private void release() {
-        decoder.release();
-        pipelined.release();
+        input.releaseBody();
+        input.releaseBuffer();
         clients.onClosed(this);
     }
 }
