--- a/daemon/src/test/java/wheelroute/net/peers/MembershipServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/peers/MembershipServiceTest.java
@@ -20,8 +20,8 @@
 import org.testng.annotations.Test;
 import wheelroute.WireFixture;
 import wheelroute.config.PeeringConfig;
-import wheelroute.net.loop.HeldEventLoop;
-import wheelroute.net.loop.StepClock;
+import wheelroute.net.loop.ControlledEventLoop;
+import wheelroute.net.loop.ManualClock;
 import wheelroute.peers.MalformedMessageException;
 import wheelroute.peers.MemberAddress;
 import wheelroute.peers.MemberUpdate;
@@ -38,8 +38,8 @@
     private static final MemberUpdate FIRST = update("lb-1", 1, MemberUpdate.State.ALIVE);
     private static final MemberUpdate SECOND = update("lb-2", 2, MemberUpdate.State.SUSPECT);
 
-    private final StepClock clock = new StepClock();
-    private HeldEventLoop loop;
+    private final ManualClock clock = new ManualClock();
+    private ControlledEventLoop loop;
     private DatagramSocket firstPeer;
     private DatagramSocket secondPeer;
 
@@ -50,7 +50,7 @@
     @BeforeMethod
     public void start() throws Exception {
         clock.stop();
-        loop = new HeldEventLoop(clock, 1);
+        loop = new ControlledEventLoop(clock, 1);
         loop.start();
         firstPeer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         secondPeer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
--- a/kit/src/main/java/wheelroute/kit/process/FaultInjector.java
+++ b/kit/src/main/java/wheelroute/kit/process/FaultInjector.java
@@ -3,10 +3,14 @@
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.audit.MetricsAuditor;
 import wheelroute.kit.model.ClusterModel;
+import wheelroute.kit.scenario.FaultMode;
 import wheelroute.kit.scenario.Scenario;
 
 /** Injects a scenario's faults into the dispatchers' processes and links. */
 final class FaultInjector implements ClusterModel.DispatcherControl {
+    /** From the signal until a resumed process has read what arrived while it was paused. */
+    private static final double RESUME_DELAY_SECONDS = RunEnvironment.AUDIT_SLACK_SECONDS;
+
     private final RunEnvironment environment;
     private final Fleet fleet;
     private final Auditor auditor;
@@ -30,9 +34,8 @@
             return;
         }
         fleet.setPaused(dispatcher, false);
-        // The signal takes a moment, and what the process reads then takes another.
         environment.loop.schedule(
-                RunEnvironment.SLACK,
+                RESUME_DELAY_SECONDS,
                 () -> {
                     auditor.onDispatcherResumed(dispatcher);
                     metricsAuditor.suspendChecks(dispatcher, false);
@@ -51,7 +54,7 @@
     }
 
     @Override
-    public void replace(int dispatcher, Scenario.How how, double limit) {
+    public void replace(int dispatcher, FaultMode how, double limit) {
         fleet.replace(dispatcher, how, limit);
     }
 
@@ -75,7 +78,7 @@
     }
 
     @Override
-    public void start(int dispatcher, Scenario.How how) {
+    public void start(int dispatcher, FaultMode how) {
         fleet.start(dispatcher, how);
     }
 }
