--- a/kit/src/main/java/wheelroute/kit/process/FaultInjector.java
+++ b/kit/src/main/java/wheelroute/kit/process/FaultInjector.java
@@ -7,9 +7,6 @@
 
 /** Injects a scenario's faults into the dispatchers' processes and links. */
 final class FaultInjector implements ClusterModel.DispatcherControl {
-    /** From the signal until a resumed process has read what arrived while it was paused. */
-    private static final double RESUME_DELAY_SECONDS = RunEnvironment.AUDIT_SLACK_SECONDS;
-
     private final RunEnvironment environment;
     private final Fleet fleet;
     private final Auditor auditor;
@@ -34,7 +31,7 @@
         }
         fleet.setPaused(dispatcher, false);
         environment.loop.schedule(
-                RESUME_DELAY_SECONDS,
+                ProcessPauser.RESUME_DELAY_SECONDS,
                 () -> {
                     auditor.onDispatcherResumed(dispatcher);
                     metricsAuditor.suspendChecks(dispatcher, false);
--- a/kit/src/main/java/wheelroute/kit/process/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadRun.java
@@ -33,47 +33,44 @@
     /**
      * What is sent.
      *
-     * @param offering name of the request class
-     * @param effect whether requests are idempotent
-     * @param rate mean requests per second of an open loop, with random arrivals; 0 for a closed
-     *     loop
+     * @param requestsPerSecond mean rate of an open loop, with random arrivals; 0 for a closed loop
      * @param connections of a closed loop, each with one request in flight; 0 for an open loop
-     * @param work mean work of a request in seconds
-     * @param spread standard deviation of the logarithm of the work
-     * @param timeout of a request in seconds
+     * @param workSeconds mean work of a request
+     * @param workSpread standard deviation of the logarithm of the work
+     * @param timeoutSeconds of a request
      * @param seconds during which requests are sent
      * @param tenants that requests belong to in turn, named t0, t1 and so on; 0 for none
-     * @param most requests that a closed loop sends; 0 for no limit but the time
+     * @param maxRequests of a closed loop; 0 for no limit but the time
      */
     public record Load(
             InetSocketAddress address,
-            String offering,
-            Idempotency effect,
-            double rate,
+            String requestClassName,
+            Idempotency idempotency,
+            double requestsPerSecond,
             int connections,
-            double work,
-            double spread,
-            double timeout,
+            double workSeconds,
+            double workSpread,
+            double timeoutSeconds,
             double seconds,
             long seed,
             int tenants,
-            int most) {
+            int maxRequests) {
         private boolean isClosedLoop() {
             return connections > 0;
         }
 
         private Scenario.RequestClass requestClass() {
             return new Scenario.RequestClass(
-                    offering,
-                    effect,
+                    requestClassName,
+                    idempotency,
                     IdempotencyScope.ALL,
                     1,
-                    work,
-                    spread,
+                    workSeconds,
+                    workSpread,
                     0,
-                    timeout,
+                    timeoutSeconds,
                     0,
-                    timeout,
+                    timeoutSeconds,
                     1,
                     0,
                     0,
@@ -131,7 +128,8 @@
 
     private void awaitEnd(BooleanSupplier stop) throws Exception {
         long deadlineNanos =
-                System.nanoTime() + (long) ((load.seconds() + load.timeout()) * NANOS_PER_SECOND);
+                System.nanoTime()
+                        + (long) ((load.seconds() + load.timeoutSeconds()) * NANOS_PER_SECOND);
         boolean isOver = false;
         while (!isOver && !stop.getAsBoolean() && System.nanoTime() < deadlineNanos) {
             Thread.sleep(POLL_MILLIS);
@@ -142,7 +140,7 @@
     private boolean isOver() {
         return startedAt > 0
                 && (loop.now() >= startedAt + load.seconds()
-                        || (load.most() > 0 && statistics.sent() >= load.most()))
+                        || (load.maxRequests() > 0 && statistics.sent() >= load.maxRequests()))
                 && inFlight.isEmpty();
     }
 
@@ -169,7 +167,7 @@
     /** Schedules the next request of the open loop, whatever became of the earlier ones. */
     private void scheduleNextArrival(double lastArrivalAt) {
         double draw = random.uniform(SeededRandom.Purpose.ARRIVAL, statistics.sent(), 0);
-        double arrivalAt = lastArrivalAt - Math.log(1 - draw) / load.rate();
+        double arrivalAt = lastArrivalAt - Math.log(1 - draw) / load.requestsPerSecond();
         if (arrivalAt < startedAt + load.seconds()) {
             loop.schedule(
                     Math.max(0, arrivalAt - loop.now()),
@@ -183,10 +181,10 @@
     private void send(double scheduledAt) {
         int number = statistics.onSent();
         double work =
-                load.work()
+                load.workSeconds()
                         * SeededRandom.lognormal(
                                 random.generator(SeededRandom.Purpose.WORK, number, 0),
-                                load.spread());
+                                load.workSpread());
         ClientRequest request =
                 new ClientRequest(
                         number,
@@ -196,9 +194,10 @@
                         work,
                         work,
                         Double.POSITIVE_INFINITY);
-        ClientAttempt attempt = new ClientAttempt(request, 0, 0, scheduledAt, load.timeout());
+        ClientAttempt attempt =
+                new ClientAttempt(request, 0, 0, scheduledAt, load.timeoutSeconds());
         inFlight.add(attempt.key());
-        loop.schedule(load.timeout(), () -> onTimeout(attempt));
+        loop.schedule(load.timeoutSeconds(), () -> onTimeout(attempt));
         pool.submit(attempt);
     }
 
@@ -212,7 +211,7 @@
     private void sendNext(double delaySeconds) {
         if (load.isClosedLoop()
                 && loop.now() < startedAt + load.seconds()
-                && (load.most() == 0 || statistics.sent() < load.most())) {
+                && (load.maxRequests() == 0 || statistics.sent() < load.maxRequests())) {
             loop.schedule(delaySeconds, () -> send(loop.now()));
         }
     }
--- a/kit/src/main/java/wheelroute/kit/process/LoopExecutor.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoopExecutor.java
@@ -48,6 +48,25 @@
         }
     }
 
+    /**
+     * Runs a task without a result and waits for it, as {@link #call} does.
+     *
+     * @throws Exception that of the task
+     * @throws LoopTimeoutException if the task is not done in time
+     */
+    void run(ThrowingRunnable task) throws Exception {
+        call(
+                () -> {
+                    task.run();
+                    return null;
+                });
+    }
+
+    /** A task without a result. */
+    interface ThrowingRunnable {
+        void run() throws Exception;
+    }
+
     /** Thrown if the event loop did not run a task in time. */
     static final class LoopTimeoutException extends RehearsalException {
         private static final long serialVersionUID = 1L;
--- a/kit/src/main/java/wheelroute/kit/process/ProcessPauser.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessPauser.java
@@ -5,6 +5,9 @@
 
 /** Pauses and resumes the processes of dispatchers. */
 final class ProcessPauser {
+    /** From the signal until a resumed process has read what arrived while it was paused. */
+    static final double RESUME_DELAY_SECONDS = 0.1;
+
     private final ProcessSupervisor supervisor;
     private final Consumer<String> onFailure;
 
--- a/kit/src/main/java/wheelroute/kit/process/ProcessReplacer.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessReplacer.java
@@ -21,9 +21,6 @@
 
     private static final double BOTH_PAUSED_SECONDS = 1;
 
-    /** From the signal until a resumed process has read what arrived while it was paused. */
-    private static final double RESUME_DELAY_SECONDS = 0.1;
-
     private final EventLoop loop;
     private final SeededRandom random;
     private final ProcessPauser pauser;
@@ -163,7 +160,8 @@
                     if (slot.current() == replacement.successor && slot.isPaused()) {
                         pauser.setPaused(slot, false);
                         loop.schedule(
-                                RESUME_DELAY_SECONDS, () -> listener.onSplit(slot.number(), false));
+                                ProcessPauser.RESUME_DELAY_SECONDS,
+                                () -> listener.onSplit(slot.number(), false));
                         terminateOld(replacement);
                     }
                 });
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
@@ -58,7 +58,9 @@
             String variantName,
             Path jar,
             Path older) {
-        /** These options with random faults drawn, and without keys that are not settings. */
+        /**
+         * Returns these options with random faults drawn, and without keys that are not settings.
+         */
         private Options prepared() {
             Map<String, String> otherSettings = new LinkedHashMap<>(settings);
             otherSettings.remove(NO_PEERS);
@@ -74,7 +76,7 @@
     }
 
     private final Options options;
-    private final boolean peering;
+    private final boolean hasPeers;
     private final EventLoop loop = new EventLoop(new Clock(), CONNECT_TIMEOUT_SECONDS);
     private final LoopExecutor executor = new LoopExecutor(loop);
     private final TimerLag timerLag = new TimerLag(loop);
@@ -90,7 +92,7 @@
     private volatile String failure;
 
     private ProcessRun(Options options) {
-        peering = options.scenario().peers() && !options.settings().containsKey(NO_PEERS);
+        hasPeers = options.scenario().peers() && !options.settings().containsKey(NO_PEERS);
         this.options = options.prepared();
     }
 
@@ -114,10 +116,9 @@
             run.start();
             boolean isPartial = run.awaitEnd(stop, progress);
             return run.executor.call(() -> run.report(isPartial));
+        } catch (RehearsalException e) {
+            throw e;
         } catch (Exception e) {
-            if (e instanceof RehearsalException known) {
-                throw known;
-            }
             throw new RehearsalException("the run failed: " + e, e);
         } finally {
             run.close();
@@ -127,7 +128,7 @@
     private void start() throws Exception {
         loop.start();
         CompletableFuture<RelayCost.Cost> cost = new CompletableFuture<>();
-        executor.call(
+        executor.run(
                 () -> {
                     createEnvironment();
                     if (environment.links.areRelayed()) {
@@ -135,28 +136,22 @@
                     } else {
                         cost.complete(RelayCost.Cost.NONE);
                     }
-                    return null;
                 });
         // Before the dispatchers start, which would disturb the measurement.
         relayCost = cost.get(LoopExecutor.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        executor.call(
+        executor.run(
                 () -> {
                     for (int i = 0; i < options.scenario().dispatchers(); i++) {
                         environment.fleet.start(i, Scenario.How.USUAL);
                     }
-                    return null;
                 });
         awaitReady();
         machine = new MachineMonitor(this::processes);
-        executor.call(
-                () -> {
-                    loop.schedule(SETTLE_SECONDS, this::startRequests);
-                    return null;
-                });
+        executor.run(() -> loop.schedule(SETTLE_SECONDS, this::startRequests));
     }
 
     private void createEnvironment() throws Exception {
-        environment = new RunEnvironment(options, loop, peering, reason -> failure = reason);
+        environment = new RunEnvironment(options, loop, hasPeers, reason -> failure = reason);
         membership =
                 new MembershipCheck(
                         loop,
@@ -186,7 +181,7 @@
 
     private void checkEnd() {
         if (environment.clients.isOver()) {
-            if (peering) {
+            if (hasPeers) {
                 membership.start(FINAL_SECONDS / 2);
             }
             loop.schedule(FINAL_SECONDS, () -> isOver = true);
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
@@ -31,11 +31,11 @@
      * Creates the report, on the event loop's thread.
      *
      * @param isPartial whether the run was stopped early
-     * @throws RehearsalException if no request was sent
+     * @throws RunStoppedException if no request was sent
      */
-    Report create(boolean isPartial) throws RehearsalException {
+    Report create(boolean isPartial) throws RunStoppedException {
         if (environment.recorder.tally().requestCount() == 0) {
-            throw new RehearsalException("the run was stopped before any request was sent");
+            throw new RunStoppedException("the run was stopped before any request was sent");
         }
         environment.auditor.finish();
         Scenario scenario = options.scenario();
--- a/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
+++ b/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
@@ -25,7 +25,7 @@
  */
 final class RunEnvironment {
     /** Delays of loopback, timers and a busy machine that no audit rule counts as a breach. */
-    static final double AUDIT_SLACK_SECONDS = 0.1;
+    private static final double AUDIT_SLACK_SECONDS = 0.1;
 
     /** Largest message of a run; bounds the time that it takes on a link of limited bandwidth. */
     private static final int MAX_MESSAGE_BYTES = 1000;
--- /dev/null
+++ b/kit/src/main/java/wheelroute/kit/process/RunStoppedException.java
@@ -0,0 +1,11 @@
+package wheelroute.kit.process;
+
+/** Thrown if a run was stopped before it had a result. */
+public final class RunStoppedException extends RehearsalException {
+    private static final long serialVersionUID = 1L;
+
+    /** Creates an exception that says what was stopped. */
+    public RunStoppedException(String message) {
+        super(message);
+    }
+}
--- a/kit/src/main/java/wheelroute/kit/scale/MeasuredDaemon.java
+++ b/kit/src/main/java/wheelroute/kit/scale/MeasuredDaemon.java
@@ -31,6 +31,15 @@
 
     private static final double NANOS_PER_SECOND = 1e9;
 
+    /** Thrown if a daemon has ended that was not to end. */
+    static final class DaemonExitedException extends RehearsalException {
+        private static final long serialVersionUID = 1L;
+
+        DaemonExitedException(String log, Throwable cause) {
+            super("a daemon exited unexpectedly: " + log, cause);
+        }
+    }
+
     private final Process process;
     private final Path log;
     private final long startedNanos = System.nanoTime();
@@ -85,7 +94,7 @@
     double awaitReady() throws IOException, RehearsalException {
         while (true) {
             if (!process.isAlive()) {
-                throw new RehearsalException("a daemon exited unexpectedly: " + logText());
+                throw new DaemonExitedException(logText(), null);
             }
             if (System.nanoTime() - startedNanos > READY_TIMEOUT_SECONDS * NANOS_PER_SECOND) {
                 throw new RehearsalException(
--- a/kit/src/main/java/wheelroute/kit/scale/ResourceGuard.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ResourceGuard.java
@@ -80,7 +80,7 @@
             return daemon.memoryMb();
         } catch (IOException e) {
             // There is no /proc entry of a process that has ended.
-            throw new RehearsalException("a daemon exited unexpectedly: " + daemon.logExcerpt(), e);
+            throw new MeasuredDaemon.DaemonExitedException(daemon.logExcerpt(), e);
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
@@ -11,6 +11,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import wheelroute.kit.process.RehearsalException;
+import wheelroute.kit.process.RunStoppedException;
 
 /**
  * Runs all {@link ScaleMeasurement}s. Each point has a stub discovery, a dispatcher and a load of
@@ -79,7 +80,7 @@
             reserved.shutdownNow();
         }
         if (environment.isStopped()) {
-            throw new RehearsalException("the scale run was stopped");
+            throw new RunStoppedException("the scale run was stopped");
         }
         return environment
                 .recorder()
