--- a/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
+++ b/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
@@ -65,7 +65,7 @@
             int dispatchers,
             List<Scenario.WorkerGroup> groups) {
         return switch (fault.affectedLinks()) {
-            case LIST -> List.of(toDiscovery(dispatcher));
+            case DISCOVERY -> List.of(toDiscovery(dispatcher));
             case CLIENTS -> List.of(toClients(dispatcher));
             case PEERS ->
                     IntStream.range(0, dispatchers)
@@ -75,7 +75,7 @@
                             .toList();
             case WORKERS ->
                     IntStream.range(0, groups.size())
-                            .filter(worker -> fault.matches(groups.get(worker)))
+                            .filter(worker -> fault.affects(groups.get(worker)))
                             .mapToObj(worker -> new NetworkLink(dispatcher, worker))
                             .toList();
         };
--- a/kit/src/main/java/wheelroute/kit/process/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientPool.java
@@ -194,7 +194,9 @@
             next.wasWritten = true;
             // The dispatcher counts the timeout from the last byte of the request.
             double timeoutSeconds =
-                    Math.max(MIN_TIMEOUT_SECONDS, next.attempt.timeout() - next.writePauseSeconds);
+                    Math.max(
+                            MIN_TIMEOUT_SECONDS,
+                            next.attempt.timeoutSeconds() - next.writePauseSeconds);
             write(next, encoder.encode(next.attempt, timeoutSeconds));
         }
 
--- a/kit/src/main/java/wheelroute/kit/process/LoadStatistics.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadStatistics.java
@@ -74,7 +74,7 @@
                         seconds,
                         sent / seconds));
         for (FinalResponse response : FinalResponse.values()) {
-            lines.add(response.reportName() + ": " + count(response));
+            lines.add(response.label() + ": " + count(response));
         }
         lines.add(
                 "connections refused: "
--- a/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
+++ b/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
@@ -14,6 +14,7 @@
 import wheelroute.kit.faults.NetworkLink;
 import wheelroute.kit.faults.Relay;
 import wheelroute.kit.model.SeededRandom;
+import wheelroute.kit.scenario.LinkKind;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.net.loop.EventLoop;
 
@@ -58,12 +59,12 @@
         this.random = random;
         this.groups = groups;
         this.listener = listener;
-        dispatchers = scenario.dispatchers();
+        dispatchers = scenario.dispatcherCount();
         areRelayed = scenario.faults().stream().anyMatch(NetworkLinks::needsStreamRelay);
     }
 
     private static boolean needsStreamRelay(Scenario.Fault fault) {
-        return fault.kind().affectsLinks() && fault.affectedLinks() != Scenario.LinkKind.PEERS;
+        return fault.kind().affectsLinks() && fault.affectedLinks() != LinkKind.PEERS;
     }
 
     /** Whether the links of streams lead through relays. */
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
@@ -20,7 +20,7 @@
         RunEnvironment environment,
         MembershipCheck membership,
         RelayCost.Cost relayCost,
-        Report.Lag lag) {
+        Report.MachineLag lag) {
     /** The value of this key in reports. */
     private static final String CLOCK_NAME = "real";
 
@@ -47,26 +47,29 @@
                         options.variantName(),
                         options.seed(),
                         options.seconds(),
-                        scenario.workers(),
-                        scenario.dispatchers());
+                        scenario.workerCount(),
+                        scenario.dispatcherCount());
         return Report.of(
                 run,
                 environment.recorder,
                 environment.auditor,
                 environment.cluster,
                 lag,
-                new Report.Extra(figures(), notes()),
+                new Report.Measurements(figures(), notes()),
                 isPartial);
     }
 
     private Map<String, Double> figures() {
         MetricsAuditor metrics = environment.metricsAuditor;
         Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put(FigureNames.LIST_CALLS, (double) environment.discoveryCalls.maxPerSecond());
-        figures.put(FigureNames.METRICS_MISMATCH, metrics.mismatchFraction());
-        figures.put(FigureNames.ADMIN_CALLS_LATE, metrics.lateCallFraction());
-        figures.put(FigureNames.NOT_REPLACED, (double) environment.fleet.failedReplacements());
-        figures.put(FigureNames.PEERS_WRONG, (double) membership.mismatches().size());
+        figures.put(
+                FigureNames.MAX_DISCOVERY_CALLS,
+                (double) environment.discoveryCalls.maxPerSecond());
+        figures.put(FigureNames.MISMATCHED_METRICS, metrics.mismatchFraction());
+        figures.put(FigureNames.ADMIN_CALL_TIMEOUTS, metrics.lateCallFraction());
+        figures.put(
+                FigureNames.FAILED_REPLACEMENTS, (double) environment.fleet.failedReplacements());
+        figures.put(FigureNames.PEERS_NOT_CONVERGED, (double) membership.mismatches().size());
         return figures;
     }
 
--- a/kit/src/main/java/wheelroute/kit/process/ScenarioBehavior.java
+++ b/kit/src/main/java/wheelroute/kit/process/ScenarioBehavior.java
@@ -25,7 +25,7 @@
 
     @Override
     public double writePauseSeconds(ClientAttempt attempt) {
-        double max = Math.min(clients.writePause(), attempt.timeout() / 2);
+        double max = Math.min(clients.writePauseSeconds(), attempt.timeoutSeconds() / 2);
         return max <= 0 || !usesNewConnection(attempt) ? 0 : max * draw(attempt, WRITE_PAUSE_DRAW);
     }
 
--- a/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DiscoveryService.java
@@ -99,7 +99,7 @@
     /** Closes all connections and refuses new ones for the given time. */
     void restart(double downtimeSeconds) throws IOException {
         for (ServerSocketChannel server : servers.values()) {
-            loop.unlisten(server);
+            loop.closeListener(server);
         }
         new ArrayList<>(connections).forEach(DispatcherConnection::disconnect);
         loop.schedule(
--- a/kit/src/test/java/wheelroute/kit/faults/ScheduleMinimizerTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/ScheduleMinimizerTest.java
@@ -8,6 +8,9 @@
 import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
+import wheelroute.kit.scenario.FaultKind;
+import wheelroute.kit.scenario.FaultMode;
+import wheelroute.kit.scenario.LinkKind;
 import wheelroute.kit.scenario.Scenario;
 
 public class ScheduleMinimizerTest {
@@ -19,7 +22,7 @@
         for (int i = 0; i < count; i++) {
             faults.add(
                     new Scenario.Fault(
-                            Scenario.Kind.CRASH,
+                            FaultKind.CRASH,
                             i,
                             3.2,
                             "",
@@ -27,11 +30,11 @@
                             1,
                             i,
                             1,
-                            Scenario.LinkKind.WORKERS,
+                            LinkKind.WORKERS,
                             "",
                             "",
                             0,
-                            Scenario.How.USUAL,
+                            FaultMode.USUAL,
                             1));
         }
         return faults;
@@ -64,9 +67,9 @@
         assertEquals(picks(result.faults()), needed);
         assertTrue(result.complete());
         for (Scenario.Fault fault : result.faults()) {
-            assertEquals(fault.length(), 0.2);
-            assertEquals(fault.share(), 0.05);
-            assertEquals(fault.startSpread(), 0.0);
+            assertEquals(fault.durationSeconds(), 0.2);
+            assertEquals(fault.targetFraction(), 0.05);
+            assertEquals(fault.startSpreadSeconds(), 0.0);
         }
     }
 
@@ -77,9 +80,10 @@
                         faults(4),
                         UNLIMITED_RUNS,
                         candidate ->
-                                candidate.stream().anyMatch(f -> f.pick() == 2 && f.length() > 1));
+                                candidate.stream()
+                                        .anyMatch(f -> f.pick() == 2 && f.durationSeconds() > 1));
         assertEquals(picks(result.faults()), List.of(2));
-        assertEquals(result.faults().get(0).length(), 1.6);
+        assertEquals(result.faults().get(0).durationSeconds(), 1.6);
     }
 
     @Test
--- a/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
@@ -87,7 +87,10 @@
         JudgedRuns.assertEachRequestEndedOnce(all, faults);
         JudgedRuns.assertKeepsRules(report);
         assertTrue(all.inTime() > all.requested() / 3, TableWriter.text(report));
-        assertEquals(report.figures().get(FigureNames.NOT_REPLACED), 0.0, TableWriter.text(report));
+        assertEquals(
+                report.figures().get(FigureNames.FAILED_REPLACEMENTS),
+                0.0,
+                TableWriter.text(report));
     }
 
     @Test
@@ -98,7 +101,9 @@
                                 + fault("dispatcher-replace", 1, 4, "share = 0.2\npick = 1")
                                 + fault("burst", 1, 2, "group = \"far\"\nlevel = 0.5"));
         assertEquals(
-                report.figures().get(FigureNames.METRICS_MISMATCH), 0.0, TableWriter.text(report));
+                report.figures().get(FigureNames.MISMATCHED_METRICS),
+                0.0,
+                TableWriter.text(report));
         JudgedRuns.assertKeepsRules(report);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/process/PeerFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/PeerFaultsTest.java
@@ -63,7 +63,10 @@
     public void keepsRulesAndAgreesOnMembersAfterFaults(String faults) throws Exception {
         Report report = JudgedRuns.run(scenarioWithPeers(faults), SEED, SECONDS);
         JudgedRuns.assertKeepsRules(report);
-        assertEquals(report.figures().get(FigureNames.PEERS_WRONG), 0.0, TableWriter.text(report));
+        assertEquals(
+                report.figures().get(FigureNames.PEERS_NOT_CONVERGED),
+                0.0,
+                TableWriter.text(report));
         assertTrue(
                 report.total().inTime() > report.total().requested() / 3, TableWriter.text(report));
     }
