--- a/daemon/src/main/java/wheelroute/Main.java
+++ b/daemon/src/main/java/wheelroute/Main.java
@@ -19,24 +19,31 @@
     private static final int EXIT_FAILURE = 1;
     private static final int EXIT_USAGE_ERROR = 2;
 
+    /** Names the configuration file in the environment. */
+    private static final String CONFIG_FILE_VARIABLE = "LB_CONFIG";
+
     private Main() {}
 
     /**
-     * Runs the subcommand that the first argument names; ends with status 1 if it fails and with
+     * Runs the subcommand that the first argument names. Exits with status 1 if it fails, and with
      * status 2 after a usage error.
      */
     public static void main(String[] args) {
-        String command = args.length > 0 ? args[0] : "";
-        if (command.equals("adapter") && args.length == 1) {
-            runAdapter();
-        } else if (command.equals("serve")) {
-            serve(environment(args));
-        } else {
-            usage();
+        try {
+            String command = args.length > 0 ? args[0] : "";
+            if (command.equals("adapter") && args.length == 1) {
+                runAdapter();
+            } else if (command.equals("serve")) {
+                serve(ServeOptions.parse(args));
+            } else {
+                throw new UsageException("no such subcommand: " + command);
+            }
+        } catch (UsageException e) {
+            failWithUsage();
         }
     }
 
-    private static void usage() {
+    private static void failWithUsage() {
         System.err.println(
                 "usage: wheelroute adapter    the wire on standard input and output\n"
                         + "       wheelroute serve [--log-format text|json] [FILE]\n"
@@ -45,27 +52,16 @@
         System.exit(EXIT_USAGE_ERROR);
     }
 
-    /** The process's environment, with a file from the command line in place of LB_CONFIG. */
-    private static Map<String, String> environment(String[] args) {
-        Map<String, String> environment = System.getenv();
-        for (int i = 1; i < args.length; i++) {
-            boolean hasValue = i + 1 < args.length;
-            if (args[i].equals("--log-format") && hasValue && isLogFormat(args[i + 1])) {
-                System.setProperty(PersistentLogManager.FORMAT_PROPERTY, args[++i]);
-            } else if (i == args.length - 1 && !args[i].startsWith("-")) {
-                environment = new HashMap<>(environment);
-                environment.put("LB_CONFIG", args[i]);
-            } else {
-                usage();
-            }
+    /** Returns the environment, with a file from the command line in place of LB_CONFIG. */
+    private static Map<String, String> environment(ServeOptions options) {
+        if (options.configFile() == null) {
+            return System.getenv();
         }
+        Map<String, String> environment = new HashMap<>(System.getenv());
+        environment.put(CONFIG_FILE_VARIABLE, options.configFile());
         return environment;
     }
 
-    private static boolean isLogFormat(String value) {
-        return value.equals("text") || value.equals("json");
-    }
-
     private static void runAdapter() {
         // Plain descriptors: System.out would add a lock and a second buffer to every reply.
         try (FileInputStream in = new FileInputStream(FileDescriptor.in);
@@ -76,9 +72,13 @@
         }
     }
 
-    private static void serve(Map<String, String> environment) {
+    private static void serve(ServeOptions options) {
+        if (options.logFormat() != null) {
+            System.setProperty(PersistentLogManager.FORMAT_PROPERTY, options.logFormat());
+        }
         // Before the first logger is created: the default manager drops its handlers on shutdown.
         System.setProperty("java.util.logging.manager", PersistentLogManager.class.getName());
+        Map<String, String> environment = environment(options);
         try {
             Service service = new Service(ConfigReader.read(environment));
             // Before the service accepts requests: by default SIGHUP and SIGTERM would end the
@@ -92,9 +92,7 @@
         }
     }
 
-    /**
-     * After a failed start there is nothing to drain, and the exit status is that of the failure.
-     */
+    /** Starts the service; if that fails, there is nothing to drain when the process exits. */
     private static void start(Service service, Thread shutdownHook) throws Exception {
         try {
             service.start();
@@ -104,7 +102,7 @@
         }
     }
 
-    /** Halts with status 0: the default status after a signal would look like a crash. */
+    /** Drains the service and exits with status 0, where the default after a signal is not 0. */
     private static void shutDown(Service service) {
         try {
             service.drain();
--- a/daemon/src/main/java/wheelroute/net/discovery/ListResponseBody.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/ListResponseBody.java
@@ -29,9 +29,9 @@
     void append(ByteBuffer part) throws DiscoveryResponseException {
         if (bytes.size() + part.remaining() > maxBytes) {
             throw new DiscoveryResponseException(
-                    "the list is larger than "
+                    "the list is over "
                             + maxBytes
-                            + " bytes, the maximum that limits.memory_mb leaves for it");
+                            + " bytes, which are all that limits.memory_mb leaves for it");
         }
         byte[] copy = new byte[part.remaining()];
         part.get(copy);
