--- a/daemon/src/main/java/wheelroute/net/handover/LearnedStateCodec.java
+++ b/daemon/src/main/java/wheelroute/net/handover/LearnedStateCodec.java
@@ -126,20 +126,29 @@
                 while (json.nextToken() == JsonToken.FIELD_NAME) {
                     String name = json.currentName();
                     json.nextToken();
-                    switch (section) {
-                        case WORKERS -> decodeWorker(json, names.apply(name), learned);
-                        case MODELS -> decodeModel(json, new Ids.Model(name), learned);
-                        case ESTIMATES ->
-                                learned.estimates()
-                                        .put(new Ids.RequestClass(name), decodeNumbers(json));
-                        default -> json.skipChildren();
-                    }
+                    decodeField(json, section, name, names, learned);
                 }
             }
         }
         return learned;
     }
 
+    private static void decodeField(
+            JsonParser json,
+            String section,
+            String name,
+            Function<String, Ids.Worker> names,
+            LearnedState learned)
+            throws IOException {
+        switch (section) {
+            case WORKERS -> decodeWorker(json, names.apply(name), learned);
+            case MODELS -> decodeModel(json, new Ids.Model(name), learned);
+            case ESTIMATES ->
+                    learned.estimates().put(new Ids.RequestClass(name), decodeNumbers(json));
+            default -> json.skipChildren();
+        }
+    }
+
     /**
      * The fields of a worker or model.
      *
