--- a/daemon/src/main/java/wheelroute/adapter/Adapter.java
+++ b/daemon/src/main/java/wheelroute/adapter/Adapter.java
@@ -256,8 +256,8 @@
 
     private void schedulePoll() {
         // The protocol does not tell how long the failed poll took.
-        double delay = current.backoff().nextDelay(0);
-        reply.wakeAfter(current.id(), delay, ReplyWriter.LIST_RETRY_TOKEN);
+        double delaySeconds = current.backoff().nextDelay(0);
+        reply.wakeAfter(current.id(), delaySeconds, ReplyWriter.LIST_RETRY_TOKEN);
     }
 
     /**
--- a/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
+++ b/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
@@ -50,15 +50,15 @@
     ActionHandler forInstance(long instance) {
         return new ActionHandler() {
             @Override
-            public void startAttempt(Ids.Request request, Ids.Worker worker, double timeout) {
+            public void startAttempt(Ids.Request request, Ids.Worker worker, double limitSeconds) {
                 startAction(instance).text("TRY").number(request.value()).number(worker.value());
-                number(WireMapping.micros(timeout)).endLine();
+                number(WireMapping.micros(limitSeconds)).endLine();
             }
 
             @Override
-            public void reject(Ids.Request request, double retryAfter) {
+            public void reject(Ids.Request request, double retryAfterSeconds) {
                 startAction(instance).text("OVERLOAD_REPLY").number(request.value());
-                number(WireMapping.micros(retryAfter)).endLine();
+                number(WireMapping.micros(retryAfterSeconds)).endLine();
             }
 
             @Override
@@ -76,8 +76,8 @@
             }
 
             @Override
-            public void scheduleWakeup(double delay) {
-                wakeAfter(instance, delay, POLICY_TOKEN);
+            public void scheduleWakeup(double delaySeconds) {
+                wakeAfter(instance, delaySeconds, POLICY_TOKEN);
             }
 
             @Override
