--- a/kit/src/main/java/wheelroute/kit/faults/ActiveLinkFaults.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ActiveLinkFaults.java
@@ -29,7 +29,7 @@
         }
     }
 
-    private record ActiveFault(LinkFault kind, double level, double jitter) {}
+    private record ActiveFault(LinkFault kind, double level, double jitterSeconds) {}
 
     private final Listener listener;
     private final Map<NetworkLink, List<ActiveFault>> activeFaults = new HashMap<>();
@@ -40,8 +40,9 @@
     }
 
     /** Begins a fault on each of the links, in addition to those that are active. */
-    public void add(LinkFault fault, double level, double jitter, Collection<NetworkLink> links) {
-        ActiveFault activeFault = new ActiveFault(fault, level, jitter);
+    public void add(
+            LinkFault fault, double level, double jitterSeconds, Collection<NetworkLink> links) {
+        ActiveFault activeFault = new ActiveFault(fault, level, jitterSeconds);
         links.forEach(link -> change(link, faults -> faults.add(activeFault)));
     }
 
@@ -51,8 +52,8 @@
      * @throws FaultNotActiveException if a link does not have it
      */
     public void remove(
-            LinkFault fault, double level, double jitter, Collection<NetworkLink> links) {
-        ActiveFault activeFault = new ActiveFault(fault, level, jitter);
+            LinkFault fault, double level, double jitterSeconds, Collection<NetworkLink> links) {
+        ActiveFault activeFault = new ActiveFault(fault, level, jitterSeconds);
         for (NetworkLink link : links) {
             change(
                     link,
@@ -96,20 +97,20 @@
                 levels(LinkFault.LOSS, faults)
                         .map(lost -> 1 - lost)
                         .reduce(1, (first, second) -> first * second);
-        double jitter =
+        double jitterSeconds =
                 faults.stream()
-                        .filter(fault -> fault.kind == LinkFault.SLOW)
-                        .mapToDouble(ActiveFault::jitter)
+                        .filter(fault -> fault.kind == LinkFault.DELAY)
+                        .mapToDouble(ActiveFault::jitterSeconds)
                         .sum();
         return new LinkState(
                 refuses,
-                isOpen && !isActive(LinkFault.UNHEARD, faults),
-                isOpen && !isActive(LinkFault.ONE_WAY, faults),
-                levels(LinkFault.SLOW, faults).sum(),
-                jitter,
+                isOpen && !isActive(LinkFault.OUTBOUND_CUT, faults),
+                isOpen && !isActive(LinkFault.INBOUND_CUT, faults),
+                levels(LinkFault.DELAY, faults).sum(),
+                jitterSeconds,
                 1 - arriving,
                 levels(LinkFault.BANDWIDTH, faults).min().orElse(Double.POSITIVE_INFINITY),
-                levels(LinkFault.DUPLICATE, faults).max().orElse(0));
+                levels(LinkFault.DUPLICATION, faults).max().orElse(0));
     }
 
     private static boolean isActive(LinkFault kind, List<ActiveFault> faults) {
--- a/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/DatagramRelay.java
@@ -79,13 +79,14 @@
             return;
         }
         int copies =
-                drawWithin(senderLink.duplication()) || drawWithin(receiverLink.duplication())
+                drawWithin(senderLink.duplicationFraction())
+                                || drawWithin(receiverLink.duplicationFraction())
                         ? 2
                         : 1;
         for (int i = 0; i < copies; i++) {
             byte[] copy = new byte[bytes.remaining()];
             bytes.duplicate().get(copy);
-            double delaySeconds = drawDelay();
+            double delaySeconds = drawDelaySeconds();
             if (delaySeconds > 0) {
                 // Each by itself, so that a later datagram may overtake it.
                 loop.schedule(delaySeconds, () -> forward(copy));
@@ -98,19 +99,19 @@
     private boolean isLost() {
         return !senderLink.outbound()
                 || !receiverLink.inbound()
-                || drawWithin(senderLink.loss())
-                || drawWithin(receiverLink.loss());
+                || drawWithin(senderLink.lossFraction())
+                || drawWithin(receiverLink.lossFraction());
     }
 
     private boolean drawWithin(double probability) {
         return probability > 0 && random.getAsDouble() < probability;
     }
 
-    private double drawDelay() {
-        double jitter = senderLink.jitter() + receiverLink.jitter();
-        return senderLink.delay()
-                + receiverLink.delay()
-                + (jitter > 0 ? jitter * random.getAsDouble() : 0);
+    private double drawDelaySeconds() {
+        double jitterSeconds = senderLink.jitterSeconds() + receiverLink.jitterSeconds();
+        return senderLink.delaySeconds()
+                + receiverLink.delaySeconds()
+                + (jitterSeconds > 0 ? jitterSeconds * random.getAsDouble() : 0);
     }
 
     private void forward(byte[] bytes) {
--- a/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkFault.java
@@ -12,20 +12,20 @@
     /** Open connections are reset, and new ones refused. */
     REFUSE,
     /** Bytes from the dispatcher arrive, those to it do not. */
-    ONE_WAY,
+    INBOUND_CUT,
     /** Bytes to the dispatcher arrive, those from it do not. */
-    UNHEARD,
+    OUTBOUND_CUT,
     /**
      * All bytes arrive later, by the level in seconds and at random by up to the spread in
      * addition.
      */
-    SLOW,
+    DELAY,
     /** The level is the fraction of messages that are lost; streams retransmit them. */
     LOSS,
     /** The level is the bytes per second that arrive in each direction. */
     BANDWIDTH,
     /** The level is the fraction of datagrams that arrive twice. */
-    DUPLICATE;
+    DUPLICATION;
 
     /**
      * Returns the fault of a link that a scenario's kind of fault stands for.
@@ -35,12 +35,12 @@
     public static LinkFault of(FaultKind kind) {
         return switch (kind) {
             case LINK_REFUSE -> REFUSE;
-            case LINK_INBOUND_CUT -> ONE_WAY;
-            case LINK_OUTBOUND_CUT -> UNHEARD;
-            case LINK_DELAY -> SLOW;
+            case LINK_INBOUND_CUT -> INBOUND_CUT;
+            case LINK_OUTBOUND_CUT -> OUTBOUND_CUT;
+            case LINK_DELAY -> DELAY;
             case LINK_LOSS -> LOSS;
             case LINK_BANDWIDTH -> BANDWIDTH;
-            case LINK_DUPLICATION -> DUPLICATE;
+            case LINK_DUPLICATION -> DUPLICATION;
             case LINK_CUT, DISCOVERY_LINK_CUT -> PARTITION;
             default -> throw new IllegalArgumentException("not a fault of links: " + kind);
         };
--- a/kit/src/main/java/wheelroute/kit/faults/LinkState.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkState.java
@@ -8,21 +8,21 @@
  * @param refuses whether connections are reset and new ones refused
  * @param outbound whether bytes from the dispatcher arrive
  * @param inbound whether bytes to the dispatcher arrive
- * @param delay of all bytes, in seconds
- * @param jitter the most that is added to the delay at random, in seconds
- * @param loss fraction of the messages that are lost
- * @param rate bytes per second in each direction; infinite for no limit
- * @param duplication fraction of the datagrams that arrive twice
+ * @param delaySeconds of all bytes
+ * @param jitterSeconds the most that is added to the delay at random
+ * @param lossFraction of the messages
+ * @param bytesPerSecond in each direction; infinite for no limit
+ * @param duplicationFraction of the datagrams, which arrive twice
  */
 public record LinkState(
         boolean refuses,
         boolean outbound,
         boolean inbound,
-        double delay,
-        double jitter,
-        double loss,
-        double rate,
-        double duplication) {
+        double delaySeconds,
+        double jitterSeconds,
+        double lossFraction,
+        double bytesPerSecond,
+        double duplicationFraction) {
     /** A link without faults. */
     public static final LinkState OPEN =
             new LinkState(false, true, true, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
@@ -34,22 +34,25 @@
     private static final int MAX_RETRANSMITS = 3;
 
     /**
-     * Returns by how many seconds a message of a stream arrives later than on a link without
-     * faults.
+     * Draws by how many seconds a message of a stream arrives later than on a link without faults.
      *
      * @param random draws from 0 to 1
      */
-    public double extraDelay(DoubleSupplier random) {
-        double later = delay + (jitter > 0 ? jitter * random.getAsDouble() : 0);
-        for (int i = 0; loss > 0 && i < MAX_RETRANSMITS && random.getAsDouble() < loss; i++) {
-            later += RETRANSMIT_DELAY_SECONDS * (1 << i);
+    public double drawExtraDelaySeconds(DoubleSupplier random) {
+        double laterSeconds =
+                delaySeconds + (jitterSeconds > 0 ? jitterSeconds * random.getAsDouble() : 0);
+        for (int i = 0;
+                lossFraction > 0 && i < MAX_RETRANSMITS && random.getAsDouble() < lossFraction;
+                i++) {
+            laterSeconds += RETRANSMIT_DELAY_SECONDS * (1 << i);
         }
-        return later;
+        return laterSeconds;
     }
 
-    /** Returns the most seconds by which a message of this size, in bytes, arrives later. */
-    public double maxDelay(int size) {
-        double retransmits = loss > 0 ? RETRANSMIT_DELAY_SECONDS * ((1 << MAX_RETRANSMITS) - 1) : 0;
-        return delay + jitter + retransmits + size / rate;
+    /** Returns the most that {@link #drawExtraDelaySeconds} and a message of this size add. */
+    public double maxExtraDelaySeconds(int messageBytes) {
+        double retransmitSeconds =
+                lossFraction > 0 ? RETRANSMIT_DELAY_SECONDS * ((1 << MAX_RETRANSMITS) - 1) : 0;
+        return delaySeconds + jitterSeconds + retransmitSeconds + messageBytes / bytesPerSecond;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/faults/Relay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/Relay.java
@@ -161,7 +161,7 @@
     }
 
     /** Draws how much later bytes arrive than on a link without faults. */
-    double drawDelay() {
-        return state.extraDelay(random);
+    double drawDelaySeconds() {
+        return state.drawExtraDelaySeconds(random);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/faults/RelayDirection.java
+++ b/kit/src/main/java/wheelroute/kit/faults/RelayDirection.java
@@ -68,8 +68,8 @@
 
     private double dueAt(int size) {
         lastDueAt =
-                Math.max(lastDueAt, relay.loop().now() + relay.drawDelay())
-                        + size / relay.state().rate();
+                Math.max(lastDueAt, relay.loop().now() + relay.drawDelaySeconds())
+                        + size / relay.state().bytesPerSecond();
         return lastDueAt;
     }
 
--- a/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
+++ b/kit/src/main/java/wheelroute/kit/faults/ScheduleMinimizer.java
@@ -25,10 +25,10 @@
      */
     public record Result(List<Scenario.Fault> faults, int runs, boolean complete) {}
 
-    private static final double MIN_LENGTH_SECONDS = 0.2;
-    private static final double MIN_SHARE = 0.05;
+    private static final double MIN_DURATION_SECONDS = 0.2;
+    private static final double MIN_TARGET_FRACTION = 0.05;
 
-    /** Lengths and shares are rounded to hundredths, so that a schedule is easy to read. */
+    /** Durations and fractions are rounded to hundredths, so that a schedule is easy to read. */
     private static final double ROUNDING_STEPS = 100;
 
     private final FailureCheck failureCheck;
@@ -53,8 +53,8 @@
                 new ScheduleMinimizer(List.copyOf(faults), maxRuns, failureCheck);
         minimizer.removeFaults();
         minimizer.shrink(ScheduleMinimizer::withoutStartSpread);
-        minimizer.shrink(ScheduleMinimizer::withHalfLength);
-        minimizer.shrink(ScheduleMinimizer::withHalfShare);
+        minimizer.shrink(ScheduleMinimizer::withHalfDuration);
+        minimizer.shrink(ScheduleMinimizer::withHalfTargets);
         return new Result(minimizer.faults, minimizer.runs, minimizer.runs < maxRuns);
     }
 
@@ -117,14 +117,15 @@
         return with(fault, fault.durationSeconds(), fault.targetFraction(), 0);
     }
 
-    private static Scenario.Fault withHalfLength(Scenario.Fault fault) {
-        double length = Math.max(MIN_LENGTH_SECONDS, rounded(fault.durationSeconds() / 2));
-        return with(fault, length, fault.targetFraction(), fault.startSpreadSeconds());
+    private static Scenario.Fault withHalfDuration(Scenario.Fault fault) {
+        double durationSeconds =
+                Math.max(MIN_DURATION_SECONDS, rounded(fault.durationSeconds() / 2));
+        return with(fault, durationSeconds, fault.targetFraction(), fault.startSpreadSeconds());
     }
 
-    private static Scenario.Fault withHalfShare(Scenario.Fault fault) {
-        double share = Math.max(MIN_SHARE, rounded(fault.targetFraction() / 2));
-        return with(fault, fault.durationSeconds(), share, fault.startSpreadSeconds());
+    private static Scenario.Fault withHalfTargets(Scenario.Fault fault) {
+        double targetFraction = Math.max(MIN_TARGET_FRACTION, rounded(fault.targetFraction() / 2));
+        return with(fault, fault.durationSeconds(), targetFraction, fault.startSpreadSeconds());
     }
 
     private static double rounded(double value) {
@@ -132,16 +133,19 @@
     }
 
     private static Scenario.Fault with(
-            Scenario.Fault fault, double length, double share, double startSpread) {
+            Scenario.Fault fault,
+            double durationSeconds,
+            double targetFraction,
+            double startSpreadSeconds) {
         return new Scenario.Fault(
                 fault.kind(),
                 fault.startSeconds(),
-                length,
+                durationSeconds,
                 fault.group(),
-                share,
+                targetFraction,
                 fault.level(),
                 fault.pick(),
-                startSpread,
+                startSpreadSeconds,
                 fault.linkKind(),
                 fault.workerZone(),
                 fault.dispatcherZone(),
--- a/kit/src/main/java/wheelroute/kit/faults/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/faults/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Faults of links between processes: which are in force and what they let through, the relays that
- * put them into effect in runs of real processes, and the minimizer of failing schedules.
+ * Faults of links between processes: which are active and what the links carry, the relays that
+ * apply them to sockets, and the minimizer of failing fault schedules.
  */
 package wheelroute.kit.faults;
--- a/kit/src/main/java/wheelroute/kit/process/DaemonLauncher.java
+++ b/kit/src/main/java/wheelroute/kit/process/DaemonLauncher.java
@@ -28,13 +28,13 @@
     /**
      * Starts a process of a dispatcher.
      *
-     * @param how which build and settings it has
+     * @param mode which build and settings it has
      * @throws IOException if its configuration cannot be written or it cannot be started
      */
-    DaemonProcess start(DispatcherSlot slot, FaultMode how, DaemonProcess.Listener listener)
+    DaemonProcess start(DispatcherSlot slot, FaultMode mode, DaemonProcess.Listener listener)
             throws IOException {
-        Path config = writeConfig(slot, how);
-        boolean isOlder = how == FaultMode.OLDER_BUILD && spec.olderJar() != null;
+        Path config = writeConfig(slot, mode);
+        boolean isOlder = mode == FaultMode.OLDER_BUILD && spec.olderJar() != null;
         return DaemonProcess.start(
                 new DaemonProcess.Spec(
                         slot.name(),
@@ -48,11 +48,11 @@
                 listener);
     }
 
-    private Path writeConfig(DispatcherSlot slot, FaultMode how) throws IOException {
+    private Path writeConfig(DispatcherSlot slot, FaultMode mode) throws IOException {
         Scenario scenario = spec.scenario();
         Map<String, String> settings =
                 DaemonSettings.settingsOfDispatcher(scenario, slot.number(), spec.settings());
-        if (how == FaultMode.CHANGED_SETTINGS) {
+        if (mode == FaultMode.CHANGED_SETTINGS) {
             settings.putAll(scenario.changedSettings());
         }
         Path config = slot.directory().resolve("config-" + slot.starts() + ".json");
--- a/kit/src/main/java/wheelroute/kit/process/DispatcherSlot.java
+++ b/kit/src/main/java/wheelroute/kit/process/DispatcherSlot.java
@@ -87,8 +87,8 @@
         return pendingStart;
     }
 
-    void setPendingStart(FaultMode how) {
-        pendingStart = how;
+    void setPendingStart(FaultMode mode) {
+        pendingStart = mode;
     }
 
     /** Returns the port for clients, which all its processes use; 0 before the first was ready. */
--- a/kit/src/main/java/wheelroute/kit/process/FaultInjector.java
+++ b/kit/src/main/java/wheelroute/kit/process/FaultInjector.java
@@ -51,8 +51,8 @@
     }
 
     @Override
-    public void replace(int dispatcher, FaultMode how, double limit) {
-        fleet.replace(dispatcher, how, limit);
+    public void replace(int dispatcher, FaultMode mode, double limit) {
+        fleet.replace(dispatcher, mode, limit);
     }
 
     @Override
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public void start(int dispatcher, FaultMode how) {
-        fleet.start(dispatcher, how);
+    public void start(int dispatcher, FaultMode mode) {
+        fleet.start(dispatcher, mode);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/process/Fleet.java
@@ -51,7 +51,7 @@
                         spec.random(),
                         pauser,
                         // A successor is ready once its admin server says so, which is polled.
-                        (slot, how) -> startProcess(slot, how, process -> {}),
+                        (slot, mode) -> startProcess(slot, mode, process -> {}),
                         listener);
         for (int i = 0; i < spec.scenario().dispatcherCount(); i++) {
             slots.add(new DispatcherSlot(i, Files.createDirectory(directory.resolve("n" + i))));
@@ -89,10 +89,10 @@
     }
 
     /** Starts a dispatcher, once its last process has ended. */
-    void start(int dispatcher, FaultMode how) {
+    void start(int dispatcher, FaultMode mode) {
         DispatcherSlot slot = slots.get(dispatcher);
         if (!slot.processes().isEmpty()) {
-            slot.setPendingStart(how);
+            slot.setPendingStart(mode);
             loop.schedule(
                     KILL_AFTER_SECONDS,
                     () -> {
@@ -103,7 +103,7 @@
             return;
         }
         slot.setPendingStart(null);
-        slot.setCurrent(startProcess(slot, how, process -> onReady(slot, process)));
+        slot.setCurrent(startProcess(slot, mode, process -> onReady(slot, process)));
     }
 
     private void onReady(DispatcherSlot slot, DaemonProcess process) {
@@ -114,12 +114,12 @@
     }
 
     private DaemonProcess startProcess(
-            DispatcherSlot slot, FaultMode how, Consumer<DaemonProcess> onReady) {
+            DispatcherSlot slot, FaultMode mode, Consumer<DaemonProcess> onReady) {
         try {
             DaemonProcess process =
                     launcher.start(
                             slot,
-                            how,
+                            mode,
                             new DaemonProcess.Listener() {
                                 @Override
                                 public void onReady(DaemonProcess ready) {
@@ -193,8 +193,8 @@
     }
 
     /** Starts to replace the process of a dispatcher; see {@link ProcessReplacer#replace}. */
-    void replace(int dispatcher, FaultMode how, double limitSeconds) {
-        replacer.replace(slots.get(dispatcher), how, limitSeconds);
+    void replace(int dispatcher, FaultMode mode, double limitSeconds) {
+        replacer.replace(slots.get(dispatcher), mode, limitSeconds);
     }
 
     /** Shuts all processes down, kills those that take too long, and deletes all files. */
--- a/kit/src/main/java/wheelroute/kit/process/ProcessReplacer.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessReplacer.java
@@ -11,7 +11,7 @@
 final class ProcessReplacer {
     /** Starts the process that replaces the current one of a dispatcher. */
     interface SuccessorLauncher {
-        DaemonProcess start(DispatcherSlot slot, FaultMode how);
+        DaemonProcess start(DispatcherSlot slot, FaultMode mode);
     }
 
     private static final double READY_POLL_SECONDS = 0.05;
@@ -34,7 +34,7 @@
             DispatcherSlot slot,
             DaemonProcess old,
             DaemonProcess successor,
-            FaultMode how,
+            FaultMode mode,
             double deadline) {
         /** Whether the successor has neither become the current process nor been abandoned. */
         boolean isPending() {
@@ -71,17 +71,17 @@
      *
      * @param limitSeconds after which a replacement that is not complete has failed
      */
-    void replace(DispatcherSlot slot, FaultMode how, double limitSeconds) {
+    void replace(DispatcherSlot slot, FaultMode mode, double limitSeconds) {
         if (slot.processes().size() != 1 || slot.pendingStart() != null || slot.port() == 0) {
             return;
         }
         startedCount++;
         DaemonProcess old = slot.current();
-        DaemonProcess successor = launcher.start(slot, how);
+        DaemonProcess successor = launcher.start(slot, mode);
         slot.setSuccessor(successor);
         Replacement replacement =
-                new Replacement(slot, old, successor, how, loop.now() + limitSeconds);
-        if (how == FaultMode.SUCCESSOR_KILLED) {
+                new Replacement(slot, old, successor, mode, loop.now() + limitSeconds);
+        if (mode == FaultMode.SUCCESSOR_KILLED) {
             killSuccessorLater(replacement);
         } else {
             awaitReady(replacement);
@@ -143,7 +143,7 @@
         DispatcherSlot slot = replacement.slot;
         slot.setCurrent(replacement.successor);
         slot.setSuccessor(null);
-        switch (replacement.how) {
+        switch (replacement.mode) {
             case BOTH_PAUSED -> pauseBoth(replacement);
             case PREDECESSOR_KILLED -> killBesideOther(slot, replacement.old);
             default -> terminateOld(replacement);
--- a/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
+++ b/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
@@ -137,7 +137,7 @@
             if (!isOpen) {
                 metricsAuditor.onAttemptsLost(link.dispatcher());
             }
-            double delaySeconds = state.maxDelay(MAX_MESSAGE_BYTES);
+            double delaySeconds = state.maxExtraDelaySeconds(MAX_MESSAGE_BYTES);
             auditor.setLinkDelay(link.dispatcher(), link.worker(), delaySeconds);
         } else if (link.worker() == NetworkLink.CLIENTS) {
             auditor.setClientsImpaired(link.dispatcher(), !isOpen);
--- a/kit/src/main/java/wheelroute/kit/process/StubRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubRun.java
@@ -87,7 +87,7 @@
         }
 
         @Override
-        public void start(int dispatcher, FaultMode how) {
+        public void start(int dispatcher, FaultMode mode) {
             // External.
         }
     }
--- a/kit/src/main/java/wheelroute/kit/scale/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/scale/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a deployment size costs: measured with embedded dispatchers beside real processes, and
- * extrapolated to sizes that were not measured.
+ * Capacity planning: scale runs measure what a dispatcher and discovery cost by each dimension of a
+ * deployment, with processes and hollow dispatchers; the capacity model extrapolates the fitted
+ * lines to a deployment's size.
  */
 package wheelroute.kit.scale;
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
@@ -159,7 +159,7 @@
             auditor.setClientsImpaired(number, !state.equals(LinkState.OPEN));
         }
         if (networkLink.isToWorker()) {
-            auditor.setLinkDelay(number, networkLink.worker(), state.maxDelay(0));
+            auditor.setLinkDelay(number, networkLink.worker(), state.maxExtraDelaySeconds(0));
         }
         SimulatedLink link = network.link(networkLink);
         LinkState before = link.state();
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedNetwork.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedNetwork.java
@@ -52,7 +52,7 @@
             delay += network.jitterSeconds() * draw(SeededRandom.Purpose.NETWORK);
         }
         if (!state.equals(LinkState.OPEN)) {
-            delay += state.extraDelay(() -> draw(SeededRandom.Purpose.LINK));
+            delay += state.drawExtraDelaySeconds(() -> draw(SeededRandom.Purpose.LINK));
         }
         cluster.timeline.schedule(delay, arrival);
     }
--- a/kit/src/test/java/wheelroute/kit/faults/ActiveLinkFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/ActiveLinkFaultsTest.java
@@ -20,19 +20,19 @@
             {List.of(), LinkState.OPEN},
             {List.of(LinkFault.PARTITION), LinkStates.PARTITIONED},
             {List.of(LinkFault.REFUSE), LinkStates.REFUSING},
-            {List.of(LinkFault.ONE_WAY), LinkStates.OUTBOUND_ONLY},
-            {List.of(LinkFault.SLOW), LinkStates.delayed(0.25, 0.5)},
-            {List.of(LinkFault.SLOW, LinkFault.SLOW), LinkStates.delayed(0.5, 1)},
-            {List.of(LinkFault.PARTITION, LinkFault.ONE_WAY), LinkStates.PARTITIONED},
-            {List.of(LinkFault.UNHEARD), LinkStates.INBOUND_ONLY},
-            {List.of(LinkFault.UNHEARD, LinkFault.ONE_WAY), LinkStates.PARTITIONED},
+            {List.of(LinkFault.INBOUND_CUT), LinkStates.OUTBOUND_ONLY},
+            {List.of(LinkFault.DELAY), LinkStates.delayed(0.25, 0.5)},
+            {List.of(LinkFault.DELAY, LinkFault.DELAY), LinkStates.delayed(0.5, 1)},
+            {List.of(LinkFault.PARTITION, LinkFault.INBOUND_CUT), LinkStates.PARTITIONED},
+            {List.of(LinkFault.OUTBOUND_CUT), LinkStates.INBOUND_ONLY},
+            {List.of(LinkFault.OUTBOUND_CUT, LinkFault.INBOUND_CUT), LinkStates.PARTITIONED},
             {List.of(LinkFault.LOSS, LinkFault.LOSS), LinkStates.losing(0.4375)},
             {
                 List.of(LinkFault.BANDWIDTH, LinkFault.LOSS),
                 new LinkState(false, true, true, 0, 0, 0.25, 0.25, 0)
             },
             {
-                List.of(LinkFault.REFUSE, LinkFault.PARTITION, LinkFault.SLOW),
+                List.of(LinkFault.REFUSE, LinkFault.PARTITION, LinkFault.DELAY),
                 new LinkState(true, false, false, 0.25, 0.5, 0, LinkStates.UNLIMITED, 0)
             },
         };
@@ -58,16 +58,16 @@
                         (link, state) -> changes.add(link.worker() + " " + state.inbound()));
         List<NetworkLink> both = List.of(new NetworkLink(0, 1), new NetworkLink(0, 2));
         links.add(LinkFault.PARTITION, 1, 0, both);
-        links.add(LinkFault.ONE_WAY, 1, 0, both.subList(0, 1));
+        links.add(LinkFault.INBOUND_CUT, 1, 0, both.subList(0, 1));
         links.remove(LinkFault.PARTITION, 1, 0, both);
-        links.remove(LinkFault.ONE_WAY, 1, 0, both.subList(0, 1));
+        links.remove(LinkFault.INBOUND_CUT, 1, 0, both.subList(0, 1));
         assertEquals(changes, List.of("1 false", "2 false", "1 false", "2 true", "1 true"));
     }
 
     @Test
     public void rejectsEndOfFaultThatIsNotActive() {
         ActiveLinkFaults links = new ActiveLinkFaults((link, state) -> {});
-        links.add(LinkFault.SLOW, 1, 0, List.of(LINK));
+        links.add(LinkFault.DELAY, 1, 0, List.of(LINK));
         expectThrows(
                 ActiveLinkFaults.FaultNotActiveException.class,
                 () -> links.remove(LinkFault.PARTITION, 1, 0, List.of(LINK)));
