--- a/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
+++ b/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
@@ -68,15 +68,15 @@
 
     /** Returns the number of failures that still count against the worker. */
     public int recentFailures(WorkerState worker) {
-        return worker.statistics().failures.countSince(clock.now() - FAILURE_MEMORY_SECONDS);
+        return worker.statistics().failuresSince(clock.now() - FAILURE_MEMORY_SECONDS);
     }
 
     private void onFailure(WorkerState worker) {
         double now = clock.now();
-        worker.statistics().failures.add(now, 1, 1);
+        worker.statistics().recordFailure(now);
         WorkerHealth health = worker.health();
         health.recordFailure();
-        if (worker.isUnlisted()) {
+        if (worker.isRetainedAfterRemoval()) {
             worker.setReady(false);
             workers.ready().remove(worker);
         }
@@ -90,7 +90,7 @@
     private void onSuccess(WorkerState worker) {
         if (worker.health().recordSuccess(clock.now()) >= SUCCESSES_TO_REINSTATE) {
             worker.health().reinstate(FIRST_TRIAL_DELAY_SECONDS);
-            worker.statistics().failures.clear();
+            worker.statistics().clearFailures();
         }
     }
 
@@ -100,8 +100,8 @@
      */
     public void onRemoved(WorkerState worker) {
         worker.setReady(worker.isReady() && removalIsAdvisory);
-        if (worker.isReady() && !worker.isUnlisted()) {
-            worker.setUnlisted(true);
+        if (worker.isReady() && !worker.isRetainedAfterRemoval()) {
+            worker.setRetainedAfterRemoval(true);
             worker.health().eject();
             worker.health().scheduleTrial(clock.now(), worker.health().trialDelaySeconds());
         }
