--- a/kit/src/main/java/wheelroute/kit/cli/Scale.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Scale.java
@@ -61,7 +61,7 @@
                 OutputFile htmlFile = OutputFile.open("--html", html)) {
             ScaleResults results = ScaleRun.run(plan(), stop, this::printProgress);
             CapacityModel capacity = new CapacityModel(results, deployment);
-            List<String> exceeded = capacity.verdict();
+            List<String> exceeded = capacity.exceededBounds();
             PrintWriter out = spec.commandLine().getOut();
             capacity.tables().forEach((name, table) -> out.println(name + "\n" + table));
             jsonFile.write(results.json());
--- a/kit/src/main/java/wheelroute/kit/scale/CapacityModel.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityModel.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns a line for each bound of a dispatcher that may be exceeded; empty if all fit. */
-    public List<String> verdict() {
+    public List<String> exceededBounds() {
         List<String> exceeded = new ArrayList<>();
         for (double dispatchers : size.dispatchers()) {
             check("CPU at peak", cpuAtPeak(dispatchers), size.maxCores(), dispatchers, exceeded);
--- a/kit/src/test/java/wheelroute/kit/scale/CapacityModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/CapacityModelTest.java
@@ -54,7 +54,8 @@
     @Test
     public void acceptsSizeWithinItsBounds() throws IOException {
         assertEquals(
-                new CapacityModel(SmallDeployment.results(), SmallDeployment.size()).verdict(),
+                new CapacityModel(SmallDeployment.results(), SmallDeployment.size())
+                        .exceededBounds(),
                 List.of());
     }
 
@@ -62,7 +63,7 @@
     public void namesExceededBound() throws IOException {
         DeploymentSize size = SmallDeployment.sizeWith("core_share = 0.1", "core_share = 0.0175");
         assertEquals(
-                new CapacityModel(SmallDeployment.results(), size).verdict(),
+                new CapacityModel(SmallDeployment.results(), size).exceededBounds(),
                 List.of("CPU at peak with 10 dispatchers: over, 2.00 times"));
     }
 }
