--- a/kit/src/main/java/wheelroute/kit/faults/LinkState.java
+++ b/kit/src/main/java/wheelroute/kit/faults/LinkState.java
@@ -27,10 +27,10 @@
     public static final LinkState OPEN =
             new LinkState(false, true, true, 0, 0, 0, Double.POSITIVE_INFINITY, 0);
 
-    /** Until a sender detects the first loss of a message; it doubles with each further loss. */
+    /** Delay before a lost message is sent again; it doubles with each further loss. */
     public static final double RETRANSMIT_DELAY_SECONDS = 0.2;
 
-    /** After so many losses of the same message it arrives. */
+    /** Most losses of the same message; the next copy always arrives. */
     private static final int MAX_RETRANSMITS = 3;
 
     /**
--- a/kit/src/main/java/wheelroute/kit/faults/Relay.java
+++ b/kit/src/main/java/wheelroute/kit/faults/Relay.java
@@ -25,7 +25,7 @@
  * them.
  */
 public final class Relay implements EventLoop.ChannelHandler {
-    /** Until listening is retried; the system may not have released the port yet. */
+    /** Delay before listening is retried, because the system may not have released the port. */
     private static final double RELISTEN_DELAY_SECONDS = 0.05;
 
     private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
--- a/kit/src/main/java/wheelroute/kit/process/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/process/Fleet.java
@@ -17,7 +17,7 @@
  * crash. Used on the event loop's thread, except for {@link #close}.
  */
 final class Fleet {
-    /** From its start until a process must accept clients. */
+    /** Time within which a started process must accept clients. */
     static final int READY_TIMEOUT_SECONDS = 30;
 
     /** A process that is terminated is killed after this time, as a platform would do it. */
--- a/kit/src/main/java/wheelroute/kit/process/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadRun.java
@@ -27,7 +27,7 @@
     private static final double CONNECT_TIMEOUT_SECONDS = 2;
     private static final double MIN_DURATION_SECONDS = 1e-3;
 
-    /** Until a connection of a closed loop sends again after a connection error. */
+    /** Delay before a connection of a closed loop sends again after a connection error. */
     private static final double RECONNECT_DELAY_SECONDS = 0.1;
 
     /**
--- a/kit/src/main/java/wheelroute/kit/process/ProcessPauser.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessPauser.java
@@ -5,7 +5,7 @@
 
 /** Pauses and resumes the processes of dispatchers. */
 final class ProcessPauser {
-    /** From the signal until a resumed process has read what arrived while it was paused. */
+    /** Time that a resumed process has to read what arrived while it was paused. */
     static final double RESUME_DELAY_SECONDS = 0.1;
 
     private final ProcessSupervisor supervisor;
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
@@ -26,7 +26,7 @@
  * clients are stubs on one thread of this process.
  */
 public final class ProcessRun {
-    /** From the last dispatcher's readiness to the first request: all must have their lists. */
+    /** Time between the last dispatcher's readiness and the first request, to load the lists. */
     private static final double SETTLE_SECONDS = 0.7;
 
     /** The run continues for this time after the last request, to observe late effects. */
--- a/kit/src/main/java/wheelroute/kit/process/StubWorker.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubWorker.java
@@ -20,10 +20,10 @@
 
 /** Puts a worker of the model behind a socket. Used on the event loop's thread. */
 final class StubWorker implements EventLoop.ChannelHandler, WorkerModel.PortListener {
-    /** Of a request that does not name its work. */
+    /** Work of a request that does not name it. */
     private static final double DEFAULT_WORK_SECONDS = 0.05;
 
-    /** Until listening is retried; the system may not have released the port yet. */
+    /** Delay before listening is retried, because the system may not have released the port. */
     private static final double RELISTEN_DELAY_SECONDS = 0.05;
 
     private static final Logger LOG = LoggerFactory.getLogger(StubWorker.class);
--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherBench.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherBench.java
@@ -18,7 +18,7 @@
     static final int MEMORY_MB = 128;
     static final double CLIENT_TIMEOUT_SECONDS = 600;
 
-    /** So many answers per second never are the bottleneck. */
+    /** A capacity of discovery that is never the bottleneck. */
     private static final double UNLIMITED_CALLS_PER_SECOND = 100_000;
 
     private static final int MAX_SOCKETS = 16_000;
--- a/kit/src/main/java/wheelroute/kit/scale/ResourceGuard.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ResourceGuard.java
@@ -14,7 +14,7 @@
     private static final int MAX_PROCESSES = 300;
     private static final double MAX_MEMORY_FRACTION = 0.5;
 
-    /** Of all cores; a larger background load may have affected the measurements. */
+    /** Fraction of all cores; a larger background load may have affected the measurements. */
     private static final double MAX_BACKGROUND_CPU_FRACTION = 0.15;
 
     private static final double NANOS_PER_SECOND = 1e9;
--- a/kit/src/main/java/wheelroute/kit/scale/StubWorkers.java
+++ b/kit/src/main/java/wheelroute/kit/scale/StubWorkers.java
@@ -21,7 +21,7 @@
     /** More than one, because connections to a single address could use up its client ports. */
     private static final int ADDRESSES = 4;
 
-    /** Of a request that does not name its work. */
+    /** Work of a request that does not name it. */
     private static final double DEFAULT_WORK_SECONDS = 0.02;
 
     private static final String RESPONSE_HEAD =
--- a/kit/src/test/java/wheelroute/kit/EventLoopHarness.java
+++ b/kit/src/test/java/wheelroute/kit/EventLoopHarness.java
@@ -8,7 +8,7 @@
 
 /** Runs an event loop for tests of classes that are used on its thread. */
 public abstract class EventLoopHarness {
-    /** Within which anything that is expected to happen on loopback sockets happens. */
+    /** Time within which anything expected happens on loopback sockets. */
     protected static final int TIMEOUT_MILLIS = 10_000;
 
     private static final double CONNECT_TIMEOUT_SECONDS = 1;
@@ -20,7 +20,7 @@
         loop.start();
     }
 
-    /** Within which a task on the loop must be done. */
+    /** Returns the time within which a task on the loop must be done. */
     protected long loopTimeoutMillis() {
         return TIMEOUT_MILLIS;
     }
--- a/kit/src/test/java/wheelroute/kit/process/DispatcherStartTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/DispatcherStartTest.java
@@ -16,7 +16,7 @@
 
 /** Processes that the shipped script starts at the same time, while discovery is down. */
 public class DispatcherStartTest {
-    /** Within which 90% of the processes must listen. */
+    /** Time within which 90% of the processes must listen. */
     private static final double MAX_START_SECONDS = 10;
 
     private static final double IN_TIME_FRACTION = 0.9;
--- a/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
@@ -22,7 +22,7 @@
     private static final long SEED = 3;
     private static final double SECONDS = 4;
 
-    /** Between the two clocks' fractions of requests in time. */
+    /** Largest difference between the fractions of requests in time of both clocks. */
     private static final double SERVICE_TOLERANCE = 0.03;
 
     @DataProvider
