--- a/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
@@ -130,7 +130,7 @@
                     new ProcessRun.Options(
                             item.scenario(),
                             item.seed(),
-                            item.seconds(),
+                            item.durationSeconds(),
                             variant.settings(),
                             variant.name(),
                             variant.jar(),
@@ -141,7 +141,7 @@
         return SimulationRun.run(
                 item.scenario(),
                 item.seed(),
-                item.seconds(),
+                item.durationSeconds(),
                 variant.settings(),
                 variant.name(),
                 cluster -> Strategies.factory(variant.strategy(), cluster),
--- a/kit/src/main/java/wheelroute/kit/experiment/Plan.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Plan.java
@@ -9,7 +9,7 @@
 /**
  * All runs of a rehearsal on one clock, in the order of their reports.
  *
- * @param seconds how long requests arrive; 0 for the scenario's duration
+ * @param durationSeconds how long requests arrive; 0 for the scenario's duration
  * @param quick whether a run is limited to {@link #QUICK_SECONDS}
  * @param olderJar the daemon of an older build, which some faults start; null for none
  */
@@ -18,7 +18,7 @@
         List<Long> seeds,
         List<Variant> variants,
         Clock clock,
-        double seconds,
+        double durationSeconds,
         boolean quick,
         Path olderJar) {
     /** The maximum duration of a quick run. */
@@ -38,10 +38,11 @@
     }
 
     /** One run; index is its place in the plan. */
-    public record Item(int index, Scenario scenario, long seed, Variant variant, double seconds) {
+    public record Item(
+            int index, Scenario scenario, long seed, Variant variant, double durationSeconds) {
         /** Returns the same run of another scenario. */
         public Item with(Scenario other) {
-            return new Item(index, other, seed, variant, seconds);
+            return new Item(index, other, seed, variant, durationSeconds);
         }
 
         /** Returns scenario, seed and variant as text. */
@@ -65,7 +66,7 @@
     }
 
     private double secondsOf(Scenario scenario) {
-        double full = seconds > 0 ? seconds : scenario.durationSeconds();
+        double full = durationSeconds > 0 ? durationSeconds : scenario.durationSeconds();
         return quick ? Math.min(full, QUICK_SECONDS) : full;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/Clients.java
+++ b/kit/src/main/java/wheelroute/kit/model/Clients.java
@@ -49,9 +49,9 @@
         /**
          * A client's request is complete.
          *
-         * @param latency seconds from the time at which the load places the request
+         * @param latencySeconds from the time at which the load places the request
          */
-        void onFinished(ClientRequest request, Result result, double latency);
+        void onFinished(ClientRequest request, Result result, double latencySeconds);
 
         /** An attempt of a request was sent to a dispatcher. */
         void onSent(ClientAttempt clientAttempt);
@@ -234,9 +234,10 @@
         return state;
     }
 
-    /** Handles a final response; a retryAfter of 0 is no advice. */
+    /** Handles a final response; a retryAfterSeconds of 0 is no advice. */
     @Override
-    public void onResponse(ClientAttempt clientAttempt, FinalResponse response, double retryAfter) {
+    public void onResponse(
+            ClientAttempt clientAttempt, FinalResponse response, double retryAfterSeconds) {
         observer.onResponse(clientAttempt, response);
         PendingRequest state = closeIfOpen(clientAttempt);
         if (state == null) {
@@ -245,7 +246,7 @@
         switch (response) {
             case SUCCEEDED -> finish(state, isInTime(state) ? Result.IN_TIME : Result.LATE);
             case FAILED -> retryOrFinish(state, Result.FAILED, 0, state.isIdempotent());
-            case REJECTED -> retryOrFinish(state, Result.REJECTED, retryAfter, true);
+            case REJECTED -> retryOrFinish(state, Result.REJECTED, retryAfterSeconds, true);
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
@@ -41,21 +41,21 @@
         }
 
         /** Limits the dispatcher to this fraction of a core; 1 for no limit. */
-        default void limitCpu(int dispatcher, double share) {
+        default void limitCpu(int dispatcher, double coreFraction) {
             throw new UnsupportedFaultException("a limit of CPU time");
         }
 
         /**
          * Replaces the dispatcher's process by a second one.
          *
-         * @param limit seconds in which the replacement must be complete
+         * @param timeoutSeconds in which the replacement must be complete
          */
-        default void replace(int dispatcher, FaultMode mode, double limit) {
+        default void replace(int dispatcher, FaultMode mode, double timeoutSeconds) {
             throw new UnsupportedFaultException("a replacement of a dispatcher's process");
         }
 
         /** Adds to the rate of idle connections to the dispatcher; a negative rate subtracts. */
-        default void changeFloodRate(int dispatcher, double rate) {
+        default void changeFloodRate(int dispatcher, double connectionsPerSecond) {
             throw new UnsupportedFaultException("a flood of idle connections");
         }
     }
--- a/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
@@ -8,7 +8,7 @@
         void onStarted();
 
         /** The fraction of the work that is done. */
-        void onProgress(double share);
+        void onProgress(double fraction);
 
         /** The final event; freeSlots is NaN without a load report. */
         void onEnded(AttemptEnding ending, double freeSlots);
--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -116,10 +116,10 @@
      *
      * @param newLoss part that is lost
      * @param newDuplication part that arrives twice
-     * @param newSpread further random delay in seconds at most
+     * @param newSpreadSeconds maximum of a further random delay
      */
-    public void setNetwork(double newLoss, double newDuplication, double newSpread) {
-        network.configure(newLoss, newDuplication, newSpread);
+    public void setNetwork(double newLoss, double newDuplication, double newSpreadSeconds) {
+        network.configure(newLoss, newDuplication, newSpreadSeconds);
     }
 
     /** Loses from here on the datagrams for whose sender and receiver this holds. */
@@ -128,9 +128,9 @@
     }
 
     /** Starts all members at random times within this many seconds. */
-    public void startAll(double within) {
+    public void startAll(double withinSeconds) {
         for (SimulatedMember member : members) {
-            time.schedule(within * draw(), () -> member.start(0));
+            time.schedule(withinSeconds * draw(), () -> member.start(0));
         }
     }
 
@@ -146,12 +146,12 @@
     /**
      * Runs the model until a condition holds.
      *
-     * @param timeout how long it runs at most, in seconds
+     * @param timeoutSeconds how long it runs at most
      * @return seconds that it took; NaN if the condition did not hold in time
      */
-    public double advanceUntil(BooleanSupplier condition, double timeout) {
+    public double advanceUntil(BooleanSupplier condition, double timeoutSeconds) {
         double from = time.now();
-        while (time.now() < from + timeout) {
+        while (time.now() < from + timeoutSeconds) {
             if (condition.getAsBoolean()) {
                 return time.now() - from;
             }
--- a/kit/src/main/java/wheelroute/kit/peers/PeerNetwork.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerNetwork.java
@@ -22,7 +22,7 @@
     private double duplication;
 
     /** Further random delay in seconds, from 0 on, by which datagrams overtake each other. */
-    private double spread;
+    private double spreadSeconds;
 
     private BiPredicate<Integer, Integer> blocked = (from, to) -> false;
     private long datagrams;
@@ -46,10 +46,10 @@
     }
 
     /** See {@link PeerModel#setNetwork}. */
-    void configure(double newLoss, double newDuplication, double newSpread) {
+    void configure(double newLoss, double newDuplication, double newSpreadSeconds) {
         loss = newLoss;
         duplication = newDuplication;
-        spread = newSpread;
+        spreadSeconds = newSpreadSeconds;
     }
 
     /** Loses from here on the datagrams for whose sender and receiver this holds. */
@@ -72,11 +72,11 @@
         }
         for (int copies = random.getAsDouble() < duplication ? 2 : 1; copies > 0; copies--) {
             ByteBuffer copy = datagram.duplicate();
-            double delay =
+            double delaySeconds =
                     MIN_DELAY_SECONDS
                             + JITTER_SECONDS * random.getAsDouble()
-                            + spread * random.getAsDouble();
-            time.schedule(delay, () -> receiver.onDatagram(from, to, copy));
+                            + spreadSeconds * random.getAsDouble();
+            time.schedule(delaySeconds, () -> receiver.onDatagram(from, to, copy));
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
@@ -127,7 +127,7 @@
 
     private static void series(JsonGenerator json, Report.Series series) throws IOException {
         json.writeObjectFieldStart("over_time");
-        numbers(json, "seconds", series.times());
+        numbers(json, "seconds", series.timesSeconds());
         numbers(json, "asked_per_s", series.requested());
         numbers(json, "launched_per_s", series.attempted());
         numbers(json, "service", series.service());
@@ -180,9 +180,9 @@
             json.writeNumberField("unanswered", row.unanswered());
             json.writeNumberField("left", row.cancelled());
             number(json, "service", row.service());
-            number(json, "p50", row.p50());
-            number(json, "p99", row.p99());
-            number(json, "p999", row.p999());
+            number(json, "p50", row.p50Seconds());
+            number(json, "p99", row.p99Seconds());
+            number(json, "p999", row.p999Seconds());
             json.writeEndObject();
         }
         json.writeEndArray();
--- a/kit/src/main/java/wheelroute/kit/report/Recorder.java
+++ b/kit/src/main/java/wheelroute/kit/report/Recorder.java
@@ -76,8 +76,8 @@
     }
 
     @Override
-    public void onFinished(ClientRequest request, Clients.Result result, double latency) {
-        tally.onFinished(request, result, latency);
+    public void onFinished(ClientRequest request, Clients.Result result, double latencySeconds) {
+        tally.onFinished(request, result, latencySeconds);
     }
 
     @Override
--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -64,9 +64,9 @@
             long unanswered,
             long cancelled,
             double service,
-            double p50,
-            double p99,
-            double p999) {}
+            double p50Seconds,
+            double p99Seconds,
+            double p999Seconds) {}
 
     /** An expectation of the scenario, and whether it holds. */
     public record Verdict(String figure, double min, double max, double value, boolean holds) {
@@ -88,7 +88,7 @@
 
     /** Rates and service over time; attempts at a worker by worker group. */
     public record Series(
-            double[] times,
+            double[] timesSeconds,
             double[] requested,
             double[] attempted,
             double[] service,
@@ -172,9 +172,9 @@
         figures.put(FigureNames.UNANSWERED, total.unanswered() / counted);
         figures.put(FigureNames.BREACHES, (double) auditor.total());
         figures.put(FigureNames.ATTEMPTS, recorder.attemptsPerRequest());
-        figures.put(FigureNames.P50, total.p50());
-        figures.put(FigureNames.P99, total.p99());
-        figures.put(FigureNames.P999, total.p999());
+        figures.put(FigureNames.P50, total.p50Seconds());
+        figures.put(FigureNames.P99, total.p99Seconds());
+        figures.put(FigureNames.P999, total.p999Seconds());
         tally.requestClassRows()
                 .forEach(row -> figures.put(FigureNames.REQUEST_CLASS + row.name(), row.service()));
         tally.tenantRows()
--- a/kit/src/main/java/wheelroute/kit/report/TableWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/TableWriter.java
@@ -86,9 +86,9 @@
             Long.toString(row.unanswered()),
             Long.toString(row.cancelled()),
             String.format(Locale.ROOT, "%.4f", row.service()),
-            millis(row.p50()),
-            millis(row.p99()),
-            millis(row.p999())
+            millis(row.p50Seconds()),
+            millis(row.p99Seconds()),
+            millis(row.p999Seconds())
         };
     }
 
--- a/kit/src/main/java/wheelroute/kit/report/Tally.java
+++ b/kit/src/main/java/wheelroute/kit/report/Tally.java
@@ -84,10 +84,10 @@
     /**
      * Counts the end of a client's request.
      *
-     * @param latency in seconds
+     * @param latencySeconds from the time at which the load places the request
      */
-    public void onFinished(ClientRequest request, Clients.Result result, double latency) {
-        countersOf(request).forEach(counter -> counter.onFinished(request, result, latency));
+    public void onFinished(ClientRequest request, Clients.Result result, double latencySeconds) {
+        countersOf(request).forEach(counter -> counter.onFinished(request, result, latencySeconds));
         if (result != Clients.Result.CANCELLED) {
             int point = point(request.sendAt());
             valueRequested[point] += request.requestClass().priorityWeight();
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
@@ -98,10 +98,10 @@
         }
     }
 
-    private void failAfter(double delay) {
+    private void failAfter(double delaySeconds) {
         int calledIn = process.incarnation();
         cluster.timeline.schedule(
-                delay,
+                delaySeconds,
                 () ->
                         network.transmit(
                                 () -> {
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
@@ -114,7 +114,7 @@
         dispatch(() -> strategy = strategyFactory.create(settings, this));
     }
 
-    /** SIGKILL: connections on both sides break. */
+    /** Kills the process: its connections to clients and workers are lost. */
     void kill() {
         process.kill();
         isListening = false;
@@ -133,7 +133,7 @@
         }
     }
 
-    /** SIGTERM: accepts nothing new, completes what is pending, then ends. */
+    /** Shuts down gracefully: accepts no new requests, completes the pending ones, then ends. */
     void terminate() {
         isListening = false;
         process.schedule(
@@ -144,7 +144,7 @@
                 });
     }
 
-    /** SIGSTOP and SIGCONT. */
+    /** Pauses or resumes the process. */
     void setPaused(boolean paused) {
         process.setPaused(paused);
         if (paused) {
@@ -257,13 +257,13 @@
     }
 
     /** Sends the final response; a client that has cancelled does not read it. */
-    void sendResponse(SimulatedRequest request, FinalResponse response, double retryAfter) {
+    void sendResponse(SimulatedRequest request, FinalResponse response, double retryAfterSeconds) {
         ClientAttempt clientAttempt = request.clientAttempt();
         SimulatedLink link = network.toClients();
         Runnable arrival =
                 () -> {
                     if (!cancelled.contains(clientAttempt.key())) {
-                        clients.onResponse(clientAttempt, response, retryAfter);
+                        clients.onResponse(clientAttempt, response, retryAfterSeconds);
                     }
                 };
         network.transmit(link.state(), () -> link.sendOutbound(arrival, () -> true));
@@ -281,7 +281,7 @@
     // ---- actions of the strategy
 
     @Override
-    public void startAttempt(Ids.Request id, Ids.Worker workerId, double timeout) {
+    public void startAttempt(Ids.Request id, Ids.Worker workerId, double timeoutSeconds) {
         SimulatedRequest request = pending.get(id);
         List<SimulatedAttempt> attempts = request.attempts();
         WorkerModel worker = cluster.workers.get((int) workerId.value());
@@ -292,8 +292,8 @@
     }
 
     @Override
-    public void reject(Ids.Request id, double retryAfter) {
-        pending.get(id).respond(FinalResponse.REJECTED, retryAfter);
+    public void reject(Ids.Request id, double retryAfterSeconds) {
+        pending.get(id).respond(FinalResponse.REJECTED, retryAfterSeconds);
     }
 
     @Override
@@ -310,8 +310,8 @@
     }
 
     @Override
-    public void scheduleWakeup(double delay) {
-        process.schedule(delay, () -> dispatch(strategy::onWakeup));
+    public void scheduleWakeup(double delaySeconds) {
+        process.schedule(delaySeconds, () -> dispatch(strategy::onWakeup));
     }
 
     @Override
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedNetwork.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedNetwork.java
@@ -47,14 +47,14 @@
      */
     void transmit(LinkState state, Runnable arrival) {
         Scenario.Network network = cluster.scenario.network();
-        double delay = network.delaySeconds();
+        double delaySeconds = network.delaySeconds();
         if (network.jitterSeconds() > 0) {
-            delay += network.jitterSeconds() * draw(SeededRandom.Purpose.NETWORK);
+            delaySeconds += network.jitterSeconds() * draw(SeededRandom.Purpose.NETWORK);
         }
         if (!state.equals(LinkState.OPEN)) {
-            delay += state.extraDelay(() -> draw(SeededRandom.Purpose.LINK));
+            delaySeconds += state.extraDelay(() -> draw(SeededRandom.Purpose.LINK));
         }
-        cluster.timeline.schedule(delay, arrival);
+        cluster.timeline.schedule(delaySeconds, arrival);
     }
 
     private double draw(SeededRandom.Purpose purpose) {
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedProcess.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedProcess.java
@@ -36,7 +36,7 @@
         inputDuringPause.clear();
     }
 
-    /** SIGSTOP and SIGCONT: at the end of a pause, what waited is run before this returns. */
+    /** Pauses or resumes the process, which then runs what has waited before this returns. */
     void setPaused(boolean paused) {
         isPaused = paused;
         // As in the daemon's event loop, timers that are due run before any input is read.
@@ -46,10 +46,10 @@
     }
 
     /** Runs a task after a delay, unless the process was killed or restarted meanwhile. */
-    void schedule(double delay, Runnable task) {
+    void schedule(double delaySeconds, Runnable task) {
         int scheduledIn = incarnation;
         timeline.schedule(
-                delay,
+                delaySeconds,
                 () -> {
                     if (scheduledIn != incarnation) {
                         return;
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedRequest.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedRequest.java
@@ -32,15 +32,16 @@
     SimulatedRequest(SimulatedDispatcher dispatcher, ClientAttempt clientAttempt) {
         this.dispatcher = dispatcher;
         this.clientAttempt = clientAttempt;
-        double timeout = clientAttempt.timeoutSeconds();
-        double margin = Math.min(RESPONSE_MARGIN_SECONDS, RESPONSE_MARGIN_FRACTION * timeout);
+        double timeoutSeconds = clientAttempt.timeoutSeconds();
+        double marginSeconds =
+                Math.min(RESPONSE_MARGIN_SECONDS, RESPONSE_MARGIN_FRACTION * timeoutSeconds);
         Scenario.RequestClass requestClass = clientAttempt.request().requestClass();
         request =
                 new Request(
                         new Ids.Request(clientAttempt.key()),
                         new Ids.RequestClass(requestClass.name()),
                         new Ids.Tenant(clientAttempt.request().tenant().name()),
-                        dispatcher.now() + timeout - margin,
+                        dispatcher.now() + timeoutSeconds - marginSeconds,
                         clientAttempt.request().costEstimate(),
                         requestClass.slots(),
                         requestClass.memory(),
@@ -79,10 +80,10 @@
     }
 
     /** Sends the final response, unless the client has one or is gone. */
-    void respond(FinalResponse response, double retryAfter) {
+    void respond(FinalResponse response, double retryAfterSeconds) {
         if (!isAnswered) {
             isAnswered = true;
-            dispatcher.sendResponse(this, response, retryAfter);
+            dispatcher.sendResponse(this, response, retryAfterSeconds);
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedTime.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedTime.java
@@ -16,7 +16,7 @@
     private static final int CHILDREN = 4;
     private static final int INITIAL_CAPACITY = 1024;
 
-    private double[] dueTimes = new double[INITIAL_CAPACITY];
+    private double[] dueAt = new double[INITIAL_CAPACITY];
 
     /** Numbers in the order of scheduling, in which tasks that are due together run. */
     private long[] numbers = new long[INITIAL_CAPACITY];
@@ -32,18 +32,18 @@
     }
 
     @Override
-    public void schedule(double delay, Runnable task) {
-        if (size == dueTimes.length) {
-            dueTimes = Arrays.copyOf(dueTimes, 2 * size);
+    public void schedule(double delaySeconds, Runnable task) {
+        if (size == dueAt.length) {
+            dueAt = Arrays.copyOf(dueAt, 2 * size);
             numbers = Arrays.copyOf(numbers, 2 * size);
             tasks = Arrays.copyOf(tasks, 2 * size);
         }
-        double at = now + Math.max(0, delay);
+        double at = now + Math.max(0, delaySeconds);
         // The new task goes behind those due at the same time, so equal times stop the search.
         int hole = size++;
         while (hole > 0) {
             int parent = (hole - 1) / CHILDREN;
-            if (dueTimes[parent] <= at) {
+            if (dueAt[parent] <= at) {
                 break;
             }
             move(parent, hole);
@@ -57,11 +57,11 @@
         if (size == 0) {
             return false;
         }
-        now = dueTimes[0];
+        now = dueAt[0];
         Runnable task = tasks[0];
         size--;
         if (size > 0) {
-            siftDown(dueTimes[size], numbers[size], tasks[size]);
+            siftDown(dueAt[size], numbers[size], tasks[size]);
         }
         tasks[size] = null;
         task.run();
@@ -79,11 +79,11 @@
             int least = first;
             int end = Math.min(first + CHILDREN, size);
             for (int child = first + 1; child < end; child++) {
-                if (isBefore(dueTimes[child], numbers[child], dueTimes[least], numbers[least])) {
+                if (isBefore(dueAt[child], numbers[child], dueAt[least], numbers[least])) {
                     least = child;
                 }
             }
-            if (isBefore(at, number, dueTimes[least], numbers[least])) {
+            if (isBefore(at, number, dueAt[least], numbers[least])) {
                 break;
             }
             move(least, hole);
@@ -97,11 +97,11 @@
     }
 
     private void move(int from, int to) {
-        put(to, dueTimes[from], numbers[from], tasks[from]);
+        put(to, dueAt[from], numbers[from], tasks[from]);
     }
 
     private void put(int place, double at, long number, Runnable task) {
-        dueTimes[place] = at;
+        dueAt[place] = at;
         numbers[place] = number;
         tasks[place] = task;
     }
--- a/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
@@ -63,7 +63,7 @@
                     policy.requestClasses().get(i).requested(),
                     baseline.requestClasses().get(i).requested());
         }
-        assertNotEquals(policy.total().p99(), baseline.total().p99());
+        assertNotEquals(policy.total().p99Seconds(), baseline.total().p99Seconds());
     }
 
     @Test
