--- a/kit/src/main/java/wheelroute/kit/audit/AttemptRules.java
+++ b/kit/src/main/java/wheelroute/kit/audit/AttemptRules.java
@@ -82,7 +82,7 @@
         RequestRecord record = attempt.record;
         Scenario.RequestClass requestClass = record.requestClass();
         if (!scenario.terms().mayHedge() && !earlier.ended) {
-            // The end of the earlier connection may be noticed a moment after the new attempt.
+            // The worker may notice the end of the earlier connection after the new attempt.
             timeline.schedule(slackSeconds, () -> checkNotHedged(earlier));
         }
         if (earlier.neverRan || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -163,7 +163,7 @@
     // ---- events at dispatchers
 
     /**
-     * A dispatcher's process ended though nobody stopped it.
+     * A dispatcher's process ended without having been stopped.
      *
      * @param lastOutput the last lines that it logged
      */
--- a/kit/src/main/java/wheelroute/kit/audit/DispatcherMetrics.java
+++ b/kit/src/main/java/wheelroute/kit/audit/DispatcherMetrics.java
@@ -26,7 +26,7 @@
     final Map<String, Count> counts = new LinkedHashMap<>();
     final CounterHistory pending = new CounterHistory();
 
-    /** Requests whose response nobody received: any response's count may include them. */
+    /** Requests whose response was not received: the count of any response may include them. */
     final CounterHistory unattributed = new CounterHistory();
 
     /** Whether attempts that a running process has sent may have been lost on a link. */
--- a/kit/src/main/java/wheelroute/kit/model/SlowStartModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/SlowStartModel.java
@@ -70,7 +70,7 @@
                         * group.speed()
                         * group.slots()
                         * group.overloadWindowSeconds();
-        double meanWork = group.overloadMeanWork();
+        double meanWork = group.overloadMeanWorkSeconds();
         if (meanWork > 0) {
             max += (ALLOWED_DEVIATIONS * Math.sqrt(max / meanWork) + ALLOWED_DEVIATIONS) * meanWork;
         }
--- a/kit/src/main/java/wheelroute/kit/model/Timeline.java
+++ b/kit/src/main/java/wheelroute/kit/model/Timeline.java
@@ -1,6 +1,6 @@
 package wheelroute.kit.model;
 
-/** The time of a run, simulated or real, in seconds; the model cannot tell which. */
+/** The time of a run in seconds. The model does not know whether it is simulated or real. */
 public interface Timeline {
     /** Returns the current time; its origin is arbitrary. */
     double now();
--- a/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
@@ -279,7 +279,7 @@
      * Returns when an attempt that arrived now would be completed; infinity if it would not be, as
      * far as the faults in force show.
      */
-    public double expectedCompletion(double workSeconds) {
+    public double expectedCompletionAt(double workSeconds) {
         double now = timeline.now();
         double pace = running.pace() * rampFraction(now);
         if (!up
--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -220,7 +220,7 @@
         }
         boolean mayBeCausedByLag = breachCounts.getOrDefault(Rule.AT_MOST_ONE_EFFECT, 0) == 0;
         if (!meetsAll() && mayBeCausedByLag && lag.isEverAbove(MAX_SINGLE_LAG_SECONDS)) {
-            return "the machine stalled for a moment, which may be the cause of what fails";
+            return "the machine stalled once, which may be the cause of the failure";
         }
         return null;
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/FaultKind.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultKind.java
@@ -18,7 +18,7 @@
     CRASH("crash"),
     /** Workers drain, end once they are empty, and restart with slow start at the end. */
     DRAIN("drain"),
-    /** All workers drain and restart in batches, of so many workers as the level says. */
+    /** All targets drain and restart in batches; the level is the number of workers in a batch. */
     ROLLING_DEPLOY("deploy", 1, 1, 1000),
     /** Load reports are older by the level, in seconds. */
     LOAD_REPORT_DELAY("late-reports", 1, 0, 60),
@@ -46,7 +46,7 @@
     LINK_OUTBOUND_CUT("link-unheard"),
     /** The level's fraction of messages arrives only when retransmitted; datagrams are lost. */
     LINK_LOSS("link-loss", 0.2, 0, 1),
-    /** Each direction passes so many bytes per second as the level says. */
+    /** The level is the bandwidth of each direction in bytes per second. */
     LINK_BANDWIDTH("link-trickle", 2000, 100, 1e9),
     /** The level's fraction of datagrams between peers arrives twice. */
     LINK_DUPLICATION("link-double", 0.2, 0, 1),
@@ -54,7 +54,7 @@
     DISPATCHER_CPU_LIMIT("dispatcher-starve", 0.3, 0.05, 1),
     /** Dispatchers' processes are replaced by a successor, which must be ready by the end. */
     DISPATCHER_REPLACE("dispatcher-replace"),
-    /** Connections that never finish a request, so many per second as the level says. */
+    /** Connections that never complete a request; the level is their rate per second. */
     IDLE_CONNECTION_FLOOD("crowd", 100, 1, 10_000);
 
     private final String key;
--- a/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
@@ -50,8 +50,8 @@
      * @param slowStartFraction the fraction of its capacity that a worker has at its start
      * @param overloadMultiple a worker in slow start collapses when this multiple of its capacity
      *     arrives within the overload window
-     * @param overloadMeanWork the mean work of the requests for whose random arrival the limit is
-     *     raised, from N to N + 2 sqrt(N) + 2 of them; 0 for none
+     * @param overloadMeanWorkSeconds the mean work of the requests for whose random arrival the
+     *     limit is raised, from N to N + 2 sqrt(N) + 2 of them; 0 for none
      */
     public record WorkerGroup(
             String name,
@@ -66,7 +66,7 @@
             double slowStartDurationSeconds,
             double overloadMultiple,
             double overloadWindowSeconds,
-            double overloadMeanWork) {}
+            double overloadMeanWorkSeconds) {}
 
     /**
      * A request class.
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -63,7 +63,7 @@
                 .number("cold_for", group.slowStartDurationSeconds())
                 .number("tip_multiple", group.overloadMultiple())
                 .number("tip_window", group.overloadWindowSeconds())
-                .number("tip_request", group.overloadMeanWork());
+                .number("tip_request", group.overloadMeanWorkSeconds());
     }
 
     private void write(Scenario.RequestClass requestClass) {
--- a/kit/src/main/java/wheelroute/kit/strategy/OmniscientSelector.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/OmniscientSelector.java
@@ -38,7 +38,7 @@
                         candidates,
                         first,
                         candidate -> expectedCompletion(candidate, work, requestClass));
-        double completion = cluster.workers.get((int) best.value()).expectedCompletion(work);
+        double completion = cluster.workers.get((int) best.value()).expectedCompletionAt(work);
         return isTooLate(completion, request, requestClass, work) ? null : best;
     }
 
@@ -53,7 +53,7 @@
     private double expectedCompletion(
             Endpoint candidate, double work, Scenario.RequestClass requestClass) {
         WorkerModel worker = WorkerSelectors.model(cluster, candidate);
-        return worker.expectedCompletion(work)
+        return worker.expectedCompletionAt(work)
                 + worker.failureFraction() * requestClass.latencyObjectiveSeconds();
     }
 
--- a/kit/src/test/java/wheelroute/kit/audit/LateAttemptAuditTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/LateAttemptAuditTest.java
@@ -9,7 +9,7 @@
 import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.model.FinalResponse;
 
-/** No attempt at a worker after the request has its answer, or nobody waits for one. */
+/** No attempt at a worker after the final response, the deadline or a cancellation. */
 public class LateAttemptAuditTest {
     @Test
     public void reportsAttemptAfterAnswer() {
--- a/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
@@ -88,7 +88,7 @@
     public Object[][] faults() {
         return new Object[][] {
             {"seeds", (Fault) PeerModelTest::seedsCrash},
-            {"outbound loss", (Fault) PeerModelTest::memberIsNotHeard},
+            {"outbound loss", (Fault) PeerModelTest::messagesOfMemberAreLost},
             {"pair", (Fault) PeerModelTest::pairIsPartitioned},
             {"thirds", (Fault) PeerModelTest::thirdsArePartitioned},
             {"flapping", (Fault) PeerModelTest::memberFlaps},
@@ -111,13 +111,13 @@
         model.members.get(7).start(0);
     }
 
-    private static void memberIsNotHeard(PeerModel model) {
+    private static void messagesOfMemberAreLost(PeerModel model) {
         model.block((from, to) -> from == 4);
         model.advance(20);
         assertFalse(
                 model.members.get(0).membership().find(PeerModel.id(4)).state()
                         == MemberUpdate.State.ALIVE,
-                "a member that nobody hears counts as alive");
+                "a member whose messages are lost counts as alive");
     }
 
     private static void pairIsPartitioned(PeerModel model) {
