--- a/daemon/src/test/java/wheelroute/net/AdminServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/AdminServiceTest.java
@@ -31,15 +31,15 @@
             Map.of(
                     "completed.job",
                     0,
-                    "completed.patient",
+                    "completed.batch",
                     0,
                     "rejected.job",
                     0,
-                    "rejected.patient",
+                    "rejected.batch",
                     0,
                     "failed.job",
                     0,
-                    "failed.patient",
+                    "failed.batch",
                     0,
                     "upstream_requests",
                     0,
@@ -123,7 +123,7 @@
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen(), workers.listen()));
         assertEquals(adminStats(), INITIAL_STATS);
         for (int i = 0; i < 3; i++) {
-            String path = i == 1 ? "/patient/" : "/job/";
+            String path = i == 1 ? "/batch/" : "/job/";
             assertEquals(statusOf(exchange(connect(), jobRequest(10).replace("/job/", path))), 200);
         }
         sendMessagesThatAreNotAccepted();
@@ -137,7 +137,7 @@
                 Map.of(
                         "completed.job",
                         2,
-                        "completed.patient",
+                        "completed.batch",
                         1,
                         "pending",
                         1,
--- a/daemon/src/test/java/wheelroute/net/DiscoveryRecoveryTest.java
+++ b/daemon/src/test/java/wheelroute/net/DiscoveryRecoveryTest.java
@@ -85,22 +85,22 @@
         while (count(CALLS) < 2) {
             LockSupport.parkNanos(100_000);
         }
-        awaitCalls();
+        awaitDiscoveryCalls();
         double worst = 0;
         for (int i = 0; i < OUTAGES; i++) {
             beginOutage(kind);
             for (double passed = 0; passed < OUTAGE_SECONDS; passed += STEP_SECONDS) {
-                step();
+                stepWithDiscovery(STEP_SECONDS);
             }
             // Continue until the worst moment for the outage to end.
             Counters.Counter moment = when == EndOfOutage.AFTER_FAILED_CALL ? FAILURES : CALLS;
             for (long before = count(moment); count(moment) == before; ) {
-                step();
+                stepWithDiscovery(STEP_SECONDS);
             }
             endOutage(kind, worker, i % 2 == 0);
             double waited = 0;
             while (metric("workers_listed") != 1 + (i + 1) % 2) {
-                step();
+                stepWithDiscovery(STEP_SECONDS);
                 waited += STEP_SECONDS;
                 assertTrue(waited < 20, "discovery is not polled any more");
             }
@@ -111,31 +111,13 @@
                 "complete list received after " + worst + " s");
     }
 
-    /** Moves the clock on, and waits until discovery has answered the calls that this caused. */
-    private void step() throws Exception {
-        long before = count(CALLS);
-        loop.step(STEP_SECONDS);
-        if (count(CALLS) != before) {
-            awaitCalls();
-        }
-    }
-
-    /** Waits until discovery has received all calls, and its responses have been read. */
-    private void awaitCalls() throws Exception {
-        while (count(CALLS) != discovery.messages.get()) {
-            LockSupport.parkNanos(100_000);
-        }
-        metric("list_calls_total");
-        loop.settle();
-    }
-
     private long count(Counters.Counter counter) {
         return service.counters().value(counter);
     }
 
     private void beginOutage(OutageKind kind) throws Exception {
         // A call that discovery has not read yet would be lost with the connection.
-        awaitCalls();
+        awaitDiscoveryCalls();
         switch (kind) {
             case REFUSES_CONNECTION -> closeListeningSocket();
             case RESPONDS_503 -> discovery.defaultResponse = () -> SERVICE_UNAVAILABLE;
--- a/daemon/src/test/java/wheelroute/net/EndpointLeaseServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/EndpointLeaseServiceTest.java
@@ -11,10 +11,8 @@
 import static wheelroute.net.HttpMessages.okResponse;
 import static wheelroute.net.HttpMessages.statusOf;
 
-import java.util.concurrent.locks.LockSupport;
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
-import wheelroute.net.metrics.Counters;
 
 /** Discovery is up and overloaded: it answers other dispatchers and not this one. */
 public class EndpointLeaseServiceTest extends ServiceHarness {
@@ -42,6 +40,7 @@
         discovery.responses.add(NO_RESPONSE);
         discovery.defaultResponse = () -> SERVICE_UNAVAILABLE;
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
+        awaitDiscoveryCalls();
         assertEquals(statusOf(exchange(connect(), jobRequest(2))), 200);
         stepFor(LEASE_SECONDS);
         assertEquals(metric("list_lease_expired"), 1);
@@ -52,7 +51,7 @@
         for (double elapsedSeconds = 0;
                 metric("list_lease_expired") != 0;
                 elapsedSeconds += STEP_SECONDS) {
-            step();
+            stepWithDiscovery(STEP_SECONDS);
             assertEquals(
                     elapsedSeconds < MAX_CALL_INTERVAL_SECONDS,
                     true,
@@ -68,6 +67,7 @@
         discovery.responses.add(CLOSE);
         discovery.defaultResponse = () -> SERVICE_UNAVAILABLE;
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
+        awaitDiscoveryCalls();
         stepFor(3 * LEASE_SECONDS);
         assertEquals(metric("list_lease_expired"), 0);
         assertEquals(statusOf(exchange(connect(), jobRequest(2))), 200);
@@ -81,6 +81,7 @@
     public void waitsLongerForResponseInLargeFleet() throws Exception {
         clock.stop();
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()), 100);
+        awaitDiscoveryCalls();
         // The first call is delayed by the start spread, then held; 0.9 s after that the watch is
         // unresponsive.
         stepUntilCallCount(2);
@@ -94,7 +95,7 @@
         for (double elapsedSeconds = 0;
                 metric("list_calls_total") < calls;
                 elapsedSeconds += STEP_SECONDS) {
-            step();
+            stepWithDiscovery(STEP_SECONDS);
             assertEquals(
                     elapsedSeconds < MAX_CALL_INTERVAL_SECONDS,
                     true,
@@ -104,21 +105,7 @@
 
     private void stepFor(double seconds) throws Exception {
         for (double elapsedSeconds = 0; elapsedSeconds < seconds; elapsedSeconds += STEP_SECONDS) {
-            step();
-        }
-    }
-
-    /** Moves the clock on, and waits until the responses to new calls have been read. */
-    private void step() throws Exception {
-        long before = service.counters().value(Counters.Counter.DISCOVERY_CALLS);
-        loop.step(STEP_SECONDS);
-        if (service.counters().value(Counters.Counter.DISCOVERY_CALLS) != before) {
-            while (service.counters().value(Counters.Counter.DISCOVERY_CALLS)
-                    != discovery.messages.get()) {
-                LockSupport.parkNanos(100_000);
-            }
-            // A round trip through the event loop, in which the response is read.
-            metric("list_calls_total");
+            stepWithDiscovery(STEP_SECONDS);
         }
     }
 }
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -33,6 +33,7 @@
 import wheelroute.net.lifecycle.Service;
 import wheelroute.net.loop.ControlledEventLoop;
 import wheelroute.net.loop.ManualClock;
+import wheelroute.net.metrics.Counters;
 import wheelroute.net.workers.AttemptResult;
 
 /** A dispatcher on loopback sockets, with stubs of clients, workers and discovery. */
@@ -86,6 +87,9 @@
     protected Service service;
     protected int port;
 
+    /** For {@link #awaitDiscoveryCalls}; null before its first use. */
+    private Socket roundTrips;
+
     protected void serve(Idempotency idempotency, int sockets, String known) throws Exception {
         serve(idempotency, sockets, known, 1);
     }
@@ -159,6 +163,29 @@
         loop.holdReads(client.getLocalPort());
     }
 
+    /** Advances the stopped clock, and waits for all calls to discovery that this causes. */
+    protected void stepWithDiscovery(double seconds) throws Exception {
+        loop.step(seconds);
+        awaitDiscoveryCalls();
+    }
+
+    /** Waits until discovery has answered all calls, and the service has read the responses. */
+    protected void awaitDiscoveryCalls() throws Exception {
+        if (roundTrips == null) {
+            roundTrips = connect();
+        }
+        // A round trip takes several passes of the event loop: what has arrived is read, and a
+        // connection that is being established is used.
+        exchange(roundTrips, HEALTH_CHECK);
+        loop.settle();
+        while (discovery.answered.get()
+                != service.counters().value(Counters.Counter.DISCOVERY_CALLS)) {
+            LockSupport.parkNanos(POLL_NANOS);
+        }
+        exchange(roundTrips, HEALTH_CHECK);
+        loop.settle();
+    }
+
     protected void awaitMetric(String name, long value) throws IOException {
         while (metric(name) != value) {
             LockSupport.parkNanos(POLL_NANOS);
@@ -239,6 +266,7 @@
         workers.reset();
         discovery.reset();
         service = null;
+        roundTrips = null;
         clock = new ManualClock();
         endpointsArePushed = false;
         maxTimeoutSeconds = 2;
--- a/daemon/src/test/java/wheelroute/net/StubServer.java
+++ b/daemon/src/test/java/wheelroute/net/StubServer.java
@@ -5,7 +5,6 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
@@ -37,6 +36,10 @@
 
     final List<String> responses = new ArrayList<>();
     final AtomicInteger messages = new AtomicInteger();
+
+    /** Messages whose response, if there is one, has been written or whose connection is closed. */
+    final AtomicInteger answered = new AtomicInteger();
+
     final AtomicInteger connections = new AtomicInteger();
 
     /** Makes the responses that follow those of the list. */
@@ -83,26 +86,37 @@
     }
 
     private void serve(Socket socket) throws IOException {
-        while (true) {
+        boolean closes = false;
+        while (!closes) {
             String message = HttpMessages.readMessage(socket.getInputStream());
             last = socket;
             int number = messages.getAndIncrement();
             received.add(message);
             String response =
                     number < responses.size() ? responses.get(number) : defaultResponse.get();
-            if (response == HttpMessages.NO_RESPONSE) {
-                continue;
-            }
-            String id = message.replaceAll("(?s).*X-Request-ID: (\\w+).*", "$1");
-            socket.getOutputStream()
-                    .write(response.replace("ID", id).getBytes(StandardCharsets.UTF_8));
-            if (response.equals(HttpMessages.CLOSE)
-                    || response.equals(HttpMessages.START_THEN_CLOSE)) {
-                return;
+            try {
+                closes = respond(socket, message, response);
+            } finally {
+                answered.incrementAndGet();
             }
         }
     }
 
+    /** Sends the response, if there is one; returns whether the connection was closed after it. */
+    private static boolean respond(Socket socket, String message, String response)
+            throws IOException {
+        if (response == HttpMessages.NO_RESPONSE) {
+            return false;
+        }
+        String id = message.replaceAll("(?s).*X-Request-ID: (\\w+).*", "$1");
+        HttpMessages.send(socket, response.replace("ID", id));
+        if (response.equals(HttpMessages.CLOSE) || response.equals(HttpMessages.START_THEN_CLOSE)) {
+            socket.close();
+            return true;
+        }
+        return false;
+    }
+
     /** Returns the first line of the next message, with the hold time of a watch masked. */
     String nextFirstLine() throws InterruptedException {
         return firstLine(received.poll(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS));
@@ -140,6 +154,7 @@
         closed.clear();
         responses.clear();
         messages.set(0);
+        answered.set(0);
         connections.set(0);
         defaultResponse = () -> HttpMessages.NO_RESPONSE;
     }
--- a/daemon/src/test/java/wheelroute/net/loop/ControlledEventLoop.java
+++ b/daemon/src/test/java/wheelroute/net/loop/ControlledEventLoop.java
@@ -119,12 +119,13 @@
         settle();
     }
 
-    /** Returns when all posted tasks have run, including those that they post. */
+    /** Returns when all posted tasks and due timers have run, including the tasks they post. */
     public void settle() throws InterruptedException {
-        // Twice, because timers run after posted tasks, and may post more.
+        // A timer, because the loop runs tasks that are posted meanwhile before any timer; twice,
+        // because timers may post tasks.
         for (int i = 0; i < 2; i++) {
             CountDownLatch done = new CountDownLatch(1);
-            post(done::countDown);
+            post(() -> schedule(0, done::countDown));
             done.await();
         }
     }
