--- a/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
+++ b/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
@@ -1,5 +1,7 @@
 package wheelroute.decision.endpoints;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+
 import java.util.ArrayList;
 import java.util.List;
 import wheelroute.decision.Endpoint;
@@ -14,8 +16,6 @@
 
 /** Brings the state of workers in line with the endpoint list and its changes. */
 public final class EndpointUpdates {
-    private static final double MILLIS_PER_SECOND = 1000;
-
     private final DecisionClock clock;
     private final Ids.Zone zone;
     private final WorkerTable workers;
--- a/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
@@ -1,6 +1,6 @@
 package wheelroute.net.discovery;
 
-import static wheelroute.net.loop.TimeUnits.MILLIS_PER_SECOND;
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/daemon/src/main/java/wheelroute/net/http/MalformedResponseException.java
+++ b/daemon/src/main/java/wheelroute/net/http/MalformedResponseException.java
@@ -6,7 +6,8 @@
 public final class MalformedResponseException extends IOException {
     private static final long serialVersionUID = 1;
 
-    MalformedResponseException(String message) {
+    /** Creates an exception; the message says what is wrong with the response. */
+    public MalformedResponseException(String message) {
         super(message);
     }
 
--- a/daemon/src/main/java/wheelroute/net/loop/Clock.java
+++ b/daemon/src/main/java/wheelroute/net/loop/Clock.java
@@ -1,7 +1,7 @@
 package wheelroute.net.loop;
 
-import static wheelroute.net.loop.TimeUnits.MILLIS_PER_SECOND;
-import static wheelroute.net.loop.TimeUnits.NANOS_PER_SECOND;
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
 
 /**
  * A monotonic clock that shows Unix time in seconds. It starts from the wall clock and follows the
--- a/daemon/src/main/java/wheelroute/net/loop/LoopSelectorManager.java
+++ b/daemon/src/main/java/wheelroute/net/loop/LoopSelectorManager.java
@@ -1,7 +1,7 @@
 package wheelroute.net.loop;
 
-import static wheelroute.net.loop.TimeUnits.MILLIS_PER_SECOND;
-import static wheelroute.net.loop.TimeUnits.NANOS_PER_SECOND;
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
@@ -5,6 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import org.eclipse.jetty.http.HttpStatus;
+import wheelroute.net.http.MalformedResponseException;
 import wheelroute.net.http.ResponseParser;
 import wheelroute.net.loop.LineBuffer;
 
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerStatusLine.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerStatusLine.java
@@ -7,6 +7,7 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import wheelroute.net.http.MalformedResponseException;
 
 /**
  * One line of a worker's response.
--- a/kit/src/main/java/wheelroute/kit/cli/AdminClient.java
+++ b/kit/src/main/java/wheelroute/kit/cli/AdminClient.java
@@ -1,5 +1,8 @@
 package wheelroute.kit.cli;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -20,9 +23,6 @@
     private static final int BUFFER_BYTES = 4096;
     private static final double MIN_TIMEOUT_SECONDS = 0.01;
     private static final double MAX_TIMEOUT_SECONDS = 60;
-    private static final double MILLIS_PER_SECOND = 1e3;
-    private static final double NANOS_PER_SECOND = 1e9;
-
     private final String address;
     private final InetSocketAddress server;
     private final double timeoutSeconds;
--- a/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.experiment;
 
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -24,8 +26,6 @@
  * <p>A matrix is used by one thread; it calls stop and progress on threads of its own.
  */
 public final class Matrix {
-    private static final double NANOS_PER_SECOND = 1e9;
-
     private final Plan plan;
     private final int parallelRuns;
     private final BooleanSupplier stop;
--- a/kit/src/main/java/wheelroute/kit/peers/SimulatedMember.java
+++ b/kit/src/main/java/wheelroute/kit/peers/SimulatedMember.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.peers;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -25,8 +27,6 @@
     /** What a member's clock shows when the model starts. */
     private static final double CLOCK_AT_START_SECONDS = 1e6;
 
-    private static final double MILLIS_PER_SECOND = 1000;
-
     /** Index in {@link PeerModel#members}. */
     public final int number;
 
--- a/kit/src/main/java/wheelroute/kit/process/ClientMessageEncoder.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientMessageEncoder.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.process;
 
+import static wheelroute.units.TimeUnits.MICROS_PER_SECOND;
+
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.Locale;
@@ -10,8 +12,6 @@
 
 /** Encodes the requests that clients send to one dispatcher. */
 final class ClientMessageEncoder {
-    private static final double MICROS_PER_SECOND = 1e6;
-
     private final InetSocketAddress address;
 
     ClientMessageEncoder(InetSocketAddress address) {
--- a/kit/src/main/java/wheelroute/kit/process/DiscoveryWatch.java
+++ b/kit/src/main/java/wheelroute/kit/process/DiscoveryWatch.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.process;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+
 import java.util.Optional;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -13,7 +15,6 @@
 public record DiscoveryWatch(long version, double holdSeconds) {
     private static final Pattern TARGET =
             Pattern.compile("/v1/servers\\?from=(\\d{1,18})&hold_ms=(\\d{1,6})");
-    private static final double MILLIS_PER_SECOND = 1e3;
 
     /** Returns the watch that a request target stands for; empty if it is not a watch. */
     public static Optional<DiscoveryWatch> parse(String target) {
--- a/kit/src/main/java/wheelroute/kit/process/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadRun.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.process;
 
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.net.InetSocketAddress;
 import java.net.NetworkInterface;
 import java.net.SocketException;
@@ -22,7 +24,6 @@
  * responses. All but {@link #run} is on the event loop's thread.
  */
 public final class LoadRun implements ResponseListener {
-    private static final double NANOS_PER_SECOND = 1e9;
     private static final int POLL_MILLIS = 50;
     private static final double CONNECT_TIMEOUT_SECONDS = 2;
     private static final double MIN_DURATION_SECONDS = 1e-3;
--- a/kit/src/main/java/wheelroute/kit/process/LoadStatistics.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadStatistics.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.process;
 
+import static wheelroute.units.TimeUnits.MICROS_PER_SECOND;
+
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.List;
@@ -10,7 +12,6 @@
 
 /** Counts how the requests of a load ended. Used on the event loop's thread. */
 final class LoadStatistics {
-    private static final double MICROS_PER_SECOND = 1e6;
     private static final double MICROS_PER_MILLI = 1e3;
     private static final long MAX_MICROS = 3_600_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
--- a/kit/src/main/java/wheelroute/kit/process/MachineMonitor.java
+++ b/kit/src/main/java/wheelroute/kit/process/MachineMonitor.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.process;
 
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,7 +19,6 @@
  */
 final class MachineMonitor implements AutoCloseable {
     private static final int INTERVAL_MILLIS = 100;
-    private static final double NANOS_PER_SECOND = 1e9;
     private static final long MAX_NANOS = 60_000_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
 
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.process;
 
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -36,7 +38,6 @@
     private static final double END_CHECK_INTERVAL_SECONDS = 0.01;
     private static final int POLL_MILLIS = 50;
     private static final double PROGRESS_INTERVAL_SECONDS = 5;
-    private static final double NANOS_PER_SECOND = 1e9;
 
     /** The key of a variant whose dispatchers do not know each other. */
     private static final String NO_PEERS = "no_peers";
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.process;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -24,7 +26,6 @@
     /** The value of this key in reports. */
     private static final String CLOCK_NAME = "real";
 
-    private static final double MILLIS_PER_SECOND = 1e3;
     private static final double PERCENT = 100;
 
     /**
--- a/kit/src/main/java/wheelroute/kit/process/RelayCost.java
+++ b/kit/src/main/java/wheelroute/kit/process/RelayCost.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.process;
 
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -30,8 +32,6 @@
     private static final int MESSAGE_BYTES = 400;
     private static final long MAX_NANOS = 10_000_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
-    private static final double NANOS_PER_SECOND = 1e9;
-
     private final EventLoop loop;
     private final Consumer<Cost> listener;
     private final ServerSocketChannel server;
--- a/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.process;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
@@ -24,8 +26,6 @@
  * on the event loop's thread.
  */
 final class StubDiscovery implements EventLoop.ChannelHandler {
-    private static final double MILLIS_PER_SECOND = 1e3;
-
     /**
      * A change counts as known to the dispatcher after this time even if it was not sent: a missed
      * watch is not an excuse for using an old list.
--- a/kit/src/main/java/wheelroute/kit/process/StubRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubRun.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.process;
 
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -21,8 +23,6 @@
 public final class StubRun {
     private static final int STOP_POLL_MILLIS = 100;
     private static final double CONNECT_TIMEOUT_SECONDS = 1;
-    private static final double NANOS_PER_SECOND = 1e9;
-
     private final Scenario scenario;
     private final long seed;
     private final double seconds;
--- a/kit/src/main/java/wheelroute/kit/process/TimerLag.java
+++ b/kit/src/main/java/wheelroute/kit/process/TimerLag.java
@@ -1,12 +1,13 @@
 package wheelroute.kit.process;
 
+import static wheelroute.units.TimeUnits.MICROS_PER_SECOND;
+
 import org.HdrHistogram.Histogram;
 import wheelroute.net.loop.EventLoop;
 
 /** Measures how late an event loop runs its timers. Used on the event loop's thread. */
 final class TimerLag {
     private static final double INTERVAL_SECONDS = 0.01;
-    private static final double MICROS_PER_SECOND = 1e6;
     private static final long MAX_MICROS = 600_000_000;
 
     private final EventLoop loop;
--- a/kit/src/main/java/wheelroute/kit/report/OutcomeCounter.java
+++ b/kit/src/main/java/wheelroute/kit/report/OutcomeCounter.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.report;
 
+import static wheelroute.units.TimeUnits.MICROS_PER_SECOND;
+
 import org.HdrHistogram.Histogram;
 import wheelroute.kit.model.ClientRequest;
 import wheelroute.kit.model.Clients;
@@ -11,8 +13,6 @@
     private static final long MAX_LATENCY_MICROS = 86_400_000_000L;
 
     private static final int SIGNIFICANT_DIGITS = 3;
-    private static final double MICROS_PER_SECOND = 1e6;
-
     private final long[] results = new long[Clients.Result.values().length];
     private final Histogram latencies = new Histogram(MAX_LATENCY_MICROS, SIGNIFICANT_DIGITS);
     private long requestCount;
--- a/kit/src/main/java/wheelroute/kit/report/TableWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/TableWriter.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.report;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -10,7 +12,6 @@
 
 /** Writes a report as text for people. */
 public final class TableWriter {
-    private static final double MILLIS_PER_SECOND = 1e3;
     private static final String[] COLUMNS = {
         "",
         "requests",
--- a/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
@@ -1,6 +1,7 @@
 package wheelroute.kit.scale;
 
 import static wheelroute.kit.scale.Estimate.digits;
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
 
 import java.util.LinkedHashMap;
 import java.util.Locale;
@@ -8,7 +9,6 @@
 
 /** Writes the tables of the capacity page from a {@link CapacityModel}. */
 final class CapacityTables {
-    private static final double MILLIS_PER_SECOND = 1e3;
     private static final double MB_PER_GB = 1e3;
     private static final double BYTES_PER_MB = 1e6;
 
--- a/kit/src/main/java/wheelroute/kit/scale/DiscoveryCallStatistics.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DiscoveryCallStatistics.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.scale;
 
+import static wheelroute.units.TimeUnits.MICROS_PER_SECOND;
+
 import org.HdrHistogram.Histogram;
 
 /**
@@ -7,7 +9,6 @@
  * thread.
  */
 final class DiscoveryCallStatistics {
-    private static final double MICROS_PER_SECOND = 1e6;
     private static final long MAX_MICROS = 3_600_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
 
--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherBench.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherBench.java
@@ -1,5 +1,8 @@
 package wheelroute.kit.scale;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.io.IOException;
 import java.util.concurrent.Callable;
 import wheelroute.decision.Idempotency;
@@ -32,9 +35,6 @@
     private static final double WARM_UP_WORK_SECONDS = 0.001;
     private static final double WARM_UP_TIMEOUT_SECONDS = 120;
 
-    private static final double NANOS_PER_SECOND = 1e9;
-    private static final double MILLIS_PER_SECOND = 1e3;
-
     /**
      * What the dispatcher used on average over a time.
      *
--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
@@ -1,5 +1,8 @@
 package wheelroute.kit.scale;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.io.IOException;
 import java.util.List;
 import wheelroute.kit.process.RehearsalException;
@@ -23,9 +26,6 @@
     private static final double RESTART_CALLS_PER_SECOND_EACH = 2;
 
     private static final double RESTART_DOWNTIME_SECONDS = 3;
-    private static final double MILLIS_PER_SECOND = 1e3;
-    private static final double NANOS_PER_SECOND = 1e9;
-
     private final ScaleEnvironment environment;
 
     DispatcherCountMeasurement(ScaleEnvironment environment) {
--- a/kit/src/main/java/wheelroute/kit/scale/HeldAttemptsMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/HeldAttemptsMeasurement.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.scale;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+
 import java.io.IOException;
 import java.util.List;
 import java.util.Locale;
@@ -18,8 +20,6 @@
     /** Arrivals are random, so slightly fewer or more than planned are in flight. */
     private static final double MIN_HELD_FRACTION = 0.9;
 
-    private static final double MILLIS_PER_SECOND = 1e3;
-
     private final ScaleEnvironment environment;
 
     HeldAttemptsMeasurement(ScaleEnvironment environment) {
--- a/kit/src/main/java/wheelroute/kit/scale/MeasuredDaemon.java
+++ b/kit/src/main/java/wheelroute/kit/scale/MeasuredDaemon.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.scale;
 
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.io.File;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -29,8 +31,6 @@
     /** Characters of the log that are part of an error message. */
     private static final int LOG_EXCERPT_LENGTH = 1000;
 
-    private static final double NANOS_PER_SECOND = 1e9;
-
     /** Thrown if a daemon has ended that was not to end. */
     static final class DaemonExitedException extends RehearsalException {
         private static final long serialVersionUID = 1L;
--- a/kit/src/main/java/wheelroute/kit/scale/ProcessStats.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ProcessStats.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.scale;
 
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -11,7 +13,6 @@
 /** Reads the kernel's statistics of processes and of the machine from {@code /proc}. */
 final class ProcessStats {
     private static final Path PROC = Path.of("/proc");
-    private static final double NANOS_PER_SECOND = 1e9;
     private static final double KB_PER_MB = 1024;
 
     /** The kernel's USER_HZ, which is the same on all Linux platforms that Java runs on. */
--- a/kit/src/main/java/wheelroute/kit/scale/ResourceGuard.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ResourceGuard.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.scale;
 
+import static wheelroute.units.TimeUnits.NANOS_PER_SECOND;
+
 import java.io.IOException;
 import java.util.HashSet;
 import java.util.Locale;
@@ -17,8 +19,6 @@
     /** Fraction of all cores; a larger background load may have affected the measurements. */
     private static final double MAX_BACKGROUND_CPU_FRACTION = 0.15;
 
-    private static final double NANOS_PER_SECOND = 1e9;
-
     private final Set<MeasuredDaemon> daemons = new HashSet<>();
     private final double maxMemoryMb = MAX_MEMORY_FRACTION * ProcessStats.machineMemoryMb();
     private final double machineCpuSecondsBefore = ProcessStats.machineCpuSeconds();
--- a/kit/src/main/java/wheelroute/kit/scale/TenantCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/TenantCountMeasurement.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.scale;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+
 import java.io.IOException;
 import java.util.List;
 import java.util.Locale;
@@ -10,8 +12,6 @@
     /** High enough that the idle cost of the dispatcher is small beside it. */
     private static final double ATTEMPTS_PER_SECOND = 100;
 
-    private static final double MILLIS_PER_SECOND = 1e3;
-
     private final ScaleEnvironment environment;
 
     TenantCountMeasurement(ScaleEnvironment environment) {
--- a/kit/src/main/java/wheelroute/kit/scale/WorkerCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/WorkerCountMeasurement.java
@@ -1,5 +1,7 @@
 package wheelroute.kit.scale;
 
+import static wheelroute.units.TimeUnits.MILLIS_PER_SECOND;
+
 import java.io.IOException;
 import java.util.List;
 import java.util.Locale;
@@ -10,8 +12,6 @@
     /** Low, because an attempt among the most workers takes a large part of a core. */
     private static final int ATTEMPTS_PER_SECOND = 10;
 
-    private static final double MILLIS_PER_SECOND = 1e3;
-
     private final ScaleEnvironment environment;
 
     WorkerCountMeasurement(ScaleEnvironment environment) {
