--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -78,7 +78,7 @@
         state.endpointLease().onOverload();
     }
 
-    /** Whether the endpoint list is unconfirmed for so long that no worker may be sent to. */
+    /** Whether the list is too old to send to any worker: only while discovery is overloaded. */
     public boolean isEndpointLeaseExpired() {
         return state.endpointLease().isExpired(state.clock().now());
     }
--- a/daemon/src/main/java/wheelroute/decision/Settings.java
+++ b/daemon/src/main/java/wheelroute/decision/Settings.java
@@ -6,8 +6,8 @@
 /**
  * The settings of a policy, which never change. Prices are in parts of the value of a mean request.
  *
- * @param seed of the random numbers
- * @param zone of this dispatcher
+ * @param seed the seed of the random numbers
+ * @param zone the zone of this dispatcher
  * @param dispatchers the number of dispatchers, this one included; 0 and 1 both mean one
  * @param position this dispatcher's index among all, from 0, or -1 where it is unknown
  * @param timeResolutionSeconds the shortest run that can be measured
@@ -80,7 +80,10 @@
                 : progressIntervalSeconds > 0 ? progressIntervalSeconds : Double.POSITIVE_INFINITY;
     }
 
-    /** Returns these settings with another seed: every file has a new one, which is no change. */
+    /**
+     * Returns these settings with another seed. Every configuration file has a new seed, which does
+     * not count as a change on a reload.
+     */
     public Settings withSeed(long other) {
         return new Settings(
                 other,
--- a/daemon/src/main/java/wheelroute/decision/admission/Admission.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/Admission.java
@@ -27,11 +27,11 @@
     private static final double MIN_WAIT_FRACTION = 0.5;
 
     /** Returns the limits on this request's wait that hold at every worker. */
-    public SharedLimits sharedLimitsFor(TrackedRequest request) {
+    public WaitLimits waitLimitsFor(TrackedRequest request) {
         // Classes with long objectives must not fill the queues in which the others then starve.
-        var maxWaits = requestClasses.stream().mapToDouble(Admission::maxWaitPerWeight);
+        var maxWaits = requestClasses.stream().mapToDouble(Admission::maxWaitPerRootWeight);
         double least = maxWaits.min().orElse(0);
-        return new SharedLimits(
+        return new WaitLimits(
                 least * Math.sqrt(request.value()), fairnessFactor(request.request().tenant()));
     }
 
@@ -41,7 +41,7 @@
      * @param fraction the part of the maximum wait that is allowed here
      */
     public AdmissionDecision decide(
-            TrackedRequest request, Candidate candidate, double fraction, SharedLimits limits) {
+            TrackedRequest request, Candidate candidate, double fraction, WaitLimits limits) {
         double now = clock.now();
         double wait =
                 candidate.ownWaitSeconds()
@@ -67,7 +67,7 @@
         return Math.max(objective - runSeconds, MIN_WAIT_FRACTION * objective);
     }
 
-    private static double maxWaitPerWeight(RequestClassState requestClass) {
+    private static double maxWaitPerRootWeight(RequestClassState requestClass) {
         double work = requestClass.estimates().meanWork();
         return maxWaitSeconds(requestClass, work, work) / Math.sqrt(requestClass.value());
     }
--- a/daemon/src/main/java/wheelroute/decision/admission/SharedLimits.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/WaitLimits.java
@@ -7,4 +7,4 @@
  *     priority weight
  * @param fairnessFactor for the tenant: below 1 where it exceeds its quota
  */
-public record SharedLimits(double maxWaitSeconds, double fairnessFactor) {}
+public record WaitLimits(double maxWaitSeconds, double fairnessFactor) {}
--- a/daemon/src/main/java/wheelroute/decision/endpoints/EndpointLease.java
+++ b/daemon/src/main/java/wheelroute/decision/endpoints/EndpointLease.java
@@ -9,6 +9,10 @@
  * meantime. While discovery is down no change counts, so the list stays in use until it is up.
  */
 public final class EndpointLease {
+    /**
+     * Required by the operators. The constants of {@code net.discovery.DiscoveryCallPolicy} are
+     * chosen so that a change is received within it.
+     */
     static final double NOTIFICATION_LIMIT_SECONDS = 6;
 
     /**
@@ -18,7 +22,10 @@
     static final double MARGIN_SECONDS = 0.5;
 
     private final double durationSeconds;
+
+    /** NaN before the first confirmation, with which no time compares as later: not expired. */
     private double confirmedAt = Double.NaN;
+
     private boolean overloaded;
 
     /**
--- a/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
+++ b/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
@@ -47,7 +47,8 @@
      * Applies a change of the list.
      *
      * @param complete workers that are not among the endpoints are removed
-     * @return the workers whose attempts in flight are lost: they were removed, or have restarted
+     * @return the workers whose attempts in flight are or may be lost: they were removed, or have
+     *     restarted
      */
     public List<WorkerState> apply(List<Endpoint> endpoints, boolean complete) {
         if (complete) {
--- a/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
+++ b/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
@@ -9,8 +9,9 @@
 import wheelroute.decision.state.WorkerTable;
 
 /**
- * Ejects workers that fail repeatedly or stop responding, and reinstates them after trials: one
- * attempt at a time, after a delay that doubles with each further failure.
+ * Ejects workers that fail repeatedly or stop responding. An ejected worker returns after three
+ * successes in a row, not by time. It gets trials: one attempt at a time, never of a non-idempotent
+ * request, after a delay that doubles with each further failure.
  *
  * @param removalIsAdvisory only a drain forbids sending to a worker, its removal does not
  */
@@ -24,7 +25,7 @@
 
     private static final double MAX_TRIAL_DELAY_SECONDS = 4;
 
-    /** Failures count against a worker for this long. */
+    /** Failures count for this long, or until as many successes in a row as reinstate a worker. */
     private static final double FAILURE_MEMORY_SECONDS = 10;
 
     /** More recent failures than this eject a worker: a single one is no pattern. */
--- a/daemon/src/main/java/wheelroute/decision/health/UnresponsiveWorkerDetector.java
+++ b/daemon/src/main/java/wheelroute/decision/health/UnresponsiveWorkerDetector.java
@@ -82,7 +82,9 @@
         return expected;
     }
 
-    /** Returns the seconds until the next message about a running attempt: progress or its end. */
+    /**
+     * Returns the seconds until the next message: progress, or the end of a run not yet reported.
+     */
     private double secondsBetweenMessages(Attempt attempt, double now) {
         double interval = settings.progressIntervalSeconds();
         double run = attempt.request().work() / attempt.worker().estimates().speed(now);
--- a/daemon/src/main/java/wheelroute/decision/health/WorkerHealth.java
+++ b/daemon/src/main/java/wheelroute/decision/health/WorkerHealth.java
@@ -12,13 +12,19 @@
  *      └── recordRestart, from either state
  * </pre>
  *
+ * <p>A healthy worker without recent failures that stops responding becomes UNRESPONSIVE directly;
+ * its first trial is then due as soon as it has no attempt in flight. {@code restore} sets HEALTHY
+ * or EJECTED as a predecessor process had it. A restart keeps the delay of the next trial.
+ *
  * <p>Besides, a worker of any state may be backing off for a short time.
  */
 public final class WorkerHealth {
     private enum State {
         /** It gets requests as usual. */
         HEALTHY,
-        /** It gets one attempt at a time, on trial. */
+        /**
+         * It gets attempts on trial, one at a time, and others only as a last resort or fallback.
+         */
         EJECTED,
         /** Ejected because it stopped responding, and not heard from since. */
         UNRESPONSIVE
@@ -95,7 +101,7 @@
         return state == State.UNRESPONSIVE;
     }
 
-    /** Whether it is ejected: it gets one attempt at a time, on trial. */
+    /** Whether it is ejected, unresponsive or not. */
     public boolean isEjected() {
         return state != State.HEALTHY;
     }
--- a/daemon/src/main/java/wheelroute/decision/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/package-info.java
@@ -18,6 +18,13 @@
  *   <li>When does the next request of a key begin: {@link wheelroute.decision.order.KeyQueues}.
  * </ul>
  *
+ * <p>A request is also rejected where its key's queue is too long, by {@code KeyQueues}.
+ *
+ * <p>Comments refer to the four rules of the operators: (1) every accepted request gets exactly one
+ * final answer before its deadline; (2) no request has its effect twice; (3) no attempt is sent
+ * later than the grace after a worker is notified as draining or removed; (4) a worker that warms
+ * up is not overloaded by all dispatchers together.
+ *
  * <p>The choice is the first policy iteration rule of Hyytiä and Aalto, "To Split or not to Split",
  * section 4.1; docs/design.md says what was changed of it, and when each exception applies.
  */
--- a/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
@@ -10,7 +10,7 @@
 import wheelroute.decision.state.TrackedRequest;
 import wheelroute.decision.state.WorkerState;
 
-/** Replaces attempts, once each, that a worker has lost or does not respond about. */
+/** Replaces attempts, once each, that a worker has lost or gives no sign of. */
 public record AttemptReplacer(
         RetryRules retryRules,
         RequestPlacer placer,
--- a/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
@@ -34,7 +34,7 @@
     /**
      * Attempts that failed locally, before anything was sent, and do not count against the maximum.
      */
-    private static final int MAX_LOCAL_FAILURES = 2;
+    private static final int UNCOUNTED_LOCAL_FAILURES = 2;
 
     /** Returns whether one more attempt may be made, whichever worker it goes to. */
     public AttemptPermission permitAttempt(TrackedRequest request) {
@@ -69,7 +69,7 @@
         for (int i = 0; i < request.attempts().size(); i++) {
             notSent += request.attempts().get(i).outcome() == Outcome.NOT_SENT ? 1 : 0;
         }
-        return request.attempts().size() - Math.min(notSent, MAX_LOCAL_FAILURES);
+        return request.attempts().size() - Math.min(notSent, UNCOUNTED_LOCAL_FAILURES);
     }
 
     /**
@@ -132,7 +132,7 @@
     }
 
     /** Whether no attempt can have run, or a retry by the client does no harm wherever it runs. */
-    public boolean mayReject(TrackedRequest request) {
+    public boolean isClientRetrySafe(TrackedRequest request) {
         return !request.mayHaveRun()
                 || (request.settings().isSafeToRetryAnywhere() && !request.isInvalid());
     }
--- a/daemon/src/main/java/wheelroute/decision/routing/EligibilityVerdict.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/EligibilityVerdict.java
@@ -8,7 +8,10 @@
     ELIGIBLE,
     /** Used only where no worker is eligible. */
     OVERFULL,
-    /** Used only where all others are excluded. */
+    /**
+     * Ejected, and no trial is due for this request; a worker on trial is {@link #ELIGIBLE}. Used
+     * as a last resort, or as a fallback, see {@code OutlierEjection.admitsAsFallback}.
+     */
     EJECTED,
     /** See {@code RetryRules.mayRunOn}. */
     EXCLUDED_BY_RETRY_RULES,
--- a/daemon/src/main/java/wheelroute/decision/routing/RequestPlacer.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/RequestPlacer.java
@@ -4,7 +4,7 @@
 import wheelroute.decision.Settings;
 import wheelroute.decision.admission.Admission;
 import wheelroute.decision.admission.AdmissionDecision;
-import wheelroute.decision.admission.SharedLimits;
+import wheelroute.decision.admission.WaitLimits;
 import wheelroute.decision.estimates.Candidate;
 import wheelroute.decision.estimates.FleetSnapshot;
 import wheelroute.decision.retry.AttemptPermission;
@@ -43,8 +43,9 @@
             return endUnlessInFlight(
                     request, PlacementResult.NO_ELIGIBLE_WORKER, DEFAULT_RETRY_AFTER_SECONDS);
         }
-        boolean mayBeRejected = !request.hasInFlight() && retryRules.mayReject(request);
-        Candidate chosen = mayBeRejected ? admit(request, cheapest, fleet) : cheapest;
+        // Otherwise a long wait is better than an answer that the request failed.
+        boolean checksWait = !request.hasInFlight() && retryRules.isClientRetrySafe(request);
+        Candidate chosen = checksWait ? admit(request, cheapest, fleet) : cheapest;
         if (chosen == null) {
             return endUnlessInFlight(
                     request, PlacementResult.WAIT_TOO_LONG, cheapest.expectedWaitSeconds());
@@ -55,7 +56,7 @@
 
     /** Returns the cheapest worker or a fallback; null where the request would wait too long. */
     private Candidate admit(TrackedRequest request, Candidate cheapest, FleetSnapshot fleet) {
-        SharedLimits limits = admission.sharedLimitsFor(request);
+        WaitLimits limits = admission.waitLimitsFor(request);
         if (admission.decide(request, cheapest, 1, limits) == AdmissionDecision.ADMITTED) {
             return cheapest;
         }
@@ -85,7 +86,7 @@
      */
     public void rejectOrFail(TrackedRequest request, double retryAfterSeconds) {
         request.finish();
-        if (retryRules.mayReject(request)) {
+        if (retryRules.isClientRetrySafe(request)) {
             double advice = Math.min(settings.maxRetryAfterSeconds(), retryAfterSeconds);
             actions.reject(request.request().id(), settings.sendsRetryAfter() ? advice : 0);
         } else {
--- a/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientResponse.java
@@ -20,7 +20,10 @@
         return new ClientResponse(HttpStatus.OK_200, NO_RETRY_AFTER, result);
     }
 
-    /** Returns the response to a request that was rejected: it has not run, so a retry is safe. */
+    /**
+     * Returns the response to a request that was rejected: it has not run, or running it again does
+     * no harm.
+     */
     public static ClientResponse rejected(double retryAfterSeconds) {
         return new ClientResponse(
                 HttpStatus.SERVICE_UNAVAILABLE_503,
--- a/daemon/src/main/java/wheelroute/net/lifecycle/GracefulShutdown.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/GracefulShutdown.java
@@ -4,21 +4,22 @@
 import wheelroute.net.requests.RequestDispatcher;
 
 /**
- * Ends one process without losing a request that it has accepted. The states of the shutdown are
- * those of {@link State}, in that order; each is left when its timer expires. Only for the event
- * loop's thread.
+ * Ends one process after every accepted request has been answered. Requests that are still open at
+ * the deadline are rejected, or failed if they may have run. The states of the shutdown are those
+ * of {@link State}, in that order; each is left when its timer expires. Only for the event loop's
+ * thread.
  */
 final class GracefulShutdown {
-    /** New connections keep arriving for this long after the signal to end. */
+    /** Clients may not know yet that the process is ending, so connections are still accepted. */
     private static final double ACCEPT_GRACE_SECONDS = 0.45;
 
-    /**
-     * The platform kills the process 0.7 s after this time, or after the longest timeout that a
-     * client is granted if that is shorter.
-     */
+    /** Time for the requests that are open, unless the longest timeout of a client is shorter. */
     private static final double MAX_DRAIN_SECONDS = 3;
 
-    /** The part of those 0.7 s that is used; the rest is for writing the last responses. */
+    /**
+     * Added to that time: the platform kills the process 0.7 s after it, of which 0.2 s are left
+     * for ending the open requests and writing their responses.
+     */
     private static final double OVERTIME_SECONDS = 0.5;
 
     /** How often it is checked whether the last response has been sent. */
@@ -124,7 +125,10 @@
         whenDone.run();
     }
 
-    /** Whether no request is pending, and no client is expected to send one. */
+    /**
+     * Whether no request is pending, and no client is expected to send one. Connections that stay
+     * open for further requests are waited for; so are all with a successor, which is then in use.
+     */
     private boolean isIdle() {
         RequestDispatcher dispatcher = components.dispatcher;
         boolean mustWaitForClients = !dispatcher.closesAfterResponse() || dispatcher.hasSuccessor();
--- a/daemon/src/main/java/wheelroute/net/lifecycle/Service.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/Service.java
@@ -188,8 +188,9 @@
     // ---- graceful shutdown
 
     /**
-     * Answers all accepted requests, stops the service and then returns. From any thread but the
-     * event loop's, at any time, also before {@link #start}.
+     * Answers all accepted requests, those that are still open at the deadline as rejected or
+     * failed, stops the service and then returns. From any thread but the event loop's, at any
+     * time, also before {@link #start}.
      */
     public void drain() throws Exception {
         loop.post(this::beginDrain);
--- a/daemon/src/main/java/wheelroute/net/requests/DrainAdmission.java
+++ b/daemon/src/main/java/wheelroute/net/requests/DrainAdmission.java
@@ -11,11 +11,11 @@
  * Admission during a graceful shutdown: which requests are still accepted, which client connections
  * are kept open, and which Retry-After a rejected client is sent.
  *
- * <p>A request passes three checks, each with a question of its own. {@link
- * RequestDispatcher#accept} checks whether the message is valid. This class, which knows only when
- * the process ends, checks whether the request can complete before that. {@link Admission}, inside
- * the policy, checks whether the wait at the workers is acceptable, and knows nothing of the
- * process.
+ * <p>A request that was read completely passes three checks, each with a question of its own.
+ * {@link RequestDispatcher#accept} checks whether the message is valid. This class, which knows
+ * only when the process ends, checks whether the request can complete before that. {@link
+ * Admission}, inside the policy, checks whether the wait at the workers is acceptable, and knows
+ * nothing of the process.
  *
  * <p>Only for the event loop's thread.
  */
@@ -40,9 +40,12 @@
     private enum State {
         /** Everything is admitted. */
         SERVING,
-        /** Requests that can complete before the deadline may be admitted. */
+        /**
+         * If clients cannot go to another dispatcher, or a successor serves, requests that do not
+         * fit into the time left are rejected; otherwise every request is still admitted.
+         */
         DRAINING,
-        /** The deadline has passed: no attempt is sent to a worker any more. */
+        /** The deadline has passed: requests are admitted, but no attempt is sent any more. */
         ENDED
     }
 
@@ -108,12 +111,13 @@
 
     /**
      * Whether the request is unlikely to complete before the drain deadline, so that its client had
-     * better retry after the restart or at the successor process.
+     * better retry after the restart or at the successor process. A request without an estimate is
+     * not known to fit, and is rejected.
      */
     boolean mustReject(ClientRequest message, Idempotency idempotency) {
-        boolean admitsByEstimate =
+        boolean checksEstimate =
                 servesUntilDeadline() || (isDraining() && hasSuccessor.getAsBoolean());
-        if (!admitsByEstimate || hasEnded()) {
+        if (!checksEstimate || hasEnded()) {
             return false;
         }
         double factor =
--- a/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
@@ -122,9 +122,9 @@
     // ---- from the clients
 
     /**
-     * Accepts a request if its message is valid and it can complete before a shutdown, see {@link
-     * DrainAdmission}. An accepted request may still be rejected by the policy, for its expected
-     * wait.
+     * Accepts a request if its message is valid, no request with its id is open, its deadline has
+     * not passed, and it can complete before a shutdown, see {@link DrainAdmission}. An accepted
+     * request may still be rejected by the policy.
      */
     @Override
     public AcceptedRequest accept(ClientRequest message, double arrivedAt, ResponseSender responses)
@@ -230,16 +230,17 @@
     // ---- from the policy
 
     @Override
-    public void startAttempt(Ids.Request request, Ids.Worker worker, double deadline) {
+    public void startAttempt(Ids.Request request, Ids.Worker worker, double limitSeconds) {
         open.get(request).startAttempt(worker);
     }
 
     @Override
-    public void reject(Ids.Request request, double retryAfter) {
+    public void reject(Ids.Request request, double retryAfterSeconds) {
         open.get(request)
                 .answer(
                         Counters.FinalAnswer.REJECTED,
-                        ClientResponse.rejected(drainAdmission.retryAfterSeconds(retryAfter)));
+                        ClientResponse.rejected(
+                                drainAdmission.retryAfterSeconds(retryAfterSeconds)));
     }
 
     @Override
@@ -253,8 +254,8 @@
     }
 
     @Override
-    public void scheduleWakeup(double delay) {
-        loop.schedule(delay, () -> runEvent(policy::onWakeup));
+    public void scheduleWakeup(double delaySeconds) {
+        loop.schedule(delaySeconds, () -> runEvent(policy::onWakeup));
     }
 
     @Override
--- a/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
+++ b/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
@@ -6,7 +6,7 @@
 public final class InFlightAttempt {
     private final AttemptRequest message;
 
-    /** Unix time in seconds. */
+    /** On the event loop's clock, in seconds. */
     private final double deadline;
 
     private final AttemptListener listener;
--- a/kit/src/main/java/wheelroute/kit/scale/HeldAttemptsMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/HeldAttemptsMeasurement.java
@@ -14,7 +14,7 @@
 
 /** Measures CPU and memory by the number of attempts in flight, while no new request arrives. */
 final class HeldAttemptsMeasurement implements ScaleMeasurement {
-    /** Low enough for each of the lists with which this is measured. */
+    /** Low enough that a dispatcher with the longest of the measured lists keeps up. */
     private static final double ATTEMPTS_PER_SECOND = 150;
 
     /** Arrivals are random, so slightly fewer or more than planned are in flight. */
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRun.java
@@ -15,7 +15,8 @@
 
 /**
  * Runs all {@link ScaleMeasurement}s. Each point has a stub discovery, a dispatcher and a load of
- * its own. Points run in parallel, because processor time is what they measure.
+ * its own. Most series are of processor time, so three points run in parallel; the machine has
+ * cores for them. The times until a change is in force are measured in wall time.
  */
 public final class ScaleRun {
     private static final int PARALLEL_POINTS = 3;
