--- a/daemon/src/test/java/wheelroute/net/ClientConnectionLimitTest.java
+++ b/daemon/src/test/java/wheelroute/net/ClientConnectionLimitTest.java
@@ -31,8 +31,7 @@
         for (int i = 11; i < 20; i++) {
             String message = jobRequest(10).replace("77", "" + (10 + i));
             clients.get(i).getOutputStream().write(message.getBytes(StandardCharsets.UTF_8));
-            // Past its bound of seven connections to workers the last two are bounced, with an
-            // answer.
+            // Beyond the limit of seven worker connections the last two requests are rejected.
             assertTrue(i >= 18 || workers.nextFirstLine().startsWith("POST"));
         }
         assertEquals(statusOf(readMessage(clients.get(19).getInputStream())), 503);
@@ -54,9 +53,9 @@
             }
         }
         assertEquals(status, 200);
-        String told = readMessage(slow.get(0).getInputStream());
-        assertEquals(statusOf(told), 503);
-        assertTrue(told.contains("Connection: close"), told);
+        String response = readMessage(slow.get(0).getInputStream());
+        assertEquals(statusOf(response), 503);
+        assertTrue(response.contains("Connection: close"), response);
     }
 
     @Test(timeOut = TIMEOUT_MILLIS)
@@ -82,14 +81,14 @@
         Socket kept = connect();
         assertEquals(statusOf(exchange(kept, HEALTH_CHECK)), 200);
         long before = System.nanoTime();
-        Socket silent = connect();
+        Socket idle = connect();
         Socket endless = connect();
         endless.getOutputStream()
                 .write(jobRequest(10).replace("hi", "h").getBytes(StandardCharsets.UTF_8));
         String answer = readMessage(endless.getInputStream());
         assertEquals(statusOf(answer), 408);
         assertTrue(answer.contains("Connection: close"), answer);
-        assertEquals(silent.getInputStream().read(), -1);
+        assertEquals(idle.getInputStream().read(), -1);
         assertTrue((System.nanoTime() - before) / 1e9 < 3);
         // Later messages have as long, from their first byte on.
         assertEquals(statusOf(exchange(kept, HEALTH_CHECK + "POST /jo")), 200);
--- a/daemon/src/test/java/wheelroute/net/ClientDisconnectTest.java
+++ b/daemon/src/test/java/wheelroute/net/ClientDisconnectTest.java
@@ -101,7 +101,7 @@
         launched.close();
         awaitMetric("launch_ends_total{end=\"broke\"}", 1);
         awaitMetric("submissions_open", asked - 1);
-        assertEquals(metric("launches_total"), asked, "launched again for nobody");
+        assertEquals(metric("launches_total"), asked, "retried for a disconnected client");
         assertEquals(metric("clients_gone_total"), 1);
     }
 
--- a/daemon/src/test/java/wheelroute/net/ConnectionReuseTest.java
+++ b/daemon/src/test/java/wheelroute/net/ConnectionReuseTest.java
@@ -52,8 +52,8 @@
         assertEquals(statusOf(exchange(connect(), jobRequest(10))), 200);
         assertEquals(statusOf(exchange(connect(), jobRequest(10))), 200);
         assertEquals(workers.connections.get(), 2);
-        // Nor does it stay: a worker that never sends its last chunks would hold one for each
-        // launch.
+        // It is closed, as a worker that never sends its last chunks would hold one for each
+        // attempt.
         assertEquals(workers.closed.take().intValue(), 1);
     }
 
@@ -84,12 +84,13 @@
         send(second, jobRequestWithId(88));
         workers.nextFirstLine();
         late.getOutputStream().write(REJECTION.getBytes(StandardCharsets.UTF_8));
-        // The launch it might be taken for runs, and is answered.
+        // The second attempt, to which the late response might be attributed, succeeds.
         assertTrue(
-                workers.last != late, "on the connection that may still speak of the one before");
+                workers.last != late,
+                "on a connection that may still carry a response to the previous request");
         workers.sendUnsolicited(SUCCESS.replace("ID", "88"));
         assertEquals(statusOf(readMessage(second.getInputStream())), 200);
-        assertEquals(workers.messages.get(), 2, "launched twice");
+        assertEquals(workers.messages.get(), 2, "attempted twice");
     }
 
     @Test(timeOut = TIMEOUT_MILLIS)
@@ -121,7 +122,7 @@
         assertEquals(
                 workers.closed.poll(TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS),
                 Integer.valueOf(1),
-                "it may run there still");
+                "the attempt may still be running");
     }
 
     @DataProvider
--- a/daemon/src/test/java/wheelroute/net/GracefulShutdownServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/GracefulShutdownServiceTest.java
@@ -121,24 +121,23 @@
         clock.stop();
         workers.responses.addAll(List.of(SUCCESS, SUCCESS));
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()), 2);
-        Socket silent = new Socket();
-        open.add(silent);
-        silent.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        loop.holdReads(silent.getLocalPort());
-        silent.connect(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), port), TIMEOUT_MILLIS);
-        silent.setSoTimeout(TIMEOUT_MILLIS);
+        Socket idle = new Socket();
+        open.add(idle);
+        idle.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        loop.holdReads(idle.getLocalPort());
+        idle.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), TIMEOUT_MILLIS);
+        idle.setSoTimeout(TIMEOUT_MILLIS);
         // Accepted after it.
         assertEquals(statusOf(exchange(connect(), HEALTH_CHECK)), 200);
         loop.step(LONGER_THAN_QUIESCENCE_SECONDS);
         CompletableFuture<Void> ended = drain(service);
         awaitDraining();
-        send(silent, jobRequest(10));
+        send(idle, jobRequest(10));
         // Until the process has ended or has seen the request.
         while (service.counters().value(Counters.Counter.ATTEMPTS) == 0 && !ended.isDone()) {
             loop.step(0.02);
         }
-        assertEquals(statusOf(readMessage(silent.getInputStream())), 200);
+        assertEquals(statusOf(readMessage(idle.getInputStream())), 200);
         clock.resume();
         ended.get();
         service = null;
--- a/daemon/src/test/java/wheelroute/net/ProcessReplacementTest.java
+++ b/daemon/src/test/java/wheelroute/net/ProcessReplacementTest.java
@@ -121,12 +121,12 @@
         serveOnKnownAddress(
                 Idempotency.IDEMPOTENT,
                 Collections.nCopies(5 * CLIENT_COUNT, SUCCESS).toArray(new String[0]));
-        List<Socket> silent = new ArrayList<>();
+        List<Socket> idle = new ArrayList<>();
         List<Socket> halfSent = new ArrayList<>();
         List<Socket> kept = new ArrayList<>();
         List<String> messages = new ArrayList<>();
         for (int i = 0; i < CLIENT_COUNT; i++) {
-            silent.add(connect());
+            idle.add(connect());
             halfSent.add(connect());
             messages.add(nextJobRequest());
             send(halfSent.get(i), messages.get(i).substring(0, 20));
@@ -141,7 +141,7 @@
             send(halfSent.get(i), messages.get(i).substring(20));
             String answer = readMessage(halfSent.get(i).getInputStream());
             assertEquals(statusOf(answer), 200, i + answer);
-            assertEquals(statusOf(exchange(silent.get(i), nextJobRequest())), 200);
+            assertEquals(statusOf(exchange(idle.get(i), nextJobRequest())), 200);
             assertEquals(statusOf(exchange(queued.get(i), nextJobRequest())), 200);
         }
         for (Socket socket : kept) {
--- a/daemon/src/test/java/wheelroute/net/ProcessStallServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/ProcessStallServiceTest.java
@@ -84,15 +84,15 @@
             assertEquals(statusOf(readMessage(client.getInputStream())), 503);
         }
         assertEquals(statusOf(readMessage(longTimeout.getInputStream())), 200);
-        String launched = workers.received.take();
-        assertTrue(launched.contains("X-Request-ID: 99\r\n"), launched);
-        assertTrue(launched.contains("X-Timeout: 5.9"), launched);
+        String attempt = workers.received.take();
+        assertTrue(attempt.contains("X-Request-ID: 99\r\n"), attempt);
+        assertTrue(attempt.contains("X-Timeout: 5.9"), attempt);
         // Requests that arrive after the stall have their full timeout.
         assertEquals(
                 statusOf(exchange(clients.get(0), jobRequestWithId(98).replace("10.0", "3.8"))),
                 200);
-        launched = workers.received.take();
-        assertTrue(launched.contains("X-Timeout: 3.7"), launched);
+        attempt = workers.received.take();
+        assertTrue(attempt.contains("X-Timeout: 3.7"), attempt);
     }
 
     /** The clock jumps after each of its readings in turn. */
@@ -106,7 +106,7 @@
             at[i] = workers.listen();
         }
         serve(Idempotency.NON_IDEMPOTENT, 1024, endpointList(at));
-        int launched = 0;
+        int attempts = 0;
         for (int reads = 1; reads <= MAX_CLOCK_READS; reads++) {
             Socket client = connect();
             exchange(client, HEALTH_CHECK);
@@ -121,12 +121,12 @@
             for (String message = workers.received.poll();
                     message != null;
                     message = workers.received.poll()) {
-                launched++;
+                attempts++;
                 assertTrue(
                         message.matches("(?s).*X-Timeout: [0-9.]*[1-9].*"),
                         reads + " reads: " + message);
             }
         }
-        assertTrue(launched > 0, "nothing was launched");
+        assertTrue(attempts > 0, "no attempt was sent");
     }
 }
--- a/daemon/src/test/java/wheelroute/net/RequestOutcomeTest.java
+++ b/daemon/src/test/java/wheelroute/net/RequestOutcomeTest.java
@@ -34,8 +34,7 @@
         String otherId = RESPONSE_HEAD + progressLine("done").replace("ID", "78") + "0\r\n\r\n";
         String plain = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
         return new Object[][] {
-            // what a repeat would do, the answers to its launches, the client's status, launches in
-            // all
+            // Idempotency, responses to the attempts, status of the client, number of attempts.
             {Idempotency.NON_IDEMPOTENT, List.of(SUCCESS), 200, 1},
             {Idempotency.NON_IDEMPOTENT, List.of(REJECTION, SUCCESS), 200, 2},
             {
@@ -75,24 +74,24 @@
 
     @Test(dataProvider = "workerResponses", timeOut = TIMEOUT_MILLIS)
     public void answersOnceAccordingToWorkerResponses(
-            Idempotency idempotency, List<String> answers, int status, int launches)
+            Idempotency idempotency, List<String> answers, int status, int attempts)
             throws Exception {
         serve(idempotency, answers.toArray(new String[0]));
         String answer = exchange(connect(), jobRequest(10));
         assertEquals(statusOf(answer), status, answer);
         assertEquals(answer.endsWith("\r\n\r\nfine"), status == 200, answer);
-        assertEquals(workers.messages.get(), launches);
+        assertEquals(workers.messages.get(), attempts);
         String first = workers.received.take();
         assertTrue(
                 first.startsWith("POST /job/x HTTP/1.1\r\n") && first.endsWith("\r\n\r\nhi"),
                 first);
-        assertEquals(metric("launches_total"), launches);
+        assertEquals(metric("launches_total"), attempts);
         assertEquals(metric("answers_total{kind=\"fulfilled\"}"), status == 200 ? 1 : 0);
         assertEquals(metric("submissions_open"), 0);
     }
 
     /**
-     * Two open requests with one id could not be told apart at the workers; the first one goes on.
+     * Two open requests with one id are indistinguishable at the workers; the first one goes on.
      */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void rejectsDuplicateOfOpenRequestId() throws Exception {
