--- a/daemon/src/main/java/wheelroute/decision/DecisionComponents.java
+++ b/daemon/src/main/java/wheelroute/decision/DecisionComponents.java
@@ -21,13 +21,16 @@
 import wheelroute.decision.state.DispatcherState;
 import wheelroute.decision.state.LearnedStateTransfer;
 
-/** The parts of one dispatcher's decisions, wired together; nothing is decided here. */
+/**
+ * The components that make the decisions of one dispatcher, connected by {@link #create}. This
+ * record itself decides nothing.
+ */
 record DecisionComponents(
         DispatcherState state,
         RequestPlacer placer,
         AttemptSender sender,
         KeyQueues keyQueues,
-        SweepTimer sweeps,
+        SweepTimer sweepTimer,
         UnresponsiveWorkerDetector detector,
         AttemptReplacer replacer,
         HedgingBudget hedgingBudget,
@@ -44,8 +47,8 @@
         var ejection = new OutlierEjection(clock, workers, errors, settings.removalIsAdvisory());
         var fleet = new FleetEstimates(clock, workers, state.traffic(), state.cacheMissCost());
         var selector = createSelector(settings, state, fleet, retryRules, ejection);
-        var sweeps = new SweepTimer(clock, actions);
-        var sender = new AttemptSender(clock, actions, workers, sweeps, settings.mayCancel());
+        var sweepTimer = new SweepTimer(clock, actions);
+        var sender = new AttemptSender(clock, actions, workers, sweepTimer, settings.mayCancel());
         var admission = createAdmission(settings, state);
         var placer = new RequestPlacer(settings, retryRules, selector, admission, sender, actions);
         var hedgingBudget = new HedgingBudget();
@@ -55,7 +58,7 @@
                 placer,
                 sender,
                 createKeyQueues(settings, state, fleet, placer, actions),
-                sweeps,
+                sweepTimer,
                 new UnresponsiveWorkerDetector(clock, settings, workers, ejection, replacer),
                 replacer,
                 hedgingBudget,
--- a/daemon/src/main/java/wheelroute/decision/DispatcherShares.java
+++ b/daemon/src/main/java/wheelroute/decision/DispatcherShares.java
@@ -2,19 +2,23 @@
 
 import wheelroute.decision.slowstart.SlowStartBudget;
 
-/** What this dispatcher may use now of the limits that all dispatchers share. */
+/** The part of the limits common to all dispatchers that this dispatcher may use now. */
 public interface DispatcherShares extends SlowStartBudget.Shares {
     /**
-     * Returns the part of a dispatcher's share that may be used here, from 0 to 1; 1 for its own.
+     * Returns the fraction of a dispatcher's share that this dispatcher may use, from 0 to 1. The
+     * fraction of its own share is 1.
      */
     @Override
     double ofDispatcher(int number);
 
-    /** Returns the part of all shares together that may be used here, from 0 to 1. */
+    /** Returns the fraction of all shares together that this dispatcher may use, from 0 to 1. */
     @Override
     double total();
 
-    /** Returns an even division: this dispatcher's own share, and nothing of the others'. */
+    /**
+     * Returns an even division, by which this dispatcher uses its own share and nothing of the
+     * others'.
+     */
     static DispatcherShares even(Settings settings) {
         return new DispatcherShares() {
             @Override
--- a/daemon/src/main/java/wheelroute/decision/Endpoint.java
+++ b/daemon/src/main/java/wheelroute/decision/Endpoint.java
@@ -3,9 +3,10 @@
 /**
  * A worker's entry in the endpoint list.
  *
- * @param weight its capacity relative to that of the others
- * @param startedAt when its process last started, in seconds; NaN where that is long ago
- * @param cell workers of one cell recognize each other's idempotency keys
+ * @param weight the worker's capacity relative to that of the other workers
+ * @param startedAt the time at which the worker's process last started, in seconds; NaN if that is
+ *     long ago
+ * @param cell the worker's cell; workers of one cell recognize each other's idempotency keys
  */
 public record Endpoint(
         Ids.Worker worker,
@@ -15,13 +16,13 @@
         double startedAt,
         Ids.Cell cell,
         State state) {
-    /** Whether the worker accepts new requests. */
+    /** The availability of a worker for new requests. */
     public enum State {
-        /** It accepts requests. */
+        /** The worker accepts new requests. */
         READY,
-        /** It completes what it has and accepts nothing new. */
+        /** The worker completes the requests that it has and accepts no new ones. */
         DRAINING,
-        /** It was removed from the list. */
+        /** The worker was removed from the list. */
         REMOVED
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/Idempotency.java
+++ b/daemon/src/main/java/wheelroute/decision/Idempotency.java
@@ -1,13 +1,14 @@
 package wheelroute.decision;
 
-/** Whether a request may run more than once. */
+/** The conditions under which a request may run more than once. */
 public enum Idempotency {
-    /** It may run any number of times. */
+    /** The request may run any number of times. */
     IDEMPOTENT,
     /**
-     * It has an idempotency key, by which the workers of a scope recognize a repeat for a while.
+     * The request has an idempotency key, by which the workers of an {@link IdempotencyScope}
+     * recognize a repeat for a limited time.
      */
     IDEMPOTENT_BY_KEY,
-    /** It must never run twice. */
+    /** The request must never run twice. */
     NON_IDEMPOTENT
 }
--- a/daemon/src/main/java/wheelroute/decision/IdempotencyScope.java
+++ b/daemon/src/main/java/wheelroute/decision/IdempotencyScope.java
@@ -1,6 +1,6 @@
 package wheelroute.decision;
 
-/** Which workers recognize each other's idempotency keys. */
+/** The workers that recognize each other's idempotency keys. */
 public enum IdempotencyScope {
     /** All workers. */
     ALL,
@@ -9,7 +9,7 @@
     /** Workers of the same cell. */
     CELL;
 
-    /** Whether one of the two workers recognizes a key that the other one has seen. */
+    /** Returns whether either of the two workers recognizes a key that the other one has seen. */
     public boolean covers(Endpoint a, Endpoint b) {
         return switch (this) {
             case ALL -> true;
--- a/daemon/src/main/java/wheelroute/decision/Ids.java
+++ b/daemon/src/main/java/wheelroute/decision/Ids.java
@@ -1,15 +1,16 @@
 package wheelroute.decision;
 
 /**
- * The types of ids, one for each kind.
+ * Identifiers, with one type for each kind.
  *
- * <p>Each defines {@code equals} and {@code hashCode} itself, because those that the compiler
- * generates for a record are linked on first use, which would slow down the start of the process.
+ * <p>Each type defines {@code equals} and {@code hashCode} itself, because the methods that the
+ * compiler generates for a record are linked on first use, which would slow down the start of the
+ * process.
  */
 public final class Ids {
     private Ids() {}
 
-    /** A request, numbered by the dispatcher that accepted it. */
+    /** The number of a request, given by the dispatcher that accepted it. */
     public record Request(long value) {
         @Override
         public boolean equals(Object other) {
@@ -22,7 +23,7 @@
         }
     }
 
-    /** A worker, numbered by the dispatcher that lists it. */
+    /** The number of a worker, given by the dispatcher that lists it. */
     public record Worker(long value) {
         @Override
         public boolean equals(Object other) {
@@ -35,7 +36,7 @@
         }
     }
 
-    /** A request class, by its name in the settings. */
+    /** The name of a request class in the settings. */
     public record RequestClass(String name) {
         @Override
         public boolean equals(Object other) {
@@ -48,7 +49,7 @@
         }
     }
 
-    /** A tenant, by its name; the empty name stands for all tenants without a quota. */
+    /** The name of a tenant. The empty name stands for all tenants without a quota. */
     public record Tenant(String name) {
         @Override
         public boolean equals(Object other) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /** A zone of workers and dispatchers. */
+    /** The name of a zone, in which workers and dispatchers run. */
     public record Zone(String name) {
         @Override
         public boolean equals(Object other) {
@@ -74,7 +75,7 @@
         }
     }
 
-    /** A routing key, by its name. */
+    /** The name of a routing key. */
     public record Key(String name) {
         @Override
         public boolean equals(Object other) {
@@ -87,7 +88,7 @@
         }
     }
 
-    /** A model of workers, by its name; workers of one model are alike. */
+    /** The name of a model of workers. Workers of one model are alike. */
     public record Model(String name) {
         @Override
         public boolean equals(Object other) {
@@ -100,7 +101,7 @@
         }
     }
 
-    /** A cell: workers that share a store of idempotency keys. */
+    /** The number of a cell, whose workers share a store of idempotency keys. */
     public record Cell(long value) {
         @Override
         public boolean equals(Object other) {
--- a/daemon/src/main/java/wheelroute/decision/Outcome.java
+++ b/daemon/src/main/java/wheelroute/decision/Outcome.java
@@ -1,6 +1,6 @@
 package wheelroute.decision;
 
-/** How an attempt ended, and whether its effect may have happened. */
+/** The way in which an attempt ended, and whether its effect may have happened. */
 public enum Outcome {
     /** The worker answered with the result. */
     SUCCEEDED(true),
@@ -8,24 +8,26 @@
     FAILED(true),
     /** The worker rejected the job without beginning it. */
     REJECTED(false),
-    /** No answer came in time. */
+    /** No answer arrived in time. */
     TIMED_OUT(true),
-    /** No connection to the worker was made, or it broke before the whole attempt was sent. */
+    /**
+     * No connection to the worker was established, or it broke before the whole attempt was sent.
+     */
     CONNECT_FAILED(false),
     /** The connection broke after the attempt was sent. */
     CONNECTION_LOST(true),
-    /** This dispatcher cancelled it after it was sent. */
+    /** This dispatcher cancelled the attempt after it was sent. */
     CANCELLED(true),
-    /** It ended before it was sent, for a reason within this dispatcher. */
+    /** The attempt ended before it was sent, for a reason within this dispatcher. */
     NOT_SENT(false),
     /**
-     * An idle connection broke as the attempt was sent: it may have run, and the worker is not at
-     * fault.
+     * An idle connection broke while the attempt was sent on it. The job may have run, and the
+     * worker is not at fault.
      */
     STALE_CONNECTION(true),
     /** The worker answered that the request is invalid, as any other worker would. */
     INVALID_REQUEST(true),
-    /** An outcome that this version does not know; the job may have run. */
+    /** This version does not know the outcome; the job may have run. */
     UNKNOWN(true);
 
     private final boolean mayHaveRun;
@@ -34,12 +36,12 @@
         this.mayHaveRun = mayHaveRun;
     }
 
-    /** Whether the job may have run: false only where it certainly never began. */
+    /** Returns whether the job may have run, which is false only if it certainly never began. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** Whether the job may still be running, as the worker did not report its end. */
+    /** Returns whether the job may still be running because the worker did not report its end. */
     public boolean mayStillRun() {
         return switch (this) {
             case TIMED_OUT, CONNECTION_LOST, CANCELLED, STALE_CONNECTION, UNKNOWN -> true;
--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -7,25 +7,26 @@
 import wheelroute.decision.state.WorkerState;
 
 /**
- * All decisions of one dispatcher. Each event is passed on to the class that decides; the package's
- * documentation lists them.
+ * Makes all decisions of one dispatcher. Each event is passed on to the class that makes the
+ * decision; the documentation of the package lists these classes.
  *
- * <p>{@link #advanceTo} sets the time before each event, and the {@link ActionHandler} carries the
- * decisions out. Not thread-safe; without clock and I/O, so that the same events always lead to the
- * same actions.
+ * <p>{@link #advanceTo} sets the time before each event, and the {@link ActionHandler} carries out
+ * the decisions. A policy is not thread-safe. It uses neither a clock nor I/O, so the same events
+ * always lead to the same actions.
  */
 public final class Policy {
     private final Settings settings;
-    private final DecisionComponents parts;
+    private final DecisionComponents components;
     private final DispatcherState state;
 
     /**
-     * Creates the decisions of a dispatcher, and starts the endpoint watch if there is to be one.
+     * Creates the policy of a dispatcher, and starts the endpoint watch if the settings ask for
+     * one.
      */
     public Policy(Settings settings, ActionHandler actions) {
         this.settings = settings;
-        parts = DecisionComponents.create(settings, actions);
-        state = parts.state();
+        components = DecisionComponents.create(settings, actions);
+        state = components.state();
         if (settings.watchesEndpoints()) {
             actions.watchEndpoints();
         }
@@ -36,77 +37,89 @@
         state.clock().advanceTo(time);
     }
 
-    /** Handles the end of the delay of a {@link ActionHandler#scheduleWakeup}. */
+    /** Handles a wakeup when the delay given to {@link ActionHandler#scheduleWakeup} has passed. */
     public void onWakeup() {
-        parts.keyQueues().advanceAll();
-        if (parts.sweeps().begin()) {
-            parts.detector().sweep();
+        components.keyQueues().advanceAll();
+        if (components.sweepTimer().beginIfDue()) {
+            components.detector().sweep();
             scheduleSweep();
         }
     }
 
     private void scheduleSweep() {
         if (!state.workers().busy().isEmpty() || !state.keyQueues().isEmpty()) {
-            parts.sweeps().schedule();
+            components.sweepTimer().schedule();
         }
     }
 
     /**
      * Handles the endpoint list or a change of it.
      *
-     * @param complete workers that are not among the endpoints were removed
+     * @param complete whether the endpoints are the whole list, so that workers missing from it
+     *     were removed
      */
-    public void onEndpoints(List<Endpoint> changed, boolean complete) {
-        for (WorkerState worker : parts.endpointUpdates().apply(changed, complete)) {
+    public void onEndpoints(List<Endpoint> endpoints, boolean complete) {
+        for (WorkerState worker : components.endpointUpdates().apply(endpoints, complete)) {
             if (worker.isRetainedAfterRemoval()) {
-                // The list may be wrong about it, so that its attempts may still be running.
-                parts.replacer().replaceWithinBudget(worker, attempt -> true);
+                // The list may be wrong about the worker, whose attempts may then still be running.
+                components.replacer().replaceWithinBudget(worker, attempt -> true);
             } else {
-                parts.replacer().replaceLost(worker);
+                components.replacer().replaceLost(worker);
             }
         }
         state.workers().forgetRemoved();
     }
 
-    /** Handles an answer of discovery, which confirms the endpoint list even if nothing changed. */
+    /**
+     * Handles an answer of discovery, which confirms the endpoint list even if nothing has changed.
+     */
     public void onEndpointsConfirmed() {
         state.endpointLease().renew(state.clock().now());
     }
 
-    /** Records that discovery is overloaded: it answers others, but not this dispatcher. */
+    /**
+     * Records that discovery is overloaded, which means that it answers other dispatchers but not
+     * this one.
+     */
     public void onDiscoveryOverloaded() {
         state.endpointLease().onOverload();
     }
 
-    /** Whether the list is too old to send to any worker: only while discovery is overloaded. */
+    /**
+     * Returns whether the endpoint list is too old to send to any worker, which happens only while
+     * discovery is overloaded.
+     */
     public boolean isEndpointLeaseExpired() {
         return state.endpointLease().isExpired(state.clock().now());
     }
 
-    /** Sets what this dispatcher may use of the shared limits; they are divided evenly before. */
+    /**
+     * Sets the part of the common limits that this dispatcher may use. The limits are divided
+     * evenly until the first call.
+     */
     public void setShares(DispatcherShares shares) {
         state.dispatchers().setShares(shares);
     }
 
     /**
-     * Sets how many processes act as this one dispatcher, while one replaces another: each is taken
-     * to get an equal part of the traffic and of the shared limits.
+     * Sets how many processes act as this one dispatcher; there are two while one replaces the
+     * other. Each is assumed to get an equal part of the traffic and of the common limits.
      */
     public void setProcessCount(int count) {
         state.dispatchers().setProcessCount(count);
     }
 
-    /** Returns what was learned so far, for a successor process. */
+    /** Returns the statistics learned so far, for a successor process. */
     public LearnedState exportState() {
-        return parts.transfer().exportState();
+        return components.transfer().exportState();
     }
 
     /**
-     * Takes over what a predecessor process has learned. To be called after the endpoint list is
+     * Imports the statistics of a predecessor process. Must be called after the endpoint list is
      * known and before any request is accepted. Unknown workers, models and classes are skipped.
      */
     public void importState(LearnedState learned) {
-        parts.transfer().importState(learned);
+        components.transfer().importState(learned);
     }
 
     /** Returns the number of listed workers that are draining, backing off or ejected. */
@@ -115,9 +128,10 @@
     }
 
     /**
-     * Accepts a request: from here on it gets exactly one final answer.
+     * Accepts a request, which gets exactly one final answer from then on.
      *
-     * @return null when the settings have no such request class
+     * @return the handle that takes the events of the request; null if the settings have no such
+     *     request class
      */
     public RequestHandle accept(Request request) {
         RequestClassState requestClass = state.requestClasses().get(request.requestClass());
@@ -127,18 +141,18 @@
         TrackedRequest tracked = track(request, requestClass);
         state.traffic().noteFirst(tracked.acceptedAt());
         if (!request.clientRetry()) {
-            // A client's retry is not counted as load or use of a quota: counted, rejections would
-            // raise the rates that lead to rejections.
+            // A client's retry counts neither as load nor as use of a quota. Otherwise rejections
+            // would raise the rates that lead to rejections.
             state.traffic().record(tracked, settings.hasQuota(request.tenant()));
         }
-        parts.hedgingBudget().onRequestAccepted();
+        components.hedgingBudget().onRequestAccepted();
         if (tracked.queue() != null) {
-            parts.keyQueues().add(tracked);
+            components.keyQueues().add(tracked);
             scheduleSweep();
         } else {
-            parts.placer().place(tracked);
+            components.placer().place(tracked);
         }
-        return new RequestEvents(tracked, parts);
+        return new RequestEvents(tracked, components);
     }
 
     private TrackedRequest track(Request request, RequestClassState requestClass) {
--- a/daemon/src/main/java/wheelroute/decision/Request.java
+++ b/daemon/src/main/java/wheelroute/decision/Request.java
@@ -3,12 +3,12 @@
 /**
  * A client's request.
  *
- * @param deadline the time, in seconds, after which the client does not wait any more
- * @param estimatedWork the client's estimate, in seconds on a standard core; NaN without a valid
- *     one
- * @param slots of a worker that it needs; less than 1 counts as 1
- * @param clientRetry the client marks it as a retry
- * @param key the routing key; null without one
+ * @param deadline the time, in seconds, after which the client no longer waits
+ * @param estimatedWork the client's estimate of the work, in seconds on a standard core; NaN
+ *     without a valid estimate
+ * @param slots the number of slots of a worker that the request needs; less than 1 counts as 1
+ * @param clientRetry whether the client marked the request as a retry
+ * @param key the routing key; null if the request has none
  */
 public record Request(
         Ids.Request id,
--- a/daemon/src/main/java/wheelroute/decision/RequestEvents.java
+++ b/daemon/src/main/java/wheelroute/decision/RequestEvents.java
@@ -3,14 +3,17 @@
 import wheelroute.decision.state.Attempt;
 import wheelroute.decision.state.TrackedRequest;
 
-/** Passes each event of one request on to the parts that measure, judge the worker, and decide. */
+/**
+ * Passes each event of one request on to the components that record measurements, assess the worker
+ * and decide.
+ */
 final class RequestEvents implements RequestHandle {
     private final TrackedRequest request;
-    private final DecisionComponents parts;
+    private final DecisionComponents components;
 
-    RequestEvents(TrackedRequest request, DecisionComponents parts) {
+    RequestEvents(TrackedRequest request, DecisionComponents components) {
         this.request = request;
-        this.parts = parts;
+        this.components = components;
     }
 
     @Override
@@ -21,15 +24,15 @@
     @Override
     public void onClientGone() {
         request.finish();
-        parts.sender().cancelAll(request);
-        parts.keyQueues().removeIfComplete(request);
+        components.sender().cancelAll(request);
+        components.keyQueues().removeIfComplete(request);
     }
 
     @Override
     public void onDeadline() {
         if (!request.isDone() && !request.hasInFlight()) {
-            parts.placer().rejectOrFail(request, 0);
-            parts.keyQueues().removeIfComplete(request);
+            components.placer().rejectOrFail(request, 0);
+            components.keyQueues().removeIfComplete(request);
         }
     }
 
@@ -37,7 +40,7 @@
     public void onStarted(int number) {
         Attempt attempt = request.attempt(number);
         if (attempt != null && attempt.isInFlight()) {
-            parts.measurements().recordStart(attempt);
+            components.measurements().recordStart(attempt);
         }
     }
 
@@ -45,7 +48,7 @@
     public void onProgress(int number, double share) {
         Attempt attempt = request.attempt(number);
         if (attempt != null && attempt.isInFlight() && share > 0) {
-            parts.measurements().recordProgress(attempt, share);
+            components.measurements().recordProgress(attempt, share);
         }
     }
 
@@ -54,7 +57,7 @@
         Attempt attempt = request.attempt(number);
         if (attempt != null) {
             request.markStreaming();
-            parts.measurements().recordStreaming(attempt);
+            components.measurements().recordStreaming(attempt);
         }
     }
 
@@ -65,19 +68,20 @@
             return;
         }
         request.end(attempt, outcome);
-        parts.state().workers().remove(attempt);
-        parts.measurements().recordEnd(attempt, report);
-        parts.ejection().onOutcome(attempt.worker(), outcome);
-        // Before the outcome is noted: a retry is one of a request that had failed before.
-        parts.measurements().recordRetry(attempt);
+        components.state().workers().remove(attempt);
+        components.measurements().recordEnd(attempt, report);
+        components.ejection().onOutcome(attempt.worker(), outcome);
+        // The retry is recorded before the outcome is noted, because only an attempt of a request
+        // that had failed before is a retry.
+        components.measurements().recordRetry(attempt);
         request.noteOutcome(outcome);
-        parts.keyQueues().onOutcome(request, outcome);
+        components.keyQueues().onOutcome(request, outcome);
         if (answered || outcome == Outcome.SUCCEEDED) {
             request.finish();
-            parts.sender().cancelAll(request);
+            components.sender().cancelAll(request);
         } else if (!request.isDone()) {
-            parts.placer().place(request);
+            components.placer().place(request);
         }
-        parts.keyQueues().removeIfComplete(request);
+        components.keyQueues().removeIfComplete(request);
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/RequestHandle.java
+++ b/daemon/src/main/java/wheelroute/decision/RequestHandle.java
@@ -1,22 +1,23 @@
 package wheelroute.decision;
 
 /**
- * One accepted request, from {@link Policy#accept} until its last attempt has ended. Whoever drives
- * the policy reports every event of the request here.
+ * An accepted request, from {@link Policy#accept} until its last attempt has ended. The caller of
+ * the policy reports every event of the request to its handle.
  *
- * <p>Not thread-safe, like the policy; {@link Policy#advanceTo} precedes each call. Attempts are
- * numbered from 0 in the order of {@link ActionHandler#startAttempt}; unknown numbers are ignored.
+ * <p>A handle is not thread-safe, like the policy, and {@link Policy#advanceTo} must precede each
+ * call. Attempts are numbered from 0 in the order of {@link ActionHandler#startAttempt}; unknown
+ * numbers are ignored.
  */
 public interface RequestHandle {
-    /** Whether the request needs no answer any more and no attempt of it is in flight. */
+    /** Returns whether the request needs no further answer and has no attempt in flight. */
     boolean isComplete();
 
     /**
-     * Handles that the client is gone or has its answer: nothing more is decided for the request.
+     * Handles that the client is gone or has its answer. Nothing more is decided for the request.
      */
     void onClientGone();
 
-    /** Handles the deadline: a request with no attempt in flight is rejected or failed at once. */
+    /** Handles the deadline. A request with no attempt in flight is rejected or failed at once. */
     void onDeadline();
 
     /**
@@ -27,19 +28,22 @@
     /**
      * Handles a worker's report of progress.
      *
-     * @param share the part of the work that is done, from 0 to 1; 0 and less is ignored
+     * @param share the part of the work that is done, from 0 to 1; a share of 0 or less is ignored
      */
     void onProgress(int attempt, double share);
 
-    /** Handles that the first part of a result was sent: no other attempt may answer any more. */
+    /**
+     * Handles that the first part of a result was sent to the client. No other attempt may answer
+     * the request from then on.
+     */
     void onStreaming(int attempt);
 
     /**
-     * Handles the end of an attempt. Before this returns, the policy may start another one or
-     * answer the request.
+     * Handles the end of an attempt. Before this method returns, the policy may start another
+     * attempt or answer the request.
      *
      * @param answered whether the request has its final answer, by this attempt or before it
-     * @param report the worker's load, {@link LoadReport#NONE} where it reported nothing
+     * @param report the load of the worker; {@link LoadReport#NONE} if the worker reported nothing
      */
     void onEnded(int attempt, Outcome outcome, boolean answered, LoadReport report);
 }
--- a/daemon/src/main/java/wheelroute/decision/admission/Admission.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/Admission.java
@@ -11,8 +11,9 @@
 import wheelroute.decision.state.TrackedRequest;
 
 /**
- * How long a request may wait for a worker before it is rejected: by its own latency objective, by
- * that of the class that can wait least, and by how far its tenant exceeds its quota.
+ * Decides whether a request may wait for a worker or is rejected. The maximum wait follows from the
+ * latency objective of the request, from that of the class that can wait least, and from how far
+ * the tenant exceeds its quota.
  */
 public record Admission(
         DecisionClock clock,
@@ -21,14 +22,15 @@
         TrafficStatistics traffic,
         CacheMissCost cacheMissCost) {
     /**
-     * However long its expected run, a request may wait this part of its latency objective: the run
-     * is a rough estimate, and a rejection saves only the wait.
+     * The minimum fraction of its latency objective that a request may wait, regardless of its
+     * expected run. The expected run is a rough estimate, and a rejection saves only the wait.
      */
     private static final double MIN_WAIT_FRACTION = 0.5;
 
-    /** Returns the limits on this request's wait that hold at every worker. */
+    /** Returns the limits on the wait of this request that are the same at every worker. */
     public WaitLimits waitLimitsFor(TrackedRequest request) {
-        // Classes with long objectives must not fill the queues in which the others then starve.
+        // The class that can wait least sets the limit, because classes with long objectives must
+        // not fill the queues in which the others would then starve.
         var maxWaits = requestClasses.stream().mapToDouble(Admission::maxWaitPerRootWeight);
         double least = maxWaits.min().orElse(0);
         return new WaitLimits(
@@ -38,7 +40,7 @@
     /**
      * Returns whether the request may wait for this worker.
      *
-     * @param fraction the part of the maximum wait that is allowed here
+     * @param fraction the fraction of the maximum wait that is allowed
      */
     public AdmissionDecision decide(
             TrackedRequest request, Candidate candidate, double fraction, WaitLimits limits) {
@@ -49,18 +51,21 @@
                         + cacheMissCost.expectedSeconds(candidate.affinityRank());
         double run = request.work() / candidate.speed();
         double maxWait = maxWaitSeconds(request.requestClass(), request.work(), run);
-        double shared = Math.min(maxWait, limits.maxWaitSeconds());
-        if (wait > fraction * shared * limits.fairnessFactor()) {
+        double commonMaxWait = Math.min(maxWait, limits.maxWaitSeconds());
+        if (wait > fraction * commonMaxWait * limits.fairnessFactor()) {
             return AdmissionDecision.WAIT_TOO_LONG;
         }
-        // Time in the queue of a key fills no worker's queue, so only its own objective limits it.
+        // Time in the queue of a key fills no worker's queue, so only the request's own objective
+        // limits that time.
         if (request.queue() != null && now - request.acceptedAt() + wait > maxWait) {
             return AdmissionDecision.QUEUED_TOO_LONG;
         }
         return AdmissionDecision.ADMITTED;
     }
 
-    /** Returns how long a request of so much work, which runs for so long, may wait in all. */
+    /**
+     * Returns the maximum total wait in seconds of a request with the given work and expected run.
+     */
     public static double maxWaitSeconds(
             RequestClassState requestClass, double work, double runSeconds) {
         double objective = requestClass.settings().latencyObjectiveSecondsFor(work);
@@ -73,8 +78,10 @@
     }
 
     /**
-     * Returns the factor of the maximum wait of a tenant. It is below 1 beyond the quota, so that
-     * the others are not crowded out: the least use of a quota by any tenant divided by its own.
+     * Returns the factor by which a tenant's maximum wait is multiplied. The factor is below 1 for
+     * a tenant beyond its quota, so that it does not crowd out the others. It is then the lowest
+     * quota use of any tenant divided by that tenant's use, but not below the square root of the
+     * value of a request beyond the quota.
      */
     private double fairnessFactor(Ids.Tenant tenant) {
         double use = traffic.tenants().contains(tenant) ? quotaUse(tenant) : 0;
@@ -83,7 +90,8 @@
     }
 
     /**
-     * Returns the multiple of its quota that a tenant uses, if all dispatchers get as much of it.
+     * Returns the multiple of its quota that a tenant uses, assuming that every dispatcher gets as
+     * much of the tenant's traffic as this one.
      */
     private double quotaUse(Ids.Tenant tenant) {
         return settings.dispatchers()
--- a/daemon/src/main/java/wheelroute/decision/admission/AdmissionDecision.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/AdmissionDecision.java
@@ -1,12 +1,13 @@
 package wheelroute.decision.admission;
 
-/** Whether a request may wait for a worker, or else the reason why not. */
+/** Admission of a request to the queue of a worker, or the reason for refusing it. */
 public enum AdmissionDecision {
     ADMITTED,
     /** The expected wait at the worker is longer than the request may wait. */
     WAIT_TOO_LONG,
     /**
-     * With the time spent in the queue of its key, the wait is longer than the objective allows.
+     * The wait, including the time spent in the queue of the key, is longer than the objective
+     * allows.
      */
     QUEUED_TOO_LONG
 }
--- a/daemon/src/main/java/wheelroute/decision/admission/WaitLimits.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/WaitLimits.java
@@ -1,10 +1,11 @@
 package wheelroute.decision.admission;
 
 /**
- * The limits on one request's wait that hold besides its own latency objective.
+ * The limits on the wait of one request that apply in addition to its own latency objective.
  *
- * @param maxWaitSeconds the maximum wait of the class that can wait least, at this request's
- *     priority weight
- * @param fairnessFactor for the tenant: below 1 where it exceeds its quota
+ * @param maxWaitSeconds the maximum wait of the class that can wait least, scaled to the priority
+ *     weight of this request
+ * @param fairnessFactor the factor of the maximum wait for the tenant; below 1 if it exceeds its
+ *     quota
  */
 public record WaitLimits(double maxWaitSeconds, double fairnessFactor) {}
--- a/daemon/src/main/java/wheelroute/decision/admission/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/package-info.java
@@ -1,2 +1,4 @@
-/** Which requests are rejected at once: maximum waits and fairness among tenants. */
+/**
+ * Admission control by maximum waits and by fairness among tenants, which rejects requests at once.
+ */
 package wheelroute.decision.admission;
--- a/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
+++ b/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
@@ -14,7 +14,7 @@
 import wheelroute.decision.state.WorkerState;
 import wheelroute.decision.state.WorkerTable;
 
-/** Brings the state of workers in line with the endpoint list and its changes. */
+/** Updates the state of the workers from the endpoint list and its changes. */
 public final class EndpointUpdates {
     private final DecisionClock clock;
     private final Ids.Zone zone;
@@ -26,7 +26,7 @@
     /**
      * Creates the handler of endpoint list changes for one dispatcher.
      *
-     * @param zone of the dispatcher
+     * @param zone the zone of the dispatcher
      */
     public EndpointUpdates(
             DecisionClock clock,
@@ -46,9 +46,10 @@
     /**
      * Applies a change of the list.
      *
-     * @param complete workers that are not among the endpoints are removed
-     * @return the workers whose attempts in flight are or may be lost: they were removed, or have
-     *     restarted
+     * @param complete whether the endpoints are the whole list, so that workers missing from it are
+     *     removed
+     * @return the workers whose attempts in flight are or may be lost, because the worker was
+     *     removed or has restarted
      */
     public List<WorkerState> apply(List<Endpoint> endpoints, boolean complete) {
         if (complete) {
@@ -68,13 +69,13 @@
                 ejection.onRemoved(worker);
                 lost.add(worker);
             }
-            countReady(worker);
+            recordReadiness(worker);
         }
         affinity.setFleet(workers.ready());
         return lost;
     }
 
-    private void countReady(WorkerState worker) {
+    private void recordReadiness(WorkerState worker) {
         if (worker.isReady()) {
             workers.ready().add(worker);
         }
@@ -85,16 +86,20 @@
         }
     }
 
-    /** Returns whether attempts in flight there are lost: it was removed, or has restarted. */
+    /**
+     * Updates a worker from its endpoint. Returns whether the attempts in flight there are lost,
+     * because the worker was removed or has restarted.
+     */
     private boolean update(WorkerState worker, Endpoint endpoint) {
-        Endpoint before = worker.endpoint();
+        Endpoint previous = worker.endpoint();
         boolean restarted =
-                before != null
+                previous != null
                         && endpoint.startedAt() > 0
-                        && !(endpoint.startedAt() <= before.startedAt());
+                        && !(endpoint.startedAt() <= previous.startedAt());
         boolean inSameZone = endpoint.zone().equals(zone);
         worker.list(endpoint, workers.model(endpoint.model()), inSameZone);
-        // From start and cell, so that workers that start at the same time get different turns.
+        // The draw depends on the cell as well as on the start, so that workers that start at the
+        // same time get different turns.
         double draw =
                 random.draw(
                         Math.round(endpoint.startedAt() * MILLIS_PER_SECOND),
--- a/daemon/src/main/java/wheelroute/decision/endpoints/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/endpoints/package-info.java
@@ -1,2 +1,2 @@
-/** The endpoint list: its changes, and how long an unconfirmed list may be used. */
+/** The endpoint list with its changes, and the limit on using an unconfirmed list. */
 package wheelroute.decision.endpoints;
--- a/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
+++ b/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
@@ -9,36 +9,50 @@
 import wheelroute.decision.state.WorkerTable;
 
 /**
- * Ejects workers that fail repeatedly or stop responding. An ejected worker returns after three
- * successes in a row, not by time. It gets trials: one attempt at a time, never of a non-idempotent
- * request, after a delay that doubles with each further failure.
+ * Ejects workers that fail repeatedly or stop responding. An ejected worker is reinstated after
+ * three successes in a row, never by the passage of time alone. Until then it gets trials, which
+ * are single attempts, never of a non-idempotent request, after a delay that doubles with each
+ * further failure.
  *
- * @param removalIsAdvisory only a drain forbids sending to a worker, its removal does not
+ * @param removalIsAdvisory whether a worker that was removed from the list may still be sent to, so
+ *     that only a drain forbids it
  */
 public record OutlierEjection(
         DecisionClock clock,
         WorkerTable workers,
         ErrorAttribution errorAttribution,
         boolean removalIsAdvisory) {
-    /** From an ejection to the first trial. */
+    /** The delay from an ejection to the first trial. */
     public static final double FIRST_TRIAL_DELAY_SECONDS = 0.5;
 
     private static final double MAX_TRIAL_DELAY_SECONDS = 4;
 
-    /** Failures count for this long, or until as many successes in a row as reinstate a worker. */
-    private static final double FAILURE_MEMORY_SECONDS = 10;
+    /**
+     * The time for which a failure counts, unless as many successes in a row as reinstate a worker
+     * come first.
+     */
+    private static final double FAILURE_WINDOW_SECONDS = 10;
 
-    /** More recent failures than this eject a worker: a single one is no pattern. */
+    /**
+     * The number of recent failures above which a worker is ejected. A single failure is not a
+     * pattern.
+     */
     private static final int MAX_RECENT_FAILURES = 1;
 
-    /** Several, because a worker that fails most of its attempts still has single successes. */
+    /**
+     * The number of successes in a row that reinstate a worker. One is not enough, because a worker
+     * that fails most of its attempts still has single successes.
+     */
     private static final int SUCCESSES_TO_REINSTATE = 3;
 
-    /** A worker that rejected an attempt or could not be connected to gets none for this long. */
+    /**
+     * The time for which a worker gets no attempts after it rejected one or could not be connected
+     * to.
+     */
     private static final double BACKOFF_SECONDS = 0.3;
 
-    /** An ejected worker is a fallback only this long after its last success. */
-    private static final double FALLBACK_EVIDENCE_SECONDS = 1.5;
+    /** The time after its last success for which an ejected worker is a fallback. */
+    private static final double MAX_FALLBACK_SUCCESS_AGE_SECONDS = 1.5;
 
     /** Records the end of an attempt, which may eject or reinstate its worker. */
     public void onOutcome(WorkerState worker, Outcome outcome) {
@@ -51,25 +65,25 @@
             }
             case FAILED -> {
                 worker.health().recordResponse(now);
-                if (!errorAttribution.blamesRequests()) {
+                if (!errorAttribution.areRequestsAtFault()) {
                     onFailure(worker);
                 }
             }
             case CONNECT_FAILED -> {
-                // Whether it is down, unreachable or out of connections, that lasts for a while.
+                // A worker that is down, unreachable or out of connections stays so for a while.
                 worker.health().backOffUntil(now + BACKOFF_SECONDS);
                 onFailure(worker);
             }
             case CONNECTION_LOST, UNKNOWN -> onFailure(worker);
             case TIMED_OUT, CANCELLED, NOT_SENT, STALE_CONNECTION, INVALID_REQUEST -> {
-                // Says nothing about the worker.
+                // These outcomes say nothing about the health of the worker.
             }
         }
     }
 
     /** Returns the number of failures that still count against the worker. */
     public int recentFailures(WorkerState worker) {
-        return worker.statistics().failuresSince(clock.now() - FAILURE_MEMORY_SECONDS);
+        return worker.statistics().failuresSince(clock.now() - FAILURE_WINDOW_SECONDS);
     }
 
     private void onFailure(WorkerState worker) {
@@ -96,8 +110,9 @@
     }
 
     /**
-     * Takes a worker out of use that has left the endpoint list. Where removals are advisory the
-     * list may be wrong about that: then the worker is ejected, and gets attempts on trial.
+     * Handles the removal of a worker from the endpoint list. If removals are advisory, the list
+     * may be wrong, so a ready worker is ejected and gets attempts on trial. Otherwise the worker
+     * gets no more attempts.
      */
     public void onRemoved(WorkerState worker) {
         worker.setReady(worker.isReady() && removalIsAdvisory);
@@ -108,22 +123,22 @@
         }
     }
 
-    /** Ejects a worker that has stopped responding, however few failures it had before. */
+    /** Ejects a worker that has stopped responding, regardless of its number of recent failures. */
     void onUnresponsive(WorkerState worker) {
         onFailure(worker);
         worker.health().markUnresponsive();
     }
 
     /**
-     * Ejects or reinstates a worker by the failures that were recorded by a predecessor process.
+     * Ejects or reinstates a worker according to the failures that a predecessor process recorded.
      */
     public void restore(WorkerState worker) {
         worker.health().restore(recentFailures(worker) > MAX_RECENT_FAILURES);
     }
 
     /**
-     * Whether the worker may get this request: if it is ejected, only as a trial when one is due,
-     * and no request that must not be retried.
+     * Returns whether the worker may get this request. An ejected worker may get a request only as
+     * a trial that is due, and no non-idempotent request.
      */
     public boolean admits(WorkerState worker, TrackedRequest request) {
         WorkerHealth health = worker.health();
@@ -134,13 +149,14 @@
     }
 
     /**
-     * Whether an ejected worker may get a request that would be rejected otherwise: it answers some
-     * requests, and an error there can be retried anywhere.
+     * Returns whether an ejected worker may get a request that would be rejected otherwise. The
+     * worker must still answer some requests, and it must be safe to retry the request on any
+     * worker after an error.
      */
     public boolean admitsAsFallback(WorkerState worker, TrackedRequest request) {
         WorkerHealth health = worker.health();
         return !health.isUnresponsive()
-                && clock.now() - health.lastSuccessAt() < FALLBACK_EVIDENCE_SECONDS
+                && clock.now() - health.lastSuccessAt() < MAX_FALLBACK_SUCCESS_AGE_SECONDS
                 && worker.inFlight().size() < worker.estimates().slots()
                 && request.settings().isSafeToRetryAnywhere();
     }
--- a/daemon/src/main/java/wheelroute/decision/health/SweepTimer.java
+++ b/daemon/src/main/java/wheelroute/decision/health/SweepTimer.java
@@ -4,38 +4,44 @@
 import wheelroute.decision.state.DecisionClock;
 
 /**
- * Schedules the sweeps in which workers with attempts in flight and the queues of keys are
- * inspected. An idle dispatcher is not woken, as many of them may share a machine.
+ * Schedules the sweeps that inspect the workers with attempts in flight and the queues of keys. No
+ * sweep is scheduled while the dispatcher is idle, because many dispatchers may share a machine.
  */
 public final class SweepTimer {
-    /** Between two sweeps: well below the shortest time after which a worker is unresponsive. */
+    /**
+     * The time between two sweeps, which is well below the shortest time after which a worker
+     * counts as unresponsive.
+     */
     public static final double INTERVAL_SECONDS = 0.1;
 
     private final DecisionClock clock;
     private final ActionHandler actions;
     private boolean scheduled;
-    private double earliest;
+    private double earliestSweepAt;
 
-    /** Creates a timer that is not scheduled yet. */
+    /** Creates a timer without a scheduled sweep. */
     public SweepTimer(DecisionClock clock, ActionHandler actions) {
         this.clock = clock;
         this.actions = actions;
     }
 
-    /** Returns whether a wakeup is for a sweep; it may be one for a key's queue. */
-    public boolean begin() {
-        if (clock.now() < earliest) {
+    /**
+     * Begins the scheduled sweep if a wakeup is for it. Returns false if the wakeup comes too
+     * early, as it may be one for the queue of a key.
+     */
+    public boolean beginIfDue() {
+        if (clock.now() < earliestSweepAt) {
             return false;
         }
         scheduled = false;
         return true;
     }
 
-    /** Schedules the next sweep, unless it is scheduled already. */
+    /** Schedules the next sweep unless one is scheduled already. */
     public void schedule() {
         if (!scheduled) {
             scheduled = true;
-            earliest = clock.now() + INTERVAL_SECONDS / 2;
+            earliestSweepAt = clock.now() + INTERVAL_SECONDS / 2;
             actions.scheduleWakeup(INTERVAL_SECONDS);
         }
     }
--- a/daemon/src/main/java/wheelroute/decision/health/UnresponsiveWorkerDetector.java
+++ b/daemon/src/main/java/wheelroute/decision/health/UnresponsiveWorkerDetector.java
@@ -10,9 +10,9 @@
 import wheelroute.decision.state.WorkerTable;
 
 /**
- * Finds workers, and single attempts, from which no message has come for longer than expected. Such
- * a worker is ejected, and its attempts are replaced: one that hangs or has vanished would
- * otherwise look merely busy.
+ * Detects workers, and single attempts, from which no message has come for longer than expected.
+ * Such a worker is ejected and its attempts are replaced, because a worker that hangs or has
+ * vanished would otherwise look merely busy.
  */
 public record UnresponsiveWorkerDetector(
         DecisionClock clock,
@@ -20,10 +20,13 @@
         WorkerTable workers,
         OutlierEjection ejection,
         AttemptReplacer replacer) {
-    /** Added to every expected response time, for network transit and a pause of the process. */
+    /**
+     * The slack added to every expected response time, for network transit and a pause of the
+     * process.
+     */
     private static final double RESPONSE_SLACK_SECONDS = 0.5;
 
-    /** Expected times are estimates, and may be too short by this factor. */
+    /** The factor by which an expected time may be too short, because it is an estimate. */
     private static final double ESTIMATE_FACTOR = 2;
 
     /** Inspects all workers with attempts in flight. */
@@ -37,18 +40,21 @@
     private void inspect(WorkerState worker, double now) {
         worker.estimates().recordRunningJobs(now);
         Attempt oldest = worker.inFlight().get(0);
-        double quietSeconds = now - Math.max(worker.health().lastResponseAt(), oldest.sentAt());
-        if (quietSeconds > timeoutSeconds(expectedQuietSeconds(worker, oldest, quietSeconds))) {
+        double secondsSinceResponse =
+                now - Math.max(worker.health().lastResponseAt(), oldest.sentAt());
+        if (secondsSinceResponse
+                > timeoutSeconds(expectedSecondsToResponse(worker, oldest, secondsSinceResponse))) {
             if (!worker.health().isUnresponsive()) {
                 ejection.onUnresponsive(worker);
             }
             replacer.replaceWithinBudget(worker, attempt -> true);
         } else if (settings.progressIntervalSeconds() > 0) {
-            // A single connection may be broken while the worker responds on the others.
+            // A single connection may be broken while the worker responds on its other connections.
             replacer.replaceWithinBudget(worker, attempt -> isUnresponsive(attempt, now));
         }
         if (!worker.health().isUnresponsive()) {
-            // The waits at an unresponsive worker are its own fault and say nothing of its model.
+            // The waits at an unresponsive worker are caused by that worker alone and say nothing
+            // about its model.
             worker.estimates().recordOverdueWaits(now);
         }
     }
@@ -62,14 +68,16 @@
     }
 
     /**
-     * Returns how long a responsive worker may send nothing while its oldest attempt is in flight.
+     * Returns the time for which a responsive worker may send nothing while its oldest attempt is
+     * in flight.
      */
-    private double expectedQuietSeconds(WorkerState worker, Attempt oldest, double quietSeconds) {
-        // Measured against the waits at other workers of the model: when all are overloaded, every
-        // start is late and none is unresponsive. The longest wait takes a while to find, and is
-        // not needed before the slack is used up.
+    private double expectedSecondsToResponse(
+            WorkerState worker, Attempt oldest, double secondsSinceResponse) {
+        // The wait is compared with those at other workers of the model, because every start is
+        // late but no worker is unresponsive when all are overloaded. The longest wait is costly
+        // to find and is not needed before the slack is used up.
         double expected =
-                quietSeconds <= RESPONSE_SLACK_SECONDS
+                secondsSinceResponse <= RESPONSE_SLACK_SECONDS
                         ? 0
                         : Math.max(oldest.expectedWaitSeconds(), worker.model().longestWait());
         if (oldest.hasStarted() || !settings.reportsStart()) {
@@ -83,7 +91,8 @@
     }
 
     /**
-     * Returns the seconds until the next message: progress, or the end of a run not yet reported.
+     * Returns the expected seconds until the next message, which is a progress report or, for an
+     * attempt not known to have started, possibly the end of its run.
      */
     private double secondsBetweenMessages(Attempt attempt, double now) {
         double interval = settings.progressIntervalSeconds();
--- a/daemon/src/main/java/wheelroute/decision/health/WorkerHealth.java
+++ b/daemon/src/main/java/wheelroute/decision/health/WorkerHealth.java
@@ -1,8 +1,8 @@
 package wheelroute.decision.health;
 
 /**
- * The health of one worker as this dispatcher observes it. State only; {@link OutlierEjection}
- * decides on its transitions:
+ * The health of one worker as this dispatcher observes it. This class only holds the state; {@link
+ * OutlierEjection} decides on the transitions:
  *
  * <pre>
  *            eject                  markUnresponsive
@@ -12,42 +12,44 @@
  *      └── recordRestart, from either state
  * </pre>
  *
- * <p>A healthy worker without recent failures that stops responding becomes UNRESPONSIVE directly;
- * its first trial is then due as soon as it has no attempt in flight. {@code restore} sets HEALTHY
- * or EJECTED as a predecessor process had it. A restart keeps the delay of the next trial.
+ * <p>A healthy worker without recent failures that stops responding becomes UNRESPONSIVE directly,
+ * and its first trial is then due as soon as it has no attempt in flight. {@code restore} sets the
+ * state HEALTHY or EJECTED that the worker had in a predecessor process. A restart keeps the delay
+ * of the next trial.
  *
- * <p>Besides, a worker of any state may be backing off for a short time.
+ * <p>In addition, a worker in any state may be backing off for a short time.
  */
 public final class WorkerHealth {
     private enum State {
-        /** It gets requests as usual. */
+        /** The worker gets requests as usual. */
         HEALTHY,
         /**
-         * It gets attempts on trial, one at a time, and others only as a last resort or fallback.
+         * The worker gets attempts on trial, one at a time, and others only as a last resort or as
+         * a fallback.
          */
         EJECTED,
-        /** Ejected because it stopped responding, and not heard from since. */
+        /** The worker is ejected because it stopped responding, and has sent no message since. */
         UNRESPONSIVE
     }
 
     private State state = State.HEALTHY;
     private double lastResponseAt = Double.NEGATIVE_INFINITY;
     private double lastSuccessAt = Double.NEGATIVE_INFINITY;
-    private double backoffUntil = Double.NEGATIVE_INFINITY;
+    private double backingOffUntil = Double.NEGATIVE_INFINITY;
     private double nextTrialAt = Double.NEGATIVE_INFINITY;
     private double trialDelaySeconds;
     private int consecutiveSuccesses;
 
     /**
-     * Creates the health of a worker that is healthy as far as is known.
+     * Creates the health of a worker that is assumed to be healthy.
      *
-     * @param firstTrialDelaySeconds from an ejection to the first trial
+     * @param firstTrialDelaySeconds the delay from an ejection to the first trial
      */
     public WorkerHealth(double firstTrialDelaySeconds) {
         trialDelaySeconds = firstTrialDelaySeconds;
     }
 
-    /** Records any message from the worker. */
+    /** Records a message of any kind from the worker, which ends the state UNRESPONSIVE. */
     public void recordResponse(double now) {
         lastResponseAt = now;
         if (state == State.UNRESPONSIVE) {
@@ -55,12 +57,15 @@
         }
     }
 
-    /** Returns when the last message came from the worker, in seconds. */
+    /**
+     * Returns the time of the last message from the worker, in seconds; negative infinity before
+     * the first.
+     */
     public double lastResponseAt() {
         return lastResponseAt;
     }
 
-    /** Records a result; returns how many there were without a failure in between. */
+    /** Records a success and returns the number of successes since the last failure. */
     int recordSuccess(double now) {
         lastSuccessAt = now;
         return ++consecutiveSuccesses;
@@ -75,15 +80,15 @@
     }
 
     void backOffUntil(double time) {
-        backoffUntil = time;
+        backingOffUntil = time;
     }
 
     /**
-     * Whether the worker gets no attempts now because it has just rejected one or could not be
-     * connected to.
+     * Returns whether the worker gets no attempts now because it has just rejected one or could not
+     * be connected to.
      */
     public boolean isBackingOff(double now) {
-        return now < backoffUntil;
+        return now < backingOffUntil;
     }
 
     void eject() {
@@ -96,12 +101,12 @@
         state = State.UNRESPONSIVE;
     }
 
-    /** Whether it has stopped responding and has not been heard from since. */
+    /** Returns whether the worker has stopped responding and has sent no message since. */
     public boolean isUnresponsive() {
         return state == State.UNRESPONSIVE;
     }
 
-    /** Whether it is ejected, unresponsive or not. */
+    /** Returns whether the worker is ejected, which includes an unresponsive worker. */
     public boolean isEjected() {
         return state != State.HEALTHY;
     }
@@ -109,7 +114,7 @@
     /**
      * Schedules the next trial after the present delay.
      *
-     * @param nextDelaySeconds the delay that is used the next time
+     * @param nextDelaySeconds the delay of the trial after that
      */
     void scheduleTrial(double now, double nextDelaySeconds) {
         nextTrialAt = now + trialDelaySeconds;
@@ -129,12 +134,15 @@
         trialDelaySeconds = firstTrialDelaySeconds;
     }
 
-    /** Records that its process has restarted: it is not judged by the old one's faults. */
+    /**
+     * Records a restart of the worker, whose new process is not judged by the faults of the old
+     * one.
+     */
     public void recordRestart() {
         state = State.HEALTHY;
     }
 
-    /** Sets whether it is ejected, as a predecessor process had it. */
+    /** Sets whether the worker is ejected, from the state of a predecessor process. */
     void restore(boolean ejected) {
         state = ejected ? State.EJECTED : State.HEALTHY;
     }
--- a/daemon/src/main/java/wheelroute/decision/health/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/health/package-info.java
@@ -1,2 +1,5 @@
-/** Outlier ejection and recovery, and the detection of unresponsive workers. */
+/**
+ * Outlier ejection, the reinstatement of ejected workers, and the detection of unresponsive
+ * workers.
+ */
 package wheelroute.decision.health;
--- a/daemon/src/main/java/wheelroute/decision/order/KeyQueue.java
+++ b/daemon/src/main/java/wheelroute/decision/order/KeyQueue.java
@@ -5,7 +5,8 @@
 import wheelroute.decision.state.TrackedRequest;
 
 /**
- * The requests of one key in the order of their acceptance. State only; {@link KeyQueues} decides.
+ * The requests of one key in the order of their acceptance. This class only holds the state; {@link
+ * KeyQueues} makes the decisions.
  */
 public final class KeyQueue {
     private final Ids.Key key;
@@ -21,7 +22,7 @@
         return key;
     }
 
-    /** Returns the requests; only the first may have attempts. */
+    /** Returns the requests of the key, of which only the first may have attempts. */
     ArrayDeque<TrackedRequest> requests() {
         return requests;
     }
@@ -34,7 +35,10 @@
         return requests.isEmpty();
     }
 
-    /** Returns the time before which no request begins, as an attempt may still be running. */
+    /**
+     * Returns the time before which no request may begin, because an earlier attempt may still be
+     * running.
+     */
     double blockedUntil() {
         return blockedUntil;
     }
@@ -43,7 +47,10 @@
         blockedUntil = Math.max(blockedUntil, time);
     }
 
-    /** Returns whether no wakeup was scheduled yet for when the key is unblocked, and notes one. */
+    /**
+     * Returns whether a wakeup must still be scheduled for the time at which the key is unblocked,
+     * and marks it as scheduled.
+     */
     boolean needsWakeup() {
         boolean needed = wakeupAt != blockedUntil;
         wakeupAt = blockedUntil;
--- a/daemon/src/main/java/wheelroute/decision/order/KeyQueueTable.java
+++ b/daemon/src/main/java/wheelroute/decision/order/KeyQueueTable.java
@@ -6,20 +6,22 @@
 import java.util.Map;
 import wheelroute.decision.Ids;
 
-/** The queues of all keys that have open requests or are blocked. State only. */
+/**
+ * The queues of all keys that have open requests or are blocked. This class only holds the state.
+ */
 public final class KeyQueueTable {
-    /** In the order of their creation. */
+    /** The queues in the order of their creation. */
     private final Map<Ids.Key, KeyQueue> queues = new LinkedHashMap<>();
 
     /** Creates a table without queues. */
     public KeyQueueTable() {}
 
-    /** Returns the queue of a key, a new one if there is none. */
+    /** Returns the queue of a key, which is created if there is none. */
     public KeyQueue getOrCreate(Ids.Key key) {
         return queues.computeIfAbsent(key, KeyQueue::new);
     }
 
-    /** Whether no request is queued and no key is blocked. */
+    /** Returns whether no request is queued and no key is blocked. */
     public boolean isEmpty() {
         return queues.isEmpty();
     }
--- a/daemon/src/main/java/wheelroute/decision/order/KeyQueues.java
+++ b/daemon/src/main/java/wheelroute/decision/order/KeyQueues.java
@@ -13,10 +13,11 @@
 import wheelroute.decision.state.TrackedRequest;
 
 /**
- * The order of keys: requests of one key run one at a time, in the order in which they were
- * accepted. After an attempt that may still be running, the key is blocked for a while.
+ * Runs the requests of one key one at a time, in the order in which they were accepted. After an
+ * attempt that may still be running, the key is blocked for a quiet period.
  *
- * @param quietPeriodSeconds how long a key is blocked after an attempt that may still run
+ * @param quietPeriodSeconds the time for which a key is blocked after an attempt that may still be
+ *     running
  */
 public record KeyQueues(
         DecisionClock clock,
@@ -25,30 +26,35 @@
         FleetEstimates fleet,
         RequestPlacer placer,
         ActionHandler actions) {
-    /** A request that must still wait this long before its deadline is rejected in time. */
+    /**
+     * The time before its deadline at which a request that cannot begin yet is rejected, so that
+     * the answer is sent in time.
+     */
     private static final double REJECTION_MARGIN_SECONDS = 2 * SweepTimer.INTERVAL_SECONDS;
 
-    /** Appends an accepted request to its queue, and places it if it is the first. */
+    /** Appends an accepted request to its queue, and places the request if it is the first. */
     public void add(TrackedRequest request) {
         request.queue().requests().addLast(request);
         advance(request.queue());
     }
 
-    /** Begins and rejects what is due in each queue. */
+    /** Places or rejects the requests that are due in each queue. */
     public void advanceAll() {
         for (KeyQueue queue : queues.copyOfAll()) {
             advance(queue);
         }
     }
 
-    /** Blocks the key of a request if its attempt, which ended so, may still be running. */
+    /**
+     * Blocks the key of a request if the attempt that ended with this outcome may still be running.
+     */
     public void onOutcome(TrackedRequest request, Outcome outcome) {
         if (outcome.mayStillRun()) {
             request.blockKeyUntil(clock.now() + quietPeriodSeconds);
         }
     }
 
-    /** Removes a request from its queue if it is complete, and begins the next. */
+    /** Removes a request from its queue if the request is complete, and begins the next one. */
     public void removeIfComplete(TrackedRequest request) {
         KeyQueue queue = request.queue();
         if (queue != null && request.isComplete() && queue.requests().remove(request)) {
@@ -59,7 +65,7 @@
 
     private void advance(KeyQueue queue) {
         double now = clock.now();
-        rejectLate(queue);
+        rejectLateRequests(queue);
         while (!queue.isEmpty()
                 && queue.first().attempts().isEmpty()
                 && now >= queue.blockedUntil()) {
@@ -75,46 +81,50 @@
         }
     }
 
-    /** Rejects requests until all others are expected to begin in time. */
-    private void rejectLate(KeyQueue queue) {
+    /** Rejects requests until all remaining ones are expected to begin in time. */
+    private void rejectLateRequests(KeyQueue queue) {
         double now = clock.now();
-        double beginsAt = Math.max(now, queue.blockedUntil());
+        double expectedStartAt = Math.max(now, queue.blockedUntil());
         List<TrackedRequest> kept = new ArrayList<>();
         for (TrackedRequest request : new ArrayList<>(queue.requests())) {
             if (!request.attempts().isEmpty()) {
-                beginsAt += request.remainingSeconds(now);
+                expectedStartAt += request.remainingSeconds(now);
                 continue;
             }
-            List<TrackedRequest> rejected = rejectedFor(request, beginsAt, queue, kept);
+            List<TrackedRequest> rejected = selectRejected(request, expectedStartAt, queue, kept);
             for (TrackedRequest other : rejected) {
-                beginsAt -= kept.remove(other) ? fleet.expectedRunSeconds(other) : 0;
-                reject(other, queue, beginsAt - now);
+                expectedStartAt -= kept.remove(other) ? fleet.expectedRunSeconds(other) : 0;
+                reject(other, queue, expectedStartAt - now);
             }
             if (!rejected.contains(request)) {
                 kept.add(request);
-                beginsAt += fleet.expectedRunSeconds(request);
+                expectedStartAt += fleet.expectedRunSeconds(request);
             }
         }
     }
 
     /**
-     * Returns the requests to reject so that no other begins too late: those before this one that
-     * are of less value, the least first, if that is enough, or else this one.
+     * Returns the requests to reject so that no other request begins too late. These are earlier
+     * requests of less value, the least valuable first, if rejecting them is enough; otherwise it
+     * is the given request.
      */
-    private List<TrackedRequest> rejectedFor(
-            TrackedRequest request, double beginsAt, KeyQueue queue, List<TrackedRequest> kept) {
+    private List<TrackedRequest> selectRejected(
+            TrackedRequest request,
+            double expectedStartAt,
+            KeyQueue queue,
+            List<TrackedRequest> kept) {
         double run = fleet.expectedRunSeconds(request);
         double maxWait = Admission.maxWaitSeconds(request.requestClass(), request.work(), run);
-        double excess = beginsAt - request.acceptedAt() - maxWait;
-        List<TrackedRequest> lesser = ofLessValue(request, kept);
-        double gain = lesser.stream().mapToDouble(fleet::expectedRunSeconds).sum();
-        if (isOutOfTime(request, queue) || excess > gain) {
+        double excessSeconds = expectedStartAt - request.acceptedAt() - maxWait;
+        List<TrackedRequest> lessValuable = ofLessValue(request, kept);
+        double savedSeconds = lessValuable.stream().mapToDouble(fleet::expectedRunSeconds).sum();
+        if (isDueForRejection(request, queue) || excessSeconds > savedSeconds) {
             return List.of(request);
         }
         List<TrackedRequest> rejected = new ArrayList<>();
-        for (int i = 0; excess > 0 && i < lesser.size(); i++) {
-            rejected.add(lesser.get(i));
-            excess -= fleet.expectedRunSeconds(lesser.get(i));
+        for (int i = 0; excessSeconds > 0 && i < lessValuable.size(); i++) {
+            rejected.add(lessValuable.get(i));
+            excessSeconds -= fleet.expectedRunSeconds(lessValuable.get(i));
         }
         return rejected;
     }
@@ -125,18 +135,22 @@
     }
 
     /**
-     * Whether it cannot begin now, and the queue may not be looked at again before its deadline.
+     * Returns whether the request cannot begin now and the queue may not be inspected again before
+     * its deadline.
      */
-    private boolean isOutOfTime(TrackedRequest request, KeyQueue queue) {
+    private boolean isDueForRejection(TrackedRequest request, KeyQueue queue) {
         double now = clock.now();
         boolean mustWait = request != queue.first() || now < queue.blockedUntil();
         return now + REJECTION_MARGIN_SECONDS > request.request().deadline() && mustWait;
     }
 
-    /** Returns those of less value than the request, the least first. */
+    /**
+     * Returns the other requests that are of less value than the given one, the least valuable
+     * first.
+     */
     private static List<TrackedRequest> ofLessValue(
             TrackedRequest request, List<TrackedRequest> others) {
-        var lesser = others.stream().filter(other -> other.value() < request.value());
-        return lesser.sorted(Comparator.comparingDouble(TrackedRequest::value)).toList();
+        var lessValuable = others.stream().filter(other -> other.value() < request.value());
+        return lessValuable.sorted(Comparator.comparingDouble(TrackedRequest::value)).toList();
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/order/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/order/package-info.java
@@ -1,2 +1,2 @@
-/** The order of requests with one key. */
+/** The ordering of requests with the same key. */
 package wheelroute.decision.order;
--- a/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
@@ -10,7 +10,7 @@
 import wheelroute.decision.state.TrackedRequest;
 import wheelroute.decision.state.WorkerState;
 
-/** Replaces attempts, once each, that a worker has lost or gives no sign of. */
+/** Replaces attempts that a worker has lost or does not respond to, each attempt at most once. */
 public record AttemptReplacer(
         RetryRules retryRules,
         RequestPlacer placer,
@@ -18,8 +18,8 @@
         AttemptSender sender,
         HedgingBudget hedgingBudget) {
     /**
-     * Replaces all attempts of a worker that was removed or has restarted. They are lost, so that
-     * this uses none of the hedging budget.
+     * Replaces all attempts of a worker that was removed or has restarted. These attempts are lost,
+     * so replacing them uses none of the hedging budget.
      */
     public void replaceLost(WorkerState worker) {
         for (Attempt attempt : new ArrayList<>(worker.inFlight())) {
@@ -36,7 +36,10 @@
         }
     }
 
-    /** Returns whether the attempt was hedged or cancelled. */
+    /**
+     * Replaces an attempt if the retry rules allow it. Returns whether the attempt was hedged or
+     * cancelled.
+     */
     private boolean replace(Attempt attempt) {
         if (attempt.isReplaced()) {
             return false;
--- a/daemon/src/main/java/wheelroute/decision/retry/ErrorAttribution.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/ErrorAttribution.java
@@ -4,20 +4,23 @@
 import wheelroute.decision.state.DecisionClock;
 
 /**
- * Decides whether errors are attributed to the requests or to the workers. While retries of failed
- * requests mostly fail on other workers too, the requests are to blame: no worker is ejected for
- * such an error, and no further attempt is spent on it.
+ * Attributes errors to the requests or to the workers. While most retries of failed requests fail
+ * on other workers too, the requests are at fault, and for such an error no worker is ejected and
+ * no further attempt is made.
  */
 public record ErrorAttribution(DecisionClock clock, TrafficStatistics traffic) {
-    /** Retries count for this long, so that the workers are judged anew afterwards. */
-    private static final double RETRY_MEMORY_SECONDS = 10;
+    /** The time for which a retry counts. Afterwards the workers are assessed anew. */
+    private static final double RETRY_WINDOW_SECONDS = 10;
 
-    /** Retries assumed to have succeeded, so that the first few failures decide nothing. */
+    /**
+     * The number of retries that are assumed to have succeeded, so that the first few failures are
+     * not decisive.
+     */
     private static final int PRIOR_SUCCESSES = 2;
 
-    /** Whether errors are attributed to the requests now. */
-    public boolean blamesRequests() {
-        double since = clock.now() - RETRY_MEMORY_SECONDS;
+    /** Returns whether errors are attributed to the requests now. */
+    public boolean areRequestsAtFault() {
+        double since = clock.now() - RETRY_WINDOW_SECONDS;
         int retries = traffic.retriesSince(since);
         double failed = traffic.failedRetriesSince(since);
         return failed > (retries + PRIOR_SUCCESSES) / 2.0;
--- a/daemon/src/main/java/wheelroute/decision/retry/HedgingBudget.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/HedgingBudget.java
@@ -1,8 +1,8 @@
 package wheelroute.decision.retry;
 
 /**
- * Limits the hedged requests, and the retries after a cancel, to a fraction of the accepted
- * requests: where many workers stall at the same time, unlimited hedging would add to their load.
+ * Limits the hedged requests, and the retries after a cancellation, to a fraction of the accepted
+ * requests. If many workers stall at the same time, unlimited hedging would add to their load.
  */
 public final class HedgingBudget {
     private static final double HEDGES_PER_REQUEST = 0.04;
@@ -13,7 +13,7 @@
     /** Creates an empty budget. */
     public HedgingBudget() {}
 
-    /** Adds to the budget for an accepted request. */
+    /** Adds the fraction of a hedge that an accepted request allows, up to the maximum. */
     public void onRequestAccepted() {
         available = Math.min(MAX_HEDGES, available + HEDGES_PER_REQUEST);
     }
--- a/daemon/src/main/java/wheelroute/decision/retry/Replacement.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/Replacement.java
@@ -1,11 +1,11 @@
 package wheelroute.decision.retry;
 
-/** How an attempt is replaced whose worker has lost it or has stopped responding. */
+/** The way of replacing an attempt that its worker has lost or does not respond to. */
 public enum Replacement {
-    /** A second attempt is sent beside it. */
+    /** A second attempt is sent while the first one stays in flight. */
     HEDGE,
-    /** It is cancelled; the retry follows when its end is reported. */
+    /** The attempt is cancelled, and the retry follows when its end is reported. */
     CANCEL_THEN_RETRY,
-    /** Nothing is done. */
+    /** The attempt is not replaced. */
     NONE
 }
--- a/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
@@ -12,31 +12,35 @@
 import wheelroute.decision.state.WorkerState;
 
 /**
- * Rule 2, no request has its effect twice, and rule 3 where the endpoint list is unconfirmed:
- * whether a request may be attempted again, on which workers, how an attempt without a response is
- * replaced, and whether the request may be rejected, which tells the client that a retry does no
- * harm.
+ * Enforces rule 2, that no request has its effect twice, and rule 3 while the endpoint list is
+ * unconfirmed. Decides whether and on which workers a request may be attempted again, how an
+ * attempt without a response is replaced, and whether the request may be rejected, which tells the
+ * client that a retry is safe.
  */
 public record RetryRules(
         DecisionClock clock,
         Settings settings,
         EndpointLease endpointLease,
         ErrorAttribution errorAttribution) {
-    /** With less time left before the deadline no answer could arrive. */
+    /**
+     * The minimum time before the deadline for another attempt. With less time left no answer could
+     * arrive.
+     */
     private static final double MIN_TIME_LEFT_SECONDS = 0.02;
 
     /**
-     * Taken off the time for which workers recognize an idempotency key, as that time begins at the
-     * worker and a repeat must still reach it.
+     * The margin by which the time that workers recognize an idempotency key is shortened here.
+     * That time begins at the worker, and a repeat must still reach the worker within it.
      */
-    private static final double TRANSIT_SECONDS = 0.5;
+    private static final double IDEMPOTENCY_WINDOW_MARGIN_SECONDS = 0.5;
 
     /**
-     * Attempts that failed locally, before anything was sent, and do not count against the maximum.
+     * The number of attempts that do not count against the maximum, of those that failed locally
+     * before anything was sent.
      */
     private static final int UNCOUNTED_LOCAL_FAILURES = 2;
 
-    /** Returns whether one more attempt may be made, whichever worker it goes to. */
+    /** Returns whether one more attempt may be made, regardless of its worker. */
     public AttemptPermission permitAttempt(TrackedRequest request) {
         double now = clock.now();
         if (endpointLease.isExpired(now)) {
@@ -45,8 +49,8 @@
         if (request.isDone() || request.isStreaming() || request.isInvalid()) {
             return AttemptPermission.REQUEST_CLOSED;
         }
-        if (request.hasFailed() && errorAttribution.blamesRequests()) {
-            return AttemptPermission.REQUEST_BLAMED;
+        if (request.hasFailed() && errorAttribution.areRequestsAtFault()) {
+            return AttemptPermission.REQUEST_AT_FAULT;
         }
         if (countedAttempts(request) >= settings.maxAttempts()) {
             return AttemptPermission.ATTEMPTS_EXHAUSTED;
@@ -63,7 +67,10 @@
                 : AttemptPermission.ALLOWED;
     }
 
-    /** Returns the attempts made, but for a few that failed locally: no worker has seen those. */
+    /**
+     * Returns the number of attempts that count against the maximum. A few attempts that failed
+     * locally are left out, because no worker has seen them.
+     */
     private static int countedAttempts(TrackedRequest request) {
         int notSent = 0;
         for (int i = 0; i < request.attempts().size(); i++) {
@@ -73,9 +80,9 @@
     }
 
     /**
-     * Whether the next attempt may go to this worker. It must be of the request's model, must not
-     * have rejected the request or be running it, and must recognize the idempotency key of every
-     * attempt that may have run.
+     * Returns whether the next attempt may go to this worker. The worker must be of the model that
+     * the request needs, must neither have rejected the request nor be running it, and must
+     * recognize the idempotency key of every attempt that may have run.
      */
     public boolean mayRunOn(TrackedRequest request, WorkerState worker) {
         for (int i = 0; i < request.attempts().size(); i++) {
@@ -98,13 +105,13 @@
             return true;
         }
         double windowSeconds = requestClass.idempotencyWindowSeconds();
-        return clock.now() <= earlier.sentAt() + windowSeconds - TRANSIT_SECONDS
+        return clock.now() <= earlier.sentAt() + windowSeconds - IDEMPOTENCY_WINDOW_MARGIN_SECONDS
                 && requestClass.idempotencyScope().covers(earlier.endpoint(), worker.endpoint());
     }
 
     /**
-     * Returns how an attempt without a response may be replaced. Where hedging is forbidden it must
-     * be cancelled first, which is worthwhile only if a retry will then be possible.
+     * Returns how an attempt without a response may be replaced. If hedging is forbidden, the
+     * attempt must be cancelled first, which is worthwhile only if a retry will then be possible.
      *
      * @param hasOtherWorker whether another worker could take the request now
      */
@@ -120,8 +127,9 @@
                 settings.mayCancel()
                         && switch (request.settings().idempotency()) {
                             case IDEMPOTENT -> true;
-                            // Only if its worker responds to others, so that the fault is this
-                            // attempt's alone, and another worker recognizes the key.
+                            // The retry must reach a worker that recognizes the key, and the worker
+                            // of this attempt must respond to others, so that only this attempt
+                            // is affected.
                             case IDEMPOTENT_BY_KEY ->
                                     attempt.worker().health().lastResponseAt()
                                                     > attempt.lastMessageAt()
@@ -131,7 +139,10 @@
         return canRetry ? Replacement.CANCEL_THEN_RETRY : Replacement.NONE;
     }
 
-    /** Whether no attempt can have run, or a retry by the client does no harm wherever it runs. */
+    /**
+     * Returns whether a retry by the client is safe, either because no attempt can have run or
+     * because a retry does no harm on any worker.
+     */
     public boolean isClientRetrySafe(TrackedRequest request) {
         return !request.mayHaveRun()
                 || (request.settings().isSafeToRetryAnywhere() && !request.isInvalid());
--- a/daemon/src/main/java/wheelroute/decision/retry/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Whether, where and how long a request may be attempted again. */
+/** The rules for retries: whether, where and for how long a request may be attempted again. */
 package wheelroute.decision.retry;
--- a/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
@@ -6,31 +6,43 @@
 import wheelroute.decision.state.TrackedRequest;
 
 /**
- * What it costs to admit one request at a worker: its own wait and run there, and the longer wait
- * of the requests that arrive after it. Equation 3 of Hyytiä and Aalto, plus the prices that the
- * settings have for the choice. The unit is seconds times priority weight.
+ * The cost of admitting one request at a worker. It consists of the wait and run of the request
+ * there, the longer wait of the requests that arrive after it (equation 3 of Hyytiä and Aalto), and
+ * the prices that the settings put on the choice. The unit is seconds times priority weight.
  */
 final class AdmittanceCost {
-    /** An upper bound of the offered load, as the cost goes to infinity at 1. */
-    private static final double MAX_LOAD = 0.95;
+    /**
+     * The maximum offered load that the cost is computed with, because the cost goes to infinity at
+     * a load of 1.
+     */
+    private static final double MAX_OFFERED_LOAD = 0.95;
 
-    /** A miss costs others too: it uses the shared store, and evicts data that others need. */
+    /**
+     * The factor by which the cost of a cache miss exceeds its own time. A miss also slows down
+     * other requests, because it uses the shared store and evicts data that they need.
+     */
     private static final double CACHE_MISS_FACTOR = 3;
 
-    /** A late answer is assumed to lose at least this part of its value. */
+    /** The minimum fraction of its value that a late answer is assumed to lose. */
     private static final double MIN_LATE_LOSS = 0.1;
 
-    /** A wait is never late if the slack is this many times the expected wait. */
-    private static final double CERTAIN_SLACK_FACTOR = 8;
+    /**
+     * The multiple of the expected wait above which the slack before the objective counts as
+     * certain to suffice.
+     */
+    private static final double SAFE_SLACK_FACTOR = 8;
 
-    /** Recent failures of a worker that cost the whole value; its window holds as many. */
-    private static final double FAILURES_OF_FULL_COST = 8;
+    /**
+     * The number of recent failures of a worker at which their cost equals the whole value of the
+     * request. The window of failures holds as many.
+     */
+    private static final double FAILURES_AT_FULL_COST = 8;
 
     private final AdmittanceCostInputs inputs;
     private final TrackedRequest request;
-    private final double objective;
+    private final double objectiveSeconds;
     private final double lateLoss;
-    private final double crossing;
+    private final double crossZoneCost;
     private final double laterArrivalCost;
 
     private AdmittanceCost(
@@ -38,65 +50,72 @@
         this.inputs = inputs;
         this.request = request;
         this.laterArrivalCost = laterArrivalCost;
-        objective = request.settings().latencyObjectiveSecondsFor(request.work());
+        objectiveSeconds = request.settings().latencyObjectiveSecondsFor(request.work());
         lateLoss = Math.max(MIN_LATE_LOSS, 1 - request.settings().lateValue());
-        crossing = asCost(inputs.settings().crossZonePrice());
+        crossZoneCost = asCost(inputs.settings().crossZonePrice());
     }
 
     /**
-     * Returns the cost of a request under the present offered load. The requests of all dispatchers
-     * arrive at a worker; the others' traffic is assumed to equal this one's.
+     * Returns the cost of a request at the present offered load. The requests of all dispatchers
+     * arrive at a worker, and the traffic of each other dispatcher is assumed to equal that of this
+     * one.
      *
-     * @param capacity work that all ready workers do in a second
+     * @param capacity the work that all ready workers complete per second
      */
-    static AdmittanceCost under(
+    static AdmittanceCost atPresentLoad(
             AdmittanceCostInputs inputs, TrackedRequest request, double capacity, double now) {
         TrafficStatistics traffic = inputs.traffic();
         int senders = inputs.dispatchers().senderCount();
-        double load = Math.min(MAX_LOAD, senders * traffic.workRate(now) / capacity);
+        double load = Math.min(MAX_OFFERED_LOAD, senders * traffic.workRate(now) / capacity);
         double value = senders * traffic.rate(now) * traffic.meanValue();
         return new AdmittanceCost(inputs, request, value / (2 * (1 - load)) / capacity);
     }
 
-    /** Returns the cost at a worker. */
-    double at(Candidate candidate) {
+    /** Returns the cost of admitting the request at a candidate. */
+    double costAt(Candidate candidate) {
         CacheMissCost cacheMissCost = inputs.cacheMissCost();
         int rank = candidate.affinityRank();
         double value = request.value();
-        double run =
+        double runSeconds =
                 request.work() / candidate.speed()
                         + CACHE_MISS_FACTOR * cacheMissCost.expectedSeconds(rank);
-        double wait = candidate.expectedWaitSeconds();
+        double waitSeconds = candidate.expectedWaitSeconds();
         double missPrice = cacheMissCost.missProbability(rank) * inputs.settings().cacheMissPrice();
-        double failures = inputs.ejection().recentFailures(candidate.worker());
-        double late = lateProbability(wait, Math.max(0, objective - run));
-        return value * (wait + run)
-                + costToLaterArrivals(candidate, run)
-                + (candidate.worker().isInSameZone() ? 0 : crossing)
+        double failureCount = inputs.ejection().recentFailures(candidate.worker());
+        double lateProbability =
+                lateProbability(waitSeconds, Math.max(0, objectiveSeconds - runSeconds));
+        return value * (waitSeconds + runSeconds)
+                + costToLaterArrivals(candidate, runSeconds)
+                + (candidate.worker().isInSameZone() ? 0 : crossZoneCost)
                 + asCost(missPrice)
-                + (failures / FAILURES_OF_FULL_COST + late) * value * objective;
+                + (failureCount / FAILURES_AT_FULL_COST + lateProbability)
+                        * value
+                        * objectiveSeconds;
     }
 
-    private double costToLaterArrivals(Candidate candidate, double run) {
+    private double costToLaterArrivals(Candidate candidate, double runSeconds) {
         int slots = candidate.slots();
         double factor = laterArrivalCost * candidate.speed() * slots;
-        double added = run * request.slots() / slots;
-        return factor * (2 * candidate.backlogSeconds() * added + added * added);
+        double addedSeconds = runSeconds * request.slots() / slots;
+        return factor
+                * (2 * candidate.backlogSeconds() * addedSeconds + addedSeconds * addedSeconds);
     }
 
     /**
-     * Returns a price of the settings, which is in parts of a mean request's value, in the unit of
-     * the cost, by what the request would lose if it were late.
+     * Converts a price of the settings, which is a fraction of the value of a mean request, to the
+     * unit of the cost, by the amount that the request would lose if it were late.
      */
     private double asCost(double price) {
-        return price * inputs.traffic().meanPrice() * objective / request.work() / lateLoss;
+        return price * inputs.traffic().meanPrice() * objectiveSeconds / request.work() / lateLoss;
     }
 
-    /** Returns the probability that a wait of this mean exceeds the slack before the objective. */
-    private static double lateProbability(double wait, double slack) {
-        if (wait * CERTAIN_SLACK_FACTOR < slack) {
+    /**
+     * Returns the probability that a wait with this mean exceeds the slack before the objective.
+     */
+    private static double lateProbability(double waitSeconds, double slackSeconds) {
+        if (waitSeconds * SAFE_SLACK_FACTOR < slackSeconds) {
             return 0;
         }
-        return wait > 0 ? Math.exp(-slack / wait) : 1;
+        return waitSeconds > 0 ? Math.exp(-slackSeconds / waitSeconds) : 1;
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCostInputs.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCostInputs.java
@@ -6,7 +6,7 @@
 import wheelroute.decision.health.OutlierEjection;
 import wheelroute.decision.state.DispatcherGroup;
 
-/** What an {@link AdmittanceCost} depends on besides the request and the worker. */
+/** The values that an {@link AdmittanceCost} depends on besides the request and the worker. */
 public record AdmittanceCostInputs(
         Settings settings,
         TrafficStatistics traffic,
--- a/daemon/src/main/java/wheelroute/decision/routing/AttemptSender.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AttemptSender.java
@@ -9,36 +9,39 @@
 import wheelroute.decision.state.WorkerState;
 import wheelroute.decision.state.WorkerTable;
 
-/** Starts and cancels attempts as decided elsewhere, and keeps the state in step with that. */
+/**
+ * Starts and cancels attempts, and updates the state of requests and workers accordingly. The
+ * decisions are made by other classes.
+ */
 public final class AttemptSender {
-    /** In place of a limit on the response time: the attempt may take until the deadline. */
+    /** The limit passed for an attempt that may take until the deadline of its request. */
     private static final double NO_LIMIT_SECONDS = 0;
 
     private final DecisionClock clock;
     private final ActionHandler actions;
     private final WorkerTable workers;
-    private final SweepTimer sweeps;
+    private final SweepTimer sweepTimer;
     private final boolean mayCancel;
 
     /**
      * Creates the sender of one dispatcher.
      *
-     * @param mayCancel whether attempts of requests that need no answer any more are cancelled
+     * @param mayCancel whether attempts of a request that needs no further answer are cancelled
      */
     public AttemptSender(
             DecisionClock clock,
             ActionHandler actions,
             WorkerTable workers,
-            SweepTimer sweeps,
+            SweepTimer sweepTimer,
             boolean mayCancel) {
         this.clock = clock;
         this.actions = actions;
         this.workers = workers;
-        this.sweeps = sweeps;
+        this.sweepTimer = sweepTimer;
         this.mayCancel = mayCancel;
     }
 
-    /** Starts an attempt at the worker that was chosen. */
+    /** Starts an attempt at the chosen worker. */
     void start(TrackedRequest request, Candidate chosen) {
         double now = clock.now();
         WorkerState worker = chosen.worker();
@@ -49,7 +52,7 @@
         }
         request.add(attempt);
         if (workers.add(attempt)) {
-            sweeps.schedule();
+            sweepTimer.schedule();
         }
         worker.slowStartBudget().recordSent(now, request.work() * request.slots());
         actions.startAttempt(request.request().id(), worker.id(), NO_LIMIT_SECONDS);
@@ -61,7 +64,10 @@
         actions.cancelAttempt(attempt.request().request().id(), attempt.number());
     }
 
-    /** Cancels what is in flight of a request that needs no answer any more, where allowed. */
+    /**
+     * Cancels the attempts in flight of a request that needs no further answer, if the settings
+     * allow it.
+     */
     public void cancelAll(TrackedRequest request) {
         for (int i = 0; i < request.attempts().size() && mayCancel; i++) {
             Attempt attempt = request.attempts().get(i);
--- a/daemon/src/main/java/wheelroute/decision/routing/KeyAffinity.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/KeyAffinity.java
@@ -13,30 +13,38 @@
 import wheelroute.decision.Ids;
 
 /**
- * Estimates at which workers the data of a key is cached: at those that rendezvous hashing prefers
- * for the key, which every dispatcher computes alike from key and endpoint, and at those to which
- * this dispatcher sent the key recently. What a miss costs is decided elsewhere.
+ * Estimates which workers have the data of a key in their caches. These are the workers that
+ * rendezvous hashing prefers for the key, which every dispatcher computes alike from key and
+ * endpoint, and the workers to which this dispatcher sent the key recently. Other classes decide
+ * what a cache miss costs.
  *
  * @param <W> the caller's type of a worker
  */
 public final class KeyAffinity<W> {
-    /** Bounds the memory used where every request has another key. */
+    /**
+     * The number of keys that are remembered, which bounds the memory used if every request has
+     * another key.
+     */
     private static final int MAX_KEYS = 1024;
 
-    /** Workers preferred for a key: the first, and others for when that is busy. */
+    /** The number of workers preferred for a key. The others are used when the first is busy. */
     public static final int PREFERRED_COUNT = 3;
 
     /**
-     * In place of a rank: no miss is expected, as there is no key, or it was sent there recently.
+     * The rank of a worker at which no cache miss is expected, because the request has no key or
+     * its key was sent there recently.
      */
     public static final int CACHED = -1;
 
-    /** A key counts as evicted once this dispatcher has sent the worker so many more attempts. */
-    private static final int CACHED_ATTEMPTS = 8;
+    /**
+     * The number of further attempts sent by this dispatcher to a worker after which a key counts
+     * as evicted there.
+     */
+    private static final int ATTEMPTS_UNTIL_EVICTION = 8;
 
     /**
-     * Weights below this count as this, so that a worker without weight is still preferred for some
-     * keys.
+     * The minimum weight of a worker in the hashing, so that a worker without weight is still
+     * preferred for some keys.
      */
     private static final double MIN_WEIGHT = 0.01;
 
@@ -54,9 +62,9 @@
     private int fleetVersion;
 
     /**
-     * Creates the affinities of keys to workers.
+     * Creates the key affinities of workers, with an empty fleet.
      *
-     * @param endpoints returns the endpoint of a worker
+     * @param endpoints the function from a worker to its endpoint
      */
     public KeyAffinity(Function<W, Endpoint> endpoints) {
         this.endpoints = endpoints;
@@ -68,74 +76,84 @@
         fleetVersion++;
     }
 
-    /** Returns the placement of a key; the least recently used key is evicted. */
+    /**
+     * Returns the placement of a key. A new key evicts the least recently used one when there are
+     * too many.
+     */
     public Placement forKey(Ids.Key key) {
         return placements.computeIfAbsent(key, Placement::new);
     }
 
-    /** The workers of one key. */
+    /** The workers that are expected to have the data of one key. */
     public final class Placement {
         private final long hash;
         private final Map<Ids.Model, List<W>> preferredByModel = new HashMap<>();
-        private final Map<W, Integer> attemptsAtSend = new LinkedHashMap<>();
+        private final Map<W, Integer> attemptCountAtSend = new LinkedHashMap<>();
         private int rankedVersion;
 
         private Placement(Ids.Key key) {
             hash = mix(key.name().hashCode());
         }
 
-        /** Returns the preferred workers of a model, or of all for null, the likeliest first. */
+        /**
+         * Returns the preferred workers of a model, the most preferred first.
+         *
+         * @param model the model; null for workers of any model
+         */
         public List<W> preferred(Ids.Model model) {
             if (rankedVersion != fleetVersion) {
                 rankedVersion = fleetVersion;
                 preferredByModel.clear();
-                attemptsAtSend.keySet().retainAll(fleet);
+                attemptCountAtSend.keySet().retainAll(fleet);
             }
             return preferredByModel.computeIfAbsent(model, this::rank);
         }
 
         /**
-         * Returns the preferred workers by weighted rendezvous hashing: the heavier a worker the
-         * more keys prefer it, and one that comes or goes moves only its own keys.
+         * Computes the preferred workers by weighted rendezvous hashing. A heavier worker is
+         * preferred for more keys, and a worker that is added or removed moves only its own keys.
          */
         private List<W> rank(Ids.Model model) {
-            List<W> nearest = new ArrayList<>(PREFERRED_COUNT + 1);
-            double[] distances = new double[PREFERRED_COUNT + 1];
+            List<W> preferredWorkers = new ArrayList<>(PREFERRED_COUNT + 1);
+            double[] scores = new double[PREFERRED_COUNT + 1];
             for (W worker : fleet) {
                 Endpoint endpoint = endpoints.apply(worker);
                 if (model == null || model.equals(endpoint.model())) {
-                    // The top 53 bits plus a half, so that the draw is above 0 and below 1.
+                    // Adding a half to the top 53 bits keeps the draw above 0 and below 1.
                     double draw = ((mix(hash ^ endpoint.worker().value()) >>> 11) + 0.5) * 0x1p-53;
-                    double distance = -Math.log(draw) / Math.max(MIN_WEIGHT, endpoint.weight());
-                    int position = nearest.size();
-                    for (; position > 0 && distances[position - 1] > distance; position--) {
-                        distances[position] = distances[position - 1];
+                    double score = -Math.log(draw) / Math.max(MIN_WEIGHT, endpoint.weight());
+                    int position = preferredWorkers.size();
+                    for (; position > 0 && scores[position - 1] > score; position--) {
+                        scores[position] = scores[position - 1];
                     }
-                    distances[position] = distance;
-                    nearest.add(position, worker);
-                    if (nearest.size() > PREFERRED_COUNT) {
-                        nearest.remove(PREFERRED_COUNT);
+                    scores[position] = score;
+                    preferredWorkers.add(position, worker);
+                    if (preferredWorkers.size() > PREFERRED_COUNT) {
+                        preferredWorkers.remove(PREFERRED_COUNT);
                     }
                 }
             }
-            return nearest;
+            return preferredWorkers;
         }
 
         void recordAttempt(W worker, int attemptCount) {
-            attemptsAtSend.put(worker, attemptCount);
+            attemptCountAtSend.put(worker, attemptCount);
         }
 
         /**
-         * Calls the action on the workers that the key was sent to recently, and forgets the
-         * others.
+         * Calls the action for each worker that the key was sent to recently, and removes the other
+         * workers.
          *
-         * @param attemptCount returns how many attempts a worker was sent so far
+         * @param attemptCount the function from a worker to the number of attempts sent to the
+         *     worker so far
          */
         public void forEachRecent(ToIntFunction<W> attemptCount, Consumer<W> action) {
-            for (Iterator<Map.Entry<W, Integer>> iterator = attemptsAtSend.entrySet().iterator();
+            for (Iterator<Map.Entry<W, Integer>> iterator =
+                            attemptCountAtSend.entrySet().iterator();
                     iterator.hasNext(); ) {
                 Map.Entry<W, Integer> sent = iterator.next();
-                if (attemptCount.applyAsInt(sent.getKey()) - sent.getValue() < CACHED_ATTEMPTS) {
+                if (attemptCount.applyAsInt(sent.getKey()) - sent.getValue()
+                        < ATTEMPTS_UNTIL_EVICTION) {
                     action.accept(sent.getKey());
                 } else {
                     iterator.remove();
@@ -145,8 +163,8 @@
     }
 
     /**
-     * Returns the finalizer of a 64-bit hash, so that similar keys and ids do not share their
-     * workers.
+     * Returns the result of the finalizer of a 64-bit hash, which keeps similar keys and ids from
+     * sharing their preferred workers.
      */
     private static long mix(long x) {
         long a = (x ^ x >>> 33) * 0xff51afd7ed558ccdL;
--- a/daemon/src/main/java/wheelroute/decision/routing/PlacementResult.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/PlacementResult.java
@@ -1,20 +1,23 @@
 package wheelroute.decision.routing;
 
-/** What became of a request that was to be placed. */
+/** The result of placing a request. */
 public enum PlacementResult {
     ATTEMPT_STARTED,
-    /** No further attempt was started, and one is still in flight. */
+    /** No further attempt was started, and an earlier one is still in flight. */
     AWAITING_ATTEMPT,
     /**
-     * Answered by {@code rejectOrFail}; the reason is the result of {@code
-     * RetryRules.permitAttempt}.
+     * The request was answered by {@code rejectOrFail}, because {@code RetryRules.permitAttempt}
+     * permitted no further attempt.
      */
     ATTEMPT_NOT_PERMITTED,
     /**
-     * Answered by {@code rejectOrFail}; no worker is ready, or {@link WorkerEligibility} excludes
-     * all.
+     * The request was answered by {@code rejectOrFail}, because no worker is ready or {@link
+     * WorkerEligibility} excludes all workers.
      */
     NO_ELIGIBLE_WORKER,
-    /** Answered by {@code rejectOrFail}; the reason is the result of {@code Admission.decide}. */
+    /**
+     * The request was answered by {@code rejectOrFail}, because {@code Admission.decide} admitted
+     * it at no worker.
+     */
     WAIT_TOO_LONG
 }
--- a/daemon/src/main/java/wheelroute/decision/routing/WorkerEligibility.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/WorkerEligibility.java
@@ -9,47 +9,52 @@
 import wheelroute.decision.state.TrackedRequest;
 import wheelroute.decision.state.WorkerState;
 
-/** Whether a ready worker may get a request, or else which rule excludes it. */
+/** Determines whether a ready worker may get a request, or which rule excludes the worker. */
 public record WorkerEligibility(
         DecisionClock clock, RetryRules retryRules, SlowStart slowStart, OutlierEjection ejection) {
-    /** A worker with this many times the mean of attempts per slot, and a few more, is overfull. */
-    private static final double OVERFULL_FACTOR = 2;
+    /**
+     * The multiple of the mean number of attempts per slot above which, with a small allowance, a
+     * worker counts as overloaded.
+     */
+    private static final double OVERLOAD_FACTOR = 2;
 
-    private static final double OVERFULL_SPARE_PER_SLOT = 1;
+    /** Attempts per slot that are allowed on top of that multiple. */
+    private static final double OVERLOAD_ALLOWANCE_PER_SLOT = 1;
 
-    /** Returns whether the worker may get the request. */
-    EligibilityVerdict judge(TrackedRequest request, Candidate candidate, FleetSnapshot fleet) {
+    /** Returns the eligibility of a worker for a request. */
+    Eligibility evaluate(TrackedRequest request, Candidate candidate, FleetSnapshot fleet) {
         WorkerState worker = candidate.worker();
         if (!retryRules.mayRunOn(request, worker)) {
-            return EligibilityVerdict.EXCLUDED_BY_RETRY_RULES;
+            return Eligibility.EXCLUDED_BY_RETRY_RULES;
         }
         if (!slowStart.admits(worker, request)) {
-            return EligibilityVerdict.EXCLUDED_BY_SLOW_START;
+            return Eligibility.EXCLUDED_BY_SLOW_START;
         }
         if (worker.health().isBackingOff(clock.now())) {
-            return EligibilityVerdict.BACKING_OFF;
+            return Eligibility.BACKING_OFF;
         }
         if (!ejection.admits(worker, request)) {
-            return EligibilityVerdict.EJECTED;
+            return Eligibility.EJECTED;
         }
-        return isOverfull(candidate, fleet)
-                ? EligibilityVerdict.OVERFULL
-                : EligibilityVerdict.ELIGIBLE;
+        return isOverloaded(candidate, fleet) ? Eligibility.OVERLOADED : Eligibility.ELIGIBLE;
     }
 
-    /** Whether the worker may get the request if the best one would make it wait too long. */
+    /**
+     * Returns whether the worker may get the request if the request would wait too long at the best
+     * worker.
+     */
     boolean isFallback(TrackedRequest request, Candidate candidate, FleetSnapshot fleet) {
-        return switch (judge(request, candidate, fleet)) {
+        return switch (evaluate(request, candidate, fleet)) {
             case ELIGIBLE -> true;
             case EJECTED ->
-                    !isOverfull(candidate, fleet)
+                    !isOverloaded(candidate, fleet)
                             && ejection.admitsAsFallback(candidate.worker(), request);
-            case OVERFULL, EXCLUDED_BY_RETRY_RULES, EXCLUDED_BY_SLOW_START, BACKING_OFF -> false;
+            case OVERLOADED, EXCLUDED_BY_RETRY_RULES, EXCLUDED_BY_SLOW_START, BACKING_OFF -> false;
         };
     }
 
-    private static boolean isOverfull(Candidate candidate, FleetSnapshot fleet) {
-        double maxPerSlot = OVERFULL_FACTOR * fleet.attemptsPerSlot() + OVERFULL_SPARE_PER_SLOT;
+    private static boolean isOverloaded(Candidate candidate, FleetSnapshot fleet) {
+        double maxPerSlot = OVERLOAD_FACTOR * fleet.attemptsPerSlot() + OVERLOAD_ALLOWANCE_PER_SLOT;
         return candidate.worker().inFlight().size() > candidate.slots() * maxPerSlot;
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/routing/WorkerSelector.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/WorkerSelector.java
@@ -8,36 +8,42 @@
 import wheelroute.decision.state.RandomDraws;
 import wheelroute.decision.state.TrackedRequest;
 
-/** Chooses the worker of least admittance cost among those that may get a request. */
+/** Selects the worker of least admittance cost among those that may get a request. */
 public record WorkerSelector(
         DecisionClock clock,
         FleetEstimates estimates,
         WorkerEligibility eligibility,
         AdmittanceCostInputs costInputs,
         RandomDraws random) {
-    /** Costs this close to the least count as equal, as estimates are no more exact than this. */
+    /**
+     * The relative difference from the least cost up to which costs count as equal. The estimates
+     * are no more exact than this.
+     */
     private static final double TIE_FRACTION = 0.10;
 
-    /** Returns all ready workers as estimated for the request now. */
+    /** Returns the present estimates of all ready workers for the request. */
     FleetSnapshot snapshotFor(TrackedRequest request) {
         return estimates.snapshotFor(request);
     }
 
-    /** Returns the cheapest worker, at random among equals; null where none may get the request. */
+    /**
+     * Returns the cheapest worker, drawn at random among equals; null if no worker may get the
+     * request.
+     */
     Candidate cheapest(TrackedRequest request, FleetSnapshot fleet) {
-        CandidateCosts costs = costsUpTo(EligibilityVerdict.ELIGIBLE, request, fleet);
+        CandidateCosts costs = costsUpTo(Eligibility.ELIGIBLE, request, fleet);
         if (costs.areAllInfinite()) {
-            costs = costsUpTo(EligibilityVerdict.OVERFULL, request, fleet);
+            costs = costsUpTo(Eligibility.OVERLOADED, request, fleet);
         }
         if (costs.areAllInfinite()) {
-            costs = costsUpTo(EligibilityVerdict.EJECTED, request, fleet);
+            costs = costsUpTo(Eligibility.EJECTED, request, fleet);
         }
         return draw(costs);
     }
 
     /**
-     * Returns the cheapest worker that passes a test, among which may be ejected ones that still
-     * answer some requests; null where none does.
+     * Returns the cheapest eligible worker that passes the test; null if there is none. Ejected
+     * workers that still answer some requests are included.
      */
     Candidate cheapestFallback(
             TrackedRequest request, FleetSnapshot fleet, Predicate<Candidate> test) {
@@ -46,22 +52,22 @@
         return draw(costs(request, fleet, isFallback.and(test)));
     }
 
-    /** Whether any worker may get the request now, be it only as a fallback. */
+    /** Returns whether any worker may get the request now, even if only as a fallback. */
     public boolean hasFallback(TrackedRequest request) {
         return cheapestFallback(request, snapshotFor(request), candidate -> true) != null;
     }
 
     private CandidateCosts costsUpTo(
-            EligibilityVerdict worst, TrackedRequest request, FleetSnapshot fleet) {
+            Eligibility worst, TrackedRequest request, FleetSnapshot fleet) {
         return costs(
                 request,
                 fleet,
-                candidate -> worst.includes(eligibility.judge(request, candidate, fleet)));
+                candidate -> worst.includes(eligibility.evaluate(request, candidate, fleet)));
     }
 
     private CandidateCosts costs(
             TrackedRequest request, FleetSnapshot fleet, Predicate<Candidate> mayBeChosen) {
-        var cost = AdmittanceCost.under(costInputs, request, fleet.capacity(), clock.now());
+        var cost = AdmittanceCost.atPresentLoad(costInputs, request, fleet.capacity(), clock.now());
         return CandidateCosts.of(fleet.candidates(), mayBeChosen, cost);
     }
 
--- a/daemon/src/main/java/wheelroute/decision/routing/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Which worker gets a request: the choice by least admittance cost, and the attempt that follows.
+ * The selection of a worker of least admittance cost for each request, and the start of the
+ * attempt.
  */
 package wheelroute.decision.routing;
--- a/daemon/src/main/java/wheelroute/decision/slowstart/SlowStart.java
+++ b/daemon/src/main/java/wheelroute/decision/slowstart/SlowStart.java
@@ -8,13 +8,18 @@
 import wheelroute.decision.state.TrackedRequest;
 import wheelroute.decision.state.WorkerState;
 
-/** Rule 4: this dispatcher's share of what a worker in slow start may be sent within any window. */
+/**
+ * Enforces rule 4 by limiting what this dispatcher sends to a worker in slow start to its share of
+ * what the worker may get within any window.
+ */
 public record SlowStart(
         DecisionClock clock,
         double overloadWindowSeconds,
         TrafficStatistics traffic,
         DispatcherGroup dispatchers) {
-    /** Whether the worker may get this request now; always after its slow start. */
+    /**
+     * Returns whether the worker may get this request now, which is always so after its slow start.
+     */
     public boolean admits(WorkerState worker, TrackedRequest request) {
         double now = clock.now();
         WorkerEstimates estimates = worker.estimates();
@@ -22,8 +27,8 @@
         if (rampFraction >= 1) {
             return true;
         }
-        // The slots that were seen in use by this dispatcher alone, or the work that warm workers
-        // of the model do for all dispatchers, whichever is more.
+        // The work rate follows from the slots that this dispatcher alone has seen in use, or from
+        // the work that warm workers of the model do for all dispatchers, whichever is more.
         ModelStatistics model = worker.model();
         double workRate =
                 Math.max(
--- a/daemon/src/main/java/wheelroute/decision/slowstart/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/slowstart/package-info.java
@@ -1,2 +1,2 @@
-/** How much work a worker may get while it warms up. */
+/** The limit on the work that is sent to a worker while it warms up. */
 package wheelroute.decision.slowstart;
--- a/daemon/src/test/java/wheelroute/decision/PolicyHarness.java
+++ b/daemon/src/test/java/wheelroute/decision/PolicyHarness.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.function.LongPredicate;
 
-/** Drives one policy and records its actions as text. */
+/** Calls one policy with the events of a test and records its actions as text. */
 public final class PolicyHarness implements ActionHandler {
     public static final double START_SECONDS = 100;
     public static final double TIMEOUT_SECONDS = 10;
     private static final int MAX_REQUESTS = 40;
 
-    /** Settings with default values that a test may change. */
+    /** Default settings whose values a test may change. */
     public static final class SettingsFixture {
         public Idempotency idempotency = Idempotency.IDEMPOTENT;
         public IdempotencyScope idempotencyScope = IdempotencyScope.CELL;
@@ -83,10 +83,10 @@
     public final Policy policy;
     public final List<String> actions = new ArrayList<>();
 
-    /** The times for which wakeups were scheduled. */
+    /** The times of the scheduled wakeups, in seconds. */
     public final List<Double> wakeups = new ArrayList<>();
 
-    /** The advice of the last rejection. */
+    /** The advice to retry in the last rejection, in seconds. */
     public double retryAfterSeconds;
 
     public double now = START_SECONDS;
@@ -97,11 +97,11 @@
         policy.advanceTo(now);
     }
 
-    /** Returns the buffers of a message as one text. */
-    public static String text(ByteBuffer[] parts) {
+    /** Returns the content of the buffers as one text. */
+    public static String text(ByteBuffer[] buffers) {
         StringBuilder text = new StringBuilder();
-        for (ByteBuffer part : parts) {
-            text.append(StandardCharsets.UTF_8.decode(part));
+        for (ByteBuffer buffer : buffers) {
+            text.append(StandardCharsets.UTF_8.decode(buffer));
         }
         return text.toString();
     }
@@ -126,8 +126,8 @@
     }
 
     /**
-     * Makes the first so many workers the complete list. Workers 1 and 2 share a cell, 3 shares
-     * their zone, and 4 is in another zone.
+     * Lists the first {@code count} workers as the complete endpoint list. Workers 1 and 2 share a
+     * cell, worker 3 is in the same zone, and worker 4 is in another zone.
      */
     public PolicyHarness listWorkers(int count) {
         List<Endpoint> all =
@@ -201,7 +201,10 @@
         handle.onEnded(attempt, outcome, outcome == Outcome.SUCCEEDED, LoadReport.NONE);
     }
 
-    /** Serves one request, which starts at once and runs for so long; returns its worker. */
+    /**
+     * Serves one request whose attempt starts at once and runs for the given time. Returns its
+     * worker.
+     */
     public long serve(double estimatedWork, double runSeconds) {
         actions.clear();
         RequestHandle handle = accept(estimatedWork);
@@ -212,7 +215,7 @@
         return worker;
     }
 
-    /** Serves enough requests to fill the hedging budget, and clears the actions. */
+    /** Serves enough requests to fill the hedging budget and clears the recorded actions. */
     public PolicyHarness fillHedgingBudget() {
         for (int i = 0; i < MAX_REQUESTS; i++) {
             serve(0.1, 0.1);
@@ -221,7 +224,7 @@
         return this;
     }
 
-    /** Accepts requests until the first rejection; earlier actions are cleared. */
+    /** Clears the recorded actions and accepts requests until the first rejection. */
     public void acceptUntilRejection(double estimatedWork) {
         actions.clear();
         for (int i = 0; i < MAX_REQUESTS && countActions("reject") == 0; i++) {
@@ -229,26 +232,29 @@
         }
     }
 
-    /** Runs requests one after the other; returns the number of attempts at bad workers. */
+    /**
+     * Serves requests one after the other. Attempts at bad workers end with the given outcome,
+     * others succeed. Returns the number of attempts at bad workers.
+     */
     public int attemptsAtBadWorkers(
             int requests, double estimatedWork, LongPredicate isBad, Outcome outcome) {
-        int toBad = 0;
+        int badAttempts = 0;
         for (int i = 0; i < requests; i++) {
             RequestHandle handle = accept(estimatedWork);
             for (int attempt = 0; !handle.isComplete(); attempt++) {
                 boolean bad = isBad.test(lastWorker());
-                toBad += bad ? 1 : 0;
+                badAttempts += bad ? 1 : 0;
                 advance(0.02).endAttempt(handle, attempt, bad ? outcome : Outcome.SUCCEEDED);
             }
         }
-        return toBad;
+        return badAttempts;
     }
 
     public String lastAction() {
         return actions.isEmpty() ? "" : actions.get(actions.size() - 1);
     }
 
-    /** Returns the worker of the last attempt, or 0 if the last action is another one. */
+    /** Returns the worker of the last attempt; 0 if the last action is not an attempt. */
     public long lastWorker() {
         String last = lastAction();
         return last.startsWith("attempt ")
@@ -283,7 +289,7 @@
 
     @Override
     public void scheduleWakeup(double delaySeconds) {
-        // Only recorded: the tests call onWakeup themselves.
+        // The time is only recorded, because the tests call onWakeup themselves.
         wakeups.add(now + delaySeconds);
     }
 
--- a/daemon/src/test/java/wheelroute/decision/admission/AdmissionTest.java
+++ b/daemon/src/test/java/wheelroute/decision/admission/AdmissionTest.java
@@ -13,13 +13,13 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Which requests are rejected because they would wait too long. */
+/** Tests that requests are rejected if they would wait too long. */
 public class AdmissionTest {
     private static PolicyHarness harness() {
         return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(2);
     }
 
-    /** Where starts are not reported, only progress shows that an attempt has begun. */
+    /** If starts are not reported, only progress shows that an attempt has begun. */
     @Test
     public void rejectsOnceProgressOfAnEarlierAttemptIsOverdue() {
         PolicyHarness.SettingsFixture fixture = new PolicyHarness.SettingsFixture();
@@ -31,12 +31,18 @@
         first.onEnded(0, Outcome.SUCCEEDED, true, new LoadReport(3));
         harness.accept(0.1);
         harness.advanceWithWakeups(15).accept(0.1);
-        assertEquals(harness.countActions("reject"), 0, "progress is not overdue yet");
+        assertEquals(
+                harness.countActions("reject"),
+                0,
+                "a request was rejected before progress was overdue");
         harness.advanceWithWakeups(8).accept(0.1);
         assertEquals(harness.lastAction().substring(0, 6), "reject");
     }
 
-    /** A retry is harmless only before the first attempt, so a rejection must come that early. */
+    /**
+     * A retry by the client is safe only before the first attempt, so a rejection must come that
+     * early.
+     */
     @Test
     public void rejectsUnderOverloadBeforeFirstAttempt() {
         PolicyHarness harness =
@@ -62,7 +68,9 @@
         assertTrue(harness.lastAction().startsWith("attempt"), harness.actions.toString());
     }
 
-    /** A class with a long objective must not fill the queues in which another starves. */
+    /**
+     * A class with a long objective must not fill the queues in which another class then starves.
+     */
     @Test
     public void limitsWaitOfEachClassByThatOfTheShortestObjective() {
         PolicyHarness harness =
@@ -99,7 +107,7 @@
         assertTrue(harness.lastAction().startsWith(nextAction), harness.lastAction());
     }
 
-    /** The cheapest worker may be a fast one with a queue. */
+    /** The worker of least cost may be a fast one with a queue while a slower one is idle. */
     @Test
     public void choosesIdleWorkerBeforeRejecting() {
         PolicyHarness harness = harness();
@@ -116,13 +124,16 @@
                 harness.actions.toString());
     }
 
-    /** Waits that have ended are the shorter ones; those that have not must count as well. */
+    /**
+     * Waits that have ended tend to be the shorter ones, so the waits of attempts that have not
+     * started must count as well.
+     */
     @Test
     public void countsWaitsOfAttemptsThatHaveNotStarted() {
         PolicyHarness harness = harness();
         RequestHandle slow = harness.accept(0.1);
         harness.advance(3);
-        // After such a wait the worker does not count as unresponsive at the next one.
+        // After such a long wait the worker does not count as unresponsive at the next one.
         slow.onStarted(0);
         harness.endAttempt(slow, 0, Outcome.SUCCEEDED);
         harness.advance(100).accept(0.1);
--- a/daemon/src/test/java/wheelroute/decision/endpoints/EndpointLeaseTest.java
+++ b/daemon/src/test/java/wheelroute/decision/endpoints/EndpointLeaseTest.java
@@ -12,7 +12,10 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Rule 3: how long an unconfirmed endpoint list is used. */
+/**
+ * Tests rule 3 for an endpoint list that is not confirmed, which may be used only for a limited
+ * time.
+ */
 public class EndpointLeaseTest {
     private static final double DURATION_SECONDS =
             EndpointLease.NOTIFICATION_LIMIT_SECONDS + 2 - EndpointLease.MARGIN_SECONDS;
@@ -26,7 +29,8 @@
     @DataProvider
     public Object[][] ages() {
         return new Object[][] {
-            // discovery is overloaded, seconds since the list was confirmed, the list is used
+            // whether discovery is overloaded, seconds since the list was confirmed, whether the
+            // list is used
             {true, DURATION_SECONDS - 0.01, true},
             {true, DURATION_SECONDS + 0.01, false},
             {false, DURATION_SECONDS + 0.01, true},
--- a/daemon/src/test/java/wheelroute/decision/endpoints/EndpointUpdatesTest.java
+++ b/daemon/src/test/java/wheelroute/decision/endpoints/EndpointUpdatesTest.java
@@ -13,7 +13,7 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Rule 3: which workers may be sent to after a change of the endpoint list. */
+/** Tests rule 3 for changes of the endpoint list, after which only some workers may be sent to. */
 public class EndpointUpdatesTest {
     @DataProvider
     public Object[][] statesWithoutRequests() {
@@ -55,8 +55,8 @@
     @DataProvider
     public Object[][] removals() {
         return new Object[][] {
-            // whether removals are advisory, the states listed for worker 1 in turn (none for a
-            // complete list without it), whether it may be sent to
+            // whether removals are advisory, states listed for worker 1 in turn (none for a
+            // complete list without that worker), whether worker 1 may be sent to
             {false, List.of(State.REMOVED), false},
             {true, List.of(State.REMOVED), true},
             {true, List.of(State.DRAINING), false},
--- a/daemon/src/test/java/wheelroute/decision/health/OutlierEjectionTest.java
+++ b/daemon/src/test/java/wheelroute/decision/health/OutlierEjectionTest.java
@@ -13,7 +13,7 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Which workers are ejected, and what an ejected worker gets. */
+/** Tests the ejection of workers and the requests that an ejected worker still gets. */
 public class OutlierEjectionTest {
     private static PolicyHarness harness() {
         return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(2);
@@ -36,7 +36,7 @@
                 harness.attemptsAtBadWorkers(12, 0.1, worker -> worker == 1, outcome) <= 3, ejects);
     }
 
-    /** Requests that fail on every worker cost one attempt each. */
+    /** Requests that fail on every worker must cost only one attempt each. */
     @Test
     public void ejectsNoWorkerWhileErrorsAreAttributedToRequests() {
         PolicyHarness harness =
@@ -52,11 +52,11 @@
             }
             lateAttempts += i >= 40 && bad ? harness.countActions("attempt") : 0;
         }
-        assertEquals(lateAttempts, 10, "one attempt for each request that fails");
+        assertEquals(lateAttempts, 10, "attempts of the last ten failing requests");
         assertEquals(harness.policy.avoidedEndpoints(), 0);
     }
 
-    /** The retries that blamed requests are forgotten after a while. */
+    /** The retries by which errors were attributed to requests count only for a limited time. */
     @Test
     public void ejectsFailingWorkerAfterErrorsWereAttributedToRequests() {
         PolicyHarness harness =
@@ -70,11 +70,12 @@
                 harness.attemptsAtBadWorkers(30, 0.1, worker -> worker == 1, Outcome.FAILED) <= 4);
     }
 
-    /** A worker that fails fast has no queue, and would look cheapest. */
+    /** A worker that fails fast has no queue and would have the least cost. */
     @Test
     public void ejectsWorkerThatFailsFast() {
-        int toBad = harness().attemptsAtBadWorkers(100, 0.1, worker -> worker == 1, Outcome.FAILED);
-        assertTrue(toBad < 12, "attempts to the failing worker: " + toBad);
+        int attemptsAtFailing =
+                harness().attemptsAtBadWorkers(100, 0.1, worker -> worker == 1, Outcome.FAILED);
+        assertTrue(attemptsAtFailing < 12, "attempts at the failing worker: " + attemptsAtFailing);
     }
 
     @Test
@@ -91,10 +92,12 @@
     public void ejectsMoreThanHalfOfTheWorkersIfTheyFail() {
         PolicyHarness harness =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(4);
-        int toUnreachable =
+        int attemptsAtUnreachable =
                 harness.attemptsAtBadWorkers(
                         100, 0.01, worker -> worker > 1, Outcome.CONNECT_FAILED);
-        assertTrue(toUnreachable < 20, "attempts to unreachable workers: " + toUnreachable);
+        assertTrue(
+                attemptsAtUnreachable < 20,
+                "attempts at unreachable workers: " + attemptsAtUnreachable);
     }
 
     @DataProvider
@@ -104,7 +107,7 @@
             // worker gets while the other one's queue grows
             {Idempotency.IDEMPOTENT, IdempotencyScope.CELL, 0.0, 1L},
             {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.ALL, 0.0, 1L},
-            // After an error there, these could be retried only within the scope or not at all.
+            // After an error, these requests could be retried only within the scope or not at all.
             {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.ZONE, 0.0, 0L},
             {Idempotency.IDEMPOTENT_BY_KEY, IdempotencyScope.CELL, 0.0, 0L},
             {Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, 0.0, 0L},
@@ -112,7 +115,10 @@
         };
     }
 
-    /** The worker still answers half of its requests. */
+    /**
+     * An ejected worker that still answers half of its requests must be used before requests are
+     * rejected.
+     */
     @Test(dataProvider = "fallbacks")
     public void usesEjectedWorkerThatStillAnswersBeforeRejecting(
             Idempotency idempotency,
@@ -123,7 +129,8 @@
                 PolicyHarness.of(idempotency, scope)
                         .listWorkers(2)
                         .updateWorker(2, Double.NaN, State.DRAINING);
-        // The next trial of the ejected worker is due only after the end of this test.
+        // These failures delay the next trial of the ejected worker until after the end of this
+        // test.
         for (int i = 0; i < 5; i++) {
             for (Outcome outcome : new Outcome[] {Outcome.FAILED, Outcome.SUCCEEDED}) {
                 RequestHandle handle = harness.accept(0.1);
--- a/daemon/src/test/java/wheelroute/decision/health/UnresponsiveWorkerDetectorTest.java
+++ b/daemon/src/test/java/wheelroute/decision/health/UnresponsiveWorkerDetectorTest.java
@@ -14,13 +14,15 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Workers and attempts without a response, and the hedged requests for them. */
+/**
+ * Tests the detection of workers and attempts without a response, and the hedged requests for them.
+ */
 public class UnresponsiveWorkerDetectorTest {
     private static PolicyHarness harness() {
         return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(2);
     }
 
-    /** A worker that hangs starts nothing, which alone would look as if it were busy. */
+    /** A worker that hangs starts no attempt, which alone would look as if the worker were busy. */
     @Test
     public void ejectsUnresponsiveWorkerAndHedgesItsAttempt() {
         PolicyHarness harness = harness().fillHedgingBudget();
@@ -37,7 +39,7 @@
     @DataProvider
     public Object[][] attemptsWithoutProgress() {
         // idempotency, progress reports of the attempt (one per second), tenths of a second that
-        // pass without its worker becoming unresponsive, cancels
+        // pass without its worker becoming unresponsive, number of cancellations
         return new Object[][] {
             {Idempotency.IDEMPOTENT, 0, 24, 1},
             {Idempotency.IDEMPOTENT, 9, 80, 0},
@@ -46,7 +48,7 @@
         };
     }
 
-    /** A single connection may hang at a worker that answers on the others. */
+    /** A single connection may hang at a worker that responds on its other connections. */
     @Test(dataProvider = "attemptsWithoutProgress")
     public void cancelsSingleUnresponsiveAttemptIfItMayBeRetried(
             Idempotency idempotency, int progressReports, int tenths, int cancels) {
@@ -56,18 +58,19 @@
         fixture.reportsStart = false;
         fixture.progressIntervalSeconds = 1;
         PolicyHarness harness = new PolicyHarness(fixture).listWorkers(2);
-        // Two run at a time, so that other requests need not wait for the unresponsive attempt.
-        List<RequestHandle> two =
+        // Two attempts run at a time at a worker, so other requests need not wait for the
+        // unresponsive attempt.
+        List<RequestHandle> concurrent =
                 List.of(
                         harness.accept(1.2),
                         harness.accept(1.2),
                         harness.accept(1.2),
                         harness.accept(1.2));
         harness.advance(1.1);
-        two.forEach(handle -> handle.onProgress(0, 0.9));
+        concurrent.forEach(handle -> handle.onProgress(0, 0.9));
         harness.advance(0.1).policy.onWakeup();
-        two.forEach(handle -> harness.endAttempt(handle, 0, Outcome.SUCCEEDED));
-        // Worker 1 is faster, so that the other requests go there too.
+        concurrent.forEach(handle -> harness.endAttempt(handle, 0, Outcome.SUCCEEDED));
+        // Worker 1 is faster, so the other requests go there too.
         for (int i = 0; i < 60; i++) {
             RequestHandle handle = harness.accept(0.1);
             harness.advance(harness.lastWorker() == 1 ? 0.1 : 0.5)
@@ -86,7 +89,7 @@
         assertEquals(harness.countActions("cancel"), cancels, harness.actions.toString());
     }
 
-    /** When no worker responds, hedging all requests would add to the overload. */
+    /** If no worker responds, hedging all requests would add to the overload. */
     @Test
     public void limitsHedgedRequestsByBudget() {
         PolicyHarness harness =
--- a/daemon/src/test/java/wheelroute/decision/health/WorkerHealthTest.java
+++ b/daemon/src/test/java/wheelroute/decision/health/WorkerHealthTest.java
@@ -6,7 +6,7 @@
 
 import org.testng.annotations.Test;
 
-/** The states of a worker's health. */
+/** Tests the states of a worker's health. */
 public class WorkerHealthTest {
     private static final double FIRST_DELAY_SECONDS = 0.5;
 
--- a/daemon/src/test/java/wheelroute/decision/order/KeyOrderTest.java
+++ b/daemon/src/test/java/wheelroute/decision/order/KeyOrderTest.java
@@ -16,8 +16,8 @@
 import wheelroute.decision.RequestHandle;
 
 /**
- * The order of keys: their requests run one at a time, in the order of acceptance, and a key is
- * blocked after an attempt that may still run.
+ * Tests that the requests of a key run one at a time, in the order of acceptance, and that the key
+ * is blocked after an attempt that may still be running.
  */
 public class KeyOrderTest {
     private static final double OBJECTIVE_SECONDS = 1;
@@ -46,7 +46,8 @@
     @DataProvider
     public Object[][] secondRequests() {
         return new Object[][] {
-            // class and key of the second request, the classes are ordered, it begins at once
+            // class and key of the second request, whether the classes are ordered, whether the
+            // second request begins at once
             {"job", "a", true, false},
             {"batch", "a", true, false},
             {"job", "b", true, true},
@@ -138,12 +139,14 @@
         harness.endAttempt(first, 1, Outcome.SUCCEEDED);
         harness.advance(0.19).policy.onWakeup();
         assertEquals(
-                harness.countActions("attempt 2 "), 0, "the first attempt may still be running");
+                harness.countActions("attempt 2 "),
+                0,
+                "the second request began while the first attempt may still be running");
         harness.advance(0.02).policy.onWakeup();
         assertEquals(harness.countActions("attempt 2 "), 1);
     }
 
-    /** The key of a client that is gone stays blocked until its attempt has ended. */
+    /** A key stays blocked until the attempt of a client that is gone has ended. */
     @Test
     public void skipsRequestsOfClientsThatAreGone() {
         PolicyHarness harness = harness();
@@ -168,12 +171,12 @@
             harness.accept("job", "t", 0.2, harness.now + PolicyHarness.TIMEOUT_SECONDS, "a");
         }
         long rejected = harness.countActions("reject");
-        assertTrue(rejected >= 20, "rejected " + rejected);
+        assertTrue(rejected >= 20, "rejected requests: " + rejected);
         assertEquals(harness.countActions("attempt"), 1);
         assertTrue(
                 harness.retryAfterSeconds >= OBJECTIVE_SECONDS
                         && harness.retryAfterSeconds <= fixture.maxRetryAfterSeconds,
-                "advice to retry after " + harness.retryAfterSeconds);
+                "advised seconds before a retry: " + harness.retryAfterSeconds);
     }
 
     @Test
@@ -181,12 +184,12 @@
         fixture.batchPriorityWeight = 0.1;
         PolicyHarness harness = harness();
         harness.accept("job", "t", 0.5, harness.now + PolicyHarness.TIMEOUT_SECONDS, "a");
-        RequestHandle lesser =
+        RequestHandle lessValuable =
                 harness.accept("batch", "t", 3, harness.now + PolicyHarness.TIMEOUT_SECONDS, "a");
-        RequestHandle more =
+        RequestHandle moreValuable =
                 harness.accept("job", "t", 0.1, harness.now + PolicyHarness.TIMEOUT_SECONDS, "a");
-        assertTrue(lesser.isComplete());
-        assertFalse(more.isComplete());
+        assertTrue(lessValuable.isComplete());
+        assertFalse(moreValuable.isComplete());
         assertEquals(harness.actions.get(harness.actions.size() - 1), "reject 2");
     }
 
@@ -195,7 +198,10 @@
         return new Object[][] {{0.15}, {0.5}, {0.9}};
     }
 
-    /** The first request of the key never ends. */
+    /**
+     * The first request of the key never ends, so the waiting one must be rejected before its
+     * deadline.
+     */
     @Test(dataProvider = "timeouts")
     public void rejectsWaitingRequestBeforeItsDeadline(double timeoutSeconds) {
         PolicyHarness harness = harness();
@@ -207,7 +213,12 @@
         }
         assertTrue(
                 waiting.isComplete() && harness.now < deadline,
-                "answered by " + harness.now + " of " + deadline);
+                "answered: "
+                        + waiting.isComplete()
+                        + ", time: "
+                        + harness.now
+                        + ", deadline: "
+                        + deadline);
         waiting.onDeadline();
         waiting.onClientGone();
         assertEquals(harness.countActions("reject"), 1, harness.actions.toString());
@@ -221,7 +232,10 @@
         accept(harness, "a");
         second.onDeadline();
         first.onDeadline();
-        assertEquals(harness.countActions("reject"), 1, "the first still has an attempt in flight");
+        assertEquals(
+                harness.countActions("reject"),
+                1,
+                "a request with an attempt in flight must not be rejected");
         harness.endAttempt(first, 0, Outcome.SUCCEEDED);
         assertEquals(harness.lastAction().substring(0, 9), "attempt 3");
     }
@@ -230,16 +244,16 @@
     public void keepsOrderAndQuietPeriodsInRandomHistories() {
         for (int seed = 0; seed < 20; seed++) {
             fixture.idempotency = Idempotency.values()[seed % 3];
-            RandomHistory history = new RandomHistory(seed, harness());
+            RandomEventSequence sequence = new RandomEventSequence(seed, harness());
             for (int step = 0; step < 400; step++) {
-                history.step(step < 200);
-                history.check();
+                sequence.step(step < 200);
+                sequence.check();
             }
         }
     }
 
-    /** Requests of three keys that are accepted and end at random. */
-    private final class RandomHistory {
+    /** A random sequence of events in which requests of three keys are accepted and end. */
+    private final class RandomEventSequence {
         private final int seed;
         private final Random random;
         private final PolicyHarness harness;
@@ -249,7 +263,7 @@
         private final double[] quietUntil = new double[3];
         private int checked;
 
-        RandomHistory(int seed, PolicyHarness harness) {
+        RandomEventSequence(int seed, PolicyHarness harness) {
             this.seed = seed;
             this.harness = harness;
             random = new Random(seed);
@@ -257,31 +271,31 @@
 
         void step(boolean mayAccept) {
             harness.advance(0.01 + 0.05 * random.nextDouble());
-            int pick = handles.isEmpty() ? 0 : random.nextInt(handles.size());
+            int index = handles.isEmpty() ? 0 : random.nextInt(handles.size());
             if (mayAccept && random.nextInt(3) == 0) {
                 keys.add(random.nextInt(3));
                 inFlight.add(new ArrayList<>());
                 handles.add(accept(harness, "k" + keys.get(keys.size() - 1)));
-            } else if (!handles.isEmpty() && !inFlight.get(pick).isEmpty()) {
-                end(pick);
+            } else if (!handles.isEmpty() && !inFlight.get(index).isEmpty()) {
+                end(index);
             } else {
                 harness.policy.onWakeup();
             }
         }
 
-        private void end(int pick) {
+        private void end(int index) {
             Outcome[] outcomes = Outcome.values();
             Outcome outcome =
                     random.nextInt(3) > 0
                             ? Outcome.SUCCEEDED
                             : outcomes[random.nextInt(outcomes.length)];
-            int number = inFlight.get(pick).remove(0);
+            int number = inFlight.get(index).remove(0);
             if (outcome.mayStillRun()) {
-                int key = keys.get(pick);
+                int key = keys.get(index);
                 quietUntil[key] =
                         Math.max(quietUntil[key], harness.now + fixture.keyQuietPeriodSeconds);
             }
-            harness.endAttempt(handles.get(pick), number, outcome);
+            harness.endAttempt(handles.get(index), number, outcome);
         }
 
         /** Checks the order and the quiet period of every attempt since the last check. */
@@ -306,11 +320,17 @@
             for (int other = 0; other < id; other++) {
                 assertTrue(
                         !keys.get(other).equals(keys.get(id)) || handles.get(other).isComplete(),
-                        "seed " + seed + ": " + id + " before " + other + " was complete");
+                        "seed "
+                                + seed
+                                + ": request "
+                                + id
+                                + " began before request "
+                                + other
+                                + " was complete");
             }
             assertTrue(
                     number > 0 || harness.now >= quietUntil[keys.get(id)],
-                    "began within a quiet period");
+                    "seed " + seed + ": request " + id + " began within a quiet period");
         }
     }
 }
--- a/daemon/src/test/java/wheelroute/decision/retry/HedgingBudgetTest.java
+++ b/daemon/src/test/java/wheelroute/decision/retry/HedgingBudgetTest.java
@@ -5,7 +5,7 @@
 
 import org.testng.annotations.Test;
 
-/** How many hedged requests are allowed for the accepted ones. */
+/** Tests the number of hedged requests that the accepted requests allow. */
 public class HedgingBudgetTest {
     private static int hedgesAfter(int acceptedRequests) {
         HedgingBudget budget = new HedgingBudget();
--- a/daemon/src/test/java/wheelroute/decision/retry/RetryRulesTest.java
+++ b/daemon/src/test/java/wheelroute/decision/retry/RetryRulesTest.java
@@ -12,7 +12,10 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Rules 1 and 2: whether a request is attempted again, and its one final answer. */
+/**
+ * Tests rules 1 and 2, by which a request is attempted again only if that is safe and gets one
+ * final answer.
+ */
 public class RetryRulesTest {
     @DataProvider
     public Object[][] afterOneOutcome() {
@@ -60,7 +63,7 @@
     public Object[][] retriesByKey() {
         return new Object[][] {
             // scope, seconds from the send to the first end, outcome of all attempts, final answer,
-            // maximum of attempts
+            // maximum number of attempts
             {IdempotencyScope.CELL, 0.1, Outcome.FAILED, "fail", 3},
             {IdempotencyScope.ZONE, 0.1, Outcome.FAILED, "fail", 4},
             {IdempotencyScope.ALL, 0.1, Outcome.FAILED, "reject", 6},
@@ -69,7 +72,9 @@
         };
     }
 
-    /** Each attempt may have run, so retries stay in the scope and the window of the key. */
+    /**
+     * Each attempt may have run, so retries must stay within the scope and the window of the key.
+     */
     @Test(dataProvider = "retriesByKey")
     public void retriesByKeyWithinScopeAndWindow(
             IdempotencyScope scope, double afterSeconds, Outcome outcome, String answer, int max) {
@@ -85,10 +90,10 @@
         while (!handle.isComplete()) {
             harness.endAttempt(handle, attempt++, outcome);
             if (scope == IdempotencyScope.CELL && harness.lastWorker() > 0) {
-                assertEquals(harness.lastWorker() < 3, first < 3, "a retry left the cell");
+                assertEquals(harness.lastWorker() < 3, first < 3, "a retry went to another cell");
             }
             if (scope == IdempotencyScope.ZONE && harness.lastWorker() > 0) {
-                assertEquals(harness.lastWorker() == 4, first == 4, "a retry left the zone");
+                assertEquals(harness.lastWorker() == 4, first == 4, "a retry went to another zone");
             }
         }
         assertTrue(harness.lastAction().startsWith(answer), harness.actions.toString());
@@ -98,13 +103,13 @@
         assertEquals(
                 harness.countActions("fail") + harness.countActions("reject"),
                 1,
-                "one final answer");
+                "number of final answers");
     }
 
     @DataProvider
     public Object[][] casesWithoutFurtherAttempt() {
         return new Object[][] {
-            // workers listed, seconds to the deadline, attempts allowed, attempts made
+            // listed workers, seconds to the deadline, allowed attempts, attempts made
             {0, 10.0, 6, 0},
             {4, 0.0, 6, 0},
             {4, -1.0, 6, 0},
@@ -162,7 +167,9 @@
         harness.advanceWithWakeups(40);
         assertEquals(harness.countActions("attempt"), 1);
         assertEquals(
-                harness.countActions("cancel"), 1, "the unresponsive attempt is cancelled first");
+                harness.countActions("cancel"),
+                1,
+                "the unresponsive attempt must be cancelled first");
         harness.endAttempt(handle, 0, Outcome.CANCELLED);
         assertEquals(harness.countActions("attempt"), 2);
     }
--- a/daemon/src/test/java/wheelroute/decision/routing/KeyAffinityTest.java
+++ b/daemon/src/test/java/wheelroute/decision/routing/KeyAffinityTest.java
@@ -15,7 +15,7 @@
 import wheelroute.decision.Ids;
 import wheelroute.decision.estimates.CacheMissCost;
 
-/** Which workers are preferred for a key, and the learned cost of a cache miss. */
+/** Tests the workers that are preferred for a key, and the learned cost of a cache miss. */
 public class KeyAffinityTest {
     private static final int KEYS = 400;
 
@@ -48,7 +48,10 @@
         return new Ids.Key(String.format("%016x", 77L * i));
     }
 
-    /** Dispatchers exchange nothing about keys, and list the workers in different orders. */
+    /**
+     * Dispatchers exchange nothing about keys and list the workers in different orders, so the
+     * preference must depend only on key and endpoints.
+     */
     @Test
     public void allDispatchersPreferTheSameWorkers() {
         List<Endpoint> fleet = fleet(20);
@@ -77,10 +80,12 @@
         int moved = 0;
         for (int i = 0; i < KEYS; i++) {
             Endpoint now = affinity.forKey(key(i)).preferred(null).get(0);
-            assertTrue(now == before.get(i) || before.get(i) == lost, "key " + i);
+            assertTrue(
+                    now == before.get(i) || before.get(i) == lost,
+                    "key moved from a worker that was not removed: " + i);
             moved += now != before.get(i) ? 1 : 0;
         }
-        assertTrue(moved > KEYS / 50 && moved < KEYS / 8, "moved " + moved);
+        assertTrue(moved > KEYS / 50 && moved < KEYS / 8, "keys moved: " + moved);
     }
 
     @Test
@@ -97,7 +102,7 @@
     @DataProvider
     public Object[][] weights() {
         return new Object[][] {
-            // weight of one of ten workers, the least and the most of 400 keys that prefer it
+            // weight of one of ten workers, minimum and maximum number of 400 keys that prefer it
             {1.0, 20, 65},
             {4.0, 85, 165},
             {0.0, 0, 8},
@@ -119,7 +124,8 @@
             preferredCount += first == heavy ? 1 : 0;
         }
         assertTrue(
-                preferredCount >= min && preferredCount <= max, "preferred for " + preferredCount);
+                preferredCount >= min && preferredCount <= max,
+                "keys that prefer the worker: " + preferredCount);
         assertTrue(all.size() >= 9);
     }
 
@@ -133,7 +139,8 @@
             Set<Endpoint> recent = new HashSet<>();
             int now = attempts;
             key.forEachRecent(w -> now, recent::add);
-            assertEquals(recent.contains(sentTo), attempts < 18, "after " + (attempts - 10));
+            assertEquals(
+                    recent.contains(sentTo), attempts < 18, "later attempts: " + (attempts - 10));
         }
     }
 
@@ -151,8 +158,8 @@
     @DataProvider
     public Object[][] missTimes() {
         return new Object[][] {
-            // seconds by which a run without cached data takes longer, the least and the most that
-            // is learned
+            // seconds by which a run without cached data takes longer, minimum and maximum of the
+            // learned cost
             {0.0, 0.0, 0.01},
             {0.5, 0.45, 0.55},
             {3.0, 2.8, 3.2},
@@ -160,7 +167,7 @@
         };
     }
 
-    /** The noise of long jobs must not hide what short jobs show. */
+    /** The noise of long jobs must not hide the cost that short jobs show. */
     @Test(dataProvider = "missTimes")
     public void learnsCostOfMissFromJobsOfDifferentSize(
             double missSeconds, double min, double max) {
@@ -177,7 +184,7 @@
         }
         missCost.update(1);
         double learned = missCost.expectedSeconds(KeyAffinity.PREFERRED_COUNT);
-        assertTrue(learned >= min && learned <= max, "learned " + learned);
+        assertTrue(learned >= min && learned <= max, "learned cost in seconds: " + learned);
         assertEquals(missCost.expectedSeconds(KeyAffinity.CACHED), 0.0);
         assertEquals(
                 missCost.missProbability(KeyAffinity.PREFERRED_COUNT), learned > 0 ? 1.0 : 0.0);
--- a/daemon/src/test/java/wheelroute/decision/routing/WorkerSelectorTest.java
+++ b/daemon/src/test/java/wheelroute/decision/routing/WorkerSelectorTest.java
@@ -17,7 +17,7 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Which worker is chosen: cost, ties, key affinity and zones. */
+/** Tests the choice of a worker by cost, ties, key affinity and zones. */
 public class WorkerSelectorTest {
     private static PolicyHarness harness() {
         return PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(2);
@@ -34,7 +34,10 @@
         };
     }
 
-    /** Equal workers but for speed and backlog: the least of b(u+a) + kappa(2ua+a²). */
+    /**
+     * The workers differ only in speed and backlog, so the chosen one has the least b(u+a) +
+     * kappa(2ua+a²).
+     */
     @Test(dataProvider = "costs")
     public void choosesWorkerOfLeastAdmittanceCost(
             double speed1, double speed2, double workInFlight, long chosen) {
@@ -70,7 +73,10 @@
         assertEquals(chosen, Set.of(1L, 2L));
     }
 
-    /** Two dispatchers that share no state prefer the same worker for a key, unless it is busy. */
+    /**
+     * Two dispatchers that share no state must prefer the same worker for a key, unless the worker
+     * is busy.
+     */
     @Test
     public void sendsRequestsOfKeyToItsPreferredWorker() {
         Set<Long> preferred = new HashSet<>();
@@ -94,14 +100,14 @@
 
     @DataProvider
     public Object[][] missCosts() {
-        // seconds that a miss takes, the least and the most of 20 new keys that go to the fastest
-        // of three workers
+        // seconds that a cache miss takes, minimum and maximum number of 20 new keys that go to the
+        // fastest of three workers
         return new Object[][] {{0.0, 13, 20}, {0.3, 0, 11}};
     }
 
     /**
-     * While workers are busy, keys are sent to others than the preferred ones. What that costs is
-     * learned, and decides whether a new key goes to the fastest worker.
+     * While workers are busy, keys are sent to workers that are not preferred. The cost of that is
+     * learned and decides whether a new key goes to the fastest worker.
      */
     @Test(dataProvider = "missCosts")
     public void learnsCostOfCacheMiss(double missSeconds, int min, int max) {
@@ -111,15 +117,17 @@
         for (int i = 0; i < 200; i++) {
             runThreeAtOnce(harness, 3 * i, missSeconds, cached);
         }
-        int fastest = 0;
+        int fastestCount = 0;
         for (int i = 10; i < 30; i++) {
             harness.actions.clear();
             RequestHandle handle = acceptWithKey(harness, "key" + i);
-            fastest += harness.lastWorker() == 2 ? 1 : 0;
+            fastestCount += harness.lastWorker() == 2 ? 1 : 0;
             harness.endAttempt(handle, 0, Outcome.CANCELLED);
             handle.onClientGone();
         }
-        assertTrue(fastest >= min && fastest <= max, "went to the fastest: " + fastest);
+        assertTrue(
+                fastestCount >= min && fastestCount <= max,
+                "requests at the fastest worker: " + fastestCount);
     }
 
     private static RequestHandle acceptWithKey(PolicyHarness harness, String key) {
@@ -127,7 +135,10 @@
         return harness.accept("job", "t", 0.1, deadline, key);
     }
 
-    /** Runs three requests to their ends; worker 2 is twice as fast as the others. */
+    /**
+     * Runs three requests at the same time until they have ended. Worker 2 is twice as fast as the
+     * others.
+     */
     private static void runThreeAtOnce(
             PolicyHarness harness, int firstKey, double missSeconds, Set<String> cached) {
         List<RequestHandle> handles = new ArrayList<>();
@@ -169,7 +180,10 @@
         harness.serve(0.1, 0.1);
     }
 
-    /** The price of another zone is divided by the work, so an estimate of 0 must not count. */
+    /**
+     * The price of another zone is divided by the work, so an estimate of 0 must not be used as the
+     * work.
+     */
     @Test
     public void sendsRequestWithEstimateOfZeroToAnotherZone() {
         PolicyHarness harness =
--- a/daemon/src/test/java/wheelroute/decision/slowstart/SlowStartBudgetTest.java
+++ b/daemon/src/test/java/wheelroute/decision/slowstart/SlowStartBudgetTest.java
@@ -10,7 +10,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What all dispatchers together send to a worker in slow start, each sending all it may. */
+/**
+ * Tests the work that all dispatchers together send to a worker in slow start if each sends as much
+ * as it may.
+ */
 public class SlowStartBudgetTest {
     private static final double MULTIPLE = 3;
     private static final double WINDOW_SECONDS = 2;
@@ -33,7 +36,7 @@
         };
     }
 
-    /** Work that arrived at the worker: the maximum within any window, and the total. */
+    /** The work that arrived at the worker, as the maximum within any window and in total. */
     private record ArrivedWork(double maxPerWindow, double total) {
         double meanPerWindow() {
             return total / (STEP_COUNT * STEP_SECONDS / WINDOW_SECONDS);
@@ -74,7 +77,7 @@
         for (int step = 0; step < STEP_COUNT; step++) {
             double now = START_SECONDS + step * STEP_SECONDS;
             for (int i = 0; i < budgets.size(); i++) {
-                // Sizes are heavy-tailed, as they are in service.
+                // Job sizes are heavy-tailed, as in production.
                 double work = -Math.log(1 - random.nextDouble());
                 int estimate = i / processes % capacity.length;
                 if (budgets.get(i)
@@ -101,15 +104,18 @@
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
-            // dispatchers, processes of each, whether they know their positions, capacity of the
-            // worker in a window
+            // dispatchers, processes of each, whether the dispatchers know their positions,
+            // capacity of the worker in a window
             {1, 1, false, 2.0}, {3, 1, true, 2.0}, {3, 2, true, 8.0}, {10, 1, false, 30.0},
             {10, 1, true, 3.0}, {20, 1, true, 0.8}, {20, 1, true, 3.0}, {30, 1, true, 3.0},
             {30, 2, true, 6.0}, {30, 1, true, 20.0}, {30, 1, true, 60.0}, {100, 1, true, 10.0},
         };
     }
 
-    /** The sum stays within the budget in every window, but still makes use of the worker. */
+    /**
+     * The work of all dispatchers must stay within the budget in every window but still make use of
+     * the worker.
+     */
     @Test(dataProvider = "fleets")
     public void staysWithinTheBudgetInEveryWindow(
             int dispatchers, int processes, boolean knowsPosition, double capacity) {
@@ -124,16 +130,19 @@
                         dispatchers);
         assertTrue(
                 arrived.maxPerWindow() <= BUDGET_FRACTION * MULTIPLE * capacity * 1.000001,
-                arrived.maxPerWindow() + " of " + MULTIPLE * capacity);
+                "maximum work in a window: "
+                        + arrived.maxPerWindow()
+                        + " of "
+                        + MULTIPLE * capacity);
         double windows = STEP_COUNT * STEP_SECONDS / WINDOW_SECONDS;
         assertTrue(
                 arrived.total() > 0.25 * BUDGET_FRACTION * MULTIPLE * capacity * windows,
-                "only " + arrived.total() / windows + " per window");
+                "mean work in a window: " + arrived.total() / windows);
     }
 
     /**
-     * Where the dispatchers' estimates differ, the mean over many starts stays within the budget
-     * and no start causes a collapse.
+     * If the estimates of the dispatchers differ, the mean over many starts must stay within the
+     * budget and no start may cause a collapse.
      */
     @Test
     public void staysWithinTheBudgetOnAverageIfEstimatesDiffer() {
@@ -155,21 +164,24 @@
         }
         assertTrue(
                 sum / starts <= BUDGET_FRACTION * MULTIPLE * (8 + 2 + 4) / 3.0,
-                "a mean of " + sum / starts);
+                "mean work in a window: " + sum / starts);
         double n = MULTIPLE * 8;
-        assertTrue(max <= n + 2 * Math.sqrt(n) + 2, "a maximum of " + max);
+        assertTrue(max <= n + 2 * Math.sqrt(n) + 2, "maximum work in a window: " + max);
     }
 
     @DataProvider
     public Object[][] sendTimes() {
         return new Object[][] {
-            // when the whole budget was sent, relative to the start; whether it counts once the
-            // start is known
+            // time at which the whole budget was sent, relative to the start; whether that work
+            // counts once the start is known
             {-0.5, false}, {0.5, true},
         };
     }
 
-    /** Work sent between the start and its notification counts against the share. */
+    /**
+     * Work sent between the start of the worker and the notification of it must count against the
+     * share.
+     */
     @Test(dataProvider = "sendTimes")
     public void countsWorkSentBeforeNotification(double sentAfterStart, boolean counts) {
         SlowStartBudget budget =
--- a/daemon/src/test/java/wheelroute/decision/slowstart/SlowStartTest.java
+++ b/daemon/src/test/java/wheelroute/decision/slowstart/SlowStartTest.java
@@ -11,7 +11,7 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** Rule 4: what a worker in slow start may be sent. */
+/** Tests rule 4, which limits the work sent to a worker in slow start. */
 public class SlowStartTest {
     @DataProvider
     public Object[][] slowStartBudgets() {
@@ -39,26 +39,29 @@
             RequestHandle handle = harness.accept(work);
             if (harness.lastWorker() == 1) {
                 sent += work;
-                // Work that the worker rejects counts against the budget too.
+                // Work that the worker rejects must count against the budget too.
                 harness.endAttempt(handle, 0, Outcome.REJECTED);
             }
             harness.advance(0.02);
         }
-        assertTrue(sent <= max, "sent " + sent);
-        assertTrue(max == 0 || sent > 0, "the worker gets nothing");
+        assertTrue(sent <= max, "work sent: " + sent);
+        assertTrue(max == 0 || sent > 0, "no work was sent to the worker");
     }
 
     @DataProvider
     public Object[][] modelWorkRates() {
         return new Object[][] {
-            // results of 0.3 s, one after the other, from two workers past their slow start; the
-            // least and the most work that is sent, as a multiple of the budget of one slot. (Ten
-            // dispatchers with such traffic keep five slots of each worker busy.)
+            // number of runs of 0.3 s, one after the other, on two workers past their slow start;
+            // minimum and maximum work that is sent, as multiples of the budget of one slot (ten
+            // dispatchers with such traffic keep five slots of each worker busy)
             {2, 0, 1}, {40, 2, 5},
         };
     }
 
-    /** One dispatcher among many sees only one slot in use at a time. */
+    /**
+     * One dispatcher among many sees only one slot in use at a time, so its budget must follow the
+     * work rate of the model.
+     */
     @Test(dataProvider = "modelWorkRates")
     public void budgetFollowsWorkRateOfModel(int results, int min, int max) {
         PolicyHarness.SettingsFixture fixture = new PolicyHarness.SettingsFixture();
@@ -75,7 +78,7 @@
             RequestHandle handle = harness.accept(0.02);
             if (harness.lastWorker() == 1) {
                 sent += 0.02;
-                // The client leaves, so that the worker has no queue and no backoff.
+                // The request is cancelled, so the worker has no queue and is not backing off.
                 handle.onClientGone();
                 harness.endAttempt(handle, 0, Outcome.CANCELLED);
             }
@@ -84,13 +87,16 @@
         double budgetOfOneSlot = 0.65 * 12 * 0.26 / 10;
         assertTrue(
                 sent >= min * budgetOfOneSlot && sent <= max * budgetOfOneSlot * 1.1,
-                sent + " of " + budgetOfOneSlot);
+                "work sent: " + sent + ", budget of one slot: " + budgetOfOneSlot);
     }
 
-    /** Work that was sent at an age of the worker. */
+    /** The work of one attempt and the age of the worker at which it was sent. */
     private record SentWork(double ageSeconds, double work) {}
 
-    /** Even shares of the budget would be too small for any request. */
+    /**
+     * Even shares of the budget would be too small for any request, so the dispatchers must take
+     * turns.
+     */
     @Test
     public void manyDispatchersTakeTurnsAndStayWithinBudgetTogether() {
         List<PolicyHarness> all = new ArrayList<>();
@@ -127,8 +133,8 @@
             double rampFraction = 0.25 + 0.75 * Math.max(0, windowStart) / 20;
             assertTrue(
                     work <= 12 * rampFraction,
-                    work + " in the window that ends at " + last.ageSeconds());
+                    "work sent: " + work + " in the window that ends at age " + last.ageSeconds());
         }
-        assertTrue(sent.size() > 10, "the worker gets too little: " + sent.size());
+        assertTrue(sent.size() > 10, "attempts at the worker: " + sent.size());
     }
 }
