--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -123,7 +123,7 @@
     }
 
     /** Returns the number of listed workers that are draining, backing off or ejected. */
-    public int avoidedEndpoints() {
+    public int avoidedEndpointCount() {
         return state.workers().avoidedCount(state.clock().now());
     }
 
--- a/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
@@ -189,7 +189,7 @@
                 clients.openConnections(),
                 workers.openConnections(),
                 endpoints.size(),
-                policy.avoidedEndpoints(),
+                policy.avoidedEndpointCount(),
                 policy.isEndpointLeaseExpired() ? 1 : 0);
     }
 
--- a/daemon/src/test/java/wheelroute/decision/health/OutlierEjectionTest.java
+++ b/daemon/src/test/java/wheelroute/decision/health/OutlierEjectionTest.java
@@ -53,7 +53,7 @@
             lateAttempts += i >= 40 && bad ? harness.countActions("attempt") : 0;
         }
         assertEquals(lateAttempts, 10, "attempts of the last ten failing requests");
-        assertEquals(harness.policy.avoidedEndpoints(), 0);
+        assertEquals(harness.policy.avoidedEndpointCount(), 0);
     }
 
     /** The retries by which errors were attributed to requests count only for a limited time. */
@@ -156,10 +156,10 @@
         PolicyHarness predecessor =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).listWorkers(2);
         predecessor.attemptsAtBadWorkers(3, 0.2, worker -> true, Outcome.FAILED);
-        assertEquals(predecessor.policy.avoidedEndpoints(), 2);
+        assertEquals(predecessor.policy.avoidedEndpointCount(), 2);
         PolicyHarness successor =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL).listWorkers(2);
         successor.policy.importState(predecessor.policy.exportState());
-        assertEquals(successor.policy.avoidedEndpoints(), 2);
+        assertEquals(successor.policy.avoidedEndpointCount(), 2);
     }
 }
