--- a/daemon/src/main/java/wheelroute/decision/Settings.java
+++ b/daemon/src/main/java/wheelroute/decision/Settings.java
@@ -32,8 +32,8 @@
  * @param overloadWindowSeconds the length of that window
  * @param crossZonePrice the price of each attempt in another zone
  * @param cacheMissPrice the price of each attempt at a worker without the cached data of its key
- * @param removalIsAdvisory whether a worker that was removed from the list may still be sent to, so
- *     that only a worker listed as draining must not be
+ * @param removalIsAdvisory whether a worker that was removed from the list may still be sent to; a
+ *     worker listed as draining never may
  * @param keyQuietPeriodSeconds the time for which no other request of a key begins after an attempt
  *     that may still be running
  * @param drainGraceSeconds the time for which attempts may continue at a worker that is known to be
--- a/daemon/src/main/java/wheelroute/decision/admission/Admission.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/Admission.java
@@ -80,8 +80,8 @@
     /**
      * Returns the factor by which a tenant's maximum wait is multiplied. The factor is below 1 for
      * a tenant beyond its quota, so that it does not crowd out the others. It is then the lowest
-     * quota use of any tenant divided by that tenant's use, but not below the square root of the
-     * value of a request beyond the quota.
+     * quota use of any tenant divided by that tenant's use, but not below the square root of {@link
+     * Settings#overQuotaValue}.
      */
     private double fairnessFactor(Ids.Tenant tenant) {
         double use = traffic.tenants().contains(tenant) ? quotaUse(tenant) : 0;
--- a/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
+++ b/daemon/src/main/java/wheelroute/decision/health/OutlierEjection.java
@@ -14,8 +14,8 @@
  * are single attempts, never of a non-idempotent request, after a delay that doubles with each
  * further failure.
  *
- * @param removalIsAdvisory whether a worker that was removed from the list may still be sent to, so
- *     that only a drain forbids it
+ * @param removalIsAdvisory whether a worker that was removed from the list may still be sent to; a
+ *     worker listed as draining never may
  */
 public record OutlierEjection(
         DecisionClock clock,
@@ -110,9 +110,9 @@
     }
 
     /**
-     * Handles the removal of a worker from the endpoint list. If removals are advisory, the list
-     * may be wrong, so a ready worker is ejected and gets attempts on trial. Otherwise the worker
-     * gets no more attempts.
+     * Handles the removal of a worker from the endpoint list. If removals are not advisory, the
+     * worker gets no more attempts. If they are, the list may be wrong, so a ready worker is
+     * ejected and gets attempts on trial.
      */
     public void onRemoved(WorkerState worker) {
         worker.setReady(worker.isReady() && removalIsAdvisory);
--- a/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
@@ -29,8 +29,8 @@
     private static final double MIN_TIME_LEFT_SECONDS = 0.02;
 
     /**
-     * The margin by which the time that workers recognize an idempotency key is shortened here.
-     * That time begins at the worker, and a repeat must still reach the worker within it.
+     * The margin by which the time for which workers recognize an idempotency key is shortened
+     * here. That time begins at the worker, and a repeat must still reach the worker within it.
      */
     private static final double IDEMPOTENCY_WINDOW_MARGIN_SECONDS = 0.5;
 
--- a/daemon/src/main/java/wheelroute/decision/retry/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/package-info.java
@@ -1,2 +1,2 @@
-/** The rules for retries: whether, where and for how long a request may be attempted again. */
+/** The rules that decide whether, where and for how long a request may be attempted again. */
 package wheelroute.decision.retry;
