--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -10,24 +10,27 @@
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * The connection of a client. Handles one message at a time: the next one is decoded once the
+ * The connection of a client. Handles one message at a time, and decodes the next message when the
  * response to the previous one has been written.
  *
- * <p>Used on the event loop's thread only. Failures of the connection are reported to the accepted
- * request as the departure of its client.
+ * <p>Used on the event loop's thread only. A failure of the connection is reported to the accepted
+ * request as a disconnect of its client.
  */
 final class ClientConnection extends StreamConnection implements RequestAcceptor.ResponseSender {
-    /** How long a closing connection discards input: a reset could destroy the last response. */
+    /**
+     * How long a closing connection still reads and discards input. Closing with unread input would
+     * reset the connection, so that the client could lose the last response.
+     */
     private static final double LINGER_SECONDS = 1;
 
-    private final ClientServer clients;
+    private final ClientServer server;
     private final MessageInput input;
     private State state = State.READING;
 
-    /** The request whose response is awaited; null if there is none. */
+    /** The accepted request whose response is awaited; null if there is none. */
     private RequestAcceptor.AcceptedRequest accepted;
 
-    /** Whether the response to the current message is the last one. */
+    /** Whether the response to the current message is the last one on the connection. */
     private boolean isLastMessage;
 
     private boolean hasAcceptedRequest;
@@ -36,9 +39,9 @@
     private boolean isOverLimit;
 
     private enum State {
-        /** Waiting for a message, or reading one. */
+        /** The connection waits for a message, or reads one. */
         READING,
-        /** A message was read, and its response is awaited. Further input is buffered. */
+        /** A message was read and its response is awaited. Further input is buffered. */
         AWAITING_RESPONSE,
         /** The response is being written. Further input is buffered. */
         WRITING_RESPONSE,
@@ -46,27 +49,24 @@
         LINGERING
     }
 
-    ClientConnection(EndPoint endPoint, EventLoop loop, ClientServer clients) {
+    ClientConnection(EndPoint endPoint, EventLoop loop, ClientServer server) {
         super(endPoint, loop);
-        this.clients = clients;
+        this.server = server;
         input =
                 new MessageInput(
-                        loop,
-                        clients.bodyQuota(),
-                        clients.pipelinedQuota(),
-                        this::onMessageTimeout);
+                        loop, server.bodyQuota(), server.pipelinedQuota(), this::onMessageTimeout);
     }
 
     @Override
     public void onOpen() {
-        isOverLimit = !clients.onOpened(this);
+        isOverLimit = !server.onOpened(this);
         super.onOpen();
         input.startTimeout();
     }
 
     private void onMessageTimeout() {
         if (input.hasPartialMessage()) {
-            refuse(
+            sendErrorAndClose(
                     new BadRequestException(
                             HttpStatus.REQUEST_TIMEOUT_408, "the message has not come in time"));
         } else {
@@ -74,15 +74,13 @@
         }
     }
 
-    // ---- reading
-
     private boolean isBusy() {
         return state == State.AWAITING_RESPONSE || state == State.WRITING_RESPONSE;
     }
 
     @Override
     protected boolean canRead() {
-        // Between messages input is always read: full buffers of other clients must not prevent it.
+        // Between messages input is always read, even if other clients have exhausted the quota.
         return !isBusy() || !input.isBufferFull();
     }
 
@@ -93,7 +91,7 @@
         }
     }
 
-    /** Treats the end of the client's output as its departure. */
+    /** Treats the end of the client's output as a disconnect. */
     @Override
     protected void onEndOfStream() {
         onClientGone();
@@ -112,35 +110,36 @@
         try {
             MessageInput.ReceivedMessage message = input.decode(in);
             if (message == null) {
-                clients.update(this, ConnectionLimit.Stage.READING);
+                server.update(this, ConnectionLimit.Stage.READING);
             } else {
                 handle(message.request(), message.arrivedAt());
             }
         } catch (BadRequestException e) {
-            refuse(e);
+            sendErrorAndClose(e);
         }
     }
 
-    /** Responds to a malformed message, and closes, as it is unknown where the next one begins. */
-    private void refuse(BadRequestException e) {
+    /**
+     * Sends an error response to a malformed or late message, and closes the connection, because
+     * the beginning of the next message is unknown.
+     */
+    private void sendErrorAndClose(BadRequestException e) {
         input.cancelTimeout();
-        clients.onNotAccepted();
-        clients.update(this, ConnectionLimit.Stage.IN_FLIGHT);
+        server.onNotAccepted();
+        server.update(this, ConnectionLimit.Stage.IN_FLIGHT);
         isLastMessage = true;
         state = State.AWAITING_RESPONSE;
         send(ClientResponse.of(e.status(), e.getMessage()));
     }
 
-    // ---- handling a message
-
     private void handle(ClientRequest message, double arrivedAt) {
         state = State.AWAITING_RESPONSE;
         isLastMessage = !message.keepsOpen();
-        clients.update(this, ConnectionLimit.Stage.IN_FLIGHT);
+        server.update(this, ConnectionLimit.Stage.IN_FLIGHT);
         if (message.method().equals("GET")) {
-            send(clients.page(message.path()));
+            send(server.responseToGet(message.path()));
         } else if (isOverLimit) {
-            clients.onRejected(message);
+            server.onRejected(message);
             isLastMessage = true;
             send(ClientResponse.rejected(ClientResponse.NO_RETRY_AFTER));
         } else {
@@ -151,32 +150,32 @@
     private void accept(ClientRequest message, double arrivedAt) {
         try {
             message.checkAcceptable();
-            if (sawEndOfStream()) {
-                clients.onNotAccepted();
+            if (hasReachedEndOfStream()) {
+                server.onNotAccepted();
                 onClientGone();
                 return;
             }
-            RequestAcceptor.AcceptedRequest request = clients.accept(message, arrivedAt, this);
+            RequestAcceptor.AcceptedRequest request = server.accept(message, arrivedAt, this);
             hasAcceptedRequest = true;
             if (state == State.AWAITING_RESPONSE) {
                 accepted = request;
             }
         } catch (BadRequestException e) {
-            clients.onNotAccepted();
+            server.onNotAccepted();
             send(ClientResponse.of(e.status(), e.getMessage()));
         }
     }
 
     /**
-     * Reads what has arrived, and returns whether the end of the stream was among it. After a pause
-     * of the process, a message may be from a client that has gone since, and for which no attempt
-     * should be started.
+     * Reads the input that has arrived, and returns whether the end of the stream was reached.
+     * After a pause of the process, a message may come from a client that has disconnected since,
+     * and for which no attempt should be started.
      */
-    private boolean sawEndOfStream() {
+    private boolean hasReachedEndOfStream() {
         try {
             int count = 1;
             while (count > 0 && canRead()) {
-                count = peek();
+                count = readOnce();
             }
             return count < 0;
         } catch (IOException e) {
@@ -184,20 +183,20 @@
         }
     }
 
-    /** Reads once without waiting. Returns the number of bytes, negative at the stream's end. */
-    private int peek() throws IOException {
-        ByteBuffer peeked = loop.peekBuffer();
-        int count = getEndPoint().fill(peeked);
+    /** Reads once without waiting. Returns the number of bytes, or -1 at the end of the stream. */
+    private int readOnce() throws IOException {
+        ByteBuffer in = loop.peekBuffer();
+        int count = getEndPoint().fill(in);
         if (count > 0) {
-            read(peeked);
+            read(in);
         }
         return count;
     }
 
-    /** Reads what has arrived, and returns whether there was anything. */
-    boolean hasUnread() {
+    /** Reads bytes that have arrived, and returns whether there were any. */
+    boolean readAvailable() {
         try {
-            return peek() > 0;
+            return readOnce() > 0;
         } catch (IOException e) {
             return false;
         }
@@ -205,15 +204,13 @@
 
     @Override
     public boolean isClientGone() {
-        boolean isGone = !getEndPoint().isOpen() || sawEndOfStream();
+        boolean isGone = !getEndPoint().isOpen() || hasReachedEndOfStream();
         if (isGone) {
             loop.post(this::onClientGone);
         }
         return isGone;
     }
 
-    // ---- responding
-
     @Override
     public void send(ClientResponse response) {
         accepted = null;
@@ -224,7 +221,7 @@
         if (!getEndPoint().isOpen() || state != State.WRITING_RESPONSE) {
             return;
         }
-        boolean isLast = isLastMessage || clients.closesAfterResponse();
+        boolean isLast = isLastMessage || server.closesAfterResponse();
         Callback written =
                 Callback.from(
                         () -> loop.post(() -> onResponseWritten(isLast)),
@@ -241,11 +238,11 @@
             linger();
             return;
         }
-        clients.update(
+        server.update(
                 this,
                 hasAcceptedRequest
                         ? ConnectionLimit.Stage.IDLE_CLIENT
-                        : ConnectionLimit.Stage.IDLE_VISITOR);
+                        : ConnectionLimit.Stage.IDLE_NO_REQUEST);
         if (input.hasBuffered()) {
             read(input.buffered());
             if (!input.hasBuffered()) {
@@ -257,12 +254,10 @@
         }
     }
 
-    // ---- closing
-
-    /** Closes the connection after the time that the client needs to read the last response. */
+    /** Closes the connection after a delay in which the client can read the last response. */
     private void linger() {
         state = State.LINGERING;
-        clients.update(this, ConnectionLimit.Stage.CLOSING);
+        server.update(this, ConnectionLimit.Stage.CLOSING);
         input.releaseBuffer();
         getEndPoint().shutdownOutput();
         loop.schedule(LINGER_SECONDS, this::close);
@@ -271,24 +266,27 @@
         }
     }
 
-    /** Whether it is between two messages. A new connection may have its first one in transit. */
+    /**
+     * Whether the connection is between two messages. A new connection is not, because its first
+     * message may be in transit.
+     */
     private boolean isIdle() {
         return state == State.READING && input.isBetweenMessages();
     }
 
     /** Closes the connection if it is idle and no part of a message has arrived. */
     void closeIfIdle() {
-        if (isIdle() && !hasUnread()) {
+        if (isIdle() && !readAvailable()) {
             close();
         }
     }
 
-    /** Before the process ends: handles a message that has arrived, or else closes. */
+    /** Handles a message that has arrived before the process ends, or else closes. */
     void readLastAndClose() {
         if (state != State.READING) {
             return;
         }
-        if (sawEndOfStream()) {
+        if (hasReachedEndOfStream()) {
             close();
         } else if (!isBusy()) {
             evict();
@@ -296,17 +294,18 @@
     }
 
     /**
-     * Closes the connection in favour of another one. If part of a message has been read, which may
-     * be that of a slow client, a rejection is sent first.
+     * Closes the connection in favour of another one. If a part of a message has been read, which
+     * may come from a slow client, a rejection is sent first.
      */
     void evict() {
         if (!input.hasPartialMessage()) {
             close();
             return;
         }
-        clients.onNotAccepted();
-        // From now on it does not count against the limit, even before the response is written.
-        clients.onClosed(this);
+        server.onNotAccepted();
+        // From here on the connection does not count against the limit, even though the rejection
+        // has not been written.
+        server.onClosed(this);
         input.abandonMessage();
         state = State.LINGERING;
         Callback written =
@@ -328,7 +327,10 @@
         }
     }
 
-    /** A client may wait for a response until its deadline, but must read the response then. */
+    /**
+     * Closes the connection unless an accepted request awaits its response. A client may wait for a
+     * response until its deadline, but must then read the response.
+     */
     @Override
     public boolean onIdleExpired(TimeoutException timeout) {
         if (isIdle()) {
@@ -355,6 +357,6 @@
     private void release() {
         input.releaseBody();
         input.releaseBuffer();
-        clients.onClosed(this);
+        server.onClosed(this);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/clients/ClientRequest.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientRequest.java
@@ -5,15 +5,17 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * The HTTP request of a client, decoded. Immutable, but for the body, which is not copied.
+ * A decoded HTTP request of a client. Immutable, except for the body, which is not copied.
  *
- * @param target path and query, still escaped
- * @param id null if absent
+ * @param target path and query, with percent escapes as sent
+ * @param id the client's id of the request; null if absent
  * @param idempotencyKey null if absent
  * @param routeKey null if absent
  * @param tenant empty if absent
  * @param timeoutSeconds how long the client waits for the response; NaN if absent
- * @param estimatedWork in seconds on a standard core; NaN if absent
+ * @param estimatedWork the client's estimate in seconds on a standard core; NaN if absent
+ * @param slots the number of slots that the request needs on a worker; 1 if absent
+ * @param memory the memory that the request needs on a worker; 0 if absent
  * @param clientRetry whether the client has marked the request as a retry
  * @param keepsOpen whether the connection stays open after the response
  */
@@ -34,7 +36,7 @@
     private static final int HEX_RADIX = 16;
 
     /**
-     * Checks that the request can be accepted, apart from its request class.
+     * Checks whether the request can be accepted, without regard to its request class.
      *
      * @throws BadRequestException if the method is wrong or a required field is missing
      */
@@ -47,13 +49,13 @@
         }
     }
 
-    /** Returns the target without its query. */
+    /** Returns the target without the query. */
     public String path() {
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** Returns the name of the request class: the first segment of the path, decoded. */
+    /** Returns the name of the request class, which is the decoded first path segment. */
     public String requestClass() {
         String path = path();
         int slash = path.indexOf('/', 1);
@@ -62,7 +64,7 @@
         return first.indexOf('%') < 0 ? first : unescaped(first);
     }
 
-    /** Decodes percent escapes, which {@link ClientRequestDecoder} has found to be well-formed. */
+    /** Decodes percent escapes, which {@link ClientRequestDecoder} has checked before. */
     private static String unescaped(String text) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         byte[] in = text.getBytes(StandardCharsets.UTF_8);
--- a/daemon/src/main/java/wheelroute/net/clients/ClientRequestDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientRequestDecoder.java
@@ -12,34 +12,39 @@
 import wheelroute.units.TimeUnits;
 
 /**
- * Decodes the requests on the connection of a client, which may arrive in any pieces.
+ * Decodes the requests on the connection of a client. The bytes may arrive in parts of any size.
  *
  * <p>Used on the event loop's thread only. After a {@link BadRequestException} the connection must
- * be closed, because it is unknown where the next request begins.
+ * be closed, because the beginning of the next request is unknown.
  */
 public final class ClientRequestDecoder extends HttpMessageReader
         implements HttpParser.RequestHandler {
-    /** Far more than the protocol's fields need; many clients share the memory. */
+    /**
+     * The maximum size of the request line together with all header fields. The protocol needs far
+     * less, and the memory is shared by many clients.
+     */
     private static final int MAX_HEAD_BYTES = 8 * 1024;
 
     /**
-     * Strict, because a message that can be parsed in two ways could smuggle in another request.
+     * The compliance mode, which is strict because a message that can be parsed in two ways would
+     * permit request smuggling.
      */
     private static final HttpCompliance COMPLIANCE = HttpCompliance.STRICT;
 
     /**
-     * A target by RFC 3986 with well-formed escapes, since a worker may close its connection on any
-     * other. The first segment may have letters that are not ASCII, as some platforms put the name
-     * of a request class there unescaped. The quantifiers are possessive ("*+"): with backtracking
-     * the matcher would recurse for each character and overflow the stack.
+     * Matches targets by RFC 3986 with well-formed escapes, because a worker may close its
+     * connection on any other target. The first segment may also have letters that are not ASCII,
+     * as some platforms put the name of a request class there unescaped. The quantifiers are
+     * possessive ("*+"), because a backtracking matcher would recurse for each character and
+     * overflow the stack.
      */
     private static final Pattern TARGET =
             Pattern.compile(
                     "/(?:[A-Za-z0-9:@!$&'()*+,;=._~\u00a0-\ufffc-]|%[0-9A-Fa-f]{2})*+"
                             + "(?:[/?](?:[A-Za-z0-9/?:@!$&'()*+,;=._~-]|%[0-9A-Fa-f]{2})*+)?");
 
-    /** Fields that are interpreted or forwarded, and so must not have two different values. */
-    private static final Set<String> SINGLE_FIELDS =
+    /** Fields that must not be repeated, because they are interpreted or forwarded as one value. */
+    private static final Set<String> SINGLE_VALUE_FIELDS =
             Set.of(
                     "host",
                     "content-length",
@@ -59,43 +64,43 @@
     private String method;
     private String target;
 
-    /** One of the single fields that was repeated; null for none. */
+    /** The name of a single-value field that was repeated; null if there is none. */
     private String repeatedField;
 
-    /** Set by the parser's callbacks, and thrown by {@link #decode}; null for none. */
-    private BadRequestException fault;
+    /** The exception that {@link #decode} throws for a parser callback; null if there is none. */
+    private BadRequestException failure;
 
     /**
      * Creates a decoder for one connection.
      *
-     * @param quota for the bodies of all connections
+     * @param quota limits the memory for the bodies of all connections
      */
     public ClientRequestDecoder(MemoryQuota quota) {
         body = new RequestBody(quota);
     }
 
-    /** Releases the memory of the last request's body. */
+    /** Releases the memory of the body of the last request. */
     public void release() {
         body.release();
     }
 
     /**
-     * Decodes the next request. Bytes that follow it remain in the buffer.
+     * Decodes the next request. Bytes after the request remain in the buffer.
      *
-     * @return null if more bytes are needed
+     * @return the request, or null if more bytes are needed
      * @throws BadRequestException if the request is malformed or too large
      */
     public ClientRequest decode(ByteBuffer in) throws BadRequestException {
-        while (!isComplete() && fault == null && in.hasRemaining()) {
+        while (!isComplete() && failure == null && in.hasRemaining()) {
             try {
                 parser.parseNext(in);
             } catch (RuntimeException e) {
-                // The parser throws on some malformed messages, and calls badMessage on others.
+                // Jetty throws for some malformed messages, and calls badMessage() for others.
                 throw BadRequestException.malformed("no HTTP message");
             }
         }
-        if (fault != null) {
-            throw fault;
+        if (failure != null) {
+            throw failure;
         }
         if (!takeComplete()) {
             return null;
@@ -129,37 +134,35 @@
                 body.toArray());
     }
 
-    // ---- callbacks of the parser
-
     @Override
     public void startRequest(String newMethod, String newTarget, HttpVersion version) {
         method = newMethod;
         target = newTarget;
         repeatedField = null;
-        begin(version);
+        beginMessage(version);
     }
 
-    /** A field that is a list may be repeated; a field with a single value must not. */
+    /** Records a repeated single-value field. A field that is a list may be repeated. */
     @Override
     protected void onRepeatedField(String name) {
-        repeatedField = SINGLE_FIELDS.contains(name) ? name : repeatedField;
+        repeatedField = SINGLE_VALUE_FIELDS.contains(name) ? name : repeatedField;
     }
 
     @Override
     public boolean headerComplete() {
         body.release();
         if (repeatedField != null) {
-            fault = BadRequestException.malformed(repeatedField + " comes more than once");
+            failure = BadRequestException.malformed(repeatedField + " comes more than once");
         } else if (!isBodyLengthUnambiguous()) {
-            fault = BadRequestException.malformed("the body's end cannot be told for certain");
+            failure = BadRequestException.malformed("the body's end cannot be told for certain");
         } else if (fields.containsKey("expect")) {
-            fault =
+            failure =
                     new BadRequestException(
                             HttpStatus.EXPECTATION_FAILED_417, "the body must come unasked");
         } else if (parser.getContentLength() > RequestBody.MAX_BYTES) {
-            fault = RequestBody.tooLarge();
+            failure = RequestBody.tooLarge();
         }
-        return fault != null;
+        return failure != null;
     }
 
     private boolean isBodyLengthUnambiguous() {
@@ -174,24 +177,24 @@
             body.append(piece, parser.getContentLength());
             return false;
         } catch (BadRequestException e) {
-            fault = e;
+            failure = e;
             return true;
         }
     }
 
     @Override
     public void earlyEOF() {
-        fault = BadRequestException.malformed("the message ends early");
+        failure = BadRequestException.malformed("the message ends early");
     }
 
     @Override
     public void badMessage(HttpException cause) {
-        fault =
+        failure =
                 new BadRequestException(
                         responseStatus(cause.getCode()), String.valueOf(cause.getReason()));
     }
 
-    /** Returns the status for one of the parser; the protocol for clients has only some of them. */
+    /** Maps a status of the parser to one that the protocol for clients defines. */
     private static int responseStatus(int parserStatus) {
         return switch (parserStatus) {
             case HttpStatus.REQUEST_HEADER_FIELDS_TOO_LARGE_431, HttpStatus.URI_TOO_LONG_414 ->
--- a/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
@@ -12,33 +12,38 @@
 import wheelroute.net.metrics.Counters;
 
 /**
- * The server for clients: the listening socket, the connections accepted on it within a limit, and
- * the memory that they share. Used on the event loop's thread only.
+ * The HTTP server for clients. Owns the listening socket, the connections accepted on the socket
+ * within a limit, and the memory that the connections share. Used on the event loop's thread only.
  */
 public final class ClientServer implements EventLoop.ChannelHandler {
     /**
-     * Connections over the limit, as a fraction of it, whose requests get a rejection. Further ones
-     * are closed at once.
+     * The number of connections over the limit, as a fraction of the limit, whose requests are
+     * answered with a rejection. Further connections are closed at once.
      */
     private static final double REJECTED_FRACTION = 0.06;
 
-    /** An idle connection is closed after this time, as its client may be gone unnoticed. */
+    /**
+     * Time after which an idle connection is closed, as its client may have disconnected unnoticed.
+     */
     private static final long IDLE_TIMEOUT_MILLIS = 120_000;
 
-    /** Fraction of the heap for bodies of requests; what is made of them takes as much again. */
+    /**
+     * Fraction of the heap for the bodies of requests. What is derived from the bodies takes as
+     * much memory again.
+     */
     private static final double BODIES_HEAP_FRACTION = 0.25;
 
-    /** Fraction of the heap for pipelined input, which has a quota apart from that of bodies. */
+    /** Fraction of the heap for pipelined input, whose quota is separate from that for bodies. */
     private static final double PIPELINED_HEAP_FRACTION = 0.06;
 
-    /** Bound on the memory for pipelined input on a large heap: that of 16 connections at most. */
+    /** Maximum memory for pipelined input on a large heap, enough for 16 full buffers. */
     private static final long MAX_PIPELINED_BYTES = 16L * PipelinedInput.MAX_BYTES;
 
     private final EventLoop loop;
     private final RequestAcceptor acceptor;
     private final Counters counters;
 
-    /** The limit of all processes of this dispatcher together. */
+    /** The maximum number of connections of all processes of this dispatcher together. */
     private final int dispatcherLimit;
 
     private final ConnectionLimit<ClientConnection> connections;
@@ -55,7 +60,7 @@
     /**
      * Creates a server that does not listen yet.
      *
-     * @param limit maximum number of connections
+     * @param limit the maximum number of connections of all processes of the dispatcher together
      */
     public ClientServer(EventLoop loop, RequestAcceptor acceptor, Counters counters, int limit) {
         this.loop = loop;
@@ -68,8 +73,8 @@
     /**
      * Starts to accept connections.
      *
-     * @param shared whether another process may listen at the address too; the connections are then
-     *     distributed among the processes
+     * @param shared whether another process may listen at the same address; new connections are
+     *     then distributed among the processes
      * @throws IOException if the address cannot be used
      */
     public void listen(InetSocketAddress address, boolean shared) throws IOException {
@@ -79,7 +84,7 @@
 
     /**
      * Sets the number of processes that share the dispatcher's limit. Connections over the new
-     * limit of this process are evicted at once, since otherwise all new ones would be closed.
+     * limit of this process are evicted at once, because otherwise every new one would be closed.
      */
     public void setProcessCount(int processes) {
         connections.limit(dispatcherLimit / processes);
@@ -87,12 +92,12 @@
         while (connections.isOverLimit() && connections.count() < previous) {
             previous = connections.count();
             connections
-                    .connectionToEvict(loop.now(), ClientConnection::hasUnread)
+                    .connectionToEvict(loop.now(), ClientConnection::readAvailable)
                     .ifPresent(ClientConnection::evict);
         }
     }
 
-    /** Whether a request may be about to arrive; see {@link ConnectionLimit#expectsRequest}. */
+    /** Whether a request may be about to arrive, see {@link ConnectionLimit#expectsRequest}. */
     public boolean expectsRequest() {
         return connections.expectsRequest(loop.now());
     }
@@ -116,12 +121,12 @@
     /**
      * Adds a connection, for which another one may be evicted.
      *
-     * @return whether it is within the limit; if not, it may be closed already
+     * @return whether the connection is within the limit; otherwise it may already be closed
      */
     boolean onOpened(ClientConnection connection) {
         counters.count(Counters.Counter.CLIENT_CONNECTIONS);
         connections
-                .connectionToEvict(loop.now(), ClientConnection::hasUnread)
+                .connectionToEvict(loop.now(), ClientConnection::readAvailable)
                 .ifPresent(ClientConnection::evict);
         connections.update(connection, ConnectionLimit.Stage.NEW, loop.now());
         if (connections.count()
@@ -131,7 +136,7 @@
         return connections.count() <= connections.limit();
     }
 
-    /** Records that a connection has reached this stage, or made progress within it. */
+    /** Records that a connection has reached a stage, or made progress within it. */
     void update(ClientConnection connection, ConnectionLimit.Stage stage) {
         connections.update(connection, stage, loop.now());
     }
@@ -144,7 +149,7 @@
         return pipelinedQuota;
     }
 
-    /** Removes a connection. May be called more than once. */
+    /** Removes a connection; does nothing if it was already removed. */
     void onClosed(ClientConnection connection) {
         connections.remove(connection);
     }
@@ -159,7 +164,7 @@
         acceptor.onRejected(message);
     }
 
-    /** Records a request that was not accepted because it is invalid or incomplete. */
+    /** Records a request that was not accepted because it was invalid or incomplete. */
     void onNotAccepted() {
         counters.count(Counters.Counter.REQUESTS_NOT_ACCEPTED);
     }
@@ -174,8 +179,8 @@
         return acceptor.closesAfterResponse();
     }
 
-    /** Returns the response to a GET request. */
-    ClientResponse page(String path) {
+    /** Returns the response to a GET request, which queries the status of the dispatcher. */
+    ClientResponse responseToGet(String path) {
         return switch (path) {
             case "/healthz" -> health();
             case "/metrics" ->
@@ -191,8 +196,8 @@
     }
 
     /**
-     * Reads requests that have arrived before the process ends, and closes all other connections,
-     * so that no client sends a request that would not be read.
+     * Reads the requests that have already arrived, before the process ends. All connections
+     * without such a request are closed, so that no client sends one that would not be read.
      */
     public void readLastAndClose() {
         for (ConnectionLimit.Stage stage : ConnectionLimit.Stage.values()) {
@@ -201,8 +206,8 @@
     }
 
     /**
-     * Stops accepting connections. Idle ones are closed, unless the dispatcher keeps connections
-     * open until the process ends.
+     * Stops accepting connections. Idle connections are closed, unless the dispatcher keeps
+     * connections open until the process ends.
      */
     public void stopListening() {
         if (isListening) {
@@ -213,7 +218,7 @@
             return;
         }
         for (ConnectionLimit.Stage stage :
-                List.of(ConnectionLimit.Stage.IDLE_VISITOR, ConnectionLimit.Stage.IDLE_CLIENT)) {
+                List.of(ConnectionLimit.Stage.IDLE_NO_REQUEST, ConnectionLimit.Stage.IDLE_CLIENT)) {
             connections.connectionsIn(stage).forEach(ClientConnection::closeIfIdle);
         }
     }
--- a/daemon/src/main/java/wheelroute/net/clients/ConnectionLimit.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ConnectionLimit.java
@@ -10,38 +10,44 @@
 import java.util.function.Predicate;
 
 /**
- * Limits client connections, and chooses which one to evict for a new one when the limit is
- * reached.
+ * Limits the number of client connections. When the limit is reached, chooses the connection that
+ * is evicted in favour of a new one.
  *
- * <p>A flood of connections that never complete a message must not displace clients that do. Some
- * legitimate clients write slowly, some only query status, and some keep a connection for reuse, so
- * the eviction order follows the {@link Stage} of each connection.
+ * <p>A flood of connections that never complete a message must not displace clients that complete
+ * theirs. Since some legitimate clients write slowly, some only query status, and some keep a
+ * connection for reuse, the eviction order depends on the {@link Stage} of each connection.
  *
  * <p>Times are in seconds on the caller's clock. Not thread-safe.
  *
- * @param <C> identifies a connection; needs equals and hashCode
+ * @param <C> the type that identifies a connection, which must implement equals and hashCode
  */
 public final class ConnectionLimit<C> {
-    /** Progress of a connection. Within a stage, connections are ordered by their last update. */
+    /** The progress of a connection. Each stage orders its connections by their last update. */
     public enum Stage {
-        /** Accepted, without any bytes of a first message yet. */
+        /** The connection is accepted, and no byte of its first message has arrived. */
         NEW,
-        /** Part of a message has arrived. */
+        /** Only a part of a message has arrived. */
         READING,
-        /** A complete message is being processed; never evicted. */
+        /** A complete message is being processed. The connection is never evicted. */
         IN_FLIGHT,
-        /** Between two messages, none of which was a request for work. */
-        IDLE_VISITOR,
-        /** Between two messages, after a request for work: kept open for reuse. */
+        /**
+         * The connection is between two messages, and none of its requests for work was accepted.
+         * The client may only be querying status.
+         */
+        IDLE_NO_REQUEST,
+        /**
+         * The connection is between two messages, and a request for work was accepted before. The
+         * client keeps the connection open for reuse.
+         */
         IDLE_CLIENT,
         /** The last response has been sent. */
         CLOSING
     }
 
-    /** A connection without a complete message is stalled after this time without progress. */
+    /** Time without progress after which a connection without a complete message is stalled. */
     private static final double STALL_TIMEOUT_SECONDS = 0.15;
 
-    /** Longest pause of a slow writer. A longer one does not delay the shutdown. */
+    /** The longest pause of a slow writer for which the shutdown waits. */
     private static final double WRITE_PAUSE_TIMEOUT_SECONDS = 1;
 
     /** Fraction of the limit above which connections without a complete message are a flood. */
@@ -52,7 +58,7 @@
     private int limit;
 
     /**
-     * Creates a limit without any connections.
+     * Creates an instance without any connections.
      *
      * @param limit the maximum number of connections
      */
@@ -63,7 +69,7 @@
         }
     }
 
-    /** Changes the maximum number of connections; {@link #isOverLimit} may hold afterwards. */
+    /** Changes the maximum number of connections, which the open ones may then exceed. */
     public void limit(int newLimit) {
         limit = newLimit;
     }
@@ -78,12 +84,12 @@
         return stages.size();
     }
 
-    /** Returns a copy of the connections at this stage, the least recently updated first. */
+    /** Returns a copy of the connections in a stage, the least recently updated one first. */
     public List<C> connectionsIn(Stage stage) {
         return new ArrayList<>(lastUpdates.get(stage).keySet());
     }
 
-    /** Records that a connection was opened, reached this stage, or made progress within it. */
+    /** Records that a connection was opened, reached a stage, or made progress within it. */
     public void update(C connection, Stage stage, double time) {
         Stage previous = stages.put(connection, stage);
         if (previous != null) {
@@ -92,7 +98,7 @@
         lastUpdates.get(stage).put(connection, time);
     }
 
-    /** Records that a connection was closed. Ignores an unknown one. */
+    /** Records that a connection was closed. Does nothing if the connection is unknown. */
     public void remove(C connection) {
         Stage previous = stages.remove(connection);
         if (previous != null) {
@@ -101,8 +107,9 @@
     }
 
     /**
-     * Whether a request may be about to arrive, and would be lost if the process ended now: one is
-     * partly read and made progress recently, or a connection was accepted very recently.
+     * Whether a request may be about to arrive, which would be lost if the process ended now. This
+     * is so if a message is partly read and made progress recently, or if a connection was accepted
+     * very recently.
      */
     public boolean expectsRequest(double time) {
         return hasUpdateWithin(WRITE_PAUSE_TIMEOUT_SECONDS, Stage.READING, time)
@@ -114,7 +121,7 @@
                 .anyMatch(lastUpdate -> time - lastUpdate < timeoutSeconds);
     }
 
-    /** Whether more connections are open than allowed, as after the limit was lowered. */
+    /** Whether more connections are open than allowed, for example after the limit was lowered. */
     public boolean isOverLimit() {
         return count() > limit;
     }
@@ -122,24 +129,24 @@
     /**
      * Chooses the connection to evict before one more is accepted.
      *
-     * @param hasUnread whether received bytes of a connection are still unread, so that it is not
-     *     stalled; the call may read them, and so change or remove the connection
-     * @return empty if the limit is not reached, or if every connection takes precedence over a new
-     *     one
+     * @param hasUnreadBytes whether a connection has received bytes that were not read yet, so that
+     *     it is not stalled; the call may read the bytes, and thereby update or remove connections
+     * @return the connection to evict; empty if the limit is not reached, or if every connection
+     *     takes precedence over a new one
      */
-    public Optional<C> connectionToEvict(double time, Predicate<C> hasUnread) {
+    public Optional<C> connectionToEvict(double time, Predicate<C> hasUnreadBytes) {
         if (count() < limit) {
             return Optional.empty();
         }
-        for (Stage stage : List.of(Stage.CLOSING, Stage.IDLE_VISITOR)) {
+        for (Stage stage : List.of(Stage.CLOSING, Stage.IDLE_NO_REQUEST)) {
             Optional<C> first = connectionsIn(stage).stream().findFirst();
             if (first.isPresent()) {
                 return first;
             }
         }
-        // NEW before READING: a slow writer has shown that it intends to send a request.
+        // NEW precedes READING, because a slow writer has shown that it intends to send a request.
         for (Stage stage : List.of(Stage.NEW, Stage.READING)) {
-            Optional<C> stalled = firstStalled(stage, time, hasUnread);
+            Optional<C> stalled = firstStalled(stage, time, hasUnreadBytes);
             if (stalled.isPresent()) {
                 return stalled;
             }
@@ -150,11 +157,11 @@
                 : connectionsIn(Stage.IDLE_CLIENT).stream().findFirst();
     }
 
-    private Optional<C> firstStalled(Stage stage, double time, Predicate<C> hasUnread) {
+    private Optional<C> firstStalled(Stage stage, double time, Predicate<C> hasUnreadBytes) {
         for (C connection : connectionsIn(stage)) {
-            // An earlier call of hasUnread may have moved this one to another stage or removed it.
+            // An earlier call of hasUnreadBytes may have removed or updated this connection.
             double lastUpdate = lastUpdates.get(stage).getOrDefault(connection, time);
-            if (time - lastUpdate >= STALL_TIMEOUT_SECONDS && !hasUnread.test(connection)) {
+            if (time - lastUpdate >= STALL_TIMEOUT_SECONDS && !hasUnreadBytes.test(connection)) {
                 return Optional.of(connection);
             }
         }
--- a/daemon/src/main/java/wheelroute/net/clients/MemoryQuota.java
+++ b/daemon/src/main/java/wheelroute/net/clients/MemoryQuota.java
@@ -1,35 +1,35 @@
 package wheelroute.net.clients;
 
 /**
- * A limit on the memory that messages of all clients may occupy together. Used on the event loop's
- * thread only.
+ * Limits the total memory that the messages of all clients occupy. Used on the event loop's thread
+ * only.
  */
 public final class MemoryQuota {
     private final long limitBytes;
     private long reservedBytes;
 
     /**
-     * Creates a quota of which nothing is reserved.
+     * Creates a quota without any reservations.
      *
-     * @param limitBytes maximum number of bytes
+     * @param limitBytes the maximum number of reserved bytes, which only {@link #reserve} exceeds
      */
     public MemoryQuota(long limitBytes) {
         this.limitBytes = limitBytes;
     }
 
-    /** Reserves bytes, unless that would exceed the limit; returns whether it has reserved them. */
+    /** Reserves bytes unless that would exceed the limit; returns whether they were reserved. */
     boolean tryReserve(int bytes) {
         boolean fits = reservedBytes + bytes <= limitBytes;
         reservedBytes += fits ? bytes : 0;
         return fits;
     }
 
-    /** Reserves bytes even if that exceeds the limit, for input that has already been read. */
+    /** Reserves bytes even over the limit, since they are for input that was already read. */
     void reserve(int bytes) {
         reservedBytes += bytes;
     }
 
-    /** Whether the limit is reached. */
+    /** Whether the reserved bytes have reached the limit. */
     boolean isFull() {
         return reservedBytes >= limitBytes;
     }
--- a/daemon/src/main/java/wheelroute/net/clients/MessageInput.java
+++ b/daemon/src/main/java/wheelroute/net/clients/MessageInput.java
@@ -4,8 +4,8 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * The input side of a client's connection: decodes one message at a time within a time limit, and
- * buffers the input that follows it until the response has been written.
+ * The input side of a client's connection. Decodes one message at a time, for which it sets a time
+ * limit, and buffers the input behind that message until the response has been written.
  *
  * <p>Used on the event loop's thread only. After a {@link BadRequestException} no more messages can
  * be decoded.
@@ -16,21 +16,22 @@
     private final PipelinedInput pipelined;
     private final MessageTimeout timeout;
     private boolean hasPartialMessage;
-    private boolean hasReadMessage;
+    private boolean hasCompletedMessage;
 
     /**
      * A message that was read completely.
      *
-     * @param arrivedAt Unix time in seconds at which its last byte arrived at the earliest
+     * @param arrivedAt the earliest Unix time in seconds at which the last byte of the message may
+     *     have arrived
      */
     record ReceivedMessage(ClientRequest request, double arrivedAt) {}
 
     /**
      * Creates the input of a new connection.
      *
-     * @param bodyQuota memory for bodies, shared by all connections
-     * @param pipelinedQuota memory for pipelined input, shared by all connections
-     * @param onTimeout called when a message is not complete in time
+     * @param bodyQuota limits the memory for the bodies of all connections
+     * @param pipelinedQuota limits the memory for the pipelined input of all connections
+     * @param onTimeout called when a message has not arrived completely within the time limit
      */
     MessageInput(
             EventLoop loop, MemoryQuota bodyQuota, MemoryQuota pipelinedQuota, Runnable onTimeout) {
@@ -40,7 +41,7 @@
         timeout = new MessageTimeout(loop, onTimeout);
     }
 
-    /** Starts the time for the first message. For each later one it starts at its first byte. */
+    /** Starts the time limit of the first message. Later ones start at the first byte. */
     void startTimeout() {
         timeout.start();
     }
@@ -50,26 +51,26 @@
         timeout.cancel();
     }
 
-    /** Whether the last message has begun and was not completed, or was malformed. */
+    /** Whether a message has begun that is not complete yet or was found to be malformed. */
     boolean hasPartialMessage() {
         return hasPartialMessage;
     }
 
-    /** Whether a message has been completed and no other one has begun. */
+    /** Whether a message has been completed and the next one has not begun. */
     boolean isBetweenMessages() {
-        return hasReadMessage && !hasPartialMessage;
+        return hasCompletedMessage && !hasPartialMessage;
     }
 
-    /** Forgets the message that has begun. */
+    /** Stops waiting for the rest of the current message. */
     void abandonMessage() {
         timeout.cancel();
         hasPartialMessage = false;
     }
 
     /**
-     * Decodes the next message. Buffers the input that follows it.
+     * Decodes the next message, and buffers the input that follows the message.
      *
-     * @param in new input, or {@link #buffered}
+     * @param in either new input or the buffer returned by {@link #buffered}
      * @return null if more input is needed
      * @throws BadRequestException if the message is malformed or too large
      */
@@ -84,7 +85,7 @@
         }
         timeout.cancel();
         hasPartialMessage = false;
-        hasReadMessage = true;
+        hasCompletedMessage = true;
         boolean isFromBuffer = in == pipelined.buffered();
         double arrivedAt = isFromBuffer ? pipelined.arrivedAt() : loop.earliestArrival();
         if (in.hasRemaining() && !isFromBuffer) {
@@ -93,32 +94,32 @@
         return new ReceivedMessage(request, arrivedAt);
     }
 
-    /** Buffers input that arrives before the response to the previous message was written. */
+    /** Buffers input that arrives before the response to the current message was written. */
     void buffer(ByteBuffer in) {
         pipelined.add(in, loop.earliestArrival());
     }
 
-    /** Whether no more input should be buffered for now. */
+    /** Whether no more input should be read into the buffer for now. */
     boolean isBufferFull() {
         return pipelined.isFull();
     }
 
-    /** Whether there is buffered input. */
+    /** Whether the buffer contains input that has not been decoded. */
     boolean hasBuffered() {
         return !pipelined.isEmpty();
     }
 
-    /** Returns the buffered input, for {@link #decode}. */
+    /** Returns the buffered input, which can be passed to {@link #decode}. */
     ByteBuffer buffered() {
         return pipelined.buffered();
     }
 
-    /** Releases the memory of the last message's body. */
+    /** Releases the memory of the body of the last message. */
     void releaseBody() {
         decoder.release();
     }
 
-    /** Drops the buffered input and releases its memory. */
+    /** Discards the buffered input and releases the memory of the buffer. */
     void releaseBuffer() {
         pipelined.release();
     }
--- a/daemon/src/main/java/wheelroute/net/clients/MessageTimeout.java
+++ b/daemon/src/main/java/wheelroute/net/clients/MessageTimeout.java
@@ -3,19 +3,19 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Limits the time for a client's message to be complete, and so the time for which a client may be
- * connected without sending anything. Used on the event loop's thread only.
+ * Limits the time that a client's message takes to arrive completely. This also limits how long a
+ * client may be connected before it sends its first message. Used on the event loop's thread only.
  */
 final class MessageTimeout {
     private static final double MESSAGE_TIMEOUT_SECONDS = 2.4;
 
-    /** Added to read what has arrived by then, in case the process itself was paused. */
+    /** Time after the timeout for reading input that arrived while the process was paused. */
     private static final double UNREAD_GRACE_SECONDS = 0.2;
 
     private final EventLoop loop;
     private final Runnable onTimeout;
 
-    /** Null until the first start. */
+    /** The running timer; null until the first {@link #start}. */
     private EventLoop.Timer timer;
 
     MessageTimeout(EventLoop loop, Runnable onTimeout) {
@@ -23,7 +23,7 @@
         this.onTimeout = onTimeout;
     }
 
-    /** Starts the time for a message: at the opening of the connection, or at its first byte. */
+    /** Starts the timeout, when the connection is opened or a message's first byte arrives. */
     void start() {
         timer =
                 loop.schedule(
@@ -31,7 +31,7 @@
                         () -> timer = loop.schedule(UNREAD_GRACE_SECONDS, onTimeout));
     }
 
-    /** Cancels the timeout, if it was started. */
+    /** Cancels the timeout; does nothing if it was never started. */
     void cancel() {
         if (timer != null) {
             timer.cancel();
--- a/daemon/src/main/java/wheelroute/net/clients/PipelinedInput.java
+++ b/daemon/src/main/java/wheelroute/net/clients/PipelinedInput.java
@@ -4,31 +4,31 @@
 import java.util.ArrayDeque;
 
 /**
- * Buffers the input that arrives on a connection before the previous request has been answered. It
- * is read early to notice the end of the stream after it, which means that the client is gone.
- * There is a limit for each connection, and a quota for all of them. The buffer also keeps the
- * times of arrival, when the timeouts of the requests in it start.
+ * Buffers the input that arrives on a connection before the previous request has been answered.
+ * Such input is read early because the end of the stream behind it shows that the client has
+ * disconnected. Each connection has a limit, and all connections share a quota. The buffer also
+ * records when its input arrived, because the timeouts of the requests in it start then.
  *
  * <p>Used on the event loop's thread only.
  */
 final class PipelinedInput {
-    /** Input that arrives within this time of the last recorded arrival is recorded with it. */
+    /** Input that arrives sooner after the last recorded arrival is merged into that record. */
     private static final double MIN_ARRIVAL_INTERVAL_SECONDS = 0.05;
 
-    /** Bound on the arrivals recorded, so that small pieces do not need much memory for them. */
+    /** Maximum number of recorded arrivals, which limits the memory for many small pieces. */
     private static final int MAX_ARRIVALS = 64;
 
-    /** A few messages of the maximum size. Further input is not read from the system. */
+    /** A few messages of the maximum size. No input is read while the buffer is this full. */
     static final int MAX_BYTES = 256 * 1024;
 
     private static final ByteBuffer EMPTY = ByteBuffer.allocate(0);
 
-    /** Shared by all connections. */
+    /** Limits the buffers of all connections together. */
     private final MemoryQuota quota;
 
     private ByteBuffer buffer = EMPTY;
 
-    /** Number of all bytes added since the connection was opened. */
+    /** The total number of bytes added since the connection was opened. */
     private long addedBytes;
 
     private final ArrayDeque<Arrival> arrivals = new ArrayDeque<>();
@@ -36,8 +36,8 @@
     /**
      * The arrival of a piece of input.
      *
-     * @param end value of {@link #addedBytes} after it
-     * @param at when it arrived
+     * @param end the value of {@link #addedBytes} after the piece was added
+     * @param at the Unix time in seconds at which the piece arrived
      */
     private record Arrival(long end, double at) {}
 
@@ -49,12 +49,12 @@
         return !buffer.hasRemaining();
     }
 
-    /** Whether further input should not be read for now. */
+    /** Whether no further input should be read for now. */
     boolean isFull() {
         return buffer.remaining() >= MAX_BYTES || quota.isFull();
     }
 
-    /** Adds all bytes, even if they exceed the limits. */
+    /** Adds all bytes of the input, even if they exceed the limits. */
     void add(ByteBuffer in, double arrivedAt) {
         recordArrival(in.remaining(), arrivedAt);
         append(in);
@@ -85,12 +85,15 @@
         buffer.put(in).reset();
     }
 
-    /** Returns the buffered bytes, to be consumed from the buffer itself. */
+    /** Returns the buffer itself, from which the caller consumes bytes by reading them. */
     ByteBuffer buffered() {
         return buffer;
     }
 
-    /** Returns when the last consumed byte arrived: after decoding, the last one of the message. */
+    /**
+     * Returns the Unix time in seconds at which the last consumed byte arrived. Right after a
+     * message was decoded, this is the last byte of the message.
+     */
     double arrivedAt() {
         long consumedBytes = addedBytes - buffer.remaining();
         while (arrivals.getFirst().end < consumedBytes) {
@@ -99,7 +102,7 @@
         return arrivals.getFirst().at;
     }
 
-    /** Drops all input and returns its memory to the quota. */
+    /** Discards all input and returns the memory of the buffer to the quota. */
     void release() {
         quota.release(buffer.capacity());
         buffer = EMPTY;
--- a/daemon/src/main/java/wheelroute/net/clients/RequestBody.java
+++ b/daemon/src/main/java/wheelroute/net/clients/RequestBody.java
@@ -5,11 +5,11 @@
 import org.eclipse.jetty.http.HttpStatus;
 
 /**
- * The body of the request that is being decoded. Its memory is reserved from a quota that all
- * connections share. Used on the event loop's thread only.
+ * The body of the request that is being decoded. The memory for the body is reserved from a quota
+ * that all connections share. Used on the event loop's thread only.
  */
 final class RequestBody {
-    /** The protocol's limit on bodies. */
+    /** The maximum size of a body by the protocol for clients. */
     static final int MAX_BYTES = 64 * 1024;
 
     private static final byte[] EMPTY = {};
@@ -23,7 +23,7 @@
         this.quota = quota;
     }
 
-    /** Drops the content and returns its memory to the quota. */
+    /** Discards the content and returns the reserved memory to the quota. */
     void release() {
         quota.release(reservedBytes);
         reservedBytes = 0;
@@ -34,15 +34,14 @@
     /**
      * Appends bytes that have arrived.
      *
-     * @param contentLength length of the whole body; not positive if it is unknown
+     * @param contentLength the length of the whole body in bytes; 0 or negative if unknown
      * @throws BadRequestException if the body is too large, or the quota is exhausted
      */
     void append(ByteBuffer piece, long contentLength) throws BadRequestException {
         int length = piece.remaining();
         int needed = receivedBytes + length;
         if (needed > bytes.length) {
-            // Memory is reserved as bytes arrive, so that a stalled client does not hold much of
-            // it.
+            // The reservation grows as bytes arrive, so that a stalled client holds little memory.
             long maxBytes = contentLength > 0 ? contentLength : MAX_BYTES;
             grow(Math.max(needed, Math.min(2L * bytes.length, maxBytes)));
         }
@@ -62,7 +61,7 @@
         bytes = Arrays.copyOf(bytes, reservedBytes);
     }
 
-    /** Returns the content. */
+    /** Returns the bytes received so far, not copied if they fill the buffer exactly. */
     byte[] toArray() {
         return receivedBytes == bytes.length ? bytes : Arrays.copyOf(bytes, receivedBytes);
     }
--- a/daemon/src/main/java/wheelroute/net/clients/RequestFields.java
+++ b/daemon/src/main/java/wheelroute/net/clients/RequestFields.java
@@ -6,29 +6,29 @@
 import java.util.regex.Pattern;
 
 /**
- * Checks and converts the header fields of a request, given under their names in lower case.
- * Immutable as long as the given map is not changed.
+ * Validates and converts the header fields of a request, whose names are in lower case. Immutable
+ * as long as the map of fields is not changed.
  */
 final class RequestFields {
     /**
-     * Plain decimals. Other forms that Java parses ("1e9", "0x1p3", "NaN") are rejected, as workers
-     * need not support them.
+     * Matches plain decimal numbers. Other forms that Java parses ("1e9", "0x1p3", "NaN") are
+     * rejected, because workers need not support them.
      */
     private static final Pattern NUMBER = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
 
-    /** Ids and keys, which are forwarded unchanged: visible characters, limited in number. */
+    /** Matches ids and keys of 1 to 256 visible characters, which are forwarded unchanged. */
     private static final Pattern TOKEN = Pattern.compile("[!-~]{1,256}");
 
-    /** Replaces malformed UTF-8 when it is decoded. */
+    /** The character that the decoder substitutes for malformed UTF-8. */
     private static final char REPLACEMENT_CHARACTER = '\ufffd';
 
     private final Map<String, String> fields;
     private final Map<String, String> attributes;
 
     /**
-     * Parses the field X-Attrs, which has further fields.
+     * Creates an instance and parses the attributes in the field X-Attrs.
      *
-     * @throws BadRequestException if it is malformed
+     * @throws BadRequestException if X-Attrs is malformed
      */
     RequestFields(Map<String, String> fields) throws BadRequestException {
         this.fields = fields;
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Checks a field that is forwarded unchanged; it may be absent.
+     * Checks a field that is forwarded unchanged. The field may be absent.
      *
-     * @throws BadRequestException if it cannot be forwarded
+     * @throws BadRequestException if the value cannot be forwarded
      */
     static void checkToken(Map<String, String> fields, String name) throws BadRequestException {
         String value = fields.get(name);
@@ -59,21 +59,25 @@
         }
     }
 
-    /** Returns a field's value; null if it is absent. */
+    /** Returns the value of a field, or null if the field is absent. */
     String text(String name) {
         return fields.get(name);
     }
 
     /**
-     * Returns a field's value, or the default if it is absent.
+     * Returns the number in a field, or the default if the field is absent.
      *
-     * @throws BadRequestException if it is not a number from 0 on
+     * @throws BadRequestException if the value is not a plain non-negative number
      */
     double number(String name, double defaultValue) throws BadRequestException {
         return parseNumber(name, fields.get(name), defaultValue);
     }
 
-    /** Does the same for one of the attributes in X-Attrs. */
+    /**
+     * Returns the number in an attribute of X-Attrs, or the default if the attribute is absent.
+     *
+     * @throws BadRequestException if the value is not a plain non-negative number
+     */
     double attributeNumber(String name, double defaultValue) throws BadRequestException {
         return parseNumber(name, attributes.get(name), defaultValue);
     }
@@ -89,13 +93,16 @@
         return Double.parseDouble(text);
     }
 
-    /** Returns the tenant, from its own field or the attributes; empty if it is absent. */
+    /** Returns the tenant from X-Tenant-Id, else from X-Attrs; empty if absent from both. */
     String tenant() {
         String tenant = fields.get("x-tenant-id");
         return decodeUtf8(tenant == null ? attributes.getOrDefault("tenant", "") : tenant);
     }
 
-    /** Decodes a value of which the HTTP parser has made one character of each byte. */
+    /**
+     * Decodes a UTF-8 value that the HTTP parser has decoded as ISO 8859-1. A value that is not
+     * valid UTF-8 is returned unchanged.
+     */
     private static String decodeUtf8(String value) {
         byte[] bytes = value.getBytes(StandardCharsets.ISO_8859_1);
         String decoded = new String(bytes, StandardCharsets.UTF_8);
--- a/daemon/src/main/java/wheelroute/net/clients/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/clients/package-info.java
@@ -1,2 +1,2 @@
-/** The server for clients: connections, requests and responses. */
+/** The HTTP server for clients, with its connections, requests and responses. */
 package wheelroute.net.clients;
--- a/daemon/src/main/java/wheelroute/net/http/HttpMessageReader.java
+++ b/daemon/src/main/java/wheelroute/net/http/HttpMessageReader.java
@@ -8,44 +8,44 @@
 import org.eclipse.jetty.http.HttpVersion;
 
 /**
- * Reads what HTTP requests and responses have in common: header fields, the end of the message, and
- * whether the connection stays open after it. Not thread-safe.
+ * Base of the parser callbacks for HTTP requests and responses. Collects the header fields, and
+ * determines when the message is complete and whether the connection stays open after it. Not
+ * thread-safe.
  */
 public abstract class HttpMessageReader implements HttpParser.HttpHandler {
-    /** By their names in lower case; the last one if a name is repeated. */
+    /** The values of the header fields by lower-case name. A repeated name has its last value. */
     protected final Map<String, String> fields = new HashMap<>();
 
     private boolean keepsOpen;
     private boolean complete;
 
     /**
-     * Disables a parser's cache of header fields. It takes some 100 KB per connection from the
-     * first message on, so that a thousand connections would fill the heap of a small dispatcher.
+     * Disables a parser's cache of header fields and returns the parser. From the first message on,
+     * the cache takes some 100 KB per connection, so that a thousand connections would fill the
+     * heap of a small dispatcher.
      */
     protected static HttpParser withoutHeaderCache(HttpParser parser) {
         parser.setHeaderCacheSize(0);
         return parser;
     }
 
-    /** Begins a message; a version other than 1.1 closes its connection after it. */
-    protected void begin(HttpVersion version) {
+    /** Begins a message. The connection closes after a message of a version other than 1.1. */
+    protected void beginMessage(HttpVersion version) {
         fields.clear();
         keepsOpen = version == HttpVersion.HTTP_1_1;
     }
 
-    /** Whether the connection stays open after this message. */
+    /** Whether the connection stays open after the current message. */
     protected boolean keepsOpen() {
         return keepsOpen;
     }
 
-    /**
-     * Whether a complete message has been read, and not yet been taken by {@link #takeComplete}.
-     */
+    /** Whether a complete message has been read that {@link #takeComplete} has not yet reported. */
     protected boolean isComplete() {
         return complete;
     }
 
-    /** Returns true once for each complete message, after which the next one can be read. */
+    /** Returns true once for each complete message. The next message can then be read. */
     protected boolean takeComplete() {
         boolean wasComplete = complete;
         complete = false;
@@ -63,9 +63,9 @@
         }
     }
 
-    /** Reacts to a field whose name has occurred before in the same message. */
+    /** Called for a field whose name has occurred before in the same message. */
     protected void onRepeatedField(String name) {
-        // By default the last one is used.
+        // By default the last value of the field is used.
     }
 
     @Override
--- a/daemon/src/main/java/wheelroute/net/http/ResponseParser.java
+++ b/daemon/src/main/java/wheelroute/net/http/ResponseParser.java
@@ -9,47 +9,48 @@
 import org.eclipse.jetty.http.HttpVersion;
 
 /**
- * Parses the responses on one connection, which arrive in parts of any size. After an exception the
- * parser must not be used any more. Not thread-safe.
+ * Parses the HTTP responses on one connection. The bytes may arrive in parts of any size. After an
+ * exception the parser must not be used any more. Not thread-safe.
  */
 public final class ResponseParser extends HttpMessageReader implements HttpParser.ResponseHandler {
     /**
-     * Receives the responses. Each method may reject a response by an exception, which {@link
-     * #parse} or {@link #atEnd} throws.
+     * Receives the parsed responses. Each method may throw an exception to reject a response;
+     * {@link #parse} or {@link #atEnd} then throws that exception.
      */
     public interface Reader {
         /**
-         * Receives the status, and the header fields by their names in lower case.
+         * Receives the status and the header fields, whose names are in lower case.
          *
          * @throws IOException to reject the response
          */
         void head(int status, Map<String, String> fields) throws IOException;
 
         /**
-         * Receives a part of the body.
+         * Receives the next part of the body.
          *
          * @throws IOException to reject the response
          */
         void piece(ByteBuffer bytes) throws IOException;
 
         /**
-         * Ends the response, which is complete.
+         * Called when the response is complete.
          *
-         * @param keepsOpen whether the connection may be used again
+         * @param keepsOpen whether the connection may be used for another request
          * @throws IOException to reject the response
          */
         void end(boolean keepsOpen) throws IOException;
     }
 
-    /** The maximum size of the status line with all header fields. */
+    /** The maximum size of the status line together with all header fields. */
     private static final int MAX_HEAD_BYTES = 8 * 1024;
 
     /**
-     * Rejects no more than the standard, because workers and discovery are of the same platform.
+     * The compliance mode, which is no stricter than the standard, because workers and discovery
+     * belong to the same platform as the dispatcher.
      */
     private static final HttpCompliance COMPLIANCE = HttpCompliance.RFC9110;
 
-    /** Lower statuses are informational, and a final response follows them. */
+    /** The lowest status of a final response. Lower ones are informational and precede it. */
     private static final int FIRST_FINAL_STATUS = 200;
 
     private final HttpParser parser =
@@ -57,18 +58,18 @@
     private final Reader reader;
     private int status;
 
-    /** Thrown once the parser has returned; null if there is none. */
-    private IOException fault;
+    /** The exception to throw once Jetty's parser has returned; null if there is none. */
+    private IOException failure;
 
-    /** Creates a parser for one connection. */
+    /** Creates a parser for a new connection. */
     public ResponseParser(Reader reader) {
         this.reader = reader;
     }
 
     /**
-     * Parses all of the bytes.
+     * Parses all remaining bytes of the buffer.
      *
-     * @throws MalformedResponseException if they are not a response
+     * @throws MalformedResponseException if the bytes are not an HTTP response
      * @throws IOException if the reader rejects the response
      */
     public void parse(ByteBuffer in) throws IOException {
@@ -76,11 +77,11 @@
             try {
                 parser.parseNext(in);
             } catch (RuntimeException e) {
-                // Jetty reports some malformed messages in this way, and others to badMessage().
+                // Jetty throws for some malformed messages, and calls badMessage() for others.
                 throw new MalformedResponseException("not an HTTP response", e);
             }
-            if (fault != null) {
-                throw fault;
+            if (failure != null) {
+                throw failure;
             }
             if (takeComplete()) {
                 parser.reset();
@@ -92,7 +93,7 @@
     }
 
     /**
-     * Processes the peer's end of stream, which completes a response that has no length.
+     * Processes the peer's end of stream, which completes a response of unknown length.
      *
      * @throws MalformedResponseException if a response is incomplete
      * @throws IOException if the reader rejects the response
@@ -100,8 +101,8 @@
     public void atEnd() throws IOException {
         parser.atEOF();
         parser.parseNext(ByteBuffer.allocate(0));
-        if (fault != null) {
-            throw fault;
+        if (failure != null) {
+            throw failure;
         }
         if (takeComplete()) {
             reader.end(false);
@@ -112,39 +113,40 @@
         void run() throws IOException;
     }
 
-    /** Calls the reader; returns true to make Jetty's parser stop. */
-    private boolean isRejected(ReaderCall call) {
+    /** Calls the reader. Returns whether Jetty's parser must stop because of an exception. */
+    private boolean callReader(ReaderCall call) {
         try {
             call.run();
         } catch (IOException e) {
-            fault = e;
+            failure = e;
         }
-        return fault != null;
+        return failure != null;
     }
 
     @Override
     public void startResponse(HttpVersion version, int newStatus, String reason) {
         status = newStatus;
-        begin(version);
+        beginMessage(version);
     }
 
     @Override
     public boolean headerComplete() {
-        return status >= FIRST_FINAL_STATUS && isRejected(() -> reader.head(status, fields));
+        return status >= FIRST_FINAL_STATUS && callReader(() -> reader.head(status, fields));
     }
 
     @Override
     public boolean content(ByteBuffer piece) {
-        return isRejected(() -> reader.piece(piece));
+        return callReader(() -> reader.piece(piece));
     }
 
     @Override
     public void earlyEOF() {
-        fault = new MalformedResponseException("the response ended early");
+        failure =
+                new MalformedResponseException("the stream ended before the response was complete");
     }
 
     @Override
     public void badMessage(HttpException cause) {
-        fault = new MalformedResponseException("not an HTTP response: " + cause.getReason());
+        failure = new MalformedResponseException("not an HTTP response: " + cause.getReason());
     }
 }
--- a/daemon/src/main/java/wheelroute/net/http/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/http/package-info.java
@@ -1,2 +1,2 @@
-/** Parsing and building of HTTP messages, without any knowledge of their senders or receivers. */
+/** Parsing and building of HTTP messages, independent of who sends or receives them. */
 package wheelroute.net.http;
--- a/daemon/src/main/java/wheelroute/net/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/package-info.java
@@ -1,10 +1,10 @@
 /**
- * The dispatcher on sockets.
+ * The network layer of the dispatcher.
  *
- * <p>There is one package for each kind of peer ({@code clients}, {@code workers}, {@code
- * discovery}, {@code peers}, {@code handover}, {@code admin}), one for the requests that connect
- * them ({@code requests}), one for the process itself ({@code lifecycle}), and the common base
- * ({@code loop}, {@code http}, {@code metrics}). All of it runs on the one thread of the event
- * loop.
+ * <p>There is one package for each kind of communication partner ({@code clients}, {@code workers},
+ * {@code discovery}, {@code peers}, {@code handover}, {@code admin}), one for the requests that are
+ * passed from clients to workers ({@code requests}), one for the lifecycle of the process ({@code
+ * lifecycle}), and the common infrastructure ({@code loop}, {@code http}, {@code metrics}). All of
+ * them run on the single thread of the event loop.
  */
 package wheelroute.net;
--- a/daemon/src/main/java/wheelroute/net/requests/DrainAdmission.java
+++ b/daemon/src/main/java/wheelroute/net/requests/DrainAdmission.java
@@ -8,44 +8,45 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Admission during a graceful shutdown: which requests are still accepted, which client connections
- * are kept open, and which Retry-After a rejected client is sent.
+ * Admission during a graceful shutdown. Decides which requests are still accepted, whether client
+ * connections are kept open, and which Retry-After is sent to rejected clients.
  *
- * <p>A request that was read completely passes three checks, each with a question of its own.
- * {@link RequestDispatcher#accept} checks whether the message is valid. This class, which knows
- * only when the process ends, checks whether the request can complete before that. {@link
- * Admission}, inside the policy, checks whether the wait at the workers is acceptable, and knows
- * nothing of the process.
+ * <p>A request that was read completely passes three independent checks. {@link
+ * RequestDispatcher#accept} checks whether the message is valid. This class, which only knows when
+ * the process ends, checks whether the request can complete before the end. {@link Admission},
+ * which is part of the policy and has no knowledge of the process, checks whether the wait at the
+ * workers is acceptable.
  *
- * <p>Only for the event loop's thread.
+ * <p>Used on the event loop's thread only.
  */
 final class DrainAdmission {
     /**
-     * While draining, a request is admitted if this multiple of its estimated work still fits.
-     * Estimates are off by up to a factor of two in either direction. An idempotent request may be
-     * tried in spite of that, as its client can repeat it elsewhere.
+     * While draining, an idempotent request is admitted if this multiple of its estimated work fits
+     * into the time left. Estimates are off by up to a factor of two in either direction, but an
+     * idempotent request may be tried nevertheless, because its client can repeat it elsewhere.
      */
     private static final double IDEMPOTENT_ESTIMATE_FACTOR = 0.6;
 
-    /** The same factor for requests that must not run twice. */
+    /** The corresponding multiple for requests that must not run twice. */
     private static final double AT_MOST_ONCE_ESTIMATE_FACTOR = 1.5;
 
-    /** Added to a request's estimated work, for queueing and the network. */
+    /** Time added to the estimated work of a request for queueing and the network. */
     private static final double QUEUEING_ALLOWANCE_SECONDS = 0.1;
 
-    /** Time from the end of the drain until the restarted dispatcher accepts clients. */
+    /** Expected time from the drain deadline until the restarted dispatcher accepts clients. */
     private static final double RESTART_SECONDS = 2;
 
-    /** Only moves forward: {@link #begin} leaves SERVING, and {@link #end} leads to ENDED. */
+    /** The phases of a shutdown. {@link #begin} leaves SERVING, and {@link #end} enters ENDED. */
     private enum State {
-        /** Everything is admitted. */
+        /** There is no shutdown, and all requests are admitted. */
         SERVING,
         /**
-         * If clients cannot go to another dispatcher, or a successor serves, requests that do not
-         * fit into the time left are rejected; otherwise every request is still admitted.
+         * The process drains. If there is no other dispatcher, or if a successor process accepts
+         * clients, requests that do not fit into the time left are rejected. Otherwise all requests
+         * are still admitted.
          */
         DRAINING,
-        /** The deadline has passed: requests are admitted, but no attempt is sent any more. */
+        /** The drain has ended. Requests are admitted, but no attempt is sent any more. */
         ENDED
     }
 
@@ -54,11 +55,11 @@
     private final BooleanSupplier hasSuccessor;
     private State state = State.SERVING;
 
-    /** On the event loop's clock, in seconds; meaningful only from {@link #begin} on. */
+    /** The deadline on the event loop's clock, in seconds; not set before {@link #begin}. */
     private double drainDeadline;
 
     /**
-     * Creates an admission that admits everything until {@link #begin}.
+     * Creates an admission that admits all requests until {@link #begin} is called.
      *
      * @param hasSuccessor whether a successor process accepts clients in place of this one
      */
@@ -71,7 +72,8 @@
     /**
      * Starts draining.
      *
-     * @param deadline on the event loop's clock, in seconds; requests still open then are ended
+     * @param deadline the time at which open requests are ended, on the event loop's clock in
+     *     seconds
      */
     void begin(double deadline) {
         if (state == State.SERVING) {
@@ -80,39 +82,39 @@
         drainDeadline = deadline;
     }
 
-    /** Ends admission for good: the process is about to exit. */
+    /** Ends the drain for good, because the process is about to exit. */
     void end() {
         state = State.ENDED;
     }
 
-    /** Whether a graceful shutdown has begun. */
+    /** Whether a graceful shutdown has begun, even if the drain has ended. */
     boolean isDraining() {
         return state != State.SERVING;
     }
 
-    /** Whether admission has ended for good. */
+    /** Whether the drain has ended, so that no attempt is sent any more. */
     boolean hasEnded() {
         return state == State.ENDED;
     }
 
     /**
      * Whether clients are served on their connections until the drain ends. A draining dispatcher
-     * closes its connections so that clients go to another dispatcher or to the successor process;
-     * with neither, they could not connect to anything until the restart.
+     * closes its connections so that clients connect to another dispatcher or to the successor
+     * process. If neither exists, clients could not connect to anything until the restart.
      */
     private boolean servesUntilDeadline() {
         return isDraining() && settings.dispatchers() <= 1 && !hasSuccessor.getAsBoolean();
     }
 
-    /** Whether each response is the last one on its connection. */
+    /** Whether each response is now the last one on its connection. */
     boolean closesAfterResponse() {
         return isDraining() && (!servesUntilDeadline() || hasEnded());
     }
 
     /**
-     * Whether the request is unlikely to complete before the drain deadline, so that its client had
-     * better retry after the restart or at the successor process. A request without an estimate is
-     * not known to fit, and is rejected.
+     * Whether the request must be rejected because it is unlikely to complete before the drain
+     * deadline. Its client should rather retry after the restart or at the successor process. A
+     * request without an estimate is rejected too, as it is not known to fit.
      */
     boolean mustReject(ClientRequest message, Idempotency idempotency) {
         boolean checksEstimate =
@@ -132,10 +134,10 @@
     }
 
     /**
-     * Returns the Retry-After to send, in seconds; 0 for none. Before a restart it ends after the
-     * restart, so that clients do not use up their retries while nothing listens.
+     * Returns the Retry-After to send, in seconds, or 0 for none. Before a restart, the delay lasts
+     * until after the restart, so that clients do not use up their retries while nothing listens.
      *
-     * @param policyRetryAfterSeconds what the policy would send
+     * @param policyRetryAfterSeconds the delay that the policy would send; 0 for none
      */
     double retryAfterSeconds(double policyRetryAfterSeconds) {
         if (!servesUntilDeadline() || !settings.sendsRetryAfter()) {
--- a/daemon/src/main/java/wheelroute/net/requests/EndpointDirectory.java
+++ b/daemon/src/main/java/wheelroute/net/requests/EndpointDirectory.java
@@ -11,30 +11,31 @@
 import wheelroute.net.workers.WorkerConnectionPools;
 
 /**
- * The workers on the endpoint list. Maps discovery's names to the ids that the policy uses, and
- * opens and closes the workers' connection pools as the list changes. Only for the event loop's
- * thread.
+ * The workers on the endpoint list. Maps the names that discovery uses to the ids that the policy
+ * uses, and opens and closes the connection pools of the workers when the list changes. Used on the
+ * event loop's thread only.
  */
 final class EndpointDirectory {
     private final WorkerConnectionPools pools;
     private final StartTimes startTimes;
-    private final Map<String, Member> members = new HashMap<>();
+    private final Map<String, ListedWorker> listedWorkers = new HashMap<>();
     private long lastWorkerId;
     private long version = EndpointWatch.NO_VERSION;
 
     /**
      * A worker on the list, with its latest entry.
      *
-     * @param startedAt on the event loop's clock, in seconds; NaN if unknown
+     * @param startedAt the start time of the worker on the event loop's clock, in seconds; NaN if
+     *     unknown or long ago
      */
-    private record Member(Ids.Worker worker, EndpointList.Entry entry, double startedAt) {}
+    private record ListedWorker(Ids.Worker worker, EndpointList.Entry entry, double startedAt) {}
 
     /**
      * The effect of a list, or of changes to it.
      *
-     * @param endpoints the entries in the policy's terms, in the list's order
+     * @param endpoints the entries converted for the policy, in the order of the list
      * @param draining the workers that are draining
-     * @param removed the workers that are no longer on the list, by name
+     * @param removed the workers that are no longer on the list, by the name from discovery
      */
     record Update(
             List<Endpoint> endpoints, List<Ids.Worker> draining, Map<String, Ids.Worker> removed) {}
@@ -45,14 +46,14 @@
     }
 
     /**
-     * Applies a list or its changes. Once the policy has been given the update's endpoints, the
-     * caller must pass the update to {@link #releaseObsolete}.
+     * Applies a complete list or changes to the list. The caller must pass the endpoints of the
+     * update to the policy, and then the update to {@link #releaseObsolete}.
      */
     Update apply(EndpointList list) {
         Update update = new Update(new ArrayList<>(), new ArrayList<>(), new HashMap<>());
         if (list.complete()) {
-            // Those that the list contains are taken out again below.
-            members.forEach((name, member) -> update.removed.put(name, member.worker));
+            // The workers that the list contains are taken out again by apply(entry, update).
+            listedWorkers.forEach((name, listed) -> update.removed.put(name, listed.worker));
         }
         version = list.version();
         startTimes.observeWallClock();
@@ -63,10 +64,10 @@
     }
 
     private void apply(EndpointList.Entry entry, Update update) {
-        Member known = members.get(entry.id());
+        ListedWorker known = listedWorkers.get(entry.id());
         Ids.Worker worker = known != null ? known.worker : new Ids.Worker(++lastWorkerId);
         double startedAt = startedAt(entry, known);
-        members.put(entry.id(), new Member(worker, entry, startedAt));
+        listedWorkers.put(entry.id(), new ListedWorker(worker, entry, startedAt));
         if (entry.state() == Endpoint.State.REMOVED) {
             update.removed.put(entry.id(), worker);
         } else {
@@ -80,10 +81,10 @@
     }
 
     /**
-     * Returns the worker's start on the event loop's clock. A start time that has been converted
-     * before is not converted again: the wall clock may have been stepped since.
+     * Returns the start time of a worker on the event loop's clock. A start time that was already
+     * converted is not converted again, because the wall clock may have been stepped since.
      */
-    private double startedAt(EndpointList.Entry entry, Member known) {
+    private double startedAt(EndpointList.Entry entry, ListedWorker known) {
         boolean sameStart =
                 known != null && Double.compare(known.entry.startedAt(), entry.startedAt()) == 0;
         return sameStart ? known.startedAt : startTimes.toLoopTime(entry.startedAt());
@@ -101,46 +102,46 @@
                 entry.state());
     }
 
-    /** Releases the connections and names of workers that an update has made obsolete. */
+    /** Releases the connections and names that an update has made obsolete. */
     void releaseObsolete(Update update) {
         pools.onPolicyUpdated(update.draining);
         update.removed.forEach(
                 (name, worker) -> {
                     pools.remove(worker);
-                    // Each release of the workers brings new names, so old ones are not kept. A
-                    // name that is listed again later is treated as a new worker.
-                    members.remove(name);
+                    // Old names are not kept, because each new release of the workers has new
+                    // names. A name that is listed again later is treated as a new worker.
+                    listedWorkers.remove(name);
                 });
     }
 
     int size() {
-        return members.size();
+        return listedWorkers.size();
     }
 
-    /** Returns the version of the last list, or {@link EndpointWatch#NO_VERSION}. */
+    /** Returns the version of the last list, or {@link EndpointWatch#NO_VERSION} before it. */
     long version() {
         return version;
     }
 
-    /** Returns all workers as last listed, or null before the first list. */
+    /** Returns the latest entries of all workers, or null before the first list. */
     EndpointList snapshot() {
         if (version == EndpointWatch.NO_VERSION) {
             return null;
         }
         return new EndpointList(
-                version, true, members.values().stream().map(Member::entry).toList());
+                version, true, listedWorkers.values().stream().map(ListedWorker::entry).toList());
     }
 
-    /** Returns the worker of this name, or null if it is not listed. */
+    /** Returns the worker with a name from discovery, or null if the name is not listed. */
     Ids.Worker worker(String name) {
-        Member member = members.get(name);
-        return member == null ? null : member.worker;
+        ListedWorker listed = listedWorkers.get(name);
+        return listed == null ? null : listed.worker;
     }
 
-    /** Returns a copy of discovery's names by worker. */
+    /** Returns a copy of the names from discovery, by worker. */
     Map<Ids.Worker, String> names() {
         Map<Ids.Worker, String> names = new HashMap<>();
-        members.forEach((name, member) -> names.put(member.worker, name));
+        listedWorkers.forEach((name, listed) -> names.put(listed.worker, name));
         return names;
     }
 }
--- a/daemon/src/main/java/wheelroute/net/requests/Exchange.java
+++ b/daemon/src/main/java/wheelroute/net/requests/Exchange.java
@@ -18,31 +18,34 @@
 import wheelroute.net.workers.InFlightAttempt;
 
 /**
- * One accepted request: its handle in the policy, its attempts and its single final response. It
- * receives the events of the client's connection and of the attempts. Only for the event loop's
- * thread.
+ * The processing of one accepted request, with its handle in the policy, its attempts and its
+ * single final response. Receives the events of the client's connection and of the attempts. Used
+ * on the event loop's thread only.
  */
 public final class Exchange implements RequestAcceptor.AcceptedRequest {
     private static final int TYPICAL_ATTEMPTS = 2;
 
     private final RequestDispatcher dispatcher;
     private final Request request;
-    private final AttemptRequest message;
+    private final AttemptRequest attemptRequest;
     private final RequestAcceptor.ResponseSender client;
     private final List<Attempt> attempts = new ArrayList<>(TYPICAL_ATTEMPTS);
     private final EventLoop.Timer deadlineTimer;
 
-    /** Null until the policy has accepted the request. */
+    /** The handle of the request in the policy; null until the policy has accepted the request. */
     private RequestHandle handle;
 
-    /** Whether the policy is accepting it; the client's connection has only just been checked. */
+    /**
+     * Whether the policy is accepting the request. Attempts that start during that time need no
+     * check of the client's connection, which has just been checked.
+     */
     private boolean beingAccepted;
 
-    /** Whether the client has been sent its response, or has closed its connection. */
-    private boolean answered;
+    /** Whether the final response has been sent, or the client has closed its connection. */
+    private boolean answeredOrAbandoned;
 
     /**
-     * Creates an exchange and starts its deadline timer; {@link #begin} must follow.
+     * Creates an exchange and starts its deadline timer. The caller must then call {@link #begin}.
      *
      * @param atMostOnce whether a second run on a worker could have a second effect
      */
@@ -56,7 +59,7 @@
         this.dispatcher = dispatcher;
         this.request = request;
         this.client = client;
-        this.message =
+        attemptRequest =
                 new AttemptRequest(
                         message.method(),
                         message.target(),
@@ -68,25 +71,25 @@
         deadlineTimer = loop.schedule(request.deadline() - loop.now(), this::onDeadline);
     }
 
-    /** Passes the request to the policy; must run as an event of its own. */
+    /** Passes the request to the policy. Must run as a separate event of the policy. */
     public void begin(Policy policy) {
         beingAccepted = true;
         handle = policy.accept(request);
         beingAccepted = false;
     }
 
-    /** One attempt of this request; passes its events on to the policy. */
+    /** An attempt of the request, which passes the events of the attempt on to the policy. */
     private final class Attempt implements AttemptListener {
         private final int number;
 
-        /** Null until it is sent; stays null if it ends unsent. */
+        /** Null until the attempt is sent; remains null if the attempt ends without being sent. */
         private InFlightAttempt inFlight;
 
         Attempt(int number) {
             this.number = number;
         }
 
-        /** Ends the attempt, if it has been sent and has not ended. */
+        /** Ends the attempt with a result, if the attempt was sent and has not ended. */
         void end(AttemptResult result) {
             if (inFlight != null) {
                 inFlight.abort(result);
@@ -95,7 +98,7 @@
 
         @Override
         public boolean isStillNeeded() {
-            return !answered && !checkClientGone();
+            return !answeredOrAbandoned && !checkClientGone();
         }
 
         @Override
@@ -113,17 +116,20 @@
             dispatcher.counters().count(result);
             dispatcher.runEvent(
                     () -> {
-                        if (result == AttemptResult.SUCCEEDED && !answered) {
+                        if (result == AttemptResult.SUCCEEDED && !answeredOrAbandoned) {
                             answer(Counters.FinalAnswer.SUCCEEDED, ClientResponse.succeeded(body));
                         }
                         LoadReport report = new LoadReport(freeSlots);
-                        handle.onEnded(number, result.outcome(), answered, report);
+                        handle.onEnded(number, result.outcome(), answeredOrAbandoned, report);
                         removeIfComplete();
                     });
         }
     }
 
-    /** Sends the next attempt to this worker, unless the drain has ended or the client has left. */
+    /**
+     * Sends the next attempt to a worker, unless the drain has ended or the client has
+     * disconnected.
+     */
     void startAttempt(Ids.Worker worker) {
         Attempt attempt = new Attempt(attempts.size());
         attempts.add(attempt);
@@ -132,13 +138,13 @@
         } else {
             dispatcher.counters().count(Counters.Counter.ATTEMPTS);
             attempt.inFlight =
-                    dispatcher.workers().send(worker, message, request.deadline(), attempt);
+                    dispatcher.workers().send(worker, attemptRequest, request.deadline(), attempt);
         }
     }
 
     /**
-     * Checks whether the client has closed its connection, and ends the request if so. While the
-     * request was waiting, the client's end of stream may have remained unread.
+     * Checks whether the client has closed its connection, and ends the request if so. The check is
+     * needed because the client's end of stream may still be unread after the request has waited.
      */
     private boolean checkClientGone() {
         boolean gone = client.isClientGone();
@@ -148,26 +154,26 @@
         return gone;
     }
 
-    /** Cancels the attempt of this number, if it has not ended. */
+    /** Cancels the attempt with a number, if the attempt has not ended. */
     void cancelAttempt(int number) {
         attempts.get(number).end(AttemptResult.CANCELLED);
     }
 
-    /** Sends the final response, unless one has been sent or the client has left. */
+    /** Sends the final response, unless one was sent before or the client has disconnected. */
     void answer(Counters.FinalAnswer kind, ClientResponse response) {
-        if (!answered) {
-            markAnswered();
+        if (!answeredOrAbandoned) {
+            markAnsweredOrAbandoned();
             dispatcher.counters().count(request.requestClass(), kind);
             client.send(response);
         }
     }
 
-    /** Records that no response is due any more, and ends the attempts not yet written. */
-    private void markAnswered() {
-        answered = true;
+    /** Records that no response is due any more, and cancels the attempts not yet written. */
+    private void markAnsweredOrAbandoned() {
+        answeredOrAbandoned = true;
         dispatcher.onNoLongerPending();
-        // In an event of its own: the current event may be that of another request, after which
-        // nothing else would remove this one.
+        // The removal is a separate event because the current event may belong to another request.
+        // In that case nothing else would remove this request.
         dispatcher.runEvent(this::removeIfComplete);
         for (Attempt attempt : attempts) {
             if (attempt.inFlight != null && !attempt.inFlight.isWritten()) {
@@ -180,40 +186,40 @@
     public void onClientGone() {
         dispatcher.runEvent(
                 () -> {
-                    if (!answered) {
-                        markAnswered();
+                    if (!answeredOrAbandoned) {
+                        markAnsweredOrAbandoned();
                         dispatcher.counters().count(Counters.Counter.CLIENTS_GONE);
                         handle.onClientGone();
                     }
                 });
     }
 
-    /** Ends the attempts in flight; the policy then decides on the client's response. */
+    /** Ends the attempts in flight, after which the policy decides on the client's response. */
     public void onDeadline() {
         for (Attempt attempt : new ArrayList<>(attempts)) {
             attempt.end(AttemptResult.TIMED_OUT);
         }
         dispatcher.runEvent(
                 () -> {
-                    if (!answered) {
+                    if (!answeredOrAbandoned) {
                         handle.onDeadline();
                     }
                 });
-        // In an event of its own, so that it runs even if the policy throws in the one above.
+        // This is a separate event so that it runs even if the policy throws in the previous one.
         dispatcher.runEvent(
                 () -> {
-                    if (!answered) {
-                        // The policy has thrown; whether an attempt had an effect is unknown.
+                    if (!answeredOrAbandoned) {
+                        // The policy has thrown, so that the effect of the attempts is unknown.
                         answer(Counters.FinalAnswer.FAILED, ClientResponse.failed());
                     }
-                    dispatcher.remove(request.id(), message.id());
+                    dispatcher.remove(request.id(), attemptRequest.id());
                 });
     }
 
     private void removeIfComplete() {
-        if (answered && handle.isComplete()) {
+        if (answeredOrAbandoned && handle.isComplete()) {
             deadlineTimer.cancel();
-            dispatcher.remove(request.id(), message.id());
+            dispatcher.remove(request.id(), attemptRequest.id());
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/requests/OpenRequests.java
+++ b/daemon/src/main/java/wheelroute/net/requests/OpenRequests.java
@@ -11,9 +11,9 @@
 import wheelroute.net.handover.Handover;
 
 /**
- * The open requests of this process: accepted, with a response or an attempt still outstanding.
- * Notifies the dispatcher's other processes of each one that is added or removed. Only for the
- * event loop's thread.
+ * The open requests of this process. A request is open from its acceptance until it has neither a
+ * response nor an attempt outstanding. Notifies the dispatcher's other processes of each request
+ * that is added or removed. Used on the event loop's thread only.
  */
 final class OpenRequests {
     private final Map<Ids.Request, Exchange> exchanges = new HashMap<>();
@@ -21,10 +21,10 @@
     /** The ids that the clients gave to the open requests. */
     private final Set<String> clientIds = new HashSet<>();
 
-    /** Null if no other process can take over from this one. */
+    /** The handover to the other processes; null if no process can take over from this one. */
     private Handover handover;
 
-    /** Sets the handover, whose processes are notified from now on. */
+    /** Sets the handover whose processes are notified from now on, or null for none. */
     void setHandover(Handover newHandover) {
         handover = newHandover;
     }
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Removes a request; does nothing if it has already been removed. */
+    /** Removes a request; does nothing if the request was already removed. */
     void remove(Ids.Request id, String clientId) {
         if (exchanges.remove(id) != null) {
             clientIds.remove(clientId);
@@ -52,13 +52,13 @@
         }
     }
 
-    /** Whether a request with this client-given id is open, here or in another process. */
+    /** Whether a request with an id given by its client is open, here or in another process. */
     boolean contains(String clientId) {
         return clientIds.contains(clientId)
                 || (handover != null && handover.isOpenElsewhere(clientId));
     }
 
-    /** Returns the exchange of a request, or null if it is not open. */
+    /** Returns the exchange of a request, or null if the request is not open. */
     Exchange get(Ids.Request id) {
         return exchanges.get(id);
     }
@@ -67,12 +67,12 @@
         return exchanges.size();
     }
 
-    /** Returns a copy of all exchanges, which may be removed while the caller iterates. */
+    /** Returns a copy of all exchanges, so that the caller may remove them while iterating. */
     List<Exchange> all() {
         return new ArrayList<>(exchanges.values());
     }
 
-    /** Returns a live, read-only view of the ids that the clients gave. */
+    /** Returns a live, read-only view of the ids that the clients gave to the open requests. */
     Set<String> clientIds() {
         return Collections.unmodifiableSet(clientIds);
     }
--- a/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
@@ -23,31 +23,32 @@
 import wheelroute.net.workers.WorkerConnectionPools;
 
 /**
- * Connects the policy with the sockets: turns what happens on them into events for the policy, and
- * carries out the actions that it decides on. Only for the event loop's thread.
+ * Connects the policy to the network. Passes what happens on the connections to the policy as
+ * events, and carries out the actions that the policy decides on. Used on the event loop's thread
+ * only.
  */
 public final class RequestDispatcher
         implements ActionHandler, RequestAcceptor, EndpointWatch.Listener {
     private final EventLoop loop;
     private final Counters counters;
     private final WorkerConnectionPools workers;
-    private final RequestFactory requests;
+    private final RequestFactory requestFactory;
     private final Policy policy;
     private final SerialEventQueue events;
-    private final OpenRequests open = new OpenRequests();
+    private final OpenRequests openRequests = new OpenRequests();
     private final EndpointDirectory endpoints;
     private final DrainAdmission drainAdmission;
     private final StateTransfer stateTransfer;
     private EndpointWatch watch;
     private ClientServer clients;
 
-    /** Requests accepted, and neither answered nor abandoned by their clients. */
+    /** The number of accepted requests that are neither answered nor abandoned by their clients. */
     private int pending;
 
     /**
      * Creates a dispatcher together with its policy.
      *
-     * @param maxTimeoutSeconds the longest timeout that a client is granted
+     * @param maxTimeoutSeconds the maximum timeout of a request; a longer one is reduced to it
      */
     public RequestDispatcher(
             EventLoop loop,
@@ -58,20 +59,25 @@
         this.loop = loop;
         this.counters = counters;
         this.workers = workers;
-        requests = new RequestFactory(settings, maxTimeoutSeconds);
+        requestFactory = new RequestFactory(settings, maxTimeoutSeconds);
         policy = new Policy(settings, this);
         policy.advanceTo(loop.now());
-        // The endpoint list that a process starts with is treated as confirmed at the start.
+        // The endpoint list that a process starts with counts as confirmed when it starts.
         policy.onEndpointsConfirmed();
         events = new SerialEventQueue(() -> policy.advanceTo(loop.now()));
         endpoints = new EndpointDirectory(workers, new StartTimes(loop));
-        drainAdmission = new DrainAdmission(loop, settings, open::hasSuccessor);
+        drainAdmission = new DrainAdmission(loop, settings, openRequests::hasSuccessor);
         stateTransfer =
                 new StateTransfer(
-                        loop, policy, events, endpoints, open.clientIds(), this::onEndpoints);
+                        loop,
+                        policy,
+                        events,
+                        endpoints,
+                        openRequests.clientIds(),
+                        this::onEndpoints);
     }
 
-    /** Replaces the endpoint watch; the old one is stopped. */
+    /** Sets the endpoint watch, and stops the previous one, if any. */
     public void setWatch(EndpointWatch newWatch) {
         if (watch != null) {
             watch.stop();
@@ -79,24 +85,22 @@
         watch = newWatch;
     }
 
-    /** Sets the server that client connections come from. */
+    /** Sets the server that accepts the connections of clients. */
     public void setClients(ClientServer newClients) {
         clients = newClients;
     }
 
-    /** Sets the handover to the dispatcher's other processes; null for none. */
+    /** Sets the handover to the other processes of the dispatcher, or null if there is none. */
     public void setHandover(Handover newHandover) {
-        open.setHandover(newHandover);
+        openRequests.setHandover(newHandover);
     }
 
-    /** Returns the state that is exported to a successor, and imported from a predecessor. */
+    /** Returns the state that can be exported to a successor or imported from a predecessor. */
     public TransferableState transferableState() {
         return stateTransfer;
     }
 
-    // ---- for the exchanges
-
-    /** Runs an event for the policy: immediately, or after the event that is being processed. */
+    /** Runs an event for the policy immediately, or else after the event in progress. */
     public void runEvent(Runnable event) {
         events.run(event);
     }
@@ -109,9 +113,9 @@
         return workers;
     }
 
-    /** Removes a request that has nothing outstanding. */
+    /** Removes a request that has neither a response nor an attempt outstanding. */
     void remove(Ids.Request id, String clientId) {
-        open.remove(id, clientId);
+        openRequests.remove(id, clientId);
     }
 
     /** Records that a pending request has been answered or abandoned. */
@@ -119,38 +123,36 @@
         pending--;
     }
 
-    // ---- from the clients
-
     /**
-     * Accepts a request if its message is valid, no request with its id is open, its deadline has
-     * not passed, and it can complete before a shutdown, see {@link DrainAdmission}. An accepted
-     * request may still be rejected by the policy.
+     * Accepts a request if its message is valid, no request with the same id is open, its deadline
+     * has not passed, and it can complete before a shutdown, see {@link DrainAdmission}. The policy
+     * may still reject an accepted request.
      */
     @Override
     public AcceptedRequest accept(ClientRequest message, double arrivedAt, ResponseSender responses)
             throws BadRequestException {
-        Settings.RequestClass requestClass = requests.requestClass(message);
-        rejectOpenId(message);
-        double deadline = requests.deadline(message, arrivedAt);
+        Settings.RequestClass requestClass = requestFactory.requestClass(message);
+        checkIdNotOpen(message);
+        double deadline = requestFactory.deadline(message, arrivedAt);
         if (deadline <= loop.now()
                 || drainAdmission.mustReject(message, requestClass.idempotency())) {
             onRejected(message);
             responses.send(ClientResponse.rejected(drainAdmission.retryAfterSeconds(0)));
             return () -> {};
         }
-        Request request = requests.create(message, requestClass, deadline);
+        Request request = requestFactory.create(message, requestClass, deadline);
         boolean atMostOnce = requestClass.idempotency() != Idempotency.IDEMPOTENT;
         Exchange exchange = new Exchange(this, loop, request, message, responses, atMostOnce);
-        open.add(request.id(), message.id(), exchange);
+        openRequests.add(request.id(), message.id(), exchange);
         counters.count(Counters.Counter.REQUESTS_ACCEPTED);
         pending++;
         runEvent(() -> exchange.begin(policy));
         return exchange;
     }
 
-    /** Rejects a message whose id is open: workers know requests by this id. */
-    private void rejectOpenId(ClientRequest message) throws BadRequestException {
-        if (open.contains(message.id())) {
+    /** Rejects a message with the id of an open request, as workers identify requests by it. */
+    private void checkIdNotOpen(ClientRequest message) throws BadRequestException {
+        if (openRequests.contains(message.id())) {
             throw new BadRequestException(
                     HttpStatus.CONFLICT_409, "a submission with this id is open");
         }
@@ -159,7 +161,7 @@
     @Override
     public void onRejected(ClientRequest message) {
         counters.count(Counters.Counter.REQUESTS_NOT_ACCEPTED);
-        Settings.RequestClass requestClass = requests.findRequestClass(message);
+        Settings.RequestClass requestClass = requestFactory.findRequestClass(message);
         if (requestClass != null) {
             counters.count(requestClass.id(), Counters.FinalAnswer.REJECTED);
         }
@@ -180,11 +182,11 @@
         return counters.text(gauges());
     }
 
-    /** Returns the gauges' current values. */
+    /** Returns the current values of the gauges. */
     public Gauges gauges() {
         policy.advanceTo(loop.now());
         return new Gauges(
-                open.size(),
+                openRequests.size(),
                 pending,
                 clients.openConnections(),
                 workers.openConnections(),
@@ -193,8 +195,6 @@
                 policy.isEndpointLeaseExpired() ? 1 : 0);
     }
 
-    // ---- from discovery, and from the other processes and dispatchers
-
     @Override
     public void onEndpoints(EndpointList list) {
         EndpointDirectory.Update update = endpoints.apply(list);
@@ -214,29 +214,28 @@
 
     /** Whether a successor process accepts clients in place of this one. */
     public boolean hasSuccessor() {
-        return open.hasSuccessor();
+        return openRequests.hasSuccessor();
     }
 
-    /** Sets the division of the common budgets among the dispatchers. */
+    /** Sets this dispatcher's shares of the budgets that all dispatchers have in common. */
     public void setShares(DispatcherShares shares) {
         policy.setShares(shares);
     }
 
-    /** Divides this dispatcher's budgets among its processes. */
+    /** Sets the number of processes among which this dispatcher's budgets are divided. */
     public void setProcessCount(int processes) {
         runEvent(() -> policy.setProcessCount(processes));
     }
 
-    // ---- from the policy
-
     @Override
     public void startAttempt(Ids.Request request, Ids.Worker worker, double limitSeconds) {
-        open.get(request).startAttempt(worker);
+        openRequests.get(request).startAttempt(worker);
     }
 
     @Override
     public void reject(Ids.Request request, double retryAfterSeconds) {
-        open.get(request)
+        openRequests
+                .get(request)
                 .answer(
                         Counters.FinalAnswer.REJECTED,
                         ClientResponse.rejected(
@@ -245,12 +244,12 @@
 
     @Override
     public void fail(Ids.Request request) {
-        open.get(request).answer(Counters.FinalAnswer.FAILED, ClientResponse.failed());
+        openRequests.get(request).answer(Counters.FinalAnswer.FAILED, ClientResponse.failed());
     }
 
     @Override
     public void cancelAttempt(Ids.Request request, int attempt) {
-        open.get(request).cancelAttempt(attempt);
+        openRequests.get(request).cancelAttempt(attempt);
     }
 
     @Override
@@ -260,16 +259,16 @@
 
     @Override
     public void watchEndpoints() {
-        // Posted, because the policy first calls this from its constructor, before setWatch().
+        // The start is posted because the constructor of the policy calls this method before
+        // setWatch() is called.
         loop.post(() -> watch.start());
     }
 
-    // ---- graceful shutdown
-
     /**
      * Starts draining.
      *
-     * @param deadline on the event loop's clock, in seconds, until which open requests may run
+     * @param deadline the time until which open requests may run, on the event loop's clock in
+     *     seconds
      */
     public void startDraining(double deadline) {
         drainAdmission.begin(deadline);
@@ -280,17 +279,17 @@
         return pending;
     }
 
-    /** Whether the drain is over: every further attempt ends unsent, so that the policy answers. */
+    /** Whether the drain has ended, after which every attempt of the policy ends unsent. */
     boolean hasDrainEnded() {
         return drainAdmission.hasEnded();
     }
 
     /**
-     * Ends the drain and all attempts in flight, as at their deadline; the policy then decides on
-     * each client's response.
+     * Ends the drain and all attempts in flight, as if the deadlines of all requests had passed.
+     * The policy then decides on the response to each client.
      */
     public void endAllRequests() {
         drainAdmission.end();
-        open.all().forEach(Exchange::onDeadline);
+        openRequests.all().forEach(Exchange::onDeadline);
     }
 }
--- a/daemon/src/main/java/wheelroute/net/requests/RequestFactory.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestFactory.java
@@ -11,20 +11,20 @@
 import wheelroute.net.clients.ClientRequest;
 
 /**
- * Turns what clients send into the policy's requests: checks the request class, and assigns the id,
- * tenant and deadline. Only for the event loop's thread.
+ * Creates the policy's requests from the messages of clients. Checks the request class, and assigns
+ * the id, tenant and deadline. Used on the event loop's thread only.
  */
 final class RequestFactory {
     /**
-     * Subtracted from a client's timeout, so that the response reaches the client in time. On a
-     * busy core the message may have been unread for tens of milliseconds.
+     * Time subtracted from a client's timeout, so that the response reaches the client in time. On
+     * a busy core the message may have been unread for tens of milliseconds.
      */
     private static final double RESPONSE_MARGIN_SECONDS = 0.08;
 
-    /** The margin is at most this fraction of the timeout. */
+    /** Upper limit of the response margin, as a fraction of the client's timeout. */
     private static final double MAX_RESPONSE_MARGIN_FRACTION = 0.1;
 
-    /** All tenants without a quota, whose number is unbounded, share this one. */
+    /** Stands for all tenants without a quota, because their number is unbounded. */
     private static final Ids.Tenant OTHER_TENANTS = new Ids.Tenant("");
 
     private final double maxTimeoutSeconds;
@@ -35,7 +35,7 @@
     /**
      * Creates a factory for the request classes and tenants of the settings.
      *
-     * @param maxTimeoutSeconds the longest timeout that a client is granted
+     * @param maxTimeoutSeconds the maximum timeout of a request; a longer one is reduced to it
      */
     RequestFactory(Settings settings, double maxTimeoutSeconds) {
         this.maxTimeoutSeconds = maxTimeoutSeconds;
@@ -45,7 +45,7 @@
         settings.quotas().keySet().forEach(tenant -> tenants.put(tenant.name(), tenant));
     }
 
-    /** Returns the request class that a message names, or null if there is none of that name. */
+    /** Returns the request class that a message names, or null if the class is unknown. */
     Settings.RequestClass findRequestClass(ClientRequest message) {
         return requestClasses.get(message.requestClass());
     }
@@ -53,7 +53,8 @@
     /**
      * Returns the request class that a message names.
      *
-     * @throws BadRequestException if it is unknown, or needs an idempotency key that is missing
+     * @throws BadRequestException if the class is unknown, or needs an idempotency key that the
+     *     message does not have
      */
     Settings.RequestClass requestClass(ClientRequest message) throws BadRequestException {
         Settings.RequestClass requestClass = findRequestClass(message);
@@ -71,7 +72,7 @@
     /**
      * Returns the deadline of a request, on the event loop's clock in seconds.
      *
-     * @param arrivedAt on the same clock, from when the client's timeout counts
+     * @param arrivedAt the time from which the client's timeout counts, on the same clock
      */
     double deadline(ClientRequest message, double arrivedAt) {
         double margin =
--- a/daemon/src/main/java/wheelroute/net/requests/SerialEventQueue.java
+++ b/daemon/src/main/java/wheelroute/net/requests/SerialEventQueue.java
@@ -6,8 +6,8 @@
 
 /**
  * Runs the policy's events one at a time, in the order in which they were submitted. The policy is
- * not reentrant, but carrying out one of its actions may cause the next event immediately; that
- * event is queued until the current one is complete. Only for the event loop's thread.
+ * not reentrant, but an action that the policy decides on may cause the next event immediately.
+ * That event is queued until the current one is complete. Used on the event loop's thread only.
  */
 final class SerialEventQueue {
     private static final Logger LOG = LoggerFactory.getLogger(SerialEventQueue.class);
@@ -19,16 +19,16 @@
     /**
      * Creates an empty queue.
      *
-     * @param beforeEachEvent runs before each event; unlike those of an event, its exceptions
-     *     propagate to the caller of {@link #run}
+     * @param beforeEachEvent runs before each event; exceptions of this task propagate to the
+     *     caller of {@link #run}, unlike those of an event
      */
     SerialEventQueue(Runnable beforeEachEvent) {
         this.beforeEachEvent = beforeEachEvent;
     }
 
     /**
-     * Runs the event before returning or, if called from within another event, queues it to run
-     * after that one. An exception of the event is logged.
+     * Runs an event before returning or, if called from within another event, queues the event to
+     * run after that one. An exception of an event is logged.
      */
     void run(Runnable event) {
         events.add(event);
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Runs an event; its failure must not affect the events of other requests. */
+    /** Runs an event whose exception, if any, must not affect the events of other requests. */
     private static void runIsolated(Runnable event) {
         try {
             event.run();
--- a/daemon/src/main/java/wheelroute/net/requests/StartTimes.java
+++ b/daemon/src/main/java/wheelroute/net/requests/StartTimes.java
@@ -5,30 +5,34 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Converts workers' start times, which other machines read from their wall clocks, to the monotonic
- * clock of this process's event loop.
+ * Converts the start times of workers from the wall clocks of other machines to the monotonic clock
+ * of this process's event loop.
  *
- * <p>A wall clock may be stepped by seconds or by an hour, on all machines at once. A time read
- * before a step cannot be told from one read after it, so each offset that the wall clock has had
- * is a possible reading. The latest possible start is chosen, because a worker that is treated as
- * warm too early may be overloaded.
+ * <p>A wall clock may be stepped by seconds or by an hour, on all machines at once. Since a time
+ * read before a step cannot be distinguished from one read after the step, any offset that the wall
+ * clock has had may apply to a start time. The latest possible start is chosen, because a worker
+ * that is treated as warm too early may be overloaded.
  *
- * <p>Times are Unix times in seconds. Only for the event loop's thread.
+ * <p>Times are Unix times in seconds. Used on the event loop's thread only.
  */
 final class StartTimes {
-    /** A smaller change of the offset is clock drift, or the time between reading both clocks. */
+    /**
+     * The smallest change of the offset that counts as a step. Smaller changes are due to clock
+     * drift, or to the time between the readings of the two clocks.
+     */
     private static final double MIN_STEP_SECONDS = 0.5;
 
-    /** The wall clocks of two machines may differ by this much. */
+    /** The maximum difference between the wall clocks of two machines. */
     private static final double MAX_CLOCK_SKEW_SECONDS = 1;
 
-    /** The number of wall clock offsets that are remembered. */
+    /** The maximum number of wall clock offsets that are kept. */
     private static final int MAX_OFFSETS = 8;
 
     private final EventLoop loop;
 
     /**
-     * How far the wall clock was ahead of the loop's clock, in seconds; the latest offset first.
+     * The offsets of the wall clock from the event loop's clock, in seconds, the latest one first.
+     * An offset is positive if the wall clock is ahead.
      */
     private final Deque<Double> offsets = new ArrayDeque<>();
 
@@ -37,7 +41,7 @@
         offsets.add(0.0);
     }
 
-    /** Records a new offset if the wall clock has been stepped. */
+    /** Reads the wall clock, and records a new offset if the wall clock has been stepped. */
     void observeWallClock() {
         double offset = loop.wallTime() - loop.now();
         if (Math.abs(offset - offsets.getFirst()) >= MIN_STEP_SECONDS) {
@@ -49,10 +53,10 @@
     }
 
     /**
-     * Returns the start time on the loop's clock of a worker that has just been listed.
+     * Returns the start time, on the event loop's clock, of a worker that has just been listed.
      *
-     * @param listed its start by the wall clock of its machine; NaN if it is unknown or long ago,
-     *     in which case NaN is returned
+     * @param listed the start time by the wall clock of the worker's machine; NaN if unknown or
+     *     long ago, in which case NaN is returned
      */
     double toLoopTime(double listed) {
         if (Double.isNaN(listed)) {
@@ -65,7 +69,8 @@
             double start = listed - offset;
             latest = start <= now ? Math.max(latest, start) : latest;
         }
-        // In the future by every known offset: the clock was stepped before this process started.
+        // A start that is in the future by every known offset was read before a step that preceded
+        // the start of this process.
         return latest == Double.NEGATIVE_INFINITY ? now : latest;
     }
 }
--- a/daemon/src/main/java/wheelroute/net/requests/StateTransfer.java
+++ b/daemon/src/main/java/wheelroute/net/requests/StateTransfer.java
@@ -14,8 +14,8 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Exports the dispatcher's state to a successor process, and imports a predecessor's. Only for the
- * event loop's thread.
+ * Exports the dispatcher's state to a successor process, and imports the state of a predecessor.
+ * Used on the event loop's thread only.
  */
 final class StateTransfer implements TransferableState {
     private final EventLoop loop;
@@ -26,10 +26,10 @@
     private final Consumer<EndpointList> endpointImporter;
 
     /**
-     * Creates a transfer that reads the given state at each export.
+     * Creates an instance that reads the given components at each export.
      *
      * @param openRequestIds a live view of the ids that clients gave to the open requests
-     * @param endpointImporter applies a predecessor's list as if it came from discovery
+     * @param endpointImporter applies the list of a predecessor as if the list came from discovery
      */
     StateTransfer(
             EventLoop loop,
@@ -52,7 +52,7 @@
         return list == null ? null : list.encode();
     }
 
-    /** Imports a predecessor's list, unless discovery has already sent a newer one. */
+    /** Imports a predecessor's list, unless the known list is at least as new. */
     @Override
     public void importEndpoints(byte[] list) throws IOException {
         EndpointList imported = EndpointList.decode(list);
--- a/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
@@ -22,7 +22,7 @@
 public class ClientRequestDecoderTest {
     private static final long QUOTA_BYTES = 100_000;
 
-    /** Of the memory for the connections of a client and a worker together. */
+    /** Limit on the memory for one connection of a client and one of a worker together. */
     private static final long MAX_CONNECTION_BYTES = 20_000;
 
     private static final String FIELDS =
@@ -70,16 +70,19 @@
         }
     }
 
-    /** A dispatcher has thousands of connections to clients and workers. */
+    /**
+     * A dispatcher has thousands of connections to clients and workers. A header cache in each
+     * parser would fill the heap.
+     */
     @Test
     public void needsLittleMemoryForEachConnection() throws Exception {
         int connections = 100;
-        // Two for each connection, as a parser may cache parts of the first for the next.
+        // Each connection gets two messages, as a parser may cache parts of the first one.
         ByteBuffer[] messages = new ByteBuffer[4 * connections];
         ClientRequestDecoder[] decoders = new ClientRequestDecoder[connections];
         ResponseParser[] parsers = new ResponseParser[connections];
         Arrays.setAll(messages, i -> bytes(i % 4 < 2 ? POST : WORKER_RESPONSE));
-        // Loads the classes before the allocations are counted.
+        // The classes are loaded before the allocations are counted.
         new ClientRequestDecoder(new MemoryQuota(QUOTA_BYTES)).decode(bytes(POST));
         new ResponseParser(new IgnoringReader()).parse(bytes(WORKER_RESPONSE));
         MemoryQuota quota = new MemoryQuota(QUOTA_BYTES);
@@ -108,7 +111,7 @@
 
         @Override
         public void piece(ByteBuffer bytes) {
-            // The content does not matter here.
+            // The test does not check the content.
         }
 
         @Override
@@ -148,7 +151,10 @@
         };
     }
 
-    /** Names may have characters that a path must escape, or that are not ASCII. */
+    /**
+     * Names of request classes and tenants may have characters that a path must escape, or that are
+     * not ASCII.
+     */
     @Test(dataProvider = "names")
     public void decodesNamesAndForwardsTargetUnchanged(String inPath, String name)
             throws BadRequestException {
@@ -175,7 +181,7 @@
         assertTrue(sent.startsWith("POST /" + inPath + "/a%20b?q=1&r HTTP/1.1\r\n"), sent);
     }
 
-    /** Messages, each with the status of the response. */
+    /** Rows of a message and the expected status of the response. */
     @DataProvider
     public Object[][] invalidMessages() {
         return Stream.of(
@@ -202,7 +208,7 @@
         };
     }
 
-    /** Invalid lengths, or more than one way to find the end of the body. */
+    /** Returns messages with invalid lengths, or with more than one way to find the body's end. */
     private static Object[][] ambiguousLengths() {
         return new Object[][] {
             {"POST /render HTTP/1.1\r\nHost: a\r\nContent-Length: many\r\n\r\n", 400},
@@ -263,7 +269,7 @@
         };
     }
 
-    /** A regular expression with backtracking would overflow the stack. */
+    /** A regular expression with backtracking would overflow the stack on long targets. */
     @Test
     public void decodesTargetsUpToTheLimitOfTheHead() throws BadRequestException {
         for (String part : new String[] {"a".repeat(7500), "%41".repeat(2500)}) {
--- a/daemon/src/test/java/wheelroute/net/clients/ConnectionLimitTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ConnectionLimitTest.java
@@ -11,8 +11,8 @@
 import wheelroute.net.clients.ConnectionLimit.Stage;
 
 /**
- * Evictions with a limit of four connections. The rows list earlier updates in order, as "name
- * stage time" or "name gone".
+ * Evictions with a limit of four connections. The first column of each row has the earlier updates
+ * in order, each as "name stage time" or, for a closed connection, "name gone".
  */
 public class ConnectionLimitTest {
     private static final int MAX_CONNECTIONS = 4;
@@ -39,11 +39,11 @@
     @DataProvider
     public Object[][] evictions() {
         return new Object[][] {
-            // updates, connections with unread bytes, the one to evict
+            // The columns are the updates, the connections with unread bytes, and the one to evict.
             {"a new 1, b new 1, c new 1", "", ""},
             {"a in_flight 1, b in_flight 1, c in_flight 1, d in_flight 1", "", ""},
-            {"a in_flight 1, b closing 9.99, c new 1, d idle_visitor 1", "", "b"},
-            {"a in_flight 1, b reading 1, c new 1, d idle_visitor 9.99", "", "d"},
+            {"a in_flight 1, b closing 9.99, c new 1, d idle_no_request 1", "", "b"},
+            {"a in_flight 1, b reading 1, c new 1, d idle_no_request 9.99", "", "d"},
             {"a in_flight 1, b reading 1, c new 9.5, d idle_client 1", "", "c"},
             {"a in_flight 1, c reading 1, b reading 2, d idle_client 1", "", "c"},
             {"a in_flight 1, b reading 1, c reading 2, b reading 3, d idle_client 3", "", "c"},
@@ -74,7 +74,7 @@
         assertEquals(limit.connectionToEvict(NOW, unread::contains).orElse(""), evicted);
     }
 
-    /** Reading the unread bytes of one connection may change the stage of another, or close it. */
+    /** Reading the unread bytes of a connection may change the stage of any, or close one. */
     @Test
     public void skipsConnectionsThatChangeDuringTheChoice() {
         ConnectionLimit<String> limit = limitAfter("a new 1, b new 2, c new 3, d in_flight 1");
@@ -96,7 +96,7 @@
     @DataProvider
     public Object[][] expectedRequests() {
         return new Object[][] {
-            {"a idle_client 1, b in_flight 1, c closing 9.99, d idle_visitor 9.99", false},
+            {"a idle_client 1, b in_flight 1, c closing 9.99, d idle_no_request 9.99", false},
             {"a reading 1", false},
             {"a reading 9.1", true},
             {"a reading 1, a reading 9.5", true},
--- a/daemon/src/test/java/wheelroute/net/requests/EndpointDirectoryTest.java
+++ b/daemon/src/test/java/wheelroute/net/requests/EndpointDirectoryTest.java
@@ -16,7 +16,8 @@
 import wheelroute.net.workers.WorkerConnectionPools;
 
 /**
- * The start times of workers, on which their slow start depends, when the wall clock is stepped.
+ * Start times of workers when the wall clock is stepped. The slow start of a worker depends on the
+ * start time, so that a wrong one would overload the worker or leave it unused.
  */
 public class EndpointDirectoryTest {
     private static final double CONNECT_TIMEOUT_SECONDS = 1;
@@ -59,7 +60,7 @@
         return new Object[][] {{-3600.0}, {-3.0}, {3.0}, {3600.0}};
     }
 
-    /** The clocks of all machines are stepped while this process runs. */
+    /** The wall clocks of all machines are stepped while this process runs. */
     @Test(dataProvider = "stepSeconds")
     public void convertsStartOfWorkerThatJoinsAfterStep(double step) {
         clock.step(4);
@@ -83,6 +84,9 @@
         clock.step(4);
         clock.stepWallClock(-3600);
         double after = startedAtAfterListing(clock.wallTime());
-        assertEquals(after > before, true, before + ", then " + after);
+        assertEquals(
+                after > before,
+                true,
+                "start " + before + ", then " + after + ", expected a later one");
     }
 }
--- a/daemon/src/test/java/wheelroute/net/requests/StartTimesTest.java
+++ b/daemon/src/test/java/wheelroute/net/requests/StartTimesTest.java
@@ -9,15 +9,16 @@
 import wheelroute.net.loop.ManualClock;
 
 /**
- * The wall clocks of all machines are stepped together. Without a conversion, workers that start
- * after a step back skip their slow start, and workers that start after a step forward get nothing.
+ * Conversion of start times when the wall clocks of all machines are stepped together. Without the
+ * conversion, workers that start after a step back would skip their slow start, and workers that
+ * start after a step forward would get no requests.
  */
 public class StartTimesTest {
     private static final double NO_STEP_SECONDS = 0;
 
     private static final double CONNECT_TIMEOUT_SECONDS = 1;
 
-    /** The clocks of two machines may differ by this much. */
+    /** The maximum difference between the wall clocks of two machines. */
     private static final double MAX_CLOCK_SKEW_SECONDS = 1;
 
     private ManualClock clock;
@@ -44,7 +45,7 @@
         assertEquals(times.toLoopTime(listed), clock.now() - 2, 0.01);
     }
 
-    /** The worker started before the step and is listed after it; it must not count as warm. */
+    /** A worker that started before the step and is listed after it must not count as warm. */
     @Test(dataProvider = "stepSeconds")
     public void doesNotPredateStartReadBeforeStep(double step) {
         clock.stop();
@@ -57,10 +58,10 @@
         assertEquals(
                 age >= -MAX_CLOCK_SKEW_SECONDS && age <= 2.01,
                 true,
-                "converted to " + age + " s ago");
+                "start converted to " + age + " s ago, expected -1 to 2.01 s");
     }
 
-    /** The clock was stepped before this process started, so that the step is unknown. */
+    /** A step of the wall clock before this process started is unknown to the process. */
     @Test
     public void convertsStartInTheFutureToNow() {
         clock.stop();
@@ -73,7 +74,7 @@
         assertEquals(new StartTimes(loop).toLoopTime(Double.NaN), Double.NaN);
     }
 
-    /** All dispatchers seed random draws with the start times, which must therefore be exact. */
+    /** Start times must be exact, because all dispatchers seed random draws with them. */
     @Test
     public void keepsStartExactlyWhenClockDrifts() {
         clock.stop();
