--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -281,7 +281,7 @@
         }
     }
 
-    /** Handles a message that has arrived before the process ends, or else closes. */
+    /** Handles a message that has arrived, or else closes the connection; for the shutdown. */
     void readLastAndClose() {
         if (state != State.READING) {
             return;
--- a/daemon/src/main/java/wheelroute/net/clients/PipelinedInput.java
+++ b/daemon/src/main/java/wheelroute/net/clients/PipelinedInput.java
@@ -12,7 +12,7 @@
  * <p>Used on the event loop's thread only.
  */
 final class PipelinedInput {
-    /** Input that arrives sooner after the last recorded arrival is merged into that record. */
+    /** Input that arrives within this time after the last recorded arrival is merged with it. */
     private static final double MIN_ARRIVAL_INTERVAL_SECONDS = 0.05;
 
     /** Maximum number of recorded arrivals, which limits the memory for many small pieces. */
--- a/daemon/src/main/java/wheelroute/net/clients/RequestAcceptor.java
+++ b/daemon/src/main/java/wheelroute/net/clients/RequestAcceptor.java
@@ -4,7 +4,7 @@
 public interface RequestAcceptor {
     /** Receives the events of the connection on which a request was accepted. */
     interface AcceptedRequest {
-        /** Called when the client has closed its connection before it was sent the response. */
+        /** Called when the client has closed the connection before the response was sent. */
         void onClientGone();
     }
 
--- a/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
@@ -150,7 +150,7 @@
         return exchange;
     }
 
-    /** Rejects a message with the id of an open request, as workers identify requests by it. */
+    /** Rejects the id of an open request, because workers identify requests by their ids. */
     private void checkIdNotOpen(ClientRequest message) throws BadRequestException {
         if (openRequests.contains(message.id())) {
             throw new BadRequestException(
--- a/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
@@ -53,7 +53,7 @@
     public void decodesRequestSplitAnywhere(String text) throws BadRequestException {
         for (int cut = 1; cut < text.length(); cut++) {
             ClientRequestDecoder decoder = new ClientRequestDecoder(new MemoryQuota(QUOTA_BYTES));
-            assertNull(decoder.decode(bytes(text.substring(0, cut))), "cut at " + cut);
+            assertNull(decoder.decode(bytes(text.substring(0, cut))), "request cut at " + cut);
             ClientRequest message = decoder.decode(bytes(text.substring(cut)));
             assertEquals(message.target(), "/render/a%20b?q=1&r");
             assertEquals(message.requestClass(), "render");
--- a/daemon/src/test/java/wheelroute/net/clients/ConnectionLimitTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ConnectionLimitTest.java
@@ -74,7 +74,7 @@
         assertEquals(limit.connectionToEvict(NOW, unread::contains).orElse(""), evicted);
     }
 
-    /** Reading the unread bytes of a connection may change the stage of any, or close one. */
+    /** Reading the unread bytes of one connection may change its stage, and close another one. */
     @Test
     public void skipsConnectionsThatChangeDuringTheChoice() {
         ConnectionLimit<String> limit = limitAfter("a new 1, b new 2, c new 3, d in_flight 1");
