--- a/daemon/src/main/java/wheelroute/net/loop/AcceptLimiter.java
+++ b/daemon/src/main/java/wheelroute/net/loop/AcceptLimiter.java
@@ -3,56 +3,59 @@
 import java.nio.channels.SelectableChannel;
 
 /**
- * Limits how many connections are accepted on one socket in a pass of the selector; the others wait
- * in the system's queue. A connection occupies a file descriptor as soon as it is accepted, while
- * the connection that is evicted for it releases its descriptor only in the next pass. Only for the
- * event loop's thread.
+ * Limits the number of connections accepted on one listening socket in one selector pass; the
+ * others stay in the operating system's accept queue. The limit bounds the use of file descriptors:
+ * a connection occupies one as soon as it is accepted, while a connection that is evicted to make
+ * room releases its descriptor only in the next pass. Used on the event loop's thread only.
  */
 final class AcceptLimiter {
-    /** The maximum number of connections accepted on one socket in a pass. */
-    static final int MAX_ACCEPTS = 4;
+    /** The maximum number of connections accepted on one listening socket in one selector pass. */
+    static final int MAX_ACCEPTS_PER_PASS = 4;
 
-    /** The length of the system's queue, so that it refuses no connection of a burst of clients. */
+    /** Length of the accept queue; long enough to refuse no connection of a burst of clients. */
     static final int BACKLOG = 512;
 
-    /** The socket on which connections are being accepted; null at the start of a pass. */
-    private SelectableChannel current;
+    /**
+     * The listening socket on which connections are being accepted; null at the start of a pass.
+     */
+    private SelectableChannel currentServer;
 
-    /** Connections accepted on the current socket in this pass. */
-    private int accepted;
+    /** Number of connections accepted on the current listening socket in this pass. */
+    private int acceptedInPass;
 
-    /** Whether the limit was reached in this pass, so that connections may be waiting. */
-    private boolean leftWaiting;
+    /** Whether the limit was reached in this pass, so that connections may still be queued. */
+    private boolean limitReached;
 
-    /** Connections accepted in the consecutive passes in which the limit was reached. */
-    private int acceptedWhileWaiting;
+    /** Number of connections accepted in the consecutive passes that reached the limit. */
+    private int acceptedInLimitedPasses;
 
-    /** Whether one more connection may be accepted on this socket in this pass. */
+    /** Whether one more connection may be accepted on this listening socket in this pass. */
     boolean mayAccept(SelectableChannel server) {
-        if (server != current) {
-            current = server;
-            accepted = 0;
+        if (server != currentServer) {
+            currentServer = server;
+            acceptedInPass = 0;
         }
-        leftWaiting |= accepted == MAX_ACCEPTS;
-        return accepted < MAX_ACCEPTS;
+        limitReached |= acceptedInPass == MAX_ACCEPTS_PER_PASS;
+        return acceptedInPass < MAX_ACCEPTS_PER_PASS;
     }
 
     void onAccepted() {
-        accepted++;
-        acceptedWhileWaiting++;
+        acceptedInPass++;
+        acceptedInLimitedPasses++;
     }
 
     /**
-     * Ends a pass. Returns whether connections from before it may still be waiting: once as many
-     * have been accepted as the queue can hold, those still waiting arrived later.
+     * Ends a selector pass. Returns whether connections that arrived before the pass may still be
+     * queued. Once as many connections have been accepted as the queue can hold, the connections
+     * still queued arrived later.
      */
     boolean endPass() {
-        boolean olderAreWaiting = leftWaiting && acceptedWhileWaiting < BACKLOG;
-        if (!olderAreWaiting) {
-            acceptedWhileWaiting = 0;
+        boolean earlierMayBeQueued = limitReached && acceptedInLimitedPasses < BACKLOG;
+        if (!earlierMayBeQueued) {
+            acceptedInLimitedPasses = 0;
         }
-        current = null;
-        leftWaiting = false;
-        return olderAreWaiting;
+        currentServer = null;
+        limitReached = false;
+        return earlierMayBeQueued;
     }
 }
--- a/daemon/src/main/java/wheelroute/net/loop/ChannelOpener.java
+++ b/daemon/src/main/java/wheelroute/net/loop/ChannelOpener.java
@@ -10,8 +10,8 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * Opens the channels of one event loop that no listening socket has accepted: outgoing connections
- * and datagram sockets. Only for the event loop's thread.
+ * Opens the channels of one event loop other than listening sockets and accepted connections, which
+ * are outgoing connections and datagram sockets. Used on the event loop's thread only.
  */
 final class ChannelOpener {
     private final EventLoop loop;
@@ -26,20 +26,20 @@
     void connect(SocketAddress address, EventLoop.ChannelHandler handler) {
         SocketChannel channel = null;
         try {
-            channel = openFor(address);
+            channel = openNonBlocking(address);
             if (loop.beginConnect(channel, address)) {
                 manager.accept(channel, handler);
             } else {
                 manager.connect(channel, handler);
             }
         } catch (IOException | RuntimeException e) {
-            // The system reports some unusable addresses by runtime exceptions.
+            // Some unusable addresses, e.g. unresolved ones, are reported by runtime exceptions.
             EventLoop.close(channel);
             loop.post(() -> handler.onFailed(e));
         }
     }
 
-    private static SocketChannel openFor(SocketAddress address) throws IOException {
+    private static SocketChannel openNonBlocking(SocketAddress address) throws IOException {
         boolean isUnix = address instanceof UnixDomainSocketAddress;
         SocketChannel channel =
                 isUnix ? SocketChannel.open(StandardProtocolFamily.UNIX) : SocketChannel.open();
--- a/daemon/src/main/java/wheelroute/net/loop/Clock.java
+++ b/daemon/src/main/java/wheelroute/net/loop/Clock.java
@@ -6,18 +6,21 @@
 /**
  * A monotonic clock that shows Unix time in seconds. It starts from the wall clock and follows the
  * system's monotonic timer from then on, so that a step of the wall clock does not move deadlines.
- * For any thread.
+ * Thread-safe.
  */
 public class Clock {
     private final double startedAt = System.currentTimeMillis() / MILLIS_PER_SECOND;
     private final long startNanos = System.nanoTime();
 
-    /** Returns the wall clock's time, which may have been stepped since this clock was created. */
+    /**
+     * Returns the Unix time in seconds by the wall clock, which may have been stepped since this
+     * clock was created.
+     */
     public double wallTime() {
         return System.currentTimeMillis() / MILLIS_PER_SECOND;
     }
 
-    /** Returns the current time, which never goes back. */
+    /** Returns the Unix time in seconds by the monotonic timer, which never goes back. */
     public double now() {
         return startedAt + (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
     }
--- a/daemon/src/main/java/wheelroute/net/loop/DatagramSocket.java
+++ b/daemon/src/main/java/wheelroute/net/loop/DatagramSocket.java
@@ -11,11 +11,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A UDP socket on an event loop. Only for the event loop's thread. */
+/** A UDP socket on an event loop. Used on the event loop's thread only. */
 public final class DatagramSocket implements EventLoop.ChannelHandler {
-    /** Receives the datagrams. */
+    /** Receives the datagrams of a socket. */
     public interface Listener {
-        /** Processes a datagram. The buffer is reused after this returns. */
+        /** Processes a datagram. The buffer is reused after this method returns. */
         void onDatagram(InetSocketAddress from, ByteBuffer bytes);
     }
 
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Opens a socket, possibly together with another process.
+     * Opens a socket at an address that other processes may share.
      *
-     * @param shared whether another process may open one at the address too; each process then
-     *     receives a part of the datagrams
+     * @param shared whether other processes may open a socket at the same address; each process
+     *     then receives a part of the datagrams
      * @param maxBytes the maximum size of a datagram; longer ones are truncated
      * @throws IOException if the address cannot be used
      */
@@ -63,12 +63,15 @@
         channel = loop.openDatagramChannel(address, this, shared);
     }
 
-    /** Returns the local address; the system has chosen the port if the configured one is 0. */
+    /**
+     * Returns the local address. The operating system has chosen its port if the configured port is
+     * 0.
+     */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.socket().getLocalSocketAddress();
     }
 
-    /** Sends a datagram; one that cannot be sent now is dropped. */
+    /** Sends a datagram, or drops the datagram if it cannot be sent immediately. */
     public void send(InetSocketAddress to, ByteBuffer bytes) {
         try {
             channel.send(bytes, to);
@@ -77,7 +80,7 @@
         }
     }
 
-    /** Closes the socket, if it has been opened. */
+    /** Closes the socket. Has no effect before the event loop has started to read from it. */
     public void close() {
         if (reader != null) {
             reader.close();
@@ -121,7 +124,7 @@
                     listener.onDatagram(from, buffer.flip());
                 }
             } catch (IOException e) {
-                // The system reports in this way that a datagram could not be delivered.
+                // The operating system may report an undeliverable datagram as a failed receive.
                 LOG.debug("failed to receive datagram", e);
             }
             if (channel.isOpen()) {
--- a/daemon/src/main/java/wheelroute/net/loop/EventLoop.java
+++ b/daemon/src/main/java/wheelroute/net/loop/EventLoop.java
@@ -23,50 +23,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A single thread that serves all sockets, timers and tasks posted by other threads, so that no
- * code above it needs a lock. Unless a method says otherwise, it is only for the loop's thread.
+ * A single thread that serves all sockets, timers and tasks posted by other threads, so that the
+ * code that runs on it needs no locks. Methods are for the loop's thread only, unless their
+ * descriptions say otherwise.
  *
- * <p>An exception of a task or timer is logged and affects no other task.
+ * <p>An exception thrown by a task or timer is logged and does not affect other tasks.
  */
 public class EventLoop {
-    /** The most that one read returns; large enough for most messages. */
+    /** The maximum number of bytes that one read returns; large enough for most messages. */
     private static final int READ_BUFFER_BYTES = 16 * 1024;
 
-    /** For checks of a connection, which mostly find nothing, or the end of the stream. */
+    /**
+     * Size of the buffer for checking whether a connection is still open. Such a check mostly finds
+     * no bytes or the end of the stream.
+     */
     private static final int PEEK_BUFFER_BYTES = 2 * 1024;
 
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
     /** Creates the connection of a channel, or is notified that the channel could not be opened. */
     public interface ChannelHandler {
-        /** Returns the connection that reads from a channel that has just been connected. */
+        /** Returns the connection that reads from a channel that has just been opened. */
         Connection onOpened(EndPoint endPoint);
 
-        /** The channel could not be connected. */
+        /** Called instead of {@link #onOpened} when the channel could not be opened. */
         void onFailed(Throwable cause);
     }
 
     /** A timer that can be cancelled. */
     public static final class Timer implements Scheduler.Task {
-        /** On the loop's clock, in seconds. */
+        /** Time at which the timer is due, in seconds on the loop's clock. */
         final double dueAt;
 
-        /** Orders timers that are due at the same time by their creation. */
-        final long number;
+        /** Number in the order of creation, by which timers due at the same time are ordered. */
+        final long sequenceNumber;
 
         /** Null once the timer has run or has been cancelled. */
         Runnable task;
 
-        Timer(double dueAt, long number, Runnable task) {
+        Timer(double dueAt, long sequenceNumber, Runnable task) {
             this.dueAt = dueAt;
-            this.number = number;
+            this.sequenceNumber = sequenceNumber;
             this.task = task;
         }
 
         @Override
         public boolean cancel() {
             boolean pending = task != null;
-            // The timer stays queued until it is due, but must not keep what its task refers to.
+            // The timer stays queued until it is due. Clearing the task releases what it refers to.
             task = null;
             return pending;
         }
@@ -83,11 +87,11 @@
     private final ByteBuffer peekBuffer = BufferUtil.allocate(PEEK_BUFFER_BYTES);
     private Thread thread;
 
-    /** Null until the first pass of the selector. */
+    /** Null until the first selector pass. */
     private volatile Selector selector;
 
     /**
-     * Creates a loop that is not running yet. From any thread.
+     * Creates a loop that is not running yet. May be called on any thread.
      *
      * @param connectTimeoutSeconds the timeout for establishing a connection
      */
@@ -100,32 +104,35 @@
         listeningSockets = new ListeningSockets(this, manager);
     }
 
-    /** Starts the loop's thread. For other threads only. */
+    /** Starts the loop's thread. Must be called on another thread. */
     public void start() throws Exception {
         manager.start();
     }
 
-    /** Stops the loop and closes all of its sockets. For other threads only. */
+    /** Stops the loop and closes all of its sockets. Must be called on another thread. */
     public void stop() throws Exception {
         manager.stop();
     }
 
-    /** Returns the Unix time in seconds by the loop's monotonic clock. From any thread. */
+    /**
+     * Returns the Unix time in seconds by the loop's monotonic clock. May be called on any thread.
+     */
     public double now() {
         return clock.now();
     }
 
     /**
      * Returns the Unix time in seconds by the wall clock, to compare with times of other machines.
-     * From any thread.
+     * May be called on any thread.
      */
     public double wallTime() {
         return clock.wallTime();
     }
 
-    // ---- tasks
-
-    /** Runs a task on the loop's thread, after those posted before it. From any thread. */
+    /**
+     * Runs a task on the loop's thread, after the tasks posted before it. May be called on any
+     * thread.
+     */
     public void post(Runnable task) {
         posted.add(task);
         Selector current = selector;
@@ -134,22 +141,27 @@
         }
     }
 
-    /** Runs a task after a delay. */
+    /** Runs a task once after a delay, unless the returned timer is cancelled before. */
     public Timer schedule(double delaySeconds, Runnable task) {
         return timers.schedule(delaySeconds, task);
     }
 
-    /** Runs all posted tasks and due timers; returns the seconds until the next timer is due. */
+    /**
+     * Runs all posted tasks and due timers. Returns the seconds until the next timer is due, or
+     * infinity if there is none; 0 if more tasks have been posted meanwhile.
+     */
     double runDue() {
         for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
-            runIsolated(task);
+            runAndLogException(task);
         }
-        double untilNextTimer = timers.runDue();
-        return posted.isEmpty() ? untilNextTimer : 0;
+        double secondsUntilNextTimer = timers.runDue();
+        return posted.isEmpty() ? secondsUntilNextTimer : 0;
     }
 
-    /** Runs a task; its exception must not end the thread, which serves all requests. */
-    static void runIsolated(Runnable task) {
+    /**
+     * Runs a task and logs its exception, which must not end the thread that serves all sockets.
+     */
+    static void runAndLogException(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
@@ -158,8 +170,8 @@
     }
 
     /**
-     * Runs a task for Jetty. The first one is the selector's loop, for which the thread is started;
-     * it runs all later ones, which are posted.
+     * Runs a task for Jetty. The first task is the selector's loop, for which the thread is
+     * started. All later tasks are posted and run by that loop.
      */
     void execute(Runnable task) {
         if (thread == null) {
@@ -170,19 +182,17 @@
         }
     }
 
-    // ---- reading
-
     /**
-     * Returns the earliest time at which bytes that are read now may have arrived. This is the
-     * current time, unless the process has been stalled recently; see {@link StallDetector}.
+     * Returns the earliest time at which bytes that are read now may have arrived, which is the
+     * current time unless the process has been stalled recently; see {@link StallDetector}.
      */
     public double earliestArrival() {
         return stallDetector.earliestArrival();
     }
 
     /**
-     * Returns an empty buffer that all connections share: its content must be used before the next
-     * read on any of them.
+     * Returns an empty buffer that all connections share. The bytes read into the buffer must be
+     * processed before the next read on any connection.
      */
     public ByteBuffer readBuffer() {
         BufferUtil.clear(readBuffer);
@@ -198,11 +208,9 @@
         return peekBuffer;
     }
 
-    // ---- sockets
-
     /**
      * Connects a TCP or Unix socket. The handler is notified of the result, but never before this
-     * returns, because the caller may be processing an event.
+     * method returns, because the caller may be processing an event.
      */
     public void connect(SocketAddress address, ChannelHandler handler) {
         channelOpener.connect(address, handler);
@@ -231,9 +239,10 @@
     }
 
     /**
-     * Listens at an address, possibly together with another process.
+     * Listens at an address that other processes may share.
      *
-     * @param shared whether another process may listen at the address too, if it also shares it
+     * @param shared whether other processes may listen at the same address, provided that they
+     *     share it as well
      * @throws IOException if the address cannot be used
      */
     public ServerSocketChannel listen(
@@ -251,12 +260,12 @@
         return listeningSockets.open(address, handler);
     }
 
-    /** Closes a listening socket; connections that wait to be accepted are reset. */
+    /** Closes a listening socket immediately; pending connections are reset. */
     public void closeListener(ServerSocketChannel server) throws IOException {
         listeningSockets.close(server);
     }
 
-    /** Accepts the connections that wait on a listening socket, then closes it. */
+    /** Accepts the pending connections of a listening socket, then closes the socket. */
     public void drainAndCloseListener(ServerSocketChannel server) {
         listeningSockets.drainAndClose(server);
     }
@@ -264,8 +273,8 @@
     /**
      * Opens a datagram socket, which the handler's connection reads.
      *
-     * @param shared whether another process may open one at the address too; each process then
-     *     receives a part of the datagrams
+     * @param shared whether other processes may open a socket at the same address; each process
+     *     then receives a part of the datagrams
      * @throws IOException if the address cannot be used
      */
     public DatagramChannel openDatagramChannel(
@@ -273,9 +282,7 @@
         return channelOpener.openDatagramChannel(address, handler, shared);
     }
 
-    // ---- for the selector manager
-
-    /** Creates the end point of a connection; tests override it to delay reads. */
+    /** Creates the end point of a connection. Tests override this method to delay reads. */
     protected EndPoint endPoint(
             SocketChannel channel,
             ManagedSelector managedSelector,
@@ -284,18 +291,27 @@
         return new SocketChannelEndPoint(channel, managedSelector, key, scheduler);
     }
 
-    /** Starts to connect; tests override it to simulate failures of the system. */
+    /**
+     * Starts to connect a channel. Returns whether the connection has been established already.
+     * Tests override this method to simulate failures of the operating system.
+     */
     protected boolean beginConnect(SocketChannel channel, SocketAddress address)
             throws IOException {
         return channel.connect(address);
     }
 
-    /** Accepts a connection, or returns null; tests override it to simulate failures. */
+    /**
+     * Accepts a connection, or returns null if none is pending. Tests override this method to
+     * simulate failures of the operating system.
+     */
     protected SocketChannel accept(ServerSocketChannel server) throws IOException {
         return server.accept();
     }
 
-    /** Returns the handler of a listening socket, or null if the socket is closed. */
+    /**
+     * Returns the handler for a connection accepted at this local address, or null if its listening
+     * socket is closed.
+     */
     ChannelHandler handlerFor(SocketAddress local) {
         return listeningSockets.handlerFor(local);
     }
--- a/daemon/src/main/java/wheelroute/net/loop/LineBuffer.java
+++ b/daemon/src/main/java/wheelroute/net/loop/LineBuffer.java
@@ -9,7 +9,7 @@
     private ByteArrayOutputStream line = new ByteArrayOutputStream();
 
     /**
-     * Creates a buffer without content.
+     * Creates an empty buffer.
      *
      * @param maxLineBytes the maximum length of a line, without its line feed
      */
@@ -21,7 +21,7 @@
      * Returns the next line without its line feed, or null if more bytes are needed. Bytes after
      * the line stay in the given buffer.
      *
-     * @throws LineTooLongException if the line is too long
+     * @throws LineTooLongException if the line exceeds the maximum length
      */
     public byte[] next(ByteBuffer in) throws LineTooLongException {
         while (in.hasRemaining()) {
@@ -37,20 +37,20 @@
         return null;
     }
 
-    /** Returns and removes the beginning of a line that is not complete yet. */
+    /** Returns and removes the beginning of an incomplete line; empty if there is none. */
     public byte[] rest() {
         byte[] bytes = line.toByteArray();
-        // Not reset(), which would keep the memory of the connection's longest line.
+        // reset() would keep an array as long as the connection's longest line.
         line = new ByteArrayOutputStream();
         return bytes;
     }
 
-    /** Removes the beginning of a line that is not complete yet. */
+    /** Removes the beginning of an incomplete line. */
     public void clear() {
         line.reset();
     }
 
-    /** Whether there is no beginning of an incomplete line. */
+    /** Whether the buffer holds no beginning of an incomplete line. */
     public boolean isEmpty() {
         return line.size() == 0;
     }
--- a/daemon/src/main/java/wheelroute/net/loop/LineTooLongException.java
+++ b/daemon/src/main/java/wheelroute/net/loop/LineTooLongException.java
@@ -7,6 +7,6 @@
     private static final long serialVersionUID = 1;
 
     LineTooLongException(int maxLineBytes) {
-        super("a line is longer than " + maxLineBytes + " bytes");
+        super("line exceeds the maximum length of " + maxLineBytes + " bytes");
     }
 }
--- a/daemon/src/main/java/wheelroute/net/loop/ListeningSockets.java
+++ b/daemon/src/main/java/wheelroute/net/loop/ListeningSockets.java
@@ -15,11 +15,11 @@
 
 /**
  * The listening sockets of one event loop, each with the handler of the connections that are
- * accepted on it. Only for the event loop's thread.
+ * accepted on it. Used on the event loop's thread only.
  */
 final class ListeningSockets {
-    /** A delay after which the selector has made a pass, as it does before each timer. */
-    private static final double PASS_DELAY_SECONDS = 0.001;
+    /** Delay after which the selector has made another pass, as it does before any timer runs. */
+    private static final double SELECTOR_PASS_DELAY_SECONDS = 0.001;
 
     private static final Logger LOG = LoggerFactory.getLogger(ListeningSockets.class);
 
@@ -33,9 +33,10 @@
     }
 
     /**
-     * Opens a TCP socket.
+     * Opens a listening TCP socket.
      *
-     * @param shared whether another process may listen at the address too, if it shares it as well
+     * @param shared whether other processes may listen at the same address, provided that they
+     *     share it as well
      */
     ServerSocketChannel open(
             InetSocketAddress address, EventLoop.ChannelHandler handler, boolean shared)
@@ -55,7 +56,7 @@
         return server;
     }
 
-    /** Opens a Unix socket, whose file must not exist yet. */
+    /** Opens a listening Unix socket, whose file must not exist yet. */
     ServerSocketChannel open(UnixDomainSocketAddress address, EventLoop.ChannelHandler handler)
             throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
@@ -75,7 +76,7 @@
         manager.acceptor(server);
     }
 
-    /** Closes the socket at once; connections that wait to be accepted are reset. */
+    /** Closes a listening socket immediately; pending connections are reset. */
     void close(ServerSocketChannel server) throws IOException {
         if (server.isOpen()) {
             handlers.remove(server.getLocalAddress());
@@ -84,24 +85,24 @@
     }
 
     /**
-     * Accepts the connections that are waiting, then closes the socket. The selector keeps a closed
-     * socket until its next pass, and connections that arrive until then would be lost. The socket
-     * is therefore deregistered first.
+     * Accepts the pending connections of a listening socket, then closes the socket. The selector
+     * keeps a closed socket until the next pass, and connections that arrive until then would be
+     * lost. The socket is therefore deregistered first.
      */
     void drainAndClose(ServerSocketChannel server) {
         server.keyFor(loop.selector()).cancel();
-        loop.schedule(PASS_DELAY_SECONDS, () -> acceptWaiting(server));
+        loop.schedule(SELECTOR_PASS_DELAY_SECONDS, () -> acceptPending(server));
     }
 
-    private void acceptWaiting(ServerSocketChannel server) {
+    private void acceptPending(ServerSocketChannel server) {
         if (server.isRegistered()) {
-            // The selector has not made the pass yet that deregisters the socket.
-            loop.schedule(PASS_DELAY_SECONDS, () -> acceptWaiting(server));
+            // The selector has not yet made the pass that deregisters the socket.
+            loop.schedule(SELECTOR_PASS_DELAY_SECONDS, () -> acceptPending(server));
             return;
         }
-        double delaySeconds = PASS_DELAY_SECONDS;
+        double delaySeconds = SELECTOR_PASS_DELAY_SECONDS;
         try {
-            for (int i = 0; i < AcceptLimiter.MAX_ACCEPTS; i++) {
+            for (int i = 0; i < AcceptLimiter.MAX_ACCEPTS_PER_PASS; i++) {
                 SocketChannel next = loop.accept(server);
                 if (next == null) {
                     close(server);
@@ -110,16 +111,16 @@
                 register(next);
             }
         } catch (IOException e) {
-            // The system has established these connections, so their clients expect an answer.
+            // Pending connections are already established, so their clients expect an answer.
             LOG.warn("failed to accept connection, will retry: {}", e.toString());
             delaySeconds = LoopSelectorManager.ACCEPT_RETRY_DELAY_SECONDS;
         }
         if (server.isOpen()) {
-            loop.schedule(delaySeconds, () -> acceptWaiting(server));
+            loop.schedule(delaySeconds, () -> acceptPending(server));
         }
     }
 
-    /** Registers a connection with the selector; closes it if that fails. */
+    /** Registers an accepted connection with the selector; closes it if the registration fails. */
     private void register(SocketChannel accepted) {
         try {
             manager.accepted(accepted);
@@ -138,7 +139,7 @@
         if (handler != null || !(local instanceof InetSocketAddress address)) {
             return handler;
         }
-        // The connection has one of the addresses that a wildcard socket listens on.
+        // The connection may have been accepted by a socket that listens at the wildcard address.
         return handlers.entrySet().stream()
                 .filter(entry -> isWildcardFor(entry.getKey(), address.getPort()))
                 .map(Map.Entry::getValue)
--- a/daemon/src/main/java/wheelroute/net/loop/LoopSelectorManager.java
+++ b/daemon/src/main/java/wheelroute/net/loop/LoopSelectorManager.java
@@ -25,19 +25,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs Jetty's selector on a single thread. Jetty passes tasks and timers to an executor and a
- * scheduler; here both run them on the selector's own thread, which is that of the {@link
+ * Runs Jetty's selector on a single thread. The executor and the scheduler to which Jetty passes
+ * tasks and timers run them on the selector's own thread, which is the thread of the {@link
  * EventLoop}.
  */
 final class LoopSelectorManager extends SelectorManager {
     /**
-     * The selector waits no longer than this at a time, so that a stall of the process during a
-     * wait can be detected. Together with the threshold of {@link StallDetector} it is less than
-     * the margin that is subtracted from clients' timeouts.
+     * The maximum time for which the selector waits in one pass, so that a stall of the process
+     * during a wait can be detected. The sum of this time and the threshold of {@link
+     * StallDetector} is less than the margin that is subtracted from clients' timeouts.
      */
     private static final double MAX_WAIT_SECONDS = 0.05;
 
-    /** Delay after a failed accept; shorter than the shortest stall that is detected. */
+    /**
+     * Delay between a failed accept and the next attempt to accept; shorter than the shortest stall
+     * that {@link StallDetector} detects.
+     */
     static final double ACCEPT_RETRY_DELAY_SECONDS = 0.01;
 
     private static final Logger LOG = LoggerFactory.getLogger(LoopSelectorManager.class);
@@ -58,7 +61,7 @@
         setConnectTimeout((long) (connectTimeoutSeconds * MILLIS_PER_SECOND));
     }
 
-    /** Runs Jetty's timers, for idle connections and connects, as timers of the loop. */
+    /** Runs Jetty's idle timeouts and connect timeouts as timers of the event loop. */
     private static final class LoopScheduler extends AbstractLifeCycle implements Scheduler {
         private final EventLoop loop;
 
@@ -77,17 +80,20 @@
         return new ManagedSelector(this, id) {
             @Override
             protected int nioSelect(Selector selector, boolean now) throws IOException {
-                return runPass(selector, now);
+                return runSelectorPass(selector, now);
             }
         };
     }
 
-    private int runPass(Selector selector, boolean now) throws IOException {
+    private int runSelectorPass(Selector selector, boolean now) throws IOException {
         loop.setSelector(selector);
-        double untilNextTask = loop.runDue();
-        // No wait while catching up: what arrives later must not be dated back to the stall.
+        double secondsUntilNextTask = loop.runDue();
+        // There is no wait while catching up, since bytes that arrive during a wait would be dated
+        // back to the stall.
         double waitSeconds =
-                now || stallDetector.isCatchingUp() ? 0 : Math.min(untilNextTask, MAX_WAIT_SECONDS);
+                now || stallDetector.isCatchingUp()
+                        ? 0
+                        : Math.min(secondsUntilNextTask, MAX_WAIT_SECONDS);
         int ready =
                 waitSeconds <= 0
                         ? selector.selectNow()
@@ -108,7 +114,8 @@
             }
             return channel;
         } catch (IOException e) {
-            // Not thrown: Jetty would close the connection that it accepted before this one.
+            // The exception is not rethrown, because Jetty would then close the connection that it
+            // accepted before this one.
             LOG.warn("failed to accept connection, will retry: {}", e.toString());
             pauseAccepting((ServerSocketChannel) server);
             return null;
@@ -117,7 +124,8 @@
 
     /**
      * Ignores a listening socket for a short time, after which the resources to accept a connection
-     * are usually available. Meanwhile the selector would report the socket without waiting.
+     * are usually available. Without the pause, the selector would report the socket in each pass
+     * and never wait.
      */
     private void pauseAccepting(ServerSocketChannel server) {
         SelectionKey key = server.keyFor(loop.selector());
@@ -143,7 +151,7 @@
         }
         EventLoop.ChannelHandler handler = loop.handlerFor(local);
         if (handler == null) {
-            // Its listening socket has been closed since it was accepted.
+            // The listening socket was closed after it had accepted this connection.
             EventLoop.close(channel);
         } else {
             accept(channel, handler);
--- a/daemon/src/main/java/wheelroute/net/loop/StreamConnection.java
+++ b/daemon/src/main/java/wheelroute/net/loop/StreamConnection.java
@@ -6,7 +6,8 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A connection that reads whatever arrives, from its opening on. Only for the event loop's thread.
+ * A connection that reads bytes as they arrive, as soon as it is open. Used on the event loop's
+ * thread only.
  */
 public abstract class StreamConnection extends AbstractConnection {
     /** The maximum number of consecutive reads, so that one sender cannot starve others. */
@@ -16,7 +17,7 @@
 
     /** Creates a connection that reads from the end point once it is opened. */
     protected StreamConnection(EndPoint endPoint, EventLoop loop) {
-        // All events are on the loop's thread already, so they need no executor.
+        // All events already occur on the loop's thread, so they are handled without an executor.
         super(endPoint, Runnable::run);
         this.loop = loop;
     }
@@ -29,26 +30,33 @@
         }
     }
 
-    /** Whether to continue reading; if not, what arrives stays in the system's buffer. */
+    /**
+     * Whether to continue reading; if not, incoming bytes stay in the operating system's buffer.
+     */
     protected boolean canRead() {
         return true;
     }
 
     /**
-     * Processes bytes that have arrived. The buffer is reused after this returns.
+     * Processes bytes that have arrived. The buffer is reused after this method returns.
      *
-     * @throws IOException if they are not acceptable; {@link #onFailure} is then called with it
+     * @throws IOException if the bytes are invalid; the exception is then passed to {@link
+     *     #onFailure}
      */
     protected abstract void onBytes(ByteBuffer in) throws IOException;
 
     /**
      * Reacts to the peer's end of stream.
      *
-     * @throws IOException if it must not end here; {@link #onFailure} is then called with it
+     * @throws IOException if the stream must not end here; the exception is then passed to {@link
+     *     #onFailure}
      */
     protected abstract void onEndOfStream() throws IOException;
 
-    /** Reacts to a broken connection, or to an exception of one of the two methods above. */
+    /**
+     * Reacts to a broken connection, or to an exception of {@link #onBytes} or {@link
+     * #onEndOfStream}.
+     */
     protected abstract void onFailure(Throwable cause);
 
     @Override
--- a/daemon/src/main/java/wheelroute/net/peers/LeaseMessenger.java
+++ b/daemon/src/main/java/wheelroute/net/peers/LeaseMessenger.java
@@ -11,14 +11,15 @@
 import wheelroute.peers.QuotaLeases;
 
 /**
- * Exchanges lease messages with the other dispatchers in both roles of this one: as a holder it
- * sends the requests of {@link QuotaLeases} and passes the grants on to it, as a voter it answers
- * requests. Messages to itself are delivered in a later task of the event loop, like datagrams.
+ * Exchanges lease messages with the other dispatchers, for both roles of this dispatcher. For the
+ * holder of leases, {@link QuotaLeases}, the messenger sends requests and receives grants. For the
+ * voter, {@link LeaseVoter}, it receives requests and sends grants. Messages of this dispatcher to
+ * itself are delivered in a later task of the event loop, like datagrams.
  *
- * <p>Used on the event loop's thread only. Messages may be lost; none of the methods reports that.
+ * <p>Used on the event loop's thread only. Messages may be lost; no method reports a loss.
  */
 final class LeaseMessenger implements QuotaLeases.Transport {
-    /** Digest of lease messages, which are not used to compare member lists. */
+    /** Digest in the header of lease messages, which are not used to compare member lists. */
     private static final int NO_DIGEST = 0;
 
     private final EventLoop loop;
@@ -42,12 +43,14 @@
         this.ownNumber = ownNumber;
     }
 
-    /** Sets the receiver of the grants. Called once, before any message arrives. */
+    /** Sets the receiver of grants. Called once, before any message arrives. */
     void setLeases(QuotaLeases holder) {
         leases = holder;
     }
 
-    /** Replaces the voter by one that knows no earlier grants, and so starts in quarantine. */
+    /**
+     * Replaces the voter by one that knows no earlier grants and therefore starts in quarantine.
+     */
     void resetVoter() {
         voter = new LeaseVoter(loop.now());
     }
@@ -74,7 +77,10 @@
         }
     }
 
-    /** Handles a message of another dispatcher or of this one. Dropped if the socket is closed. */
+    /**
+     * Handles a message from another dispatcher or from this one; drops the message if the socket
+     * is closed.
+     */
     void receive(Message.LeaseMessage message) {
         if (!socket.isOpen()) {
             return;
--- a/daemon/src/main/java/wheelroute/net/peers/MembershipDriver.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipDriver.java
@@ -13,8 +13,8 @@
 import wheelroute.peers.PeerId;
 
 /**
- * Runs a {@link Membership} on the event loop: sets its time before each event, runs its timer,
- * sends its messages and logs each change of a member's state.
+ * Runs a {@link Membership} on the event loop: advances the time of the membership before each
+ * event, runs its timer, sends its messages and logs each change of a member's state.
  *
  * <p>Used on the event loop's thread only.
  */
@@ -23,15 +23,15 @@
 
     private final EventLoop loop;
     private final PeerSocket socket;
-    private final PeerId name;
+    private final PeerId selfId;
     private final Membership membership;
     private EventLoop.Timer timer;
-    private double timerAt = Double.POSITIVE_INFINITY;
+    private double timerDueAt = Double.POSITIVE_INFINITY;
 
     MembershipDriver(EventLoop loop, PeerSocket socket, MembershipConfig config) {
         this.loop = loop;
         this.socket = socket;
-        name = config.id();
+        selfId = config.id();
         membership = new Membership(config, this);
     }
 
@@ -40,13 +40,13 @@
         membership.start();
     }
 
-    /** Announces to some members that this dispatcher leaves, and stops. */
+    /** Announces to some members that this dispatcher leaves, and stops the membership. */
     void leave() {
         membership.advanceTo(loop.now());
         membership.leave();
     }
 
-    /** Stops without an announcement. */
+    /** Stops the membership without an announcement. */
     void stop() {
         membership.stop();
     }
@@ -56,7 +56,7 @@
         membership.receive(message.header().sender().address(), message);
     }
 
-    /** Returns this dispatcher as it announces itself. */
+    /** Returns the state of this dispatcher that is announced to the other members. */
     MemberUpdate self() {
         return membership.self();
     }
@@ -67,7 +67,7 @@
         return membership.others();
     }
 
-    /** Returns the seconds from the last change of a member's state to the last event. */
+    /** Returns the seconds for which a member had been in its state at the last event. */
     double secondsInState(PeerId id) {
         return membership.secondsInState(id);
     }
@@ -76,7 +76,7 @@
         return membership.localHealthScore();
     }
 
-    /** Whether the other dispatcher of this number is alive; a suspect is not. */
+    /** Whether the other dispatcher of this number is alive; a suspected one is not. */
     boolean isAlive(int number) {
         for (MemberUpdate member : membership.others()) {
             if (member.address().port() == number && member.state() == MemberUpdate.State.ALIVE) {
@@ -94,19 +94,19 @@
     @Override
     public void scheduleTimer(double delaySeconds) {
         double at = loop.now() + delaySeconds;
-        boolean pending = timerAt > loop.now();
-        if (pending && at >= timerAt) {
+        boolean pending = timerDueAt > loop.now();
+        if (pending && at >= timerDueAt) {
             return;
         }
         if (timer != null) {
             timer.cancel();
         }
-        timerAt = at;
+        timerDueAt = at;
         timer = loop.schedule(delaySeconds, this::onTimer);
     }
 
     private void onTimer() {
-        timerAt = Double.POSITIVE_INFINITY;
+        timerDueAt = Double.POSITIVE_INFINITY;
         membership.advanceTo(loop.now());
         membership.onTimer();
     }
@@ -119,17 +119,17 @@
                 update.address().port(),
                 stateName(update.state()),
                 previous == null ? "" : ", was " + stateName(previous),
-                reason(update, reportedBy));
+                describeSource(update, reportedBy));
     }
 
-    private String reason(MemberUpdate update, PeerId reportedBy) {
-        if (reportedBy.equals(name)) {
-            return "by our own probes";
+    private String describeSource(MemberUpdate update, PeerId reportedBy) {
+        if (reportedBy.equals(selfId)) {
+            return "detected by this dispatcher";
         }
-        return reportedBy.equals(update.id()) ? "as it reports" : "as " + reportedBy + " reports";
+        return "reported by " + (reportedBy.equals(update.id()) ? "the member itself" : reportedBy);
     }
 
-    /** Returns the state's name in log lines and in the answer to PEERS. */
+    /** Returns the name of a state in log lines and in the answer to the admin command PEERS. */
     static String stateName(MemberUpdate.State state) {
         return state.name().toLowerCase(Locale.ROOT);
     }
--- a/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
@@ -20,8 +20,8 @@
 import wheelroute.peers.QuotaLeases;
 
 /**
- * Runs membership and quota leases in the daemon: which dispatchers of the installation are alive,
- * and how much of the shared quota this one may use.
+ * Runs membership and quota leases in the daemon, which determine the dispatchers of the cluster
+ * that are alive and how much of the shared quota this dispatcher may use.
  *
  * <p>Used on the event loop's thread only.
  */
@@ -30,7 +30,7 @@
 
     private final EventLoop loop;
     private final PeeringConfig peering;
-    private final PeerId name;
+    private final PeerId selfId;
     private final PeerSocket socket;
     private final MembershipDriver membership;
     private final LeaseMessenger leaseMessenger;
@@ -38,22 +38,24 @@
     private State state;
 
     /**
-     * Which process takes part as this dispatcher; all processes of one dispatcher are one member.
+     * Whether this process takes part in the membership. All processes of one dispatcher are one
+     * member, for which one process at a time takes part.
      */
     private enum State {
-        /** This process does. Its socket is open. */
+        /** This process takes part, and its socket is open. */
         ACTIVE,
-        /** A successor process does. */
+        /** A successor process takes part. */
         STANDBY,
-        /** The dispatcher has left. Final. */
+        /** The dispatcher has left the membership; this state is final. */
         LEFT
     }
 
     /**
-     * Listens at the configured address. Nothing is sent before {@link #begin}.
+     * Creates a service that listens at the configured address. No message is sent before {@link
+     * #begin}.
      *
-     * @param dispatcher name of this dispatcher
-     * @param seed seed of the random choices
+     * @param dispatcher the name of this dispatcher
+     * @param seed seed of the random number generator
      * @param shared whether a successor process may take over and listen at the same address
      * @throws IOException if the address cannot be used
      */
@@ -62,7 +64,7 @@
             throws IOException {
         this.loop = loop;
         this.peering = peering;
-        name = new PeerId(dispatcher);
+        selfId = new PeerId(dispatcher);
         int cluster = clusterId(peering.cluster());
         int number = peering.number();
         long incarnation = System.currentTimeMillis();
@@ -74,7 +76,7 @@
                         socket,
                         new MembershipConfig(
                                 cluster,
-                                name,
+                                selfId,
                                 PeerSocket.addressOf(number),
                                 incarnation,
                                 members,
@@ -107,11 +109,9 @@
         state = State.ACTIVE;
     }
 
-    // ---- lifecycle
-
     /** Starts to probe the other dispatchers and to request leases. */
     public void begin() {
-        // The kit waits for this line and reads the port from it.
+        // The test kit waits for this log line and reads the port from the line.
         LOG.info(
                 "membership listening on {} as member {} of {}",
                 socket.localAddress(),
@@ -139,10 +139,10 @@
     }
 
     /**
-     * Hands membership over to a successor process, or takes it back when that has ended. The
-     * successor acquires leases of its own, so this process releases its leases. When it becomes
-     * active again, its voter starts in quarantine, as it does not know which votes the successor
-     * gave.
+     * Hands membership over to a successor process, or takes membership back when the successor has
+     * ended. The successor acquires leases of its own, so this process releases its leases. When
+     * this process becomes active again, its voter starts in quarantine, because the voter does not
+     * know which votes the successor gave.
      *
      * @param hasSuccessor whether there is a successor process now
      */
@@ -181,11 +181,9 @@
         return number == peering.number() || membership.isAlive(number);
     }
 
-    // ---- quota
-
     /**
-     * Returns the usable fraction of a dispatcher's share of the quota, from 0 to 1; 0 unless this
-     * process is the active one.
+     * Returns the usable fraction of a dispatcher's share of the quota, from 0 to 1; 0 while this
+     * process is not active.
      */
     @Override
     public double ofDispatcher(int number) {
@@ -193,23 +191,22 @@
     }
 
     /**
-     * Returns the usable fraction of the whole quota, from 0 to 1; 0 unless this process is the
-     * active one.
+     * Returns the usable fraction of the total quota, from 0 to 1; 0 while this process is not
+     * active.
      */
     @Override
     public double total() {
         return state == State.ACTIVE ? leases.usableTotalFraction(loop.now()) : 0;
     }
 
-    // ---- admin server
-
     /**
      * Returns the answer to the admin command PEERS: a line for each known dispatcher, this one
-     * first, then a line with its quota, local health and dropped datagrams.
+     * first, then a line with the quota, the local health score and the numbers of dropped
+     * datagrams of this dispatcher.
      */
     public String membersText() {
         StringBuilder out = new StringBuilder();
-        out.append(name).append(' ').append(peering.number()).append(" alive itself\n");
+        out.append(selfId).append(' ').append(peering.number()).append(" alive itself\n");
         for (MemberUpdate member : membership.others()) {
             out.append(memberLine(member));
         }
--- a/daemon/src/main/java/wheelroute/net/peers/PeerSocket.java
+++ b/daemon/src/main/java/wheelroute/net/peers/PeerSocket.java
@@ -14,18 +14,18 @@
 import wheelroute.peers.MessageCodec;
 
 /**
- * Sends and receives messages by UDP. In messages, members are addressed by their numbers. Each
- * dispatcher maps them to socket addresses by its own configuration, since the address that reaches
- * a member from one machine need not reach it from another.
+ * Sends and receives messages over UDP. In messages, members are addressed by their numbers. Each
+ * dispatcher maps the numbers to socket addresses by its own configuration, since the address that
+ * reaches a member from one machine need not reach that member from another machine.
  *
- * <p>Used on the event loop's thread only. Datagrams that are malformed, of another cluster or from
- * an unknown member are counted and dropped.
+ * <p>Used on the event loop's thread only. Datagrams that are malformed, belong to another cluster
+ * or come from an unknown member are counted and dropped.
  */
 final class PeerSocket {
     private static final Logger LOG = LoggerFactory.getLogger(PeerSocket.class);
 
-    /** One byte more than the longest message, to recognize datagrams that are too long. */
-    private static final int RECEIVE_BYTES = MessageCodec.MAX_DATAGRAM_BYTES + 1;
+    /** One byte more than the longest message, so that longer datagrams can be recognized. */
+    private static final int RECEIVE_BUFFER_BYTES = MessageCodec.MAX_DATAGRAM_BYTES + 1;
 
     private final EventLoop loop;
     private final PeeringConfig peering;
@@ -37,7 +37,7 @@
     private long foreignCount;
     private long malformedCount;
 
-    /** Receives the messages. */
+    /** Receives the messages of a socket. */
     interface Listener {
         /** Called with each message of this cluster from a member whose number is configured. */
         void onMessage(Message message);
@@ -57,7 +57,7 @@
         this.listener = listener;
     }
 
-    /** Returns the address of the dispatcher of this number as it is written in messages. */
+    /** Returns the address by which messages refer to the dispatcher of this number. */
     static MemberAddress addressOf(int number) {
         return new MemberAddress(0, number);
     }
@@ -69,7 +69,8 @@
      */
     void open() throws IOException {
         socket =
-                new DatagramSocket(loop, peering.listen(), shared, RECEIVE_BYTES, this::onDatagram);
+                new DatagramSocket(
+                        loop, peering.listen(), shared, RECEIVE_BUFFER_BYTES, this::onDatagram);
         open = true;
     }
 
@@ -77,13 +78,16 @@
         return open;
     }
 
-    /** Stops sending and receiving. */
+    /** Closes the socket; messages are neither sent nor received from now on. */
     void close() {
         open = false;
         socket.close();
     }
 
-    /** Returns the local address, with the port that the system chose if 0 is configured. */
+    /**
+     * Returns the local address. The operating system has chosen its port if the configured port is
+     * 0.
+     */
     InetSocketAddress localAddress() {
         return socket.address();
     }
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptRequest.java
@@ -5,14 +5,15 @@
 import wheelroute.net.http.HttpMessageBuilder;
 
 /**
- * The request that an attempt sends to a worker. Immutable, but for the body, which is not copied.
+ * The request that an attempt sends to a worker. Immutable except for the body, which is not
+ * copied.
  *
- * @param target path and query, as the client sent them
- * @param id the client's id of the request
+ * @param target path and query as the client sent them
+ * @param id request ID that the client sent
  * @param idempotencyKey null if the client sent none
  * @param routeKey null if the client sent none
- * @param atMostOnce whether a second run could do harm, so that it must be certain which attempt a
- *     response is for
+ * @param atMostOnce whether a second run of the request could do harm, so that it must be certain
+ *     to which attempt a response belongs
  */
 public record AttemptRequest(
         String method,
@@ -25,6 +26,7 @@
     /**
      * Encodes the HTTP request.
      *
+     * @param host value of the header field Host
      * @param timeoutSeconds how long this dispatcher waits for the response
      */
     public ByteBuffer[] encode(String host, double timeoutSeconds) {
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
@@ -26,39 +26,46 @@
         /** Called when the attempt has ended. The response need not be complete. */
         void onEnded(AttemptResult result, byte[] body, double freeSlots);
 
-        /** Called when the response is complete. */
+        /**
+         * Called when the response is complete.
+         *
+         * @param keepsOpen whether the connection may be used again
+         */
         void onComplete(boolean keepsOpen);
     }
 
-    /** The protocol's limit on results, which are part of a line. */
+    /** The maximum length of a line, by which the protocol limits the result in the line. */
     private static final int MAX_LINE_BYTES = 64 * 1024;
 
     private final ResponseParser parser = new ResponseParser(this);
     private final LineBuffer lines = new LineBuffer(MAX_LINE_BYTES);
     private final Listener listener;
 
-    /** Id of the request whose attempt awaits its response. */
+    /** ID of the request whose attempt awaits its response. */
     private String expectedId;
 
     /** Whether the body of the response consists of status lines. */
     private boolean hasStatusLines;
 
-    /** Whether no attempt awaits its end. */
+    /** Whether the attempt has ended; true as long as there is none. */
     private boolean ended = true;
 
     AttemptResponseDecoder(Listener listener) {
         this.listener = listener;
     }
 
-    /** Sets the id of the request whose attempt the next response is for. */
-    void expect(String requestId) {
+    /** Sets the ID of the request to whose attempt the next response belongs. */
+    void expectResponse(String requestId) {
         expectedId = requestId;
         ended = false;
         hasStatusLines = false;
         lines.clear();
     }
 
-    /** Whether the response contains the id of its request, which was compared to the expected. */
+    /**
+     * Whether the response contains the ID of its request, which is checked against the expected
+     * ID.
+     */
     boolean identifiesAttempt() {
         return hasStatusLines;
     }
@@ -66,7 +73,7 @@
     /**
      * Decodes the bytes of a response.
      *
-     * @throws IOException if they do not follow HTTP or the protocol of workers
+     * @throws IOException if the bytes violate HTTP or the protocol of workers
      */
     void decode(ByteBuffer in) throws IOException {
         parser.parse(in);
@@ -77,20 +84,21 @@
      *
      * @throws IOException if the response is incomplete
      */
-    void atEnd() throws IOException {
+    void onEndOfStream() throws IOException {
         parser.atEnd();
     }
 
     @Override
     public void head(int status, Map<String, String> fields) throws IOException {
         if (ended) {
-            throw new MalformedResponseException("a response without an attempt");
+            throw new MalformedResponseException(
+                    "received a response with status " + status + ", expected none");
         }
         hasStatusLines = status == HttpStatus.OK_200;
         if (!hasStatusLines) {
             finish(
                     resultOf(status, "1".equals(fields.get("x-not-processed"))),
-                    WorkerStatusLine.freeSlots(fields.get("x-server-load")));
+                    WorkerStatusLine.freeSlotsInHeader(fields.get("x-server-load")));
         }
     }
 
@@ -109,7 +117,10 @@
                 : AttemptResult.UNEXPECTED_STATUS;
     }
 
-    /** Whether the status blames the request: 408 and 429 depend on the time of the attempt. */
+    /**
+     * Whether the status says that the request itself is invalid. Statuses 408 and 429 do not,
+     * because they depend on the time of the attempt.
+     */
     private static boolean isInvalidRequest(int status) {
         return HttpStatus.isClientError(status)
                 && status != HttpStatus.REQUEST_TIMEOUT_408
@@ -132,7 +143,8 @@
         }
         WorkerStatusLine line = WorkerStatusLine.decode(bytes);
         if (!line.id().equals(expectedId)) {
-            throw new MalformedResponseException("a line with the id of another request");
+            throw new MalformedResponseException(
+                    "expected a line with ID " + expectedId + ", got " + line.id());
         }
         switch (line.state()) {
             case STARTED -> listener.onStarted();
@@ -142,14 +154,15 @@
             case RETURNED -> finish(AttemptResult.HANDED_BACK, line.freeSlots());
             case LOST -> finish(AttemptResult.KILLED, line.freeSlots());
             case UNKNOWN -> {
-                // A state of a later version of the protocol, which does not end the attempt.
+                // A state added in a later version of the protocol does not end the attempt.
             }
         }
     }
 
     private void finishSuccessfully(WorkerStatusLine line) throws MalformedResponseException {
         if (line.result() == null) {
-            throw new MalformedResponseException("a successful attempt without a result");
+            throw new MalformedResponseException(
+                    "expected a result in the line that reports success, got none");
         }
         finish(AttemptResult.SUCCEEDED, line.result(), line.freeSlots());
     }
@@ -170,7 +183,8 @@
             onLine(lines.rest());
         }
         if (!ended) {
-            throw new MalformedResponseException("a response without a final status line");
+            throw new MalformedResponseException(
+                    "expected a final status line, got the end of the response");
         }
         listener.onComplete(keepsOpen);
     }
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptResult.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResult.java
@@ -2,39 +2,42 @@
 
 import wheelroute.decision.Outcome;
 
-/** How an attempt ended on its connection, and what that means for the decisions. */
+/** How an attempt ended on its connection, and the outcome that the policy receives. */
 public enum AttemptResult {
-    /** The worker's last status line has the result. */
+    /** The worker's last status line contains the result. */
     SUCCEEDED("done"),
-    /** The worker's last status line, or a status 500, reports an error. */
+    /** The worker reported an error in its last status line or by HTTP status 500. */
     FAILED("failed"),
-    /** The worker's last status line hands the request back unstarted. */
+    /** The worker's last status line returns the request, which the worker has not started. */
     HANDED_BACK("returned"),
-    /** A status 503 or 504 with the mark that the request was not processed. */
+    /** The response has status 503 or 504 and says that the request was not processed. */
     REJECTED("turned_away"),
-    /** A status that blames the request itself. */
+    /** The response has a status which says that the request itself is invalid. */
     INVALID_REQUEST("unusable"),
-    /** Any other status. */
+    /** The response has any other status. */
     UNEXPECTED_STATUS("odd_status"),
     /** The worker's last status line reports that the job was killed. */
     KILLED("lost"),
-    /** The worker refused the connection or was unreachable, or it is not in the list. */
+    /** The worker refused the connection, was unreachable, or is not in the endpoint list. */
     CONNECTION_REFUSED("refused"),
-    /** The connection was not established in time. */
+    /** The connection was not established within the timeout. */
     CONNECT_TIMEOUT("never_up"),
-    /** This machine had no descriptor, port, buffer or route for the connection. */
+    /**
+     * This machine had no file descriptor, port, buffer or route for the connection, or the limit
+     * on connections was reached.
+     */
     CONNECT_FAILED_LOCALLY("no_room"),
     /** The connection broke before the last byte of the attempt was written. */
     BROKEN_BEFORE_SENT("broke_unsent"),
-    /** The connection broke or was closed before the worker's last status line. */
+    /** The connection broke or was closed before the worker's last status line arrived. */
     CONNECTION_LOST("broke"),
-    /** A reused connection broke before the first byte of the response. */
+    /** A reused connection broke before the first byte of the response arrived. */
     STALE_CONNECTION("stale"),
-    /** The response does not follow the protocol, or is for another attempt. */
+    /** The response violates the protocol or belongs to another attempt. */
     PROTOCOL_ERROR("nonsense"),
-    /** The decisions cancelled the attempt. */
+    /** The policy cancelled the attempt. */
     CANCELLED("called_off"),
-    /** There was no response before the deadline, or before the end of this process. */
+    /** No response arrived before the deadline, or before the end of this process. */
     TIMED_OUT("timed_out"),
     /** The attempt was aborted before its last byte was written, for any reason. */
     NOT_SENT("ended_unsent");
@@ -51,8 +54,8 @@
     }
 
     /**
-     * Returns the outcome for the decisions. Unless the protocol proves that the attempt did not
-     * run, it is one of those that may have run.
+     * Returns the outcome that the policy receives. Unless the protocol proves that the attempt did
+     * not run, the outcome is one of those after which the attempt may have run.
      */
     public Outcome outcome() {
         return switch (this) {
@@ -65,7 +68,7 @@
             case CONNECTION_REFUSED, CONNECT_TIMEOUT, BROKEN_BEFORE_SENT -> Outcome.CONNECT_FAILED;
             case CANCELLED -> Outcome.CANCELLED;
             case TIMED_OUT -> Outcome.TIMED_OUT;
-            // Counted against workers, a shortage on this machine would eject all of them.
+            // A shortage on this machine must not count against workers, or all would be ejected.
             case NOT_SENT, CONNECT_FAILED_LOCALLY -> Outcome.NOT_SENT;
         };
     }
--- a/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
+++ b/daemon/src/main/java/wheelroute/net/workers/InFlightAttempt.java
@@ -2,11 +2,11 @@
 
 import wheelroute.net.metrics.Counters;
 
-/** An attempt that has not ended. Used on the event loop's thread only. */
+/** An attempt from its start to its end. Used on the event loop's thread only. */
 public final class InFlightAttempt {
-    private final AttemptRequest message;
+    private final AttemptRequest request;
 
-    /** On the event loop's clock, in seconds. */
+    /** Time at which the attempt must end, in seconds on the event loop's clock. */
     private final double deadline;
 
     private final AttemptListener listener;
@@ -19,44 +19,44 @@
     private boolean ended;
 
     InFlightAttempt(
-            AttemptRequest message, double deadline, AttemptListener listener, Counters counters) {
-        this.message = message;
+            AttemptRequest request, double deadline, AttemptListener listener, Counters counters) {
+        this.request = request;
         this.deadline = deadline;
         this.listener = listener;
         this.counters = counters;
     }
 
-    AttemptRequest message() {
-        return message;
+    AttemptRequest request() {
+        return request;
     }
 
     double deadline() {
         return deadline;
     }
 
-    /** Whether its last byte has been written, so that it may run on the worker. */
+    /** Whether the attempt's last byte has been written, so that the worker may run it. */
     public boolean isWritten() {
         return written;
     }
 
     /**
-     * Whether the attempt is to be sent, now that its connection has been opened. Ends it if its
-     * deadline has passed.
+     * Whether the attempt is to be sent, now that its connection has been opened. Ends the attempt
+     * if its deadline has passed.
      */
     boolean mayBeSent(double now) {
         if (!ended && now >= deadline) {
             abort(AttemptResult.TIMED_OUT);
         }
-        // Checked twice, as the listener may end the attempt.
+        // The flag is checked again, because the listener may end the attempt.
         return !ended && listener.isStillNeeded() && !ended;
     }
 
-    /** Sets the connection, which {@link #abort} closes. */
+    /** Sets the connection that {@link #abort} closes. */
     void setConnection(WorkerConnection newConnection) {
         connection = newConnection;
     }
 
-    /** Records that the last byte has been written. */
+    /** Records that the attempt's last byte has been written. */
     void onWritten() {
         written = true;
         counters.count(Counters.Counter.ATTEMPTS_WRITTEN);
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Ends the attempt. Has no effect if it has ended already. */
+    /** Ends the attempt, unless it has ended already. */
     void end(AttemptResult result, byte[] body, double freeSlots) {
         if (!ended) {
             ended = true;
@@ -88,11 +88,13 @@
 
     /**
      * Ends the attempt, unless it has ended already, without waiting for its response. Its
-     * connection is closed before the listener is called, so that no later attempt can overlap it.
+     * connection is closed before the listener is called, so that no later attempt can overlap this
+     * one.
      */
     public void abort(AttemptResult result) {
         if (!ended) {
-            // Set first, since otherwise the close would end the attempt as a lost connection.
+            // The flag is set first, since closing the connection would otherwise end the attempt
+            // with the result CONNECTION_LOST.
             ended = true;
             if (connection != null) {
                 connection.close();
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
@@ -14,14 +14,14 @@
  * <p>Used on the event loop's thread only. Any failure closes the connection and ends its attempt.
  */
 final class WorkerConnection extends StreamConnection implements AttemptResponseDecoder.Listener {
-    /** Time from the end of an attempt to the last byte of its response. */
+    /** The maximum time from the end of an attempt to the last byte of its response. */
     private static final double RESPONSE_TAIL_TIMEOUT_SECONDS = 1;
 
     /**
-     * Time without a response after which nothing more of earlier attempts is expected. A faulty
-     * worker may respond to an attempt twice, the second time some milliseconds late, and a
-     * response with a status other than 200 does not identify its attempt. The time is many round
-     * trips, and short compared to a job.
+     * Time without a response after which no further response to an earlier attempt is expected. A
+     * faulty worker may respond to an attempt twice, the second time some milliseconds late, and a
+     * response with a status other than 200 does not identify its attempt. The time is many times a
+     * round trip, but short compared to the duration of a job.
      */
     private static final double QUIESCENCE_SECONDS = 0.1;
 
@@ -35,16 +35,19 @@
     /** Closes the connection if the response is not complete in time after the attempt's end. */
     private EventLoop.Timer responseTailTimer;
 
-    /** Whether it has carried an attempt. */
-    private boolean isReused;
+    /** Whether the connection has carried an attempt. */
+    private boolean wasUsed;
 
-    /** Whether it is reused and no byte has arrived since: the worker may have closed it. */
+    /**
+     * Whether the connection is reused and no byte has arrived since the attempt was sent, so that
+     * the worker may have closed the idle connection.
+     */
     private boolean mayBeStale;
 
     /** Unix time in seconds of the end of the last response. */
     private double lastResponseAt = Double.NEGATIVE_INFINITY;
 
-    /** Whether the next response may be another one to an earlier attempt. */
+    /** Whether the next response may be a second one to an earlier attempt. */
     private boolean isResponseAmbiguous;
 
     private enum State {
@@ -65,9 +68,9 @@
     void send(InFlightAttempt next) {
         attempt = next;
         state = State.BUSY;
-        mayBeStale = isReused;
+        mayBeStale = wasUsed;
         isResponseAmbiguous = !isQuiescent();
-        isReused = true;
+        wasUsed = true;
         next.setConnection(this);
         double timeoutSeconds = next.deadline() - loop.now();
         if (timeoutSeconds <= 0) {
@@ -75,23 +78,24 @@
             next.abort(AttemptResult.TIMED_OUT);
             return;
         }
-        decoder.expect(next.message().id());
+        decoder.expectResponse(next.request().id());
         getEndPoint()
                 .write(
                         Callback.from(
                                 next::onWritten,
                                 cause -> onFailure(AttemptResult.BROKEN_BEFORE_SENT)),
-                        next.message().encode(pool.host(), timeoutSeconds));
+                        next.request().encode(pool.host(), timeoutSeconds));
     }
 
-    /** Whether no response to an earlier attempt is expected any more. */
+    /** Whether no further response to an earlier attempt is expected. */
     boolean isQuiescent() {
         return loop.now() - lastResponseAt >= QUIESCENCE_SECONDS;
     }
 
     /**
-     * Whether it is idle and open. This checks for a close by the worker that has not been read
-     * yet, because an attempt that is written after it may have to count as having run.
+     * Whether the connection is idle and open. The check includes a close by the worker that has
+     * not been read yet, because an attempt that is written after the close may have to count as
+     * having run.
      */
     boolean isUsable() {
         try {
@@ -107,7 +111,7 @@
     protected void onBytes(ByteBuffer in) {
         mayBeStale = false;
         if (attempt == null) {
-            // These bytes respond to no attempt, and could be taken for the next response.
+            // The bytes belong to no attempt, and could be taken for the next response.
             close();
             return;
         }
@@ -120,7 +124,7 @@
 
     @Override
     protected void onEndOfStream() throws IOException {
-        decoder.atEnd();
+        decoder.onEndOfStream();
         onFailure(AttemptResult.CONNECTION_LOST);
     }
 
@@ -129,11 +133,16 @@
         onFailure(AttemptResult.CONNECTION_LOST);
     }
 
-    /** An attempt whose last byte has not been written cannot have run. */
+    /**
+     * Closes the connection and ends its attempt. The given result is replaced if the attempt's
+     * last byte has not been written, since the attempt cannot have run then, and if a reused
+     * connection was lost before any response, since the worker may have closed it while it was
+     * idle.
+     */
     private void onFailure(AttemptResult result) {
         close();
         if (attempt != null) {
-            // Workers may close idle connections. Counted as failures, that would eject them.
+            // Workers may close idle connections, and must not be ejected for that.
             AttemptResult actual =
                     mayBeStale && result == AttemptResult.CONNECTION_LOST
                             ? AttemptResult.STALE_CONNECTION
@@ -156,8 +165,9 @@
     public void onEnded(AttemptResult result, byte[] body, double freeSlots) {
         responseTailTimer = loop.schedule(RESPONSE_TAIL_TIMEOUT_SECONDS, this::close);
         if (isResponseAmbiguous && !decoder.identifiesAttempt()) {
-            // It may respond to the attempt before, while this one runs. Closing the connection
-            // first cancels this one, so that it cannot overlap the next attempt.
+            // The response may be a second one to the previous attempt, while the current attempt
+            // runs. Closing the connection first cancels the current attempt on the worker, so that
+            // it cannot overlap the next attempt.
             close();
         }
         attempt.end(result, body, freeSlots);
@@ -176,7 +186,10 @@
         }
     }
 
-    /** Only closes idle connections, since the deadline limits the time for a response. */
+    /**
+     * Closes the connection only if it carries no attempt, since the deadline of an attempt limits
+     * the time for its response.
+     */
     @Override
     public boolean onIdleExpired(TimeoutException timeout) {
         if (state == State.IDLE) {
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPool.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPool.java
@@ -26,10 +26,13 @@
 
     private final Set<WorkerConnection> open = new HashSet<>();
 
-    /** The last one is the most recently used, and used next, so that the others can expire. */
+    /**
+     * Idle connections, the most recently used one last. That one is used next, so that the others
+     * can expire.
+     */
     private final ArrayDeque<WorkerConnection> idle = new ArrayDeque<>();
 
-    /** Attempts whose connections are being opened, in the order of their start. */
+    /** Attempts whose connections are being opened, in the order in which they were started. */
     private final Set<InFlightAttempt> connecting = new LinkedHashSet<>();
 
     /** Whether the worker was removed or replaced, so that no connection may be used again. */
@@ -46,7 +49,7 @@
         this.startedAt = startedAt;
     }
 
-    /** Whether this is the pool of a worker with this address and start. */
+    /** Whether this is the pool of a worker with this address and start time. */
     boolean matches(InetSocketAddress listed, double listedStart) {
         return address.equals(listed) && Double.compare(startedAt, listedStart) == 0;
     }
@@ -58,10 +61,10 @@
 
     /** Sends an attempt on an idle connection, or on a new one if the limit permits it. */
     void send(InFlightAttempt attempt) {
-        WorkerConnection idleConnection = takeIdle(attempt.message().atMostOnce());
+        WorkerConnection idleConnection = takeIdle(attempt.request().atMostOnce());
         if (idleConnection != null) {
             idleConnection.send(attempt);
-        } else if (pools.mayOpen()) {
+        } else if (pools.ensureBelowLimit()) {
             pools.onConnecting();
             connecting.add(attempt);
             loop.connect(address, new ConnectHandler(attempt));
@@ -74,12 +77,13 @@
      * Removes and returns a usable idle connection, preferably a quiescent one; null if there is
      * none.
      *
-     * @param onlyQuiescent for an attempt that must not run twice: on another connection it could
-     *     receive a second response to the attempt before
+     * @param onlyQuiescent whether only quiescent connections are usable, as for an attempt that
+     *     must not run twice: on another connection, the attempt could receive a second response to
+     *     the previous attempt
      */
     private WorkerConnection takeIdle(boolean onlyQuiescent) {
         WorkerConnection fallback = null;
-        // A copy, because closing an unusable connection removes it.
+        // The iteration is over a copy, because closing an unusable connection removes it.
         Iterator<WorkerConnection> newestFirst = new ArrayDeque<>(idle).descendingIterator();
         while (newestFirst.hasNext()) {
             WorkerConnection next = newestFirst.next();
@@ -100,7 +104,7 @@
         return fallback;
     }
 
-    /** Opens a connection for one attempt. */
+    /** Sends an attempt once its connection has been opened; ends the attempt if that fails. */
     private final class ConnectHandler implements EventLoop.ChannelHandler {
         private final InFlightAttempt attempt;
 
@@ -136,16 +140,17 @@
     }
 
     /**
-     * Returns the result of a failed connect: whether the worker refused or was unreachable, or
-     * this machine had no port, buffer, descriptor or route for it.
+     * Returns the result of a failed connect, which depends on whether the worker refused the
+     * connection or was unreachable, or this machine had no port, buffer, file descriptor or route
+     * for the connection.
      */
     private static AttemptResult connectResult(Throwable cause) {
         if (cause instanceof SocketTimeoutException) {
             return AttemptResult.CONNECT_TIMEOUT;
         }
-        boolean isFaultOfWorker =
+        boolean isWorkerFailure =
                 cause instanceof ConnectException || cause instanceof NoRouteToHostException;
-        return isFaultOfWorker
+        return isWorkerFailure
                 ? AttemptResult.CONNECTION_REFUSED
                 : AttemptResult.CONNECT_FAILED_LOCALLY;
     }
@@ -178,19 +183,20 @@
 
     /**
      * Closes the pool after its worker was removed or replaced by another process. Attempts that
-     * were sent may complete, but no connection is used again.
+     * have been sent may complete, but no connection is used again.
      */
     void retire() {
         retired = true;
         new ArrayList<>(idle).forEach(WorkerConnection::close);
-        endConnecting();
+        abortConnecting();
     }
 
     /**
-     * Aborts all attempts whose connections are being opened, so that the policy decides on them
-     * again. A draining worker may stop accepting requests before the connections are open.
+     * Aborts all attempts whose connections are being opened, so that the policy decides again on
+     * their requests. A draining worker may stop accepting requests before the connections are
+     * open.
      */
-    void endConnecting() {
+    void abortConnecting() {
         for (InFlightAttempt attempt : new ArrayList<>(connecting)) {
             attempt.abort(AttemptResult.NOT_SENT);
         }
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPools.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnectionPools.java
@@ -11,23 +11,24 @@
 import wheelroute.units.TimeUnits;
 
 /**
- * The connections to all workers of the endpoint list, in one pool for each, within a common limit.
- * Used on the event loop's thread only.
+ * The connections to all workers of the endpoint list, with one pool for each worker and a common
+ * limit. Used on the event loop's thread only.
  */
 public final class WorkerConnectionPools {
     /**
-     * Fraction of the workers' idle timeout after which an idle connection is closed here. If the
-     * worker closed it while a request is sent, the request would count as possibly run.
+     * Fraction of the workers' idle timeout after which this dispatcher closes an idle connection.
+     * If the worker closed the connection while a request was being sent, the request would have to
+     * count as possibly run.
      */
     private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
     private final EventLoop loop;
     private final Counters counters;
 
-    /** The limit of all processes of this dispatcher together. */
+    /** Maximum number of open connections of all processes of this dispatcher together. */
     private final int dispatcherLimit;
 
-    /** The limit of this process. */
+    /** Maximum number of open connections of this process. */
     private int limit;
 
     private final long idleTimeoutMillis;
@@ -56,16 +57,16 @@
     }
 
     /**
-     * Sets the number of processes that share the dispatcher's limit. Idle connections over the new
-     * limit of this process are only closed when others are to be opened.
+     * Sets the number of processes that share the dispatcher's limit. Idle connections in excess of
+     * the new limit of this process are closed only when other connections are to be opened.
      */
     public void setProcessCount(int processes) {
         limit = dispatcherLimit / processes;
     }
 
     /**
-     * Adds a worker of the endpoint list, which may be ready or draining. Replaces its pool if it
-     * was restarted or has another address.
+     * Adds a worker of the endpoint list, which may be ready or draining. Replaces the worker's
+     * pool if the worker was restarted or has another address.
      *
      * @param startedAt Unix time in seconds; NaN if it is unknown or long ago
      */
@@ -81,20 +82,21 @@
 
     /**
      * Aborts the attempts whose connections to draining or replaced workers are being opened.
-     * Called when the policy has received the list; before, it would choose the same workers again.
+     * Called when the policy has received the endpoint list, because the policy would otherwise
+     * choose the same workers again.
      */
     public void onPolicyUpdated(Iterable<Ids.Worker> draining) {
         for (Ids.Worker worker : draining) {
             WorkerConnectionPool pool = pools.get(worker);
             if (pool != null) {
-                pool.endConnecting();
+                pool.abortConnecting();
             }
         }
         new ArrayList<>(replaced).forEach(WorkerConnectionPool::retire);
         replaced.clear();
     }
 
-    /** Removes a worker. Attempts in flight may complete, and no others are sent to it. */
+    /** Removes a worker. Attempts in flight may complete, but no more are sent to the worker. */
     public void remove(Ids.Worker worker) {
         WorkerConnectionPool pool = pools.remove(worker);
         if (pool != null) {
@@ -108,8 +110,8 @@
      * @param deadline Unix time in seconds
      */
     public InFlightAttempt send(
-            Ids.Worker worker, AttemptRequest message, double deadline, AttemptListener listener) {
-        InFlightAttempt attempt = new InFlightAttempt(message, deadline, listener, counters);
+            Ids.Worker worker, AttemptRequest request, double deadline, AttemptListener listener) {
+        InFlightAttempt attempt = new InFlightAttempt(request, deadline, listener, counters);
         WorkerConnectionPool pool = pools.get(worker);
         if (pool == null) {
             attempt.end(AttemptResult.CONNECTION_REFUSED);
@@ -119,8 +121,10 @@
         return attempt;
     }
 
-    /** Whether one more connection may be opened. Closes an idle one if that is necessary. */
-    boolean mayOpen() {
+    /**
+     * Closes an idle connection if the limit is reached; returns whether one more may be opened.
+     */
+    boolean ensureBelowLimit() {
         return openConnections < limit
                 || pools.values().stream().anyMatch(WorkerConnectionPool::evictOldestIdle);
     }
@@ -136,7 +140,7 @@
         openConnections--;
     }
 
-    /** Returns the time after which an idle connection is closed. */
+    /** Returns the time after which this dispatcher closes an idle connection. */
     long idleTimeoutMillis() {
         return idleTimeoutMillis;
     }
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerStatusLine.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerStatusLine.java
@@ -12,14 +12,14 @@
 /**
  * One line of a worker's response.
  *
- * @param id of the request
+ * @param id ID of the request
  * @param progressFraction the fraction of the work that is done, from 0 to 1; 0 if absent
- * @param result for the client; null if absent
- * @param freeSlots from a load report; NaN if absent
+ * @param result the result for the client; null if absent
+ * @param freeSlots number of free slots in the load report; NaN if absent
  */
 record WorkerStatusLine(
         String id, State state, double progressFraction, byte[] result, double freeSlots) {
-    /** The state of the attempt. */
+    /** The state of the attempt that the line reports. */
     enum State {
         STARTED,
         RUNNING,
@@ -31,7 +31,7 @@
     }
 
     private static final JsonFactory JSON = new JsonFactory();
-    private static final String FREE_SLOTS = "x0";
+    private static final String FREE_SLOTS_KEY = "x0";
 
     /**
      * Decodes a line. Ignores unknown fields.
@@ -46,31 +46,35 @@
         double freeSlots = Double.NaN;
         try (JsonParser parser = JSON.createParser(line)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
-                throw new MalformedResponseException("a line is not a JSON object");
+                throw new MalformedResponseException(
+                        "expected a JSON object in each line, got " + parser.currentToken());
             }
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
                 JsonToken value = parser.nextToken();
                 switch (name) {
                     case "id" -> id = parser.getText();
-                    case "state" -> state = state(parser.getText());
+                    case "state" -> state = parseState(parser.getText());
                     case "share" -> progressFraction = parser.getDoubleValue();
-                    case "result" -> result = result(parser, value);
-                    case "load" -> freeSlots = freeSlots(parser, value);
+                    case "result" -> result = readResult(parser, value);
+                    case "load" -> freeSlots = readFreeSlots(parser, value);
                     default -> parser.skipChildren();
                 }
             }
             if (parser.nextToken() != null) {
-                throw new MalformedResponseException("a line continues after its object");
+                throw new MalformedResponseException(
+                        "expected one JSON object in a line, got "
+                                + parser.currentToken()
+                                + " after it");
             }
         }
         if (id == null) {
-            throw new MalformedResponseException("a line has no id");
+            throw new MalformedResponseException("expected a request ID in each line, got none");
         }
         return new WorkerStatusLine(id, state, progressFraction, result, freeSlots);
     }
 
-    private static State state(String name) {
+    private static State parseState(String name) {
         return switch (name) {
             case "started" -> State.STARTED;
             case "running" -> State.RUNNING;
@@ -82,8 +86,8 @@
         };
     }
 
-    /** Returns the text of a string, or the JSON of any other value. */
-    private static byte[] result(JsonParser parser, JsonToken value) throws IOException {
+    /** Reads the current value: the text of a string, or the JSON of any other value. */
+    private static byte[] readResult(JsonParser parser, JsonToken value) throws IOException {
         if (value == JsonToken.VALUE_STRING) {
             return parser.getText().getBytes(StandardCharsets.UTF_8);
         }
@@ -94,7 +98,7 @@
         return out.toByteArray();
     }
 
-    private static double freeSlots(JsonParser parser, JsonToken value) throws IOException {
+    private static double readFreeSlots(JsonParser parser, JsonToken value) throws IOException {
         double freeSlots = Double.NaN;
         if (value != JsonToken.START_OBJECT) {
             parser.skipChildren();
@@ -102,7 +106,7 @@
         }
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
-            if (parser.nextToken().isNumeric() && name.equals(FREE_SLOTS)) {
+            if (parser.nextToken().isNumeric() && name.equals(FREE_SLOTS_KEY)) {
                 freeSlots = parser.getDoubleValue();
             } else {
                 parser.skipChildren();
@@ -111,11 +115,14 @@
         return freeSlots;
     }
 
-    /** Decodes a load report in a header field. Returns NaN if it is null or malformed. */
-    static double freeSlots(String header) {
+    /**
+     * Returns the number of free slots in the load report of a header field; NaN if the field is
+     * null or malformed, or does not contain this number.
+     */
+    static double freeSlotsInHeader(String header) {
         for (String pair : header == null ? new String[0] : header.split(",")) {
             int equals = pair.indexOf('=');
-            if (equals > 0 && pair.substring(0, equals).trim().equals(FREE_SLOTS)) {
+            if (equals > 0 && pair.substring(0, equals).trim().equals(FREE_SLOTS_KEY)) {
                 try {
                     return Double.parseDouble(pair.substring(equals + 1).trim());
                 } catch (NumberFormatException e) {
--- a/daemon/src/test/java/wheelroute/net/loop/ControlledEventLoop.java
+++ b/daemon/src/test/java/wheelroute/net/loop/ControlledEventLoop.java
@@ -24,9 +24,9 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * An event loop with which a test controls the order of events: connects and reads are held until
- * the test releases them, and system calls fail as planned. Unless stated otherwise, the methods
- * are for the test's thread.
+ * An event loop with which a test controls the order of events. The test can hold connects and
+ * reads until it releases them, and can make system calls fail. Methods are for the test's thread,
+ * unless their descriptions say otherwise.
  */
 public final class ControlledEventLoop extends EventLoop {
     /** The addresses whose connects have been held, in order. */
@@ -36,13 +36,13 @@
     private final Set<SocketAddress> heldAddresses = ConcurrentHashMap.newKeySet();
     private final Set<Integer> heldReadPorts = ConcurrentHashMap.newKeySet();
 
-    /** The number of bytes read on all connections together. */
+    /** Total number of bytes read on all connections. */
     public final AtomicLong bytesRead = new AtomicLong();
 
-    /** The results of the next accepts: empty for success. Further ones succeed. */
+    /** The results of the next accepts, empty for success. All later accepts succeed. */
     private final Queue<Optional<IOException>> acceptResults = new ConcurrentLinkedQueue<>();
 
-    /** The results of the next connects: empty for success. Further ones succeed. */
+    /** The results of the next connects, empty for success. All later connects succeed. */
     private final Queue<Optional<IOException>> connectResults = new ConcurrentLinkedQueue<>();
 
     private final ManualClock clock;
@@ -57,7 +57,7 @@
         heldAddresses.addAll(addresses);
     }
 
-    /** Holds reads from the peer with this port, as if nothing had arrived. */
+    /** Holds reads from the peer with this port, as if no bytes had arrived. */
     public void holdReads(int port) {
         heldReadPorts.add(port);
     }
@@ -81,12 +81,12 @@
                 });
     }
 
-    /** Sets the results of the next accepts, in order; empty ones succeed. */
+    /** Sets the results of the next accepts, in order; an empty result is a success. */
     public void planAccepts(List<Optional<IOException>> results) {
         acceptResults.addAll(results);
     }
 
-    /** Sets the results of the next connects, in order; empty ones succeed. */
+    /** Sets the results of the next connects, in order; an empty result is a success. */
     public void planConnects(List<Optional<IOException>> results) {
         connectResults.addAll(results);
     }
@@ -111,9 +111,9 @@
         return super.beginConnect(channel, address);
     }
 
-    /** Advances the stopped clock, and returns when everything that is due by then has run. */
+    /** Advances the stopped clock; returns when all tasks and timers due by then have run. */
     public void step(double seconds) throws InterruptedException {
-        // What has already been posted runs before the clock advances.
+        // Tasks that have already been posted run before the clock advances.
         settle();
         clock.step(seconds);
         settle();
@@ -121,8 +121,8 @@
 
     /** Returns when all posted tasks and due timers have run, including the tasks they post. */
     public void settle() throws InterruptedException {
-        // A timer, because the loop runs tasks that are posted meanwhile before any timer; twice,
-        // because timers may post tasks.
+        // The wait is for a timer, because tasks that are posted meanwhile run before any timer.
+        // The wait is repeated once, because timers may post tasks.
         for (int i = 0; i < 2; i++) {
             CountDownLatch done = new CountDownLatch(1);
             post(() -> schedule(0, done::countDown));
--- a/daemon/src/test/java/wheelroute/net/loop/ManualClock.java
+++ b/daemon/src/test/java/wheelroute/net/loop/ManualClock.java
@@ -2,13 +2,13 @@
 
 /**
  * A clock that follows the real time until a test stops it, and that the test then advances. {@link
- * #now} and {@link #wallTime} are for any thread, all other methods for the test's thread.
+ * #now} and {@link #wallTime} may be called on any thread, all other methods on the test's thread.
  */
 public final class ManualClock extends Clock {
-    /** How far this clock is ahead of the real time while it runs, in seconds. */
+    /** Seconds by which this clock is ahead of the real time while it runs. */
     private volatile double offset;
 
-    /** NaN while the clock runs. */
+    /** The time at which the clock was stopped; NaN while the clock runs. */
     private volatile double stoppedAt = Double.NaN;
 
     private volatile double wallClockOffset;
@@ -27,8 +27,8 @@
         return now() + wallClockOffset;
     }
 
-    /** Steps the wall clock, by which {@link #now} is not affected. */
-    @SuppressWarnings("NonAtomicVolatileUpdate") // The test's thread alone writes it.
+    /** Steps the wall clock, which does not affect {@link #now}. */
+    @SuppressWarnings("NonAtomicVolatileUpdate") // Only the test's thread writes the field.
     public void stepWallClock(double seconds) {
         wallClockOffset += seconds;
     }
@@ -41,7 +41,7 @@
     /**
      * Advances the stopped clock. The event loop, which waits by the real time, must then be woken.
      */
-    @SuppressWarnings("NonAtomicVolatileUpdate") // The test's thread alone writes it.
+    @SuppressWarnings("NonAtomicVolatileUpdate") // Only the test's thread writes the field.
     public void step(double seconds) {
         stoppedAt += seconds;
     }
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Lets the clock run on from the time at which it stands; does nothing while it runs. */
+    /** Resumes the clock from the time at which it was stopped; has no effect while it runs. */
     public void resume() {
         if (!Double.isNaN(stoppedAt)) {
             offset = stoppedAt - super.now();
--- a/daemon/src/test/java/wheelroute/net/loop/StreamConnectionTest.java
+++ b/daemon/src/test/java/wheelroute/net/loop/StreamConnectionTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 public class StreamConnectionTest {
-    /** The peer sends without end, and must not keep the thread from other connections. */
+    /** A peer that never stops sending must not keep the loop's thread from other connections. */
     @Test
     public void interruptsReadingAfterMaximumNumberOfReads() {
         int[] reads = new int[1];
@@ -24,13 +24,16 @@
                     @Override
                     protected void onBytes(ByteBuffer in) {
                         if (reads[0] > 100) {
-                            throw new IllegalStateException("reading is not interrupted");
+                            throw new IllegalStateException(
+                                    "expected reading to be interrupted, got "
+                                            + reads[0]
+                                            + " consecutive reads");
                         }
                     }
 
                     @Override
                     protected void onEndOfStream() {
-                        // The peer sends without end.
+                        // The peer never stops sending.
                     }
 
                     @Override
--- a/daemon/src/test/java/wheelroute/net/peers/MembershipServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/peers/MembershipServiceTest.java
@@ -30,7 +30,7 @@
 import wheelroute.peers.MessageHeader;
 import wheelroute.peers.PeerId;
 
-/** The test takes the part of the two other dispatchers. */
+/** Tests a service whose two other dispatchers are simulated by sockets of the test. */
 public class MembershipServiceTest {
     private static final String CLUSTER = "test";
     private static final int RECEIVE_TIMEOUT_MILLIS = 100;
@@ -110,7 +110,7 @@
         firstPeer.send(new DatagramPacket(datagram, datagram.length, to));
     }
 
-    /** Receives a datagram; null if none has come within the timeout. */
+    /** Receives a datagram; returns null if none arrives within the timeout. */
     private DatagramPacket receive() throws IOException {
         byte[] bytes = new byte[MessageCodec.MAX_DATAGRAM_BYTES];
         DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
@@ -130,7 +130,8 @@
                 return packet;
             }
         }
-        throw new AssertionError("the service has sent nothing");
+        throw new AssertionError(
+                "expected a datagram from the service, got none in " + MAX_RECEIVES + " receives");
     }
 
     /** Grants the lease if the datagram requests one. */
@@ -145,7 +146,9 @@
         }
     }
 
-    /** Tools of operators parse the answer to the admin command PEERS, so it must not change. */
+    /**
+     * Operators' tools parse the answer to the admin command PEERS, so the text must not change.
+     */
     @Test
     public void writesMembersTextAsRecorded() throws Exception {
         String expected = WireFixture.read("admin-peers.txt");
@@ -160,7 +163,7 @@
             receive();
             text = onLoop(service::membersText);
         }
-        // Past the quarantine of the service's own voter.
+        // The service's own voter leaves its quarantine within this time.
         loop.step(12.3);
         for (int i = 0; i < MAX_RECEIVES && !text.equals(expected); i++) {
             DatagramPacket packet = receive();
--- a/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/AttemptResponseDecoderTest.java
@@ -86,10 +86,10 @@
         for (int cut = 0; cut < bytes.length; cut++) {
             events.setLength(0);
             AttemptResponseDecoder decoder = new AttemptResponseDecoder(this);
-            decoder.expect("9b");
+            decoder.expectResponse("9b");
             decoder.decode(ByteBuffer.wrap(bytes, 0, cut));
             decoder.decode(ByteBuffer.wrap(bytes, cut, bytes.length - cut));
-            assertEquals(events.toString(), expected, "cut at " + cut);
+            assertEquals(events.toString(), expected, "response split after " + cut + " bytes");
         }
     }
 
@@ -116,7 +116,7 @@
     @Test(dataProvider = "malformedResponses")
     public void rejectsMalformedResponse(String text) {
         AttemptResponseDecoder decoder = new AttemptResponseDecoder(this);
-        decoder.expect("9b");
+        decoder.expectResponse("9b");
         assertThrows(
                 IOException.class,
                 () ->
@@ -128,7 +128,7 @@
     @Test
     public void connectionMustNotBeReusedAfterExtraBytes() throws IOException {
         AttemptResponseDecoder decoder = new AttemptResponseDecoder(this);
-        decoder.expect("9b");
+        decoder.expectResponse("9b");
         events.setLength(0);
         decoder.decode(
                 ByteBuffer.wrap(
@@ -142,15 +142,15 @@
     }
 
     @Override
-    public void onProgress(double share) {
-        events.append(share).append(' ');
+    public void onProgress(double fraction) {
+        events.append(fraction).append(' ');
     }
 
     @Override
-    public void onEnded(AttemptResult end, byte[] result, double freeSlots) {
-        events.append(end)
+    public void onEnded(AttemptResult result, byte[] body, double freeSlots) {
+        events.append(result)
                 .append('[')
-                .append(new String(result, StandardCharsets.UTF_8))
+                .append(new String(body, StandardCharsets.UTF_8))
                 .append(']')
                 .append(freeSlots)
                 .append(' ');
--- a/daemon/src/test/java/wheelroute/net/workers/AttemptResultTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/AttemptResultTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 public class AttemptResultTest {
-    /** Dashboards of the operators use these labels, so they must not change. */
+    /** The operators' dashboards use these labels, so the labels must not change. */
     @Test
     public void metricLabelsAreThoseOfTheFirstRelease() {
         assertEquals(
@@ -20,7 +20,10 @@
                         + " broke_unsent broke stale nonsense called_off timed_out ended_unsent");
     }
 
-    /** The results for which the protocol proves that the attempt did not run. */
+    /**
+     * A result that wrongly excludes a run would let the request run twice, so only the results for
+     * which the protocol proves that the attempt did not run may exclude it.
+     */
     @Test
     public void outcomeMayHaveRunUnlessTheProtocolProvesOtherwise() {
         EnumSet<AttemptResult> proven = EnumSet.noneOf(AttemptResult.class);
--- a/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
+++ b/daemon/src/test/java/wheelroute/net/workers/InFlightAttemptTest.java
@@ -13,7 +13,8 @@
 
     @DataProvider
     public Object[][] openedConnections() {
-        // time of the opening, whether the attempt is still needed, whether it is sent, its results
+        // Each row has the time at which the connection opens, whether the attempt is still needed,
+        // whether it is sent, and the results that the listener receives.
         return new Object[][] {
             {DEADLINE_SECONDS - 0.001, true, true, List.of()},
             {DEADLINE_SECONDS, true, false, List.of(AttemptResult.NOT_SENT)},
@@ -23,17 +24,18 @@
     }
 
     /**
-     * After a pause of the process, the opening may be noticed before the timer of the deadline.
+     * After a pause of the process, the opened connection may be noticed before the timer of the
+     * deadline, and the attempt must not be sent late.
      */
     @Test(dataProvider = "openedConnections")
     public void isSentOnlyBeforeItsDeadlineAndWhileNeeded(
             double now, boolean isNeeded, boolean isSent, List<AttemptResult> expected) {
         List<AttemptResult> results = new ArrayList<>();
         AttemptListener listener = recordingListener(isNeeded, results);
-        AttemptRequest message =
+        AttemptRequest request =
                 new AttemptRequest("POST", "/job/x", "77", null, null, new byte[0], true);
         InFlightAttempt attempt =
-                new InFlightAttempt(message, DEADLINE_SECONDS, listener, new Counters(List.of()));
+                new InFlightAttempt(request, DEADLINE_SECONDS, listener, new Counters(List.of()));
         assertEquals(attempt.mayBeSent(now), isSent);
         assertEquals(results, expected);
     }
@@ -48,12 +50,12 @@
 
             @Override
             public void onStarted() {
-                throw new AssertionError("the attempt was not sent");
+                throw new AssertionError("expected no start of an attempt that was not sent");
             }
 
             @Override
             public void onProgress(double fraction) {
-                throw new AssertionError("the attempt was not sent");
+                throw new AssertionError("expected no progress of an attempt that was not sent");
             }
 
             @Override
