--- a/daemon/src/test/java/wheelroute/net/DisconnectBeforeAttemptTest.java
+++ b/daemon/src/test/java/wheelroute/net/DisconnectBeforeAttemptTest.java
@@ -167,7 +167,7 @@
                 LockSupport.parkNanos(1_000_000);
             }
         }
-        loop.settle();
+        loop.awaitPendingTasks();
         loop.holdReads(client.getLocalPort());
         return client;
     }
@@ -260,7 +260,7 @@
                                 started.complete(null);
                             }
                         });
-                loop.settle();
+                loop.awaitPendingTasks();
             }
         }
     }
--- a/daemon/src/test/java/wheelroute/net/PipeliningTest.java
+++ b/daemon/src/test/java/wheelroute/net/PipeliningTest.java
@@ -84,7 +84,7 @@
         for (long before = -1; before != loop.bytesRead.get(); ) {
             before = loop.bytesRead.get();
             for (int i = 0; i < 10; i++) {
-                loop.settle();
+                loop.awaitPendingTasks();
             }
         }
         assertTrue(loop.bytesRead.get() < clients * 200_000L, "all of it was read");
@@ -114,7 +114,7 @@
         String next = jobRequestWithId(99).replace("10.0", timeout);
         send(client, next);
         while (loop.bytesRead.get() < before + next.length()) {
-            loop.settle();
+            loop.awaitPendingTasks();
         }
         loop.step(2);
         workers.responses.addAll(List.of("", SUCCESS));
--- a/daemon/src/test/java/wheelroute/net/ProcessStallServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/ProcessStallServiceTest.java
@@ -117,7 +117,7 @@
             // The harness limits timeouts to 2 s.
             int status = statusOf(exchange(client, jobRequestWithId(10 + reads)));
             assertTrue(List.of(200, 502, 503).contains(status), reads + " reads: " + status);
-            loop.settle();
+            loop.awaitPendingTasks();
             for (String message = workers.received.poll();
                     message != null;
                     message = workers.received.poll()) {
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -159,7 +159,7 @@
     /** Exchanges one more message, and holds back from the event loop whatever follows it. */
     protected void holdInputAfter(Socket client, String message) throws Exception {
         exchange(client, message);
-        loop.settle();
+        loop.awaitPendingTasks();
         loop.holdReads(client.getLocalPort());
     }
 
@@ -177,13 +177,13 @@
         // A round trip takes several passes of the event loop: what has arrived is read, and a
         // connection that is being established is used.
         exchange(roundTrips, HEALTH_CHECK);
-        loop.settle();
+        loop.awaitPendingTasks();
         while (discovery.answered.get()
                 != service.counters().value(Counters.Counter.DISCOVERY_CALLS)) {
             LockSupport.parkNanos(POLL_NANOS);
         }
         exchange(roundTrips, HEALTH_CHECK);
-        loop.settle();
+        loop.awaitPendingTasks();
     }
 
     protected void awaitMetric(String name, long value) throws IOException {
--- a/daemon/src/test/java/wheelroute/net/loop/ControlledEventLoop.java
+++ b/daemon/src/test/java/wheelroute/net/loop/ControlledEventLoop.java
@@ -114,13 +114,13 @@
     /** Advances the stopped clock; returns when all tasks and timers due by then have run. */
     public void step(double seconds) throws InterruptedException {
         // Tasks that have already been posted run before the clock advances.
-        settle();
+        awaitPendingTasks();
         clock.step(seconds);
-        settle();
+        awaitPendingTasks();
     }
 
     /** Returns when all posted tasks and due timers have run, including the tasks they post. */
-    public void settle() throws InterruptedException {
+    public void awaitPendingTasks() throws InterruptedException {
         // The wait is for a timer, because tasks that are posted meanwhile run before any timer.
         // The wait is repeated once, because timers may post tasks.
         for (int i = 0; i < 2; i++) {
