--- a/daemon/src/main/java/wheelroute/net/http/ResponseParser.java
+++ b/daemon/src/main/java/wheelroute/net/http/ResponseParser.java
@@ -141,8 +141,7 @@
 
     @Override
     public void earlyEOF() {
-        failure =
-                new MalformedResponseException("the stream ended before the response was complete");
+        failure = new MalformedResponseException("the response ended early");
     }
 
     @Override
