--- a/daemon/src/main/java/wheelroute/adapter/Adapter.java
+++ b/daemon/src/main/java/wheelroute/adapter/Adapter.java
@@ -18,19 +18,20 @@
  * Runs the dispatchers of a simulation: reads batches of events, passes each event to the policy of
  * its dispatcher, and answers each batch with the actions that the policies decided on.
  *
- * <p>Not thread-safe. All times are those of the simulation; there is no clock.
+ * <p>Not thread-safe. All times are taken from the events of the simulation; the adapter reads no
+ * clock.
  */
 public final class Adapter {
-    /** Bit of the field {@code bitmap}: the work estimate may be used. */
+    /** Bit of the field {@code bitmap} that marks the work estimate as valid. */
     private static final long ESTIMATE_IS_VALID = 1;
 
-    /** Bit of the field {@code bitmap}: the request is a retry of the client. */
+    /** Bit of the field {@code bitmap} that marks the request as a retry by the client. */
     private static final long IS_RETRY = 2;
 
-    /** Value of the field {@code topic}: the worker has started to run the attempt. */
+    /** Value of the field {@code topic} if the worker has started to run the attempt. */
     private static final long TOPIC_STARTED = 1;
 
-    /** Value of the field {@code topic}: the worker reports progress. */
+    /** Value of the field {@code topic} if the worker reports progress. */
     private static final long TOPIC_PROGRESS = 2;
 
     private final LineReader line;
@@ -38,13 +39,15 @@
     private final ReplyWriter reply;
     private final Map<Long, DispatcherInstance> instances = new HashMap<>();
 
-    /** The dispatcher that the events are for; null until the batch names one. */
+    /** The dispatcher that the next events are for; null until a line of the batch selects one. */
     private DispatcherInstance current;
 
-    /** Time of the current batch in seconds. */
+    /** Time of the current batch, in seconds. */
     private double now;
 
-    /** Creates an adapter. The streams need not be buffered, and are not closed. */
+    /**
+     * Creates an adapter. The streams need not be buffered, and the adapter does not close them.
+     */
     public Adapter(InputStream in, OutputStream out) {
         line = new LineReader(in);
         endpointLists = new EndpointListReader(line);
@@ -52,10 +55,10 @@
     }
 
     /**
-     * Answers batches until the input ends.
+     * Reads and answers batches until the input ends.
      *
      * @throws IOException if a stream fails
-     * @throws WireException at the first line that does not follow the protocol
+     * @throws WireException if a line does not follow the protocol
      */
     public void run() throws IOException, WireException {
         while (line.next()) {
@@ -63,7 +66,7 @@
                 continue;
             }
             if (!line.readText("message").equals("FRAME")) {
-                throw line.error("a batch begins with FRAME");
+                throw line.error("expected FRAME at the beginning of a batch");
             }
             now = WireMapping.seconds(line.readLong("time_us"));
             line.expectEnd();
@@ -76,10 +79,10 @@
     private void readBatch() throws IOException, WireException {
         while (true) {
             if (!line.next()) {
-                throw new WireException("the input ends within a batch");
+                throw new WireException("the input ends within a batch, before YOUR_TURN");
             }
             if (line.isBlank()) {
-                throw line.error("an empty line within a batch");
+                throw line.error("expected a message within a batch, got an empty line");
             }
             String message = line.readText("message");
             switch (message) {
@@ -101,7 +104,7 @@
 
     private void configure() throws WireException {
         if (current == null) {
-            throw line.error("no AT line names its instance");
+            throw line.error("expected an AT line that selects a dispatcher before CONFIGURE");
         }
         Settings settings = readSettings();
         current.configure(settings, reply.forInstance(current.id()), now);
@@ -114,7 +117,7 @@
             String pair = line.readText("conf");
             int equals = pair.indexOf('=');
             if (equals < 1) {
-                throw line.error("'" + pair + "' is not path=value");
+                throw line.error("expected path=value, got '" + pair + "'");
             }
             pairs.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
@@ -127,7 +130,7 @@
 
     private void onEvent(String message) throws IOException, WireException {
         if (current == null || current.policy() == null) {
-            throw line.error("'" + message + "' for an instance that was not configured");
+            throw line.error("'" + message + "' for a dispatcher that is not configured");
         }
         current.policy().advanceTo(now);
         EventType type = EventType.ofWireWord(message);
@@ -152,7 +155,8 @@
         Request request = readRequest();
         RequestHandle handle = current.policy().accept(request);
         if (handle == null) {
-            throw line.error("the settings have no class '" + request.requestClass().name() + "'");
+            throw line.error(
+                    "the settings have no request class '" + request.requestClass().name() + "'");
         }
         current.updateHandle(request.id().value(), handle);
     }
@@ -255,13 +259,14 @@
     }
 
     private void schedulePoll() {
-        // The protocol does not tell how long the failed poll took.
+        // The duration of the failed poll counts as 0, because the protocol does not report it.
         double delaySeconds = current.backoff().nextDelay(0);
         reply.wakeAfter(current.id(), delaySeconds, ReplyWriter.LIST_RETRY_TOKEN);
     }
 
     /**
-     * Checks the form of the message, whose content is not used: policies send no health checks.
+     * Checks the format of a health check result. The content is not used, because policies send no
+     * health checks.
      */
     private void skipHealthCheckResult() throws WireException {
         line.readLong("worker");
@@ -270,7 +275,10 @@
         LoadReportReader.read(line);
     }
 
-    /** Checks the form of the message, whose content is not used: policies send no messages. */
+    /**
+     * Checks the format of a message from another dispatcher. The content is not used, because
+     * policies send no messages to each other.
+     */
     private void skipPeerMessage() throws WireException {
         line.readLong("by");
         line.skip("raw");
--- a/daemon/src/main/java/wheelroute/adapter/DispatcherInstance.java
+++ b/daemon/src/main/java/wheelroute/adapter/DispatcherInstance.java
@@ -9,14 +9,15 @@
 import wheelroute.decision.Settings;
 import wheelroute.net.discovery.Backoff;
 
-/** A dispatcher of the simulation: its policy and its open requests. Not thread-safe. */
+/** One dispatcher of the simulation, with its policy and its open requests. Not thread-safe. */
 final class DispatcherInstance {
     private final long id;
     private final Map<Long, RequestHandle> handles = new HashMap<>();
 
-    /** One object for each name, to avoid garbage. */
+    /** The ids by name, kept so that requests with the same name share one object. */
     private final Map<String, Ids.RequestClass> requestClasses = new HashMap<>();
 
+    /** The tenant ids by name, kept for the same reason as the request classes. */
     private final Map<String, Ids.Tenant> tenants = new HashMap<>();
 
     private Policy policy;
@@ -30,7 +31,11 @@
         return id;
     }
 
-    /** Starts the dispatcher, or restarts it, with these settings and without requests. */
+    /**
+     * Starts or restarts the dispatcher with these settings and without requests.
+     *
+     * @param now the time of the start, in seconds
+     */
     void configure(Settings settings, ActionHandler actions, double now) {
         handles.clear();
         policy = new Policy(settings, actions);
@@ -38,7 +43,7 @@
         backoff = settings.watchesEndpoints() ? new Backoff(settings.seed()) : null;
     }
 
-    /** Drops the policy and its requests. */
+    /** Removes the policy and all requests, as the process of the dispatcher was killed. */
     void kill() {
         policy = null;
         handles.clear();
@@ -49,7 +54,10 @@
         return policy;
     }
 
-    /** Returns the backoff between polls for the endpoint list; null if the list is pushed. */
+    /**
+     * Returns the backoff between polls of the endpoint list; null if discovery sends the list
+     * without polls.
+     */
     Backoff backoff() {
         return backoff;
     }
@@ -62,12 +70,12 @@
         return tenants.computeIfAbsent(name, Ids.Tenant::new);
     }
 
-    /** Returns the handle of an open request; null for any other. */
+    /** Returns the handle of a request; null if the request is not open. */
     RequestHandle handle(long request) {
         return handles.get(request);
     }
 
-    /** Adds the handle of a request, or removes it once the request is complete. */
+    /** Stores the handle of a request, or removes the handle if the request is complete. */
     void updateHandle(long request, RequestHandle handle) {
         if (handle.isComplete()) {
             handles.remove(request);
--- a/daemon/src/main/java/wheelroute/adapter/EndpointListReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/EndpointListReader.java
@@ -6,27 +6,30 @@
 import wheelroute.decision.Endpoint;
 import wheelroute.decision.Ids;
 
-/** Reads endpoint lists: a line with form and length, followed by a line for each endpoint. */
+/**
+ * Reads endpoint lists. A list begins with a line that holds its form and length; one line for each
+ * endpoint follows.
+ */
 final class EndpointListReader {
     enum Form {
-        /** All endpoints, from discovery. */
+        /** A complete list from discovery. */
         SNAPSHOT,
-        /** All endpoints of an earlier list, which was cached. */
+        /** A complete list from a cache, which may be out of date. */
         CACHED,
-        /** Only the endpoints that have changed, from discovery. */
+        /** A list from discovery of only those endpoints that have changed. */
         DELTA,
-        /** None, as polling discovery failed. */
+        /** No list, because a poll of discovery failed. */
         FAILED
     }
 
-    /** An endpoint list. */
+    /** An endpoint list; without endpoints if its form is {@link Form#FAILED}. */
     record EndpointList(Form form, List<Endpoint> endpoints) {
-        /** Whether discovery has sent the list. */
+        /** Returns whether the list is a response of discovery. */
         boolean isResponse() {
             return form == Form.SNAPSHOT || form == Form.DELTA;
         }
 
-        /** Whether endpoints that are not in the list have been removed. */
+        /** Returns whether endpoints that are missing from the list have been removed. */
         boolean isComplete() {
             return form == Form.SNAPSHOT || form == Form.CACHED;
         }
@@ -39,7 +42,8 @@
     }
 
     /**
-     * Reads the rest of the list's first line and all its endpoints; the last line is not ended.
+     * Reads the rest of the first line of a list and the lines of its endpoints. The caller checks
+     * the end of the last line.
      */
     EndpointList read() throws IOException, WireException {
         Form form = readForm();
@@ -52,7 +56,7 @@
         }
         for (long i = 0; i < count; i++) {
             if (!line.next() || line.isBlank() || !line.readText("message").equals("ROW")) {
-                throw line.error("the list has " + count + " entries, a ROW is missing");
+                throw line.error("expected " + count + " ROW lines in the list, got " + i);
             }
             endpoints.add(readEndpoint());
             if (i < count - 1) {
@@ -69,7 +73,7 @@
             case "C" -> Form.CACHED;
             case "D" -> Form.DELTA;
             case "X" -> Form.FAILED;
-            default -> throw line.error("unknown form of list '" + word + "'");
+            default -> throw line.error("unknown form of endpoint list '" + word + "'");
         };
     }
 
@@ -82,7 +86,7 @@
         Ids.Cell cell = new Ids.Cell(line.readLong("cohort", 0));
         Endpoint.State state = WireMapping.endpointState(line.readText("readiness"));
         if (state == null) {
-            throw line.error("unknown readiness");
+            throw line.error("unknown readiness, expected active, leaving or left");
         }
         double startedAt = startMicros == 0 ? Double.NaN : WireMapping.seconds(startMicros);
         return new Endpoint(worker, model, size, zone, startedAt, cell, state);
--- a/daemon/src/main/java/wheelroute/adapter/EventType.java
+++ b/daemon/src/main/java/wheelroute/adapter/EventType.java
@@ -5,7 +5,7 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The events of a dispatcher, with the words that introduce them on the wire. */
+/** The types of the events of a dispatcher, with the words that introduce them on the wire. */
 enum EventType {
     REQUEST("ORDER"),
     ATTEMPT_ENDED("FINISHED"),
@@ -30,7 +30,7 @@
         this.wireWord = wireWord;
     }
 
-    /** Returns the type of event that a word introduces; null if there is none. */
+    /** Returns the type of the events that a word introduces; null for an unknown word. */
     static EventType ofWireWord(String word) {
         return BY_WIRE_WORD.get(word);
     }
--- a/daemon/src/main/java/wheelroute/adapter/LineReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/LineReader.java
@@ -7,18 +7,19 @@
 
 /**
  * Reads lines and their space-separated fields from a stream. Each method that reads a field reads
- * the next one of the current line. A field of '-' is absent. The names of fields are those of the
- * protocol, and only used in error messages.
+ * the next one of the current line. A field of '-' counts as absent. The names of fields are those
+ * of the protocol, and are only used in error messages.
  *
- * <p>Fields are parsed in place, since a simulation has many lines. Not thread-safe.
+ * <p>Numbers are parsed in the buffer, without a string for each, since a simulation has many
+ * lines. Not thread-safe.
  */
 final class LineReader {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
-    /** Maximum length of the part of a line that is quoted in an error message. */
+    /** Maximum length of the part of a line that an error message quotes. */
     private static final int MAX_QUOTED_BYTES = 80;
 
-    /** Any number with no more digits fits into a long. */
+    /** Maximum number of digits of a whole number, with which any number fits into a long. */
     private static final int MAX_DIGITS = 18;
 
     private static final int DECIMAL_RADIX = 10;
@@ -29,7 +30,7 @@
     private int lineStart;
     private int lineEnd = -1;
 
-    /** Start of the next field; beyond the end of the line if there is none. */
+    /** Start of the next field; at or beyond the end of the line if there is none. */
     private int position;
 
     private long lineNumber;
@@ -38,7 +39,7 @@
         this.in = in;
     }
 
-    /** Moves to the next line, and returns whether there is one. */
+    /** Moves to the next line; returns false at the end of the input. */
     boolean next() throws IOException, WireException {
         lineStart = lineEnd + 1;
         int scanned = 0;
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Reads more bytes of the line at lineStart, and returns whether there are any. */
+    /** Reads more bytes of the line at lineStart; returns false at the end of the input. */
     private boolean fillBuffer() throws IOException, WireException {
         if (lineStart > 0) {
             System.arraycopy(buffer, lineStart, buffer, 0, filled - lineStart);
@@ -74,12 +75,13 @@
             return true;
         }
         if (filled > lineStart) {
-            throw new WireException("line " + (lineNumber + 1) + ": the input ends within a line");
+            throw new WireException(
+                    "line " + (lineNumber + 1) + ": the input ends before the line feed");
         }
         return false;
     }
 
-    /** Whether the current line is empty. */
+    /** Returns whether the current line is empty. */
     boolean isBlank() {
         return lineStart == lineEnd;
     }
@@ -98,12 +100,12 @@
         return end;
     }
 
-    /** Whether another field follows. */
+    /** Returns whether the current line has another field. */
     boolean hasMore() {
         return position < lineEnd;
     }
 
-    /** Reads a text, which may be '-'. */
+    /** Reads a text; '-' is returned as it is. */
     String readText(String name) throws WireException {
         int end = fieldEnd(name);
         String text = new String(buffer, position, end - position, StandardCharsets.UTF_8);
@@ -117,12 +119,12 @@
         return text.equals("-") ? null : text;
     }
 
-    /** Skips a field, which must exist. */
+    /** Skips a field without checking its content; the field must not be missing. */
     void skip(String name) throws WireException {
         position = fieldEnd(name) + 1;
     }
 
-    /** Reads the rest of the line, including spaces. */
+    /** Reads the rest of the line, including spaces; empty if there is none. */
     String readRest() {
         String text =
                 position < lineEnd
@@ -132,7 +134,7 @@
         return text;
     }
 
-    /** Reads a whole number of at most {@link #MAX_DIGITS} digits. */
+    /** Reads a whole number, which may be negative, of at most {@link #MAX_DIGITS} digits. */
     long readLong(String name) throws WireException {
         int end = fieldEnd(name);
         int i = position;
@@ -182,7 +184,7 @@
         try {
             double value = Double.parseDouble(text);
             if (Double.isNaN(value) || Double.isInfinite(value)) {
-                throw error("'" + name + "' is not a number");
+                throw error("'" + name + "' is not a finite number");
             }
             return value;
         } catch (NumberFormatException e) {
@@ -190,7 +192,7 @@
         }
     }
 
-    /** Skips the next field if it is absent, and returns whether it was. */
+    /** Skips the next field if its text is '-'; returns whether the field was skipped. */
     private boolean skipIfAbsent(String name) throws WireException {
         int end = fieldEnd(name);
         if (end - position == 1 && buffer[position] == '-') {
@@ -203,11 +205,11 @@
     /** Checks that all fields of the line have been read. */
     void expectEnd() throws WireException {
         if (position < lineEnd || (position == lineEnd && lineEnd > lineStart)) {
-            throw error("something follows the last field");
+            throw error("unexpected text follows the last field");
         }
     }
 
-    /** Creates an exception for a fault in the current line. */
+    /** Creates an exception for a fault in the current line, whose beginning the message quotes. */
     WireException error(String fault) {
         int quoted = Math.min(lineEnd - lineStart, MAX_QUOTED_BYTES);
         String line = new String(buffer, lineStart, Math.max(0, quoted), StandardCharsets.UTF_8);
--- a/daemon/src/main/java/wheelroute/adapter/LoadReportReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/LoadReportReader.java
@@ -2,17 +2,17 @@
 
 import wheelroute.decision.LoadReport;
 
-/** Reads load reports of workers: comma-separated name:value pairs in the field {@code stats}. */
+/** Reads load reports of workers, which are comma-separated pairs in the field {@code stats}. */
 final class LoadReportReader {
-    /** Name of the number of free slots; all others are ignored. */
+    /** Name of the pair that holds the number of free slots; all other pairs are ignored. */
     private static final String FREE_SLOTS = "x0";
 
     private LoadReportReader() {}
 
     /**
-     * Reads the next field of the line.
+     * Reads the load report in the next field of the line.
      *
-     * @return {@link LoadReport#NONE} if the field is absent
+     * @return {@link LoadReport#NONE} if the field is missing or absent
      */
     static LoadReport read(LineReader line) throws WireException {
         String pairs = line.hasMore() ? line.readOptionalText("stats") : null;
@@ -26,7 +26,7 @@
             int end = comma < 0 ? pairs.length() : comma;
             int colon = pairs.indexOf(':', start);
             if (colon < 0 || colon > end) {
-                throw line.error("a load report is name:value pairs");
+                throw line.error("expected a load report of name:value pairs");
             }
             double value = parseValue(line, pairs.substring(colon + 1, end));
             if (colon - start == FREE_SLOTS.length() && pairs.startsWith(FREE_SLOTS, start)) {
--- a/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
+++ b/daemon/src/main/java/wheelroute/adapter/ReplyWriter.java
@@ -8,36 +8,39 @@
 import wheelroute.decision.Ids;
 
 /**
- * Writes the replies to batches: the actions of the dispatchers, where a SOURCE line precedes the
- * consecutive actions of one dispatcher. A reply is buffered until it is complete. Not thread-safe.
+ * Writes the replies to batches. A reply lists the actions of the dispatchers; a SOURCE line
+ * precedes the consecutive actions of one dispatcher. The reply is buffered until it is complete.
+ * Not thread-safe.
  */
 final class ReplyWriter {
     private static final int INITIAL_BUFFER_BYTES = 1 << 14;
     private static final long NO_SOURCE = -1;
 
-    /** Length of the longest number with its sign. */
+    /** Length of the longest number, including its sign. */
     private static final int MAX_NUMBER_BYTES = 20;
 
     private static final int DECIMAL_RADIX = 10;
 
-    /** Token of a wakeup of the policy. */
+    /** Token of the wakeups that a policy schedules. */
     private static final String POLICY_TOKEN = "w";
 
-    /** Token of a wakeup that polls for the endpoint list again, without the policy. */
+    /**
+     * Token of the wakeups after which the adapter, not the policy, polls the endpoint list again.
+     */
     static final String LIST_RETRY_TOKEN = "l";
 
     private final OutputStream out;
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int used;
 
-    /** The dispatcher of the last SOURCE line. */
+    /** The dispatcher of the last SOURCE line in the current reply. */
     private long source = NO_SOURCE;
 
     ReplyWriter(OutputStream out) {
         this.out = out;
     }
 
-    /** Completes the reply, writes it to the stream, and starts the next one. */
+    /** Completes the current reply, writes it to the stream, and begins the next one. */
     void finish() throws IOException {
         text("DONE").endLine();
         out.write(buffer, 0, used);
@@ -87,7 +90,7 @@
         };
     }
 
-    /** Adds the request for a wakeup of a dispatcher, which brings the token back. */
+    /** Adds an action that schedules a wakeup of a dispatcher; the wakeup event holds the token. */
     void wakeAfter(long instance, double delaySeconds, String token) {
         startAction(instance).text("SLEEP").number(WireMapping.micros(delaySeconds));
         text(token).endLine();
@@ -101,9 +104,9 @@
         return this;
     }
 
-    private void ensureCapacity(int more) {
-        if (used + more + 1 > buffer.length) {
-            buffer = Arrays.copyOf(buffer, 2 * buffer.length + more);
+    private void ensureCapacity(int addedBytes) {
+        if (used + addedBytes + 1 > buffer.length) {
+            buffer = Arrays.copyOf(buffer, 2 * buffer.length + addedBytes);
         }
     }
 
--- a/daemon/src/main/java/wheelroute/adapter/WireMapping.java
+++ b/daemon/src/main/java/wheelroute/adapter/WireMapping.java
@@ -4,11 +4,14 @@
 import wheelroute.decision.Outcome;
 import wheelroute.units.TimeUnits;
 
-/** Maps codes, words and times in wire messages to the types and units of this program. */
+/** Maps codes, words and times of wire messages to the types and units of this program. */
 final class WireMapping {
     private WireMapping() {}
 
-    /** Returns the outcome for the field {@code rc}, which has status codes of HTTP and proxies. */
+    /**
+     * Returns the outcome for a value of the field {@code rc}, which holds status codes of HTTP and
+     * of common proxies.
+     */
     static Outcome outcome(long code) {
         return switch ((int) code) {
             case 200 -> Outcome.SUCCEEDED;
@@ -23,7 +26,7 @@
         };
     }
 
-    /** Returns the state for the field {@code readiness}; null for an unknown word. */
+    /** Returns the state for a value of the field {@code readiness}; null for an unknown word. */
     static Endpoint.State endpointState(String word) {
         return switch (word) {
             case "active" -> Endpoint.State.READY;
@@ -33,17 +36,17 @@
         };
     }
 
-    /** Converts a field in whole microseconds. */
+    /** Converts whole microseconds of a wire field to seconds. */
     static double seconds(long micros) {
         return micros / TimeUnits.MICROS_PER_SECOND;
     }
 
-    /** Converts a field in microseconds. */
+    /** Converts microseconds of a wire field to seconds. */
     static double seconds(double micros) {
         return micros / TimeUnits.MICROS_PER_SECOND;
     }
 
-    /** Returns the rounded microseconds for the wire. */
+    /** Converts seconds to microseconds for a wire field, rounded to a whole number. */
     static long micros(double seconds) {
         return Math.round(seconds * TimeUnits.MICROS_PER_SECOND);
     }
--- a/daemon/src/main/java/wheelroute/decision/estimates/AttemptMeasurements.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/AttemptMeasurements.java
@@ -10,7 +10,8 @@
 import wheelroute.decision.state.WorkerState;
 
 /**
- * Records what the events of an attempt show about its worker, its model and its request's cost.
+ * Records measurements from the events of attempts: speeds and waits of workers and models, the
+ * cost of cache misses, and the accuracy of cost estimates.
  */
 public final class AttemptMeasurements {
     private final DecisionClock clock;
@@ -19,7 +20,7 @@
     private final double progressIntervalSeconds;
     private final double timeResolutionSeconds;
 
-    /** Creates the recorder of one dispatcher. */
+    /** Creates the measurements of one dispatcher. */
     public AttemptMeasurements(
             DecisionClock clock,
             Settings settings,
@@ -32,7 +33,7 @@
         timeResolutionSeconds = settings.timeResolutionSeconds();
     }
 
-    /** Records that the worker reports the start of the job. */
+    /** Records that the worker has just reported the start of the attempt. */
     public void recordStart(Attempt attempt) {
         recordStart(attempt, clock.now());
     }
@@ -42,13 +43,16 @@
         WorkerState worker = attempt.worker();
         attempt.recordStart(startedAt);
         worker.health().recordResponse(now);
-        worker.recordBegun(attempt, now);
+        worker.inferStartsThrough(attempt, now);
         double unexplained = Math.max(0, attempt.unexplainedWait(startedAt));
         worker.statistics().recordWait(now, unexplained);
         worker.model().recordWait(now, startedAt - attempt.sentAt(), unexplained);
     }
 
-    /** Records progress; where starts are not reported, the first progress shows the start too. */
+    /**
+     * Records a progress report. If the start of the attempt was not reported, the first progress
+     * report also serves to estimate its start.
+     */
     public void recordProgress(Attempt attempt, double share) {
         double now = clock.now();
         attempt.worker().health().recordResponse(now);
@@ -59,12 +63,15 @@
         attempt.recordProgress(now, share);
     }
 
-    /** Records that the first part of a result has arrived. */
+    /** Records that the first part of the result has arrived from the worker. */
     public void recordStreaming(Attempt attempt) {
         attempt.worker().health().recordResponse(clock.now());
     }
 
-    /** Records how a retry ended whose request had failed elsewhere before. */
+    /**
+     * Records the end of a retry whose request had failed elsewhere before. Must be called before
+     * the request records the outcome of this attempt. Other attempts are ignored.
+     */
     public void recordRetry(Attempt attempt) {
         boolean failed = attempt.outcome() == Outcome.FAILED;
         if (attempt.request().hasFailed() && (failed || attempt.outcome() == Outcome.SUCCEEDED)) {
@@ -72,7 +79,10 @@
         }
     }
 
-    /** Records the end of an attempt, which is no longer among those in flight, and its report. */
+    /**
+     * Records the end of an attempt and the load report that came with it. Must be called after the
+     * attempt was removed from those in flight.
+     */
     public void recordEnd(Attempt attempt, LoadReport report) {
         attempt.worker().estimates().recordReport(report);
         if (attempt.outcome() == Outcome.SUCCEEDED) {
@@ -84,7 +94,7 @@
         double now = clock.now();
         WorkerState worker = attempt.worker();
         worker.health().recordResponse(now);
-        worker.recordBegun(attempt, now);
+        worker.inferStartsThrough(attempt, now);
         if (worker.isWarm()) {
             worker.model()
                     .recordCompletedWork(now, attempt.request().work() * attempt.request().slots());
@@ -111,12 +121,13 @@
             cacheMissCost.record(now, attempt.affinityRank(), request.work(), excess);
             return;
         }
-        // Recorded as if the worker were warm: its speed is multiplied by the ramp fraction later.
+        // Scaled to a worker past its slow start: WorkerEstimates multiplies the speed that results
+        // from these runs by the current ramp fraction.
         double rampFraction = estimates.rampFraction(from);
         attempt.worker().statistics().recordRun(now, request.work(), run * rampFraction);
         if (rampFraction >= 1) {
-            // Workers in slow start are left out, or a release would make the whole model look
-            // slow.
+            // Runs in slow start are excluded, since a release, after which many workers are in
+            // slow start, would make the whole model look slow.
             attempt.worker().model().recordRun(now, request.work(), run);
             request.requestClass()
                     .estimates()
--- a/daemon/src/main/java/wheelroute/decision/estimates/Candidate.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/Candidate.java
@@ -4,8 +4,9 @@
 import wheelroute.decision.state.WorkerState;
 
 /**
- * A worker as estimated for the request that is being placed. To save allocations, each worker has
- * one, which every {@link FleetSnapshot} fills anew: it is not to be kept after the choice.
+ * The estimates of one worker for the request that is being placed. To save allocations, each
+ * worker has a single instance that every new {@link FleetSnapshot} overwrites; callers must not
+ * keep the instance after the choice of a worker.
  */
 public final class Candidate {
     private final WorkerState worker;
@@ -33,41 +34,42 @@
         affinityRank = rank;
     }
 
-    /** Returns the worker. */
     public WorkerState worker() {
         return worker;
     }
 
     /**
-     * Returns the worker's position among those preferred for the request's key, {@link
-     * KeyAffinity#PREFERRED_COUNT} for all others, or {@link KeyAffinity#CACHED} where no miss is
-     * expected.
+     * Returns the rank of the worker, from 0, among those preferred for the request's key, {@link
+     * KeyAffinity#PREFERRED_COUNT} for all other workers, or {@link KeyAffinity#CACHED} if no cache
+     * miss is expected.
      */
     public int affinityRank() {
         return affinityRank;
     }
 
-    /** Returns the number of jobs that it runs at the same time. */
+    /** Returns the number of jobs that the worker runs at the same time. */
     public int slots() {
         return slots;
     }
 
-    /** Returns the work that a slot does in a second. */
+    /** Returns the work that one slot of the worker does in a second. */
     public double speed() {
         return speed;
     }
 
-    /** Returns how long the request would wait behind this dispatcher's own attempts. */
+    /**
+     * Returns how long the request would wait behind this dispatcher's own attempts, in seconds.
+     */
     public double ownWaitSeconds() {
         return ownWaitSeconds;
     }
 
-    /** Returns how long the request would wait in all. */
+    /** Returns how long the request would wait in total, in seconds. */
     public double expectedWaitSeconds() {
         return expectedWaitSeconds;
     }
 
-    /** Returns the mean time until a slot is free. */
+    /** Returns the mean time until a slot of the worker is free, in seconds. */
     public double backlogSeconds() {
         return backlogSeconds;
     }
--- a/daemon/src/main/java/wheelroute/decision/estimates/CostEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/CostEstimates.java
@@ -1,16 +1,16 @@
 package wheelroute.decision.estimates;
 
 /**
- * Corrects the clients' cost estimates of one request class, by comparing earlier estimates with
- * the work that the same requests turned out to be.
+ * Corrects the clients' cost estimates of one request class by comparing earlier estimates with the
+ * measured work of the same requests.
  */
 public final class CostEstimates {
-    /** Weight of the prior that estimates are right, in samples. */
+    /** Weight of the prior assumption that estimates are right, in samples. */
     private static final double PRIOR_SAMPLES = 4;
 
     private static final double DEFAULT_WORK = 1;
 
-    /** The logarithms of an estimate and of the work that the request turned out to be. */
+    /** The logarithms of the estimate and of the measured work of each request. */
     private final SampleWindow logPairs;
 
     private final SampleWindow estimates;
@@ -18,7 +18,7 @@
     private double meanLogEstimate;
     private double scale = 1;
 
-    /** Creates the record of one request class. */
+    /** Creates the corrections of one request class, which use this many recent samples. */
     public CostEstimates(int sampleCount) {
         logPairs = new SampleWindow(sampleCount);
         estimates = new SampleWindow(sampleCount);
@@ -30,12 +30,14 @@
     }
 
     /**
-     * Returns the expected work of a request: its estimate, shrunk towards the mean of its class as
-     * far as recent estimates were wrong; the mean estimate where it has none.
+     * Records the cost estimate of a request and returns the expected work. The expected work is
+     * the estimate, shrunk towards the mean of the request class as far as recent estimates were
+     * wrong, or the mean estimate if the request has none.
      */
     public double workFor(double estimate) {
         if (!(estimate > 0)) {
-            // An estimate of 0 is ignored too: it would make the price of another zone infinite.
+            // An estimate of 0 is ignored as well: the cost of an attempt in another zone, which is
+            // divided by the work, would be infinite.
             return meanWork();
         }
         estimates.add(0, estimate);
@@ -51,12 +53,12 @@
         }
     }
 
-    /** Returns the samples for another process; they have no age. */
+    /** Returns the samples for another process, all with an age of 0 because they do not decay. */
     public double[] export() {
         return logPairs.export(0);
     }
 
-    /** Takes over samples exported by another process. */
+    /** Adds samples that another process has exported. */
     public void restore(double[] samples) {
         logPairs.restore(0, samples);
         if (logPairs.size() > 0) {
@@ -65,8 +67,8 @@
     }
 
     /**
-     * Fits the logarithm of the work to that of the estimate. The slope is 1 for estimates that are
-     * right up to a factor, and 0 for those that say nothing.
+     * Fits the logarithm of the measured work to that of the estimate. The slope is 1 for estimates
+     * that are right up to a constant factor, and 0 for estimates that carry no information.
      */
     private void fit() {
         double count = logPairs.size();
--- a/daemon/src/main/java/wheelroute/decision/estimates/FleetEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/FleetEstimates.java
@@ -9,13 +9,13 @@
 import wheelroute.decision.state.WorkerTable;
 
 /**
- * Works out the figures that a choice of a worker rests on: means of the traffic, waits of the
- * models, and each worker's speed, wait and affinity rank.
+ * Computes the estimates on which the choice of a worker is based: means of the traffic, waits of
+ * the models, and each worker's speed, wait and affinity rank.
  */
 public final class FleetEstimates {
     /**
-     * With less traffic than this many attempts in the usual memory, waits of a model are
-     * remembered for longer.
+     * Minimum number of attempts that the memory of the waits of a model should cover. With less
+     * traffic the memory is extended.
      */
     private static final double MIN_REMEMBERED_ATTEMPTS = 32;
 
@@ -27,7 +27,7 @@
     private final CacheMissCost cacheMissCost;
     private double meanSlotSpeed = 1;
 
-    /** Creates estimates over all workers of one dispatcher. */
+    /** Creates the estimates of all workers of one dispatcher. */
     public FleetEstimates(
             DecisionClock clock,
             WorkerTable workers,
@@ -39,7 +39,7 @@
         this.cacheMissCost = cacheMissCost;
     }
 
-    /** Returns all ready workers as estimated for this request now. */
+    /** Returns the current estimates of all ready workers for this request. */
     public FleetSnapshot snapshotFor(TrackedRequest request) {
         double now = clock.now();
         traffic.refreshMeans();
@@ -65,15 +65,16 @@
     }
 
     /**
-     * Returns the expected run of a request that has no worker yet, by the mean speed of a slot at
-     * the last snapshot.
+     * Returns the expected run time of a request that has no worker yet, in seconds, by the mean
+     * speed of a slot at the last snapshot.
      */
     public double expectedRunSeconds(TrackedRequest request) {
         return request.work() / meanSlotSpeed;
     }
 
     /**
-     * Computes the mean waits. With little traffic the memory is longer, to hold enough attempts.
+     * Computes the mean waits of all models. With little traffic the memory is longer, so that it
+     * covers enough attempts.
      */
     private void updateModelWaits(double now) {
         double rate = traffic.rate(now);
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Sets the ranks of the workers that may have the data of the request's key. */
+    /** Sets the affinity ranks of the workers that may cache the data of the request's key. */
     private static void rankByAffinity(TrackedRequest request) {
         if (request.affinity() == null) {
             return;
--- a/daemon/src/main/java/wheelroute/decision/estimates/ModelStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/ModelStatistics.java
@@ -3,51 +3,64 @@
 import wheelroute.decision.LearnedState;
 
 /**
- * What was measured of all workers of one model: their speed, their slots, and how long attempts
- * wait there. Times are in seconds.
+ * Measurements of all workers of one model: their speed, their slots, and the waits of attempts.
+ * Times are in seconds.
  */
 public final class ModelStatistics {
     private static final double STANDARD_SPEED = 1;
 
-    /** The work rate is measured over this long, so that it holds enough results. */
+    /** Period over which the work rate is measured, long enough to contain enough results. */
     private static final double RATE_PERIOD_SECONDS = 20;
 
     private static final int MIN_RATE_SAMPLES = 3;
     private static final int SAMPLE_COUNT = 64;
 
-    /** Work and run time of jobs at workers past their slow start. */
+    /** The work and the run time of each job at a worker past its slow start. */
     private final SampleWindow runs;
 
     /**
-     * How long an attempt waited for its start, and how much of that this dispatcher's own attempts
-     * do not explain.
+     * The wait of each attempt for its start, and the part of the wait that this dispatcher's own
+     * attempts do not explain.
      */
     private final SampleWindow waits;
 
-    /** Work times slots that workers past their slow start completed, per such worker. */
+    /**
+     * The work times slots of each job completed by a worker past its slow start, divided by the
+     * number of such workers.
+     */
     private final SampleWindow completedWork;
 
     private double rateComputedAt = Double.NaN;
     private double rate;
 
-    /** Workers that were ready and past their slow start at the endpoint list's last change. */
+    /**
+     * Number of workers that were ready and past their slow start at the last change of the
+     * endpoint list.
+     */
     private int warmWorkers;
 
     private int slots;
     private double speed = STANDARD_SPEED;
 
-    /** Mean unexplained wait, over the usual memory and over a shorter one. */
+    /** Mean unexplained wait over the usual memory. */
     private double externalWait;
 
+    /** Mean unexplained wait over a shorter memory. */
     private double recentExternalWait;
 
-    /** Seconds by which attempts that have not started exceed the mean wait, summed over them. */
+    /** Sum of the times by which the attempts that have not started exceed the mean wait. */
     private double overdueWait;
 
-    /** The weight of a prior sample of no wait. */
+    /** Weight of a prior sample of zero wait. */
     private final double priorWeight;
 
-    /** Creates the statistics of one model from the windows that hold its samples. */
+    /**
+     * Creates the statistics of one model.
+     *
+     * @param runs the window for the runs of this model
+     * @param waits the window for waits, which several models may share
+     * @param priorWeight the weight of a prior sample of zero wait
+     */
     public ModelStatistics(SampleWindow runs, SampleWindow waits, double priorWeight) {
         this.runs = runs;
         this.waits = waits;
@@ -61,9 +74,9 @@
     }
 
     /**
-     * Takes over exported samples.
+     * Adds samples that another process has exported.
      *
-     * @param withWaits false where the waits are shared by all models
+     * @param withWaits whether to add the waits; false if all models share them
      */
     public void restore(double now, LearnedState.ModelSamples samples, boolean withWaits) {
         slots = samples.slots();
@@ -78,17 +91,17 @@
         speed = runs.size() > 0 ? runs.sumOfFirst() / runs.sumOfSecond() : speed;
     }
 
-    /** Returns the slots of a worker that were seen so far; 0 before any was. */
+    /** Returns the most slots that were seen at a worker so far; 0 before any were seen. */
     int slots() {
         return slots;
     }
 
-    /** Records that so many slots were seen in use or free at one time; the maximum counts. */
-    void noteSlots(int seen) {
-        slots = Math.max(slots, seen);
+    /** Records a number of slots that were seen in use or free at one time; the maximum counts. */
+    void recordObservedSlots(int observed) {
+        slots = Math.max(slots, observed);
     }
 
-    /** Returns the work that a slot does in a second. */
+    /** Returns the work that one slot of a worker past its slow start does in a second. */
     public double speed() {
         return speed;
     }
@@ -102,28 +115,32 @@
      * Records a wait in seconds.
      *
      * @param wait from the send of an attempt to its start
-     * @param unexplained of that, what this dispatcher's own attempts do not explain
+     * @param unexplained the part of the wait that this dispatcher's own attempts do not explain
      */
     void recordWait(double now, double wait, double unexplained) {
         waits.add(now, wait, unexplained);
     }
 
-    /** Returns the longest of the remembered waits. */
+    /** Returns the longest wait among the recent samples, in seconds. */
     public double longestWait() {
         return waits.maxOfFirst();
     }
 
-    /** Returns the mean unexplained wait as of the last update. */
+    /** Returns the mean unexplained wait as of the last update, in seconds. */
     double externalWait() {
         return externalWait;
     }
 
-    /** Returns the mean unexplained wait over the shorter memory, as of the last update. */
+    /**
+     * Returns the mean unexplained wait over the shorter memory as of the last update, in seconds.
+     */
     public double recentExternalWait() {
         return recentExternalWait;
     }
 
-    /** Resets the waits of attempts that have not started, before a sweep adds them anew. */
+    /**
+     * Resets the overdue waits of attempts that have not started, before a sweep adds them again.
+     */
     public void clearOverdueWait() {
         overdueWait = 0;
     }
@@ -133,7 +150,7 @@
         overdueWait += wait;
     }
 
-    /** Begins a new count of workers past their slow start. */
+    /** Resets the count of workers that are ready and past their slow start. */
     public void clearWarmWorkers() {
         warmWorkers = 0;
     }
@@ -143,16 +160,16 @@
         warmWorkers++;
     }
 
-    /** Records that a worker past its slow start completed this much work times slots. */
+    /** Records the work times slots of a job that a worker past its slow start has completed. */
     void recordCompletedWork(double now, double work) {
         completedWork.add(now, work / warmWorkers);
     }
 
     /**
      * Returns the work per second that a worker past its slow start does for this dispatcher, as a
-     * mean over {@link #RATE_PERIOD_SECONDS}; 0 with too few results.
+     * mean over {@link #RATE_PERIOD_SECONDS}; 0 if there are too few results.
      *
-     * @param earliest the time since which results were measured
+     * @param earliest the time since which results have been measured
      */
     public double workRatePerWorker(double now, double earliest) {
         if (now != rateComputedAt) {
@@ -170,8 +187,8 @@
     }
 
     /**
-     * Computes the mean waits. They decay without new samples: requests that are rejected because
-     * of them would otherwise keep them up for ever.
+     * Computes the mean waits. The means decay even without new samples: otherwise high waits,
+     * which cause rejections and thus prevent new samples, would persist for ever.
      */
     void updateWaits(double now, double memorySeconds, double recentMemorySeconds) {
         externalWait =
--- a/daemon/src/main/java/wheelroute/decision/estimates/SampleWindow.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/SampleWindow.java
@@ -1,11 +1,11 @@
 package wheelroute.decision.estimates;
 
 /**
- * The last samples of a measurement. Each is a time in seconds and one or two figures. What these
- * are is known only to the class that owns the window, which gives them names.
+ * A ring buffer of the latest samples of a measurement. A sample consists of a time in seconds and
+ * one or two figures, whose meaning is defined by the class that owns the window.
  */
 public final class SampleWindow {
-    /** Numbers per sample: its time and two figures. */
+    /** Array elements per sample: the time and two figures. */
     private static final int STRIDE = 3;
 
     private final double[] values;
@@ -13,13 +13,15 @@
     private int next;
     private int size;
 
-    /** Sums over all samples, computed on demand after a change. */
+    /** Sum of the first figures, computed on demand after a change. */
     private double sumOfFirst;
 
+    /** Sum of the second figures, computed on demand after a change. */
     private double sumOfSecond;
+
     private boolean sumsAreCurrent = true;
 
-    /** Creates an empty window that keeps the last samples up to its capacity. */
+    /** Creates an empty window that keeps this many of the latest samples. */
     public SampleWindow(int capacity) {
         this.capacity = capacity;
         values = new double[STRIDE * capacity];
@@ -41,8 +43,8 @@
     }
 
     /**
-     * Returns the samples as triples, the oldest first, each with its age in place of its time: for
-     * a process with another clock.
+     * Returns the samples as triples, the oldest first. Each triple holds the age of the sample in
+     * place of its time, because the process that imports the samples has another clock.
      */
     double[] export(double now) {
         double[] exported = new double[STRIDE * size];
@@ -55,14 +57,14 @@
         return exported;
     }
 
-    /** Adds samples exported by another process. */
+    /** Adds samples that another process has exported. */
     void restore(double now, double[] exported) {
         for (int i = 0; i + STRIDE <= exported.length; i += STRIDE) {
             add(now - exported[i], exported[i + 1], exported[i + 2]);
         }
     }
 
-    /** Drops all samples. */
+    /** Removes all samples. */
     public void clear() {
         next = 0;
         size = 0;
@@ -78,9 +80,9 @@
     }
 
     /**
-     * Returns the time since which no sample was dropped.
+     * Returns the time since which the window holds all samples.
      *
-     * @param earliest the answer while the window is not full
+     * @param earliest the result while the window is not full
      */
     double completeSince(double earliest) {
         return isFull() ? time(next) : earliest;
@@ -90,12 +92,12 @@
         return values[STRIDE * i];
     }
 
-    /** Returns the first figure of a sample, in no particular order of samples. */
+    /** Returns the first figure of a sample by its index, which implies no order in time. */
     double first(int i) {
         return values[STRIDE * i + 1];
     }
 
-    /** Returns the second figure of a sample, in the same order as {@link #first}. */
+    /** Returns the second figure of a sample by the same index as {@link #first}. */
     double second(int i) {
         return values[STRIDE * i + 2];
     }
@@ -123,11 +125,11 @@
     }
 
     /**
-     * Returns the mean of the second figures, in which the weight of samples falls linearly with
-     * their age, to 0 at the end of the memory.
+     * Returns the weighted mean of the second figures. The weight of a sample falls linearly with
+     * its age, to 0 at the end of the memory.
      *
-     * @param priorWeight the weight of an additional sample of 0
-     * @param excess added to the weighted sum
+     * @param priorWeight the weight of an additional sample with a value of 0
+     * @param excess a term that is added to the weighted sum
      */
     double linearlyDecayedMeanOfSecond(
             double now, double memorySeconds, double priorWeight, double excess) {
@@ -142,10 +144,11 @@
     }
 
     /**
-     * Returns the mean of the first figures, in which the weight of samples falls with their age.
+     * Returns the weighted mean of the first figures. The weight of a sample decays about
+     * exponentially with its age.
      *
-     * @param priorSum added to the weighted sum
-     * @param priorWeight added to the weights
+     * @param priorSum a term that is added to the weighted sum
+     * @param priorWeight a term that is added to the sum of the weights
      */
     double decayedMeanOfFirst(
             double now, double memorySeconds, double priorSum, double priorWeight) {
@@ -160,11 +163,11 @@
     }
 
     /**
-     * Returns a factor times the ratio of the first figures to the second ones, in which the weight
-     * of samples falls with their age.
+     * Returns a factor times the ratio of the weighted sum of the first figures to that of the
+     * second figures. The weight of a sample decays about exponentially with its age.
      *
-     * @param priorFirst added to the weighted sum of the first figures
-     * @param priorSecond added to the weighted sum of the second figures
+     * @param priorFirst a term that is added to the weighted sum of the first figures
+     * @param priorSecond a term that is added to the weighted sum of the second figures
      */
     double decayedRatio(
             double now,
@@ -182,7 +185,7 @@
         return factor * (priorFirst + first) / (priorSecond + second);
     }
 
-    /** Returns an approximation of an exponential that is cheap to compute. */
+    /** Returns an approximation of exp(-age / memory) that is cheap to compute. */
     private static double decayedWeight(double ageSeconds, double memorySeconds) {
         double x = ageSeconds / memorySeconds;
         return 1 / (1 + x + x * x / 2);
@@ -196,18 +199,18 @@
         return max;
     }
 
-    /** Returns the mean of the first figures; the default where their sum is 0. */
+    /** Returns the mean of the first figures, or the default if their sum is not above 0. */
     double meanOfFirst(double defaultMean) {
         double sum = sumOfFirst();
         return sum > 0 ? sum / size : defaultMean;
     }
 
-    /** Returns the mean of the second figures; 1 without samples. */
+    /** Returns the mean of the second figures, or 1 without samples. */
     double meanOfSecond() {
         return size > 0 ? sumOfSecond() / size : 1;
     }
 
-    /** Returns the mean of the products of both figures; 1 without samples. */
+    /** Returns the mean of the products of both figures, or 1 without samples. */
     double meanOfProduct() {
         double sum = 0;
         for (int i = 0; i < size; i++) {
@@ -221,12 +224,14 @@
         return Math.max(now - oldest, 1);
     }
 
-    /** Returns the samples per second. */
+    /** Returns the number of samples per second since the oldest one; 0 without samples. */
     double rate(double now) {
         return size > 0 ? size / spanSeconds(now) : 0;
     }
 
-    /** Returns the sum of the first figures per second. */
+    /**
+     * Returns the sum of the first figures per second since the oldest sample; 0 without samples.
+     */
     double rateOfFirst(double now) {
         return size > 0 ? sumOfFirst() / spanSeconds(now) : 0;
     }
@@ -239,7 +244,7 @@
         return sum;
     }
 
-    /** Returns the number of samples from this time on. */
+    /** Returns the number of samples with this time or a later one. */
     public int countSince(double from) {
         int count = 0;
         for (int i = 0; i < size; i++) {
--- a/daemon/src/main/java/wheelroute/decision/estimates/SlotSchedule.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/SlotSchedule.java
@@ -3,14 +3,15 @@
 import java.util.Arrays;
 
 /**
- * When each slot of a worker becomes free, if the attempts in flight take the slots in the order of
- * their sends. Filled anew for each estimate; times are in seconds from now.
+ * Computes when each slot of a worker becomes free, assuming that the attempts in flight take the
+ * slots in the order in which they were sent. The schedule is rebuilt for each estimate. Times are
+ * in seconds from now.
  */
 final class SlotSchedule {
     private double[] freeAfterSeconds = new double[1];
     private int count = 1;
 
-    /** Makes so many slots free at once. */
+    /** Resets the schedule to this number of slots, all free at once. */
     void reset(int slotCount) {
         count = slotCount;
         if (freeAfterSeconds.length < count) {
@@ -19,7 +20,7 @@
         Arrays.fill(freeAfterSeconds, 0);
     }
 
-    /** Adds a job that takes its slots as soon as they are free, and keeps them for so long. */
+    /** Adds a job that takes its slots as soon as they are free, and keeps them for this time. */
     void occupy(double slotsNeeded, double seconds) {
         int last = startingSlot(slotsNeeded);
         freeAfterSeconds[last] += seconds;
@@ -28,12 +29,12 @@
         }
     }
 
-    /** Returns the seconds until a job starts that comes after all those added. */
+    /** Returns the seconds until the start of a job that comes after all jobs added so far. */
     double secondsUntilStart(double slotsNeeded) {
         return freeAfterSeconds[startingSlot(slotsNeeded)];
     }
 
-    /** Returns the sum over all slots of the seconds until each is free. */
+    /** Returns the sum, over all slots, of the seconds until the slot is free. */
     double totalSeconds() {
         double sum = 0;
         for (int i = 0; i < count; i++) {
@@ -42,7 +43,11 @@
         return sum;
     }
 
-    /** Returns the last of the slots that a job needs; the others come before that one. */
+    /**
+     * Returns the index of the slot that is the last to become free among those that a job needs.
+     * If the job needs more than one slot, the slots are sorted, so that the others precede that
+     * index.
+     */
     private int startingSlot(double slotsNeeded) {
         if (slotsNeeded > 1) {
             Arrays.sort(freeAfterSeconds, 0, count);
--- a/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
@@ -6,22 +6,24 @@
 import wheelroute.decision.Ids;
 import wheelroute.decision.state.TrackedRequest;
 
-/** What was measured of the requests that this dispatcher accepted. */
+/** Measurements of the requests that this dispatcher has accepted. */
 public final class TrafficStatistics {
     private static final int SAMPLE_COUNT = 64;
     private static final int RETRY_SAMPLE_COUNT = 8;
     private static final double STANDARD_WORK = 1;
 
-    /** Work and priority weight of each request. */
+    /** The work and the priority weight of each request. */
     private final SampleWindow arrivals = new SampleWindow(SAMPLE_COUNT);
 
-    /** Work times slots of each request, the unit of a worker's capacity. */
+    /** The work times slots of each request, in the unit of a worker's capacity. */
     private final SampleWindow loads = new SampleWindow(SAMPLE_COUNT);
 
-    /** One sample for each request of a tenant that has a quota. */
+    /** One sample for each request, by tenant; only for tenants that have a quota. */
     private final Map<Ids.Tenant, SampleWindow> tenants = new HashMap<>();
 
-    /** Retries of requests that failed elsewhere: 1 for each that failed too, else 0. */
+    /**
+     * One sample for each retry of a request that failed elsewhere: 1 if the retry failed, else 0.
+     */
     private final SampleWindow retryFailures = new SampleWindow(RETRY_SAMPLE_COUNT);
 
     private double firstAcceptedAt = Double.POSITIVE_INFINITY;
@@ -29,12 +31,12 @@
     private double meanValue = 1;
     private double meanPrice = 1;
 
-    /** Records when the first request was accepted; later calls change nothing. */
+    /** Records the time at which the first request was accepted; later calls have no effect. */
     public void noteFirst(double now) {
         firstAcceptedAt = Math.min(firstAcceptedAt, now);
     }
 
-    /** Records an accepted request, and its tenant where that has a quota. */
+    /** Records an accepted request, also for its tenant if the tenant has a quota. */
     public void record(TrackedRequest request, boolean tenantHasQuota) {
         double now = request.acceptedAt();
         arrivals.add(now, request.work(), request.value());
@@ -46,72 +48,77 @@
         }
     }
 
-    /** Computes the means, which then stay the same until the next choice of a worker. */
+    /** Computes the means, which stay the same until the next choice of a worker. */
     void refreshMeans() {
         meanWork = arrivals.meanOfFirst(STANDARD_WORK);
         meanValue = arrivals.meanOfSecond();
         meanPrice = arrivals.meanOfProduct();
     }
 
-    /** Returns the mean work of a request as of the last choice, in seconds on a standard core. */
+    /**
+     * Returns the mean work of a request as of the last choice of a worker, in seconds on a
+     * standard core.
+     */
     double meanWork() {
         return meanWork;
     }
 
-    /** Returns the mean priority weight as of the last choice. */
+    /** Returns the mean priority weight of a request as of the last choice of a worker. */
     public double meanValue() {
         return meanValue;
     }
 
     /**
-     * Returns the mean of work times priority weight as of the last choice, which is the unit of
-     * the settings' prices.
+     * Returns the mean of work times priority weight of a request as of the last choice of a
+     * worker. This is the unit of the prices in the settings.
      */
     public double meanPrice() {
         return meanPrice;
     }
 
-    /** Returns the mean of work times slots of a request. */
+    /** Returns the mean of work times slots of the latest requests. */
     public double meanLoad() {
         return loads.meanOfFirst(STANDARD_WORK);
     }
 
-    /** Returns the requests per second. */
+    /** Returns the rate of recorded requests, per second. */
     public double rate(double now) {
         return arrivals.rate(now);
     }
 
-    /** Returns the work that arrives per second. */
+    /** Returns the work of recorded requests per second, in seconds on a standard core. */
     public double workRate(double now) {
         return arrivals.rateOfFirst(now);
     }
 
-    /** Returns when the first request was accepted; infinite before. */
+    /**
+     * Returns the time at which the first request was accepted, in seconds; infinite before that.
+     */
     public double firstAcceptedAt() {
         return firstAcceptedAt;
     }
 
-    /** Returns the tenants with a quota that have sent any request. */
+    /** Returns the tenants that have a quota and have sent at least one request. */
     public Set<Ids.Tenant> tenants() {
         return tenants.keySet();
     }
 
-    /** Returns the requests per second of one of {@link #tenants}. */
+    /** Returns the rate of requests, per second, of a tenant that is one of {@link #tenants}. */
     public double rate(Ids.Tenant tenant, double now) {
         return tenants.get(tenant).rate(now);
     }
 
-    /** Records how a retry ended whose request had failed elsewhere before. */
+    /** Records whether a retry failed whose request had failed elsewhere before. */
     void recordRetry(double now, boolean failed) {
         retryFailures.add(now, failed ? 1 : 0);
     }
 
-    /** Returns the number of such retries since a time. */
+    /** Returns the number of retries of failed requests that have ended since a time. */
     public int retriesSince(double time) {
         return retryFailures.countSince(time);
     }
 
-    /** Returns how many of them failed. */
+    /** Returns how many of the retries counted by {@link #retriesSince} have failed. */
     public double failedRetriesSince(double time) {
         return retryFailures.sumOfFirstSince(time);
     }
--- a/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
@@ -6,34 +6,37 @@
 import wheelroute.decision.state.WorkerState;
 
 /**
- * What is estimated of one worker: its speed, its slots, and how long a job waits there before it
- * starts. Figures only; nothing is decided here.
+ * Estimates of one worker: its speed, its slots, and how long a job waits before its start.
+ * Contains no decision logic.
  */
 public final class WorkerEstimates {
-    /** Speeds and waits are smoothed over this long. */
+    /** Memory over which speeds and waits are smoothed. */
     static final double MEMORY_SECONDS = 5;
 
     /**
-     * The memory of waits that may justify a rejection: queues drain faster than averages over
-     * {@link #MEMORY_SECONDS} decay.
+     * Memory of the waits that may justify a rejection. It is shorter than {@link #MEMORY_SECONDS}
+     * because queues drain faster than averages over that memory decay.
      */
     static final double RECENT_MEMORY_SECONDS = 1.5;
 
     /**
-     * The mean wait of its model weighs as much as this many of a worker's own waits, because a
-     * single long job can distort those.
+     * Weight of the mean wait of the model, in samples of the worker's own waits, which a single
+     * long job can distort.
      */
     private static final double MODEL_PRIOR_SAMPLES = 4;
 
-    /** A worker's own runs weigh as much as its model's after this many jobs of mean size. */
+    /**
+     * Number of jobs of mean size after which a worker's own runs weigh as much as the speed of its
+     * model.
+     */
     private static final double PRIOR_JOBS = 2;
 
-    /** The most slots that are assumed, so that a wrong load report cannot cost much CPU time. */
+    /** Maximum number of assumed slots, so that a wrong load report cannot cost much CPU time. */
     private static final int MAX_SLOTS = 64;
 
     /**
-     * A job counts as running beside others only this long after its start, as a message about the
-     * end of an earlier job may arrive late.
+     * Time after its start from which a job counts as running at the same time as others, because
+     * the message about the end of an earlier job may arrive late.
      */
     private static final double SETTLING_SECONDS = 0.05;
 
@@ -43,7 +46,7 @@
     private final SlotSchedule schedule = new SlotSchedule();
     private final Candidate candidate;
 
-    /** Creates the estimates of one worker. */
+    /** Creates the estimates of one worker, which are computed from the state of the worker. */
     public WorkerEstimates(WorkerState worker, Settings settings, TrafficStatistics traffic) {
         this.worker = worker;
         this.settings = settings;
@@ -51,14 +54,14 @@
         candidate = new Candidate(worker);
     }
 
-    /** Returns how many jobs it runs at the same time, from 1. */
+    /** Returns how many jobs the worker runs at the same time, 1 or more. */
     public int slots() {
         return Math.min(MAX_SLOTS, Math.max(1, worker.model().slots()));
     }
 
     /**
-     * Returns the work that a slot does in a second. A worker new to this dispatcher begins at its
-     * model's speed and approaches that of its own runs.
+     * Returns the work that one slot of the worker does in a second. For a worker without measured
+     * runs this is the speed of its model; with more runs it approaches the speed of those.
      */
     public double speed(double now) {
         return speed(now, rampFraction(now));
@@ -72,8 +75,8 @@
     }
 
     /**
-     * Returns the fraction of its capacity that it has at least: in slow start it warms up no more
-     * slowly than linearly; 1 afterwards.
+     * Returns the minimum fraction of its capacity that the worker has at a time: the fraction
+     * grows at least linearly during slow start, and is 1 afterwards.
      */
     public double rampFraction(double time) {
         double ageSeconds = time - worker.endpoint().startedAt();
@@ -86,7 +89,7 @@
                         / settings.slowStartDurationSeconds();
     }
 
-    /** Returns the worker as estimated for a request that needs so many slots. */
+    /** Returns the current estimates of the worker for a request that needs this many slots. */
     Candidate candidateFor(double slotsNeeded, double now) {
         double rampFraction = rampFraction(now);
         double externalWait =
@@ -117,8 +120,8 @@
     }
 
     /**
-     * Returns the external wait by recent evidence alone: seconds of waiting for jobs of other
-     * dispatchers.
+     * Returns the expected wait for jobs of other dispatchers, in seconds, based on recent waits
+     * only.
      */
     public double recentExternalWait(double now) {
         return externalWait(
@@ -126,15 +129,17 @@
     }
 
     /**
-     * Returns the seconds of waiting that this dispatcher's own attempts do not explain: jobs of
-     * other dispatchers, observed in how late its own attempts start.
+     * Returns the expected wait that this dispatcher's own attempts do not explain, in seconds.
+     * Jobs of other dispatchers cause that wait, which shows in how late this dispatcher's own
+     * attempts start.
      *
-     * @param modelMean the mean of the worker's model
+     * @param modelMean the mean unexplained wait of the worker's model
      */
     private double externalWait(
             double now, double rampFraction, double memorySeconds, double modelMean) {
-        // A worker in slow start gets little, so it has no queue, whatever its model's mean is. One
-        // that is warm gets its model's mean, or all would prefer those that have just warmed up.
+        // A worker in slow start gets few requests and therefore has no queue, whatever the mean of
+        // its model is. A warm worker gets the mean of its model: otherwise all dispatchers would
+        // prefer the workers that have just warmed up.
         double prior = rampFraction < 1 ? 0 : MODEL_PRIOR_SAMPLES * modelMean;
         double mean =
                 worker.statistics().smoothedWait(now, memorySeconds, prior, MODEL_PRIOR_SAMPLES);
@@ -142,8 +147,8 @@
     }
 
     /**
-     * Returns how long the first message about the oldest attempt that has not started is overdue,
-     * which shows a stalled queue before any start could.
+     * Returns by how much the first message about the oldest attempt that has not started is
+     * overdue, in seconds. This reveals a stalled queue before any start is reported.
      */
     private double overdueSeconds(double now) {
         for (int i = 0; i < worker.inFlight().size(); i++) {
@@ -155,25 +160,29 @@
     }
 
     /**
-     * Returns how long the first message about an attempt is overdue; negative before it is due.
+     * Returns by how much the first message about an attempt is overdue, in seconds; negative
+     * before the message is due.
      */
     private double overdueSeconds(Attempt attempt, double now) {
         return attempt.unexplainedWait(now) - settings.startNoticeDelaySeconds();
     }
 
-    /** Counts the jobs that are seen running at the same time, which its model has slots for. */
+    /**
+     * Records the slots of the jobs that run at the same time now, which a worker of the model must
+     * therefore have.
+     */
     public void recordRunningJobs(double now) {
         int running = 0;
         for (Attempt attempt : worker.inFlight()) {
             boolean counts = attempt.hasStarted() && now - attempt.startedAt() > SETTLING_SECONDS;
             running += counts ? (int) attempt.request().slots() : 0;
         }
-        worker.model().noteSlots(running);
+        worker.model().recordObservedSlots(running);
     }
 
     /**
-     * Adds the waits of attempts that have not started to those of the model: without them only the
-     * shorter waits, which have ended, would count.
+     * Adds the overdue waits of attempts that have not started to the waits of the model. Without
+     * them the mean would include only waits that have ended, which are the shorter ones.
      */
     public void recordOverdueWaits(double now) {
         for (int i = 0; i < worker.inFlight().size(); i++) {
@@ -187,12 +196,12 @@
     }
 
     /**
-     * Records the free slots of a load report. Running jobs are not added: both figures are of
-     * different times, and their sum would overstate the slots.
+     * Records the free slots of a load report. The number of running jobs is not added, because
+     * both figures are of different times and their sum would overstate the slots.
      */
     public void recordReport(LoadReport report) {
         if (settings.reportsFreeSlots() && !Double.isNaN(report.freeSlots())) {
-            worker.model().noteSlots((int) Math.round(report.freeSlots()));
+            worker.model().recordObservedSlots((int) Math.round(report.freeSlots()));
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/estimates/WorkerStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerStatistics.java
@@ -2,31 +2,31 @@
 
 import wheelroute.decision.LearnedState;
 
-/** What was measured of one worker. */
+/** Measurements of one worker. */
 public final class WorkerStatistics {
-    /** Work and run time of jobs; run times are scaled to a worker past its slow start. */
+    /** The work of each job and its run time, scaled to a worker past its slow start. */
     private final SampleWindow runs;
 
-    /** Seconds of unexplained waiting of attempts, and 1. */
+    /** The unexplained wait of each attempt in seconds, and 1. */
     private final SampleWindow waits;
 
     /** One sample for each failure that counts against the worker; both figures are 1. */
     private final SampleWindow failures;
 
-    /** Creates empty windows of this many samples. */
+    /** Creates statistics that keep this many samples of runs, waits and failures each. */
     public WorkerStatistics(int sampleCount) {
         runs = new SampleWindow(sampleCount);
         waits = new SampleWindow(sampleCount);
         failures = new SampleWindow(sampleCount);
     }
 
-    /** Records a job's work, and its run time scaled to a worker past its slow start. */
+    /** Records the work of a job and its run time, scaled to a worker past its slow start. */
     void recordRun(double now, double work, double runSeconds) {
         runs.add(now, work, runSeconds);
     }
 
     /**
-     * Returns the work per second of recent runs, to which a prior run is added, times the ramp
+     * Returns the work per second of recent runs and one prior run, multiplied by the ramp
      * fraction.
      */
     double smoothedSpeed(
@@ -43,7 +43,7 @@
         waits.add(now, unexplainedSeconds, 1);
     }
 
-    /** Returns the mean of recent unexplained waits, to which prior samples are added. */
+    /** Returns the mean of recent unexplained waits and of prior samples, in seconds. */
     double smoothedWait(double now, double memorySeconds, double priorSum, double priorSamples) {
         return waits.decayedMeanOfFirst(now, memorySeconds, priorSum, priorSamples);
     }
@@ -53,12 +53,12 @@
         failures.add(now, 1, 1);
     }
 
-    /** Returns the number of failures since a time. */
+    /** Returns the number of recorded failures since a time, in seconds. */
     public int failuresSince(double time) {
         return failures.countSince(time);
     }
 
-    /** Drops the failures, as the worker was reinstated. */
+    /** Removes all failures, for a worker that is reinstated. */
     public void clearFailures() {
         failures.clear();
     }
@@ -69,14 +69,14 @@
                 runs.export(now), waits.export(now), failures.export(now));
     }
 
-    /** Takes over samples exported by another process. */
+    /** Adds samples that another process has exported. */
     public void restore(double now, LearnedState.WorkerSamples samples) {
         runs.restore(now, samples.runs());
         waits.restore(now, samples.waits());
         failures.restore(now, samples.failures());
     }
 
-    /** Drops all samples, as when the worker's process has restarted. */
+    /** Removes all samples, for a worker whose process has restarted. */
     public void clear() {
         runs.clear();
         waits.clear();
--- a/daemon/src/main/java/wheelroute/decision/estimates/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Estimates of speeds, waits, costs and traffic. Measured figures only: nothing is decided here.
+ * Estimates of speeds, waits, costs and traffic, computed from measurements. Contains no decision
+ * logic.
  */
 package wheelroute.decision.estimates;
--- a/daemon/src/main/java/wheelroute/decision/state/Attempt.java
+++ b/daemon/src/main/java/wheelroute/decision/state/Attempt.java
@@ -4,11 +4,11 @@
 import wheelroute.decision.Outcome;
 import wheelroute.decision.estimates.Candidate;
 
-/** One attempt of a request at one worker, from its send until it has ended. */
+/** One attempt of a request at one worker, from the time at which it is sent until it has ended. */
 public final class Attempt {
     /**
-     * An overdue job is expected to need this fraction of its elapsed time once more, because job
-     * sizes are heavy-tailed.
+     * Minimum expected remaining run time of a job without progress reports, as a fraction of its
+     * elapsed run time. Job sizes are heavy-tailed, so that an overdue job is likely to run on.
      */
     private static final double OVERRUN_FRACTION = 0.3;
 
@@ -29,7 +29,9 @@
     private boolean cancelled;
     private boolean replaced;
 
-    /** Creates an attempt that is sent now to the worker that was chosen. */
+    /**
+     * Creates an attempt that is sent to the chosen worker at the time {@code sentAt}, in seconds.
+     */
     public Attempt(TrackedRequest request, int number, Candidate chosen, double sentAt) {
         this.request = request;
         this.number = number;
@@ -41,142 +43,147 @@
         this.affinityRank = chosen.affinityRank();
     }
 
-    /** Returns the request that it is an attempt of. */
     public TrackedRequest request() {
         return request;
     }
 
-    /** Returns its number among the attempts of its request, from 0. */
+    /** Returns the number of the attempt among those of its request, from 0. */
     public int number() {
         return number;
     }
 
-    /** Returns the worker that it was sent to. */
     public WorkerState worker() {
         return worker;
     }
 
     /**
-     * Returns the worker's endpoint as listed at the send: its zone and cell bind a retry with the
-     * same key.
+     * Returns the endpoint of the worker as it was listed when the attempt was sent. The zone and
+     * cell of that endpoint restrict a retry with the same key.
      */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** Returns when it was sent, in seconds. */
+    /** Returns the time at which the attempt was sent, in seconds. */
     public double sentAt() {
         return sentAt;
     }
 
-    /** Returns how long it was expected to wait behind this dispatcher's own attempts. */
+    /**
+     * Returns how long the attempt was expected to wait behind other attempts of this dispatcher,
+     * as of the time at which it was sent.
+     */
     public double ownWaitSeconds() {
         return ownWaitSeconds;
     }
 
-    /** Returns how long it was expected to wait in all. */
+    /** Returns the total expected wait as of the time at which the attempt was sent. */
     public double expectedWaitSeconds() {
         return expectedWaitSeconds;
     }
 
-    /** Returns {@link Candidate#affinityRank} as of the send. */
+    /** Returns {@link Candidate#affinityRank} as of the time at which the attempt was sent. */
     public int affinityRank() {
         return affinityRank;
     }
 
-    /** Records when the worker began it. */
+    /** Records the time at which the worker began the attempt, in seconds. */
     public void recordStart(double time) {
         startedAt = time;
     }
 
-    /** Whether the worker is known to have begun it. */
+    /**
+     * Returns whether a start of the attempt was recorded, by a report or by its first progress.
+     */
     public boolean hasStarted() {
         return startedAt > 0;
     }
 
-    /** Returns when the worker began it, in seconds; negative while it has not. */
+    /** Returns the recorded start of the attempt, in seconds; negative while there is none. */
     public double startedAt() {
         return startedAt;
     }
 
-    /** Records a message from the worker about it. */
+    /** Records that a message from the worker about the attempt has arrived. */
     public void recordMessage(double now) {
         lastMessageAt = now;
     }
 
     /**
-     * Records that it has begun by now, as an attempt that was sent later has: from then on the
-     * worker should report about it.
+     * Records that the attempt must have begun by now, because the worker has begun this attempt or
+     * one that was sent no earlier. From now on the worker should send messages about the attempt.
      */
-    void recordBegunBy(double now) {
+    void recordInferredStart(double now) {
         lastMessageAt = Math.min(lastMessageAt, now);
     }
 
     /**
-     * Returns when the worker last reported about it or it was inferred to have begun, in seconds;
-     * infinite while it may not have begun.
+     * Returns the time of the last message about the attempt, or of its inferred start if there was
+     * no message, in seconds; infinite while the attempt may not have begun.
      */
     public double lastMessageAt() {
         return lastMessageAt;
     }
 
     /**
-     * Records the part of the work that is done.
+     * Records the part of the work that is done, from which the expected run time is computed.
      *
-     * @param share above 0
+     * @param share the part that is done, above 0; values above 1 count as 1
      */
     public void recordProgress(double now, double share) {
         expectedRunSeconds = (now - startedAt) / Math.min(1, share);
     }
 
-    void end(Outcome how) {
-        outcome = how;
+    void end(Outcome endOutcome) {
+        outcome = endOutcome;
     }
 
-    /** Returns how it ended; null while it is in flight. */
+    /** Returns the outcome of the attempt; null while it is in flight. */
     public Outcome outcome() {
         return outcome;
     }
 
-    /** Whether it has not ended yet. */
+    /** Returns whether the attempt has not ended yet. */
     public boolean isInFlight() {
         return outcome == null;
     }
 
-    /** Whether the worker may have run it, or may still do so. */
+    /** Returns whether the worker may have run the attempt, or may still run it. */
     public boolean mayHaveRun() {
         return outcome == null || outcome.mayHaveRun();
     }
 
-    /** Marks it as cancelled; its end is still to come. */
+    /** Marks the attempt as cancelled. The attempt stays in flight until its end is recorded. */
     public void cancel() {
         cancelled = true;
     }
 
-    /** Whether it has been cancelled. */
     public boolean isCancelled() {
         return cancelled;
     }
 
-    /** Marks that a replacement elsewhere has been tried, which is done only once. */
+    /** Marks that a replacement at another worker was tried, which happens at most once. */
     public void markReplaced() {
         replaced = true;
     }
 
-    /** Whether a replacement elsewhere has been tried. */
+    /** Returns whether a replacement at another worker was tried, successfully or not. */
     public boolean isReplaced() {
         return replaced;
     }
 
     /**
-     * Returns the seconds of waiting, up to a time, that this dispatcher's own attempts do not
-     * explain.
+     * Returns the seconds from the send until a given time, minus the expected wait behind this
+     * dispatcher's own attempts: the waiting that those attempts do not explain.
      */
     public double unexplainedWait(double until) {
         return until - sentAt - ownWaitSeconds;
     }
 
-    /** Returns the seconds from its start, or from now, until its end at a worker of this speed. */
+    /**
+     * Returns the expected remaining run time at a worker of this speed, in seconds. An attempt
+     * without a recorded start is assumed to start after its expected wait.
+     */
     public double remainingSeconds(double now, double speed) {
         boolean hasProgress = expectedRunSeconds > 0;
         double run = hasProgress ? expectedRunSeconds : request.work() / speed;
--- a/daemon/src/main/java/wheelroute/decision/state/DecisionClock.java
+++ b/daemon/src/main/java/wheelroute/decision/state/DecisionClock.java
@@ -1,18 +1,18 @@
 package wheelroute.decision.state;
 
 /**
- * The time of the event that is being decided on, in seconds on the clock of whoever drives the
- * policy. It stands still while one event is decided on.
+ * Holds the time of the event that the policy is handling, in seconds on the clock of the policy's
+ * caller. The time does not change while one event is handled.
  */
 public final class DecisionClock {
     private double now;
 
-    /** Returns the time of the present event. */
+    /** Returns the time of the current event, in seconds. */
     public double now() {
         return now;
     }
 
-    /** Sets the time of the events that follow. */
+    /** Sets the time of the events that follow, in seconds. */
     public void advanceTo(double time) {
         now = time;
     }
--- a/daemon/src/main/java/wheelroute/decision/state/DispatcherState.java
+++ b/daemon/src/main/java/wheelroute/decision/state/DispatcherState.java
@@ -11,8 +11,8 @@
 import wheelroute.decision.routing.KeyAffinity;
 
 /**
- * Everything that one dispatcher knows. Each rule is given the parts of it that it uses; nothing is
- * decided here.
+ * The complete state of one dispatcher. Each class that decides receives only the parts that it
+ * uses; this record contains no decision logic.
  *
  * @param requestClasses the request classes of the settings, by id
  */
@@ -27,7 +27,7 @@
         KeyQueueTable keyQueues,
         EndpointLease endpointLease,
         RandomDraws random) {
-    /** Creates the state of a dispatcher that knows no worker yet. */
+    /** Creates the initial state of a dispatcher, before it has any endpoint list. */
     public static DispatcherState create(Settings settings) {
         TrafficStatistics traffic = new TrafficStatistics();
         Map<Ids.RequestClass, RequestClassState> requestClasses = new HashMap<>();
--- a/daemon/src/main/java/wheelroute/decision/state/LearnedStateTransfer.java
+++ b/daemon/src/main/java/wheelroute/decision/state/LearnedStateTransfer.java
@@ -7,7 +7,7 @@
 import wheelroute.decision.estimates.ModelStatistics;
 import wheelroute.decision.health.OutlierEjection;
 
-/** Exports what one process has learned and imports it into the process that replaces it. */
+/** Exports the learned state of a process and imports it into the process that replaces it. */
 public final class LearnedStateTransfer {
     private final DecisionClock clock;
     private final WorkerTable workers;
@@ -18,7 +18,8 @@
     /**
      * Creates the transfer for one dispatcher.
      *
-     * @param reportsStart workers report when they begin a job, so that waits belong to one model
+     * @param reportsStart whether workers report the start of a job; if so, each model has waits of
+     *     its own
      */
     public LearnedStateTransfer(
             DecisionClock clock,
@@ -33,7 +34,7 @@
         this.reportsStart = reportsStart;
     }
 
-    /** Returns what was learned so far, for a successor process. */
+    /** Returns a copy of the learned state, for a successor process. */
     public LearnedState exportState() {
         LearnedState learned = new LearnedState(new HashMap<>(), new HashMap<>(), new HashMap<>());
         double now = clock.now();
@@ -47,7 +48,10 @@
         return learned;
     }
 
-    /** Skips workers, models and request classes that are unknown here. */
+    /**
+     * Imports the learned state of a predecessor process. Workers, models and request classes that
+     * are unknown to this process are skipped.
+     */
     public void importState(LearnedState learned) {
         learned.workers().forEach(this::importWorker);
         learned.models().forEach(this::importModel);
--- a/daemon/src/main/java/wheelroute/decision/state/RandomDraws.java
+++ b/daemon/src/main/java/wheelroute/decision/state/RandomDraws.java
@@ -4,8 +4,8 @@
 import java.util.zip.CRC32;
 
 /**
- * A deterministic source of random numbers in [0, 1), computed from a seed and a counter: the same
- * events give the same decisions.
+ * A deterministic source of random numbers in [0, 1), computed from a seed and a counter, so that
+ * the same events lead to the same decisions.
  */
 public final class RandomDraws {
     private static final double RANGE = 1L << Integer.SIZE;
@@ -18,12 +18,12 @@
         this.seed = seed;
     }
 
-    /** Returns the next number of this instance's own sequence. */
+    /** Returns the next number of the sequence that the seed of this instance determines. */
     public double next() {
         return draw(seed, ++draws);
     }
 
-    /** Returns the number for a pair, which is the same at every dispatcher. */
+    /** Returns the number that a pair determines, which is the same at every dispatcher. */
     public double draw(long first, long second) {
         crc.reset();
         crc.update(ByteBuffer.allocate(2 * Long.BYTES).putLong(first).putLong(second).flip());
--- a/daemon/src/main/java/wheelroute/decision/state/RequestClassState.java
+++ b/daemon/src/main/java/wheelroute/decision/state/RequestClassState.java
@@ -3,30 +3,29 @@
 import wheelroute.decision.Settings;
 import wheelroute.decision.estimates.CostEstimates;
 
-/** A request class: its settings, and how accurate its clients' cost estimates are. */
+/** The settings of one request class and the measured accuracy of its clients' cost estimates. */
 public final class RequestClassState {
-    private static final int ESTIMATE_COUNT = 64;
+    private static final int ESTIMATE_SAMPLE_COUNT = 64;
 
     private final Settings.RequestClass settings;
     private final double value;
-    private final CostEstimates estimates = new CostEstimates(ESTIMATE_COUNT);
+    private final CostEstimates estimates = new CostEstimates(ESTIMATE_SAMPLE_COUNT);
 
     RequestClassState(Settings.RequestClass settings) {
         this.settings = settings;
         value = settings.priorityWeight() > 0 ? settings.priorityWeight() : 1;
     }
 
-    /** Returns the settings of this class. */
     public Settings.RequestClass settings() {
         return settings;
     }
 
-    /** Returns the priority weight, or 1 where the settings give none. */
+    /** Returns the priority weight of the class; 1 if the settings have none above 0. */
     public double value() {
         return value;
     }
 
-    /** Returns the record that corrects the clients' cost estimates. */
+    /** Returns the corrections of the cost estimates that clients send for this class. */
     public CostEstimates estimates() {
         return estimates;
     }
--- a/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
+++ b/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
@@ -8,7 +8,7 @@
 import wheelroute.decision.order.KeyQueue;
 import wheelroute.decision.routing.KeyAffinity;
 
-/** The state of one accepted request: its attempts and how far it is. */
+/** The state of one accepted request: its attempts and its progress towards a final answer. */
 public final class TrackedRequest {
     private final Request request;
     private final RequestClassState requestClass;
@@ -28,8 +28,9 @@
     /**
      * Creates the state of a request that is accepted now.
      *
-     * @param affinity where its key's data is likely cached; null without a key
-     * @param queue in which it waits for its turn; null where its class is not ordered
+     * @param affinity the workers that likely cache the data of the request's key; null if the
+     *     request has no key
+     * @param queue the queue of the request's key; null if the request class is not ordered
      */
     public TrackedRequest(
             Request request,
@@ -51,52 +52,54 @@
         return request;
     }
 
-    /** Returns the state of its class. */
     public RequestClassState requestClass() {
         return requestClass;
     }
 
-    /** Returns the settings of its class. */
+    /** Returns the settings of the request class. */
     public Settings.RequestClass settings() {
         return requestClass.settings();
     }
 
-    /** Returns its priority weight. */
+    /** Returns the priority weight of the request class, above 0. */
     public double value() {
         return requestClass.value();
     }
 
-    /** Returns its expected work on a standard core, in seconds. */
+    /** Returns the expected work of the request, in seconds on a standard core. */
     public double work() {
         return work;
     }
 
-    /** Returns how many slots of a worker it needs, 1 or more. */
+    /** Returns how many slots of a worker the request needs, 1 or more. */
     public double slots() {
         return slots;
     }
 
-    /** Returns when it was accepted, in seconds. */
+    /** Returns the time at which the request was accepted, in seconds. */
     public double acceptedAt() {
         return acceptedAt;
     }
 
-    /** Returns where its key's data is likely cached; null without a key. */
+    /**
+     * Returns the workers that likely cache the data of the request's key; null if the request has
+     * no key.
+     */
     public KeyAffinity<WorkerState>.Placement affinity() {
         return affinity;
     }
 
-    /** Returns the queue in which it waits for its turn; null where its class is not ordered. */
+    /** Returns the queue of the request's key; null if the request class is not ordered. */
     public KeyQueue queue() {
         return queue;
     }
 
-    /** Returns its attempts in the order of their numbers, from 0. */
+    /** Returns the live list of attempts; the index of an attempt is its number. */
     public List<Attempt> attempts() {
         return attempts;
     }
 
-    /** Returns an attempt by its number; null for a number that was never given. */
+    /** Returns the attempt with this number; null if there is none. */
     public Attempt attempt(int number) {
         return number >= 0 && number < attempts.size() ? attempts.get(number) : null;
     }
@@ -113,78 +116,86 @@
         inFlight--;
     }
 
-    /** Records what an attempt's outcome says about the request itself. */
+    /**
+     * Records whether the outcome of an attempt shows that the request is invalid or has failed.
+     */
     public void noteOutcome(Outcome outcome) {
         invalid |= outcome == Outcome.INVALID_REQUEST;
         failed |= outcome == Outcome.FAILED;
     }
 
-    /** Whether an attempt is in flight. */
+    /** Returns whether any attempt of the request is in flight. */
     public boolean hasInFlight() {
         return inFlight > 0;
     }
 
-    /** Marks that it needs no answer any more: it has one, or its client is gone. */
+    /** Marks the request as answered, or as abandoned by its client. */
     public void finish() {
         done = true;
     }
 
-    /** Whether it needs no answer any more. */
+    /** Returns whether the request has its answer or its client is gone. */
     public boolean isDone() {
         return done;
     }
 
-    /** Whether it needs no answer any more and no attempt is in flight. */
+    /** Returns whether the request is done and has no attempt in flight. */
     public boolean isComplete() {
         return done && inFlight == 0;
     }
 
-    /** Marks that part of a result was sent to the client, so that no other attempt may answer. */
+    /** Marks that part of a result was sent to the client: no other attempt may answer any more. */
     public void markStreaming() {
         streaming = true;
     }
 
-    /** Whether part of a result was sent to the client. */
+    /** Returns whether part of a result was sent to the client. */
     public boolean isStreaming() {
         return streaming;
     }
 
-    /** Whether a worker found the request itself to be invalid. */
+    /** Returns whether a worker found the request itself to be invalid. */
     public boolean isInvalid() {
         return invalid;
     }
 
-    /** Whether an attempt of it has failed. */
+    /** Returns whether any attempt of the request has failed. */
     public boolean hasFailed() {
         return failed;
     }
 
-    /** Whether any attempt may have run. */
+    /** Returns whether any attempt may have run at its worker. */
     public boolean mayHaveRun() {
         return attempts.stream().anyMatch(Attempt::mayHaveRun);
     }
 
-    /** Sets the time until which an attempt of it may still run, so that its key is blocked. */
+    /**
+     * Blocks the key of the request until this time, in seconds, as an attempt may still be running
+     * until then.
+     */
     public void blockKeyUntil(double time) {
         keyBlockedUntil = time;
     }
 
-    /** Returns the time before which no other request of its key may begin. */
+    /**
+     * Returns the time before which no other request of the same key may begin, in seconds;
+     * negative infinity if none was set.
+     */
     public double keyBlockedUntil() {
         return keyBlockedUntil;
     }
 
-    /** Returns the expected seconds until all its attempts have ended. */
+    /** Returns the expected time until all attempts in flight have ended, in seconds. */
     public double remainingSeconds(double now) {
         double longest = 0;
         for (Attempt attempt : attempts) {
             if (attempt.isInFlight()) {
-                double ahead =
+                double remainingWait =
                         attempt.hasStarted()
                                 ? 0
                                 : attempt.sentAt() + attempt.expectedWaitSeconds() - now;
                 double run = attempt.remainingSeconds(now, attempt.worker().estimates().speed(now));
-                longest = Math.max(longest, Math.max(0, ahead) + run);
+                longest = Math.max(longest, Math.max(0, remainingWait) + run);
             }
         }
         return longest;
--- a/daemon/src/main/java/wheelroute/decision/state/WorkerState.java
+++ b/daemon/src/main/java/wheelroute/decision/state/WorkerState.java
@@ -13,7 +13,7 @@
 import wheelroute.decision.health.WorkerHealth;
 import wheelroute.decision.slowstart.SlowStartBudget;
 
-/** A worker as this dispatcher knows it: its endpoint, its attempts and its own record. */
+/** The state of one worker at this dispatcher: its endpoint, attempts, health and statistics. */
 public final class WorkerState {
     private static final int SAMPLE_COUNT = 8;
 
@@ -32,7 +32,6 @@
     private boolean warm;
     private int attemptCount;
 
-    /** Creates a worker that is not listed yet. */
     WorkerState(
             Ids.Worker id,
             Settings settings,
@@ -43,22 +42,24 @@
         estimates = new WorkerEstimates(this, settings, traffic);
     }
 
-    /** Returns the id that the endpoint list has for it. */
+    /** Returns the id of the worker in the endpoint list. */
     public Ids.Worker id() {
         return id;
     }
 
-    /** Returns the endpoint as it was last listed. */
+    /** Returns the latest entry of the endpoint list for the worker; null before there is one. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** Returns what is measured of all workers of its model. */
+    /**
+     * Returns the statistics of all workers of the same model; null before the worker is listed.
+     */
     public ModelStatistics model() {
         return model;
     }
 
-    /** Records the endpoint list's latest entry. */
+    /** Records an entry of the endpoint list for the worker and marks the worker as listed. */
     public void list(Endpoint newEndpoint, ModelStatistics newModel, boolean isInSameZone) {
         endpoint = newEndpoint;
         model = newModel;
@@ -66,100 +67,100 @@
         listed = true;
     }
 
-    /** Whether it is in this dispatcher's own zone. */
+    /** Returns whether the worker is in the zone of this dispatcher. */
     public boolean isInSameZone() {
         return inSameZone;
     }
 
-    /** Whether the endpoint list names it, draining or not. */
+    /** Returns whether the worker is on the endpoint list, draining or not. */
     public boolean isListed() {
         return listed;
     }
 
-    /** Records that the endpoint list no longer names it. */
+    /** Records that the worker is no longer on the endpoint list. */
     public void clearListed() {
         listed = false;
     }
 
-    /** Whether requests may be sent to it. */
+    /** Returns whether requests may be sent to the worker. */
     public boolean isReady() {
         return ready;
     }
 
-    /** Sets whether requests may be sent to it. */
+    /** Sets whether requests may be sent to the worker. */
     public void setReady(boolean value) {
         ready = value;
     }
 
     /**
-     * Whether it is missing from the list but may still be sent to, as removals are advisory: the
-     * first failure ends that.
+     * Returns whether the worker was removed from the endpoint list but may still get requests,
+     * because removals are advisory. The first failure of the worker makes it not ready.
      */
     public boolean isRetainedAfterRemoval() {
         return retainedAfterRemoval;
     }
 
-    /** Sets whether it is missing from the list but may still be sent to. */
+    /** Sets whether the worker was removed from the endpoint list but may still get requests. */
     public void setRetainedAfterRemoval(boolean value) {
         retainedAfterRemoval = value;
     }
 
-    /** Returns the attempts in flight, in the order in which they were sent. */
+    /** Returns the live list of attempts in flight, in the order in which they were sent. */
     public List<Attempt> inFlight() {
         return inFlight;
     }
 
-    /** Returns the samples measured of it. */
+    /** Returns the samples that were measured at this worker alone. */
     public WorkerStatistics statistics() {
         return statistics;
     }
 
-    /** Returns its health as seen here. */
+    /** Returns the health of the worker as this dispatcher observes it. */
     public WorkerHealth health() {
         return health;
     }
 
-    /** Returns the budget that limits it while it warms up. */
+    /** Returns the budget that limits the work sent to the worker during its slow start. */
     public SlowStartBudget slowStartBudget() {
         return slowStartBudget;
     }
 
-    /** Returns its estimated speed and waits. */
+    /** Returns the estimated speed, slots and waits of the worker. */
     public WorkerEstimates estimates() {
         return estimates;
     }
 
     /**
-     * Whether it was ready and past its slow start at the list's last change. Not worked out at
-     * every choice, to save time.
+     * Returns whether the worker was ready and past its slow start at the last change of the
+     * endpoint list. The value is not computed for every choice of a worker, to save CPU time.
      */
     public boolean isWarm() {
         return warm;
     }
 
-    /** Sets whether it was ready and past its slow start at the list's last change. */
+    /** Sets whether the worker is ready and past its slow start. */
     public void setWarm(boolean value) {
         warm = value;
     }
 
-    /** Returns the number of attempts sent to it so far. */
+    /** Returns the number of attempts sent to the worker so far. */
     public int attemptCount() {
         return attemptCount;
     }
 
-    /** Counts an attempt sent to it; returns the new count. */
+    /** Counts an attempt sent to the worker; returns the new count. */
     public int countAttempt() {
         return ++attemptCount;
     }
 
     /**
-     * Records that an attempt has begun. Attempts begin in the order of their sends, so those in
-     * flight that were sent earlier have begun as well.
+     * Records that an attempt has begun. A worker begins attempts in the order in which they were
+     * sent, so that all attempts in flight that were sent no later have begun as well.
      */
-    public void recordBegun(Attempt begun, double now) {
+    public void inferStartsThrough(Attempt started, double now) {
         for (Attempt other : inFlight) {
-            if (other.sentAt() <= begun.sentAt()) {
-                other.recordBegunBy(now);
+            if (other.sentAt() <= started.sentAt()) {
+                other.recordInferredStart(now);
             }
         }
     }
--- a/daemon/src/main/java/wheelroute/decision/state/WorkerTable.java
+++ b/daemon/src/main/java/wheelroute/decision/state/WorkerTable.java
@@ -14,24 +14,30 @@
 import wheelroute.decision.estimates.TrafficStatistics;
 import wheelroute.decision.slowstart.SlowStartBudget;
 
-/** All workers that are listed or still hold attempts, and what is measured of their models. */
+/**
+ * The workers that are on the endpoint list or still have attempts in flight, and the statistics of
+ * their models.
+ */
 public final class WorkerTable {
     private static final int SAMPLE_COUNT = 64;
 
     /**
-     * Prior samples of no wait, for waits that workers report: few, so that a model with little
-     * traffic is judged by its own waits all the same.
+     * Number of prior samples of zero wait where workers report their waits. The number is low so
+     * that a model with little traffic is judged by its own waits.
      */
     private static final double REPORTED_WAIT_PRIOR_SAMPLES = 1;
 
-    /** The same for waits estimated from results, which are as noisy as the sizes of jobs. */
+    /**
+     * Number of prior samples of zero wait where waits are estimated from results, which makes them
+     * as noisy as the sizes of the jobs.
+     */
     private static final double ESTIMATED_WAIT_PRIOR_SAMPLES = 4;
 
     private final Settings settings;
     private final TrafficStatistics traffic;
     private final SlowStartBudget.Limits slowStartLimits;
 
-    /** In the order of their ids. */
+    /** Sorted by id in ascending order. */
     private final Map<Ids.Worker, WorkerState> byId =
             new TreeMap<>(Comparator.comparingLong(Ids.Worker::value));
 
@@ -40,8 +46,8 @@
     private final List<WorkerState> busy = new ArrayList<>();
 
     /**
-     * Shared by all models where starts are not reported: waits estimated from results would show
-     * the models' speeds.
+     * Waits of all models together, for workers that do not report starts. Their waits are
+     * estimated from results, and estimates per model would reflect the speeds of the models.
      */
     private final SampleWindow estimatedWaits = new SampleWindow(SAMPLE_COUNT);
 
@@ -58,38 +64,41 @@
                         settings.overloadWindowSeconds());
     }
 
-    /** Returns the worker of this id, a new one if it was unknown. */
+    /** Returns the worker with this id, after creating it if it was unknown. */
     public WorkerState getOrCreate(Ids.Worker id) {
         return byId.computeIfAbsent(
                 id, key -> new WorkerState(key, settings, traffic, slowStartLimits));
     }
 
-    /** Returns all workers by id. */
+    /** Returns the live map of all workers, in ascending order of their ids. */
     public Map<Ids.Worker, WorkerState> byId() {
         return byId;
     }
 
-    /** Returns all workers, in the order of their ids. */
+    /** Returns a live view of all workers, in ascending order of their ids. */
     public Collection<WorkerState> all() {
         return byId.values();
     }
 
-    /** Returns the workers to which requests may be sent, in the order of their ids. */
+    /**
+     * Returns the live list of the workers to which requests may be sent, in ascending order of
+     * their ids.
+     */
     public List<WorkerState> ready() {
         return ready;
     }
 
-    /** Returns the workers with attempts in flight. */
+    /** Returns the live list of the workers with attempts in flight. */
     public List<WorkerState> busy() {
         return busy;
     }
 
-    /** Returns the statistics of all models. */
+    /** Returns the live map of the statistics of all models. */
     public Map<Ids.Model, ModelStatistics> models() {
         return models;
     }
 
-    /** Returns the statistics of a model, new ones if it was unknown. */
+    /** Returns the statistics of a model, after creating them if the model was unknown. */
     public ModelStatistics model(Ids.Model id) {
         return models.computeIfAbsent(id, key -> newModel());
     }
@@ -102,12 +111,12 @@
                 reportsWaits ? REPORTED_WAIT_PRIOR_SAMPLES : ESTIMATED_WAIT_PRIOR_SAMPLES);
     }
 
-    /** Forgets workers that are not ready and hold no attempt. */
+    /** Removes the workers that are not ready and have no attempt in flight. */
     public void forgetRemoved() {
         byId.values().removeIf(worker -> !worker.isReady() && worker.inFlight().isEmpty());
     }
 
-    /** Adds an attempt that was sent; returns whether it is the worker's only one in flight. */
+    /** Adds an attempt that was sent; returns whether the worker has no other one in flight. */
     public boolean add(Attempt attempt) {
         WorkerState worker = attempt.worker();
         attemptsInFlight++;
@@ -119,7 +128,7 @@
         return first;
     }
 
-    /** Removes an attempt that has ended. */
+    /** Removes an attempt that has ended from the attempts in flight. */
     public void remove(Attempt attempt) {
         WorkerState worker = attempt.worker();
         attemptsInFlight--;
--- a/daemon/src/main/java/wheelroute/decision/state/package-info.java
+++ b/daemon/src/main/java/wheelroute/decision/state/package-info.java
@@ -1,2 +1,2 @@
-/** The state of one dispatcher: workers, requests and attempts. Nothing is decided here. */
+/** The state of one dispatcher: workers, requests and attempts. Contains no decision logic. */
 package wheelroute.decision.state;
--- a/daemon/src/test/java/wheelroute/adapter/AdapterTest.java
+++ b/daemon/src/test/java/wheelroute/adapter/AdapterTest.java
@@ -16,21 +16,21 @@
 import org.testng.annotations.Test;
 
 public class AdapterTest {
-    private static final String CONF =
+    private static final String CONFIGURE_LINE =
             "CONFIGURE 5 az=a balancers=1 later.key=what membership_mode=push"
                     + " permissions.most_tries=6 request_classes.count=1 request_classes.0.effect=free"
                     + " request_classes.0.hard_limit_us=5000000 request_classes.0.name=job"
                     + " request_classes.0.on_time_us=500000 request_classes.0.worth=2\n";
-    private static final String LIST = "SYNC C 1 1\nROW std 1 a - 77 0 active\n";
-    private static final String ORDERED =
-            CONF.replace(
+    private static final String ENDPOINT_LIST = "SYNC C 1 1\nROW std 1 a - 77 0 active\n";
+    private static final String ORDERED_CLASS =
+            CONFIGURE_LINE.replace(
                             "\n",
                             " request_classes.0.one_at_a_time=true" + " rules.key_rest_us=200000\n")
-                    + LIST;
-    private static final String ORDER = "ORDER 9 - 1 job - - 5000000 1 20000\n";
+                    + ENDPOINT_LIST;
+    private static final String REQUEST_LINE = "ORDER 9 - 1 job - - 5000000 1 20000\n";
 
-    private static final String WAKEUP = "SLEEP 100000 w\n";
-    private static final String ATTEMPT = "TRY 9 77 0\n";
+    private static final String WAKEUP_ACTION = "SLEEP 100000 w\n";
+    private static final String ATTEMPT_ACTION = "TRY 9 77 0\n";
 
     private static String run(String input) throws IOException, WireException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -39,7 +39,7 @@
     }
 
     private static String batch(String events) {
-        return "FRAME 1000\nAT 3\n" + CONF + LIST + events + "YOUR_TURN\n";
+        return "FRAME 1000\nAT 3\n" + CONFIGURE_LINE + ENDPOINT_LIST + events + "YOUR_TURN\n";
     }
 
     @DataProvider
@@ -53,26 +53,31 @@
         return new Object[][] {
             {"FRAME 8412250\nYOUR_TURN\n", "DONE\n"},
             {batch(""), "DONE\n"},
-            {batch(ORDER), "SOURCE 3\n" + WAKEUP + ATTEMPT + "DONE\n"},
-            {batch("AT 4\n" + CONF + ORDER), "SOURCE 4\nOVERLOAD_REPLY 9 0\nDONE\n"},
+            {batch(REQUEST_LINE), "SOURCE 3\n" + WAKEUP_ACTION + ATTEMPT_ACTION + "DONE\n"},
             {
-                batch(ORDER + "KILLED\n" + CONF + "SYNC C 0 0\n"),
-                "SOURCE 3\n" + WAKEUP + ATTEMPT + "DONE\n"
+                batch("AT 4\n" + CONFIGURE_LINE + REQUEST_LINE),
+                "SOURCE 4\nOVERLOAD_REPLY 9 0\nDONE\n"
+            },
+            {
+                batch(REQUEST_LINE + "KILLED\n" + CONFIGURE_LINE + "SYNC C 0 0\n"),
+                "SOURCE 3\n" + WAKEUP_ACTION + ATTEMPT_ACTION + "DONE\n"
             },
             {
                 batch(
-                        ORDER
+                        REQUEST_LINE
                                 + "FINISHED 9 0 77 200 18500 1 - -\nFINISHED 9 0 77 200 1 1 - -\nGONE 9\nGONE 8\n"),
-                "SOURCE 3\n" + WAKEUP + ATTEMPT + "DONE\n"
+                "SOURCE 3\n" + WAKEUP_ACTION + ATTEMPT_ACTION + "DONE\n"
             },
             {
-                batch(ORDER + "FINISHED 9 0 77 999 18500 1 0 busy_reqs:1,novelty:3,x0:0.5\n"),
-                "SOURCE 3\n" + WAKEUP + ATTEMPT + "DONE\n"
+                batch(
+                        REQUEST_LINE
+                                + "FINISHED 9 0 77 999 18500 1 0 busy_reqs:1,novelty:3,x0:0.5\n"),
+                "SOURCE 3\n" + WAKEUP_ACTION + ATTEMPT_ACTION + "DONE\n"
             },
             {
                 batch(
                         "ORDER 9 - 2 job f00d someone 5000000 0 -\nUPDATE_OF 9 0 77 1 0\nUPDATE_OF 9 0 7 2 0.5\n"),
-                "SOURCE 3\n" + WAKEUP + ATTEMPT + "DONE\n"
+                "SOURCE 3\n" + WAKEUP_ACTION + ATTEMPT_ACTION + "DONE\n"
             },
         };
     }
@@ -81,10 +86,10 @@
         return new Object[][] {
             {
                 batch(
-                        ORDERED
+                        ORDERED_CLASS
                                 + "ORDER 9 - 1 job f00d - 5000000 1 20000\nORDER 8 - 1 job f00d - 5000000 1 2\n"
                                 + "ORDER 7 - 1 job cafe - 5000000 1 20000\n"),
-                "SOURCE 3\n" + WAKEUP + ATTEMPT + "TRY 7 77 0\nDONE\n"
+                "SOURCE 3\n" + WAKEUP_ACTION + ATTEMPT_ACTION + "TRY 7 77 0\nDONE\n"
             },
             {
                 batch(
@@ -92,7 +97,7 @@
                 "DONE\n"
             },
             {
-                batch("SYNC D 2 1\nROW std 1 a - 77 0 left\n" + ORDER),
+                batch("SYNC D 2 1\nROW std 1 a - 77 0 left\n" + REQUEST_LINE),
                 "SOURCE 3\nOVERLOAD_REPLY 9 0\nDONE\n"
             },
         };
@@ -104,7 +109,7 @@
         assertEquals(run(input), expected);
     }
 
-    /** The wakeups for polling the list are apart from those of the policy. */
+    /** Guards against a wakeup of the policy causing a poll of the endpoint list. */
     @Test
     public void pollsEndpointListWithBackoffAfterFailures() throws IOException, WireException {
         String polling = batch("").replace("membership_mode=push", "membership_mode=ask");
@@ -122,7 +127,7 @@
                         .toArray();
         assertTrue(delays[0] >= 500_000 && delays[0] < 1_000_000, replies);
         assertTrue(delays[3] >= 1_250_000 && delays[3] < 2_500_000, replies);
-        // A response resets the backoff.
+        // A response of discovery resets the backoff.
         String response = "FRAME 9500000\nAT 3\nSYNC D 2 0\nYOUR_TURN\n";
         assertTrue(
                 run(polling + (failed + retryWakeup).repeat(4) + response + failed)
@@ -132,7 +137,7 @@
     @DataProvider
     public Object[][] malformedInputs() {
         return new Object[][] {
-            // input, text that the message must contain
+            // The input, and a part of the expected error message.
             {"HELLO\n", "line 1"},
             {"FRAME x\nYOUR_TURN\n", "time_us"},
             {"FRAME 1\nAT 3\nORDER 1\nYOUR_TURN\n", "not configured"},
@@ -167,9 +172,10 @@
         for (int i = 0; i < 5000; i++) {
             list.append("ROW std 1 a - ").append(1000 + i).append(" 0 active\n");
         }
-        String conf = CONF.replace("later.key=what", "later.key=" + "x".repeat(200_000));
+        String conf = CONFIGURE_LINE.replace("later.key=what", "later.key=" + "x".repeat(200_000));
         assertTrue(
-                run("FRAME 1000\nAT 3\n" + conf + list + ORDER + "YOUR_TURN\n").contains("TRY 9 "));
+                run("FRAME 1000\nAT 3\n" + conf + list + REQUEST_LINE + "YOUR_TURN\n")
+                        .contains("TRY 9 "));
         assertThrows(WireException.class, () -> run("x".repeat(300_000) + "\n"));
     }
 }
--- a/daemon/src/test/java/wheelroute/decision/estimates/EstimatesTest.java
+++ b/daemon/src/test/java/wheelroute/decision/estimates/EstimatesTest.java
@@ -12,25 +12,34 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.decision.RequestHandle;
 
-/** What is learned of speeds, slots, waits and cost estimates, as seen in the choices. */
+/**
+ * Tests how measured speeds, slots and waits, and the accuracy of cost estimates, affect the choice
+ * of a worker.
+ */
 public class EstimatesTest {
     @DataProvider
     public Object[][] ages() {
-        // seconds since a worker's start, whether it is always chosen beside one with waits
+        // The seconds since the start of a worker, and whether it is always chosen over a worker
+        // with
+        // measured waits.
         return new Object[][] {{5.0, true}, {19.0, true}, {21.0, false}, {25.0, false}};
     }
 
-    /** Past its slow start a worker gets its model's mean wait, or all requests would prefer it. */
+    /**
+     * Guards against all requests preferring a worker that has just finished its slow start: the
+     * mean wait of its model must apply to the worker from then on.
+     */
     @Test(dataProvider = "ages")
-    public void assumesNoQueueOnlyInSlowStart(double ageSeconds, boolean always) {
+    public void assumesNoQueueOnlyInSlowStart(double ageSeconds, boolean alwaysChosen) {
         int chosen = 0;
-        for (int learned = 10; learned < 30; learned++) {
+        for (int requests = 10; requests < 30; requests++) {
             PolicyHarness harness =
                     PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(1);
-            for (int i = 0; i < learned; i++) {
+            for (int i = 0; i < requests; i++) {
                 RequestHandle handle = harness.accept(0.1);
-                // The last waits are shorter, so that the mean of the model is above its own.
-                harness.advance(i < learned - 8 ? 0.8 : 0.3);
+                // The last waits are shorter, so that the mean wait of the model is above the mean
+                // wait of this worker.
+                harness.advance(i < requests - 8 ? 0.8 : 0.3);
                 handle.onStarted(0);
                 harness.advance(0.1);
                 harness.endAttempt(handle, 0, Outcome.SUCCEEDED);
@@ -38,20 +47,25 @@
             harness.updateWorker(2, harness.now - ageSeconds, State.READY).accept(0.1);
             chosen += harness.lastWorker() == 2 ? 1 : 0;
         }
-        assertTrue(always ? chosen == 20 : chosen < 20, "chosen " + chosen + " times of 20");
+        assertTrue(
+                alwaysChosen ? chosen == 20 : chosen < 20,
+                "the new worker was chosen " + chosen + " times of 20");
     }
 
     @DataProvider
     public Object[][] overlaps() {
         return new Object[][] {
-            // seconds between a second start and the end of the first job, attempts until the
-            // first rejection
+            // The seconds from the second start to the end of the first job, and the number of
+            // attempts before the first rejection.
             {0.02, 2},
             {0.2, 4},
         };
     }
 
-    /** The message about a start may overtake the one about an end. */
+    /**
+     * Guards against counting a slot too many when the message about the start of a job overtakes
+     * the message about the end of the previous one.
+     */
     @Test(dataProvider = "overlaps")
     public void countsSlotOnlyForJobsThatOverlapLongEnough(double overlapSeconds, int attempts) {
         PolicyHarness harness =
@@ -72,26 +86,31 @@
     @DataProvider
     public Object[][] estimatesAndRuns() {
         return new Object[][] {
-            // runs follow their estimates, the action after an estimate of 9 s
+            // Whether runs match their estimates, and the last action after a request with an
+            // estimate of 9 s.
             {true, "reject"},
             {false, "attempt"},
         };
     }
 
     @Test(dataProvider = "estimatesAndRuns")
-    public void trustsCostEstimatesAsFarAsRunsFollowThem(boolean follow, String nextAction) {
+    public void trustsCostEstimatesAsFarAsRunsFollowThem(
+            boolean runsMatchEstimates, String nextAction) {
         PolicyHarness harness =
                 PolicyHarness.of(Idempotency.IDEMPOTENT, IdempotencyScope.CELL).listWorkers(1);
         for (int i = 0; i < 60; i++) {
             double estimatedWork = i % 2 == 0 ? 0.05 : 1.0;
-            harness.serve(estimatedWork, follow ? estimatedWork : 0.5);
+            harness.serve(estimatedWork, runsMatchEstimates ? estimatedWork : 0.5);
         }
         harness.accept(9).onStarted(0);
         harness.accept(0.05);
         assertTrue(harness.lastAction().startsWith(nextAction), harness.actions.toString());
     }
 
-    /** Otherwise a release, after which many workers warm up, would make a model look slow. */
+    /**
+     * Guards against a release, after which many workers are in slow start, making their model look
+     * slow.
+     */
     @Test
     public void modelIgnoresRunsInSlowStart() {
         PolicyHarness harness =
@@ -110,10 +129,13 @@
         harness.acceptUntilRejection(0.5);
         assertTrue(
                 harness.countActions("attempt") >= 3,
-                "a new worker is not assumed to be as fast as its model: " + harness.actions);
+                "a new worker was not assumed to be as fast as its model: " + harness.actions);
     }
 
-    /** A worker in slow start is preferred to one that is slower for good. */
+    /**
+     * Guards against judging a worker by its runs in slow start: the worker must be preferred to
+     * one that is permanently slower.
+     */
     @Test
     public void scalesRunsInSlowStartToFullSpeed() {
         PolicyHarness harness =
@@ -125,7 +147,7 @@
         double start = harness.now - 8;
         harness.updateWorker(2, Double.NaN, State.DRAINING).updateWorker(1, start, State.READY);
         for (int i = 0; i < 8; i++) {
-            // The run takes longer by the ramp fraction at this time of its slow start of 20 s.
+            // The run time is divided by the ramp fraction at this point of a slow start of 20 s.
             assertEquals(harness.serve(0.1, 0.1 / (0.25 + 0.75 * (harness.now - start) / 20)), 1);
         }
         harness.updateWorker(2, Double.NaN, State.READY).accept(0.1);
