--- a/daemon/src/main/java/wheelroute/adapter/DispatcherInstance.java
+++ b/daemon/src/main/java/wheelroute/adapter/DispatcherInstance.java
@@ -14,10 +14,10 @@
     private final long id;
     private final Map<Long, RequestHandle> handles = new HashMap<>();
 
-    /** The ids by name, kept so that requests with the same name share one object. */
+    /** The ids of request classes by name, kept to avoid an allocation for each request. */
     private final Map<String, Ids.RequestClass> requestClasses = new HashMap<>();
 
-    /** The tenant ids by name, kept for the same reason as the request classes. */
+    /** The ids of tenants by name, kept to avoid an allocation for each request. */
     private final Map<String, Ids.Tenant> tenants = new HashMap<>();
 
     private Policy policy;
@@ -43,7 +43,7 @@
         backoff = settings.watchesEndpoints() ? new Backoff(settings.seed()) : null;
     }
 
-    /** Removes the policy and all requests, as the process of the dispatcher was killed. */
+    /** Removes the policy and all requests, for a dispatcher whose process was killed. */
     void kill() {
         policy = null;
         handles.clear();
--- a/daemon/src/main/java/wheelroute/adapter/LineReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/LineReader.java
@@ -10,8 +10,8 @@
  * the next one of the current line. A field of '-' counts as absent. The names of fields are those
  * of the protocol, and are only used in error messages.
  *
- * <p>Numbers are parsed in the buffer, without a string for each, since a simulation has many
- * lines. Not thread-safe.
+ * <p>Lines are parsed in the buffer without being copied, because a simulation has many of them.
+ * Not thread-safe.
  */
 final class LineReader {
     private static final int INITIAL_BUFFER_BYTES = 1 << 16;
@@ -19,7 +19,7 @@
     /** Maximum length of the part of a line that an error message quotes. */
     private static final int MAX_QUOTED_BYTES = 80;
 
-    /** Maximum number of digits of a whole number, with which any number fits into a long. */
+    /** Maximum number of digits of a whole number; every such number fits into a long. */
     private static final int MAX_DIGITS = 18;
 
     private static final int DECIMAL_RADIX = 10;
@@ -105,7 +105,7 @@
         return position < lineEnd;
     }
 
-    /** Reads a text; '-' is returned as it is. */
+    /** Reads a text; a field of '-' is returned as it is. */
     String readText(String name) throws WireException {
         int end = fieldEnd(name);
         String text = new String(buffer, position, end - position, StandardCharsets.UTF_8);
--- a/daemon/src/main/java/wheelroute/adapter/LoadReportReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/LoadReportReader.java
@@ -2,7 +2,10 @@
 
 import wheelroute.decision.LoadReport;
 
-/** Reads load reports of workers, which are comma-separated pairs in the field {@code stats}. */
+/**
+ * Reads the load reports of workers, which are comma-separated name:value pairs in the field {@code
+ * stats}.
+ */
 final class LoadReportReader {
     /** Name of the pair that holds the number of free slots; all other pairs are ignored. */
     private static final String FREE_SLOTS = "x0";
--- a/daemon/src/main/java/wheelroute/decision/estimates/AttemptMeasurements.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/AttemptMeasurements.java
@@ -121,8 +121,8 @@
             cacheMissCost.record(now, attempt.affinityRank(), request.work(), excess);
             return;
         }
-        // Scaled to a worker past its slow start: WorkerEstimates multiplies the speed that results
-        // from these runs by the current ramp fraction.
+        // The run time is scaled to that of a worker past its slow start, because WorkerEstimates
+        // multiplies the speed that results from these runs by the current ramp fraction.
         double rampFraction = estimates.rampFraction(from);
         attempt.worker().statistics().recordRun(now, request.work(), run * rampFraction);
         if (rampFraction >= 1) {
--- a/daemon/src/main/java/wheelroute/decision/estimates/CostEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/CostEstimates.java
@@ -36,8 +36,8 @@
      */
     public double workFor(double estimate) {
         if (!(estimate > 0)) {
-            // An estimate of 0 is ignored as well: the cost of an attempt in another zone, which is
-            // divided by the work, would be infinite.
+            // An estimate of 0 is ignored as well, because the cost of an attempt in another zone
+            // is divided by the work and would be infinite.
             return meanWork();
         }
         estimates.add(0, estimate);
--- a/daemon/src/main/java/wheelroute/decision/estimates/ModelStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/ModelStatistics.java
@@ -187,8 +187,8 @@
     }
 
     /**
-     * Computes the mean waits. The means decay even without new samples: otherwise high waits,
-     * which cause rejections and thus prevent new samples, would persist for ever.
+     * Computes the mean waits. The means decay even without new samples, because otherwise high
+     * waits, which cause rejections and thus prevent new samples, would persist for ever.
      */
     void updateWaits(double now, double memorySeconds, double recentMemorySeconds) {
         externalWait =
--- a/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/WorkerEstimates.java
@@ -20,8 +20,8 @@
     static final double RECENT_MEMORY_SECONDS = 1.5;
 
     /**
-     * Weight of the mean wait of the model, in samples of the worker's own waits, which a single
-     * long job can distort.
+     * Weight of the mean wait of the model, in samples of the worker's own waits. The mean of the
+     * model is included because a single long job can distort the worker's own waits.
      */
     private static final double MODEL_PRIOR_SAMPLES = 4;
 
@@ -35,8 +35,8 @@
     private static final int MAX_SLOTS = 64;
 
     /**
-     * Time after its start from which a job counts as running at the same time as others, because
-     * the message about the end of an earlier job may arrive late.
+     * Minimum time since its start for a job to count as running at the same time as others,
+     * because the message about the end of an earlier job may arrive late.
      */
     private static final double SETTLING_SECONDS = 0.05;
 
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Returns the minimum fraction of its capacity that the worker has at a time: the fraction
-     * grows at least linearly during slow start, and is 1 afterwards.
+     * Returns the minimum fraction of its capacity that the worker has at a time. The fraction
+     * grows at least linearly during slow start and is 1 afterwards.
      */
     public double rampFraction(double time) {
         double ageSeconds = time - worker.endpoint().startedAt();
--- a/daemon/src/main/java/wheelroute/decision/state/Attempt.java
+++ b/daemon/src/main/java/wheelroute/decision/state/Attempt.java
@@ -173,8 +173,8 @@
     }
 
     /**
-     * Returns the seconds from the send until a given time, minus the expected wait behind this
-     * dispatcher's own attempts: the waiting that those attempts do not explain.
+     * Returns the part of the wait until a given time, in seconds, that this dispatcher's own
+     * attempts do not explain.
      */
     public double unexplainedWait(double until) {
         return until - sentAt - ownWaitSeconds;
--- a/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
+++ b/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
@@ -28,6 +28,7 @@
     /**
      * Creates the state of a request that is accepted now.
      *
+     * @param acceptedAt the current time, in seconds
      * @param affinity the workers that likely cache the data of the request's key; null if the
      *     request has no key
      * @param queue the queue of the request's key; null if the request class is not ordered
@@ -144,7 +145,7 @@
         return done && inFlight == 0;
     }
 
-    /** Marks that part of a result was sent to the client: no other attempt may answer any more. */
+    /** Marks that part of a result was sent to the client, so that no other attempt may answer. */
     public void markStreaming() {
         streaming = true;
     }
--- a/daemon/src/test/java/wheelroute/decision/estimates/EstimatesTest.java
+++ b/daemon/src/test/java/wheelroute/decision/estimates/EstimatesTest.java
@@ -19,9 +19,8 @@
 public class EstimatesTest {
     @DataProvider
     public Object[][] ages() {
-        // The seconds since the start of a worker, and whether it is always chosen over a worker
-        // with
-        // measured waits.
+        // The seconds since the start of a new worker, and whether the new worker is always chosen
+        // over one with measured waits.
         return new Object[][] {{5.0, true}, {19.0, true}, {21.0, false}, {25.0, false}};
     }
 
@@ -86,8 +85,8 @@
     @DataProvider
     public Object[][] estimatesAndRuns() {
         return new Object[][] {
-            // Whether runs match their estimates, and the last action after a request with an
-            // estimate of 9 s.
+            // Whether runs match their estimates, and the expected action for a request that
+            // follows one with an estimate of 9 s.
             {true, "reject"},
             {false, "attempt"},
         };
