--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -125,7 +125,7 @@
             return null;
         }
         TrackedRequest tracked = track(request, requestClass);
-        state.traffic().noteFirst(tracked.acceptedAt());
+        state.traffic().recordFirstRequest(tracked.acceptedAt());
         if (!request.clientRetry()) {
             // A client's retry is not counted as load or use of a quota: counted, rejections would
             // raise the rates that lead to rejections.
--- a/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
@@ -32,7 +32,7 @@
     private double meanPrice = 1;
 
     /** Records the time at which the first request was accepted; later calls have no effect. */
-    public void noteFirst(double now) {
+    public void recordFirstRequest(double now) {
         firstAcceptedAt = Math.min(firstAcceptedAt, now);
     }
 
