--- a/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
@@ -41,7 +41,7 @@
         if (attempt.isReplaced()) {
             return false;
         }
-        attempt.markReplaced();
+        attempt.markReplacementTried();
         TrackedRequest request = attempt.request();
         return switch (retryRules.replacementFor(attempt, () -> selector.hasFallback(request))) {
             case HEDGE -> placer.place(request) == PlacementResult.ATTEMPT_STARTED;
--- a/daemon/src/main/java/wheelroute/decision/state/Attempt.java
+++ b/daemon/src/main/java/wheelroute/decision/state/Attempt.java
@@ -163,7 +163,7 @@
     }
 
     /** Marks that a replacement at another worker was tried, which happens at most once. */
-    public void markReplaced() {
+    public void markReplacementTried() {
         replaced = true;
     }
 
