--- a/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
@@ -38,7 +38,7 @@
 
     /** Returns whether the attempt was hedged or cancelled. */
     private boolean replace(Attempt attempt) {
-        if (attempt.isReplaced()) {
+        if (attempt.isReplacementTried()) {
             return false;
         }
         attempt.markReplacementTried();
--- a/daemon/src/main/java/wheelroute/decision/state/Attempt.java
+++ b/daemon/src/main/java/wheelroute/decision/state/Attempt.java
@@ -168,7 +168,7 @@
     }
 
     /** Returns whether a replacement at another worker was tried, successfully or not. */
-    public boolean isReplaced() {
+    public boolean isReplacementTried() {
         return replaced;
     }
 
