--- a/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
@@ -29,7 +29,7 @@
     private double firstAcceptedAt = Double.POSITIVE_INFINITY;
     private double meanWork = STANDARD_WORK;
     private double meanValue = 1;
-    private double meanPrice = 1;
+    private double meanWeightedWork = 1;
 
     /** Records the time at which the first request was accepted; later calls have no effect. */
     public void recordFirstRequest(double now) {
@@ -52,7 +52,7 @@
     void refreshMeans() {
         meanWork = arrivals.meanOfFirst(STANDARD_WORK);
         meanValue = arrivals.meanOfSecond();
-        meanPrice = arrivals.meanOfProduct();
+        meanWeightedWork = arrivals.meanOfProduct();
     }
 
     /**
@@ -72,8 +72,8 @@
      * Returns the mean of work times priority weight of a request as of the last choice of a
      * worker. This is the unit of the prices in the settings.
      */
-    public double meanPrice() {
-        return meanPrice;
+    public double meanWeightedWork() {
+        return meanWeightedWork;
     }
 
     /** Returns the mean of work times slots of the latest requests. */
--- a/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
@@ -89,7 +89,7 @@
      * the cost, by what the request would lose if it were late.
      */
     private double asCost(double price) {
-        return price * inputs.traffic().meanPrice() * objective / request.work() / lateLoss;
+        return price * inputs.traffic().meanWeightedWork() * objective / request.work() / lateLoss;
     }
 
     /** Returns the probability that a wait of this mean exceeds the slack before the objective. */
