--- a/daemon/src/main/java/wheelroute/decision/Policy.java
+++ b/daemon/src/main/java/wheelroute/decision/Policy.java
@@ -139,7 +139,7 @@
             return null;
         }
         TrackedRequest tracked = track(request, requestClass);
-        state.traffic().noteFirst(tracked.acceptedAt());
+        state.traffic().recordFirstRequest(tracked.acceptedAt());
         if (!request.clientRetry()) {
             // A client's retry counts neither as load nor as use of a quota. Otherwise rejections
             // would raise the rates that lead to rejections.
--- a/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/AttemptReplacer.java
@@ -41,10 +41,10 @@
      * cancelled.
      */
     private boolean replace(Attempt attempt) {
-        if (attempt.isReplaced()) {
+        if (attempt.isReplacementTried()) {
             return false;
         }
-        attempt.markReplaced();
+        attempt.markReplacementTried();
         TrackedRequest request = attempt.request();
         return switch (retryRules.replacementFor(attempt, () -> selector.hasFallback(request))) {
             case HEDGE -> placer.place(request) == PlacementResult.ATTEMPT_STARTED;
