--- a/daemon/src/main/java/wheelroute/net/admin/AdminConnection.java
+++ b/daemon/src/main/java/wheelroute/net/admin/AdminConnection.java
@@ -10,14 +10,17 @@
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * The connection of one command: reads a line, sends the response, and closes. Only for the event
- * loop's thread.
+ * A connection for one command: reads a line, sends the response and closes the connection.
+ * Confined to the event loop's thread.
  */
 final class AdminConnection extends StreamConnection {
-    /** Longer than any command. */
+    /** Maximum length of a line, which exceeds the length of any command. */
     private static final int MAX_LINE_BYTES = 64;
 
-    /** For receiving the command, and again for the caller to read the response. */
+    /**
+     * Timeout for receiving the command, and again for the caller to read the response and close
+     * the connection.
+     */
     private static final double TIMEOUT_SECONDS = 2;
 
     private final AdminServer server;
@@ -56,7 +59,7 @@
         answer(server.answer(new String(line, StandardCharsets.UTF_8).strip()));
     }
 
-    /** Answers the line received so far: the end of stream completes it, like a line feed. */
+    /** Answers the line received so far, which the end of the stream completes like a line feed. */
     @Override
     protected void onEndOfStream() {
         if (answered || lines.isEmpty()) {
@@ -76,8 +79,7 @@
         timeout.cancel();
         timeout = loop.schedule(TIMEOUT_SECONDS, this::close);
         // Only the output is closed. Closing both directions while the caller is still sending
-        // would
-        // reset the connection, and the response could be lost.
+        // would reset the connection, and the response could be lost.
         Callback written =
                 Callback.from(
                         () -> getEndPoint().shutdownOutput(), cause -> loop.post(this::close));
--- a/daemon/src/main/java/wheelroute/net/admin/AdminServer.java
+++ b/daemon/src/main/java/wheelroute/net/admin/AdminServer.java
@@ -10,20 +10,23 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * The admin server: answers operators' commands on an address of its own, so that it is reachable
- * regardless of the number of clients. Only for the event loop's thread.
+ * Answers operators' commands on a separate address, so that operators can connect regardless of
+ * the number of clients. Confined to the event loop's thread.
  */
 public final class AdminServer implements EventLoop.ChannelHandler {
-    /** The maximum number of connections; one more evicts the oldest. */
+    /** Maximum number of connections. A further connection evicts the oldest one. */
     public static final int MAX_CONNECTIONS = 8;
 
-    /** The connections, the listening socket, and a connection that is being accepted. */
+    /**
+     * Maximum number of file descriptors: the connections, the listening socket, and a connection
+     * that is being accepted.
+     */
     public static final int DESCRIPTORS = MAX_CONNECTIONS + 2;
 
     private final EventLoop loop;
     private final ServiceStatus status;
 
-    /** In the order in which they were opened. */
+    /** The open connections in the order in which they were opened. */
     private final Set<AdminConnection> connections = new LinkedHashSet<>();
 
     private ServerSocketChannel server;
@@ -43,7 +46,9 @@
         server = loop.listen(address, this);
     }
 
-    /** Returns the local port, which the system has chosen if the configured one is 0. */
+    /**
+     * Returns the local port, which the operating system has chosen if the configured port is 0.
+     */
     public int port() {
         return server.socket().getLocalPort();
     }
@@ -58,7 +63,10 @@
         // The connection broke before a command could be received.
     }
 
-    /** Adds a connection; evicts the oldest, which has had the most time, if there are too many. */
+    /**
+     * Adds a connection. If there are too many, closes the oldest one, which has had the most time
+     * for its command.
+     */
     void onOpened(AdminConnection connection) {
         if (connections.size() >= MAX_CONNECTIONS) {
             connections.iterator().next().close();
@@ -66,12 +74,12 @@
         connections.add(connection);
     }
 
-    /** Removes a connection; may be called more than once. */
+    /** Removes a connection. May be called more than once for a connection. */
     void onClosed(AdminConnection connection) {
         connections.remove(connection);
     }
 
-    /** Returns the response to a command, including its last line feed. */
+    /** Returns the response to a command, including the line feed at its end. */
     String answer(String command) {
         return switch (command) {
             case "READY" -> readiness(status.notReadyReason());
@@ -85,7 +93,9 @@
         return reason == null ? "ok ready\n" : "fail " + reason + "\n";
     }
 
-    private static String members(String peers) {
-        return peers == null ? "fail this dispatcher knows no others\n" : peers + "eof\n";
+    private static String members(String membersText) {
+        return membersText == null
+                ? "fail this dispatcher knows no others\n"
+                : membersText + "eof\n";
     }
 }
--- a/daemon/src/main/java/wheelroute/net/admin/StatsText.java
+++ b/daemon/src/main/java/wheelroute/net/admin/StatsText.java
@@ -4,7 +4,10 @@
 import wheelroute.net.metrics.Counters;
 import wheelroute.net.metrics.Gauges;
 
-/** Formats the metrics under the platform's names, one a line, in statsd's format. */
+/**
+ * Formats the metrics in the statsd format with the names that the platform prescribes, one metric
+ * per line.
+ */
 final class StatsText {
     private static final String PREFIX = "app.";
     private static final char COUNTER = 'c';
@@ -14,21 +17,22 @@
 
     private StatsText() {}
 
-    /** Returns the response to the STATS command, without its last line. */
+    /** Returns the response to the STATS command, without the last line, which marks its end. */
     static String of(Counters counters, Gauges gauges) {
         StatsText text = new StatsText();
         for (Ids.RequestClass requestClass : counters.requestClasses()) {
             for (Counters.FinalAnswer answer : Counters.FinalAnswer.values()) {
-                text.line(
-                        name(answer) + "." + sanitized(requestClass.name()),
+                text.appendLine(
+                        name(answer) + "." + sanitize(requestClass.name()),
                         counters.value(requestClass, answer),
                         COUNTER);
             }
         }
-        text.line("upstream_requests", counters.value(Counters.Counter.ATTEMPTS_WRITTEN), COUNTER);
-        text.line("pending", gauges.pending(), GAUGE);
-        text.line("members", gauges.listed(), GAUGE);
-        text.line("members_unavailable", gauges.avoided(), GAUGE);
+        text.appendLine(
+                "upstream_requests", counters.value(Counters.Counter.ATTEMPTS_WRITTEN), COUNTER);
+        text.appendLine("pending", gauges.pending(), GAUGE);
+        text.appendLine("members", gauges.listed(), GAUGE);
+        text.appendLine("members_unavailable", gauges.avoided(), GAUGE);
         return text.out.toString();
     }
 
@@ -40,12 +44,12 @@
         };
     }
 
-    /** Replaces characters that may have a meaning in the format. */
-    private static String sanitized(String name) {
+    /** Replaces characters that may have a special meaning in the statsd format. */
+    private static String sanitize(String name) {
         return name.replaceAll("[^A-Za-z0-9_-]", "_");
     }
 
-    private void line(String name, long value, char type) {
+    private void appendLine(String name, long value, char type) {
         out.append(PREFIX)
                 .append(name)
                 .append(':')
--- a/daemon/src/main/java/wheelroute/net/admin/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/admin/package-info.java
@@ -1,2 +1,2 @@
-/** The admin server, on which operators' scripts send commands, one a connection. */
+/** The admin server, to which operators' scripts send commands, one command per connection. */
 package wheelroute.net.admin;
--- a/daemon/src/main/java/wheelroute/net/discovery/Backoff.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/Backoff.java
@@ -11,33 +11,35 @@
  * <p>Calls become rarer while discovery is down, and dispatchers whose calls failed together spread
  * out. Nevertheless the endpoint list must be complete within 6 s of discovery becoming reachable
  * again, however many calls have failed before. The maximum delay is therefore derived backwards
- * from that moment, R. A call that fails after R was started before R, or it would have been
- * answered. The time after R then consists of
+ * from that moment, R. A call that fails after R was started before R, because a call started after
+ * R is answered. The time from R until the list is complete then consists of
  *
  * <ul>
- *   <li>the rest of the failing call: at most its duration;
- *   <li>the delay after it: at most {@code MAX_RECOVERY_TIME_SECONDS - CALL_TIMEOUT_SECONDS -
- *       callDuration};
- *   <li>the next call, from its connect to the last byte of its response: at most {@link
+ *   <li>the rest of the failing call, at most its duration;
+ *   <li>the delay after that call, at most {@code MAX_RECOVERY_TIME_SECONDS - CALL_TIMEOUT_SECONDS
+ *       - callDuration};
+ *   <li>the next call, from its connect to the last byte of its response, at most {@link
  *       #CALL_TIMEOUT_SECONDS}, after which it times out.
  * </ul>
  *
- * <p>The sum is {@link #MAX_RECOVERY_TIME_SECONDS}, however the call failed. The exception is a
- * call whose response was received for seconds before it stalled, so that no time is left for a
- * delay: {@link #MIN_DELAY_SECONDS} applies nevertheless.
+ * <p>The sum is {@link #MAX_RECOVERY_TIME_SECONDS}, however the call failed. The only exception is
+ * a call whose response stalled after having been received for seconds. Such a call leaves no time
+ * for a delay, but {@link #MIN_DELAY_SECONDS} still applies.
  *
  * <p>With that bound alone a large fleet would never recover from an overload: if every dispatcher
  * calls again within the bound, the queue of discovery stays longer than any caller waits, and no
  * call is answered. A dispatcher that knows that discovery is overloaded therefore calls no more
- * often than {@link #fleetInterval} allows, and ever more rarely while the overload lasts. A
- * dispatcher of a large fleet also does so without that knowledge, from {@link
- * #FAILURES_BEFORE_FLEET_RATE} failures on. The recovery time is longer by as much.
+ * often than {@link #fleetInterval} allows, and doubles the interval with each failure while the
+ * overload lasts. A dispatcher of a large fleet also observes the fleet interval without knowing of
+ * an overload, from {@link #FAILURES_BEFORE_FLEET_RATE} failures on. The recovery time grows
+ * accordingly.
  *
  * <p>Times are in seconds. Not thread-safe.
  */
 public final class Backoff {
     /**
-     * 1.2 s less than the permitted recovery time, as a margin for a shared core and the network.
+     * Maximum time from discovery becoming reachable to the complete list, without rate limits for
+     * the fleet: 1.2 s less than the permitted 6 s, as a margin for a shared core and the network.
      */
     public static final double MAX_RECOVERY_TIME_SECONDS = 4.8;
 
@@ -45,37 +47,59 @@
     private static final double MIN_DELAY_SECONDS = 0.1;
 
     /**
-     * Timeout of a call, including its connect: the longest of which two fit into the recovery
-     * time. Discovery serves calls in order, and completes even those that have timed out. A
-     * shorter timeout would give up a place in its queue for which the work is done anyway.
+     * Timeout of a call, including its connect: the longest timeout of which two fit into the
+     * recovery time. Discovery serves calls in order, and completes even those that have timed out.
+     * With a shorter timeout a dispatcher would lose its place in the queue of discovery, although
+     * discovery still spends the work on the call.
      */
     public static final double CALL_TIMEOUT_SECONDS =
             (MAX_RECOVERY_TIME_SECONDS - 2 * MIN_DELAY_SECONDS) / 2;
 
-    /** Lower bound of the first delay; doubles with each failure up to the maximum delay. */
+    /**
+     * Lower bound of the first delay; the bound doubles with each failure up to the maximum delay.
+     */
     private static final double INITIAL_DELAY_SECONDS = 0.5;
 
-    /** The fleet interval per dispatcher: discovery's work for a call, with a margin. */
+    /**
+     * The share of each dispatcher in the fleet interval: the time that discovery needs for one
+     * call, with a margin.
+     */
     private static final double FLEET_INTERVAL_PER_DISPATCHER_SECONDS = 0.1;
 
-    /** A discovery that cannot serve the fleet in this time cannot announce a change within 6 s. */
+    /**
+     * Upper bound of the fleet interval: a discovery that needs longer to serve the whole fleet
+     * cannot announce a change within 6 s.
+     */
     private static final double MAX_FLEET_INTERVAL_SECONDS = 5;
 
-    /** With fewer failures there has been no time for an overload to build up. */
+    /**
+     * The number of consecutive failures from which a large fleet observes the fleet interval.
+     * Before that an overload has had no time to build up.
+     */
     private static final int FAILURES_BEFORE_FLEET_RATE = 3;
 
-    /** Under overload the interval doubles up to this, so that a recovery is still noticed soon. */
+    /**
+     * Upper bound of the interval between calls, which doubles with each failure under overload.
+     * The bound ensures that a recovery is still noticed soon.
+     */
     private static final double MAX_OVERLOAD_INTERVAL_SECONDS = 20;
 
     /**
-     * First calls of a fleet that may have started together are spread over this per dispatcher.
+     * The share of each dispatcher in the start spread, the time over which the first calls of a
+     * fleet that may have started together are distributed.
      */
     private static final double START_SPREAD_PER_DISPATCHER_SECONDS = 0.08;
 
-    /** Including the time in discovery's queue, the first response still arrives within 6 s. */
+    /**
+     * Upper bound of the start spread, with which the first response still arrives within 6 s,
+     * including the time in the queue of discovery.
+     */
     private static final double MAX_START_SPREAD_SECONDS = 4;
 
-    /** A fleet so small that its spread would be below this is not spread at all. */
+    /**
+     * Lower bound of the start spread: the first calls of a fleet whose spread would be shorter are
+     * not delayed at all.
+     */
     private static final double MIN_START_SPREAD_SECONDS = 1;
 
     private final SplittableRandom random;
@@ -85,7 +109,7 @@
     private double overloadInterval;
 
     /**
-     * Creates the backoff of a dispatcher that is the only one.
+     * Creates the backoff of a dispatcher that is the only one to call discovery.
      *
      * @param seed of the jitter
      */
@@ -106,8 +130,8 @@
     }
 
     /**
-     * Returns the delay before the first call of a process that has a list: processes that start
-     * together would otherwise fill discovery's queue.
+     * Returns the delay in seconds before the first call of a process that has a list. Without a
+     * delay, processes that start together would fill the queue of discovery.
      */
     public double startDelay() {
         double spread =
@@ -117,15 +141,18 @@
         return spread < MIN_START_SPREAD_SECONDS ? 0 : spread * random.nextDouble();
     }
 
-    /** Returns the delay before the next call to a discovery that is not known to be overloaded. */
+    /**
+     * Returns the delay in seconds before the next call to a discovery that is not known to be
+     * overloaded.
+     */
     public double nextDelay(double callDuration) {
         return nextDelay(callDuration, false);
     }
 
     /**
-     * Returns the delay before the next call, after a call that failed or timed out.
+     * Returns the delay in seconds before the next call, after a call that failed or timed out.
      *
-     * @param callDuration from the failed call's connect to its failure
+     * @param callDuration the time from the failed call's connect to its failure, in seconds
      * @param overloaded whether discovery is known to have more callers than it can serve
      */
     public double nextDelay(double callDuration, boolean overloaded) {
@@ -139,7 +166,7 @@
         return Math.max(delay, nextInterval(overloaded) - callDuration);
     }
 
-    /** Returns the minimum time from the start of the failed call to that of the next. */
+    /** Returns the minimum time from the start of the failed call to the start of the next one. */
     private double nextInterval(boolean overloaded) {
         failures++;
         double interval = 0;
@@ -149,21 +176,29 @@
         } else if (failures >= FAILURES_BEFORE_FLEET_RATE && isLargeFleet()) {
             interval = fleetInterval();
         }
-        // Jitter of half the interval either way, so that the dispatchers' calls stay spread out.
+        // The jitter is up to half the interval either way, so that the dispatchers' calls stay
+        // spread out.
         return interval > 0 ? interval * (0.5 + random.nextDouble()) : 0;
     }
 
-    /** Whether the fleet, calling within the recovery time, would exceed the rate it may use. */
+    /**
+     * Returns whether the fleet would exceed its permitted call rate if each dispatcher called
+     * within the recovery time.
+     */
     public boolean isLargeFleet() {
         return fleetInterval() > MAX_RECOVERY_TIME_SECONDS - CALL_TIMEOUT_SECONDS;
     }
 
+    /** Returns the minimum interval between the calls of one dispatcher of this fleet. */
     private double fleetInterval() {
         return Math.min(
                 MAX_FLEET_INTERVAL_SECONDS, FLEET_INTERVAL_PER_DISPATCHER_SECONDS * dispatchers);
     }
 
-    /** Returns to the initial state, after a call that was answered. */
+    /**
+     * Resets the delays and the number of failures to their initial values, after a call that was
+     * answered.
+     */
     public void reset() {
         currentDelay = INITIAL_DELAY_SECONDS;
         failures = 0;
--- a/daemon/src/main/java/wheelroute/net/discovery/CallFailure.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/CallFailure.java
@@ -1,15 +1,16 @@
 package wheelroute.net.discovery;
 
 /**
- * A failed call to discovery, as far as the time of the next call depends on it.
+ * The properties of a failed call to discovery that determine when the next call is made.
  *
  * @param kind how the call failed
  * @param connected whether the connection had been established
  * @param held whether discovery was allowed to hold the call until a change
  * @param rejected whether discovery answered with an error status
  * @param answeredBefore whether the watch has had a response since its last failure, on this
- *     connection or one before it
- * @param durationSeconds from the start of the call, the first with its connect, to its failure
+ *     connection or an earlier one
+ * @param durationSeconds the time from the start of the call to its failure; the first call of a
+ *     connection starts with the connect
  */
 record CallFailure(
         Kind kind,
--- a/daemon/src/main/java/wheelroute/net/discovery/CallProgress.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/CallProgress.java
@@ -4,8 +4,8 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * The progress of the open call on a connection to discovery. The first call includes the connect.
- * Only for the event loop's thread.
+ * Tracks the progress of the open call on a connection to discovery. The first call of a connection
+ * includes the connect. Confined to the event loop's thread.
  */
 final class CallProgress {
     private enum Phase {
@@ -23,20 +23,21 @@
     private final EventLoop loop;
     private Phase phase = Phase.CONNECTING;
 
-    /** On the event loop's clock, in seconds. */
+    /** Start of the open call on the event loop's clock, in seconds. */
     private double startedAt;
 
+    /** How long discovery may hold the open call; 0 if it may not. */
     private double holdSeconds;
 
-    /** Creates the progress of a call that starts now, with its connect. */
+    /** Creates the progress of a call that starts now with its connect. */
     CallProgress(EventLoop loop) {
         this.loop = loop;
         startedAt = loop.now();
     }
 
     /**
-     * Records that a request is being sent. It starts a new call unless it is the connection's
-     * first.
+     * Records that a request is being sent. Each request starts a new call, except the first
+     * request of a connection, whose call started with the connect.
      *
      * @param newHoldSeconds how long discovery may hold the call; 0 if it is not to be held
      */
@@ -48,32 +49,40 @@
         holdSeconds = newHoldSeconds;
     }
 
-    /** Records that a part of the response has arrived; returns true for the first part. */
+    /**
+     * Records that a part of the response has arrived. Returns true for the first part of a
+     * response.
+     */
     boolean onResponseBytes() {
         boolean isFirst = phase != Phase.READING;
         phase = Phase.READING;
         return isFirst;
     }
 
+    /** Returns whether the connection has been established and a request has been sent. */
     boolean isConnected() {
         return phase != Phase.CONNECTING;
     }
 
-    /** Whether discovery may hold the call until a change. */
+    /** Returns whether discovery may hold the call until a change. */
     boolean isHeld() {
         return holdSeconds != 0;
     }
 
+    /** Returns the time since the start of the open call. */
     double durationSeconds() {
         return loop.now() - startedAt;
     }
 
-    /** Returns the time left of a timeout that counts from the start of the call, in seconds. */
+    /**
+     * Returns the rest of a timeout that runs from the start of the call, in seconds; negative
+     * after the timeout.
+     */
     double secondsLeft(double timeoutSeconds) {
         return startedAt + timeoutSeconds - loop.now();
     }
 
-    /** Returns the phase and duration, for the log. */
+    /** Returns the phase, duration and hold time of the call for log lines. */
     @Override
     public String toString() {
         return String.format(
--- a/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
@@ -18,7 +18,7 @@
 import wheelroute.net.metrics.Counters;
 
 /**
- * One connection to discovery, and the calls that are made on it one after another. Only for the
+ * A connection to discovery and the calls that are made on it one after another. Confined to the
  * event loop's thread.
  */
 final class DiscoveryCall implements EventLoop.ChannelHandler, ResponseParser.Reader {
@@ -33,19 +33,23 @@
     /** Null until the connection is established. */
     private EndPoint endPoint;
 
-    /** Null before {@link #open}. */
+    /** The timeout of the open call; null before {@link #open}. */
     private EventLoop.Timer timeout;
 
-    /** Whether discovery has answered with an error status. */
+    /** Whether discovery has answered a call on this connection with an error status. */
     private boolean rejected;
 
+    /** Whether the watch has had a response since its last failure. */
     private boolean answeredBefore;
 
-    /** When the response must be complete; meaningful while it is being read. */
+    /**
+     * The time at which the response must be complete, on the event loop's clock in seconds. Only
+     * set while a response is being read.
+     */
     private double responseDeadline;
 
     /**
-     * Creates a call whose connection is not opened yet.
+     * Creates a connection that is not opened yet.
      *
      * @param answeredBefore whether the watch has had a response on an earlier connection since its
      *     last failure
@@ -64,13 +68,13 @@
         progress = new CallProgress(loop);
     }
 
-    /** Connects, and makes the first call once that has succeeded. */
+    /** Connects to discovery, and makes the first call once connected. */
     void open() {
         loop.connect(address, this);
         restartTimeout(watch.callPolicy().callTimeout());
     }
 
-    /** Closes the connection; the watch is notified of nothing more. */
+    /** Closes the connection. The watch is not notified of any further events. */
     void close() {
         timeout.cancel();
         if (endPoint != null) {
@@ -78,7 +82,7 @@
         }
     }
 
-    /** Returns the failure of the open call for the policy. */
+    /** Returns the failure of the open call, as the call policy needs it. */
     CallFailure failure(CallFailure.Kind kind) {
         return new CallFailure(
                 kind,
@@ -115,11 +119,9 @@
 
     @Override
     public void onFailed(Throwable cause) {
-        watch.onFailure(this, CallFailure.Kind.CALL_FAILED, "no connection");
+        watch.onFailure(this, CallFailure.Kind.CALL_FAILED, "connection failed: " + cause);
     }
 
-    // ---- the request
-
     private void sendRequest() {
         if (!watch.isCurrent(this)) {
             close();
@@ -148,9 +150,10 @@
                         : "?from=" + watch.version() + "&hold_ms=" + holdMillis);
     }
 
-    // ---- the response
-
-    /** A response that has begun must keep arriving, and must be complete in time. */
+    /**
+     * Restarts the timeout for a response that has begun. Further parts must keep arriving, and the
+     * response must be complete by its deadline.
+     */
     private void onResponseBytes() {
         DiscoveryCallPolicy policy = watch.callPolicy();
         if (progress.onResponseBytes()) {
@@ -165,7 +168,7 @@
         if (status != HttpStatus.OK_200) {
             counters.count(Counters.Counter.DISCOVERY_REJECTIONS);
             rejected = true;
-            throw new DiscoveryResponseException("status " + status);
+            throw new DiscoveryResponseException("response status " + status + " instead of 200");
         }
     }
 
@@ -199,7 +202,7 @@
         }
     }
 
-    /** The connection as the event loop sees it. */
+    /** Receives the events of the connection from the event loop. */
     private final class CallConnection extends StreamConnection {
         CallConnection(EndPoint endPoint) {
             super(endPoint, DiscoveryCall.this.loop);
@@ -224,7 +227,7 @@
 
         @Override
         protected void onEndOfStream() {
-            String reason = "the connection ended";
+            String reason = "connection closed by discovery";
             try {
                 parser.atEnd();
             } catch (IOException e) {
--- a/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCallPolicy.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCallPolicy.java
@@ -7,35 +7,38 @@
 
 /**
  * Decides when the calls of an endpoint watch are made, how long discovery may hold them, and when
- * they time out. This is the only place that does; {@link Backoff} computes the delays after
- * failures for it.
+ * they time out. No other class makes these decisions; {@link Backoff} only computes the delays
+ * after failures for this class.
  *
- * <p>What is decided depends on the {@link State}:
+ * <p>The decisions depend on the {@link State}:
  *
  * <table>
  *   <caption>Calls by state</caption>
  *   <tr><th>state</th><th>hold</th><th>timeout</th><th>delay after a failure</th></tr>
- *   <tr><td>steady</td><td>3 to 3.6 s</td><td>the hold and 0.9 s</td>
- *       <td>none if the connection was lost or a held call had no response, else backoff</td></tr>
+ *   <tr><td>steady</td><td>3 to 3.6 s</td><td>the hold time plus 0.9 s</td>
+ *       <td>none if a working connection was lost or a held call timed out, else backoff</td></tr>
  *   <tr><td>recovering</td><td>none</td><td>2.3 s</td><td>backoff</td></tr>
  *   <tr><td>catching up</td><td>none</td><td>1.2 s, in a large fleet 2.3 s</td><td>0.2 s</td></tr>
  *   <tr><td>overloaded</td><td>none</td><td>as if not overloaded</td>
- *       <td>backoff at a rate that the whole fleet may use</td></tr>
+ *       <td>backoff, limited to the call rate that the fleet may use</td></tr>
  * </table>
  *
  * <p>If the list is pushed, the delay after a failure is 0.2 s in each state.
  *
- * <p>Times are in seconds. Only for the event loop's thread.
+ * <p>Times are in seconds. Confined to the event loop's thread.
  */
 final class DiscoveryCallPolicy {
     /**
      * How long discovery may hold a call, without jitter. A change counts as known 6 s after a
      * watch has lost its connection unnoticed. A call is held for up to 3.6 s and times out after
-     * 4.5 s, which leaves the time to wait for a turn at discovery and to call once more.
+     * 4.5 s, which leaves time for one more call, including its wait in the queue of discovery.
      */
     private static final int HOLD_MILLIS = 3000;
 
-    /** Spreads the calls of dispatchers that started together. */
+    /**
+     * Maximum jitter of the hold time, which spreads the calls of dispatchers that started
+     * together.
+     */
     private static final int HOLD_JITTER_MILLIS = 600;
 
     /** A held call fails if no response arrives within this time after its hold. */
@@ -47,27 +50,42 @@
     /** A response that has begun must be complete within this time. */
     private static final double COMPLETE_RESPONSE_TIMEOUT_SECONDS = 3;
 
-    /** Without changes, a response after less than this fraction of the hold is early. */
+    /**
+     * A response without changes is early if it arrives after less than this fraction of the hold
+     * time.
+     */
     private static final double EARLY_HOLD_FRACTION = 0.5;
 
-    /** Delay after an early response without changes, so that calls do not follow in a loop. */
+    /**
+     * Delay after an early response without changes, so that calls are not repeated in a tight
+     * loop.
+     */
     private static final double EARLY_RESPONSE_DELAY_SECONDS = 0.1;
 
     /**
-     * Duration of catching up after a held call without a response, which may have hidden changes.
+     * Duration of the state {@link State#CATCHING_UP} after a held call without a response, because
+     * of which changes may have been missed.
      */
     private static final double CATCH_UP_SECONDS = 2;
 
-    /** The same for a new address, whose complete list must have been received after 4 s. */
+    /**
+     * Duration of the state {@link State#CATCHING_UP} at a new address, whose complete list must
+     * have been received after 4 s.
+     */
     private static final double NEW_ADDRESS_CATCH_UP_SECONDS = 4;
 
-    /** Timeout of a call while catching up in a small fleet: two more calls fit into the time. */
+    /**
+     * Timeout of a call while catching up in a small fleet, chosen so that two more calls fit into
+     * the remaining time.
+     */
     private static final double CATCH_UP_CALL_TIMEOUT_SECONDS = 1.2;
 
-    /** Delay after a failed call while catching up, and always if the list is pushed. */
+    /** Delay after a failed call while catching up, and in every state if the list is pushed. */
     private static final double SHORT_RETRY_DELAY_SECONDS = 0.2;
 
-    /** The condition of the watch, from the best to the worst; several may hold at a time. */
+    /**
+     * The state of the watch, in ascending order of severity; several may apply at the same time.
+     */
     enum State {
         /** The last call was answered. */
         STEADY,
@@ -84,7 +102,10 @@
     private final SplittableRandom random;
     private final Backoff backoff;
     private final OverloadDetector overloadDetector = new OverloadDetector();
+
+    /** The end of the state {@link State#CATCHING_UP}, on the event loop's clock in seconds. */
     private double catchUpUntil = Double.NEGATIVE_INFINITY;
+
     private boolean lastCallFailed;
 
     DiscoveryCallPolicy(EventLoop loop, EndpointWatch.WatchOptions options) {
@@ -94,7 +115,7 @@
         backoff = new Backoff(random.nextLong(), options.dispatchers());
     }
 
-    /** Returns the state, the worst one if several hold. */
+    /** Returns the most severe of the states that apply. */
     State state() {
         if (isOverloaded()) {
             return State.OVERLOADED;
@@ -105,7 +126,7 @@
         return lastCallFailed ? State.RECOVERING : State.STEADY;
     }
 
-    /** Whether discovery is up but has more callers than it can serve. */
+    /** Returns whether discovery is up but has more callers than it can serve. */
     boolean isOverloaded() {
         return overloadDetector.isOverloaded();
     }
@@ -114,19 +135,17 @@
         return loop.now() < catchUpUntil;
     }
 
-    // ---- events
-
-    /** Records that the watch starts at a new address, whose complete list is urgent. */
+    /** Records that the watch starts at a new address, whose complete list is needed urgently. */
     void onNewAddress() {
         catchUpUntil = loop.now() + NEW_ADDRESS_CATCH_UP_SECONDS;
     }
 
-    /** Records a list that was received: no change is missing any more. */
+    /** Records that a list was received, so that no change is missing any more. */
     void onList() {
         catchUpUntil = Double.NEGATIVE_INFINITY;
     }
 
-    /** Records a response that could be used. */
+    /** Records a valid response, which ends a backoff and an overload. */
     void onResponse() {
         lastCallFailed = false;
         overloadDetector.onResponse();
@@ -136,36 +155,41 @@
     /** Records a failed call; {@link #delayAfterFailure} then returns the delay after it. */
     void onFailure(CallFailure failure) {
         lastCallFailed = true;
-        // A held call has no response for long even if discovery is not overloaded.
+        // A held call waits long for its response even if discovery is not overloaded.
         if (!failure.held() && failure.connected()) {
             overloadDetector.onFailure(failure.durationSeconds(), failure.rejected());
         }
     }
 
-    // ---- when the next call is made
-
-    /** Returns the delay before the first call of a process that has a list; 0 for none. */
+    /**
+     * Returns the delay in seconds before the first call of a process that has a list; 0 for none.
+     */
     double delayAtStart() {
         return listIsPushed ? 0 : backoff.startDelay();
     }
 
-    /** Returns the delay after a response; 0 for none. */
+    /**
+     * Returns the delay in seconds before the call after a response; 0 for none.
+     *
+     * @param durationSeconds the time from the start of the answered call to the end of its
+     *     response
+     */
     double delayAfterResponse(boolean hasChanges, double durationSeconds) {
         boolean early = durationSeconds < HOLD_MILLIS / MILLIS_PER_SECOND * EARLY_HOLD_FRACTION;
         return !hasChanges && early ? EARLY_RESPONSE_DELAY_SECONDS : 0;
     }
 
-    /** Returns the delay after a failed call; 0 for none. */
+    /** Returns the delay in seconds before the call after a failed call; 0 for none. */
     double delayAfterFailure(CallFailure failure) {
         boolean heldWithoutResponse =
                 failure.kind() == CallFailure.Kind.NO_RESPONSE && failure.held();
         if (heldWithoutResponse) {
-            // The connection may have been lost unnoticed, and changes with it.
+            // The connection may have been lost unnoticed, so that changes were missed.
             catchUpUntil = loop.now() + CATCH_UP_SECONDS;
             return 0;
         }
         if (failure.kind() == CallFailure.Kind.CONNECTION_LOST && failure.answeredBefore()) {
-            // The watch was working: the next change should not be delayed.
+            // The watch worked until now, so the next change should not be delayed.
             return 0;
         }
         double backoffDelay = backoff.nextDelay(failure.durationSeconds(), isOverloaded());
@@ -174,33 +198,37 @@
                 : backoffDelay;
     }
 
-    // ---- how long a call may take
-
     /** Returns how long discovery may hold the next call while nothing changes, in milliseconds. */
     int nextHoldMillis() {
         return state() == State.STEADY ? HOLD_MILLIS + random.nextInt(HOLD_JITTER_MILLIS) : 0;
     }
 
-    /** Returns how long a call without a hold may take, including its connect. */
+    /** Returns the timeout in seconds of a call that is not held, including its connect. */
     double callTimeout() {
         // In a large fleet many calls may be queued at discovery. A call that times out loses its
-        // place there, while discovery still spends the work on it.
+        // place in the queue, although discovery still spends the work on the call.
         return isCatchingUp() && !backoff.isLargeFleet()
                 ? CATCH_UP_CALL_TIMEOUT_SECONDS
                 : Backoff.CALL_TIMEOUT_SECONDS;
     }
 
-    /** Returns how long a held call may take until its response begins. */
+    /**
+     * Returns the timeout in seconds from the request of a held call to the beginning of its
+     * response.
+     */
     double heldCallTimeout(double holdSeconds) {
         return holdSeconds + HOLD_OVERRUN_TIMEOUT_SECONDS;
     }
 
-    /** Returns the time at which a response that begins now must be complete. */
+    /**
+     * Returns the time, on the event loop's clock in seconds, at which a response that begins now
+     * must be complete.
+     */
     double responseDeadline() {
         return loop.now() + COMPLETE_RESPONSE_TIMEOUT_SECONDS;
     }
 
-    /** Returns how long a response may take until its next part arrives. */
+    /** Returns the timeout in seconds until the next part of a response arrives. */
     double nextPartTimeout(double responseDeadline) {
         return Math.min(RESPONSE_GAP_TIMEOUT_SECONDS, responseDeadline - loop.now());
     }
--- a/daemon/src/main/java/wheelroute/net/discovery/EndpointList.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/EndpointList.java
@@ -16,20 +16,22 @@
 import wheelroute.decision.Endpoint;
 
 /**
- * Discovery's endpoint list, or changes to it, and its JSON format. Immutable, for any thread.
+ * The endpoint list of discovery, or changes to the list, with its JSON format. Immutable and
+ * thread-safe.
  *
- * @param version increases with each change
+ * @param version number that increases with each change
  * @param complete whether the entries are all endpoints, rather than only those that have changed
  */
 public record EndpointList(long version, boolean complete, List<Entry> entries) {
     private static final JsonFactory JSON = new JsonFactory();
 
     /**
-     * One worker.
+     * An entry of the list, which describes one worker.
      *
-     * @param id discovery's name of the worker
-     * @param address null only if the worker is removed
-     * @param startedAt Unix time in seconds by the worker's clock; NaN if unknown or long ago
+     * @param id the name by which discovery identifies the worker
+     * @param address the address that accepts requests; null only if the worker is removed
+     * @param startedAt the start of the worker as Unix time in seconds by the worker's clock; NaN
+     *     if unknown or long ago
      */
     public record Entry(
             String id,
@@ -52,7 +54,9 @@
         boolean complete = false;
         List<Entry> entries = null;
         try (JsonParser parser = JSON.createParser(json)) {
-            expect(parser.nextToken() == JsonToken.START_OBJECT, "the list is not an object");
+            expect(
+                    parser.nextToken() == JsonToken.START_OBJECT,
+                    "endpoint list is not a JSON object");
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
                 JsonToken value = parser.nextToken();
@@ -60,14 +64,16 @@
                     case "version" -> version = parser.getLongValue();
                     case "full" -> complete = parser.getBooleanValue();
                     case "servers" -> {
-                        expect(value == JsonToken.START_ARRAY, "'servers' is not a list");
+                        expect(value == JsonToken.START_ARRAY, "'servers' is not an array");
                         entries = decodeEntries(parser);
                     }
                     default -> parser.skipChildren();
                 }
             }
         }
-        expect(version >= 0 && entries != null, "'version' or 'servers' is missing");
+        expect(
+                version >= 0 && entries != null,
+                "'version' is missing or negative, or 'servers' is missing");
         return new EndpointList(version, complete, entries);
     }
 
@@ -85,7 +91,7 @@
             json.writeEndArray();
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot write to a string", e);
+            throw new UncheckedIOException("failed to write JSON to a string", e);
         }
         return out.toString();
     }
@@ -111,7 +117,9 @@
     private static List<Entry> decodeEntries(JsonParser parser) throws IOException {
         List<Entry> entries = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            expect(parser.currentToken() == JsonToken.START_OBJECT, "a worker is not an object");
+            expect(
+                    parser.currentToken() == JsonToken.START_OBJECT,
+                    "an entry of 'servers' is not an object");
             EntryDecoder entry = new EntryDecoder();
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
@@ -123,7 +131,7 @@
         return entries;
     }
 
-    /** Collects the fields of one entry, which may come in any order. */
+    /** Collects the fields of one entry, which may arrive in any order. */
     private static final class EntryDecoder {
         private String id;
         private InetSocketAddress address;
@@ -141,7 +149,7 @@
                 case "zone" -> zone = parser.getText();
                 case "kind" -> model = parser.getText();
                 case "cell" -> cell = parser.getLongValue();
-                case "state" -> state = stateFrom(parser.getText());
+                case "state" -> state = decodeState(parser.getText());
                 case "weight" -> weight = parser.getDoubleValue();
                 case "started_ms" -> startedAt = parser.getDoubleValue() / MILLIS_PER_SECOND;
                 default -> parser.skipChildren();
@@ -152,7 +160,7 @@
             boolean hasAddress = address != null || state == Endpoint.State.REMOVED;
             expect(
                     id != null && state != null && hasAddress,
-                    "a worker lacks its id, state or address");
+                    "'id', 'state' or 'addr' is missing in an entry of 'servers'");
             return new Entry(
                     id,
                     address,
@@ -165,8 +173,11 @@
         }
     }
 
-    /** Returns the state of this name; a worker in an unknown state gets no new requests. */
-    private static Endpoint.State stateFrom(String state) {
+    /**
+     * Decodes a state. An unknown state counts as draining, so that the worker gets no new
+     * requests.
+     */
+    private static Endpoint.State decodeState(String state) {
         return switch (state) {
             case "ready" -> Endpoint.State.READY;
             case "gone" -> Endpoint.State.REMOVED;
@@ -174,9 +185,10 @@
         };
     }
 
-    private static void expect(boolean holds, String fault) throws MalformedEndpointListException {
-        if (!holds) {
-            throw new MalformedEndpointListException(fault);
+    private static void expect(boolean condition, String message)
+            throws MalformedEndpointListException {
+        if (!condition) {
+            throw new MalformedEndpointListException(message);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/discovery/EndpointWatch.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/EndpointWatch.java
@@ -13,43 +13,45 @@
  * next is made as soon as it has been answered.
  *
  * <p>{@link DiscoveryCall} makes the calls, {@link DiscoveryCallPolicy} decides when they are made
- * and when they time out, and {@link EndpointList#decode} reads the list. This class keeps what
- * outlasts a call: which version of the list is known, and since when calls have been failing. It
- * does not decide whether the list is too old to be used; see {@link Listener#onConfirmed}.
+ * and when they time out, and {@link EndpointList#decode} reads the list. This class keeps the
+ * state that outlasts a call: the version of the known list, and the time since which calls have
+ * been failing. Whether the list is too old to be used is not decided here; see {@link
+ * Listener#onConfirmed}.
  *
- * <p>A watch is idle until a delay has passed, or has an open call, or has been stopped. Only for
- * the event loop's thread.
+ * <p>A watch that has been started either waits for a delay to pass, or has an open call, or has
+ * been stopped. Confined to the event loop's thread.
  */
 public final class EndpointWatch {
-    /** Receives the endpoint list, and what is known about its age. */
+    /** Receives the endpoint list, and events that concern the age of the list. */
     public interface Listener {
-        /** Discovery has sent the complete list, or changes to it. */
+        /** Called when discovery has sent the complete list, or changes to it. */
         void onEndpoints(EndpointList list);
 
         /**
-         * Discovery has answered, so the known list is its current one. Renews {@link
-         * wheelroute.decision.endpoints.EndpointLease}, which decides whether the list may be used.
+         * Called when discovery has answered, so that the known list is the current one. Renews
+         * {@link wheelroute.decision.endpoints.EndpointLease}, which decides whether the list may
+         * be used.
          */
         void onConfirmed();
 
         /**
-         * Discovery is up but has more callers than it can serve, and has not answered this one.
-         * From here on the lease can expire, until the next {@link #onConfirmed}.
+         * Called when discovery is up but has more callers than it can serve, and has not answered
+         * this dispatcher. From this call until the next {@link #onConfirmed} the lease can expire.
          */
         void onOverloaded();
     }
 
     /**
-     * How discovery is to be polled.
+     * Options that determine how discovery is polled.
      *
-     * @param seed for the jitter of the calls
+     * @param seed the seed of the jitter of the calls
      * @param dispatchers the number of dispatchers that call the same discovery
-     * @param listIsPushed whether the address is that of this dispatcher's own agent, whose changes
-     *     count as known whether or not they were polled; then there is no backoff
+     * @param listIsPushed whether the address is that of this dispatcher's own agent. Changes then
+     *     count as known whether or not they have been polled, so calls are retried without backoff
      */
     public record WatchOptions(long seed, int dispatchers, boolean listIsPushed) {}
 
-    /** The version of a watch that has no list yet. */
+    /** The list version of a watch that has no list yet. */
     public static final long NO_VERSION = -1;
 
     private static final Logger LOG = LoggerFactory.getLogger(EndpointWatch.class);
@@ -67,13 +69,15 @@
 
     private boolean stopped;
 
-    /** When discovery last answered, on the event loop's clock in seconds; for the log. */
+    /**
+     * The time of the last response, on the event loop's clock in seconds. Only used in log lines.
+     */
     private double lastAnsweredAt;
 
     private int consecutiveFailures;
 
     /**
-     * Creates a watch that has not been started.
+     * Creates a watch that is not started yet.
      *
      * @param version the version of the list already known, or {@link #NO_VERSION}
      */
@@ -95,20 +99,23 @@
     }
 
     /**
-     * Starts the watch of a process that starts. If a list is known, the first call is delayed,
+     * Starts the watch when the process starts. If a list is known, the first call is delayed,
      * because a whole fleet may be starting at the same time.
      */
     public void start() {
         openAfter(needsCompleteList ? 0 : callPolicy.delayAtStart());
     }
 
-    /** Starts the watch of a new address, whose complete list is needed soon. */
+    /**
+     * Starts the watch after discovery's address has changed: calls at once, because the complete
+     * list of the new address is needed soon.
+     */
     public void startUrgently() {
         callPolicy.onNewAddress();
         open();
     }
 
-    /** Stops the watch for good; the listener is not called any more. */
+    /** Stops the watch permanently. The listener is not called any more. */
     public void stop() {
         stopped = true;
         if (call != null) {
@@ -124,7 +131,7 @@
         }
     }
 
-    /** Opens a call, unless there is one or the watch is stopped. */
+    /** Opens a call, unless one is open already or the watch has been stopped. */
     private void open() {
         open(false);
     }
@@ -142,10 +149,9 @@
         dropped.close();
     }
 
-    // ---- for the call
-
-    boolean isCurrent(DiscoveryCall which) {
-        return call == which;
+    /** Returns whether this is the open call, rather than one that has been closed. */
+    boolean isCurrent(DiscoveryCall candidate) {
+        return call == candidate;
     }
 
     DiscoveryCallPolicy callPolicy() {
@@ -156,15 +162,17 @@
         return version;
     }
 
+    /** Returns whether the next call must request the complete list instead of changes. */
     boolean needsCompleteList() {
         return needsCompleteList;
     }
 
     /**
-     * Processes a response.
+     * Processes the body of a response.
      *
      * @return whether it contained a change
-     * @throws IOException if it is not a list, or not the kind of list that was requested
+     * @throws IOException if the body is not a list, or has changes where the complete list was
+     *     requested
      */
     boolean onResponse(byte[] json) throws IOException {
         boolean hasChanges = applyList(EndpointList.decode(json));
@@ -179,10 +187,11 @@
     private boolean applyList(EndpointList list) throws DiscoveryResponseException {
         if (!list.complete()) {
             if (needsCompleteList) {
-                throw new DiscoveryResponseException("changes instead of the complete list");
+                throw new DiscoveryResponseException(
+                        "endpoint list has only changes, the complete list was requested");
             }
-            // A version that goes back means that discovery has restarted, and that its changes do
-            // not refer to the known list.
+            // A lower version means that discovery has restarted, so that its changes do not refer
+            // to the known list.
             needsCompleteList = list.version() < version;
             if (needsCompleteList) {
                 return true;
@@ -212,7 +221,8 @@
     }
 
     /**
-     * Opens a new connection for the next call, without counting the end of the old as a failure.
+     * Replaces the connection for the next call. The end of the old connection does not count as a
+     * failure.
      */
     void reconnect() {
         dropCall();
@@ -220,10 +230,10 @@
     }
 
     /**
-     * Ends a failed call and opens the next one after the delay that the policy decides on. Ignores
-     * a call that is not the open one.
+     * Ends a failed call and opens the next one after the delay that the call policy returns.
+     * Ignores the failure of a call that is not the open one.
      *
-     * @param reason for the log
+     * @param reason text for the log line
      */
     void onFailure(DiscoveryCall failed, CallFailure.Kind kind, String reason) {
         if (!isCurrent(failed)) {
--- a/daemon/src/main/java/wheelroute/net/discovery/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/package-info.java
@@ -1,18 +1,19 @@
 /**
- * The watch on discovery, and the endpoint list that it reads.
+ * The endpoint watch, which polls discovery, and the format of the endpoint list.
  *
- * <p>Where to find what:
+ * <p>Responsibilities:
  *
  * <ul>
- *   <li>how the list is kept up to date: {@link wheelroute.net.discovery.EndpointWatch};
- *   <li>when discovery is called, and how long a call may take: {@link
+ *   <li>keeping the list up to date: {@link wheelroute.net.discovery.EndpointWatch};
+ *   <li>the time and the timeout of each call: {@link
  *       wheelroute.net.discovery.DiscoveryCallPolicy};
- *   <li>one connection and its calls: {@link wheelroute.net.discovery.DiscoveryCall};
+ *   <li>a connection and its calls: {@link wheelroute.net.discovery.DiscoveryCall};
  *   <li>the format of the list: {@link wheelroute.net.discovery.EndpointList};
- *   <li>whether the list is too old to be used: not here, but in {@link
- *       wheelroute.decision.endpoints.EndpointLease}. The watch reports each confirmation and each
- *       overload to its {@link wheelroute.net.discovery.EndpointWatch.Listener}, the request
- *       dispatcher, which passes them to the policy's lease.
+ *   <li>the decision whether the list is too old to be used: {@link
+ *       wheelroute.decision.endpoints.EndpointLease}, outside this package. The watch reports each
+ *       confirmation and each overload to its {@link
+ *       wheelroute.net.discovery.EndpointWatch.Listener}, the request dispatcher, which passes them
+ *       to the policy's lease.
  * </ul>
  */
 package wheelroute.net.discovery;
--- a/daemon/src/main/java/wheelroute/net/handover/Handover.java
+++ b/daemon/src/main/java/wheelroute/net/handover/Handover.java
@@ -6,33 +6,44 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Replaces a running process of one dispatcher by its successor without losing a request: a process
- * imports the state of its predecessor, and exports its own to its successor.
+ * Replaces a running process of a dispatcher by a successor process without losing a request. A
+ * process imports the state of its predecessor, and exports its own state to its successor.
  *
- * <p>This class has what this process does. {@link PeerMessageHandler} reacts to what the other
- * processes do, {@link PeerProcesses} has the connections to them, and {@link StateImport} takes
- * over the predecessor's state. Only for the event loop's thread.
+ * <p>This class performs the steps that this process initiates. {@link PeerMessageHandler} reacts
+ * to the other processes, {@link PeerProcesses} keeps the connections to them, and {@link
+ * StateImport} imports the predecessor's state. Confined to the event loop's thread.
  */
 public final class Handover {
-    /** Receives what concerns the rest of this process. */
+    /** Receives the events that affect the rest of this process. */
     public interface Listener {
         /**
-         * All state that can be imported has been imported, so that clients may be accepted. Called
-         * once after {@link #importFromPredecessor}.
+         * Called once after {@link #importFromPredecessor}, when all state that can be imported has
+         * been imported, so that clients may be accepted.
          */
         void onStateTransferred();
 
-        /** The result of {@link #processCount} or {@link #hasSuccessor} may have changed. */
+        /**
+         * Called when the result of {@link #processCount} or {@link #hasSuccessor} may have
+         * changed.
+         */
         void onProcessesChanged();
     }
 
-    /** The listening socket, a peer in each role, and one that has not sent its greeting yet. */
+    /**
+     * Maximum number of file descriptors: the listening socket, a peer in each role, and a peer
+     * that has not sent its greeting yet.
+     */
     public static final int DESCRIPTORS = 4;
 
-    /** Maximum time to wait for a predecessor, which may hang or use another protocol. */
+    /**
+     * Maximum time to wait for the state of a predecessor, which may hang or use another protocol.
+     */
     private static final double IMPORT_TIMEOUT_SECONDS = 0.5;
 
-    /** Time after which a successor can find this process; no successor is started so early. */
+    /**
+     * Delay between accepting clients and opening the handover socket. No successor is started
+     * within this time.
+     */
     private static final double LISTEN_DELAY_SECONDS = 0.05;
 
     private final EventLoop loop;
@@ -45,10 +56,12 @@
     private boolean serving;
 
     /**
-     * Creates a handover that has not begun.
+     * Creates a handover that has not begun yet.
      *
-     * @param directory shared by all processes of the dispatcher
-     * @param dispatcherName the same for all of them, and different from other dispatchers'
+     * @param directory the directory of the handover socket, shared by all processes of the
+     *     dispatcher
+     * @param dispatcherName a name that all processes of the dispatcher, and no other dispatcher,
+     *     use
      */
     public Handover(
             EventLoop loop,
@@ -65,16 +78,14 @@
                         loop, dispatcherName, state, peers, stateImport, this::onLastSuccessorLeft);
     }
 
-    // ---- the phases of this process
-
     /**
-     * Requests the state of a predecessor, if there is one. {@link Listener#onStateTransferred}
-     * follows in any case, possibly before this returns.
+     * Requests the state of a predecessor, if there is one. {@link Listener#onStateTransferred} is
+     * called in any case, possibly before this method returns.
      */
     public void importFromPredecessor() {
         stateImport.begin();
         if (!socket.exists()) {
-            // Without a predecessor clients need not wait for a connect to fail.
+            // Without a predecessor, clients need not wait until a connect has failed.
             stateImport.finish();
             return;
         }
@@ -83,7 +94,8 @@
     }
 
     /**
-     * Records that this process accepts clients: the predecessor may end, a successor may begin.
+     * Records that this process accepts clients. The predecessor is notified, so that it may end,
+     * and the handover socket is opened for a successor.
      */
     public void onServing() {
         serving = true;
@@ -91,7 +103,7 @@
         if (predecessor != null) {
             predecessor.send(MessageType.SERVING);
         }
-        // Later, as a successor is less urgent than the clients that are waiting to connect.
+        // Delayed, because clients that are waiting to connect are more urgent than a successor.
         loop.schedule(LISTEN_DELAY_SECONDS, this::listenUnlessOpen);
     }
 
@@ -101,7 +113,10 @@
         }
     }
 
-    /** The socket file may be the one of the successor that left, so it is created anew. */
+    /**
+     * Listens again after the last successor has left. The socket file may be that of the
+     * successor, so a new one is created.
+     */
     private void onLastSuccessorLeft() {
         if (serving) {
             listen();
@@ -112,27 +127,28 @@
         socket.open(new SuccessorAcceptor());
     }
 
-    /** Stops listening, as the process is about to end: no successor can find it any more. */
+    /**
+     * Stops listening because the process is about to end. No successor can find the process any
+     * more.
+     */
     public void close() {
         serving = false;
         socket.close();
     }
 
-    // ---- the other processes
-
     /** Returns the number of processes that share the dispatcher's budgets, including this one. */
     public int processCount() {
         return peers.processCount();
     }
 
-    /** Whether a successor process accepts clients in place of this one. */
+    /** Returns whether a successor process accepts clients in place of this one. */
     public boolean hasSuccessor() {
         return peers.hasServingSuccessor();
     }
 
-    /** Whether a request with this client-given id is open in another process. */
+    /** Returns whether a request with this client-given id is open in another process. */
     public boolean isOpenElsewhere(String clientId) {
-        return peers.haveOpenRequest(clientId);
+        return peers.hasOpenRequest(clientId);
     }
 
     /** Notifies the other processes that a request with this client-given id is open here. */
@@ -140,7 +156,10 @@
         peers.sendToAll(MessageType.REQUEST_OPENED, clientId);
     }
 
-    /** Notifies the other processes that the request with this id is no longer open here. */
+    /**
+     * Notifies the other processes that the request with this client-given id is no longer open
+     * here.
+     */
     public void onRequestClosed(String clientId) {
         peers.sendToAll(MessageType.REQUEST_CLOSED, clientId);
     }
@@ -156,7 +175,7 @@
 
         @Override
         public void onFailed(Throwable cause) {
-            // Nothing listens: the file was left behind by a process that was killed.
+            // No process listens: the socket file was left behind by a process that was killed.
             stateImport.finish();
         }
     }
@@ -164,13 +183,13 @@
     private final class SuccessorAcceptor implements EventLoop.ChannelHandler {
         @Override
         public Connection onOpened(EndPoint endPoint) {
-            // Counts as a peer only once its greeting has been accepted.
+            // The process becomes a peer only once its greeting has been accepted.
             return new PeerProcess(endPoint, loop, ProcessChain.Role.SUCCESSOR, messageHandler);
         }
 
         @Override
         public void onFailed(Throwable cause) {
-            // The successor has disconnected, and starts without this process's state.
+            // The successor has disconnected, and starts without the state of this process.
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/handover/HandoverMessage.java
+++ b/daemon/src/main/java/wheelroute/net/handover/HandoverMessage.java
@@ -1,14 +1,14 @@
 package wheelroute.net.handover;
 
 /**
- * A message between two processes of one dispatcher, which is one line on the wire.
+ * A message between two processes of a dispatcher, which is encoded as one line.
  *
- * @param body what follows the type's name and a space; empty for none
+ * @param body the text after the type's name and a space; empty for none
  */
 record HandoverMessage(MessageType type, String body) {
     private static final char SEPARATOR = ' ';
 
-    /** Parses a line without its line feed. */
+    /** Decodes a line, given without its line feed. */
     static HandoverMessage decode(String line) {
         int separator = line.indexOf(SEPARATOR);
         return separator < 0
@@ -18,7 +18,7 @@
                         line.substring(separator + 1));
     }
 
-    /** Returns the line, including its line feed. */
+    /** Encodes the message as a line, including the line feed. */
     String encode() {
         return body.isEmpty() ? type.wireName() + "\n" : type.wireName() + SEPARATOR + body + "\n";
     }
--- a/daemon/src/main/java/wheelroute/net/handover/HandoverProtocolException.java
+++ b/daemon/src/main/java/wheelroute/net/handover/HandoverProtocolException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Thrown when a peer violates the handover protocol; its connection is then closed. */
+/** Thrown when a peer violates the handover protocol. The connection to the peer is then closed. */
 final class HandoverProtocolException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/daemon/src/main/java/wheelroute/net/handover/HandoverSocket.java
+++ b/daemon/src/main/java/wheelroute/net/handover/HandoverSocket.java
@@ -17,17 +17,18 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * The Unix socket on which a successor finds a process of its dispatcher: a file in a directory
- * that all of the dispatcher's processes share. The file is replaced by each new process. Only for
- * the event loop's thread.
+ * The Unix domain socket through which a successor process connects to this process. The socket
+ * file is in a directory that all processes of a dispatcher share, and each new process replaces
+ * it. Confined to the event loop's thread.
  */
 final class HandoverSocket {
     private static final Logger LOG = LoggerFactory.getLogger(HandoverSocket.class);
 
     /**
-     * Distinguishes temporary files if there are several dispatchers in one process, as in tests.
+     * Number of the last temporary file, which keeps the names of temporary files apart if one
+     * operating-system process runs several dispatchers, as in tests.
      */
-    private static final AtomicInteger LAST_FILE = new AtomicInteger();
+    private static final AtomicInteger LAST_FILE_NUMBER = new AtomicInteger();
 
     private final EventLoop loop;
     private final Path path;
@@ -35,11 +36,15 @@
     /** Null while this process does not listen. */
     private ServerSocketChannel server;
 
-    /** Identifies the file of this process, which another process may have replaced meanwhile. */
+    /**
+     * Identifies the socket file that this process has created. Another process may have replaced
+     * the file since.
+     */
     private Object fileKey;
 
     /**
-     * Creates a socket that does not listen; its file name is derived from the dispatcher's name.
+     * Creates a socket that does not listen yet. The file name is derived from the dispatcher's
+     * name.
      */
     HandoverSocket(EventLoop loop, Path directory, String dispatcherName) {
         this.loop = loop;
@@ -50,7 +55,10 @@
                         String.format(Locale.ROOT, "wheelroute-%08x.sock", crc.getValue()));
     }
 
-    /** Whether there is a file; its process may be running, or may have been killed. */
+    /**
+     * Returns whether a socket file exists. The process that created the file may be running, or
+     * may have been killed.
+     */
     boolean exists() {
         return Files.exists(path);
     }
@@ -59,18 +67,23 @@
         return UnixDomainSocketAddress.of(path);
     }
 
+    /** Returns whether this process listens. */
     boolean isOpen() {
         return server != null;
     }
 
     /**
-     * Listens in place of any other process, or again. A failure is logged. The file is created
-     * under a temporary name and then moved, so that at any time there is a file to connect to.
+     * Starts to listen, in place of any other process or of an earlier socket of this process. A
+     * failure is only logged. The socket file is created under a temporary name and then moved, so
+     * that there is always a file to connect to.
      */
     void open(EventLoop.ChannelHandler handler) {
-        // A process id would be the usual suffix, but looking it up slows down the start.
+        // The process id would be the usual suffix, but its lookup slows down the start.
         String suffix =
-                "." + Long.toHexString(System.nanoTime()) + "-" + LAST_FILE.incrementAndGet();
+                "."
+                        + Long.toHexString(System.nanoTime())
+                        + "-"
+                        + LAST_FILE_NUMBER.incrementAndGet();
         Path temporary = path.resolveSibling(path.getFileName() + suffix);
         try {
             stopListening();
@@ -98,7 +111,7 @@
                 delete(path);
             }
         } catch (IOException e) {
-            LOG.debug("failed to read owner of handover socket file", e);
+            LOG.debug("failed to read file key of handover socket file", e);
         }
         stopListening();
     }
--- a/daemon/src/main/java/wheelroute/net/handover/LearnedStateCodec.java
+++ b/daemon/src/main/java/wheelroute/net/handover/LearnedStateCodec.java
@@ -16,26 +16,30 @@
 import wheelroute.decision.LearnedState;
 
 /**
- * Encodes and decodes what the policy has learned, as one line of JSON. Workers are identified by
- * discovery's names, because the ids differ between processes. Stateless, for any thread.
+ * Encodes the state that the policy has learned as one line of JSON, and decodes it. Workers are
+ * identified by their names in discovery, because the ids of workers differ between processes.
+ * Stateless and thread-safe.
  */
 public final class LearnedStateCodec {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** The number of numbers in one sample. */
-    private static final int SAMPLE_SIZE = 3;
+    /** Number of values in a sample: its age, and two figures that depend on the kind of sample. */
+    private static final int VALUES_PER_SAMPLE = 3;
 
-    /** More samples than any measurement keeps. */
+    /** Maximum number of samples in an array that is accepted; no measurement keeps as many. */
     private static final int MAX_SAMPLES = 64;
 
-    private static final int MAX_NUMBERS = SAMPLE_SIZE * MAX_SAMPLES;
+    private static final int MAX_VALUES = VALUES_PER_SAMPLE * MAX_SAMPLES;
 
     private static final String WORKERS = "workers";
     private static final String MODELS = "models";
     private static final String ESTIMATES = "hints";
     private static final String SLOTS = "slots";
 
-    /** More slots than any worker has; a larger number must be something else. */
+    /**
+     * Maximum number of slots that is accepted. No worker has as many, so a larger number is an
+     * error.
+     */
     private static final int MAX_SLOTS = 1 << 16;
 
     private static final String RUNS = "runs";
@@ -45,9 +49,9 @@
     private LearnedStateCodec() {}
 
     /**
-     * Encodes the state.
+     * Encodes learned state.
      *
-     * @param names returns discovery's name of a worker, or null, which leaves the worker out
+     * @param names returns the name of a worker in discovery, or null to omit the worker
      */
     public static String encode(LearnedState learned, Function<Ids.Worker, String> names) {
         StringWriter out = new StringWriter();
@@ -58,7 +62,7 @@
             encodeEstimates(json, learned);
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot write to a string", e);
+            throw new UncheckedIOException("failed to write JSON to a string", e);
         }
         return out.toString();
     }
@@ -72,9 +76,9 @@
             String name = names.apply(worker.getKey());
             if (name != null) {
                 json.writeObjectFieldStart(name);
-                encodeNumbers(json, RUNS, worker.getValue().runs());
-                encodeNumbers(json, WAITS, worker.getValue().waits());
-                encodeNumbers(json, FAILURES, worker.getValue().failures());
+                encodeSamples(json, RUNS, worker.getValue().runs());
+                encodeSamples(json, WAITS, worker.getValue().waits());
+                encodeSamples(json, FAILURES, worker.getValue().failures());
                 json.writeEndObject();
             }
         }
@@ -86,8 +90,8 @@
         for (Map.Entry<Ids.Model, LearnedState.ModelSamples> model : learned.models().entrySet()) {
             json.writeObjectFieldStart(model.getKey().name());
             json.writeNumberField(SLOTS, model.getValue().slots());
-            encodeNumbers(json, RUNS, model.getValue().runs());
-            encodeNumbers(json, WAITS, model.getValue().waits());
+            encodeSamples(json, RUNS, model.getValue().runs());
+            encodeSamples(json, WAITS, model.getValue().waits());
             json.writeEndObject();
         }
         json.writeEndObject();
@@ -97,32 +101,37 @@
             throws IOException {
         json.writeObjectFieldStart(ESTIMATES);
         for (Map.Entry<Ids.RequestClass, double[]> requestClass : learned.estimates().entrySet()) {
-            encodeNumbers(json, requestClass.getKey().name(), requestClass.getValue());
+            encodeSamples(json, requestClass.getKey().name(), requestClass.getValue());
         }
         json.writeEndObject();
     }
 
-    private static void encodeNumbers(JsonGenerator json, String name, double[] numbers)
+    private static void encodeSamples(JsonGenerator json, String name, double[] samples)
             throws IOException {
         json.writeFieldName(name);
-        json.writeArray(numbers, 0, numbers.length);
+        json.writeArray(samples, 0, samples.length);
     }
 
     /**
-     * Decodes a state.
+     * Decodes learned state. Unknown sections are ignored.
      *
-     * @param names returns the worker of a name, or null, which leaves the worker out
-     * @throws MalformedLearnedStateException if a value is not as this version encodes it
+     * @param names returns the worker with a name in discovery, or null to omit the worker
+     * @throws MalformedLearnedStateException if a value does not have the form in which this
+     *     version encodes it
      * @throws IOException if the text is not JSON
      */
     public static LearnedState decode(byte[] text, Function<String, Ids.Worker> names)
             throws IOException {
         LearnedState learned = new LearnedState(new HashMap<>(), new HashMap<>(), new HashMap<>());
         try (JsonParser json = JSON.createParser(text)) {
-            expect(json.nextToken() == JsonToken.START_OBJECT, "the state is not an object");
+            expect(
+                    json.nextToken() == JsonToken.START_OBJECT,
+                    "learned state is not a JSON object");
             while (json.nextToken() == JsonToken.FIELD_NAME) {
                 String section = json.currentName();
-                expect(json.nextToken() == JsonToken.START_OBJECT, "a section is not an object");
+                expect(
+                        json.nextToken() == JsonToken.START_OBJECT,
+                        "a section of the learned state is not an object");
                 while (json.nextToken() == JsonToken.FIELD_NAME) {
                     String name = json.currentName();
                     json.nextToken();
@@ -144,29 +153,34 @@
             case WORKERS -> decodeWorker(json, names.apply(name), learned);
             case MODELS -> decodeModel(json, new Ids.Model(name), learned);
             case ESTIMATES ->
-                    learned.estimates().put(new Ids.RequestClass(name), decodeNumbers(json));
+                    learned.estimates().put(new Ids.RequestClass(name), decodeSamples(json));
             default -> json.skipChildren();
         }
     }
 
     /**
-     * The fields of a worker or model.
+     * The decoded fields of a worker or model.
      *
-     * @param slots 0 if there is no such field
-     * @param numbers the arrays, by the names of their fields
+     * @param slots the number of slots; 0 if the field is missing
+     * @param samplesByField the arrays of samples by the names of their fields
      */
-    private record Fields(int slots, Map<String, double[]> numbers) {
-        double[] required(String name) throws MalformedLearnedStateException {
-            expect(numbers.containsKey(name), "a field is missing");
-            return numbers.get(name);
+    private record Fields(int slots, Map<String, double[]> samplesByField) {
+        double[] requiredSamples(String name) throws MalformedLearnedStateException {
+            expect(
+                    samplesByField.containsKey(name),
+                    "an array of samples is missing for a worker or model");
+            return samplesByField.get(name);
         }
 
-        /** Returns samples whose times must be positive, as speeds are quotients of them. */
-        double[] requiredTimes(String name) throws MalformedLearnedStateException {
-            double[] samples = required(name);
+        /**
+         * Returns samples whose two times must be positive, because speeds are computed as
+         * quotients of them.
+         */
+        double[] requiredTimeSamples(String name) throws MalformedLearnedStateException {
+            double[] samples = requiredSamples(name);
             for (int i = 0; i < samples.length; i++) {
-                boolean isAge = i % SAMPLE_SIZE == 0;
-                expect(isAge || samples[i] > 0, "a time is not positive");
+                boolean isAge = i % VALUES_PER_SAMPLE == 0;
+                expect(isAge || samples[i] > 0, "a time in a sample is not positive");
             }
             return samples;
         }
@@ -180,9 +194,9 @@
                     .put(
                             worker,
                             new LearnedState.WorkerSamples(
-                                    fields.requiredTimes(RUNS),
-                                    fields.required(WAITS),
-                                    fields.required(FAILURES)));
+                                    fields.requiredTimeSamples(RUNS),
+                                    fields.requiredSamples(WAITS),
+                                    fields.requiredSamples(FAILURES)));
         }
     }
 
@@ -194,13 +208,13 @@
                         model,
                         new LearnedState.ModelSamples(
                                 fields.slots(),
-                                fields.requiredTimes(RUNS),
-                                fields.required(WAITS)));
+                                fields.requiredTimeSamples(RUNS),
+                                fields.requiredSamples(WAITS)));
     }
 
     private static Fields decodeFields(JsonParser json) throws IOException {
         int slots = 0;
-        Map<String, double[]> numbers = new HashMap<>();
+        Map<String, double[]> samplesByField = new HashMap<>();
         expect(json.currentToken() == JsonToken.START_OBJECT, "a worker or model is not an object");
         while (json.nextToken() == JsonToken.FIELD_NAME) {
             String name = json.currentName();
@@ -208,29 +222,32 @@
                 slots = json.getIntValue();
                 expect(slots >= 0 && slots <= MAX_SLOTS, "the number of slots is out of range");
             } else {
-                numbers.put(name, decodeNumbers(json));
+                samplesByField.put(name, decodeSamples(json));
             }
         }
-        return new Fields(slots, numbers);
+        return new Fields(slots, samplesByField);
     }
 
-    private static double[] decodeNumbers(JsonParser json) throws IOException {
+    private static double[] decodeSamples(JsonParser json) throws IOException {
         expect(json.currentToken() == JsonToken.START_ARRAY, "samples are not an array");
-        List<Double> numbers = new ArrayList<>();
+        List<Double> values = new ArrayList<>();
         while (json.nextToken() != JsonToken.END_ARRAY) {
-            expect(json.currentToken().isNumeric(), "a sample is not a number");
-            expect(numbers.size() < MAX_NUMBERS, "there are too many samples");
-            double number = json.getDoubleValue();
-            expect(Double.isFinite(number), "a sample is not finite");
-            numbers.add(number);
+            expect(
+                    json.currentToken().isNumeric(),
+                    "an array of samples has an element that is not a number");
+            expect(values.size() < MAX_VALUES, "an array has too many samples");
+            double value = json.getDoubleValue();
+            expect(Double.isFinite(value), "a number in a sample is not finite");
+            values.add(value);
         }
-        expect(numbers.size() % SAMPLE_SIZE == 0, "a sample is incomplete");
-        return numbers.stream().mapToDouble(Double::doubleValue).toArray();
+        expect(values.size() % VALUES_PER_SAMPLE == 0, "the last sample of an array is incomplete");
+        return values.stream().mapToDouble(Double::doubleValue).toArray();
     }
 
-    private static void expect(boolean holds, String fault) throws MalformedLearnedStateException {
-        if (!holds) {
-            throw new MalformedLearnedStateException(fault);
+    private static void expect(boolean condition, String message)
+            throws MalformedLearnedStateException {
+        if (!condition) {
+            throw new MalformedLearnedStateException(message);
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/net/handover/MessageType.java
+++ b/daemon/src/main/java/wheelroute/net/handover/MessageType.java
@@ -1,24 +1,30 @@
 package wheelroute.net.handover;
 
-/** The messages between two processes of one dispatcher, with their names on the wire. */
+/** The types of messages between two processes of a dispatcher, with their names on the wire. */
 enum MessageType {
-    /** The first message, with the dispatcher's name; older versions send no name. */
+    /**
+     * The first message on a connection. The body is the dispatcher's name; older versions send no
+     * name.
+     */
     GREETING("wheelroute-handover"),
     /** A request has been opened; the body is its client-given id. */
     REQUEST_OPENED("open"),
     /** A request is no longer open; the body is its client-given id. */
     REQUEST_CLOSED("over"),
-    /** The number of processes behind the sender, to which the receiver is not connected. */
+    /**
+     * The number of processes on the far side of the sender, to which the receiver is not
+     * connected.
+     */
     PROCESSES_BEHIND("beyond"),
     /** The sender accepts clients. */
     SERVING("serving"),
-    /** To a successor: the endpoint list, in discovery's format. */
+    /** The endpoint list in discovery's format; sent to a successor. */
     ENDPOINTS("list"),
-    /** To a successor: what the policy has learned, as JSON. */
+    /** The state that the policy has learned, as JSON; sent to a successor. */
     LEARNED_STATE("learned"),
-    /** To a successor: the state has been sent completely. */
+    /** All state has been sent; sent to a successor. */
     TRANSFER_COMPLETE("told"),
-    /** A message that this version does not know. */
+    /** A message whose type this version does not know. */
     UNKNOWN("");
 
     private final String wireName;
@@ -31,7 +37,7 @@
         return wireName;
     }
 
-    /** Returns the type of this name, or {@link #UNKNOWN}. */
+    /** Returns the type with this name on the wire, or {@link #UNKNOWN}. */
     static MessageType ofWireName(String name) {
         for (MessageType type : values()) {
             if (type.wireName.equals(name)) {
--- a/daemon/src/main/java/wheelroute/net/handover/PeerMessageHandler.java
+++ b/daemon/src/main/java/wheelroute/net/handover/PeerMessageHandler.java
@@ -6,12 +6,15 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Reacts to what the predecessor and the successor process do: checks their greetings, follows
- * their open requests and process counts, and exports this process's state to a successor. Only for
- * the event loop's thread.
+ * Handles the messages of the predecessor and the successor process: checks their greetings, tracks
+ * their open requests and process counts, and exports the state of this process to a successor.
+ * Confined to the event loop's thread.
  */
 final class PeerMessageHandler implements PeerProcess.Listener {
-    /** A peer that has not sent its greeting after this time is disconnected. */
+    /**
+     * Maximum time from the connection to the greeting of a peer, after which the peer is
+     * disconnected.
+     */
     private static final double GREETING_TIMEOUT_SECONDS = 0.5;
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerMessageHandler.class);
@@ -24,10 +27,10 @@
     private final Runnable onLastSuccessorLeft;
 
     /**
-     * Creates a handler.
+     * Creates a handler for the peers of one process.
      *
-     * @param onLastSuccessorLeft run when the last process of the chain has left, so that this
-     *     process is the last one again
+     * @param onLastSuccessorLeft run when the successor has left and was the last process of the
+     *     chain, so that this process is the last one again
      */
     PeerMessageHandler(
             EventLoop loop,
@@ -89,10 +92,12 @@
 
     private void onGreeting(PeerProcess peer, HandoverMessage message)
             throws HandoverProtocolException {
-        // The socket files of two dispatchers may have the same name. Older versions send no name.
+        // The name is compared because socket files of two dispatchers may have the same name.
+        // Older versions send no name.
         if (message.type() != MessageType.GREETING
                 || (!message.body().isEmpty() && !message.body().equals(dispatcherName))) {
-            throw new HandoverProtocolException("not a process of this dispatcher");
+            throw new HandoverProtocolException(
+                    "first message is not the greeting of a process of this dispatcher");
         }
         peer.setGreeted();
         if (peer.role() == ProcessChain.Role.SUCCESSOR) {
@@ -125,7 +130,7 @@
         try {
             return Integer.parseInt(text);
         } catch (NumberFormatException e) {
-            throw new HandoverProtocolException("not a number of processes: " + text, e);
+            throw new HandoverProtocolException("expected a number of processes, got: " + text, e);
         }
     }
 
--- a/daemon/src/main/java/wheelroute/net/handover/PeerProcess.java
+++ b/daemon/src/main/java/wheelroute/net/handover/PeerProcess.java
@@ -13,29 +13,32 @@
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * The connection to the predecessor or successor process, which exchanges one message a line. Only
- * for the event loop's thread.
+ * A connection to the predecessor or the successor process, on which each line is a message.
+ * Confined to the event loop's thread.
  */
 final class PeerProcess extends StreamConnection {
-    /** A message may contain a complete endpoint list. */
+    /** Maximum length of a message, which may contain a complete endpoint list. */
     private static final int MAX_LINE_BYTES = 1 << 20;
 
-    /** A peer that does not read is disconnected when this much is unsent, to bound the memory. */
+    /**
+     * Maximum number of unsent bytes. A peer that does not read is disconnected beyond it, so that
+     * the memory is bounded.
+     */
     private static final int MAX_UNSENT_BYTES = 2 * MAX_LINE_BYTES;
 
-    /** Receives the events of a connection. */
+    /** Receives the events of a connection to a peer. */
     interface Listener {
-        /** The connection is established; nothing has been sent or received. */
+        /** Called when the connection is established and nothing has been sent or received. */
         void onOpened(PeerProcess peer);
 
         /**
-         * A message has been received.
+         * Called when a message has been received.
          *
-         * @throws IOException if it violates the protocol; the connection is then closed
+         * @throws IOException if the message violates the protocol; the connection is then closed
          */
         void onMessage(PeerProcess peer, HandoverMessage message) throws IOException;
 
-        /** The connection has been closed by either side; called once. */
+        /** Called once when either side has closed the connection. */
         void onClosed(PeerProcess peer);
     }
 
@@ -49,7 +52,7 @@
     private boolean sending;
     private boolean closed;
 
-    /** The count last sent to the peer, which assumes 0 before the first. */
+    /** The last count sent to the peer. A peer that has received no count assumes 0. */
     private int lastSentBehind;
 
     PeerProcess(EndPoint endPoint, EventLoop loop, ProcessChain.Role role, Listener listener) {
@@ -68,7 +71,7 @@
         return openRequestIds;
     }
 
-    /** Whether the peer has identified itself as a process of this dispatcher. */
+    /** Returns whether the peer has identified itself as a process of this dispatcher. */
     boolean isGreeted() {
         return greeted;
     }
@@ -99,8 +102,8 @@
     }
 
     /**
-     * Sends the number of processes behind this one, if it has changed. Peers react to a count by
-     * sending theirs, so repeating an unchanged one would never end.
+     * Sends the number of processes behind this one, if the number has changed. A peer reacts to a
+     * count by sending its own, so two peers that repeated unchanged counts would never stop.
      */
     void sendProcessesBehind(int count) {
         if (count != lastSentBehind) {
--- a/daemon/src/main/java/wheelroute/net/handover/PeerProcesses.java
+++ b/daemon/src/main/java/wheelroute/net/handover/PeerProcesses.java
@@ -4,14 +4,18 @@
 import java.util.Map;
 
 /**
- * The connections to the predecessor and the successor process, and the number of processes that
- * follows from what these report. Only for the event loop's thread.
+ * Keeps the connections to the predecessor and the successor process, and the number of processes
+ * of the dispatcher, which follows from the reports of these peers. Confined to the event loop's
+ * thread.
  */
 final class PeerProcesses {
     private final Runnable onProcessesChanged;
     private final ProcessChain chain = new ProcessChain();
 
-    /** A predecessor from its connection on, a successor from its accepted greeting on. */
+    /**
+     * Contains a predecessor once it is connected, and a successor once its greeting has been
+     * accepted.
+     */
     private final Map<ProcessChain.Role, PeerProcess> peers =
             new EnumMap<>(ProcessChain.Role.class);
 
@@ -24,17 +28,20 @@
         this.onProcessesChanged = onProcessesChanged;
     }
 
-    /** Returns the peer in this role, or null. */
+    /** Returns the peer in this role, or null if there is none. */
     PeerProcess get(ProcessChain.Role role) {
         return peers.get(role);
     }
 
-    /** Sets the connection to the peer in its role; {@link #join} follows its greeting. */
+    /**
+     * Sets the current peer in its role. {@link #join} counts the peer once its greeting has been
+     * accepted.
+     */
     void put(PeerProcess peer) {
         peers.put(peer.role(), peer);
     }
 
-    /** Counts a peer, whose greeting has been accepted, as a process of this dispatcher. */
+    /** Counts a peer whose greeting has been accepted as a process of this dispatcher. */
     void join(PeerProcess peer) {
         chain.join(peer.role());
         publishChange();
@@ -43,7 +50,7 @@
     /**
      * Removes a peer.
      *
-     * @return false if it was not the current peer in its role, so that nothing has changed
+     * @return false if the peer was not the current one in its role, so that nothing has changed
      */
     boolean remove(PeerProcess peer) {
         if (!peers.remove(peer.role(), peer)) {
@@ -54,7 +61,7 @@
         return true;
     }
 
-    /** Records how many processes a peer reports behind itself. */
+    /** Records the number of processes that a peer has reported behind itself. */
     void setProcessesBehind(PeerProcess peer, int count) {
         chain.setBehind(peer.role(), count);
         publishChange();
@@ -67,7 +74,7 @@
     }
 
     private void publishChange() {
-        peers.forEach((role, peer) -> peer.sendProcessesBehind(chain.countBehindThisFor(role)));
+        peers.forEach((role, peer) -> peer.sendProcessesBehind(chain.countToReportTo(role)));
         onProcessesChanged.run();
     }
 
@@ -76,18 +83,18 @@
         return chain.processCount();
     }
 
-    /** Whether there is a successor that accepts clients. */
+    /** Returns whether there is a successor that accepts clients. */
     boolean hasServingSuccessor() {
         return chain.hasServingSuccessor();
     }
 
-    /** Whether there is a successor, and none behind it. */
+    /** Returns whether the successor exists and is the last process of the chain. */
     boolean isSuccessorLast() {
         return chain.isSuccessorLast();
     }
 
-    /** Whether a request with this client-given id is open in one of the peers. */
-    boolean haveOpenRequest(String clientId) {
+    /** Returns whether a request with this client-given id is open in one of the peers. */
+    boolean hasOpenRequest(String clientId) {
         for (PeerProcess peer : peers.values()) {
             if (peer.openRequestIds().contains(clientId)) {
                 return true;
--- a/daemon/src/main/java/wheelroute/net/handover/ProcessChain.java
+++ b/daemon/src/main/java/wheelroute/net/handover/ProcessChain.java
@@ -1,9 +1,10 @@
 package wheelroute.net.handover;
 
 /**
- * The processes of one dispatcher, each started to replace the one before it, as seen from one of
- * them. A process knows its predecessor and its successor, and each of these reports how many
- * processes there are behind it. No I/O and no clock.
+ * The chain of processes of one dispatcher, each started to replace the one before it, from the
+ * perspective of one of them. A process is connected to its predecessor and its successor. Each of
+ * these peers reports how many processes are behind it, which are those on its far side. Performs
+ * no I/O and reads no clock.
  */
 final class ProcessChain {
     /** The position of a peer relative to this process. */
@@ -11,12 +12,16 @@
         PREDECESSOR,
         SUCCESSOR;
 
+        /** Returns the role of the peer on the other side of this process. */
         Role other() {
             return this == PREDECESSOR ? SUCCESSOR : PREDECESSOR;
         }
     }
 
-    /** Limits what a faulty report can do: the dispatcher's quotas are divided by the count. */
+    /**
+     * Upper bound of a reported count. The dispatcher's quotas are divided by the number of
+     * processes, so this limits the effect of a faulty report.
+     */
     private static final int MAX_BEHIND = 7;
 
     private final boolean[] present = new boolean[Role.values().length];
@@ -33,21 +38,25 @@
         successorServing &= role != Role.SUCCESSOR;
     }
 
-    /** Records how many processes a peer reports behind itself, as seen from here. */
+    /**
+     * Records the number of processes that a peer has reported behind itself. Counts out of range
+     * are clamped.
+     */
     void setBehind(Role role, int count) {
         behind[role.ordinal()] = Math.max(0, Math.min(MAX_BEHIND, count));
     }
 
-    /** Records that the successor, if there is one, accepts clients. */
+    /** Records that the successor accepts clients; ignored if there is no successor. */
     void onSuccessorServing() {
         successorServing = present[Role.SUCCESSOR.ordinal()];
     }
 
+    /** Returns the number of processes on the side of the peer in this role, including the peer. */
     private int countOn(Role role) {
         return present[role.ordinal()] ? 1 + behind[role.ordinal()] : 0;
     }
 
-    /** Whether there is a successor, and none behind it. */
+    /** Returns whether the successor exists and is the last process of the chain. */
     boolean isSuccessorLast() {
         return countOn(Role.SUCCESSOR) == 1;
     }
@@ -57,12 +66,15 @@
         return 1 + countOn(Role.PREDECESSOR) + countOn(Role.SUCCESSOR);
     }
 
-    /** Returns the count to report to the peer in this role: processes behind this one. */
-    int countBehindThisFor(Role role) {
+    /**
+     * Returns the number of processes behind this one from the perspective of the peer in this
+     * role, which is to be reported to that peer.
+     */
+    int countToReportTo(Role role) {
         return countOn(role.other());
     }
 
-    /** Whether there is a successor that accepts clients. */
+    /** Returns whether there is a successor that accepts clients. */
     boolean hasServingSuccessor() {
         return successorServing;
     }
--- a/daemon/src/main/java/wheelroute/net/handover/StateImport.java
+++ b/daemon/src/main/java/wheelroute/net/handover/StateImport.java
@@ -6,40 +6,40 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Imports the state of the predecessor process, from {@link #begin} to {@link #finish}. State that
- * arrives later is ignored, because what this process has learned by then is newer. Only for the
- * event loop's thread.
+ * Imports the state of the predecessor process between {@link #begin} and {@link #finish}. State
+ * that arrives later is ignored, because the state of this process is newer by then. Confined to
+ * the event loop's thread.
  */
 final class StateImport {
     private static final Logger LOG = LoggerFactory.getLogger(StateImport.class);
 
     private final TransferableState state;
-    private final Runnable whenFinished;
+    private final Runnable onFinished;
     private boolean inProgress;
 
     /**
-     * Creates an import that has not begun.
+     * Creates an import that has not begun yet.
      *
-     * @param whenFinished run when the import ends
+     * @param onFinished run when the import ends
      */
-    StateImport(TransferableState state, Runnable whenFinished) {
+    StateImport(TransferableState state, Runnable onFinished) {
         this.state = state;
-        this.whenFinished = whenFinished;
+        this.onFinished = onFinished;
     }
 
     void begin() {
         inProgress = true;
     }
 
-    /** Ends the import, if it is in progress, with whatever has been imported. */
+    /** Ends the import if it is in progress. The state imported so far stays in use. */
     void finish() {
         if (inProgress) {
             inProgress = false;
-            whenFinished.run();
+            onFinished.run();
         }
     }
 
-    /** Processes one of the predecessor's messages that transfer state. */
+    /** Processes a message of the predecessor that transfers state, or that ends the transfer. */
     void onMessage(HandoverMessage message) {
         if (!inProgress) {
             return;
@@ -52,8 +52,8 @@
                 default -> finish();
             }
         } catch (IOException e) {
-            // Probably of another version. The other messages may be usable, and what is missing
-            // is learned again from discovery and the workers.
+            // The state is probably of another version. Other messages may be usable, and missing
+            // state is learned again from discovery and the workers.
             LOG.info("state of predecessor process not imported: {}", e.getMessage());
         }
     }
--- a/daemon/src/main/java/wheelroute/net/handover/TransferableState.java
+++ b/daemon/src/main/java/wheelroute/net/handover/TransferableState.java
@@ -2,28 +2,30 @@
 
 import java.io.IOException;
 
-/** The state that one process passes to the next. Only for the event loop's thread. */
+/** The state that a process transfers to its successor. Confined to the event loop's thread. */
 public interface TransferableState {
-    /** Returns the endpoint list in discovery's format, or null before the first list. */
+    /**
+     * Returns the endpoint list in discovery's format, or null if no list has been received yet.
+     */
     String exportEndpoints();
 
-    /** Returns what the policy has learned, as one line. */
+    /** Returns the state that the policy has learned, as one line of text. */
     String exportLearnedState();
 
     /** Returns a copy of the client-given ids of the requests that are open in this process. */
     Iterable<String> openRequestIds();
 
     /**
-     * Imports a predecessor's endpoint list.
+     * Imports the endpoint list of a predecessor.
      *
-     * @throws IOException if it is malformed; then nothing is imported
+     * @throws IOException if the list is malformed; nothing is imported then
      */
     void importEndpoints(byte[] list) throws IOException;
 
     /**
-     * Imports what a predecessor has learned.
+     * Imports the state that a predecessor's policy has learned.
      *
-     * @throws IOException if it is malformed or of another version; then nothing is imported
+     * @throws IOException if the state is malformed or of another version; nothing is imported then
      */
     void importLearnedState(byte[] learned) throws IOException;
 }
--- a/daemon/src/main/java/wheelroute/net/handover/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/handover/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Replacement of a running process by its successor: how the processes of one dispatcher find each
- * other, and what they send each other.
+ * Handover between the processes of one dispatcher: a successor process finds the running process,
+ * receives its state and replaces it.
  *
- * <p>{@link wheelroute.net.handover.Handover} is the entry, and {@link
+ * <p>{@link wheelroute.net.handover.Handover} is the entry point, and {@link
  * wheelroute.net.handover.MessageType} lists the messages. The protocol is described in
  * docs/design/handover.md.
  */
--- a/daemon/src/main/java/wheelroute/net/lifecycle/ConfigReload.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/ConfigReload.java
@@ -7,8 +7,8 @@
 import wheelroute.net.discovery.EndpointWatch;
 
 /**
- * Applies a changed configuration to the running service, as far as that is possible without a
- * restart. Only for the event loop's thread.
+ * Applies a changed configuration to the running service as far as possible without a restart.
+ * Confined to the event loop's thread.
  */
 final class ConfigReload {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigReload.class);
@@ -16,7 +16,7 @@
     /** The configuration that the service was started with. */
     private final Config config;
 
-    /** The address of discovery that is in use. */
+    /** The address of discovery that is currently in use. */
     private InetSocketAddress discovery;
 
     ConfigReload(Config config) {
@@ -24,7 +24,10 @@
         discovery = config.discovery();
     }
 
-    /** Applies a change of discovery's address; logs each other change, which needs a restart. */
+    /**
+     * Applies a change of discovery's address. Any other change requires a restart and is only
+     * logged.
+     */
     void apply(Config newConfig, ServiceComponents components) {
         config.keysRequiringRestart(newConfig)
                 .forEach(key -> LOG.warn("reload: change of '{}' requires a restart", key));
--- a/daemon/src/main/java/wheelroute/net/lifecycle/DescriptorBudget.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/DescriptorBudget.java
@@ -7,14 +7,18 @@
 /** Divides the file descriptors that the process may use between clients and workers. */
 final class DescriptorBudget {
     /**
-     * Descriptors of the Java runtime's archives, the selector, the listening socket and discovery,
-     * and some to spare.
+     * Descriptors reserved for the Java runtime's archives, the selector, the listening socket and
+     * discovery, with a margin.
      */
     private static final int RUNTIME_DESCRIPTORS = 40;
 
-    /** Of the remaining descriptors; those of neither fraction are for connections that close. */
+    /** The fraction of the remaining descriptors for client connections. */
     private static final double CLIENT_FRACTION = 0.5;
 
+    /**
+     * The fraction of the remaining descriptors for connections to workers. The descriptors of
+     * neither fraction are for connections that are being closed.
+     */
     private static final double WORKER_FRACTION = 0.42;
 
     private DescriptorBudget() {}
@@ -30,8 +34,8 @@
     }
 
     private static int available(Config config) {
-        int administrative =
+        int adminAndHandover =
                 config.admin() == null ? 0 : AdminServer.DESCRIPTORS + Handover.DESCRIPTORS;
-        return config.maxDescriptors() - RUNTIME_DESCRIPTORS - administrative;
+        return config.maxDescriptors() - RUNTIME_DESCRIPTORS - adminAndHandover;
     }
 }
--- a/daemon/src/main/java/wheelroute/net/lifecycle/GracefulShutdown.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/GracefulShutdown.java
@@ -4,73 +4,87 @@
 import wheelroute.net.requests.RequestDispatcher;
 
 /**
- * Ends one process after every accepted request has been answered. Requests that are still open at
- * the deadline are rejected, or failed if they may have run. The states of the shutdown are those
- * of {@link State}, in that order; each is left when its timer expires. Only for the event loop's
- * thread.
+ * Ends a process after every accepted request has been answered. Requests that are still open at
+ * the deadline are rejected, or failed if they may have run. The shutdown passes through the values
+ * of {@link State} in their order, and leaves each state when its timer expires. Confined to the
+ * event loop's thread.
  */
 final class GracefulShutdown {
-    /** Clients may not know yet that the process is ending, so connections are still accepted. */
+    /**
+     * Time for which connections are still accepted, because clients may not know yet that the
+     * process is ending.
+     */
     private static final double ACCEPT_GRACE_SECONDS = 0.45;
 
-    /** Time for the requests that are open, unless the longest timeout of a client is shorter. */
+    /**
+     * Time for the open requests to be answered, unless the longest timeout of a client is shorter.
+     */
     private static final double MAX_DRAIN_SECONDS = 3;
 
     /**
-     * Added to that time: the platform kills the process 0.7 s after it, of which 0.2 s are left
-     * for ending the open requests and writing their responses.
+     * Time between the end of the drain time and the deadline. The platform kills the process 0.7 s
+     * after the drain time, so that 0.2 s are left for ending the open requests and writing their
+     * responses.
      */
-    private static final double OVERTIME_SECONDS = 0.5;
+    private static final double DRAIN_EXTENSION_SECONDS = 0.5;
 
-    /** How often it is checked whether the last response has been sent. */
+    /** Interval between checks whether the last response has been sent. */
     private static final double POLL_INTERVAL_SECONDS = 0.02;
 
-    /** Time for the last bytes to be sent: the end of the process breaks its connections. */
+    /** Time for the last bytes to be sent, because connections break at the end of the process. */
     private static final double FLUSH_SECONDS = 0.08;
 
     private enum State {
         /** New connections are still accepted. */
         ACCEPTING,
-        /** The process no longer listens, and checks regularly whether it is idle. */
+        /** The process no longer listens, and regularly checks whether it is idle. */
         AWAITING_RESPONSES,
         /**
-         * All is answered and the last bytes are being sent. What arrives meanwhile is answered,
-         * too, which leads back to AWAITING_RESPONSES.
+         * All requests have been answered and the last bytes are being sent. Requests that arrive
+         * in this state are answered, too, and lead back to AWAITING_RESPONSES.
          */
         FLUSHING,
-        /** The deadline has passed, all requests were ended and the last bytes are being sent. */
+        /**
+         * The deadline has passed, all requests have been ended and the last bytes are being sent.
+         */
         FLUSHING_AT_DEADLINE,
-        /** Nothing more can be sent. */
+        /** Nothing can be sent any more. */
         DONE
     }
 
     private final EventLoop loop;
     private final ServiceComponents components;
-    private final Runnable whenDone;
+    private final Runnable onDone;
 
-    /** On the event loop's clock, in seconds; requests still open then are ended. */
+    /** The time at which open requests are ended, on the event loop's clock in seconds. */
     private final double deadline;
 
     private State state = State.ACCEPTING;
 
     /**
-     * Creates a shutdown whose time is already running; {@link #begin} must follow at once.
+     * Creates a shutdown. The deadline counts from here, so {@link #begin} must follow at once.
      *
-     * @param maxTimeoutSeconds the longest timeout that a client is granted
-     * @param whenDone run once, when nothing more can be sent
+     * @param maxTimeoutSeconds the longest timeout that a client may request
+     * @param onDone run once, when nothing can be sent any more
      */
     GracefulShutdown(
             EventLoop loop,
             ServiceComponents components,
             double maxTimeoutSeconds,
-            Runnable whenDone) {
+            Runnable onDone) {
         this.loop = loop;
         this.components = components;
-        this.whenDone = whenDone;
-        deadline = loop.now() + Math.min(MAX_DRAIN_SECONDS, maxTimeoutSeconds) + OVERTIME_SECONDS;
+        this.onDone = onDone;
+        deadline =
+                loop.now()
+                        + Math.min(MAX_DRAIN_SECONDS, maxTimeoutSeconds)
+                        + DRAIN_EXTENSION_SECONDS;
     }
 
-    /** Starts draining. A successor process accepts new connections at once, if there is one. */
+    /**
+     * Starts draining. If a successor process accepts clients, this process stops listening without
+     * a grace period.
+     */
     void begin() {
         components.dispatcher.startDraining(deadline);
         enter(State.ACCEPTING, components.dispatcher.hasSuccessor() ? 0 : ACCEPT_GRACE_SECONDS);
@@ -93,7 +107,7 @@
                 components.clients.readLastAndClose();
                 finish();
             }
-            case DONE -> throw new AssertionError("no timer runs in state " + state);
+            case DONE -> throw new AssertionError("unexpected timer in state " + state);
         }
     }
 
@@ -110,7 +124,7 @@
 
     private void finishIfIdle() {
         if (isIdle()) {
-            // May accept a request, after which the process is no longer idle.
+            // The last read may accept a request, after which the process is no longer idle.
             components.clients.readLastAndClose();
         }
         if (isIdle()) {
@@ -122,12 +136,13 @@
 
     private void finish() {
         state = State.DONE;
-        whenDone.run();
+        onDone.run();
     }
 
     /**
-     * Whether no request is pending, and no client is expected to send one. Connections that stay
-     * open for further requests are waited for; so are all with a successor, which is then in use.
+     * Returns whether no request is pending and no client is expected to send one. The process also
+     * waits until all client connections are closed if connections stay open after a response, or
+     * if there is a successor, which serves clients meanwhile.
      */
     private boolean isIdle() {
         RequestDispatcher dispatcher = components.dispatcher;
--- a/daemon/src/main/java/wheelroute/net/lifecycle/Service.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/Service.java
@@ -18,8 +18,8 @@
 import wheelroute.net.workers.WorkerConnectionPools;
 
 /**
- * One dispatcher on sockets. {@link #start}, {@link #reload} and {@link #drain} are for the threads
- * of the process; everything else runs on the event loop's thread.
+ * A dispatcher process that serves clients on network sockets. {@link #start}, {@link #reload} and
+ * {@link #drain} are called by other threads; everything else runs on the event loop's thread.
  */
 public final class Service implements ServiceStatus {
     private static final Logger LOG = LoggerFactory.getLogger(Service.class);
@@ -30,17 +30,23 @@
     private final WorkerConnectionPools workers;
     private final ConfigReload reload;
 
-    /** Completed once clients are accepted, or exceptionally if the start fails. */
-    private final CompletableFuture<Void> listening = new CompletableFuture<>();
+    /**
+     * Completed once clients are accepted or a drain has made that unnecessary, or exceptionally if
+     * the start fails.
+     */
+    private final CompletableFuture<Void> startResult = new CompletableFuture<>();
 
     private final CountDownLatch drained = new CountDownLatch(1);
 
-    /** Null until the first task of the loop has created them. */
+    /** The components; null until the first task of the event loop has created them. */
     private ServiceComponents components;
 
     private boolean acceptsClients;
 
-    /** Null before the end of the drain. Written by the loop's thread, which owns the counters. */
+    /**
+     * The metrics at the end of the drain; null before. Written by the event loop's thread, which
+     * owns the counters.
+     */
     private volatile String finalMetrics;
 
     /** Creates a service that is not running yet. */
@@ -48,7 +54,7 @@
         this(config, new EventLoop(new Clock(), config.connectTimeoutSeconds()));
     }
 
-    /** Creates a service on a given loop, with which a test may delay events. */
+    /** Creates a service on a given event loop, with which a test can delay events. */
     public Service(Config config, EventLoop loop) {
         this.config = config;
         this.loop = loop;
@@ -64,14 +70,13 @@
                         DescriptorBudget.workerConnections(config),
                         config.idleTimeoutSeconds());
         reload = new ConfigReload(config);
-        // Before anything else is posted: a signal may arrive before the start is complete.
+        // Posted before any other task, because a signal may arrive before the start is complete.
         loop.post(() -> runStartStep(this::begin));
     }
 
-    // ---- start
-
     /**
-     * Starts the service and returns once clients are accepted. Not for the event loop's thread.
+     * Starts the service and returns once clients are accepted. Must not be called on the event
+     * loop's thread.
      *
      * @throws ConfigException if a configured value cannot be used, such as an address in use
      * @throws Exception if the start fails for another reason
@@ -79,12 +84,12 @@
     public void start() throws Exception {
         loop.start();
         try {
-            listening.get();
+            startResult.get();
         } catch (ExecutionException e) {
             loop.stop();
-            // A concurrent drain() must not wait: there is nothing to drain.
+            // A concurrent drain() must not wait, because there is nothing to drain.
             drained.countDown();
-            throw e.getCause() instanceof ConfigException fault ? fault : e;
+            throw e.getCause() instanceof ConfigException configException ? configException : e;
         }
     }
 
@@ -92,12 +97,12 @@
         void run() throws ConfigException;
     }
 
-    /** Runs a step of the start; its failure makes {@link #start} fail. */
+    /** Runs a step of the start. A failure of the step makes {@link #start} fail. */
     private void runStartStep(StartStep step) {
         try {
             step.run();
         } catch (ConfigException | RuntimeException e) {
-            listening.completeExceptionally(e);
+            startResult.completeExceptionally(e);
         }
     }
 
@@ -112,11 +117,11 @@
         }
     }
 
-    /** Accepts clients, which completes the start. */
+    /** Starts to accept clients, which completes the start of the service. */
     private void listen() throws ConfigException {
         if (components.dispatcher.isDraining()) {
-            // The drain began during the transfer of state; no client should connect any more.
-            listening.complete(null);
+            // The drain began during the transfer of state, so clients must not connect any more.
+            startResult.complete(null);
             return;
         }
         components.listen();
@@ -124,27 +129,31 @@
         if (components.handover != null) {
             components.handover.onServing();
         }
-        if (components.peers != null) {
-            components.peers.begin();
+        if (components.membership != null) {
+            components.membership.begin();
         }
-        listening.complete(null);
+        startResult.complete(null);
     }
 
-    // ---- status
-
-    /** Returns the port that clients connect to; only after {@link #start}. */
+    /**
+     * Returns the port that clients connect to. Must not be called before {@link #start} has
+     * returned.
+     */
     public int port() {
         return components.clients.port();
     }
 
-    /** Returns the port of the admin server, which must be configured; after {@link #start}. */
+    /**
+     * Returns the port of the admin server, which must be configured. Must not be called before
+     * {@link #start} has returned.
+     */
     public int adminPort() {
         return components.admin.port();
     }
 
     @Override
     public String notReadyReason() {
-        // The components are null during the start, and after a start that failed.
+        // The components are null at the beginning of the start, and if their creation failed.
         if (components != null && components.dispatcher.isDraining()) {
             return "draining";
         }
@@ -163,16 +172,15 @@
 
     @Override
     public String membersText() {
-        return components.peers == null ? null : components.peers.membersText();
+        return components.membership == null ? null : components.membership.membersText();
     }
 
-    // ---- reload
-
     /**
-     * Reads the configuration again and applies it as far as possible without a restart. If it
-     * cannot be read, a warning is logged and nothing changes. From any thread.
+     * Reads the configuration again and applies it as far as possible without a restart. If the
+     * configuration cannot be read, a warning is logged and nothing changes. May be called from any
+     * thread.
      *
-     * @param reader reads the configuration; called on the event loop's thread
+     * @param reader reads the configuration; is called on the event loop's thread
      */
     public void reload(Callable<Config> reader) {
         loop.post(
@@ -185,12 +193,10 @@
                 });
     }
 
-    // ---- graceful shutdown
-
     /**
-     * Answers all accepted requests, those that are still open at the deadline as rejected or
-     * failed, stops the service and then returns. From any thread but the event loop's, at any
-     * time, also before {@link #start}.
+     * Answers all accepted requests, stops the service and then returns. Requests that are still
+     * open at the deadline are answered as rejected or failed. May be called at any time, even
+     * before {@link #start}, from any thread but the event loop's.
      */
     public void drain() throws Exception {
         loop.post(this::beginDrain);
@@ -202,7 +208,7 @@
     }
 
     private void beginDrain() {
-        if (!listening.isCompletedExceptionally()) {
+        if (!startResult.isCompletedExceptionally()) {
             new GracefulShutdown(loop, components, config.maxTimeoutSeconds(), this::finishDrain)
                     .begin();
         }
@@ -212,14 +218,16 @@
         if (components.handover != null) {
             components.handover.close();
         }
-        if (components.peers != null) {
-            components.peers.leave();
+        if (components.membership != null) {
+            components.membership.leave();
         }
         finalMetrics = components.dispatcher.metrics();
         drained.countDown();
     }
 
-    /** Returns the metrics at the end of the drain; null before it. From any thread. */
+    /**
+     * Returns the metrics at the end of the drain, or null before. May be called from any thread.
+     */
     public String finalMetrics() {
         return finalMetrics;
     }
@@ -237,8 +245,8 @@
             components.dispatcher.setProcessCount(handover.processCount());
             workers.setProcessCount(handover.processCount());
             components.clients.setProcessCount(handover.processCount());
-            if (components.peers != null && acceptsClients) {
-                components.peers.onSuccessorChanged(handover.hasSuccessor());
+            if (components.membership != null && acceptsClients) {
+                components.membership.onSuccessorChanged(handover.hasSuccessor());
             }
             if (handover.hasSuccessor() && components.dispatcher.isDraining()) {
                 components.clients.stopListening();
--- a/daemon/src/main/java/wheelroute/net/lifecycle/ServiceComponents.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/ServiceComponents.java
@@ -18,29 +18,33 @@
 import wheelroute.net.requests.RequestDispatcher;
 import wheelroute.net.workers.WorkerConnectionPools;
 
-/** Creates the components of one dispatcher and connects them. Only for the event loop's thread. */
+/**
+ * Creates the components of one dispatcher and connects them. Confined to the event loop's thread.
+ */
 final class ServiceComponents {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceComponents.class);
 
     final RequestDispatcher dispatcher;
     final ClientServer clients;
 
-    /** Null if no address is configured for it. */
+    /** The admin server; null if no address is configured for it. */
     final AdminServer admin;
 
-    /** Null if no other process can take over from this one. */
+    /** The handover to a successor process; null if no handover directory is configured. */
     final Handover handover;
 
-    /** Null if this dispatcher does not communicate with others. */
-    final MembershipService peers;
+    /**
+     * The membership of the dispatchers; null if this dispatcher does not communicate with others.
+     */
+    final MembershipService membership;
 
     private final Config config;
     private final EventLoop loop;
     private final Counters counters;
 
     /**
-     * Creates all components. The admin server listens from here on; clients are accepted only from
-     * {@link #listen} on.
+     * Creates all components. The admin server starts to listen at once; clients are accepted only
+     * after {@link #listen}.
      *
      * @throws ConfigException if a configured value cannot be used, such as an address in use
      */
@@ -66,14 +70,14 @@
         admin = config.admin() == null ? null : openAdminServer(status);
         handover = config.handoverDirectory() == null ? null : newHandover(handoverListener);
         dispatcher.setHandover(handover);
-        peers = config.peers() == null ? null : newMembershipService();
-        if (peers != null) {
-            dispatcher.setShares(peers);
+        membership = config.peers() == null ? null : newMembershipService();
+        if (membership != null) {
+            dispatcher.setShares(membership);
         }
     }
 
     /**
-     * Creates a watch on discovery that has not been started.
+     * Creates an endpoint watch that is not started yet.
      *
      * @param version the version of the list already known, or {@link EndpointWatch#NO_VERSION}
      */
@@ -86,7 +90,10 @@
         return new EndpointWatch(loop, discovery, counters, dispatcher, version, options);
     }
 
-    /** Imports the configured endpoint list, if there is one, and returns its version. */
+    /**
+     * Imports the configured endpoint list. Returns its version, or {@link
+     * EndpointWatch#NO_VERSION} if no list is configured.
+     */
     private long importCachedEndpoints() throws ConfigException {
         if (config.cachedEndpoints() == null) {
             return EndpointWatch.NO_VERSION;
@@ -95,7 +102,7 @@
         try {
             cached = EndpointList.decode(config.cachedEndpoints());
         } catch (IOException e) {
-            throw new ConfigException("known", "is no list of workers: " + e.getMessage());
+            throw new ConfigException("known", "is not a valid endpoint list: " + e.getMessage());
         }
         dispatcher.onEndpoints(cached);
         return cached.version();
@@ -132,18 +139,20 @@
     }
 
     /**
-     * Starts to accept clients, possibly while another process of this dispatcher does so too.
+     * Starts to accept clients, possibly while another process of this dispatcher accepts clients,
+     * too.
      *
      * @throws ConfigException if the address cannot be used
      */
     void listen() throws ConfigException {
         try {
-            // Shared if a successor process may listen too, which requires an admin server.
+            // The address is shared if a successor process may listen on it, too, which requires an
+            // admin server.
             clients.listen(config.listen(), config.admin() != null);
         } catch (IOException e) {
             throw new ConfigException("listen", "cannot be used: " + e.getMessage());
         }
-        // The configured port may be 0, which leaves the choice to the system.
+        // The actual port is logged, because a configured port 0 lets the operating system choose.
         LOG.info(
                 "{} listens on {}:{}",
                 config.name(),
--- a/daemon/src/main/java/wheelroute/net/metrics/Counters.java
+++ b/daemon/src/main/java/wheelroute/net/metrics/Counters.java
@@ -7,11 +7,14 @@
 import wheelroute.net.workers.AttemptResult;
 
 /**
- * The counters of one process, and their text form for Prometheus. The metrics' names and labels
- * are read by operators' dashboards and do not change. Only for the event loop's thread.
+ * The counters of one process, and their Prometheus text format. Operators' dashboards read the
+ * names and labels of the metrics, so these must not change. Confined to the event loop's thread.
  */
 public final class Counters {
-    /** A counter without a dimension; several counters of one metric differ by their label. */
+    /**
+     * The counters that are not split by request class. Several counters with the same metric name
+     * are distinguished by their labels.
+     */
     public enum Counter {
         REQUESTS_ACCEPTED("submissions_taken_total", ""),
         REQUESTS_NOT_ACCEPTED("messages_not_taken_total", ""),
@@ -33,7 +36,7 @@
         }
     }
 
-    /** The kinds of final responses, which are counted by request class. */
+    /** The kinds of final responses, which are counted per request class. */
     public enum FinalAnswer {
         SUCCEEDED("fulfilled"),
         REJECTED("bounced"),
@@ -56,12 +59,12 @@
     private final long[] attemptResults = new long[AttemptResult.values().length];
 
     /**
-     * By request class and {@link FinalAnswer}. Contains all classes from the start, because
-     * dashboards do not read a missing metric as 0.
+     * The numbers of final responses by request class and {@link FinalAnswer}. All classes are
+     * present from the start, because dashboards do not read a missing metric as 0.
      */
     private final Map<Ids.RequestClass, long[]> answers = new LinkedHashMap<>();
 
-    /** Creates counters that are 0. */
+    /** Creates counters with value 0 for these request classes. */
     public Counters(List<Ids.RequestClass> requestClasses) {
         for (Ids.RequestClass requestClass : requestClasses) {
             answers.put(requestClass, new long[FinalAnswer.values().length]);
@@ -73,12 +76,15 @@
         counts[counter.ordinal()]++;
     }
 
-    /** Counts the result of an attempt. */
+    /** Adds 1 to the number of attempts with this result. */
     public void count(AttemptResult result) {
         attemptResults[result.ordinal()]++;
     }
 
-    /** Counts the final response to a request, whose class must be known. */
+    /**
+     * Adds 1 to the number of final responses of this kind; the request class must be one of {@link
+     * #requestClasses}.
+     */
     public void count(Ids.RequestClass requestClass, FinalAnswer answer) {
         answers.get(requestClass)[answer.ordinal()]++;
     }
@@ -93,12 +99,15 @@
         return answers.keySet();
     }
 
-    /** Returns the number of final responses to requests of a class, which must be known. */
+    /**
+     * Returns the number of final responses of a kind; the request class must be one of {@link
+     * #requestClasses}.
+     */
     public long value(Ids.RequestClass requestClass, FinalAnswer answer) {
         return answers.get(requestClass)[answer.ordinal()];
     }
 
-    /** Returns all metrics in Prometheus' text format. */
+    /** Returns all metrics in the Prometheus text format. */
     public String text(Gauges gauges) {
         StringBuilder out = new StringBuilder();
         appendCounters(out);
@@ -109,28 +118,28 @@
     }
 
     private void appendCounters(StringBuilder out) {
-        String last = "";
+        String previousName = "";
         for (Counter counter : Counter.values()) {
-            if (!counter.name.equals(last)) {
-                type(out, counter.name, "counter");
-                last = counter.name;
+            if (!counter.name.equals(previousName)) {
+                appendType(out, counter.name, "counter");
+                previousName = counter.name;
             }
-            line(out, counter.name, counter.label, counts[counter.ordinal()]);
+            appendSample(out, counter.name, counter.label, counts[counter.ordinal()]);
         }
     }
 
     private void appendAnswers(StringBuilder out) {
-        type(out, "answers_total", "counter");
+        appendType(out, "answers_total", "counter");
         for (FinalAnswer answer : FinalAnswer.values()) {
             long total = answers.values().stream().mapToLong(row -> row[answer.ordinal()]).sum();
-            line(out, "answers_total", answer.label(), total);
+            appendSample(out, "answers_total", answer.label(), total);
         }
-        type(out, "offering_answers_total", "counter");
+        appendType(out, "offering_answers_total", "counter");
         answers.forEach(
                 (requestClass, row) -> {
-                    String label = "offering=\"" + escaped(requestClass.name()) + "\",";
+                    String label = "offering=\"" + escapeLabelValue(requestClass.name()) + "\",";
                     for (FinalAnswer answer : FinalAnswer.values()) {
-                        line(
+                        appendSample(
                                 out,
                                 "offering_answers_total",
                                 label + answer.label(),
@@ -140,38 +149,39 @@
     }
 
     private void appendAttemptResults(StringBuilder out) {
-        type(out, "launch_ends_total", "counter");
+        appendType(out, "launch_ends_total", "counter");
         for (AttemptResult result : AttemptResult.values()) {
             String label = "end=\"" + result.metricLabel() + "\"";
-            line(out, "launch_ends_total", label, attemptResults[result.ordinal()]);
+            appendSample(out, "launch_ends_total", label, attemptResults[result.ordinal()]);
         }
     }
 
     private static void appendGauges(StringBuilder out, Gauges gauges) {
-        gauge(out, "submissions_open", gauges.open());
-        gauge(out, "submissions_pending", gauges.pending());
-        type(out, "connections_open", "gauge");
-        line(out, "connections_open", "peer=\"client\"", gauges.clients());
-        line(out, "connections_open", "peer=\"worker\"", gauges.workers());
-        gauge(out, "workers_listed", gauges.listed());
-        gauge(out, "workers_avoided", gauges.avoided());
-        gauge(out, "list_lease_expired", gauges.leaseExpired());
-    }
-
-    private static String escaped(String label) {
+        appendGauge(out, "submissions_open", gauges.open());
+        appendGauge(out, "submissions_pending", gauges.pending());
+        appendType(out, "connections_open", "gauge");
+        appendSample(out, "connections_open", "peer=\"client\"", gauges.clients());
+        appendSample(out, "connections_open", "peer=\"worker\"", gauges.workers());
+        appendGauge(out, "workers_listed", gauges.listed());
+        appendGauge(out, "workers_avoided", gauges.avoided());
+        appendGauge(out, "list_lease_expired", gauges.leaseExpired());
+    }
+
+    /** Escapes a label value as the Prometheus text format requires. */
+    private static String escapeLabelValue(String label) {
         return label.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
     }
 
-    private static void type(StringBuilder out, String name, String type) {
+    private static void appendType(StringBuilder out, String name, String type) {
         out.append("# TYPE ").append(PREFIX).append(name).append(' ').append(type).append('\n');
     }
 
-    private static void gauge(StringBuilder out, String name, long value) {
-        type(out, name, "gauge");
-        line(out, name, "", value);
+    private static void appendGauge(StringBuilder out, String name, long value) {
+        appendType(out, name, "gauge");
+        appendSample(out, name, "", value);
     }
 
-    private static void line(StringBuilder out, String name, String label, long value) {
+    private static void appendSample(StringBuilder out, String name, String label, long value) {
         out.append(PREFIX).append(name);
         if (!label.isEmpty()) {
             out.append('{').append(label).append('}');
--- a/daemon/src/main/java/wheelroute/net/metrics/Gauges.java
+++ b/daemon/src/main/java/wheelroute/net/metrics/Gauges.java
@@ -1,15 +1,16 @@
 package wheelroute.net.metrics;
 
 /**
- * The values of the gauges at one time; {@link Counters} has the counters.
+ * The values of the gauges at a point in time; {@link Counters} has the counters.
  *
- * @param open requests with a response or an attempt outstanding
- * @param pending requests accepted, and neither answered nor abandoned by their clients
+ * @param open requests for which a response or an attempt is outstanding
+ * @param pending accepted requests that have neither been answered nor been abandoned by their
+ *     clients
  * @param clients open client connections
  * @param workers open connections to workers
- * @param listed workers on the endpoint list, draining ones included
+ * @param listed workers on the endpoint list, including draining workers
  * @param avoided listed workers to which the policy currently sends no ordinary requests
- * @param leaseExpired 1 while the list is too old for any worker to be used, else 0
+ * @param leaseExpired 1 while the endpoint list is too old for any worker to be used, otherwise 0
  */
 public record Gauges(
         int open,
--- a/daemon/src/main/java/wheelroute/net/metrics/package-info.java
+++ b/daemon/src/main/java/wheelroute/net/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** The counters and gauges of one process, and their text form for Prometheus. */
+/** The counters and gauges of one process, and their Prometheus text format. */
 package wheelroute.net.metrics;
--- a/daemon/src/test/java/wheelroute/LargeEndpointListTest.java
+++ b/daemon/src/test/java/wheelroute/LargeEndpointListTest.java
@@ -57,7 +57,8 @@
                     }
                     assertTrue(
                             served.log()
-                                    .contains("which are all that limits.memory_mb leaves for it"),
+                                    .contains(
+                                            "the maximum size with the configured limits.memory_mb"),
                             served.log());
                     // The process goes on with the list that it has, which is empty.
                     assertTrue(metrics(served.port()).contains("wheelroute_workers_listed 0\n"));
--- a/daemon/src/test/java/wheelroute/net/admin/MetricsWireFormatTest.java
+++ b/daemon/src/test/java/wheelroute/net/admin/MetricsWireFormatTest.java
@@ -11,7 +11,10 @@
 import wheelroute.net.metrics.Gauges;
 import wheelroute.net.workers.AttemptResult;
 
-/** The names, labels and words that dashboards and scripts read, which must not change. */
+/**
+ * Guards the names, labels and words of metrics and admin responses, which must not change because
+ * dashboards and scripts read them.
+ */
 public class MetricsWireFormatTest {
     private static final Ids.RequestClass JOB = new Ids.RequestClass("job");
     private static final Ids.RequestClass NAME_TO_ESCAPE = new Ids.RequestClass("a \"b\", c\\d");
--- a/daemon/src/test/java/wheelroute/net/discovery/BackoffTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/BackoffTest.java
@@ -10,8 +10,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The delays after failed calls, without clock or sockets; a fleet in which calls queue up is in
- * {@link FleetBackoffTest}.
+ * Tests the delays after failed calls, without clock or sockets. {@link FleetBackoffTest} tests a
+ * fleet whose calls queue up at discovery.
  */
 public class BackoffTest {
     private static final int SEEDS = 2_000;
@@ -21,13 +21,15 @@
     @DataProvider
     public Object[][] callDurations() {
         return new Object[][] {
-            // duration of a failed call: refused, handshake timeout, stalled response, no response
+            // Duration of the failed call: connection refused, handshake timeout, stalled response,
+            // no response.
             {0.0}, {0.25}, {1.0}, {Backoff.CALL_TIMEOUT_SECONDS},
         };
     }
 
     /**
-     * The longest recovery over all seeds and failures is within the maximum, but not far below.
+     * The longest recovery time over all seeds and failures is within the maximum, but not far
+     * below it.
      */
     @Test(dataProvider = "callDurations")
     public void recoversWithinMaximumTime(double callDuration) {
@@ -43,8 +45,8 @@
                                         + Backoff.CALL_TIMEOUT_SECONDS);
             }
         }
-        assertTrue(worst <= 4.8, "recovered after " + worst);
-        assertTrue(worst > 4.7, "more calls than needed: " + worst);
+        assertTrue(worst <= 4.8, "recovery time over 4.8 s: " + worst + " s");
+        assertTrue(worst > 4.7, "more calls than needed, longest recovery time " + worst + " s");
     }
 
     /** A call that has used up the recovery time is followed by the minimum delay. */
@@ -53,7 +55,9 @@
         Backoff backoff = new Backoff(1, 1);
         for (int i = 0; i < SEEDS; i++) {
             double delay = backoff.nextDelay(100, false);
-            assertTrue(delay >= 0.1 && delay <= 0.2, "" + delay);
+            assertTrue(
+                    delay >= 0.1 && delay <= 0.2,
+                    "expected a delay of 0.1 to 0.2 s, got " + delay + " s");
         }
     }
 
@@ -83,7 +87,8 @@
     @DataProvider
     public Object[][] fleets() {
         return new Object[][] {
-            // dispatchers, duration of each failing call, responses per second of discovery
+            // Dispatchers, duration of each failed call in seconds, responses of discovery per
+            // second.
             {100, 0.0, 45},
             {300, 0.0, 135},
             {300, Backoff.CALL_TIMEOUT_SECONDS, 200},
@@ -92,8 +97,8 @@
     }
 
     /**
-     * All dispatchers lose discovery at the same time. It returns 17 s later and serves calls in
-     * order, including those that have timed out.
+     * All dispatchers lose discovery at the same time. After 17 s discovery is reachable again and
+     * serves calls in order, including those that have timed out.
      */
     @Test(dataProvider = "fleets")
     public void answersAllCallsWithoutTimeoutAfterOutage(
@@ -125,7 +130,8 @@
         assertEquals(answered, dispatchers);
         assertEquals(received, dispatchers, "some calls timed out in the queue");
         assertTrue(
-                last - OUTAGE_SECONDS <= 4.8, "the last response after " + (last - OUTAGE_SECONDS));
+                last - OUTAGE_SECONDS <= 4.8,
+                "last response " + (last - OUTAGE_SECONDS) + " s after the end of the outage");
     }
 
     @Test
@@ -141,6 +147,6 @@
             callsPerTenth[(int) ((time - 14) * 10)]++;
         }
         int max = Arrays.stream(callsPerTenth).max().getAsInt();
-        assertTrue(max <= 30, "more than a tenth of all calls in a tenth of a second: " + max);
+        assertTrue(max <= 30, "expected at most 30 calls within 0.1 s, got " + max);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/discovery/DiscoveryCallPolicyTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/DiscoveryCallPolicyTest.java
@@ -38,7 +38,7 @@
                 loop, new EndpointWatch.WatchOptions(1, dispatchers, listIsPushed));
     }
 
-    private static double fail(DiscoveryCallPolicy policy, CallFailure failure) {
+    private static double delayAfter(DiscoveryCallPolicy policy, CallFailure failure) {
         policy.onFailure(failure);
         return policy.delayAfterFailure(failure);
     }
@@ -54,7 +54,7 @@
     @Test
     public void backsOffWithoutHoldAfterFailureUntilResponse() {
         DiscoveryCallPolicy policy = policy(1, false);
-        double delay = fail(policy, CONNECT_REFUSED);
+        double delay = delayAfter(policy, CONNECT_REFUSED);
         assertTrue(delay >= 0.5 && delay < 1, delay + " s");
         assertEquals(policy.state(), State.RECOVERING);
         assertEquals(policy.nextHoldMillis(), 0);
@@ -65,11 +65,11 @@
     @Test
     public void catchesUpAfterHeldCallWithoutResponse() {
         DiscoveryCallPolicy policy = policy(1, false);
-        assertEquals(fail(policy, HELD_WITHOUT_RESPONSE), 0.0);
+        assertEquals(delayAfter(policy, HELD_WITHOUT_RESPONSE), 0.0);
         assertEquals(policy.state(), State.CATCHING_UP);
         assertEquals(policy.nextHoldMillis(), 0);
         assertEquals(policy.callTimeout(), 1.2);
-        assertEquals(fail(policy, CONNECT_REFUSED), 0.2);
+        assertEquals(delayAfter(policy, CONNECT_REFUSED), 0.2);
         clock.step(2);
         assertEquals(policy.state(), State.RECOVERING);
     }
@@ -94,24 +94,27 @@
     public void backsOffWhenOverloadedEvenWhileCatchingUp() {
         DiscoveryCallPolicy policy = policy(LARGE_FLEET, false);
         policy.onNewAddress();
-        fail(policy, WITHOUT_RESPONSE);
-        double delay = fail(policy, REJECTED_PROMPTLY);
+        delayAfter(policy, WITHOUT_RESPONSE);
+        double delay = delayAfter(policy, REJECTED_PROMPTLY);
         assertEquals(policy.state(), State.OVERLOADED);
         assertTrue(delay > 2, delay + " s");
     }
 
     @DataProvider
     public Object[][] lostConnections() {
-        return new Object[][] {{true, 0.0, 0.0}, {false, 0.5, 1.0}};
+        return new Object[][] {
+            // Answered before, minimum and maximum delay in seconds.
+            {true, 0.0, 0.0}, {false, 0.5, 1.0},
+        };
     }
 
-    /** A watch that was working before continues at once. */
+    /** A watch that has had a response since its last failure calls again at once. */
     @Test(dataProvider = "lostConnections")
     public void delaysCallAfterLostConnection(boolean answeredBefore, double min, double max) {
         CallFailure lost =
                 new CallFailure(
                         CallFailure.Kind.CONNECTION_LOST, true, true, false, answeredBefore, 0);
-        double delay = fail(policy(1, false), lost);
+        double delay = delayAfter(policy(1, false), lost);
         assertTrue(delay >= min && delay <= max, delay + " s");
     }
 
@@ -120,14 +123,14 @@
         DiscoveryCallPolicy policy = policy(LARGE_FLEET, true);
         assertEquals(policy.delayAtStart(), 0.0);
         for (int i = 0; i < 10; i++) {
-            assertEquals(fail(policy, CONNECT_REFUSED), 0.2);
+            assertEquals(delayAfter(policy, CONNECT_REFUSED), 0.2);
         }
     }
 
     @DataProvider
     public Object[][] responses() {
         return new Object[][] {
-            // contains changes, duration in seconds, delay in seconds
+            // Whether the response has changes, duration of the call and delay, both in seconds.
             {false, 0.1, 0.1},
             {false, 1.5, 0.0},
             {true, 0.1, 0.0},
--- a/daemon/src/test/java/wheelroute/net/discovery/EndpointListTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/EndpointListTest.java
@@ -37,7 +37,7 @@
     public Object[][] states() {
         return new Object[][] {
             {"ready", Endpoint.State.READY}, {"draining", Endpoint.State.DRAINING},
-            {"gone", Endpoint.State.REMOVED}, {"resting", Endpoint.State.DRAINING},
+            {"gone", Endpoint.State.REMOVED}, {"unknown", Endpoint.State.DRAINING},
         };
     }
 
--- a/daemon/src/test/java/wheelroute/net/discovery/FleetBackoffTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/FleetBackoffTest.java
@@ -11,8 +11,8 @@
 import org.testng.annotations.Test;
 
 /**
- * {@link Backoff} with {@link OverloadDetector} in each dispatcher of a large fleet, against a
- * model of a discovery with a queue; without clock or sockets.
+ * Tests {@link Backoff} and {@link OverloadDetector} in each dispatcher of a large fleet against a
+ * model of a discovery with a queue, without clock or sockets.
  *
  * <p>The model serves calls in order, including those that have timed out. It rejects a call
  * promptly if its queue is too long, and fails a call that has waited for the server's timeout.
@@ -25,10 +25,13 @@
     private static final double PROMPT_REJECTION_SECONDS = 0.02;
     private static final double OUTAGE_SECONDS = 17;
 
-    /** From the start, or the end of an outage, until all dispatchers must have been answered. */
+    /**
+     * Maximum time from the start, or from the end of an outage, until all dispatchers have been
+     * answered.
+     */
     private static final double MAX_RECOVERY_SECONDS = 8;
 
-    /** The simulation ends after this time, whether or not all have been answered. */
+    /** The simulation ends after this time, even if some dispatchers have not been answered. */
     private static final double END_SECONDS = 60;
 
     /** The next call of a dispatcher. */
@@ -38,7 +41,7 @@
         final Backoff backoff;
         final OverloadDetector overloadDetector = new OverloadDetector();
 
-        /** NaN until a call has been answered. */
+        /** The time of the response to a call; NaN until a call has been answered. */
         double answeredAt = Double.NaN;
 
         Dispatcher(long seed) {
@@ -55,7 +58,7 @@
     private final PriorityQueue<Call> calls =
             new PriorityQueue<>(Comparator.comparingDouble(Call::time));
 
-    /** When discovery will have served all calls in its queue. */
+    /** The time at which discovery will have served all calls in its queue. */
     private double queueEmptyAt;
 
     private List<Dispatcher> createFleet(long seed) {
@@ -69,8 +72,8 @@
     }
 
     /**
-     * Simulates a discovery that is reachable from a certain time on. Returns when the last
-     * dispatcher was answered, or infinity if some were not.
+     * Simulates a discovery that is reachable from a certain time on. Returns the time at which the
+     * last dispatcher was answered, or infinity if some were not answered.
      */
     private double simulate(
             List<Dispatcher> dispatchers, double reachableFrom, double callsPerSecond) {
@@ -111,7 +114,9 @@
             dispatchers.forEach(
                     dispatcher -> calls.add(new Call(dispatcher.backoff.startDelay(), dispatcher)));
             double last = simulate(dispatchers, 0, callsPerSecond);
-            assertTrue(last <= MAX_RECOVERY_SECONDS, "last after " + last + " s, seed " + seed);
+            assertTrue(
+                    last <= MAX_RECOVERY_SECONDS,
+                    "last dispatcher answered after " + last + " s, seed " + seed);
         }
     }
 
@@ -123,11 +128,17 @@
             double last = simulate(dispatchers, OUTAGE_SECONDS, callsPerSecond);
             double recoveredAfter = last - OUTAGE_SECONDS;
             assertTrue(
-                    recoveredAfter <= MAX_RECOVERY_SECONDS, "last after " + recoveredAfter + " s");
+                    recoveredAfter <= MAX_RECOVERY_SECONDS,
+                    "last dispatcher answered "
+                            + recoveredAfter
+                            + " s after the end of the outage");
         }
     }
 
-    /** The calls of the fleet must not keep the queue as long as it was at the start. */
+    /**
+     * The calls of the fleet must not keep a queue of discovery that is full at the start at its
+     * initial length.
+     */
     @Test
     public void answersAllDispatchersInSpiteOfInitialBacklog() {
         for (long seed = 0; seed < SEEDS; seed++) {
@@ -135,7 +146,7 @@
             queueEmptyAt = MAX_QUEUE_SECONDS;
             dispatchers.forEach(dispatcher -> calls.add(new Call(0, dispatcher)));
             double last = simulate(dispatchers, 0, 16);
-            assertTrue(last <= END_SECONDS, "not all were answered, seed " + seed);
+            assertTrue(last <= END_SECONDS, "not all dispatchers were answered, seed " + seed);
         }
     }
 
--- a/daemon/src/test/java/wheelroute/net/discovery/OverloadDetectorTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/OverloadDetectorTest.java
@@ -17,6 +17,7 @@
     @DataProvider
     public Object[][] failures() {
         return new Object[][] {
+            // Whether the failures that follow indicate an overload.
             {false, new Failure[] {}},
             {false, new Failure[] {REJECTED_PROMPTLY, REJECTED_PROMPTLY, REJECTED_PROMPTLY}},
             {false, new Failure[] {NO_RESPONSE, REJECTED_AFTER_WAIT, NO_RESPONSE}},
--- a/daemon/src/test/java/wheelroute/net/handover/HandoverWireFormatTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/HandoverWireFormatTest.java
@@ -11,7 +11,10 @@
 import wheelroute.decision.Ids;
 import wheelroute.decision.LearnedState;
 
-/** Processes of different releases hand over to each other, so these bytes must not change. */
+/**
+ * Guards the bytes of handover messages, which must not change because processes of different
+ * releases hand over to each other.
+ */
 public class HandoverWireFormatTest {
     private static final double[] SAMPLES = {0.5, 2, 3, 0.25, 1, 1};
     private static final double[] NO_SAMPLES = {};
@@ -30,13 +33,13 @@
 
     @Test
     public void readsEachRecordedMessage() {
-        StringBuilder again = new StringBuilder();
+        StringBuilder reencoded = new StringBuilder();
         for (String line : WireFixture.read("handover-messages.txt").split("\n")) {
             HandoverMessage message = HandoverMessage.decode(line);
             assertEquals(message.body(), line.contains(" ") ? "one two" : "");
-            again.append(message.encode());
+            reencoded.append(message.encode());
         }
-        assertEquals(again.toString(), WireFixture.read("handover-messages.txt"));
+        assertEquals(reencoded.toString(), WireFixture.read("handover-messages.txt"));
     }
 
     @Test
--- a/daemon/src/test/java/wheelroute/net/handover/LearnedStateCodecTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/LearnedStateCodecTest.java
@@ -33,7 +33,7 @@
                 name -> name.equals("one") ? new Ids.Worker(7) : null);
     }
 
-    /** Workers are identified by discovery's names; those without a name are left out. */
+    /** Workers are identified by their names in discovery; workers without a name are omitted. */
     @Test
     public void decodesWhatItEncodes() throws IOException {
         String text =
--- a/daemon/src/test/java/wheelroute/net/handover/ProcessChainTest.java
+++ b/daemon/src/test/java/wheelroute/net/handover/ProcessChainTest.java
@@ -10,10 +10,10 @@
     @DataProvider
     public Object[][] histories() {
         return new Object[][] {
-            // Events of the successor (s) and the predecessor (p): + joins, - leaves, :n reports n
-            // processes behind it. Then the processes, the counts reported to the predecessor and
-            // to
-            // the successor, and whether this process is succeeded.
+            // Events of the successor (s) and the predecessor (p): "+" joins, "-" leaves, ":n"
+            // reports n processes behind it, "serving" means that the successor accepts clients.
+            // Then the number of processes, the counts reported to the predecessor and to the
+            // successor, and whether a successor accepts clients.
             {"", 1, 0, 0, false},
             {"s+", 2, 1, 0, false},
             {"s+ serving", 2, 1, 0, true},
@@ -36,15 +36,15 @@
             int processes,
             int reportedToPredecessor,
             int reportedToSuccessor,
-            boolean succeeded) {
+            boolean successorServing) {
         ProcessChain chain = new ProcessChain();
         for (String event : history.isEmpty() ? new String[0] : history.split(" ")) {
             apply(event, chain);
         }
         assertEquals(chain.processCount(), processes);
-        assertEquals(chain.countBehindThisFor(Role.PREDECESSOR), reportedToPredecessor);
-        assertEquals(chain.countBehindThisFor(Role.SUCCESSOR), reportedToSuccessor);
-        assertEquals(chain.hasServingSuccessor(), succeeded);
+        assertEquals(chain.countToReportTo(Role.PREDECESSOR), reportedToPredecessor);
+        assertEquals(chain.countToReportTo(Role.SUCCESSOR), reportedToSuccessor);
+        assertEquals(chain.hasServingSuccessor(), successorServing);
     }
 
     private static void apply(String event, ProcessChain chain) {
