--- a/daemon/src/main/java/wheelroute/net/admin/AdminServer.java
+++ b/daemon/src/main/java/wheelroute/net/admin/AdminServer.java
@@ -21,7 +21,7 @@
      * Maximum number of file descriptors: the connections, the listening socket, and a connection
      * that is being accepted.
      */
-    public static final int DESCRIPTORS = MAX_CONNECTIONS + 2;
+    public static final int MAX_DESCRIPTORS = MAX_CONNECTIONS + 2;
 
     private final EventLoop loop;
     private final ServiceStatus status;
--- a/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
@@ -30,7 +30,7 @@
     private final ListResponseBody body = new ListResponseBody();
     private final CallProgress progress;
 
-    /** Null until the connection is established. */
+    /** The end point of the connection; null until the connection is established. */
     private EndPoint endPoint;
 
     /** The timeout of the open call; null before {@link #open}. */
--- a/daemon/src/main/java/wheelroute/net/handover/Handover.java
+++ b/daemon/src/main/java/wheelroute/net/handover/Handover.java
@@ -33,7 +33,7 @@
      * Maximum number of file descriptors: the listening socket, a peer in each role, and a peer
      * that has not sent its greeting yet.
      */
-    public static final int DESCRIPTORS = 4;
+    public static final int MAX_DESCRIPTORS = 4;
 
     /**
      * Maximum time to wait for the state of a predecessor, which may hang or use another protocol.
--- a/daemon/src/main/java/wheelroute/net/handover/HandoverSocket.java
+++ b/daemon/src/main/java/wheelroute/net/handover/HandoverSocket.java
@@ -33,7 +33,7 @@
     private final EventLoop loop;
     private final Path path;
 
-    /** Null while this process does not listen. */
+    /** The listening channel; null while this process does not listen. */
     private ServerSocketChannel server;
 
     /**
--- a/daemon/src/main/java/wheelroute/net/lifecycle/DescriptorBudget.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/DescriptorBudget.java
@@ -35,7 +35,7 @@
 
     private static int available(Config config) {
         int adminAndHandover =
-                config.admin() == null ? 0 : AdminServer.DESCRIPTORS + Handover.DESCRIPTORS;
+                config.admin() == null ? 0 : AdminServer.MAX_DESCRIPTORS + Handover.MAX_DESCRIPTORS;
         return config.maxDescriptors() - RUNTIME_DESCRIPTORS - adminAndHandover;
     }
 }
