--- a/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
@@ -227,7 +227,7 @@
 
         @Override
         protected void onEndOfStream() {
-            String reason = "connection closed by discovery";
+            String reason = "the connection ended";
             try {
                 parser.atEnd();
             } catch (IOException e) {
