--- a/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
@@ -106,7 +106,11 @@
      * unit of the cost, by the amount that the request would lose if it were late.
      */
     private double asCost(double price) {
-        return price * inputs.traffic().meanWeightedWork() * objectiveSeconds / request.work() / lateLoss;
+        return price
+                * inputs.traffic().meanWeightedWork()
+                * objectiveSeconds
+                / request.work()
+                / lateLoss;
     }
 
     /**
