--- a/daemon/src/main/java/wheelroute/peers/DeterministicRandom.java
+++ b/daemon/src/main/java/wheelroute/peers/DeterministicRandom.java
@@ -5,8 +5,8 @@
 import java.util.zip.CRC32;
 
 /**
- * Pseudo-random numbers that depend on a seed and on how many were drawn before: the CRC-32 of
- * both. Simulations are repeatable because of that, so the order of the draws must not change.
+ * Pseudo-random number generator. Each number is the CRC-32 of the seed and of the number of draws
+ * so far. Simulations are repeatable only as long as the order of the draws does not change.
  *
  * <p>Not thread-safe.
  */
--- a/daemon/src/main/java/wheelroute/peers/IndirectProbes.java
+++ b/daemon/src/main/java/wheelroute/peers/IndirectProbes.java
@@ -5,21 +5,22 @@
 import java.util.Map;
 
 /**
- * Probes that this member makes at the request of others (SWIM's ping-req). An ack is forwarded to
- * the requester. Without one in time the requester gets a nack (Lifeguard's extension).
+ * Probes that this member performs at the request of others (SWIM's ping-req). An ack of the target
+ * is forwarded to the requester. If no ack arrives in time, the requester is sent a nack, which is
+ * an extension of Lifeguard.
  *
  * <p>Times are in seconds. Not thread-safe.
  */
 final class IndirectProbes {
-    /** How long after a request an ack is still forwarded. */
+    /** Time after a request during which an ack is forwarded. */
     private static final double RETENTION_SECONDS = 4 * Membership.PROBE_INTERVAL_SECONDS;
 
     private final MessageSender sender;
 
-    /** By the sequence number of this member's own ping. */
+    /** Pending probes by the sequence number of this member's ping to the target. */
     private final Map<Integer, IndirectProbe> probes = new HashMap<>();
 
-    /** A probe for another member, with that member's sequence number. */
+    /** A pending probe with the requester's own sequence number. */
     private record IndirectProbe(
             MemberAddress requester,
             int sequenceNumber,
@@ -39,7 +40,7 @@
         this.sender = sender;
     }
 
-    /** Pings the target of a request. */
+    /** Pings the target of a request on behalf of the requester. */
     void onRequest(MemberAddress requester, Message.PingRequest request, double now) {
         int sequenceNumber = sender.nextSequenceNumber();
         probes.put(
@@ -53,7 +54,7 @@
         sender.ping(request.target().address(), sequenceNumber);
     }
 
-    /** Forwards an ack to the requester. Ignores the ack of any other probe. */
+    /** Forwards an ack to the requester. Acks of pings that are not indirect probes are ignored. */
     void onAck(int sequenceNumber) {
         IndirectProbe probe = probes.remove(sequenceNumber);
         if (probe != null) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Sends the nacks that are due, and removes expired probes. */
+    /** Sends the nacks that are due and removes expired probes. */
     void checkTimeouts(double now) {
         for (Map.Entry<Integer, IndirectProbe> entry : new ArrayList<>(probes.entrySet())) {
             IndirectProbe probe = entry.getValue();
@@ -74,7 +75,9 @@
         }
     }
 
-    /** Returns when {@link #checkTimeouts} has something to do next; infinite for never. */
+    /**
+     * Returns when {@link #checkTimeouts} is due next; positive infinity if no probe is pending.
+     */
     double nextDeadline() {
         double next = Double.POSITIVE_INFINITY;
         for (IndirectProbe probe : probes.values()) {
@@ -83,7 +86,7 @@
         return next;
     }
 
-    /** Abandons all probes. */
+    /** Abandons all pending probes without notice to their requesters. */
     void clear() {
         probes.clear();
     }
--- a/daemon/src/main/java/wheelroute/peers/Lease.java
+++ b/daemon/src/main/java/wheelroute/peers/Lease.java
@@ -4,25 +4,26 @@
 import java.util.Set;
 
 /**
- * A lease on a quota share as its holder sees it: it is held for a fixed time once a quorum of the
- * voters has granted it. The holder's term starts before it sends its requests. A voter's grant
- * starts when it receives one, and lasts longer by the maximum clock drift (see {@link
- * LeaseVoter}). So the holder's term has ended before a voter can grant the share to another
- * holder, even if messages are delayed, lost or duplicated, or a process is paused.
+ * The holder's state of a lease on a quota share. The lease is held for a fixed time once a quorum
+ * of the voters has granted it. The holder's term starts before the holder sends its requests. A
+ * voter's grant starts when the voter receives a request, and lasts longer than the term by the
+ * maximum clock drift (see {@link LeaseVoter}). The holder's term has therefore ended before a
+ * voter can grant the share to another holder, even if messages are delayed, lost or duplicated, or
+ * a process is paused.
  *
- * <p>Times are in seconds on the holder's monotonic clock. Not thread-safe. Not final, so that the
- * model check can disable one safeguard at a time.
+ * <p>Times are in seconds on the holder's monotonic clock. Not thread-safe. The class is not final,
+ * so that the model check can disable one safeguard at a time.
  */
 public class Lease {
-    /** How long a lease is held after its request, in seconds on the holder's clock. */
+    /** Time for which a lease is held from its request on, in seconds on the holder's clock. */
     public static final double DURATION_SECONDS = 3;
 
-    /** Bound on the relative drift of a clock's rate, 100 times that of ordinary machines. */
+    /** Upper bound of a clock's relative drift, 100 times the drift of ordinary machines. */
     public static final double MAX_CLOCK_DRIFT_FRACTION = 0.01;
 
     /**
-     * How long a grant binds its voter, in seconds on the voter's clock: long enough if that clock
-     * runs fast and the holder's clock runs slow.
+     * Time for which a grant binds its voter, in seconds on the voter's clock. The grant outlasts
+     * the lease even if the voter's clock runs fast and the holder's clock runs slow.
      */
     public static final double GRANT_DURATION_SECONDS =
             DURATION_SECONDS * (1 + MAX_CLOCK_DRIFT_FRACTION) / (1 - MAX_CLOCK_DRIFT_FRACTION);
@@ -48,26 +49,26 @@
         this.durationSeconds = durationSeconds;
     }
 
-    /** Begins a round of requests, to be sent afterwards. Grants of earlier rounds become void. */
+    /** Begins a round of requests, to be sent after this call. Voids grants of earlier rounds. */
     public void beginRound(double now, int newRound) {
         requestedAt = now;
         round = newRound;
         grantedBy.clear();
     }
 
-    /** Records a voter's grant. The one that completes the quorum acquires or renews the lease. */
+    /** Records a voter's grant. The grant that completes a quorum acquires or renews the lease. */
     public void onGrant(double now, int grantedRound, PeerId voter) {
         if (grantedRound == round && grantedBy.add(voter) && grantedBy.size() >= quorum) {
             heldUntil = Math.max(heldUntil, startOfTerm(now) + durationSeconds);
         }
     }
 
-    /** Returns when the term starts that a grant arriving now counts for: at the request. */
+    /** Returns the start of the term for a grant received now, which is the time of the request. */
     double startOfTerm(double now) {
         return requestedAt;
     }
 
-    /** Releases the lease. Grants that arrive later have no effect. */
+    /** Ends the lease at once. Grants that arrive later have no effect. */
     public void release() {
         heldUntil = Double.NEGATIVE_INFINITY;
         round = 0;
@@ -75,20 +76,20 @@
     }
 
     /**
-     * Whether the lease is held. Must be checked at each use with the time read just before, since
-     * the process may have been paused meanwhile.
+     * Returns whether the lease is held. Callers must check this at each use, with a time read just
+     * before, since the process may have been paused since the last check.
      */
     public boolean isHeld(double now) {
         return now < heldUntil;
     }
 
-    /** Returns the state relative to now as a text, by which the model check compares states. */
+    /** Returns a text of the state relative to now, by which the model check compares states. */
     String stateKey(double now) {
         String remaining = now < heldUntil ? heldUntil - now + "/" : "";
         return remaining + round + "/" + (now - requestedAt) + grantedBy;
     }
 
-    /** Copies the state to a new lease, for the model check to explore several next steps. */
+    /** Copies the state to a new lease, so that the model check can explore several next steps. */
     void copyTo(Lease other) {
         other.heldUntil = heldUntil;
         other.requestedAt = requestedAt;
--- a/daemon/src/main/java/wheelroute/peers/LeaseVoter.java
+++ b/daemon/src/main/java/wheelroute/peers/LeaseVoter.java
@@ -4,22 +4,23 @@
 import java.util.Map;
 
 /**
- * The votes of this dispatcher on leases of quota shares. A share is granted to one holder at a
- * time, and to another one only after the grant has expired or was released.
+ * Votes on leases of quota shares. A voter grants a share to one holder at a time, and to another
+ * holder only after the last grant has expired or was released.
  *
- * <p>After a start the voter is in quarantine and grants nothing, since an earlier process of this
- * dispatcher may have given grants that are still valid and that this one does not know.
+ * <p>After its start a voter is in quarantine and grants nothing, since an earlier process of the
+ * same dispatcher may have given grants that are still valid and unknown to the new process.
  *
- * <p>Times are in seconds on the voter's monotonic clock. Not thread-safe. Not final, so that the
- * model check can disable one safeguard at a time.
+ * <p>Times are in seconds on the voter's monotonic clock. Not thread-safe. The class is not final,
+ * so that the model check can disable one safeguard at a time.
  */
 public class LeaseVoter {
     /**
      * A grant that binds this voter.
      *
-     * @param incarnation start of the holder's process; a restarted process is another holder
+     * @param incarnation start time of the holder's process in milliseconds; a restarted process
+     *     counts as another holder
      * @param round the holder's latest round of requests
-     * @param expiresAt when the voter may grant the share to another holder
+     * @param expiresAt time from which the voter may grant the share to another holder
      */
     record Grant(PeerId holder, long incarnation, int round, double expiresAt) {}
 
@@ -30,7 +31,7 @@
     /**
      * Creates a voter that is in quarantine for {@link Lease#GRANT_DURATION_SECONDS}.
      *
-     * @param now when the process started, or started to receive requests
+     * @param now time when the process started, or started to receive requests
      */
     public LeaseVoter(double now) {
         this(now, Lease.GRANT_DURATION_SECONDS, Lease.GRANT_DURATION_SECONDS);
@@ -42,7 +43,7 @@
     }
 
     /**
-     * Votes on a request. A grant binds this voter from now on.
+     * Votes on a request. A grant binds this voter from this call until it expires.
      *
      * @return whether the share is granted
      */
@@ -65,7 +66,7 @@
         return last.holder.equals(holder) && last.incarnation == incarnation;
     }
 
-    /** Removes the holder's grant, unless the holder has requested the share again since. */
+    /** Removes the holder's grant, unless the holder has sent a later request for the share. */
     public void release(LeaseTerms terms, PeerId holder, int round) {
         Grant last = grants.get(terms.share());
         if (last != null
@@ -79,7 +80,7 @@
         return round >= last.round;
     }
 
-    /** Returns the state relative to now as a text, by which the model check compares states. */
+    /** Returns a text of the state relative to now, by which the model check compares states. */
     String stateKey(double now) {
         StringBuilder key =
                 new StringBuilder(now < quarantineEndsAt ? quarantineEndsAt - now + " " : "");
@@ -93,7 +94,7 @@
         return key.toString();
     }
 
-    /** Copies the state to a new voter, for the model check to explore several next steps. */
+    /** Copies the state to a new voter, so that the model check can explore several next steps. */
     void copyTo(LeaseVoter other) {
         other.grants.putAll(grants);
         other.quarantineEndsAt = quarantineEndsAt;
--- a/daemon/src/main/java/wheelroute/peers/ListSynchronizer.java
+++ b/daemon/src/main/java/wheelroute/peers/ListSynchronizer.java
@@ -3,28 +3,30 @@
 import java.util.List;
 
 /**
- * Anti-entropy by pull: if the digest in received messages differs from this member's own for
- * longer than gossip should take, the member list of the sender is requested page by page.
+ * Pull-based anti-entropy. If the digest in received messages differs from this member's digest for
+ * longer than gossip should take, this member requests the sender's member list page by page.
  *
  * <p>Times are in seconds. Not thread-safe.
  */
 final class ListSynchronizer {
-    /** Mean delay between two comparisons, for a size multiplier of 1. */
+    /** Mean delay between two digest comparisons, for a size multiplier of 1. */
     private static final double COMPARISON_DELAY_SECONDS = 4 * Membership.PROBE_INTERVAL_SECONDS;
 
-    /** Lower bound of the random factor for the delay, which is less than 1 above it. */
+    /** Lower bound of the random factor of the delay. The upper bound is greater by 1. */
     private static final double MIN_JITTER_FACTOR = 0.5;
 
-    /** Factor for the delay if gossip alone would take too long. */
+    /** Factor of the delay while gossip alone would take too long. */
     private static final double URGENT_DELAY_FACTOR = 0.25;
 
-    /** With more queued updates than this, about two datagrams, requesting the list is faster. */
-    private static final int LONG_GOSSIP_QUEUE = 16;
+    /** Queue size, about two datagrams of updates, above which a list transfer is faster. */
+    private static final int URGENT_GOSSIP_QUEUE_SIZE = 16;
 
-    /** With no more alive members than this, this member has probably just started to join. */
-    private static final int JOINING_CLUSTER_SIZE = 2;
+    /** Number of alive members up to which this member has probably just begun to join. */
+    private static final int MAX_ALIVE_COUNT_WHILE_JOINING = 2;
 
-    /** Bound on the pages of one transfer, as the list of a faulty member may have no end. */
+    /**
+     * Maximum number of pages of one transfer, since a faulty member may send pages without end.
+     */
     private static final int MAX_PAGES = 20_000;
 
     private final MemberTable table;
@@ -32,15 +34,15 @@
     private final GossipQueue gossip;
     private final DeterministicRandom random;
 
-    /** The transfer in progress; null for none. */
+    /** The transfer in progress; null if there is none. */
     private Transfer transfer;
 
     private double nextComparisonAt;
 
-    /** Whether the digests differed at the last comparison. */
+    /** True if the digests differed at the last comparison. */
     private boolean differedBefore;
 
-    /** A transfer of another member's list. */
+    /** A transfer of another member's list to this member. */
     private static final class Transfer {
         final MemberAddress source;
         int sequenceNumber;
@@ -63,7 +65,7 @@
         this.random = random;
     }
 
-    /** Compares the digest of a received message, and requests the sender's list if needed. */
+    /** Compares the digest of a received message and requests the sender's list if needed. */
     void compareDigest(MessageHeader header, double now) {
         if (header.digest() == table.digest()
                 || transfer != null
@@ -72,10 +74,11 @@
             return;
         }
         boolean isUrgent =
-                table.aliveCount() <= JOINING_CLUSTER_SIZE || gossip.size() > LONG_GOSSIP_QUEUE;
+                table.aliveCount() <= MAX_ALIVE_COUNT_WHILE_JOINING
+                        || gossip.size() > URGENT_GOSSIP_QUEUE_SIZE;
         nextComparisonAt = now + nextDelaySeconds(isUrgent);
         if (!isUrgent && !differedBefore) {
-            // Gossip may still deliver the missing update: request only at the second difference.
+            // Gossip may still deliver the missing updates, so the first difference is tolerated.
             differedBefore = true;
             return;
         }
@@ -99,12 +102,12 @@
                 new Message.SyncRequest(sender.header(), transfer.sequenceNumber, after));
     }
 
-    /** Answers a request with the page that follows the member it names. */
+    /** Answers a request with the page that starts after the member named in the request. */
     void onRequest(MemberAddress requester, Message.SyncRequest request) {
         List<MemberUpdate> rest = table.updatesAfter(request.after());
         int sequenceNumber = request.sequenceNumber();
-        // The page also names its last member, which is not known before the members are counted.
-        // So space is reserved for the longest name.
+        // The page also contains its last member, which is known only after the members that fit
+        // are counted. Space for the longest name is therefore reserved.
         Message empty = new Message.SyncPage(sender.header(), sequenceNumber, longestName(rest));
         int count = MessageCodec.countFitting(empty, rest);
         MemberUpdate last = count == rest.size() ? null : rest.get(count - 1);
@@ -122,7 +125,7 @@
         return longest;
     }
 
-    /** Requests the next page, if there is one. The page's entries are applied by the caller. */
+    /** Requests the next page, if there is one. The caller applies the entries of this page. */
     void onPage(Message.SyncPage page, double now) {
         if (transfer == null || transfer.sequenceNumber != page.sequenceNumber()) {
             return;
@@ -134,7 +137,7 @@
         }
     }
 
-    /** Aborts a transfer whose next page has not arrived in time. */
+    /** Aborts the transfer in progress if its next page has not arrived in time. */
     void checkTimeout(double now) {
         if (transfer != null && now >= transfer.expiresAt) {
             transfer = null;
--- a/daemon/src/main/java/wheelroute/peers/LocalHealth.java
+++ b/daemon/src/main/java/wheelroute/peers/LocalHealth.java
@@ -2,8 +2,8 @@
 
 /**
  * Lifeguard's local health multiplier. Missing responses are evidence that this member itself is
- * slow or partitioned. The more evidence there is, the less often it probes, and the more time it
- * gives the others to respond and to refute a suspicion.
+ * slow or partitioned. The more evidence there is, the less often this member probes, and the more
+ * time it gives other members to respond and to refute a suspicion.
  *
  * <p>Not thread-safe.
  */
@@ -16,7 +16,7 @@
     /**
      * Creates the state of a healthy member.
      *
-     * @param enabled false keeps the score at 0, which is SWIM without this extension
+     * @param enabled false to keep the score at 0, which is SWIM without this extension
      */
     LocalHealth(boolean enabled) {
         this.enabled = enabled;
@@ -26,32 +26,32 @@
         return enabled;
     }
 
-    /** Returns the score, from 0 for healthy to {@link #MAX_SCORE}. */
+    /** Returns the score, from 0 for a healthy member to {@link #MAX_SCORE}. */
     int score() {
         return score;
     }
 
-    /** Returns the factor for the probe interval and the probe timeouts. */
+    /** Returns the factor of the probe interval and of the probe timeouts, at least 1. */
     double probeMultiplier() {
         return 1 + score;
     }
 
-    /** Returns the factor for the suspicion timeouts. */
+    /** Returns the factor of the suspicion timeouts, at least 1. */
     double suspicionMultiplier() {
         return 1 + score / 2.0;
     }
 
-    /** Records evidence against this member's own health. */
-    void degrade(int by) {
-        adjust(by);
+    /** Raises the score after evidence that this member itself is unhealthy. */
+    void degrade(int points) {
+        adjust(points);
     }
 
-    /** Records a probe that was acknowledged in time. */
+    /** Lowers the score by 1 after a probe was acknowledged in time. */
     void improve() {
         adjust(-1);
     }
 
-    private void adjust(int by) {
-        score = enabled ? Math.max(0, Math.min(MAX_SCORE, score + by)) : 0;
+    private void adjust(int points) {
+        score = enabled ? Math.max(0, Math.min(MAX_SCORE, score + points)) : 0;
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/MalformedMessageException.java
+++ b/daemon/src/main/java/wheelroute/peers/MalformedMessageException.java
@@ -1,11 +1,12 @@
 package wheelroute.peers;
 
-/** Thrown for a datagram that is not a valid message. The text names the invalid field. */
+/** Thrown if a datagram is not a valid message. The exception message names the invalid field. */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
     MalformedMessageException(String reason) {
-        // Without a stack trace, to be cheap: invalid datagrams may arrive at any rate.
+        // A stack trace would make rejections expensive, and invalid datagrams may arrive at any
+        // rate.
         super(reason, null, false, false);
     }
 }
--- a/daemon/src/main/java/wheelroute/peers/MemberAddress.java
+++ b/daemon/src/main/java/wheelroute/peers/MemberAddress.java
@@ -1,9 +1,9 @@
 package wheelroute.peers;
 
 /**
- * The address of a member.
+ * The UDP address of a member.
  *
- * @param host IPv4 address, the first octet in the highest byte
+ * @param host IPv4 address with the first octet in the most significant byte
  * @param port UDP port, from 0 to 65535
  */
 public record MemberAddress(int host, int port) {
--- a/daemon/src/main/java/wheelroute/peers/MemberRecord.java
+++ b/daemon/src/main/java/wheelroute/peers/MemberRecord.java
@@ -1,6 +1,6 @@
 package wheelroute.peers;
 
-/** The latest update of one other member. Mutable, compared by identity, not thread-safe. */
+/** The latest update of another member. Mutable, compared by identity, not thread-safe. */
 final class MemberRecord {
     private MemberUpdate update;
     private double stateSince;
@@ -29,12 +29,12 @@
         return update.state().isAlive();
     }
 
-    /** Returns when the member's state last changed, in seconds. */
+    /** Returns the time of the last change of the member's state, in seconds. */
     double stateSince() {
         return stateSince;
     }
 
-    /** Replaces the update, and records the time if it changes the member's state. */
+    /** Replaces the update, and records the time if the update changes the member's state. */
     void replace(MemberUpdate newUpdate, boolean isNewState, double now) {
         update = newUpdate;
         if (isNewState) {
--- a/daemon/src/main/java/wheelroute/peers/MemberTable.java
+++ b/daemon/src/main/java/wheelroute/peers/MemberTable.java
@@ -9,19 +9,20 @@
 import java.util.zip.CRC32;
 
 /**
- * The member list: this member, all others that are known, and a digest of those that count as
- * alive. Members that are dead or have left are kept for a while as tombstones, so that delayed
- * updates do not revive them. Holds data only; {@link UpdateProcessor} decides what is accepted.
+ * The member list, which consists of this member and all other known members, with a digest of
+ * those that count as alive. Members that are dead or have left are kept for a limited time as
+ * tombstones, so that delayed updates do not revive them. The table only stores updates; {@link
+ * UpdateProcessor} decides which are accepted.
  *
  * <p>Times are in seconds. Not thread-safe.
  */
 final class MemberTable {
     private static final int MAX_MEMBERS = 10_000;
 
-    /** How long the tombstone of a member is kept. */
+    /** Time for which the tombstone of a member is kept. */
     private static final double TOMBSTONE_RETENTION_SECONDS = 600;
 
-    /** Increase of the size multiplier for a cluster of ten times the size. */
+    /** Increase of the size multiplier for each tenfold increase of the cluster size. */
     private static final double SIZE_MULTIPLIER_PER_DECADE = 1.5;
 
     private final Map<PeerId, MemberRecord> records = new TreeMap<>();
@@ -35,7 +36,7 @@
         digest = digestOf(self);
     }
 
-    /** Returns this member as it announces itself. */
+    /** Returns the update in which this member announces itself. */
     MemberUpdate self() {
         return self;
     }
@@ -44,7 +45,7 @@
         return id.equals(self.id());
     }
 
-    /** Raises this member's own incarnation. */
+    /** Sets this member's incarnation to a higher one, with the state alive. */
     void raiseIncarnation(long incarnation) {
         digest ^= digestOf(self);
         self =
@@ -53,22 +54,22 @@
         digest ^= digestOf(self);
     }
 
-    /** Marks this member as having left. Its own digest does not change. */
+    /** Marks this member as having left. The digest does not change. */
     void markSelfLeft() {
         self = self.withState(MemberUpdate.State.LEFT, self.id());
     }
 
-    /** Returns the record of another member; null if it is unknown. */
+    /** Returns the record of another member; null if the member is unknown. */
     MemberRecord find(PeerId id) {
         return records.get(id);
     }
 
-    /** Returns the records of all others in the order of names, including tombstones. */
+    /** Returns the records of all other members, including tombstones, ordered by name. */
     Collection<MemberRecord> records() {
         return records.values();
     }
 
-    /** Returns the others that count as alive, in probe order. */
+    /** Returns the other members that count as alive, in probe order. */
     ProbeOrder probeOrder() {
         return probeOrder;
     }
@@ -78,7 +79,7 @@
         return 1 + probeOrder.size();
     }
 
-    /** Whether another member that counts as alive has this address. */
+    /** Returns whether another member that counts as alive has this address. */
     boolean isAliveAt(MemberAddress address) {
         for (MemberRecord member : probeOrder.members()) {
             if (member.address().equals(address)) {
@@ -89,16 +90,16 @@
     }
 
     /**
-     * Returns the factor by which timeouts and retransmissions grow with the size of the cluster.
-     * It is at least 1 and grows logarithmically, as the time does that gossip takes.
+     * Returns the factor by which timeouts and retransmissions grow with the cluster size. The
+     * factor is at least 1 and grows logarithmically, as the dissemination time of gossip does.
      */
     double sizeMultiplier() {
         return Math.max(1, Math.log10(aliveCount() + 1.0) * SIZE_MULTIPLIER_PER_DECADE);
     }
 
     /**
-     * Returns a digest of the members that count as alive. It is equal at two members whose lists
-     * of these are equal; collisions are possible.
+     * Returns a digest of the members that count as alive. Equal lists have equal digests;
+     * different lists may collide.
      */
     int digest() {
         return digest;
@@ -116,7 +117,7 @@
         return member;
     }
 
-    /** Replaces the latest update of a member. */
+    /** Replaces the latest update of a known member. */
     void replace(MemberRecord member, MemberUpdate update, double now) {
         store(member, update, member.update(), now);
     }
@@ -139,7 +140,7 @@
         }
     }
 
-    /** Removes the tombstones that have been kept long enough. */
+    /** Removes the tombstones whose retention time is over. */
     void removeExpiredTombstones(double now) {
         for (MemberRecord member : new ArrayList<>(records.values())) {
             if (!member.isAlive() && now - member.stateSince() > TOMBSTONE_RETENTION_SECONDS) {
@@ -149,9 +150,9 @@
     }
 
     /**
-     * Returns the latest updates of the others in the order of names.
+     * Returns the latest updates of the other members, ordered by name.
      *
-     * @param after only members that follow this one are returned; null for all
+     * @param after the member after which the result starts; null for all members
      */
     List<MemberUpdate> updatesAfter(MemberUpdate after) {
         List<MemberUpdate> updates = new ArrayList<>();
--- a/daemon/src/main/java/wheelroute/peers/MemberUpdateCodec.java
+++ b/daemon/src/main/java/wheelroute/peers/MemberUpdateCodec.java
@@ -3,14 +3,14 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Encodes and decodes a {@link MemberUpdate} as a part of a message. */
+/** Encodes and decodes a {@link MemberUpdate} as part of a message. */
 final class MemberUpdateCodec {
     private static final int MAX_PORT = 0xffff;
     private static final char FIRST_NAME_CHARACTER = '!';
     private static final char LAST_NAME_CHARACTER = '~';
     private static final MemberUpdate.State[] STATES = MemberUpdate.State.values();
 
-    /** Size of all fields but the name: its length, host, port, incarnation, state, suspectedBy. */
+    /** Size of the name's length, host, port, incarnation, state and suspectedBy. */
     private static final int FIXED_BYTES =
             Byte.BYTES + Integer.BYTES + Short.BYTES + Long.BYTES + Byte.BYTES + Integer.BYTES;
 
@@ -21,7 +21,7 @@
         return FIXED_BYTES + nameBytes(update).length;
     }
 
-    /** Appends the update to the buffer, which must have {@link #size} bytes left. */
+    /** Appends an update to a buffer, which must have {@link #size} bytes remaining. */
     static void write(ByteBuffer out, MemberUpdate update) {
         byte[] name = nameBytes(update);
         out.put((byte) name.length)
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Reads the next update.
+     * Reads an update from the buffer's position on.
      *
      * @throws MalformedMessageException if a field is out of its range
-     * @throws java.nio.BufferUnderflowException if the buffer ends early
+     * @throws java.nio.BufferUnderflowException if the buffer ends within the update
      */
     static MemberUpdate read(ByteBuffer in) throws MalformedMessageException {
         PeerId id = readId(in);
@@ -45,7 +45,8 @@
         long incarnation = in.getLong();
         int state = in.get();
         if (state < 0 || state >= STATES.length || incarnation < 0) {
-            throw new MalformedMessageException("invalid member state or incarnation");
+            throw new MalformedMessageException(
+                    "invalid member state " + state + " or incarnation " + incarnation);
         }
         return new MemberUpdate(id, address, incarnation, STATES[state], in.getInt());
     }
@@ -53,13 +54,15 @@
     private static PeerId readId(ByteBuffer in) throws MalformedMessageException {
         int length = in.get();
         if (length < 1 || length > PeerId.MAX_NAME_BYTES || length > in.remaining()) {
-            throw new MalformedMessageException("invalid length of a member name: " + length);
+            throw new MalformedMessageException(
+                    "invalid length of a member name: " + length + " bytes");
         }
         byte[] name = new byte[length];
         in.get(name);
         for (byte character : name) {
             if (character < FIRST_NAME_CHARACTER || character > LAST_NAME_CHARACTER) {
-                throw new MalformedMessageException("invalid character in a member name");
+                throw new MalformedMessageException(
+                        "invalid character in a member name: code " + character);
             }
         }
         return new PeerId(new String(name, StandardCharsets.US_ASCII));
--- a/daemon/src/main/java/wheelroute/peers/Membership.java
+++ b/daemon/src/main/java/wheelroute/peers/Membership.java
@@ -3,30 +3,30 @@
 import java.util.List;
 
 /**
- * Group membership among dispatchers: SWIM (Das, Gupta, Motivala, 2002) with the extensions of
+ * Group membership among dispatchers by SWIM (Das, Gupta, Motivala, 2002) with the extensions of
  * Lifeguard (Dadgar, Phillips, Currey, 2017). docs/design/peers.md lists the differences from both.
- * This class receives all events and passes each to the component that handles it:
+ * This class receives all events and passes each one to the component that handles it:
  *
  * <ul>
  *   <li>{@link ProbeCycle} and {@link IndirectProbes} detect failures,
- *   <li>{@link UpdateProcessor} accepts updates, and marks members as suspect or dead,
- *   <li>{@link SuspicionTimers} gives suspects time to refute,
+ *   <li>{@link UpdateProcessor} applies updates and marks members as suspect or dead,
+ *   <li>{@link SuspicionTimers} limits the time that suspects have to refute a suspicion,
  *   <li>{@link GossipQueue} disseminates updates, {@link ListSynchronizer} compares member lists,
- *   <li>{@link ReconnectProbes} joins the cluster, and rejoins it after a partition,
+ *   <li>{@link ReconnectProbes} joins the cluster and rejoins it after a network partition,
  *   <li>{@link LocalHealth} extends the timeouts of a member that may itself be faulty.
  * </ul>
  *
- * <p>Has no I/O, no clock and no threads: the caller passes in messages and the time, from one
- * thread. Times are in seconds on any monotonic clock.
+ * <p>This class has no I/O, no clock and no threads of its own. The caller passes in messages and
+ * the time, all from one thread. Times are in seconds on any monotonic clock.
  */
 public final class Membership {
     /** Interval between the probes of a healthy member (SWIM's protocol period). */
     public static final double PROBE_INTERVAL_SECONDS = 0.5;
 
-    /** A longer gap between events is taken as a stall of this process. */
+    /** Gap between events above which this process is taken to have stalled. */
     private static final double STALL_THRESHOLD_SECONDS = 2 * PROBE_INTERVAL_SECONDS;
 
-    /** Increase of the local health score after a stall. */
+    /** Increase of the local health score after a stall of this process. */
     private static final int STALL_PENALTY = 2;
 
     private final MembershipConfig config;
@@ -45,13 +45,13 @@
     private double now;
     private boolean running;
 
-    /** The network and the timer of a member, and the listener for changes of other members. */
+    /** Network and timer of a member, and listener for state changes of other members. */
     public interface Transport {
         /** Sends a message, which may be lost, delayed or duplicated. */
         void send(MemberAddress to, Message message);
 
         /**
-         * Schedules a call of {@link #onTimer}, and replaces any call scheduled before. Earlier and
+         * Schedules a call of {@link #onTimer} and cancels any call scheduled before. Earlier and
          * additional calls are harmless.
          */
         void scheduleTimer(double delaySeconds);
@@ -59,14 +59,15 @@
         /**
          * Called when the state of another member has changed.
          *
-         * @param update the update that changed it
-         * @param previous the state before; null if the member was unknown
-         * @param reportedBy the member that sent the update; this one itself after its own probes
+         * @param update the update that changed the state
+         * @param previous the state before the update; null if the member was unknown
+         * @param reportedBy the member that sent the update; this member if its own probes or
+         *     timers caused the change
          */
         void memberChanged(MemberUpdate update, MemberUpdate.State previous, PeerId reportedBy);
     }
 
-    /** Creates a member, to be started by {@link #start}. */
+    /** Creates a member that is not running until {@link #start} is called. */
     public Membership(MembershipConfig config, Transport transport) {
         this.config = config;
         this.transport = transport;
@@ -89,14 +90,12 @@
         listSynchronizer = new ListSynchronizer(table, sender, gossip, random);
     }
 
-    // ---- state
-
-    /** Returns this member as it announces itself. */
+    /** Returns the update in which this member announces itself. */
     public MemberUpdate self() {
         return table.self();
     }
 
-    /** Returns the latest update of a member, which may be this one; null if it is unknown. */
+    /** Returns the latest update of this or another member; null if the member is unknown. */
     public MemberUpdate find(PeerId id) {
         if (table.isSelf(id)) {
             return table.self();
@@ -105,13 +104,16 @@
         return member == null ? null : member.update();
     }
 
-    /** Returns the seconds since the state of another member last changed; 0 for this one. */
+    /**
+     * Returns the seconds since the last state change of another member; 0 for this member and for
+     * unknown ones.
+     */
     public double secondsInState(PeerId id) {
         MemberRecord member = table.find(id);
         return member == null ? 0 : now - member.stateSince();
     }
 
-    /** Returns the others in the order of names, including those that are dead or have left. */
+    /** Returns all other members ordered by name, including those that are dead or have left. */
     public List<MemberUpdate> others() {
         return table.updatesAfter(null);
     }
@@ -121,14 +123,12 @@
         return table.aliveCount();
     }
 
-    /** Returns the score of the local health multiplier; 0 for healthy. */
+    /** Returns the score of the local health multiplier, which is 0 for a healthy member. */
     public int localHealthScore() {
         return localHealth.score();
     }
 
-    // ---- events
-
-    /** Sets the current time. Called before each event. */
+    /** Sets the current time. The caller must call this method before each event. */
     public void advanceTo(double time) {
         double gap = time - now;
         now = time;
@@ -140,7 +140,7 @@
         }
     }
 
-    /** Discards pending probes: a response missed during a stall does not indicate a failure. */
+    /** Discards pending probes, since responses missed during a stall do not indicate failures. */
     private void recoverFromStall(double stallSeconds) {
         probeCycle.restart(now);
         indirectProbes.clear();
@@ -149,7 +149,7 @@
         localHealth.degrade(STALL_PENALTY);
     }
 
-    /** Starts to probe other members and to handle messages. */
+    /** Starts probing other members and handling messages. */
     public void start() {
         running = true;
         probeCycle.start(now);
@@ -163,7 +163,7 @@
         }
     }
 
-    /** Announces to some members that this member leaves, and stops. */
+    /** Announces to some members that this member leaves, then stops it. */
     public void leave() {
         if (!running) {
             return;
@@ -173,27 +173,27 @@
         List<MemberRecord> receivers = random.shuffled(table.probeOrder().members());
         int count = Math.min(sender.transmitLimit(), receivers.size());
         for (MemberRecord receiver : receivers.subList(0, count)) {
-            // The ack of no ping: it serves to carry this member's state in its header.
+            // This ack answers no ping. Its header carries this member's state.
             sender.ack(receiver.address(), 0);
         }
     }
 
     /**
-     * Stops without an announcement, since another process continues as the same member. May be
-     * followed by another {@link #start}.
+     * Stops without an announcement, since another process continues as the same member. The member
+     * may be started again by {@link #start}.
      */
     public void stop() {
         running = false;
     }
 
-    /** Handles a message from this address. Ignores those of other clusters. */
+    /** Handles a message received from an address. Ignores messages of other clusters. */
     public void receive(MemberAddress from, Message message) {
         if (!running || message.header().cluster() != config.cluster()) {
             return;
         }
         MemberUpdate messageSender = message.header().sender();
         if (isThisProcess(messageSender)) {
-            // This member's own message, reflected by the network.
+            // The network has reflected a message of this member itself.
             return;
         }
         PeerId senderId = messageSender.id();
@@ -201,11 +201,12 @@
         boolean wasTombstone = known != null && !known.isAlive();
         applyUpdates(message);
         if (table.isSelf(senderId)) {
-            // From an earlier process of the same name, which gets no response.
+            // An earlier process of the same name, which gets no response, has sent the message.
             return;
         }
         if (wasTombstone) {
-            // The sender may not know that it was declared dead. Once notified, it refutes that.
+            // The sender may not know that it was declared dead. Once notified, it refutes the
+            // claim.
             gossip.prioritize(table.find(senderId).update());
         }
         handle(from, message);
@@ -249,10 +250,10 @@
         } else if (message instanceof Message.SyncPage page) {
             listSynchronizer.onPage(page, now);
         }
-        // Only the headers of lease messages are used here; see QuotaLeases and LeaseVoter.
+        // Lease messages are handled by QuotaLeases and LeaseVoter; only their headers matter here.
     }
 
-    /** Runs the tasks that are due by now, and schedules the next call. */
+    /** Runs the tasks that are due and schedules the next call of {@link #onTimer}. */
     private void runDueTasks() {
         probeCycle.checkTimeouts(now);
         indirectProbes.checkTimeouts(now);
--- a/daemon/src/main/java/wheelroute/peers/MembershipConfig.java
+++ b/daemon/src/main/java/wheelroute/peers/MembershipConfig.java
@@ -6,13 +6,14 @@
  * Configuration of a member. Immutable.
  *
  * @param cluster identifier of the installation; messages of other installations are ignored
- * @param id name of this member, unique in the cluster and kept over restarts
- * @param address at which the other members reach it
- * @param incarnation start of this process in milliseconds, so that a later process supersedes it
- * @param seeds addresses that are tried first; this member's own may be among them
+ * @param id name of this member, unique in the cluster and unchanged by restarts
+ * @param address address at which the other members reach this member
+ * @param incarnation start time of this process in milliseconds, so that updates of a later process
+ *     supersede those of this one
+ * @param seeds addresses that are contacted to join; this member's own address may be among them
  * @param randomSeed seed of all random choices
- * @param localHealthAware whether timeouts follow the local health multiplier (Lifeguard); false is
- *     for comparisons in experiments
+ * @param localHealthAware whether timeouts follow Lifeguard's local health multiplier; false only
+ *     in experiments that compare both variants
  */
 public record MembershipConfig(
         int cluster,
--- a/daemon/src/main/java/wheelroute/peers/Message.java
+++ b/daemon/src/main/java/wheelroute/peers/Message.java
@@ -3,40 +3,40 @@
 import java.util.List;
 
 /**
- * One datagram between dispatchers. {@link Ping}, {@link Ack} and {@link PingRequest} belong to
- * SWIM's failure detector (Das, Gupta, Motivala, 2002), {@link Nack} to Lifeguard (Dadgar,
- * Phillips, Currey, 2017). {@link SyncRequest} and {@link SyncPage} transfer member lists
- * (anti-entropy), and the {@link LeaseMessage}s are for quota leases. Immutable.
+ * Content of one datagram between dispatchers. {@link Ping}, {@link Ack} and {@link PingRequest}
+ * belong to SWIM's failure detector (Das, Gupta, Motivala, 2002), {@link Nack} to Lifeguard
+ * (Dadgar, Phillips, Currey, 2017). {@link SyncRequest} and {@link SyncPage} transfer member lists
+ * for anti-entropy, and {@link LeaseMessage}s are about quota leases. Immutable.
  */
 public sealed interface Message {
-    /** Returns the fields that all types have in common. */
+    /** Returns the fields that all message types have in common. */
     MessageHeader header();
 
-    /** Returns the number that matches a response to its request, chosen by the requester. */
+    /** Returns the number, chosen by the requester, that matches a response to its request. */
     int sequenceNumber();
 
-    /** Returns the type, which is encoded in the datagram. */
+    /** Returns the message type, which is encoded in the datagram. */
     MessageType type();
 
-    /** Returns the same message with another header. */
+    /** Returns a copy of this message with another header. */
     Message withHeader(MessageHeader other);
 
-    /** Returns the same message with other membership updates in its header. */
+    /** Returns a copy of this message with other membership updates in its header. */
     default Message withUpdates(List<MemberUpdate> updates) {
         return withHeader(header().withUpdates(updates));
     }
 
-    /** A message about a quota lease, rather than about membership. */
+    /** A message about a quota lease. Only its header is about membership. */
     sealed interface LeaseMessage extends Message {
         /** Returns the lease that is requested, granted or released. */
         LeaseTerms terms();
     }
 
     /**
-     * Probes the receiver, which answers with an {@link Ack} of the same sequence number.
+     * Probe of the receiver, which answers with an {@link Ack} of the same sequence number.
      *
-     * @param header the fields that all types have in common
-     * @param sequenceNumber matches a response to its request
+     * @param header fields that all message types have in common
+     * @param sequenceNumber number that matches a response to its request
      */
     record Ping(MessageHeader header, int sequenceNumber) implements Message {
         @Override
@@ -51,10 +51,10 @@
     }
 
     /**
-     * Answers a {@link Ping}, or a {@link PingRequest} whose target has answered.
+     * Response to a {@link Ping}, or to a {@link PingRequest} whose target has answered.
      *
-     * @param header the fields that all types have in common
-     * @param sequenceNumber matches a response to its request
+     * @param header fields that all message types have in common
+     * @param sequenceNumber number that matches a response to its request
      */
     record Ack(MessageHeader header, int sequenceNumber) implements Message {
         @Override
@@ -69,10 +69,11 @@
     }
 
     /**
-     * Requests an indirect probe: the receiver pings the target for the sender (SWIM's ping-req).
+     * Request for an indirect probe, in which the receiver pings a target on behalf of the sender
+     * (SWIM's ping-req).
      *
-     * @param header the fields that all types have in common
-     * @param sequenceNumber matches a response to its request
+     * @param header fields that all message types have in common
+     * @param sequenceNumber number that matches a response to its request
      * @param target the member to be probed; never null
      */
     record PingRequest(MessageHeader header, int sequenceNumber, MemberUpdate target)
@@ -89,11 +90,11 @@
     }
 
     /**
-     * Answers a {@link PingRequest} whose target has not answered in time (Lifeguard). So the
-     * requester knows that the prober itself is reachable.
+     * Response to a {@link PingRequest} whose target has not answered in time (Lifeguard). A nack
+     * tells the requester that the sender of the nack itself is reachable.
      *
-     * @param header the fields that all types have in common
-     * @param sequenceNumber matches a response to its request
+     * @param header fields that all message types have in common
+     * @param sequenceNumber number that matches a response to its request
      */
     record Nack(MessageHeader header, int sequenceNumber) implements Message {
         @Override
@@ -108,11 +109,12 @@
     }
 
     /**
-     * Requests the next page of the receiver's member list.
+     * Request for the next page of the receiver's member list.
      *
-     * @param header the fields that all types have in common
-     * @param sequenceNumber matches a response to its request
-     * @param after the page begins after this member in the order of names; null for the first page
+     * @param header fields that all message types have in common
+     * @param sequenceNumber number that matches a response to its request
+     * @param after member after which the page begins in the order of names; null for the first
+     *     page
      */
     record SyncRequest(MessageHeader header, int sequenceNumber, MemberUpdate after)
             implements Message {
@@ -128,11 +130,11 @@
     }
 
     /**
-     * One page of the sender's member list; its entries are the updates of the header.
+     * One page of the sender's member list. The entries are the updates in the header.
      *
-     * @param header the fields that all types have in common
-     * @param sequenceNumber matches a response to its request
-     * @param last the last member on the page; null if the list ends with this page
+     * @param header fields that all message types have in common
+     * @param sequenceNumber number that matches a response to its request
+     * @param last last member on the page; null if the list ends with this page
      */
     record SyncPage(MessageHeader header, int sequenceNumber, MemberUpdate last)
             implements Message {
@@ -148,11 +150,11 @@
     }
 
     /**
-     * Requests the vote of one of a share's voters.
+     * Request for a voter's vote on the lease of a share.
      *
-     * @param header the fields that all types have in common
-     * @param sequenceNumber the holder's round of requests; grants of earlier rounds do not count
-     * @param terms the lease that is concerned
+     * @param header fields that all message types have in common
+     * @param sequenceNumber holder's round of requests; grants of earlier rounds do not count
+     * @param terms lease that the message refers to
      */
     record LeaseRequest(MessageHeader header, int sequenceNumber, LeaseTerms terms)
             implements LeaseMessage {
@@ -168,12 +170,12 @@
     }
 
     /**
-     * Grants a {@link LeaseRequest} with the sender's vote. A request that is not granted gets no
+     * Vote of the sender in favor of a {@link LeaseRequest}. A request that is not granted gets no
      * response.
      *
-     * @param header the fields that all types have in common
-     * @param sequenceNumber the holder's round of requests; grants of earlier rounds do not count
-     * @param terms the lease that is concerned
+     * @param header fields that all message types have in common
+     * @param sequenceNumber holder's round of requests; grants of earlier rounds do not count
+     * @param terms lease that the message refers to
      */
     record LeaseGrant(MessageHeader header, int sequenceNumber, LeaseTerms terms)
             implements LeaseMessage {
@@ -189,11 +191,11 @@
     }
 
     /**
-     * Releases a lease before it expires.
+     * Notice of the holder to a voter that a lease is released before its expiry.
      *
-     * @param header the fields that all types have in common
-     * @param sequenceNumber the holder's round of requests; grants of earlier rounds do not count
-     * @param terms the lease that is concerned
+     * @param header fields that all message types have in common
+     * @param sequenceNumber holder's round of requests; grants of earlier rounds do not count
+     * @param terms lease that the message refers to
      */
     record LeaseRelease(MessageHeader header, int sequenceNumber, LeaseTerms terms)
             implements LeaseMessage {
--- a/daemon/src/main/java/wheelroute/peers/MessageCodec.java
+++ b/daemon/src/main/java/wheelroute/peers/MessageCodec.java
@@ -9,11 +9,11 @@
 /**
  * Encodes and decodes messages as datagrams of at most {@link #MAX_DATAGRAM_BYTES} bytes. A
  * datagram consists of a magic number with a version, the type code, cluster, sequence number,
- * digest and sender, the fields of the type, the number of membership updates and the updates, and
- * a CRC-32 of everything before. Integers are big-endian.
+ * digest and sender, the fields of the message type, the number of membership updates, the updates,
+ * and a CRC-32 of all preceding bytes. Integers are big-endian.
  */
 public final class MessageCodec {
-    /** Upper bound of the size of a datagram, given by the platform. */
+    /** Maximum size of a datagram, given by the platform. */
     public static final int MAX_DATAGRAM_BYTES = 256;
 
     private static final int MAGIC = 0x77720000;
@@ -23,8 +23,8 @@
     private MessageCodec() {}
 
     /**
-     * Encodes a message with as many of its updates as fit, from the first on. The message without
-     * updates always fits.
+     * Encodes a message with as many of its updates as fit, starting with the first. A message
+     * without updates always fits.
      */
     public static ByteBuffer encode(Message message) {
         MessageHeader header = message.header();
@@ -76,9 +76,10 @@
     }
 
     /**
-     * Returns how many of the updates, from the first on, fit into one datagram with the message.
+     * Returns how many of the updates, starting with the first, fit into one datagram with a
+     * message.
      *
-     * @param withoutUpdates the message, with no updates in its header
+     * @param withoutUpdates the message with no updates in its header
      */
     public static int countFitting(Message withoutUpdates, List<MemberUpdate> updates) {
         int remaining = MAX_DATAGRAM_BYTES - encode(withoutUpdates).remaining();
@@ -103,30 +104,31 @@
      * Decodes one complete datagram.
      *
      * @throws MalformedMessageException if the bytes are not a valid message; no other exception is
-     *     thrown, whatever the bytes are
+     *     thrown for any sequence of bytes
      */
     public static Message decode(ByteBuffer in) throws MalformedMessageException {
         if (in.remaining() > MAX_DATAGRAM_BYTES || in.remaining() <= CHECKSUM_BYTES) {
-            throw new MalformedMessageException("invalid size of " + in.remaining() + " bytes");
+            throw new MalformedMessageException(
+                    "invalid datagram size: " + in.remaining() + " bytes");
         }
         byte[] bytes = new byte[in.remaining()];
         in.get(bytes);
         int length = bytes.length - CHECKSUM_BYTES;
         ByteBuffer datagram = ByteBuffer.wrap(bytes);
         if (datagram.getInt(length) != checksum(bytes, length)) {
-            throw new MalformedMessageException("wrong checksum");
+            throw new MalformedMessageException("checksum mismatch");
         }
         datagram.limit(length);
         try {
             return read(datagram);
         } catch (BufferUnderflowException e) {
-            throw new MalformedMessageException("truncated");
+            throw new MalformedMessageException("datagram ends within a field");
         }
     }
 
     private static Message read(ByteBuffer in) throws MalformedMessageException {
         if (in.getInt() != (MAGIC | VERSION)) {
-            throw new MalformedMessageException("wrong magic number or version");
+            throw new MalformedMessageException("unexpected magic number or version");
         }
         int code = in.get();
         MessageType type = MessageType.ofCode(code);
@@ -141,7 +143,8 @@
         Message message = readBody(in, type, header, sequenceNumber);
         List<MemberUpdate> updates = readUpdates(in);
         if (in.hasRemaining()) {
-            throw new MalformedMessageException("bytes behind the end of the message");
+            throw new MalformedMessageException(
+                    "trailing bytes after the message: " + in.remaining());
         }
         return message.withUpdates(updates);
     }
@@ -169,7 +172,7 @@
     private static MemberUpdate readRequired(ByteBuffer in) throws MalformedMessageException {
         MemberUpdate update = readOptional(in);
         if (update == null) {
-            throw new MalformedMessageException("a ping request without a target");
+            throw new MalformedMessageException("ping request without a target");
         }
         return update;
     }
@@ -177,7 +180,8 @@
     private static MemberUpdate readOptional(ByteBuffer in) throws MalformedMessageException {
         int present = in.get();
         if (present != 0 && present != 1) {
-            throw new MalformedMessageException("invalid presence flag " + present);
+            throw new MalformedMessageException(
+                    "invalid presence flag " + present + ", expected 0 or 1");
         }
         return present == 1 ? MemberUpdateCodec.read(in) : null;
     }
@@ -185,7 +189,7 @@
     private static List<MemberUpdate> readUpdates(ByteBuffer in) throws MalformedMessageException {
         int count = in.get();
         if (count < 0) {
-            throw new MalformedMessageException("invalid number of updates " + count);
+            throw new MalformedMessageException("negative number of updates: " + count);
         }
         List<MemberUpdate> updates = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/daemon/src/main/java/wheelroute/peers/MessageSender.java
+++ b/daemon/src/main/java/wheelroute/peers/MessageSender.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * Sends this member's messages: fills in the header and piggybacks gossip.
+ * Sends this member's messages. The sender fills in the header and piggybacks gossip.
  *
  * <p>Not thread-safe.
  */
 final class MessageSender {
-    /** How often an update is sent, for a size multiplier of 1. */
+    /** Number of times that an update is sent, for a size multiplier of 1. */
     private static final double RETRANSMIT_MULTIPLIER = 4;
 
     private final int cluster;
@@ -30,12 +30,12 @@
         return ++lastSequenceNumber;
     }
 
-    /** Returns the header of a message sent now, without updates. */
+    /** Returns a header without updates that reflects the current state of this member. */
     MessageHeader header() {
         return new MessageHeader(cluster, table.self(), table.digest(), List.of());
     }
 
-    /** Returns how often an update is sent; then the whole cluster should have received it. */
+    /** Returns how often an update is sent until the whole cluster should have received it. */
     int transmitLimit() {
         return (int) Math.ceil(RETRANSMIT_MULTIPLIER * table.sizeMultiplier());
     }
@@ -60,7 +60,7 @@
         transport.send(to, message.withUpdates(gossip.take(message, transmitLimit())));
     }
 
-    /** Sends a message without gossip. */
+    /** Sends a message without adding gossip. */
     void send(MemberAddress to, Message message) {
         transport.send(to, message);
     }
--- a/daemon/src/main/java/wheelroute/peers/MessageType.java
+++ b/daemon/src/main/java/wheelroute/peers/MessageType.java
@@ -1,6 +1,6 @@
 package wheelroute.peers;
 
-/** The types of messages. Their order is part of the wire format: it determines their codes. */
+/** Types of messages. Their order determines their codes and is part of the wire format. */
 public enum MessageType {
     PING,
     ACK,
@@ -14,12 +14,12 @@
 
     private static final MessageType[] BY_CODE = values();
 
-    /** Returns the code in datagrams. */
+    /** Returns the code of this type in datagrams. */
     int code() {
         return ordinal();
     }
 
-    /** Returns the type with this code; null if there is none. */
+    /** Returns the type with a given code; null if there is none. */
     static MessageType ofCode(int code) {
         return code >= 0 && code < BY_CODE.length ? BY_CODE[code] : null;
     }
--- a/daemon/src/main/java/wheelroute/peers/ProbeCycle.java
+++ b/daemon/src/main/java/wheelroute/peers/ProbeCycle.java
@@ -3,17 +3,20 @@
 import java.util.List;
 
 /**
- * This member's own probes, SWIM's failure detector. Once per interval it pings one other member.
- * Without an ack in time it requests indirect probes from some others (see {@link IndirectProbes}
- * for their side), and if no ack has arrived by the end of the interval the member is suspected.
+ * This member's own probes, which are SWIM's failure detector. Once per interval this member pings
+ * another member. If no ack arrives in time, some others are requested to probe the target too (see
+ * {@link IndirectProbes} for their part). If no ack has arrived by the end of the interval, the
+ * target is suspected.
  *
  * <p>Times are in seconds. Not thread-safe.
  */
 final class ProbeCycle {
-    /** Time from a ping to the requests for indirect probes; an ack normally takes far less. */
+    /**
+     * Time without an ack after which indirect probes are requested; acks normally take far less.
+     */
     static final double ACK_TIMEOUT_SECONDS = 0.2;
 
-    /** Number of indirect probes (SWIM's k), so that a single lossy path is not decisive. */
+    /** Number of indirect probes (SWIM's k). With several, one lossy path is not decisive. */
     private static final int INDIRECT_PROBES = 3;
 
     private final MemberTable table;
@@ -29,9 +32,9 @@
     private double nextProbeAt = Double.POSITIVE_INFINITY;
 
     private enum ProbeState {
-        /** The target was pinged. */
+        /** The target was pinged and no timeout has passed yet. */
         AWAITING_ACK,
-        /** No ack in time; indirect probes were requested. */
+        /** No ack arrived in time, so indirect probes were requested. */
         AWAITING_INDIRECT_ACK,
         /** An ack has arrived, directly or through another member. */
         ACKNOWLEDGED
@@ -73,12 +76,12 @@
         this.random = random;
     }
 
-    /** Makes the first probe due now. */
+    /** Makes the first probe due at once. */
     void start(double now) {
         nextProbeAt = now;
     }
 
-    /** Abandons the current probe without a result and makes the next one due now. */
+    /** Abandons the current probe without a result and makes the next probe due at once. */
     void restart(double now) {
         probe = null;
         nextProbeAt = now;
@@ -88,12 +91,14 @@
         return nextProbeAt;
     }
 
-    /** Returns when {@link #checkTimeouts} or {@link #beginIfDue} has something to do next. */
+    /** Returns when {@link #checkTimeouts} or {@link #beginIfDue} must be called next. */
     double nextDeadline() {
         return probe == null ? nextProbeAt : Math.min(nextProbeAt, probe.nextDeadline());
     }
 
-    /** Requests indirect probes if the ack is late, and ends the probe after its interval. */
+    /**
+     * Requests indirect probes if the ack is late, and ends the probe at the end of its interval.
+     */
     void checkTimeouts(double now) {
         if (probe != null && probe.state == ProbeState.AWAITING_ACK && now >= probe.ackDeadline) {
             requestIndirectProbes();
@@ -103,7 +108,7 @@
         }
     }
 
-    /** Begins the next interval if it is due, and returns whether it was. */
+    /** Begins the next interval if one is due, and returns whether it was. */
     boolean beginIfDue(double now) {
         if (now < nextProbeAt) {
             return false;
@@ -119,7 +124,7 @@
         MemberRecord target = table.probeOrder().next();
         double multiplier = localHealth.probeMultiplier();
         if (target.state() == MemberUpdate.State.SUSPECT) {
-            // Lifeguard's buddy system: the ping tells a suspect of the suspicion, to refute it.
+            // By Lifeguard's buddy system, the ping informs a suspect so that it can refute.
             gossip.prioritize(target.update());
         }
         probe =
@@ -131,7 +136,7 @@
         sender.ping(target.address(), probe.sequenceNumber);
     }
 
-    /** Records an ack from the target, or from a member that probed it for this one. */
+    /** Records an ack from the target, or from a member that probed the target indirectly. */
     void onAck(int sequenceNumber) {
         if (isCurrent(sequenceNumber) && probe.state != ProbeState.ACKNOWLEDGED) {
             probe.state = ProbeState.ACKNOWLEDGED;
@@ -139,7 +144,7 @@
         }
     }
 
-    /** Records that an indirect probe got no ack in time either. */
+    /** Records that an indirect probe of the target got no ack in time. */
     void onNack(int sequenceNumber) {
         if (isCurrent(sequenceNumber)) {
             probe.nacks++;
@@ -152,13 +157,14 @@
 
     private void requestIndirectProbes() {
         probe.state = ProbeState.AWAITING_INDIRECT_ACK;
-        List<MemberRecord> helpers = random.shuffled(table.probeOrder().members());
-        helpers.remove(probe.target);
-        for (MemberRecord helper : helpers.subList(0, Math.min(INDIRECT_PROBES, helpers.size()))) {
+        List<MemberRecord> intermediaries = random.shuffled(table.probeOrder().members());
+        intermediaries.remove(probe.target);
+        for (MemberRecord intermediary :
+                intermediaries.subList(0, Math.min(INDIRECT_PROBES, intermediaries.size()))) {
             probe.indirectRequests++;
-            sender.pingRequest(helper.address(), probe.sequenceNumber, probe.target.update());
+            sender.pingRequest(intermediary.address(), probe.sequenceNumber, probe.target.update());
         }
-        // A second ping, as the first one or its ack may have been lost.
+        // The target is pinged again, as the first ping or its ack may have been lost.
         sender.ping(probe.target.address(), probe.sequenceNumber);
     }
 
@@ -168,7 +174,8 @@
         if (ended.state == ProbeState.ACKNOWLEDGED) {
             return;
         }
-        // A helper that does not even send a nack suggests that this member is unreachable itself.
+        // An intermediary that sends no nack either suggests that this member itself is
+        // unreachable.
         int missedNacks = ended.indirectRequests - ended.nacks;
         localHealth.degrade(ended.indirectRequests == 0 ? 1 : missedNacks);
         updates.suspect(ended.target, now);
--- a/daemon/src/main/java/wheelroute/peers/ProbeOrder.java
+++ b/daemon/src/main/java/wheelroute/peers/ProbeOrder.java
@@ -6,7 +6,7 @@
 
 /**
  * The other members that count as alive, in SWIM's round-robin probe order. The order is shuffled
- * after each pass, so a member is probed at least once in two passes.
+ * after each pass, so each member is probed at least once in two passes.
  *
  * <p>Not thread-safe.
  */
@@ -19,7 +19,7 @@
         this.random = random;
     }
 
-    /** Returns a view of the members in the order of this pass. */
+    /** Returns an unmodifiable view of the members in the order of the current pass. */
     List<MemberRecord> members() {
         return Collections.unmodifiableList(members);
     }
@@ -32,7 +32,7 @@
         return members.isEmpty();
     }
 
-    /** Returns the next member to probe. There must be one. */
+    /** Returns the next member to probe. The order must not be empty. */
     MemberRecord next() {
         if (position >= members.size()) {
             List<MemberRecord> order = random.shuffled(members);
@@ -43,12 +43,12 @@
         return members.get(position++);
     }
 
-    /** Inserts a member at a random position, so that the others do not all probe it at once. */
+    /** Inserts a member at a random position, so that other members do not all probe it at once. */
     void insert(MemberRecord member) {
         members.add(random.nextIndex(members.size() + 1), member);
     }
 
-    /** Removes a member, which must be in the order. */
+    /** Removes a member, which must be present. */
     void remove(MemberRecord member) {
         int index = members.indexOf(member);
         members.remove(index);
--- a/daemon/src/main/java/wheelroute/peers/QuotaLeases.java
+++ b/daemon/src/main/java/wheelroute/peers/QuotaLeases.java
@@ -6,43 +6,47 @@
 import java.util.Map;
 
 /**
- * How much this dispatcher may use of the quota that all dispatchers share. The quota is divided
- * into one share for each dispatcher, its owner. A fraction of a share is guaranteed to the owner.
- * The rest may be used by the holder of a lease: the owner or, while that is not alive, the next
- * dispatcher that is. A lease needs a quorum of the share's voters, which are always the same
- * dispatchers, so it has at most one holder even if dispatchers disagree on who is alive.
+ * Determines how much this dispatcher may use of the quota that all dispatchers share. The quota is
+ * divided into one share for each dispatcher, which owns the share. A fraction of a share is
+ * guaranteed to the owner. The rest may be used by the holder of a lease, which is the owner or,
+ * while the owner is not alive, the next dispatcher that is alive. A lease needs a quorum of the
+ * share's voters, which are always the same dispatchers. A lease therefore has at most one holder
+ * even if dispatchers disagree on who is alive.
  *
  * <p>Times are in seconds on any monotonic clock. Not thread-safe.
  */
 public final class QuotaLeases {
-    /** Sends lease messages to other dispatchers, and to this one itself. */
+    /** Sends lease messages to other dispatchers and to this dispatcher itself. */
     public interface Transport {
-        /** Sends a {@link Message.LeaseRequest} to the dispatcher of this number. */
+        /** Sends a {@link Message.LeaseRequest} to the dispatcher with the given number. */
         void sendRequest(int dispatcher, int sequenceNumber, LeaseTerms terms);
 
-        /** Sends a {@link Message.LeaseRelease} to the dispatcher of this number. */
+        /** Sends a {@link Message.LeaseRelease} to the dispatcher with the given number. */
         void sendRelease(int dispatcher, int sequenceNumber, LeaseTerms terms);
     }
 
     /**
-     * Which dispatchers are believed to be alive. This only affects who requests a lease; who gets
-     * it is decided by the voters.
+     * Liveness of dispatchers as seen by this dispatcher. The view only affects who requests a
+     * lease. The voters decide who holds a lease.
      */
     public interface LivenessView {
-        /** Whether the dispatcher of this number is believed to be alive. */
+        /** Returns whether the dispatcher with the given number is believed to be alive. */
         boolean isAlive(int dispatcher);
     }
 
-    /** Fraction of a share that its owner may use without a lease, even when partitioned. */
+    /** Fraction of a share that the owner may use without a lease, even when partitioned. */
     public static final double GUARANTEED_FRACTION = 0.5;
 
-    /** Maximum number of voters on a share; all dispatchers vote if they are fewer. */
+    /** Maximum number of voters on a share. In smaller clusters all dispatchers vote. */
     static final int MAX_VOTERS = 5;
 
-    /** With fewer dispatchers, the failure of one would prevent a quorum: no leases are used. */
+    /** Minimum for using leases. With fewer dispatchers, one failure would prevent a quorum. */
     private static final int MIN_DISPATCHERS_FOR_LEASES = 3;
 
-    /** Short enough that a lease survives the loss of three consecutive rounds of requests. */
+    /**
+     * Interval between rounds of requests. The interval is short enough that a lease lapses only
+     * after three consecutive rounds have been lost.
+     */
     private static final double RENEWAL_INTERVAL_SECONDS = Lease.DURATION_SECONDS / 4;
 
     private final int ownNumber;
@@ -55,12 +59,13 @@
     private int lastSequenceNumber;
 
     /**
-     * Creates a dispatcher's state without any lease.
+     * Creates the state of a dispatcher that holds no lease.
      *
      * @param ownNumber number of this dispatcher
-     * @param dispatchers number of dispatchers, which all number in the same way, from 0
-     * @param incarnation start of this process in milliseconds; a restarted process is another
-     *     holder
+     * @param dispatchers number of dispatchers, which are numbered from 0 in the same way
+     *     everywhere
+     * @param incarnation start time of this process in milliseconds; a restarted process counts as
+     *     another holder
      */
     public QuotaLeases(
             int ownNumber,
@@ -75,7 +80,7 @@
         this.transport = transport;
     }
 
-    /** Returns the numbers of the dispatchers that vote on a share: those that follow its owner. */
+    /** Returns the numbers of a share's voters, which are the dispatchers that follow the owner. */
     static List<Integer> voters(int share, int dispatchers) {
         List<Integer> voters = new ArrayList<>();
         for (int i = 1; i <= Math.min(MAX_VOTERS, dispatchers); i++) {
@@ -89,9 +94,9 @@
     }
 
     /**
-     * Requests, renews and releases leases by the current view of liveness, if a renewal is due.
+     * Requests, renews and releases leases by the current liveness view if a renewal is due.
      *
-     * @return seconds until the next renewal; positive infinity for never
+     * @return seconds until the next renewal; positive infinity if leases are not used
      */
     public double renew(double now) {
         if (!usesLeases()) {
@@ -118,7 +123,7 @@
         }
     }
 
-    /** Whether this dispatcher is the first alive one, from the share's owner on. */
+    /** Returns whether this dispatcher is the first alive one, counted from the share's owner. */
     private boolean isResponsible(int share, boolean[] alive) {
         for (int number = share; number != ownNumber; number = (number + 1) % dispatchers) {
             if (alive[number]) {
@@ -151,7 +156,7 @@
         }
     }
 
-    /** Records a voter's grant. Ignores one for a lease that was released or of another process. */
+    /** Records a voter's grant. Ignores grants to earlier processes and for released leases. */
     public void onGrant(double now, int sequenceNumber, LeaseTerms terms, PeerId voter) {
         Lease lease = leases.get(terms.share());
         if (lease != null && terms.incarnation() == incarnation) {
@@ -159,7 +164,7 @@
         }
     }
 
-    /** Releases all leases. The guaranteed fraction remains usable. */
+    /** Releases all leases. The guaranteed fraction of the own share remains usable. */
     public void releaseAll() {
         for (int share : new ArrayList<>(leases.keySet())) {
             release(share);
@@ -190,7 +195,7 @@
         return sum / dispatchers;
     }
 
-    /** Returns the numbers of the shares that are held by lease now, in ascending order. */
+    /** Returns the numbers of the shares whose lease this dispatcher holds, in ascending order. */
     public List<Integer> heldShares(double now) {
         return leases.keySet().stream()
                 .filter(share -> leases.get(share).isHeld(now))
--- a/daemon/src/main/java/wheelroute/peers/ReconnectProbes.java
+++ b/daemon/src/main/java/wheelroute/peers/ReconnectProbes.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * Pings seeds that are not among the alive members, and dead members. So a member joins the
- * cluster, and the sides of a network partition find each other again once it has healed: the
- * header of an ack makes its sender known as alive.
+ * Pings dead members, and seeds at whose address no member is alive. The header of an ack makes the
+ * sender of the ack known as alive. In this way a member joins the cluster, and the sides of a
+ * network partition find each other again once the partition has healed.
  *
  * <p>Not thread-safe.
  */
 final class ReconnectProbes {
-    /** Pings per interval while no other member is known to be alive. */
-    private static final int PINGS_WHILE_ALONE = 3;
+    /** Number of pings per interval while no other member is known to be alive. */
+    private static final int PINGS_WHILE_ISOLATED = 3;
 
     private final List<MemberAddress> seeds;
     private final MemberTable table;
@@ -30,10 +30,10 @@
         this.random = random;
     }
 
-    /** Pings one address without an alive member, or several while no other member is alive. */
+    /** Pings one address without an alive member, or several if no other member is alive. */
     void ping() {
         List<MemberAddress> addresses = addressesToTry();
-        int pings = table.probeOrder().isEmpty() ? PINGS_WHILE_ALONE : 1;
+        int pings = table.probeOrder().isEmpty() ? PINGS_WHILE_ISOLATED : 1;
         for (int i = 0; i < pings && !addresses.isEmpty(); i++) {
             int sequenceNumber = sender.nextSequenceNumber();
             MemberAddress address = addresses.remove(random.nextIndex(addresses.size()));
--- a/daemon/src/main/java/wheelroute/peers/SuspicionTimers.java
+++ b/daemon/src/main/java/wheelroute/peers/SuspicionTimers.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * The suspected members and the time that each has left to refute. This is Lifeguard's dynamic
- * suspicion timeout: it starts at its maximum and shrinks logarithmically with each independent
- * confirmation, as several members are less likely to be wrong than one.
+ * The suspected members and the time that each one has left to refute the suspicion. The timeout is
+ * Lifeguard's dynamic suspicion timeout, which starts at its maximum and shrinks logarithmically
+ * with each independent confirmation, as several members are less likely to be wrong than one.
  *
  * <p>Times are in seconds. Not thread-safe.
  */
@@ -16,7 +16,7 @@
     /** Minimum timeout in probe intervals, for a size multiplier of 1. */
     private static final double MIN_TIMEOUT_PROBE_INTERVALS = 4;
 
-    /** Maximum timeout, which applies without confirmations, as a multiple of the minimum. */
+    /** Ratio of the maximum timeout, which applies without confirmations, to the minimum. */
     private static final double MAX_TIMEOUT_FACTOR = 3;
 
     /** Number of independent suspicions, including the first, that lead to the minimum timeout. */
@@ -30,7 +30,7 @@
         final MemberRecord member;
         double startedAt;
 
-        /** {@link PeerId#shortHash} of each member that suspects it independently. */
+        /** {@link PeerId#shortHash} of each member that reported the suspicion independently. */
         final List<Integer> confirmations = new ArrayList<>();
 
         Suspicion(MemberRecord member, double startedAt) {
@@ -44,7 +44,7 @@
         this.localHealth = localHealth;
     }
 
-    /** Starts the timer of a member whose latest update makes it a suspect. */
+    /** Starts the timer of a member that has just become a suspect. Restarts a running timer. */
     void start(MemberRecord member, double now) {
         cancel(member.id());
         Suspicion suspicion = new Suspicion(member, now);
@@ -52,16 +52,17 @@
         suspicions.put(member.id(), suspicion);
     }
 
-    /** Cancels the timer of a member that is no longer suspected. Ignores any other member. */
+    /** Cancels the timer of a member that is no longer suspected. Does nothing without a timer. */
     void cancel(PeerId id) {
         suspicions.remove(id);
     }
 
     /**
-     * Records an independent suspicion of a suspected member.
+     * Records another member's suspicion of a member that is already suspected.
      *
-     * @param suspectedBy {@link PeerId#shortHash} of the member that suspects it
-     * @return whether it was recorded: it is new, and fewer than expected were known
+     * @param suspectedBy {@link PeerId#shortHash} of the suspecting member
+     * @return whether the suspicion was recorded; false if the suspecting member had been recorded
+     *     before or enough suspicions had been
      */
     boolean confirm(PeerId id, int suspectedBy) {
         List<Integer> confirmations = suspicions.get(id).confirmations;
@@ -81,12 +82,12 @@
         return members;
     }
 
-    /** Whether the time of a suspected member to refute is over. */
+    /** Returns whether the time that a suspected member has to refute is over. */
     boolean isExpired(MemberRecord suspect, double now) {
         return now >= deadline(suspicions.get(suspect.id()));
     }
 
-    /** Returns when the next timer expires; positive infinity if there is none. */
+    /** Returns when the next timer expires; positive infinity if no timer is running. */
     double nextDeadline() {
         double next = Double.POSITIVE_INFINITY;
         for (Suspicion suspicion : suspicions.values()) {
@@ -95,7 +96,7 @@
         return next;
     }
 
-    /** Postpones all timers, after a stall of this process of so many seconds. */
+    /** Postpones all timers by the duration of a stall of this process, in seconds. */
     void postpone(double seconds) {
         for (Suspicion suspicion : suspicions.values()) {
             suspicion.startedAt += seconds;
--- a/daemon/src/main/java/wheelroute/peers/UpdateProcessor.java
+++ b/daemon/src/main/java/wheelroute/peers/UpdateProcessor.java
@@ -2,9 +2,9 @@
 
 /**
  * Applies membership updates, both received ones and those from this member's own probes, by SWIM's
- * rules: a higher incarnation supersedes a lower one, and within an incarnation suspect supersedes
- * alive and dead supersedes both. Accepted updates are disseminated, and a suspicion of this member
- * itself is refuted. Every change of a member's state is made by this class.
+ * rules. A higher incarnation supersedes a lower one. Within an incarnation, suspect supersedes
+ * alive, and dead supersedes both. Accepted updates are disseminated, and suspicions of this member
+ * itself are refuted. All state changes of other members are made by this class.
  *
  * <p>Times are in seconds. Not thread-safe.
  */
@@ -28,42 +28,44 @@
         this.transport = transport;
     }
 
-    /** Whether an accepted update is forwarded to other members. */
+    /** Determines whether an accepted update is forwarded to other members. */
     enum Dissemination {
+        /** The update is queued as gossip. */
         GOSSIP,
         /**
-         * For the entries of a list page: others request pages themselves, and so many updates
-         * would delay the rest of the gossip.
+         * The update is not forwarded. This applies to the entries of list pages, which other
+         * members request themselves and which would delay other gossip by their number.
          */
         NONE
     }
 
-    /** Marks a member as suspect after a probe without a response. */
+    /** Marks an alive member as suspect after a probe without a response. */
     void suspect(MemberRecord member, double now) {
         if (member.isAlive()) {
-            applyOwnFinding(member, MemberUpdate.State.SUSPECT, now);
+            applyLocalDetection(member, MemberUpdate.State.SUSPECT, now);
         }
     }
 
-    /** Marks the suspects as dead whose time to refute is over. */
+    /** Marks those suspects as dead whose time to refute the suspicion is over. */
     void declareExpiredSuspectsDead(double now) {
         for (MemberRecord suspect : suspicions.suspects()) {
-            // Checked one by one, because each death shortens the timeout of the others.
+            // The deadline is computed per iteration, since each death shortens the others'
+            // timeouts.
             if (suspicions.isExpired(suspect, now)) {
-                applyOwnFinding(suspect, MemberUpdate.State.DEAD, now);
+                applyLocalDetection(suspect, MemberUpdate.State.DEAD, now);
             }
         }
     }
 
-    private void applyOwnFinding(MemberRecord member, MemberUpdate.State state, double now) {
+    private void applyLocalDetection(MemberRecord member, MemberUpdate.State state, double now) {
         PeerId self = table.self().id();
         apply(member.update().withState(state, self), self, Dissemination.GOSSIP, now);
     }
 
     /**
-     * Applies an update if it supersedes the known one or confirms a suspicion.
+     * Applies an update that supersedes the known one or confirms a suspicion. Ignores others.
      *
-     * @param reportedBy the member that sent it, which may be this one
+     * @param reportedBy the member that sent the update, which may be this member
      */
     void apply(MemberUpdate update, PeerId reportedBy, Dissemination dissemination, double now) {
         if (table.isSelf(update.id())) {
@@ -74,12 +76,12 @@
         if (member == null) {
             if (!table.isFull() && update.state() != MemberUpdate.State.LEFT) {
                 MemberRecord added = table.add(update, now);
-                afterChange(added, null, reportedBy, dissemination, now);
+                onUpdateAccepted(added, null, reportedBy, dissemination, now);
             }
         } else if (update.supersedes(member.update())) {
             MemberUpdate.State previous = member.state();
             table.replace(member, update, now);
-            afterChange(member, previous, reportedBy, dissemination, now);
+            onUpdateAccepted(member, previous, reportedBy, dissemination, now);
         } else if (isSameSuspicion(update, member.update())
                 && suspicions.confirm(member.id(), update.suspectedBy())) {
             disseminate(update, dissemination);
@@ -93,16 +95,16 @@
     }
 
     /**
-     * Raises this member's incarnation if the update would supersede its own state: it is
-     * suspected, or an earlier process of the same name ran with a clock that was ahead.
+     * Raises this member's incarnation if an update would supersede this member's own state. Either
+     * this member is suspected, or an earlier process of the same name ran with a clock ahead.
      */
     private void refuteIfNeeded(MemberUpdate update) {
         MemberUpdate self = table.self();
         boolean isSuspected =
                 update.state() != MemberUpdate.State.ALIVE
                         && update.incarnation() >= self.incarnation();
-        boolean isAhead = update.incarnation() > self.incarnation();
-        if (!isSuspected && !isAhead) {
+        boolean hasHigherIncarnation = update.incarnation() > self.incarnation();
+        if (!isSuspected && !hasHigherIncarnation) {
             return;
         }
         table.raiseIncarnation(update.incarnation() + 1);
@@ -112,7 +114,7 @@
         gossip.enqueue(table.self());
     }
 
-    private void afterChange(
+    private void onUpdateAccepted(
             MemberRecord member,
             MemberUpdate.State previous,
             PeerId reportedBy,
--- a/daemon/src/test/java/wheelroute/peers/DeterministicRandomTest.java
+++ b/daemon/src/test/java/wheelroute/peers/DeterministicRandomTest.java
@@ -6,11 +6,13 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The literal numbers of some seeds: simulations depend on them to be repeatable. */
+/** Checks literal numbers of some seeds, since simulations depend on them to be repeatable. */
 public class DeterministicRandomTest {
     private static final double RANGE = 1L << 32;
 
-    /** The numbers are the CRC-32 of the bytes of seed and counter in turn, lowest first. */
+    /**
+     * Each number is the CRC-32 of the alternating bytes of seed and counter, lowest byte first.
+     */
     @Test
     public void drawsDependOnlyOnSeedAndCounter() {
         DeterministicRandom random = new DeterministicRandom(42);
@@ -26,7 +28,8 @@
         DeterministicRandom random = new DeterministicRandom(42);
         List<Integer> list = List.of(0, 1, 2);
         List<Integer> shuffled = random.shuffled(list);
-        // 0xb6cc51ec scaled to 3 is index 2, 0xa7b13b95 scaled to 2 is index 1: no change of order.
+        // 0xb6cc51ec scaled to 3 is index 2, and 0xa7b13b95 scaled to 2 is index 1, so each element
+        // is swapped with itself.
         assertEquals(shuffled, List.of(0, 1, 2));
         assertEquals(random.next(), 0x1e4ae07dL / RANGE);
         assertEquals(random.shuffled(new ArrayList<>(List.of(7))), List.of(7));
--- a/daemon/src/test/java/wheelroute/peers/GossipQueueTest.java
+++ b/daemon/src/test/java/wheelroute/peers/GossipQueueTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The order of updates, and when they are removed. */
+/** Tests the order in which updates are sent, and when they leave the queue. */
 public class GossipQueueTest {
     private static final int HIGH_TRANSMIT_LIMIT = 1_000;
 
@@ -43,7 +43,7 @@
         queue.take(message(), HIGH_TRANSMIT_LIMIT);
         queue.enqueue(second);
         assertEquals(queue.take(message(), HIGH_TRANSMIT_LIMIT), List.of(second, first));
-        // Both have been sent, the first one twice.
+        // By now the first update has been sent twice and the second one once.
         assertEquals(queue.take(message(), HIGH_TRANSMIT_LIMIT), List.of(second, first));
         queue.prioritize(first);
         assertEquals(queue.take(message(), HIGH_TRANSMIT_LIMIT), List.of(first, second));
--- a/daemon/src/test/java/wheelroute/peers/LeaseModel.java
+++ b/daemon/src/test/java/wheelroute/peers/LeaseModel.java
@@ -8,18 +8,19 @@
 import java.util.function.Consumer;
 
 /**
- * A state of the model that {@link LeaseModelCheckTest} explores: three dispatchers with real
- * leases and voters, the network between them, and the steps that led to the state.
+ * A state of the model that {@link LeaseModelCheckTest} explores. A state consists of three
+ * dispatchers with real leases and voters, the network between them, and the steps that led to the
+ * state.
  */
 final class LeaseModel {
     private static final int MEMBERS = 3;
     private static final int HOLDERS = 2;
     private static final int SHARE = 0;
 
-    /** Another duration than the service's: the model depends on ratios of times only. */
+    /** Need not equal the production value, since the model depends only on ratios of times. */
     private static final double LEASE_DURATION_SECONDS = 10;
 
-    /** Large enough to matter within the duration of one lease. */
+    /** Clock drift that is large enough to have an effect within the duration of one lease. */
     static final double CLOCK_DRIFT_FRACTION = 0.1;
 
     private static final double GRANT_DURATION_SECONDS =
@@ -27,10 +28,10 @@
     private static final double[] TIME_STEPS_SECONDS = {1, 9.5, 12.5};
     static final PeerId[] NAMES = {new PeerId("a"), new PeerId("b"), new PeerId("c")};
 
-    /** Names for a first holder that is paused while a later process of the same name starts. */
+    /** Member names for a paused first holder and a later process of the same name. */
     static final PeerId[] TWO_INCARNATIONS = {NAMES[0], NAMES[0], NAMES[2]};
 
-    /** The rules on which the safety of the protocol depends. NONE disables no rule. */
+    /** Rules on which the safety of the protocol depends. NONE stands for no disabled rule. */
     enum Safeguard {
         NONE,
         TERM_STARTS_AT_REQUEST,
@@ -50,7 +51,7 @@
         GRANT
     }
 
-    /** A datagram that was sent. It may arrive at any time, never, or more than once. */
+    /** A datagram that was sent, which may arrive at any time, never, or more than once. */
     private record LeaseDatagram(
             DatagramType type, int from, int to, long incarnation, int round, String text)
             implements Comparable<LeaseDatagram> {
@@ -73,7 +74,7 @@
         }
     }
 
-    /** A transition, whose action changes the given state to the next one. */
+    /** A transition, whose action changes a state to the next one. */
     record Step(String name, Consumer<LeaseModel> action) {}
 
     final Safeguard disabled;
@@ -86,7 +87,7 @@
     final int[] rounds = new int[HOLDERS];
     final boolean[] paused = new boolean[HOLDERS];
 
-    /** Whether a holder uses the lease if it does not check the time at each use. */
+    /** True for each holder that would use the lease without checking the time at each use. */
     final boolean[] believesHeld = new boolean[HOLDERS];
 
     final Set<LeaseDatagram> messages = new TreeSet<>();
@@ -97,7 +98,7 @@
         this.rates = rates;
         this.names = names;
         for (int i = 0; i < MEMBERS; i++) {
-            // Started long ago, so that the quarantine is over.
+            // The voter started so long ago that the quarantine is over.
             voters[i] = newVoter(-100 * LEASE_DURATION_SECONDS);
             incarnations[i] = names == TWO_INCARNATIONS && i == 1 ? 9 : 1;
         }
@@ -180,8 +181,8 @@
         return key.toString();
     }
 
-    /** Returns a copy of a voter that replaces it; states share the voters that do not change. */
-    private LeaseVoter voterToChange(int member) {
+    /** Replaces a voter by a copy to be changed, since states share voters. Returns the copy. */
+    private LeaseVoter replaceVoterByCopy(int member) {
         LeaseVoter copy = newVoter(-100 * LEASE_DURATION_SECONDS);
         voters[member].copyTo(copy);
         voters[member] = copy;
@@ -230,12 +231,13 @@
     private void advance(double timeStep) {
         time += timeStep;
         for (int holder = 0; holder < HOLDERS; holder++) {
-            // The holder's own timer, which does not fire while the process is paused.
+            // A holder's timer ends its use of the lease, but does not fire while the holder is
+            // paused.
             believesHeld[holder] &= paused[holder] || leases[holder].isHeld(clock(holder));
         }
     }
 
-    /** Sends a round of requests. The holder's own voter receives its request at once. */
+    /** Sends a round of requests. The holder's own voter receives the request at once. */
     private void request(int holder) {
         int round = ++rounds[holder];
         leases[holder].beginRound(clock(holder), round);
@@ -264,7 +266,7 @@
         }
     }
 
-    /** Sends a datagram. One to the sender itself is received at once. */
+    /** Sends a datagram. A datagram to the sender itself is received at once. */
     private void send(DatagramType type, int from, int to, long incarnation, int round) {
         LeaseDatagram message = new LeaseDatagram(type, from, to, incarnation, round);
         if (from == to) {
@@ -283,11 +285,11 @@
         double now = clock(receiver);
         switch (message.type) {
             case REQUEST -> {
-                if (voterToChange(receiver).requestVote(now, terms, sender, round)) {
+                if (replaceVoterByCopy(receiver).requestVote(now, terms, sender, round)) {
                     send(DatagramType.GRANT, receiver, message.from, incarnation, round);
                 }
             }
-            case RELEASE -> voterToChange(receiver).release(terms, sender, round);
+            case RELEASE -> replaceVoterByCopy(receiver).release(terms, sender, round);
             case GRANT -> {
                 if (incarnation == incarnations[receiver]) {
                     leases[receiver].onGrant(now, round, sender);
--- a/daemon/src/test/java/wheelroute/peers/LeaseModelCheckTest.java
+++ b/daemon/src/test/java/wheelroute/peers/LeaseModelCheckTest.java
@@ -29,16 +29,18 @@
     private static final int WALK_LENGTH = 30;
     private static final int WALKS = 250_000;
 
-    /** Number of states that the last exhaustive search has visited. */
+    /** Number of states that the last complete exhaustive search visited. */
     private int visitedStates;
 
-    /** Searches all states up to a depth. Returns the steps to one with two holders, or null. */
+    /**
+     * Searches all states up to a depth. Returns the steps to a state with two holders, or null.
+     */
     private List<String> findViolation(double[] rates, PeerId[] names) {
-        Set<String> seen = new HashSet<>();
-        ArrayDeque<LeaseModel> open = new ArrayDeque<>();
-        open.add(new LeaseModel(LeaseModel.Safeguard.NONE, rates, names));
-        while (!open.isEmpty()) {
-            LeaseModel state = open.poll();
+        Set<String> visitedKeys = new HashSet<>();
+        ArrayDeque<LeaseModel> frontier = new ArrayDeque<>();
+        frontier.add(new LeaseModel(LeaseModel.Safeguard.NONE, rates, names));
+        while (!frontier.isEmpty()) {
+            LeaseModel state = frontier.poll();
             if (state.uses(0) && state.uses(1)) {
                 return state.history;
             }
@@ -47,13 +49,13 @@
                     LeaseModel next = new LeaseModel(state);
                     step.action().accept(next);
                     next.history.add(step.name());
-                    if (seen.add(next.key())) {
-                        open.add(next);
+                    if (visitedKeys.add(next.key())) {
+                        frontier.add(next);
                     }
                 }
             }
         }
-        visitedStates = seen.size();
+        visitedStates = visitedKeys.size();
         return null;
     }
 
@@ -67,9 +69,11 @@
                 List<LeaseModel.Step> steps = state.steps();
                 // Deliveries are preferred, because a walk would rarely acquire a lease otherwise.
                 List<LeaseModel.Step> deliveries =
-                        steps.stream().filter(one -> one.name().startsWith("receive")).toList();
-                boolean any = deliveries.isEmpty() || random.nextInt(3) == 0;
-                List<LeaseModel.Step> choice = any ? steps : deliveries;
+                        steps.stream()
+                                .filter(candidate -> candidate.name().startsWith("receive"))
+                                .toList();
+                boolean useAllSteps = deliveries.isEmpty() || random.nextInt(3) == 0;
+                List<LeaseModel.Step> choice = useAllSteps ? steps : deliveries;
                 LeaseModel.Step step = choice.get(random.nextInt(choice.size()));
                 step.action().accept(state);
                 state.history.add(step.name());
@@ -98,9 +102,9 @@
         List<String> history = findViolation(rates, names);
         assertNull(history, String.valueOf(history));
         assertTrue(visitedStates > 5_000, visitedStates + " states were visited");
-        List<String> deep =
+        List<String> deepHistory =
                 findViolationByRandomWalks(LeaseModel.Safeguard.NONE, rates, names, WALKS / 10);
-        assertNull(deep, String.valueOf(deep));
+        assertNull(deepHistory, String.valueOf(deepHistory));
     }
 
     @DataProvider
--- a/daemon/src/test/java/wheelroute/peers/MembershipTest.java
+++ b/daemon/src/test/java/wheelroute/peers/MembershipTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /**
- * The reactions of one member to single messages. For whole clusters see the kit's PeerModelTest.
+ * Tests the reactions of one member to single messages. The kit's PeerModelTest covers clusters.
  */
 public class MembershipTest {
     private static final int CLUSTER = 5;
@@ -39,7 +39,7 @@
 
         @Override
         public void scheduleTimer(double delaySeconds) {
-            // The tests call onTimer at short intervals instead.
+            // The tests call onTimer at short intervals, so no timer is needed.
         }
 
         @Override
@@ -62,7 +62,7 @@
         return new MessageHeader(CLUSTER, alive, 0, List.of(updates));
     }
 
-    /** Starts a member that knows no other one and has only itself as a seed. */
+    /** Starts a member that knows no other member and has only its own address as a seed. */
     @BeforeMethod
     public void start() {
         now = START;
@@ -83,7 +83,7 @@
         membership.receive(address(sender), message);
     }
 
-    /** Runs the timer until a change of state is reported. Returns the seconds until then. */
+    /** Runs the timer until a state change is reported. Returns the elapsed seconds. */
     private double secondsUntilChange(double timeout) {
         double from = now;
         int before = changes.size();
@@ -120,14 +120,18 @@
         receive(OTHER, new Message.Ping(header(OTHER), 1));
         double untilSuspect = secondsUntilChange(5);
         assertEquals(changes.get(1), "other SUSPECT by self");
-        // One interval until the next probe and one for the probe, each rounded up to a timer step.
+        // One interval passes until the next probe and one during the probe, each rounded up to a
+        // timer step.
         double latest = 2 * (Membership.PROBE_INTERVAL_SECONDS + TIMER_STEP_SECONDS);
-        assertTrue(untilSuspect <= latest, untilSuspect + " s");
-        assertEquals(membership.aliveCount(), 2, "a suspect counts as alive");
+        assertTrue(
+                untilSuspect <= latest,
+                "suspected after " + untilSuspect + " s, expected at most " + latest);
+        assertEquals(membership.aliveCount(), 2, "a suspect must count as alive");
         double untilDead = secondsUntilChange(30);
         assertEquals(changes.get(2), "other DEAD by self");
         assertTrue(
-                untilDead >= MIN_SUSPICION_TIMEOUT_SECONDS - TIMER_STEP_SECONDS, untilDead + " s");
+                untilDead >= MIN_SUSPICION_TIMEOUT_SECONDS - TIMER_STEP_SECONDS,
+                "declared dead after " + untilDead + " s");
         assertEquals(membership.aliveCount(), 1);
         assertEquals(membership.find(OTHER).state(), MemberUpdate.State.DEAD);
     }
@@ -157,7 +161,8 @@
         assertEquals(sent.get(0).header().sender(), membership.self());
         assertTrue(sent.get(0).header().updates().contains(membership.self()));
         receive(OTHER, new Message.Ping(header(OTHER, suspicion), 2));
-        assertEquals(membership.self().incarnation(), 2, "an old suspicion needs no refutation");
+        assertEquals(
+                membership.self().incarnation(), 2, "an old suspicion must not be refuted again");
     }
 
     @Test
--- a/daemon/src/test/java/wheelroute/peers/MessageCodecTest.java
+++ b/daemon/src/test/java/wheelroute/peers/MessageCodecTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Property tests of the codec. {@link MessageCodecWireFormatTest} has the literal bytes. */
+/** Property tests of the codec. {@link MessageCodecWireFormatTest} checks the literal bytes. */
 public class MessageCodecTest {
     private static final long SEED = 1;
     private static final int EXAMPLES = 3_000;
@@ -91,11 +91,13 @@
             MessageCodec.decode(ByteBuffer.wrap(bytes));
         } catch (MalformedMessageException e) {
             assertEquals(
-                    e.getStackTrace().length, 0, "rejections must be cheap, so no stack trace");
+                    e.getStackTrace().length,
+                    0,
+                    "rejections must be cheap and so have no stack trace");
         }
     }
 
-    /** Random bytes, without and with a valid checksum, cause no other exception. */
+    /** Random bytes, with and without a valid checksum, cause no unexpected exception. */
     @Test
     public void decodesOrRejectsRandomBytes() {
         quickTheory()
@@ -111,7 +113,10 @@
                         });
     }
 
-    /** Datagrams with one byte changed or truncated, without and with a valid checksum. */
+    /**
+     * Datagrams with a changed byte and possibly a missing end, with and without a valid checksum,
+     * cause no unexpected exception.
+     */
     @Test
     public void decodesOrRejectsDamagedDatagrams() {
         quickTheory()
@@ -121,12 +126,12 @@
                         integers().between(-128, 127),
                         integers().between(0, 5))
                 .checkAssert(
-                        (type, at, value, cut) -> {
-                            ByteBuffer out = MessageCodec.encode(message(type, 1000 + at, 3));
+                        (type, position, value, cut) -> {
+                            ByteBuffer out = MessageCodec.encode(message(type, 1000 + position, 3));
                             byte[] bytes =
                                     new byte[Math.max(CHECKSUM_BYTES, out.remaining() - cut)];
                             out.get(bytes);
-                            bytes[at % bytes.length] = value.byteValue();
+                            bytes[position % bytes.length] = value.byteValue();
                             decodeOrReject(bytes);
                             decodeOrReject(withChecksum(bytes));
                         });
@@ -146,7 +151,8 @@
         byte[] valid = MessageCodec.encode(message(0, 7, 1)).array();
         int size = MessageCodec.encode(message(0, 7, 1)).remaining();
         return new Object[][] {
-            // position, value of the byte there, part of the error text, datagram, its size
+            // Each row has a byte position, the new byte, a part of the error message, the datagram
+            // and the datagram's size.
             {0, 0, "magic number", valid, size},
             {3, 2, "magic number or version", valid, size},
             {4, 77, "unknown type code 77", valid, size},
@@ -160,9 +166,9 @@
 
     @Test(dataProvider = "rejectedDatagrams")
     public void rejectsMalformedDatagramWithItsReason(
-            int at, int value, String reason, byte[] bytes, int size) {
+            int position, int value, String reason, byte[] bytes, int size) {
         byte[] changed = Arrays.copyOf(bytes, size);
-        changed[at] = (byte) value;
+        changed[position] = (byte) value;
         MalformedMessageException e =
                 expectThrows(
                         MalformedMessageException.class,
--- a/daemon/src/test/java/wheelroute/peers/MessageCodecWireFormatTest.java
+++ b/daemon/src/test/java/wheelroute/peers/MessageCodecWireFormatTest.java
@@ -9,8 +9,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The literal bytes of each type of datagram. Processes of different releases exchange them during
- * a deployment, so they must not change within one version of the wire format.
+ * Checks the literal bytes of each type of datagram. Processes of different releases exchange
+ * datagrams during a deployment, so the bytes must not change within a version of the wire format.
  */
 public class MessageCodecWireFormatTest {
     private static final String PREFIX = "77720001";
@@ -54,7 +54,7 @@
     private static final MessageHeader HEADER_WITH_UPDATES =
             HEADER.withUpdates(List.of(SUSPECTED_UPDATE, DEAD_UPDATE));
 
-    /** A message each, with its type code, its body with the updates, and its checksum. */
+    /** Each row has a message, the type code, the body including updates, and the checksum. */
     @DataProvider
     public Object[][] datagrams() {
         return new Object[][] {
--- a/daemon/src/test/java/wheelroute/peers/QuotaLeasesTest.java
+++ b/daemon/src/test/java/wheelroute/peers/QuotaLeasesTest.java
@@ -12,7 +12,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Quota leases of several dispatchers on a simulated network, with a simulated failure detector.
+ * Tests quota leases of several dispatchers on a simulated network with a simulated failure
+ * detector.
  */
 public class QuotaLeasesTest {
     private static final double TIME_STEP_SECONDS = 0.05;
@@ -21,7 +22,7 @@
     /** Long enough for every grant to expire and every share to be requested again. */
     private static final double SETTLE_SECONDS = 3 * Lease.GRANT_DURATION_SECONDS;
 
-    /** All dispatchers, on one clock. A datagram is delivered after one time step or more. */
+    /** Dispatchers that share one clock. Datagrams are delivered after one or more time steps. */
     private static final class Cluster {
         final int count;
         final QuotaLeases[] leases;
@@ -33,10 +34,10 @@
         final SplittableRandom random = new SplittableRandom(7);
         double lossProbability;
 
-        /** Splits the dispatchers into those below this number and the others; -1 for none. */
+        /** Partition between dispatchers below this number and all others; -1 for no partition. */
         int partitionAt = -1;
 
-        /** Whether the failure detector of each dispatcher gives random results. */
+        /** True if the failure detector of each dispatcher gives random results. */
         boolean isLivenessRandom;
 
         double now = 100;
@@ -93,7 +94,7 @@
             }
         }
 
-        /** Sends a message, which is dropped if the receiver is down or paused at its delivery. */
+        /** Sends a message, which is dropped if the receiver is down or paused at delivery. */
         private void send(int from, int to, Runnable receive) {
             if (isPartitioned(from, to) || random.nextDouble() < lossProbability) {
                 return;
@@ -115,7 +116,7 @@
                 now += TIME_STEP_SECONDS;
                 List<Runnable> due = new ArrayList<>(inTransit);
                 inTransit.clear();
-                // Some are delivered a step later, so that they are reordered.
+                // Some datagrams are delivered a step later, so that the order changes.
                 due.forEach(
                         delivery -> {
                             if (random.nextInt(4) == 0) {
@@ -132,7 +133,9 @@
                 maxFractionInUse = Math.max(maxFractionInUse, fractionInUse());
                 assertTrue(
                         maxFractionInUse <= 1 + TOLERANCE,
-                        maxFractionInUse + " of the quota are in use");
+                        "fraction of the quota in use is "
+                                + maxFractionInUse
+                                + ", expected at most 1");
             }
         }
 
@@ -191,7 +194,7 @@
         assertEquals(cluster.fractionInUse(), 1, TOLERANCE);
         cluster.partitionAt = 5;
         cluster.advance(SETTLE_SECONDS);
-        // One side always has three of the five voters of a share.
+        // One side of the partition always has three of the five voters of a share.
         assertEquals(cluster.fractionInUse(), 1, TOLERANCE);
     }
 
@@ -221,7 +224,7 @@
                 "the next dispatcher has not acquired the released lease");
     }
 
-    /** Crashes, restarts, pauses, partitions, lost messages and a random failure detector. */
+    /** The faults are crashes, restarts, pauses, partitions, lost messages and random liveness. */
     @Test
     public void usageNeverExceedsQuotaUnderRandomFaults() {
         Cluster cluster = new Cluster(9);
@@ -243,6 +246,6 @@
         }
         assertTrue(
                 cluster.maxFractionInUse > 0.6,
-                "only " + cluster.maxFractionInUse + " of the quota were in use");
+                "largest fraction of the quota in use was " + cluster.maxFractionInUse);
     }
 }
