--- a/kit/src/main/java/wheelroute/kit/process/AdminCall.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminCall.java
@@ -11,7 +11,10 @@
 import wheelroute.net.loop.EventLoop;
 import wheelroute.net.loop.StreamConnection;
 
-/** One call of an admin server: sends a command and reads until the server closes. */
+/**
+ * One call of an admin server, which sends a command and reads the answer until the server closes
+ * the connection.
+ */
 final class AdminCall implements EventLoop.ChannelHandler {
     private final EventLoop loop;
     private final String command;
@@ -30,9 +33,10 @@
     }
 
     /**
-     * Starts a call, on the event loop's thread.
+     * Starts a call. Must be called on the event loop's thread.
      *
-     * @param listener gets the answer, or null if there is none within the timeout
+     * @param listener receives the complete answer, or null if the call fails or times out; called
+     *     once, on the event loop's thread
      */
     static void call(
             EventLoop loop,
--- a/kit/src/main/java/wheelroute/kit/process/AdminPoll.java
+++ b/kit/src/main/java/wheelroute/kit/process/AdminPoll.java
@@ -8,13 +8,13 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Polls the metrics of all processes and passes them to the auditor. Used on the event loop's
- * thread.
+ * Polls the metrics of all dispatcher processes that are expected to answer and passes them to the
+ * auditor. Used on the event loop's thread.
  */
 final class AdminPoll {
     private static final double INTERVAL_SECONDS = 0.5;
 
-    /** An admin server must answer within this time under any load. */
+    /** Time within which an admin server must answer, however high the load of its dispatcher. */
     private static final double TIMEOUT_SECONDS = 1;
 
     private static final Pattern METRIC = Pattern.compile("app\\.([^:]+):(\\d{1,18})\\|[cg]");
@@ -32,11 +32,11 @@
         this.dispatchers = dispatchers;
     }
 
-    /** Polls now and from then on periodically. */
+    /** Polls all processes now and then schedules the next poll, until the event loop stops. */
     void poll() {
         for (int i = 0; i < dispatchers; i++) {
             for (DaemonProcess process : fleet.processes(i)) {
-                if (process.adminPort() != 0 && process.isWanted() && !fleet.isPaused(i)) {
+                if (process.adminPort() != 0 && process.isExpectedToRun() && !fleet.isPaused(i)) {
                     call(i, process);
                 }
             }
@@ -53,7 +53,7 @@
                 answer -> {
                     if (answer != null && answer.endsWith(END_OF_METRICS)) {
                         metricsAuditor.onMetrics(dispatcher, process, parseMetrics(answer));
-                    } else if (process.isWanted() && !fleet.isPaused(dispatcher)) {
+                    } else if (process.isExpectedToRun() && !fleet.isPaused(dispatcher)) {
                         metricsAuditor.onCallTimeout(dispatcher);
                     }
                 });
--- a/kit/src/main/java/wheelroute/kit/process/ClientMessageEncoder.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientMessageEncoder.java
@@ -19,43 +19,44 @@
     }
 
     /**
-     * Returns the complete message of an attempt.
+     * Returns the HTTP request of an attempt, head and body.
      *
-     * @param timeoutSeconds that the dispatcher has, from the last byte on
+     * @param timeoutSeconds time within which the dispatcher must answer, counted from the last
+     *     byte of the request
      */
     byte[] encode(ClientAttempt attempt, double timeoutSeconds) {
         ClientRequest request = attempt.request();
-        HttpMessageBuilder text =
+        HttpMessageBuilder head =
                 new HttpMessageBuilder("POST /" + request.requestClass().name() + " HTTP/1.1")
                         .field("Host", address.getAddress().getHostAddress())
                         .field("X-Request-ID", JobCodec.encodeId(attempt))
                         .field("X-Timeout", String.format(Locale.ROOT, "%.3f", timeoutSeconds));
-        addOptionalFields(text, attempt, request);
-        ByteBuffer[] parts = text.body(JobCodec.encodeBody(attempt));
+        addOptionalFields(head, attempt, request);
+        ByteBuffer[] parts = head.body(JobCodec.encodeBody(attempt));
         ByteBuffer message = ByteBuffer.allocate(parts[0].remaining() + parts[1].remaining());
         message.put(parts[0]).put(parts[1]);
         return message.array();
     }
 
     private static void addOptionalFields(
-            HttpMessageBuilder text, ClientAttempt attempt, ClientRequest request) {
+            HttpMessageBuilder head, ClientAttempt attempt, ClientRequest request) {
         if (!Double.isNaN(request.costEstimate())) {
-            text.field(
+            head.field(
                     "X-Cost",
                     Long.toString(Math.round(MICROS_PER_SECOND * request.costEstimate())));
         }
         if (!request.tenant().name().isEmpty()) {
-            text.field("X-Tenant-ID", request.tenant().name());
+            head.field("X-Tenant-ID", request.tenant().name());
         }
         if (attempt.number() > 0) {
-            text.field("X-Retried", "1");
+            head.field("X-Retried", "1");
         }
         int slots = request.requestClass().slots();
         if (slots > 1) {
-            text.field("X-Attrs", "slots=" + slots);
+            head.field("X-Attrs", "slots=" + slots);
         }
         if (request.requestClass().idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
-            text.field("Idempotency-Key", "key-" + request.number());
+            head.field("Idempotency-Key", "key-" + request.number());
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientPool.java
@@ -19,8 +19,8 @@
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * Clients' connections to one dispatcher: one request at a time on each; a connection is added when
- * none is idle. Used on the event loop's thread.
+ * Pool of client connections to one dispatcher. Each connection carries one request at a time; a
+ * new one is opened when none is idle. Used on the event loop's thread.
  */
 final class ClientPool {
     private static final double MIN_TIMEOUT_SECONDS = 0.001;
@@ -33,7 +33,7 @@
     private final Set<ClientConnection> connections = new HashSet<>();
     private final ArrayDeque<ClientConnection> idleConnections = new ArrayDeque<>();
 
-    /** Attempts without a result, by key. */
+    /** Attempts that have no result yet, by attempt key. */
     private final Map<Long, PendingAttempt> pendingAttempts = new HashMap<>();
 
     private boolean isProcessKilled;
@@ -54,7 +54,10 @@
         return address;
     }
 
-    /** Sends an attempt, on an idle connection if that is possible and wanted. */
+    /**
+     * Sends an attempt, on an idle connection if there is one and the attempt may reuse a
+     * connection.
+     */
     void submit(ClientAttempt attempt) {
         PendingAttempt pending = new PendingAttempt(attempt);
         pendingAttempts.put(attempt.key(), pending);
@@ -74,7 +77,10 @@
         return connection;
     }
 
-    /** Cancels an attempt by closing its connection. */
+    /**
+     * Cancels an attempt by closing its connection; does nothing if the attempt already has a
+     * result.
+     */
     void cancel(ClientAttempt attempt) {
         PendingAttempt pending = pendingAttempts.remove(attempt.key());
         if (pending != null) {
@@ -85,7 +91,10 @@
         }
     }
 
-    /** The process is killed: it may have read, and run, whatever was written to it. */
+    /**
+     * Prepares for the kill of the process, which may have read, and forwarded, any request that
+     * was written to it.
+     */
     void onProcessKilled() {
         isProcessKilled = true;
         onConnectionsBroken();
@@ -93,21 +102,23 @@
     }
 
     /**
-     * Open connections may break through no fault of the dispatcher, so it is unknown whether it
-     * has read a request on one of them that ends.
+     * Marks the open connections as ones that may break for reasons outside the dispatcher. If one
+     * of them ends, it is unknown whether the dispatcher has read the request on it.
      */
     void onConnectionsBroken() {
         connections.forEach(connection -> connection.mayBreak = true);
     }
 
-    /** Closes idle connections. */
     void closeIdle() {
-        // Closing a connection removes it from the collection.
+        // Iterates over a copy, because closing a connection removes it from the collection.
         new ArrayList<>(idleConnections).forEach(ClientConnection::close);
         idleConnections.clear();
     }
 
-    /** An attempt that has no result yet. */
+    /**
+     * An attempt that has no result yet; also receives the connection that is opened for the
+     * attempt.
+     */
     private final class PendingAttempt implements EventLoop.ChannelHandler {
         private final ClientAttempt attempt;
         private final boolean usesNewConnection;
@@ -162,7 +173,8 @@
         private PendingAttempt pending;
 
         /**
-         * Whether a response was received: the dispatcher may close such a connection while idle.
+         * Whether a response was received on this connection. The dispatcher may close such a
+         * connection while it is idle.
          */
         private boolean hasServedRequest;
 
@@ -243,7 +255,7 @@
             pending = null;
             hasServedRequest = true;
             if (done == null) {
-                // A response without a request.
+                // The response belongs to no request.
                 close();
                 return;
             }
@@ -293,9 +305,9 @@
         }
 
         /**
-         * Whether the dispatcher cannot have read the request: it may close an idle connection
-         * while a request is on its way. A killed process may have read it: sending it again could
-         * run a non-idempotent request twice.
+         * Whether the dispatcher cannot have read the request, because it closed an idle connection
+         * while the request was in transit. A killed process may have read the request, and sending
+         * it again could run a non-idempotent request twice.
          */
         private boolean isCertainlyUnread() {
             return hasServedRequest && !hasReceivedBytes && !mayBreak && !isProcessKilled;
--- a/kit/src/main/java/wheelroute/kit/process/ClientTransport.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientTransport.java
@@ -6,9 +6,12 @@
 import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.model.Clients;
 
-/** The clients' connections to all dispatchers of a run. Used on the event loop's thread. */
+/** Client connections to all dispatchers of a run. Used on the event loop's thread. */
 final class ClientTransport implements Clients.Transport {
-    /** By dispatcher; null before its first process is ready. */
+    /**
+     * Connection pools by dispatcher number; null before the first process of the dispatcher is
+     * ready.
+     */
     private final ClientPool[] pools;
 
     private final boolean[] isListening;
@@ -18,23 +21,29 @@
         isListening = new boolean[dispatchers];
     }
 
-    /** A dispatcher accepts connections, at the address of this pool, which may be a new one. */
+    /**
+     * Sends the requests for a dispatcher through this pool from now on, because the dispatcher
+     * accepts connections at the address of the pool. The address may differ from the one before.
+     */
     void open(int dispatcher, ClientPool pool) {
         pools[dispatcher] = pool;
         isListening[dispatcher] = true;
     }
 
-    /** A dispatcher accepts no new connections; open ones remain in use. */
+    /** Opens no new connections to a dispatcher from now on; open ones remain in use. */
     void stopListening(int dispatcher) {
         isListening[dispatcher] = false;
     }
 
-    /** The processes of a dispatcher are about to be killed. */
+    /** Prepares for the kill of all processes of a dispatcher; must be called before the kill. */
     void onKill(int dispatcher) {
         pools[dispatcher].onProcessKilled();
     }
 
-    /** Some of a dispatcher's connections may break now. */
+    /**
+     * Marks the open connections to a dispatcher as ones that may break for reasons outside the
+     * dispatcher.
+     */
     void onConnectionsBroken(int dispatcher) {
         pools[dispatcher].onConnectionsBroken();
     }
@@ -44,12 +53,18 @@
         return Arrays.stream(pools).noneMatch(Objects::isNull);
     }
 
-    /** Returns where clients connect; null while the dispatcher accepts no connections. */
+    /**
+     * Returns the address for client connections to a dispatcher; null while the dispatcher accepts
+     * none.
+     */
     InetSocketAddress address(int dispatcher) {
         return isListening[dispatcher] ? pools[dispatcher].address() : null;
     }
 
-    /** Closes idle connections, because a draining dispatcher waits for them. */
+    /**
+     * Closes the idle connections to all dispatchers, because a draining dispatcher waits until its
+     * clients have closed their connections.
+     */
     void closeIdle() {
         Arrays.stream(pools).filter(Objects::nonNull).forEach(ClientPool::closeIdle);
     }
--- a/kit/src/main/java/wheelroute/kit/process/ConnectionBehavior.java
+++ b/kit/src/main/java/wheelroute/kit/process/ConnectionBehavior.java
@@ -3,11 +3,11 @@
 import wheelroute.kit.model.ClientAttempt;
 
 /**
- * How clients use their connections; see {@link wheelroute.kit.scenario.Scenario.Clients}. The same
- * attempt always behaves alike.
+ * How clients use their connections; see {@link wheelroute.kit.scenario.Scenario.Clients}. Each
+ * method always returns the same value for the same attempt.
  */
 interface ConnectionBehavior {
-    /** Writes each request at once, on an idle connection if there is one. */
+    /** Reuses idle connections and writes each request without a pause. */
     ConnectionBehavior DEFAULT =
             new ConnectionBehavior() {
                 @Override
@@ -21,9 +21,12 @@
                 }
             };
 
-    /** Whether an attempt has a connection of its own. */
+    /** Whether an attempt uses a new connection that no other attempt uses. */
     boolean usesNewConnection(ClientAttempt attempt);
 
-    /** Returns the time between the two parts of a request; 0 to write it at once. */
+    /**
+     * Returns the pause between the two halves of a request in seconds; 0 to write the request
+     * without a pause.
+     */
     double writePauseSeconds(ClientAttempt attempt);
 }
--- a/kit/src/main/java/wheelroute/kit/process/CpuLimiter.java
+++ b/kit/src/main/java/wheelroute/kit/process/CpuLimiter.java
@@ -7,7 +7,10 @@
  * the event loop's thread.
  */
 final class CpuLimiter {
-    /** Short compared to all time limits of the program. */
+    /**
+     * Length of one cycle of running and pausing; short compared to all time limits of the
+     * dispatcher.
+     */
     private static final double PERIOD_SECONDS = 0.02;
 
     private final EventLoop loop;
@@ -18,7 +21,11 @@
         this.pauser = pauser;
     }
 
-    /** Lets a dispatcher run during a fraction of the time from now on; 1 for no limit. */
+    /**
+     * Limits the CPU time of a dispatcher from now on.
+     *
+     * @param cpuShare fraction of the time during which the processes run; 1 for no limit
+     */
     void limit(DispatcherSlot slot, double cpuShare) {
         slot.setCpuShare(cpuShare);
         if (cpuShare < 1 && !slot.isCpuLimited()) {
--- a/kit/src/main/java/wheelroute/kit/process/DaemonLauncher.java
+++ b/kit/src/main/java/wheelroute/kit/process/DaemonLauncher.java
@@ -12,7 +12,7 @@
 
 /** Writes the configuration of dispatchers and starts their processes. */
 final class DaemonLauncher {
-    // The heap that deploy/run.sh sets, without its part for an admin server.
+    // Same heap size as deploy/run.sh sets, without the part that it adds for an admin server.
     private static final int MIN_HEAP_MB = 16;
     private static final int MAX_HEAP_MB = 96;
     private static final int NON_HEAP_MB = 45;
@@ -26,10 +26,10 @@
     }
 
     /**
-     * Starts a process of a dispatcher.
+     * Writes a new configuration file and starts a process of a dispatcher with it.
      *
-     * @param mode which build and settings it has
-     * @throws IOException if its configuration cannot be written or it cannot be started
+     * @param mode selects the build and the settings of the process
+     * @throws IOException if the configuration cannot be written or the process cannot be started
      */
     DaemonProcess start(DispatcherSlot slot, FaultMode mode, DaemonProcess.Listener listener)
             throws IOException {
--- a/kit/src/main/java/wheelroute/kit/process/DaemonProcess.java
+++ b/kit/src/main/java/wheelroute/kit/process/DaemonProcess.java
@@ -22,33 +22,36 @@
 /** One process of the daemon, from its start to its end. Thread-safe. */
 final class DaemonProcess {
     /**
-     * How a process is started.
+     * Parameters of the start of a process.
      *
-     * @param port for clients; 0 lets the system choose one
-     * @param temporary directory for its temporary files
-     * @param jar the build to start; null for that of this kit
+     * @param port port for clients; 0 lets the system choose one
+     * @param temporaryDirectory directory for temporary files of the process
+     * @param jar build to start; null for the build of this kit
      */
     record Spec(
             String name,
             Path config,
             InetSocketAddress discovery,
             int port,
-            Path temporary,
+            Path temporaryDirectory,
             Path jar,
             int heapMb) {}
 
-    /** Follows a process; each method is called on a thread of its own. */
+    /**
+     * Listener for the state of a process. Each method is called on a background thread, not on the
+     * event loop's.
+     */
     interface Listener {
-        /** It accepts clients; its port is known. */
+        /** Called once the process accepts clients and its port is known. */
         void onReady(DaemonProcess process);
 
-        /** It has ended, whether or not it was ready before. */
+        /** Called once the process has ended, whether or not it was ready before. */
         void onEnded(DaemonProcess process);
     }
 
     private static final Pattern LISTENING = Pattern.compile("listens on .*:(\\d+)$");
 
-    // The second alternatives are the log lines of builds up to 0.2.
+    // The second alternative of each pattern matches the log line of builds up to 0.2.
     private static final Pattern ADMIN_SERVER =
             Pattern.compile("(?:admin server listening on|operators call) .*:(\\d+)$");
     private static final Pattern MEMBERSHIP =
@@ -58,7 +61,7 @@
     private static final String CLASS_DATA_ARCHIVE = "daemon/target/serve.jsa";
     private static final int HEALTH_CHECK_TIMEOUT_MILLIS = 5000;
 
-    /** Lines of the log that are part of an error message. */
+    /** Number of log lines that an error message quotes. */
     private static final int LOG_EXCERPT_LINES = 12;
 
     private final Spec spec;
@@ -67,7 +70,7 @@
     private volatile int port;
     private volatile int adminPort;
     private volatile int peerPort;
-    private volatile boolean isWanted = true;
+    private volatile boolean isExpectedToRun = true;
 
     private DaemonProcess(Spec spec, Process process, int port) {
         this.spec = spec;
@@ -75,7 +78,7 @@
         this.port = port;
     }
 
-    /** Starts a process and returns at once. */
+    /** Starts a process and returns without waiting until it is ready. */
     static DaemonProcess start(Spec spec, ProcessSupervisor supervisor, Listener listener)
             throws IOException {
         Path root = repositoryRoot();
@@ -92,15 +95,15 @@
         builder.environment().put("LB_LISTEN", host() + ":" + port);
         builder.environment().put("LB_DISCOVERY", host() + ":" + spec.discovery.getPort());
         builder.environment().put("LB_ADMIN", host() + ":0");
-        builder.environment().put("TMPDIR", spec.temporary.toString());
+        builder.environment().put("TMPDIR", spec.temporaryDirectory.toString());
         DaemonProcess daemon = new DaemonProcess(spec, supervisor.start(builder), port);
         startThread(spec.name + "-log", () -> daemon.readLog(listener));
         return daemon;
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return free.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            return socket.getLocalPort();
         }
     }
 
@@ -127,7 +130,8 @@
         if (spec.jar != null) {
             command.addAll(List.of("-jar", spec.jar.toString(), "serve"));
         } else if (root != null) {
-            // As in deploy/run.sh: without the archive a start takes several times as long.
+            // Uses the archive as deploy/run.sh does, because a start without it takes several
+            // times as long.
             command.addAll(
                     List.of("-XX:SharedArchiveFile=" + CLASS_DATA_ARCHIVE, "-jar", JAR, "serve"));
         } else {
@@ -163,9 +167,9 @@
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             boolean isListening = false;
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                keep(line);
-                adminPort = portIn(line, ADMIN_SERVER, adminPort);
-                peerPort = portIn(line, MEMBERSHIP, peerPort);
+                recordLogLine(line);
+                adminPort = findPort(line, ADMIN_SERVER, adminPort);
+                peerPort = findPort(line, MEMBERSHIP, peerPort);
                 Matcher listening = LISTENING.matcher(line);
                 if (!isListening && listening.find()) {
                     isListening = true;
@@ -174,19 +178,20 @@
                 }
             }
         } catch (IOException e) {
-            keep(e.toString());
+            recordLogLine(e.toString());
         }
         process.onExit().thenRun(() -> listener.onEnded(this));
     }
 
-    private static int portIn(String line, Pattern pattern, int otherwise) {
+    private static int findPort(String line, Pattern pattern, int defaultPort) {
         Matcher found = pattern.matcher(line);
-        return found.find() ? Integer.parseInt(found.group(1)) : otherwise;
+        return found.find() ? Integer.parseInt(found.group(1)) : defaultPort;
     }
 
     /**
-     * Runs a task after a health check was answered: a front end adds a dispatcher only then, not
-     * when it merely listens. The task runs even if the check fails, so that the run finds out.
+     * Runs a task after a health check has been answered, because a front end adds a dispatcher
+     * only then and not as soon as it listens. The task also runs if the check fails, so that the
+     * run detects the fault.
      */
     private void checkHealthThenRun(Runnable task) {
         startThread(
@@ -199,16 +204,16 @@
                                                 .openConnection(Proxy.NO_PROXY);
                         call.setConnectTimeout(HEALTH_CHECK_TIMEOUT_MILLIS);
                         call.setReadTimeout(HEALTH_CHECK_TIMEOUT_MILLIS);
-                        keep("/healthz answered " + call.getResponseCode());
+                        recordLogLine("/healthz answered " + call.getResponseCode());
                         call.disconnect();
                     } catch (IOException e) {
-                        keep("/healthz: " + e);
+                        recordLogLine("/healthz: " + e);
                     }
                     task.run();
                 });
     }
 
-    private void keep(String line) {
+    private void recordLogLine(String line) {
         synchronized (lastLogLines) {
             lastLogLines.addLast(line);
             if (lastLogLines.size() > LOG_EXCERPT_LINES) {
@@ -217,7 +222,7 @@
         }
     }
 
-    /** Returns the end of its log, for error messages. */
+    /** Returns the last lines of the log of the process, for error messages. */
     String logExcerpt() {
         synchronized (lastLogLines) {
             return "the log of "
@@ -231,35 +236,41 @@
         return process;
     }
 
-    /** Returns the port for clients; valid once it is ready. */
+    /** Returns the port for clients; valid once the process is ready. */
     int port() {
         return port;
     }
 
-    /** Returns the port of the admin server; 0 if it has none. */
+    /**
+     * Returns the port of the admin server; 0 until the process has logged it, or if the process
+     * has no admin server.
+     */
     int adminPort() {
         return adminPort;
     }
 
-    /** Returns the port for gossip; 0 if it has none. */
+    /**
+     * Returns the port for gossip; 0 until the process has logged it, or if the process is no
+     * member of a cluster.
+     */
     int peerPort() {
         return peerPort;
     }
 
-    /** Whether it was neither killed nor terminated by the kit. */
-    boolean isWanted() {
-        return isWanted;
+    /** Whether the kit has neither killed nor terminated the process; if so, its end is a crash. */
+    boolean isExpectedToRun() {
+        return isExpectedToRun;
     }
 
-    /** Ends it at once. */
+    /** Ends the process at once with SIGKILL. */
     void kill() {
-        isWanted = false;
+        isExpectedToRun = false;
         process.destroyForcibly();
     }
 
-    /** Lets it shut down gracefully. */
+    /** Requests a graceful shutdown of the process with SIGTERM. */
     void terminate() {
-        isWanted = false;
+        isExpectedToRun = false;
         process.destroy();
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/DiscoveryCallCounter.java
+++ b/kit/src/main/java/wheelroute/kit/process/DiscoveryCallCounter.java
@@ -2,7 +2,10 @@
 
 import java.util.ArrayDeque;
 
-/** Counts the calls that discovery gets from all dispatchers, and the most within one second. */
+/**
+ * Counts the calls that discovery receives from all dispatchers, and the highest number of them
+ * within one second.
+ */
 final class DiscoveryCallCounter {
     private static final double WINDOW_SECONDS = 1;
 
@@ -10,7 +13,11 @@
     private long total;
     private int maxPerSecond;
 
-    /** Records a call; {@code now} must not decrease. */
+    /**
+     * Records a call.
+     *
+     * @param now time of the call in seconds; must not be less than that of the call before
+     */
     void record(double now) {
         total++;
         recentCalls.addLast(now);
@@ -20,7 +27,10 @@
         maxPerSecond = Math.max(maxPerSecond, recentCalls.size());
     }
 
-    /** Forgets all calls, as those of the simultaneous start, which are not part of a run. */
+    /**
+     * Discards all recorded calls. Called after the simultaneous start of the dispatchers, whose
+     * calls are not part of a run.
+     */
     void reset() {
         total = 0;
         maxPerSecond = 0;
@@ -31,7 +41,7 @@
         return total;
     }
 
-    /** Returns the largest number of calls within any second. */
+    /** Returns the largest number of calls within any period of one second. */
     int maxPerSecond() {
         return maxPerSecond;
     }
--- a/kit/src/main/java/wheelroute/kit/process/DiscoveryJson.java
+++ b/kit/src/main/java/wheelroute/kit/process/DiscoveryJson.java
@@ -3,13 +3,14 @@
 import java.net.InetSocketAddress;
 import java.util.Locale;
 
-/** Writes the endpoint list as discovery sends it. */
+/** Formats endpoint lists as JSON responses of the discovery protocol. */
 public final class DiscoveryJson {
     /**
-     * One endpoint.
+     * One endpoint of the list.
      *
-     * @param state in the words of the protocol
-     * @param startedMillis when its process started; 0 if that is unknown
+     * @param state name of the state in the protocol, such as {@code ready}
+     * @param startedMillis time at which the process of the endpoint started, in milliseconds; 0 if
+     *     unknown
      */
     public record Endpoint(
             String id,
@@ -19,7 +20,7 @@
             int cell,
             String state,
             long startedMillis) {
-        /** Returns the entry of the list. */
+        /** Returns the entry of the endpoint list as a JSON object. */
         public String json() {
             return String.format(
                     Locale.ROOT,
@@ -39,9 +40,10 @@
     private DiscoveryJson() {}
 
     /**
-     * Returns a list.
+     * Returns an endpoint list as a JSON object.
      *
-     * @param isComplete whether all endpoints are in it, not only those that changed
+     * @param isComplete whether the list contains all endpoints, not only those that have changed
+     * @param entries JSON objects of the endpoints
      */
     public static String list(long version, boolean isComplete, Iterable<String> entries) {
         return "{\"version\":"
--- a/kit/src/main/java/wheelroute/kit/process/DiscoveryWatch.java
+++ b/kit/src/main/java/wheelroute/kit/process/DiscoveryWatch.java
@@ -9,14 +9,16 @@
 /**
  * A call of the discovery protocol that waits for changes of the endpoint list.
  *
- * @param version after which changes are wanted
- * @param holdSeconds after which the call is answered without changes
+ * @param version version of the list that the caller has; newer changes are requested
+ * @param holdSeconds time after which the call is answered even without changes
  */
 public record DiscoveryWatch(long version, double holdSeconds) {
     private static final Pattern TARGET =
             Pattern.compile("/v1/servers\\?from=(\\d{1,18})&hold_ms=(\\d{1,6})");
 
-    /** Returns the watch that a request target stands for; empty if it is not a watch. */
+    /**
+     * Returns the watch that a request target encodes; empty if the target is not that of a watch.
+     */
     public static Optional<DiscoveryWatch> parse(String target) {
         Matcher watch = TARGET.matcher(target);
         if (!watch.matches()) {
--- a/kit/src/main/java/wheelroute/kit/process/DispatcherSlot.java
+++ b/kit/src/main/java/wheelroute/kit/process/DispatcherSlot.java
@@ -7,8 +7,8 @@
 import wheelroute.kit.scenario.FaultMode;
 
 /**
- * One dispatcher of a fleet, which is one process, or two while one replaces the other. Used on the
- * event loop's thread.
+ * State of one dispatcher of a fleet, which runs as one process, or as two while a successor
+ * replaces its predecessor. Used on the event loop's thread.
  */
 final class DispatcherSlot {
     private final int number;
@@ -16,7 +16,7 @@
     private final Set<DaemonProcess> processes = new HashSet<>();
     private DaemonProcess current;
     private DaemonProcess successor;
-    private DaemonProcess killedBesideOther;
+    private DaemonProcess killedDuringReplacement;
     private FaultMode pendingStart;
     private int port;
     private int starts;
@@ -37,7 +37,7 @@
         return "n" + number;
     }
 
-    /** Returns where its configuration and state files are. */
+    /** Returns the directory of the dispatcher's configuration and state files. */
     Path directory() {
         return directory;
     }
@@ -55,7 +55,10 @@
         processes.remove(process);
     }
 
-    /** Returns the process that serves the clients, or did last; null before the first start. */
+    /**
+     * Returns the process that serves the clients, or the last one that did; null before the first
+     * start.
+     */
     DaemonProcess current() {
         return current;
     }
@@ -64,7 +67,10 @@
         current = process;
     }
 
-    /** Returns the process that is to replace the current one; null while there is none. */
+    /**
+     * Returns the process that is to replace the current one; null while no replacement is in
+     * progress.
+     */
     DaemonProcess successor() {
         return successor;
     }
@@ -73,16 +79,22 @@
         successor = process;
     }
 
-    /** Returns the process that was killed while the other one goes on, until it has ended. */
-    DaemonProcess killedBesideOther() {
-        return killedBesideOther;
+    /**
+     * Returns the predecessor or successor that was killed while the other process continues; null
+     * once the killed process has ended.
+     */
+    DaemonProcess killedDuringReplacement() {
+        return killedDuringReplacement;
     }
 
-    void setKilledBesideOther(DaemonProcess process) {
-        killedBesideOther = process;
+    void setKilledDuringReplacement(DaemonProcess process) {
+        killedDuringReplacement = process;
     }
 
-    /** Returns how it is started once its last process has ended; null if it is not. */
+    /**
+     * Returns the mode in which the dispatcher is started again once its last process has ended;
+     * null if no start is pending.
+     */
     FaultMode pendingStart() {
         return pendingStart;
     }
@@ -91,7 +103,10 @@
         pendingStart = mode;
     }
 
-    /** Returns the port for clients, which all its processes use; 0 before the first was ready. */
+    /**
+     * Returns the port for clients, which all processes of the dispatcher use; 0 before the first
+     * process is ready.
+     */
     int port() {
         return port;
     }
@@ -100,7 +115,7 @@
         port = clientPort;
     }
 
-    /** Returns how many processes were started. */
+    /** Returns the number of processes that were started so far. */
     int starts() {
         return starts;
     }
@@ -117,7 +132,10 @@
         isPaused = paused;
     }
 
-    /** Returns the fraction of the time during which its processes may run. */
+    /**
+     * Returns the fraction of the time during which the processes of the dispatcher may run; 1 for
+     * no limit.
+     */
     double cpuShare() {
         return cpuShare;
     }
@@ -126,7 +144,9 @@
         cpuShare = share;
     }
 
-    /** Whether a {@link CpuLimiter} pauses and resumes its processes. */
+    /**
+     * Whether a {@link CpuLimiter} pauses and resumes the processes of the dispatcher periodically.
+     */
     boolean isCpuLimited() {
         return isCpuLimited;
     }
--- a/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
+++ b/kit/src/main/java/wheelroute/kit/process/EventLoopTimeline.java
@@ -3,7 +3,9 @@
 import wheelroute.kit.model.Timeline;
 import wheelroute.net.loop.EventLoop;
 
-/** The time and the timers of an event loop, for the model. Used on the event loop's thread. */
+/**
+ * Adapts the clock and the timers of an event loop to the model. Used on the event loop's thread.
+ */
 final class EventLoopTimeline implements Timeline {
     private final EventLoop loop;
 
--- a/kit/src/main/java/wheelroute/kit/process/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/process/Fleet.java
@@ -13,14 +13,14 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * The dispatchers of a run, by number: starts and stops their processes, and restarts those that
- * crash. Used on the event loop's thread, except for {@link #close}.
+ * Manages the dispatchers of a run, by number. It starts and stops their processes and restarts a
+ * dispatcher that has crashed. Used on the event loop's thread, except for {@link #close}.
  */
 final class Fleet {
-    /** Time within which a started process must accept clients. */
+    /** Time within which all dispatchers must accept clients after their first start. */
     static final int READY_TIMEOUT_SECONDS = 30;
 
-    /** A process that is terminated is killed after this time, as a platform would do it. */
+    /** Time after which a terminated process is killed, as a deployment platform does. */
     private static final double KILL_AFTER_SECONDS = 6;
 
     private static final int CLOSE_TIMEOUT_SECONDS = 6;
@@ -36,7 +36,7 @@
     private final ProcessReplacer replacer;
     private final List<DispatcherSlot> slots = new ArrayList<>();
 
-    /** Creates the dispatchers' directories; no process is started yet. */
+    /** Creates the directories of all dispatchers; no process is started yet. */
     Fleet(EventLoop loop, FleetSpec spec, FleetListener listener) throws IOException {
         this.loop = loop;
         this.listener = listener;
@@ -50,7 +50,8 @@
                         loop,
                         spec.random(),
                         pauser,
-                        // A successor is ready once its admin server says so, which is polled.
+                        // The replacer polls the admin server of a successor for its readiness
+                        // instead.
                         (slot, mode) -> startProcess(slot, mode, process -> {}),
                         listener);
         for (int i = 0; i < spec.scenario().dispatcherCount(); i++) {
@@ -58,22 +59,25 @@
         }
     }
 
-    /** Returns how many replacements were started. */
+    /** Returns the number of process replacements that were started. */
     int replacements() {
         return replacer.startedCount();
     }
 
-    /** Returns how many replacements were not completed in time. */
+    /** Returns the number of process replacements that were not completed in time. */
     int failedReplacements() {
         return replacer.failedCount();
     }
 
-    /** Returns the running processes of a dispatcher. */
+    /** Returns a copy of the list of running processes of a dispatcher. */
     List<DaemonProcess> processes(int dispatcher) {
         return slots.get(dispatcher).processes();
     }
 
-    /** Returns where the newest process of a dispatcher receives gossip; null if there is none. */
+    /**
+     * Returns the address on which the newest process of a dispatcher receives gossip; null if
+     * there is none.
+     */
     InetSocketAddress peerAddress(int dispatcher) {
         DispatcherSlot slot = slots.get(dispatcher);
         DaemonProcess successor = slot.successor();
@@ -88,7 +92,10 @@
         return slots.get(dispatcher).isPaused();
     }
 
-    /** Starts a dispatcher, once its last process has ended. */
+    /**
+     * Starts a dispatcher as soon as its last process has ended; kills a process that takes too
+     * long to end.
+     */
     void start(int dispatcher, FaultMode mode) {
         DispatcherSlot slot = slots.get(dispatcher);
         if (!slot.processes().isEmpty()) {
@@ -144,11 +151,11 @@
     private void onProcessEnded(DispatcherSlot slot, DaemonProcess process) {
         slot.remove(process);
         listener.onEnded(slot.number(), process);
-        if (process == slot.killedBesideOther()) {
-            slot.setKilledBesideOther(null);
-            listener.onSplit(slot.number(), false);
+        if (process == slot.killedDuringReplacement()) {
+            slot.setKilledDuringReplacement(null);
+            listener.onPartialOutage(slot.number(), false);
         }
-        boolean hasCrashed = process.isWanted();
+        boolean hasCrashed = process.isExpectedToRun();
         if (hasCrashed && slot.port() == 0) {
             listener.onFailure(
                     "dispatcher " + slot.name() + " did not start; " + process.logExcerpt());
@@ -166,7 +173,7 @@
         }
     }
 
-    /** Kills all processes of a dispatcher. */
+    /** Kills all processes of a dispatcher and cancels its pending start and replacement. */
     void kill(int dispatcher) {
         DispatcherSlot slot = slots.get(dispatcher);
         slot.setPaused(false);
@@ -175,29 +182,36 @@
         slot.processes().forEach(DaemonProcess::kill);
     }
 
-    /** Lets all processes of a dispatcher shut down gracefully. */
+    /** Requests a graceful shutdown of all processes of a dispatcher. */
     void terminate(int dispatcher) {
         DispatcherSlot slot = slots.get(dispatcher);
         slot.setSuccessor(null);
         slot.processes().forEach(DaemonProcess::terminate);
     }
 
-    /** Pauses or resumes all processes of a dispatcher. */
+    /** Pauses or resumes all processes of a dispatcher until the next such call. */
     void setPaused(int dispatcher, boolean isPaused) {
         pauser.setPaused(slots.get(dispatcher), isPaused);
     }
 
-    /** Lets a dispatcher run during a fraction of the time from now on; 1 for no limit. */
+    /**
+     * Limits the CPU time of a dispatcher from now on.
+     *
+     * @param cpuShare fraction of the time during which the processes run; 1 for no limit
+     */
     void limitCpu(int dispatcher, double cpuShare) {
         cpuLimiter.limit(slots.get(dispatcher), cpuShare);
     }
 
-    /** Starts to replace the process of a dispatcher; see {@link ProcessReplacer#replace}. */
+    /** Starts a replacement of the process of a dispatcher; see {@link ProcessReplacer#replace}. */
     void replace(int dispatcher, FaultMode mode, double limitSeconds) {
         replacer.replace(slots.get(dispatcher), mode, limitSeconds);
     }
 
-    /** Shuts all processes down, kills those that take too long, and deletes all files. */
+    /**
+     * Shuts down all processes, kills those that do not end in time, and deletes all files. Blocks,
+     * so it is not called on the event loop's thread.
+     */
     void close() {
         List<DaemonProcess> all =
                 slots.stream().flatMap(slot -> slot.processes().stream()).toList();
@@ -222,13 +236,16 @@
         }
     }
 
-    /** Tries several times, because the supervisor may delete its own files at the same time. */
+    /**
+     * Deletes the directory of the fleet. Tries several times, because the supervisor may delete
+     * its own files concurrently.
+     */
     private void deleteDirectory() {
         for (int i = 0; i < MAX_DELETE_ATTEMPTS && Files.exists(directory); i++) {
             try {
                 TemporaryDirectory.delete(directory);
             } catch (IOException | UncheckedIOException e) {
-                // It stays in the system's directory for temporary files.
+                // Files that remain are left in the system's directory for temporary files.
                 directory.toFile().deleteOnExit();
             }
         }
--- a/kit/src/main/java/wheelroute/kit/process/FleetListener.java
+++ b/kit/src/main/java/wheelroute/kit/process/FleetListener.java
@@ -2,29 +2,36 @@
 
 import java.net.InetSocketAddress;
 
-/** Follows the dispatchers' processes; called on the event loop's thread. */
+/** Listener for the processes of a fleet. All methods are called on the event loop's thread. */
 interface FleetListener {
-    /** The dispatcher accepts clients at this address. */
+    /** Called when a dispatcher accepts clients at this address. */
     void onReady(int dispatcher, InetSocketAddress clients);
 
-    /** A process of the dispatcher was started. */
+    /** Called when a process of a dispatcher was started. */
     void onStarted(int dispatcher, DaemonProcess process);
 
-    /** A process of the dispatcher has ended. */
+    /** Called when a process of a dispatcher has ended. */
     void onEnded(int dispatcher, DaemonProcess process);
 
-    /** The last process of the dispatcher has ended; its requests in flight are lost. */
+    /**
+     * Called when the last process of a dispatcher has ended; the requests in flight on it are
+     * lost.
+     */
     void onStopped(int dispatcher);
 
     /**
-     * Some connections of the dispatcher may break without its being down: one of its two processes
-     * is killed, until it has ended, or both are paused for a while.
+     * Called when a partial outage of a dispatcher begins or ends. Some of its connections may
+     * break although the dispatcher is not down, because one of its two processes is killed, until
+     * that process has ended, or because both are paused for a while.
      */
-    void onSplit(int dispatcher, boolean begins);
+    void onPartialOutage(int dispatcher, boolean begins);
 
-    /** A process has ended that was not to end; it is started again, as a supervisor would. */
+    /**
+     * Called when a process has ended that the kit neither killed nor terminated. The dispatcher is
+     * started again if no other process of it runs, as a service manager does.
+     */
     void onCrash(int dispatcher, String logExcerpt);
 
-    /** The run cannot go on. */
+    /** Called when the run cannot continue. */
     void onFailure(String reason);
 }
--- a/kit/src/main/java/wheelroute/kit/process/FleetMonitor.java
+++ b/kit/src/main/java/wheelroute/kit/process/FleetMonitor.java
@@ -5,7 +5,10 @@
 import java.util.function.Consumer;
 import wheelroute.kit.model.SeededRandom;
 
-/** Follows the dispatchers' processes: connects clients to them and informs the auditors. */
+/**
+ * Connects clients to the dispatchers' processes as these start and end, and informs the auditors
+ * of their states.
+ */
 final class FleetMonitor implements FleetListener {
     private final RunEnvironment environment;
     private final ScenarioBehavior behavior;
@@ -22,9 +25,13 @@
         ClientTransport transport = environment.transport;
         InetSocketAddress address;
         try {
-            address = environment.links.toClients(dispatcher, clients);
+            address = environment.links.linkToClients(dispatcher, clients);
         } catch (IOException e) {
-            onFailure("the relay for clients cannot listen: " + e.getMessage());
+            onFailure(
+                    "relay for clients of dispatcher n"
+                            + dispatcher
+                            + " cannot listen: "
+                            + e.getMessage());
             return;
         }
         ClientPool pool = new ClientPool(environment.loop, address, environment.clients, behavior);
@@ -46,8 +53,8 @@
     }
 
     @Override
-    public void onSplit(int dispatcher, boolean begins) {
-        // Only the kernel knows which connections belong to the process concerned.
+    public void onPartialOutage(int dispatcher, boolean begins) {
+        // Marks all connections, because only the kernel knows which of them belong to the process.
         environment.auditor.setDispatcherSplit(dispatcher, begins);
         environment.transport.onConnectionsBroken(dispatcher);
         environment.metricsAuditor.suspendChecks(dispatcher);
--- a/kit/src/main/java/wheelroute/kit/process/FleetSpec.java
+++ b/kit/src/main/java/wheelroute/kit/process/FleetSpec.java
@@ -9,13 +9,15 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * What the processes of a fleet are started with.
+ * Parameters with which the processes of a fleet are started.
  *
- * @param settings of all dispatchers
- * @param jar the build to start; null for that of this kit
- * @param olderJar the build to start where a scenario asks for an older one; null for none
- * @param discoveryAddresses by dispatcher number
- * @param peerAddresses of all dispatchers, as the dispatcher of this number reaches them
+ * @param settings settings that all dispatchers have in common, by path
+ * @param jar build to start; null for the build of this kit
+ * @param olderJar build to start where a fault of the scenario requests an older one; null for none
+ * @param discoveryAddresses address of discovery as each dispatcher reaches it, by dispatcher
+ *     number
+ * @param peerAddresses gossip addresses of all dispatchers as each dispatcher reaches them, by
+ *     dispatcher number
  */
 record FleetSpec(
         Scenario scenario,
--- a/kit/src/main/java/wheelroute/kit/process/IdleConnectionFlood.java
+++ b/kit/src/main/java/wheelroute/kit/process/IdleConnectionFlood.java
@@ -12,17 +12,23 @@
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * Opens connections to dispatchers that send nothing or part of a request, and closes them after a
- * while. Used on the event loop's thread.
+ * Opens connections to dispatchers on which it sends nothing or only a part of a request, and
+ * closes them after a fixed time. Used on the event loop's thread.
  */
 final class IdleConnectionFlood {
-    /** Longer than the daemon waits for a request. */
+    /** Time until a connection is closed; longer than the daemon waits for a request. */
     private static final double CONNECTION_LIFETIME_SECONDS = 4;
 
-    /** Below this a rate is what rounding errors have left of rates that were added and removed. */
+    /**
+     * Smallest rate that counts as one; a lower rate is a rounding error left by rates that were
+     * added and removed.
+     */
     private static final double MIN_CONNECTIONS_PER_SECOND = 1e-9;
 
-    /** Sent in turn: nothing, a part of the head, the head and a part of the body. */
+    /**
+     * What successive connections send, in rotation: nothing, a part of the head, the head with a
+     * part of the body.
+     */
     private static final String[] PARTIAL_REQUESTS = {
         "",
         "POST /statement HTTP/1.1\r\nHost: x\r\nX-Req",
@@ -36,16 +42,21 @@
     private long connectionCount;
 
     /**
-     * Creates a flood that has not begun.
+     * Creates a flood whose rate is 0 for all dispatchers.
      *
-     * @param addresses by dispatcher number; null while one does not listen
+     * @param addresses address of each dispatcher for clients, by dispatcher number; null while the
+     *     dispatcher does not listen
      */
     IdleConnectionFlood(EventLoop loop, IntFunction<InetSocketAddress> addresses) {
         this.loop = loop;
         this.addresses = addresses;
     }
 
-    /** Changes the rate of connections to a dispatcher. */
+    /**
+     * Changes the rate of connections to a dispatcher.
+     *
+     * @param additionalPerSecond added to the present rate; negative to lower the rate
+     */
     void changeRate(int dispatcher, double additionalPerSecond) {
         boolean isRunning = connectionsPerSecond.getOrDefault(dispatcher, 0.0) > 0;
         connectionsPerSecond.merge(dispatcher, additionalPerSecond, Double::sum);
@@ -62,8 +73,8 @@
         }
         InetSocketAddress address = addresses.apply(dispatcher);
         if (address != null) {
-            int turn = (int) (connectionCount++ % PARTIAL_REQUESTS.length);
-            loop.connect(address, new Connector(PARTIAL_REQUESTS[turn]));
+            int next = (int) (connectionCount++ % PARTIAL_REQUESTS.length);
+            loop.connect(address, new Connector(PARTIAL_REQUESTS[next]));
         }
         loop.schedule(1 / rate, () -> connectNext(dispatcher));
     }
@@ -82,7 +93,8 @@
 
         @Override
         public void onFailed(Throwable cause) {
-            // Rejecting such connections is what a flood tests.
+            // Rejections are expected, because the flood tests that dispatchers reject such
+            // connections.
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/process/JobCodec.java
+++ b/kit/src/main/java/wheelroute/kit/process/JobCodec.java
@@ -12,8 +12,8 @@
 import wheelroute.net.clients.ClientRequest;
 
 /**
- * Encodes a request's number in its id and its work in its body, and decodes them at the worker.
- * The dispatcher forwards id and body unchanged.
+ * Encodes the attempt key of a request in its id and its work in its body, and decodes both at the
+ * worker. The dispatcher forwards id and body unchanged.
  */
 public final class JobCodec {
     private static final JsonFactory JSON = new JsonFactory();
@@ -21,10 +21,13 @@
     private static final int HEX_RADIX = 16;
 
     /**
-     * What a worker has to do.
+     * Work that a worker has to do for a request.
      *
-     * @param requestId negative for a request that the kit did not send
-     * @param work in seconds
+     * @param requestId number decoded from the id of the request; negative for a request that the
+     *     kit did not send
+     * @param work duration of the work in seconds
+     * @param memory memory that the request occupies at the worker, in the unit of the scenario's
+     *     memory limits
      */
     public record Job(long requestId, double work, int slots, double memory) {}
 
@@ -46,9 +49,9 @@
     }
 
     /**
-     * Decodes a request.
+     * Decodes a request. Fields that are missing in the body have default values.
      *
-     * @param defaultWork in seconds, of a request that the kit did not send
+     * @param defaultWork work in seconds if the body does not state any
      */
     public static Job decode(ClientRequest message, double defaultWork) {
         double work = defaultWork;
@@ -58,8 +61,8 @@
             if (parser.nextToken() == JsonToken.START_OBJECT) {
                 while (parser.nextToken() != JsonToken.END_OBJECT) {
                     String name = parser.currentName();
-                    boolean number = parser.nextToken().isNumeric();
-                    switch (number ? name : "") {
+                    boolean isNumeric = parser.nextToken().isNumeric();
+                    switch (isNumeric ? name : "") {
                         case "work" ->
                                 work = Math.max(Scenario.MIN_WORK_SECONDS, parser.getDoubleValue());
                         case "slots" -> slots = Math.max(1, parser.getIntValue());
@@ -79,7 +82,7 @@
             try {
                 return Long.parseLong(id.substring(ID_PREFIX.length()), HEX_RADIX);
             } catch (NumberFormatException e) {
-                // An id of another program that begins like one of the kit.
+                // Another program sent an id that begins with the prefix of the kit.
                 return -1;
             }
         }
--- a/kit/src/main/java/wheelroute/kit/process/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadRun.java
@@ -21,7 +21,8 @@
 
 /**
  * Sends an open-loop or closed-loop load to one address, without retries, and measures the
- * responses. All but {@link #run} is on the event loop's thread.
+ * responses. All methods except {@link #run} and {@link #isLocal} are used on the event loop's
+ * thread.
  */
 public final class LoadRun implements ResponseListener {
     private static final int POLL_MILLIS = 50;
@@ -32,16 +33,18 @@
     private static final double RECONNECT_DELAY_SECONDS = 0.1;
 
     /**
-     * What is sent.
+     * The load to send.
      *
      * @param requestsPerSecond mean rate of an open loop, with random arrivals; 0 for a closed loop
-     * @param connections of a closed loop, each with one request in flight; 0 for an open loop
+     * @param connections number of connections of a closed loop, each with one request in flight; 0
+     *     for an open loop
      * @param workSeconds mean work of a request
      * @param workSpread standard deviation of the logarithm of the work
-     * @param timeoutSeconds of a request
-     * @param seconds during which requests are sent
-     * @param tenants that requests belong to in turn, named t0, t1 and so on; 0 for none
-     * @param maxRequests of a closed loop; 0 for no limit but the time
+     * @param timeoutSeconds timeout of a request
+     * @param seconds period during which requests are sent
+     * @param tenants number of tenants, named t0, t1 and so on, to which requests belong in
+     *     rotation; 0 for none
+     * @param maxRequests largest number of requests of a closed loop; 0 to limit only the time
      */
     public record Load(
             InetSocketAddress address,
@@ -81,9 +84,9 @@
     }
 
     /**
-     * How the load was served.
+     * Summary of the responses to a load.
      *
-     * @param text statistics for people
+     * @param text statistics as lines of text for the terminal
      */
     public record Result(int sent, long succeeded, String text) {}
 
@@ -94,10 +97,13 @@
     private final Scenario.RequestClass requestClass;
     private final LoadStatistics statistics = new LoadStatistics();
 
-    /** The attempts in flight, by key. */
+    /** Keys of the attempts in flight. */
     private final Set<Long> inFlight = new HashSet<>();
 
-    /** 0 before the run has started. */
+    /**
+     * Time at which the first request was scheduled, on the clock of the event loop; 0 before the
+     * run has started.
+     */
     private double startedAt;
 
     private LoadRun(Load load) {
@@ -108,9 +114,10 @@
     }
 
     /**
-     * Sends a load and waits until all requests have ended.
+     * Sends a load and waits until all requests have ended, at most for the period of the load and
+     * one timeout.
      *
-     * @param stop ends the run early when it returns true
+     * @param stop polled during the run; ends it early when it returns true
      * @throws RehearsalException if the run fails
      */
     public static Result run(Load load, BooleanSupplier stop) throws RehearsalException {
@@ -165,7 +172,9 @@
         }
     }
 
-    /** Schedules the next request of the open loop, whatever became of the earlier ones. */
+    /**
+     * Schedules the next request of the open loop, independently of the responses to earlier ones.
+     */
     private void scheduleNextArrival(double lastArrivalAt) {
         double draw = random.uniform(SeededRandom.Purpose.ARRIVAL, statistics.sent(), 0);
         double arrivalAt = lastArrivalAt - Math.log(1 - draw) / load.requestsPerSecond();
@@ -208,7 +217,10 @@
                 : new Scenario.Tenant("t" + number % load.tenants(), 1, 0);
     }
 
-    /** Sends the next request of a connection of a closed loop. */
+    /**
+     * Sends the next request of a connection of a closed loop after a delay; does nothing in an
+     * open loop or after the end of the load.
+     */
     private void sendNext(double delaySeconds) {
         if (load.isClosedLoop()
                 && loop.now() < startedAt + load.seconds()
@@ -228,7 +240,7 @@
     @Override
     public void onResponse(ClientAttempt attempt, FinalResponse response, double retryAfter) {
         if (inFlight.remove(attempt.key())) {
-            // From the scheduled time, so that delays of this process count as well.
+            // Latency counts from the scheduled time, so that it includes delays of this process.
             statistics.onResponse(response, loop.now() - attempt.sentAt());
             sendNext(0);
         }
@@ -250,7 +262,7 @@
         }
     }
 
-    /** Whether an address belongs to this machine; loads are sent to no other. */
+    /** Whether an address belongs to this machine. Loads must not be sent to other machines. */
     public static boolean isLocal(InetSocketAddress address) {
         try {
             return address.getAddress().isLoopbackAddress()
--- a/kit/src/main/java/wheelroute/kit/process/LoadStatistics.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadStatistics.java
@@ -10,7 +10,10 @@
 import org.HdrHistogram.Histogram;
 import wheelroute.kit.model.FinalResponse;
 
-/** Counts how the requests of a load ended. Used on the event loop's thread. */
+/**
+ * Counts the requests of a load by their results and records latencies. Used on the event loop's
+ * thread.
+ */
 final class LoadStatistics {
     private static final double MICROS_PER_MILLI = 1e3;
     private static final long MAX_MICROS = 3_600_000_000L;
@@ -28,7 +31,11 @@
         return sent++;
     }
 
-    /** Records a response and how long after the scheduled time of its request it came. */
+    /**
+     * Records a response.
+     *
+     * @param latencySeconds time from the scheduled time of the request to the response
+     */
     void onResponse(FinalResponse response, double latencySeconds) {
         responses.merge(response, 1L, Long::sum);
         latencyMicros.recordValue(
@@ -62,8 +69,10 @@
     /**
      * Returns the statistics as lines of text.
      *
-     * @param isClosedLoop whether latencies are also to be corrected for requests that were not
-     *     sent while earlier ones waited
+     * @param seconds period during which the requests were sent
+     * @param inFlight number of requests that have not ended
+     * @param isClosedLoop whether to add latencies corrected for coordinated omission, that is for
+     *     requests that were not sent while earlier ones waited
      */
     String text(double seconds, int inFlight, boolean isClosedLoop) {
         List<String> lines = new ArrayList<>();
@@ -95,7 +104,10 @@
         return String.join("\n", lines);
     }
 
-    /** The median latency is taken as the interval at which each connection would have sent. */
+    /**
+     * Returns the latencies corrected for coordinated omission, with the median latency as the
+     * expected interval between the requests of a connection.
+     */
     private Histogram correctedLatencyMicros() {
         return latencyMicros.copyCorrectedForCoordinatedOmission(
                 Math.max(1, latencyMicros.getValueAtPercentile(50)));
--- a/kit/src/main/java/wheelroute/kit/process/LoopExecutor.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoopExecutor.java
@@ -9,7 +9,10 @@
 
 /** Runs tasks on an event loop's thread and waits for their results. */
 public final class LoopExecutor {
-    /** A task that takes longer fails: the machine is too busy for a run. */
+    /**
+     * Time within which the event loop must run a task; the machine is too busy for a run if it
+     * takes longer.
+     */
     static final int TIMEOUT_SECONDS = 20;
 
     private final EventLoop loop;
@@ -18,7 +21,11 @@
         this.loop = loop;
     }
 
-    /** Runs a task on the event loop's thread; from any thread. */
+    /**
+     * Runs a task on the event loop's thread. May be called on any thread.
+     *
+     * @return completed with the result or the exception of the task
+     */
     public static <T> CompletableFuture<T> submit(EventLoop loop, Callable<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
         loop.post(
@@ -33,9 +40,9 @@
     }
 
     /**
-     * Runs a task and waits for it. Must not be called on the loop's thread.
+     * Runs a task and waits for its result. Must not be called on the loop's thread.
      *
-     * @throws Exception that of the task
+     * @throws Exception the exception that the task has thrown
      * @throws LoopTimeoutException if the task is not done in time
      */
     <T> T call(Callable<T> task) throws Exception {
@@ -49,9 +56,9 @@
     }
 
     /**
-     * Runs a task without a result and waits for it, as {@link #call} does.
+     * Runs a task without a result and waits for its end, as {@link #call} does.
      *
-     * @throws Exception that of the task
+     * @throws Exception the exception that the task has thrown
      * @throws LoopTimeoutException if the task is not done in time
      */
     void run(ThrowingRunnable task) throws Exception {
@@ -62,12 +69,12 @@
                 });
     }
 
-    /** A task without a result. */
+    /** A task that returns no result and may throw any exception. */
     interface ThrowingRunnable {
         void run() throws Exception;
     }
 
-    /** Thrown if the event loop did not run a task in time. */
+    /** Thrown if the event loop has not completed a task within the timeout. */
     static final class LoopTimeoutException extends RehearsalException {
         private static final long serialVersionUID = 1L;
 
--- a/kit/src/main/java/wheelroute/kit/process/Loopback.java
+++ b/kit/src/main/java/wheelroute/kit/process/Loopback.java
@@ -7,12 +7,16 @@
 public final class Loopback {
     private Loopback() {}
 
-    /** Returns a port of the loopback interface; 0 lets the system choose one when it is bound. */
+    /**
+     * Returns the loopback address with a port.
+     *
+     * @param port 0 lets the system choose a port when the address is bound
+     */
     public static InetSocketAddress address(int port) {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** Returns an address to listen on for which the system chooses the port. */
+    /** Returns a loopback address to listen on whose port the system chooses. */
     public static InetSocketAddress anyPort() {
         return address(0);
     }
--- a/kit/src/main/java/wheelroute/kit/process/MembershipCheck.java
+++ b/kit/src/main/java/wheelroute/kit/process/MembershipCheck.java
@@ -12,7 +12,7 @@
  * on the event loop's thread.
  */
 final class MembershipCheck {
-    /** A member that is alive or suspected, in the answer of the admin server. */
+    /** Line of a member that is alive or suspected, in the answer of the admin server to PEERS. */
     private static final Pattern ALIVE = Pattern.compile("\\S+ \\d+ (alive|suspect) .*");
 
     private final EventLoop loop;
@@ -22,9 +22,9 @@
     private final List<String> mismatches = new ArrayList<>();
 
     /**
-     * Creates a check that has not been made.
+     * Creates a check; nothing is called before {@link #start}.
      *
-     * @param isListening whether a dispatcher is up
+     * @param isListening whether a dispatcher accepts connections, by dispatcher number
      */
     MembershipCheck(EventLoop loop, Fleet fleet, int dispatchers, IntPredicate isListening) {
         this.loop = loop;
@@ -33,7 +33,10 @@
         this.isListening = isListening;
     }
 
-    /** Calls all processes that are not paused; no answer within the timeout is a mismatch. */
+    /**
+     * Calls the admin servers of all processes that are not paused and compares their answers with
+     * the running dispatchers. A missing answer within the timeout counts as a mismatch.
+     */
     void start(double timeoutSeconds) {
         for (int i = 0; i < dispatchers; i++) {
             int dispatcher = i;
@@ -71,7 +74,10 @@
         }
     }
 
-    /** Returns a description of each process whose membership is wrong. */
+    /**
+     * Returns a description of each process whose number of live members differs from that of
+     * running dispatchers; complete once the timeout of {@link #start} has passed.
+     */
     List<String> mismatches() {
         return mismatches;
     }
--- a/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
+++ b/kit/src/main/java/wheelroute/kit/process/NetworkLinks.java
@@ -19,13 +19,13 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * The links between the processes of a run. If the scenario has faults of any stream link, all of
- * them lead through relays, otherwise none. Used on the event loop's thread.
+ * The links between the processes of a run. If the scenario contains faults of any stream link, all
+ * stream links lead through relays, otherwise none of them does. Used on the event loop's thread.
  */
 final class NetworkLinks {
-    /** Follows the states of links. */
+    /** Listener for the states of links. */
     interface Listener {
-        /** A link is about to have this state. */
+        /** Called before a link changes to this state. */
         void onLinkChange(NetworkLink link, LinkState state);
     }
 
@@ -38,7 +38,10 @@
     private final Map<NetworkLink, Relay> relays = new HashMap<>();
     private final Map<NetworkLink, DatagramRelay> datagramRelays = new HashMap<>();
 
-    /** Where each dispatcher listens for clients, by number; this may change. */
+    /**
+     * Address on which each dispatcher listens for clients, by dispatcher number; changes when a
+     * dispatcher is restarted.
+     */
     private final Map<Integer, InetSocketAddress> clientAddresses = new HashMap<>();
 
     private final ActiveLinkFaults faults = new ActiveLinkFaults(this::onLinkChanged);
@@ -47,7 +50,7 @@
     /**
      * Creates links without faults.
      *
-     * @param groups the group of each worker, by worker number
+     * @param groups group of each worker, by worker number
      */
     NetworkLinks(
             EventLoop loop,
@@ -67,7 +70,7 @@
         return fault.kind().affectsLinks() && fault.affectedLinks() != LinkKind.PEERS;
     }
 
-    /** Whether the links of streams lead through relays. */
+    /** Whether the stream links lead through relays. */
     boolean areRelayed() {
         return areRelayed;
     }
@@ -76,8 +79,11 @@
         return random.uniform(SeededRandom.Purpose.LINK, draws++, 0);
     }
 
-    /** Returns where a dispatcher reaches a worker. */
-    InetSocketAddress toWorker(int dispatcher, int workerNumber, StubWorker worker)
+    /**
+     * Creates the link from a dispatcher to a worker and returns the address at which the
+     * dispatcher reaches the worker.
+     */
+    InetSocketAddress linkToWorker(int dispatcher, int workerNumber, StubWorker worker)
             throws IOException {
         if (!areRelayed) {
             return worker.address();
@@ -88,8 +94,11 @@
         return relay.address();
     }
 
-    /** Returns where a dispatcher reaches its discovery. */
-    InetSocketAddress toDiscovery(int dispatcher, StubDiscovery discovery) throws IOException {
+    /**
+     * Creates the link from a dispatcher to its discovery and returns the address at which the
+     * dispatcher reaches it.
+     */
+    InetSocketAddress linkToDiscovery(int dispatcher, StubDiscovery discovery) throws IOException {
         if (!areRelayed) {
             return discovery.address();
         }
@@ -98,11 +107,13 @@
     }
 
     /**
-     * Returns where clients reach a dispatcher.
+     * Creates or redirects the link from the clients to a dispatcher and returns the address at
+     * which clients reach it.
      *
-     * @param listening the address on which the dispatcher listens from now on
+     * @param listening address on which the dispatcher listens from now on
      */
-    InetSocketAddress toClients(int dispatcher, InetSocketAddress listening) throws IOException {
+    InetSocketAddress linkToClients(int dispatcher, InetSocketAddress listening)
+            throws IOException {
         clientAddresses.put(dispatcher, listening);
         if (!areRelayed) {
             return listening;
@@ -123,11 +134,13 @@
     }
 
     /**
-     * Returns where a dispatcher reaches each of its peers; each has a link of its own.
+     * Creates a link from a dispatcher to each dispatcher of the run and returns the addresses at
+     * which it reaches them, by dispatcher number.
      *
-     * @param peerAddresses by dispatcher number; null while one is not running
+     * @param peerAddresses gossip address of each dispatcher, by dispatcher number; null while the
+     *     dispatcher is not running
      */
-    List<String> toPeers(int dispatcher, IntFunction<InetSocketAddress> peerAddresses)
+    List<String> linkToPeers(int dispatcher, IntFunction<InetSocketAddress> peerAddresses)
             throws IOException {
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < dispatchers; i++) {
@@ -151,7 +164,7 @@
         return faults.state(link).equals(LinkState.OPEN);
     }
 
-    /** Begins or ends what a fault does to the links of one dispatcher. */
+    /** Begins or ends the effects of a fault on the links of one dispatcher. */
     void setFault(Scenario.Fault fault, int dispatcher, int[] targets, boolean begins) {
         faults.set(fault, begins, NetworkLink.of(fault, dispatcher, targets, dispatchers, groups));
     }
@@ -163,7 +176,7 @@
             return;
         }
         Relay relay = relays.get(link);
-        // A dispatcher that was never ready has no link to clients yet.
+        // The link from clients to a dispatcher does not exist before the dispatcher is ready.
         if (relay != null) {
             relay.apply(state);
         }
--- a/kit/src/main/java/wheelroute/kit/process/ProcessReplacer.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessReplacer.java
@@ -5,18 +5,21 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Replaces the process of a dispatcher by a new one that takes over its clients, as a deployment
- * does, with the faults that a scenario adds to it. Used on the event loop's thread.
+ * Replaces the process of a dispatcher by a successor that takes over its clients, as a deployment
+ * does, and injects the faults of a scenario into the replacement. Used on the event loop's thread.
  */
 final class ProcessReplacer {
-    /** Starts the process that replaces the current one of a dispatcher. */
+    /** Starts the successor of the current process of a dispatcher. */
     interface SuccessorLauncher {
         DaemonProcess start(DispatcherSlot slot, FaultMode mode);
     }
 
     private static final double READY_POLL_SECONDS = 0.05;
 
-    /** A successor that is to be killed is killed within this time after its start. */
+    /**
+     * Maximum time from the start of a successor to its kill if the fault mode is {@link
+     * FaultMode#SUCCESSOR_KILLED}.
+     */
     private static final double MAX_SUCCESSOR_LIFETIME_SECONDS = 0.6;
 
     private static final double BOTH_PAUSED_SECONDS = 1;
@@ -32,11 +35,14 @@
     /** A replacement that has not been completed; it fails at its deadline. */
     private record Replacement(
             DispatcherSlot slot,
-            DaemonProcess old,
+            DaemonProcess predecessor,
             DaemonProcess successor,
             FaultMode mode,
             double deadline) {
-        /** Whether the successor has neither become the current process nor been abandoned. */
+        /**
+         * Whether the successor has neither become the current process nor been killed or
+         * terminated.
+         */
         boolean isPending() {
             return slot.successor() == successor;
         }
@@ -55,32 +61,32 @@
         this.listener = listener;
     }
 
-    /** Returns how many replacements were started. */
+    /** Returns the number of replacements that were started. */
     int startedCount() {
         return startedCount;
     }
 
-    /** Returns how many replacements were not completed in time. */
+    /** Returns the number of replacements that were not completed in time. */
     int failedCount() {
         return failedCount;
     }
 
     /**
-     * Starts a replacement. Does nothing if the dispatcher is down or is being replaced: an
-     * operator would wait as well.
+     * Starts a replacement. Does nothing if the dispatcher is down or is being replaced, because an
+     * operator would wait in this case as well.
      *
-     * @param limitSeconds after which a replacement that is not complete has failed
+     * @param limitSeconds time after which a replacement that is not complete has failed
      */
     void replace(DispatcherSlot slot, FaultMode mode, double limitSeconds) {
         if (slot.processes().size() != 1 || slot.pendingStart() != null || slot.port() == 0) {
             return;
         }
         startedCount++;
-        DaemonProcess old = slot.current();
+        DaemonProcess predecessor = slot.current();
         DaemonProcess successor = launcher.start(slot, mode);
         slot.setSuccessor(successor);
         Replacement replacement =
-                new Replacement(slot, old, successor, mode, loop.now() + limitSeconds);
+                new Replacement(slot, predecessor, successor, mode, loop.now() + limitSeconds);
         if (mode == FaultMode.SUCCESSOR_KILLED) {
             killSuccessorLater(replacement);
         } else {
@@ -104,7 +110,7 @@
 
     private void abandon(Replacement replacement) {
         replacement.slot.setSuccessor(null);
-        killBesideOther(replacement.slot, replacement.successor);
+        killDuringReplacement(replacement.slot, replacement.successor);
     }
 
     private void awaitReady(Replacement replacement) {
@@ -145,14 +151,14 @@
         slot.setSuccessor(null);
         switch (replacement.mode) {
             case BOTH_PAUSED -> pauseBoth(replacement);
-            case PREDECESSOR_KILLED -> killBesideOther(slot, replacement.old);
-            default -> terminateOld(replacement);
+            case PREDECESSOR_KILLED -> killDuringReplacement(slot, replacement.predecessor);
+            default -> terminatePredecessor(replacement);
         }
     }
 
     private void pauseBoth(Replacement replacement) {
         DispatcherSlot slot = replacement.slot;
-        listener.onSplit(slot.number(), true);
+        listener.onPartialOutage(slot.number(), true);
         pauser.setPaused(slot, true);
         loop.schedule(
                 BOTH_PAUSED_SECONDS,
@@ -161,28 +167,28 @@
                         pauser.setPaused(slot, false);
                         loop.schedule(
                                 ProcessPauser.RESUME_DELAY_SECONDS,
-                                () -> listener.onSplit(slot.number(), false));
-                        terminateOld(replacement);
+                                () -> listener.onPartialOutage(slot.number(), false));
+                        terminatePredecessor(replacement);
                     }
                 });
     }
 
-    /** Kills one of two processes; the other one goes on. */
-    private void killBesideOther(DispatcherSlot slot, DaemonProcess process) {
-        slot.setKilledBesideOther(process);
-        listener.onSplit(slot.number(), true);
+    /** Kills the predecessor or the successor while the other process continues. */
+    private void killDuringReplacement(DispatcherSlot slot, DaemonProcess process) {
+        slot.setKilledDuringReplacement(process);
+        listener.onPartialOutage(slot.number(), true);
         process.kill();
     }
 
-    private void terminateOld(Replacement replacement) {
-        DaemonProcess old = replacement.old;
-        old.terminate();
+    private void terminatePredecessor(Replacement replacement) {
+        DaemonProcess predecessor = replacement.predecessor;
+        predecessor.terminate();
         loop.schedule(
                 Math.max(0, replacement.deadline - loop.now()),
                 () -> {
-                    if (replacement.slot.processes().contains(old)) {
+                    if (replacement.slot.processes().contains(predecessor)) {
                         failedCount++;
-                        killBesideOther(replacement.slot, old);
+                        killDuringReplacement(replacement.slot, predecessor);
                     }
                 });
     }
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
@@ -24,33 +24,37 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Runs a scenario in real time: each dispatcher is a process of its own; workers, discovery and
+ * Runs a scenario in real time. Each dispatcher is a process of its own; workers, discovery and
  * clients are stubs on one thread of this process.
  */
 public final class ProcessRun {
-    /** Time between the last dispatcher's readiness and the first request, to load the lists. */
+    /**
+     * Time between the readiness of the last dispatcher and the first request, for the dispatchers
+     * to load their endpoint lists.
+     */
     private static final double SETTLE_SECONDS = 0.7;
 
-    /** The run continues for this time after the last request, to observe late effects. */
-    private static final double FINAL_SECONDS = 1;
+    /** Time for which the run continues after the last request, to observe late effects. */
+    private static final double FINAL_OBSERVATION_SECONDS = 1;
 
     private static final double CONNECT_TIMEOUT_SECONDS = 1;
     private static final double END_CHECK_INTERVAL_SECONDS = 0.01;
     private static final int POLL_MILLIS = 50;
     private static final double PROGRESS_INTERVAL_SECONDS = 5;
 
-    /** The key of a variant whose dispatchers do not know each other. */
+    /** Settings key of a variant whose dispatchers are not configured as peers of each other. */
     private static final String NO_PEERS = "no_peers";
 
     /**
-     * What is run.
+     * Options of a run.
      *
-     * @param scenario {@link #run} draws its random faults
-     * @param seconds during which requests arrive
-     * @param settings that differ from the scenario's
-     * @param variantName of these settings, for the report
-     * @param jar the dispatchers' build; null for this one
-     * @param older the build that replaces it where a fault says so; null for none
+     * @param scenario scenario to run; {@link #run} draws its random faults
+     * @param seconds period during which requests arrive
+     * @param settings settings that differ from those of the scenario
+     * @param variantName name of these settings in the report
+     * @param jar build of the dispatchers; null for the build of this kit
+     * @param olderJar build with which a dispatcher is started where a fault requests an older one;
+     *     null for none
      */
     public record Options(
             Scenario scenario,
@@ -59,9 +63,10 @@
             Map<String, String> settings,
             String variantName,
             Path jar,
-            Path older) {
+            Path olderJar) {
         /**
-         * Returns these options with random faults drawn, and without keys that are not settings.
+         * Returns a copy of these options with random faults drawn and without keys that are not
+         * settings of the dispatcher.
          */
         private Options prepared() {
             Map<String, String> otherSettings = new LinkedHashMap<>(settings);
@@ -73,7 +78,7 @@
                     otherSettings,
                     variantName,
                     jar,
-                    older);
+                    olderJar);
         }
     }
 
@@ -83,14 +88,14 @@
     private final LoopExecutor executor = new LoopExecutor(loop);
     private final TimerLag timerLag = new TimerLag(loop);
 
-    // Null before the run has started.
+    // These fields are null before the run has started.
     private RunEnvironment environment;
     private MembershipCheck membership;
-    private MachineMonitor machine;
-    private RelayCost.Cost relayCost = RelayCost.Cost.NONE;
+    private SchedulerDelayMonitor schedulerDelay;
+    private RelayLatency.RoundTrips relayLatency = RelayLatency.RoundTrips.NOT_MEASURED;
     private volatile boolean isOver;
 
-    /** Why the run cannot go on; null while it can. */
+    /** Reason why the run cannot continue; null while it can. */
     private volatile String failure;
 
     private ProcessRun(Options options) {
@@ -101,16 +106,15 @@
     /**
      * Runs a scenario to its end.
      *
-     * @param stop ends the run early when it returns true; the report is partial then
-     * @param progress gets a line of text every few seconds
-     * @throws RehearsalException if the run cannot be made on this machine, or a dispatcher does
-     *     not start
-     * @throws ConfigException if the settings cannot be used
+     * @param stop polled during the run; ends it early with a partial report when it returns true
+     * @param progress receives a line of text every few seconds
+     * @throws RehearsalException if the run fails on this machine or a dispatcher does not start
+     * @throws ConfigException if the settings are invalid
      */
     public static Report run(Options options, BooleanSupplier stop, Consumer<String> progress)
             throws RehearsalException, ConfigException {
         ProcessRun run = new ProcessRun(options);
-        // Throws before any process is started if the settings are invalid.
+        // Checks the settings before any process is started; throws if they are invalid.
         DaemonSettings.settings(
                 options.seed(),
                 DaemonSettings.settingsByPath(run.options.scenario(), run.options.settings()));
@@ -129,18 +133,18 @@
 
     private void start() throws Exception {
         loop.start();
-        CompletableFuture<RelayCost.Cost> cost = new CompletableFuture<>();
+        CompletableFuture<RelayLatency.RoundTrips> roundTrips = new CompletableFuture<>();
         executor.run(
                 () -> {
                     createEnvironment();
                     if (environment.links.areRelayed()) {
-                        RelayCost.measure(loop, cost::complete);
+                        RelayLatency.measure(loop, roundTrips::complete);
                     } else {
-                        cost.complete(RelayCost.Cost.NONE);
+                        roundTrips.complete(RelayLatency.RoundTrips.NOT_MEASURED);
                     }
                 });
-        // Before the dispatchers start, which would disturb the measurement.
-        relayCost = cost.get(LoopExecutor.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        // Waits before the dispatchers start, because their start would disturb the measurement.
+        relayLatency = roundTrips.get(LoopExecutor.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         executor.run(
                 () -> {
                     for (int i = 0; i < options.scenario().dispatcherCount(); i++) {
@@ -148,7 +152,7 @@
                     }
                 });
         awaitReady();
-        machine = new MachineMonitor(this::processes);
+        schedulerDelay = new SchedulerDelayMonitor(this::processes);
         executor.run(() -> loop.schedule(SETTLE_SECONDS, this::startRequests));
     }
 
@@ -184,25 +188,28 @@
     private void checkEnd() {
         if (environment.clients.isOver()) {
             if (hasPeers) {
-                membership.start(FINAL_SECONDS / 2);
+                membership.start(FINAL_OBSERVATION_SECONDS / 2);
             }
-            loop.schedule(FINAL_SECONDS, () -> isOver = true);
+            loop.schedule(FINAL_OBSERVATION_SECONDS, () -> isOver = true);
         } else {
             loop.schedule(END_CHECK_INTERVAL_SECONDS, this::checkEnd);
         }
     }
 
-    /** Returns the dispatchers' processes; none if the event loop does not answer in time. */
+    /**
+     * Returns the dispatchers' processes; an empty list if the event loop does not answer within
+     * the timeout.
+     */
     private List<Process> processes() {
         try {
-            return LoopExecutor.submit(loop, this::processesOfFleet)
+            return LoopExecutor.submit(loop, this::fleetProcesses)
                     .get(LoopExecutor.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException | InterruptedException e) {
             return List.of();
         }
     }
 
-    private List<Process> processesOfFleet() {
+    private List<Process> fleetProcesses() {
         List<Process> processes = new ArrayList<>();
         for (int i = 0; i < options.scenario().dispatcherCount(); i++) {
             environment.fleet.processes(i).forEach(daemon -> processes.add(daemon.process()));
@@ -210,7 +217,11 @@
         return processes;
     }
 
-    /** Waits for the end of the run; returns whether it was stopped before. */
+    /**
+     * Waits for the end of the run.
+     *
+     * @return whether the run was stopped before its end
+     */
     private boolean awaitEnd(BooleanSupplier stop, Consumer<String> progress) throws Exception {
         double lastProgressSeconds = 0;
         long startedNanos = System.nanoTime();
@@ -246,24 +257,25 @@
 
     private Report report(boolean isPartial) throws RehearsalException {
         Report.MachineLag lag =
-                new Report.MachineLag(timerLag.p99(), timerLag.max(), machine.p99(), machine.max());
-        return new ProcessRunReport(options, environment, membership, relayCost, lag)
+                new Report.MachineLag(
+                        timerLag.p99(), timerLag.max(), schedulerDelay.p99(), schedulerDelay.max());
+        return new ProcessRunReport(options, environment, membership, relayLatency, lag)
                 .create(isPartial);
     }
 
     private void close() {
-        if (machine != null) {
-            machine.close();
+        if (schedulerDelay != null) {
+            schedulerDelay.close();
         }
         if (environment != null) {
-            // A draining dispatcher waits until its clients have closed.
+            // A draining dispatcher waits until its clients have closed their connections.
             loop.post(environment.transport::closeIdle);
             environment.fleet.close();
         }
         try {
             loop.stop();
         } catch (Exception e) {
-            // The report is complete without it.
+            // The report is complete, so a failure to stop the loop does not matter.
             Thread.currentThread().interrupt();
         }
     }
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
@@ -13,23 +13,23 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * Creates the report of a run of real processes from what was measured.
+ * Creates the report of a run of real processes from its measurements.
  *
- * @param lag how late timers and threads were
+ * @param lag delays of timers and of the dispatchers' threads on this machine
  */
 record ProcessRunReport(
         ProcessRun.Options options,
         RunEnvironment environment,
         MembershipCheck membership,
-        RelayCost.Cost relayCost,
+        RelayLatency.RoundTrips relayLatency,
         Report.MachineLag lag) {
-    /** The value of this key in reports. */
+    /** Value of the clock in reports of runs in real time. */
     private static final String CLOCK_NAME = "real";
 
     private static final double PERCENT = 100;
 
     /**
-     * Creates the report, on the event loop's thread.
+     * Creates the report. Must be called on the event loop's thread.
      *
      * @param isPartial whether the run was stopped early
      * @throws RunStoppedException if no request was sent
@@ -107,8 +107,8 @@
                     String.format(
                             Locale.ROOT,
                             "round trip through a relay: %.2f ms at p99, direct: %.2f ms",
-                            MILLIS_PER_SECOND * relayCost.relayedSeconds(),
-                            MILLIS_PER_SECOND * relayCost.directSeconds()));
+                            MILLIS_PER_SECOND * relayLatency.relayedSeconds(),
+                            MILLIS_PER_SECOND * relayLatency.directSeconds()));
         }
         return notes;
     }
--- a/kit/src/main/java/wheelroute/kit/process/ProcessSupervisor.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessSupervisor.java
@@ -8,14 +8,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Pauses processes, and kills those that are left when this process ends, however it ends. It is a
- * shell whose standard input is a pipe from here: when the pipe is closed, the shell kills all
- * processes that were started by {@link #start}, even paused ones. The shell also sends signals,
- * which the JDK cannot; a shell for each signal would be slow. Thread-safe.
+ * Pauses processes, and kills those that remain when this process ends, even if this process is
+ * killed. Runs a shell whose standard input is a pipe from this process. When the pipe is closed,
+ * the shell kills all processes that were started by {@link #start}, including paused ones. The
+ * shell also sends signals that the JDK cannot send; a separate shell for each signal would be
+ * slow. Thread-safe.
  */
 public final class ProcessSupervisor implements AutoCloseable {
     /**
-     * Ignores ^C, which the terminal sends to the whole process group: it must clean up after it.
+     * Script of the shell. The script ignores the signal of ^C, which the terminal sends to the
+     * whole process group, because the shell must clean up after this signal.
      */
     private static final String SCRIPT =
             """
@@ -30,9 +32,10 @@
             """;
 
     /**
-     * Writes the process id before it executes the command, and then checks whether the supervisor
-     * has closed: either that finds the file, or this finds its mark. If the file were written by
-     * the kit, a process could be missed.
+     * Script that starts a process. The script writes a file with the process id, then checks
+     * whether the supervisor has closed, and then executes the command. Either the closing
+     * supervisor finds the file, or this script finds the file that marks the supervisor as closed.
+     * If the kit wrote the file with the process id, the supervisor could miss a process.
      */
     private static final String START_SCRIPT =
             "echo $$ > \"$0/$$.pid\"; [ ! -e \"$0/closed\" ] || exit 1;" + " exec \"$@\"";
@@ -46,7 +49,7 @@
     /**
      * Starts the shell.
      *
-     * @param directory for the files with process ids; no other supervisor may use it
+     * @param directory directory for the files with process ids; no other supervisor may use it
      */
     public ProcessSupervisor(Path directory) throws IOException {
         this.directory = directory;
@@ -57,18 +60,18 @@
         commands = shell.outputWriter();
     }
 
-    /** Starts a process that is killed when this process ends. */
+    /** Starts a process that is killed when this process ends or the supervisor is closed. */
     public Process start(ProcessBuilder builder) throws IOException {
         List<String> command =
                 new ArrayList<>(List.of("sh", "-c", START_SCRIPT, directory.toString()));
         command.addAll(builder.command());
         Process process = builder.command(command).start();
-        // The system may give its id to another process.
+        // The system may reuse the id of an ended process, which the shell must not kill then.
         process.onExit().thenRun(() -> directory.resolve(process.pid() + ".pid").toFile().delete());
         return process;
     }
 
-    /** Pauses or resumes a process. */
+    /** Pauses or resumes a process; does nothing if the process has ended. */
     void setPaused(Process process, boolean isPaused) throws IOException {
         if (process.isAlive()) {
             signal(isPaused ? "STOP" : "CONT", process);
@@ -80,13 +83,13 @@
         commands.flush();
     }
 
-    /** Kills the processes that are left. */
+    /** Kills the processes that still run and ends the shell. */
     @Override
     public void close() {
         try {
             commands.close();
         } catch (IOException e) {
-            // The pipe is broken, so the shell has ended or is about to.
+            // The pipe is broken, so the shell has ended or is about to end.
             shell.destroy();
         }
         try {
--- a/kit/src/main/java/wheelroute/kit/process/RelayCost.java
+++ b/kit/src/main/java/wheelroute/kit/process/RelayLatency.java
@@ -16,16 +16,19 @@
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * Measures what a relay adds to a round trip, by the same short exchanges direct and through one.
- * Used on the event loop's thread.
+ * Measures the latency that a relay adds, by the round trip times of the same short exchanges
+ * without and with a relay. Used on the event loop's thread.
  */
-final class RelayCost {
-    /** Round trip times in seconds, at the 99th percentile; NaN where not measured. */
-    record Cost(double directSeconds, double relayedSeconds) {
-        static final Cost NONE = new Cost(Double.NaN, Double.NaN);
+final class RelayLatency {
+    /** Round trip times in seconds at the 99th percentile; NaN if not measured. */
+    record RoundTrips(double directSeconds, double relayedSeconds) {
+        static final RoundTrips NOT_MEASURED = new RoundTrips(Double.NaN, Double.NaN);
     }
 
-    /** Exchanges that are not counted, because the code is not compiled yet. */
+    /**
+     * Number of first exchanges that are not counted, because the JIT compiler has not compiled the
+     * code yet.
+     */
     private static final int WARM_UP_EXCHANGES = 300;
 
     private static final int EXCHANGES = 500;
@@ -33,11 +36,11 @@
     private static final long MAX_NANOS = 10_000_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
     private final EventLoop loop;
-    private final Consumer<Cost> listener;
+    private final Consumer<RoundTrips> listener;
     private final ServerSocketChannel server;
     private final Relay relay;
 
-    private RelayCost(EventLoop loop, Consumer<Cost> listener) throws IOException {
+    private RelayLatency(EventLoop loop, Consumer<RoundTrips> listener) throws IOException {
         this.loop = loop;
         this.listener = listener;
         server = loop.listen(Loopback.anyPort(), new EchoAcceptor(loop));
@@ -49,14 +52,19 @@
         return Loopback.address(server.socket().getLocalPort());
     }
 
-    /** Starts to measure; the listener gets the result. */
-    static void measure(EventLoop loop, Consumer<Cost> listener) throws IOException {
-        RelayCost cost = new RelayCost(loop, listener);
-        cost.measureRoundTrips(
-                cost.serverAddress(),
+    /**
+     * Starts a measurement.
+     *
+     * @param listener receives the result on the event loop's thread
+     */
+    static void measure(EventLoop loop, Consumer<RoundTrips> listener) throws IOException {
+        RelayLatency measurement = new RelayLatency(loop, listener);
+        measurement.measureRoundTrips(
+                measurement.serverAddress(),
                 direct ->
-                        cost.measureRoundTrips(
-                                cost.relay.address(), relayed -> cost.finish(direct, relayed)));
+                        measurement.measureRoundTrips(
+                                measurement.relay.address(),
+                                relayed -> measurement.finish(direct, relayed)));
     }
 
     private void measureRoundTrips(InetSocketAddress address, DoubleConsumer onMeasured) {
@@ -68,10 +76,10 @@
             loop.closeListener(server);
             relay.close();
         } catch (IOException e) {
-            // Two ports stay open until the run ends.
+            // The two ports remain open until the run ends.
             return;
         } finally {
-            listener.accept(new Cost(directSeconds, relayedSeconds));
+            listener.accept(new RoundTrips(directSeconds, relayedSeconds));
         }
     }
 
@@ -89,7 +97,7 @@
 
         @Override
         public void onFailed(Throwable cause) {
-            // The client finds out.
+            // The client notices the failure and reports it.
         }
     }
 
@@ -119,7 +127,7 @@
         }
     }
 
-    /** Connects an {@link EchoConnection}; an error counts as not measured. */
+    /** Opens an {@link EchoConnection}; a failure to connect counts as not measured. */
     private record EchoClient(EventLoop loop, DoubleConsumer onMeasured)
             implements EventLoop.ChannelHandler {
         @Override
@@ -135,7 +143,10 @@
         }
     }
 
-    /** Exchanges one message after the other. */
+    /**
+     * Client side of the exchanges, which sends the next message when the echo of the last one is
+     * complete.
+     */
     private static final class EchoConnection extends StreamConnection {
         private final DoubleConsumer onMeasured;
         private final WriteQueue out;
--- a/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
+++ b/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
@@ -20,14 +20,17 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * The parts of a run of real processes: stub workers and discovery, clients, links, the
+ * The components of a run of real processes, namely stub workers and discovery, clients, links, the
  * dispatchers' processes and the auditors. Created and used on the event loop's thread.
  */
 final class RunEnvironment {
-    /** Delays of loopback, timers and a busy machine that no audit rule counts as a breach. */
+    /** Tolerance of the audit rules for delays of loopback, timers and a busy machine. */
     private static final double AUDIT_SLACK_SECONDS = 0.1;
 
-    /** Largest message of a run; bounds the time that it takes on a link of limited bandwidth. */
+    /**
+     * Size of the largest message of a run, which bounds the transfer time of a message on a link
+     * of limited bandwidth.
+     */
     private static final int MAX_MESSAGE_BYTES = 1000;
 
     final Scenario scenario;
@@ -42,7 +45,7 @@
     final Fleet fleet;
     final DiscoveryCallCounter discoveryCalls = new DiscoveryCallCounter();
 
-    /** Done once each dispatcher has been ready. */
+    /** Completed once each dispatcher has been ready at least once. */
     final CompletableFuture<Void> allReady = new CompletableFuture<>();
 
     private final SeededRandom random;
@@ -50,8 +53,8 @@
     /**
      * Creates the stubs and links; no dispatcher is started yet.
      *
-     * @param peering whether dispatchers are members of one group
-     * @param onFailure gets the reason if a dispatcher cannot be run
+     * @param peering whether the dispatchers are members of one cluster
+     * @param onFailure receives the reason if the run cannot continue
      */
     RunEnvironment(
             ProcessRun.Options options, EventLoop loop, boolean peering, Consumer<String> onFailure)
@@ -59,13 +62,13 @@
         this.loop = loop;
         scenario = options.scenario();
         random = new SeededRandom(options.seed());
-        EventLoopTimeline time = new EventLoopTimeline(loop);
-        auditor = new Auditor(scenario, time, AUDIT_SLACK_SECONDS);
-        metricsAuditor = new MetricsAuditor(time, scenario.clients().writePauseSeconds() > 0);
-        recorder = new Recorder(scenario, time, options.seconds(), auditor, metricsAuditor);
-        cluster = new ClusterModel(scenario, time, random, options.seconds(), recorder);
+        EventLoopTimeline timeline = new EventLoopTimeline(loop);
+        auditor = new Auditor(scenario, timeline, AUDIT_SLACK_SECONDS);
+        metricsAuditor = new MetricsAuditor(timeline, scenario.clients().writePauseSeconds() > 0);
+        recorder = new Recorder(scenario, timeline, options.seconds(), auditor, metricsAuditor);
+        cluster = new ClusterModel(scenario, timeline, random, options.seconds(), recorder);
         transport = new ClientTransport(scenario.dispatcherCount());
-        clients = new Clients(scenario, time, random, options.seconds(), transport, recorder);
+        clients = new Clients(scenario, timeline, random, options.seconds(), transport, recorder);
         List<StubWorker> workers = new ArrayList<>();
         for (WorkerModel model : cluster.workers) {
             workers.add(new StubWorker(loop, model, auditor, Loopback.anyPort()));
@@ -76,7 +79,7 @@
         List<InetSocketAddress> discoveryAddresses = startDiscovery(workers);
         List<List<String>> peerAddresses = new ArrayList<>();
         for (int i = 0; i < scenario.dispatcherCount(); i++) {
-            peerAddresses.add(peering ? links.toPeers(i, this::peerAddress) : List.of());
+            peerAddresses.add(peering ? links.linkToPeers(i, this::peerAddress) : List.of());
         }
         fleet =
                 new Fleet(
@@ -86,7 +89,7 @@
                                 random,
                                 DaemonSettings.settingsByPath(scenario, options.settings()),
                                 options.jar(),
-                                options.older(),
+                                options.olderJar(),
                                 discoveryAddresses::get,
                                 peerAddresses::get),
                         new FleetMonitor(this, random, onFailure));
@@ -97,9 +100,10 @@
     }
 
     /**
-     * Starts a discovery for each dispatcher, with the workers' addresses on its own links.
+     * Starts a stub discovery for each dispatcher, which lists the workers by their addresses on
+     * the links of this dispatcher.
      *
-     * @return where each dispatcher reaches its discovery
+     * @return address at which each dispatcher reaches its discovery, by dispatcher number
      */
     private List<InetSocketAddress> startDiscovery(List<StubWorker> workers) throws IOException {
         List<InetSocketAddress> addresses = new ArrayList<>();
@@ -107,13 +111,13 @@
             int dispatcher = i;
             List<InetSocketAddress> workerAddresses = new ArrayList<>();
             for (int j = 0; j < workers.size(); j++) {
-                workerAddresses.add(links.toWorker(i, j, workers.get(j)));
+                workerAddresses.add(links.linkToWorker(i, j, workers.get(j)));
             }
             StubDiscovery discovery =
                     new StubDiscovery(
                             loop,
                             i,
-                            new StubDiscovery.Subject(
+                            new StubDiscovery.RunContext(
                                     cluster.registry,
                                     auditor,
                                     scenario,
@@ -121,12 +125,15 @@
                                     discoveryCalls),
                             Loopback.anyPort(),
                             () -> links.isOpen(NetworkLink.toDiscovery(dispatcher)));
-            addresses.add(links.toDiscovery(i, discovery));
+            addresses.add(links.linkToDiscovery(i, discovery));
         }
         return addresses;
     }
 
-    /** Informs the auditors, before a link changes, of the effects that it excuses. */
+    /**
+     * Informs the auditors of a change of a link before it takes effect, so that they tolerate its
+     * consequences.
+     */
     private void onLinkChange(NetworkLink link, LinkState state) {
         if (link.isToPeer()) {
             return;
@@ -147,7 +154,10 @@
         }
     }
 
-    /** Starts the requests and the faults. */
+    /**
+     * Starts the requests, the faults and the polling of metrics; must be called once all
+     * dispatchers are ready.
+     */
     void start() {
         IdleConnectionFlood flood = new IdleConnectionFlood(loop, transport::address);
         discoveryCalls.reset();
--- a/kit/src/main/java/wheelroute/kit/process/RunStoppedException.java
+++ b/kit/src/main/java/wheelroute/kit/process/RunStoppedException.java
@@ -4,7 +4,11 @@
 public final class RunStoppedException extends RehearsalException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an exception that says what was stopped. */
+    /**
+     * Creates an exception.
+     *
+     * @param message states what was stopped
+     */
     public RunStoppedException(String message) {
         super(message);
     }
--- a/kit/src/main/java/wheelroute/kit/process/ScenarioBehavior.java
+++ b/kit/src/main/java/wheelroute/kit/process/ScenarioBehavior.java
@@ -4,7 +4,7 @@
 import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.Scenario;
 
-/** The connection behavior of a scenario's clients, drawn by the seed. */
+/** Connection behavior of a scenario's clients, drawn at random from the seed of the run. */
 final class ScenarioBehavior implements ConnectionBehavior {
     private static final int NEW_CONNECTION_DRAW = 0;
     private static final int WRITE_PAUSE_DRAW = 1;
--- a/kit/src/main/java/wheelroute/kit/process/MachineMonitor.java
+++ b/kit/src/main/java/wheelroute/kit/process/SchedulerDelayMonitor.java
@@ -13,19 +13,23 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures how long the dispatchers' event loop threads were runnable but waited for a core, by the
- * scheduler statistics of the kernel. This tells a busy machine from a slow program. Measures
- * nothing on kernels without these statistics. Starts a thread of its own; thread-safe.
+ * Measures the scheduler delay of the dispatchers' event loop threads, that is the time during
+ * which they were runnable but waited for a core, from the statistics of the kernel. The
+ * measurement distinguishes a busy machine from a slow program. Measures nothing on kernels without
+ * these statistics. Samples on a thread of its own; thread-safe.
  */
-final class MachineMonitor implements AutoCloseable {
+final class SchedulerDelayMonitor implements AutoCloseable {
     private static final int INTERVAL_MILLIS = 100;
     private static final long MAX_NANOS = 60_000_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
 
-    /** The thread on which a dispatcher does all its work. */
+    /** Name of the thread on which a dispatcher does all its work. */
     private static final String EVENT_LOOP_THREAD = "loop";
 
-    /** Field of schedstat: nanoseconds that the thread was runnable but did not run. */
+    /**
+     * Index of the schedstat field with the nanoseconds that the thread was runnable but did not
+     * run.
+     */
     private static final int RUN_DELAY_FIELD = 1;
 
     private final Supplier<List<Process>> processes;
@@ -38,9 +42,10 @@
     /**
      * Starts to measure.
      *
-     * @param processes those to measure, obtained anew in each interval
+     * @param processes supplies the processes to measure; called once per interval on the monitor's
+     *     thread
      */
-    MachineMonitor(Supplier<List<Process>> processes) {
+    SchedulerDelayMonitor(Supplier<List<Process>> processes) {
         this.processes = processes;
         thread = new Thread(this::sampleUntilClosed, "machine-monitor");
         thread.setDaemon(true);
@@ -71,9 +76,9 @@
             }
             long runDelayNanos =
                     Long.parseLong(Files.readString(schedstat).split(" ")[RUN_DELAY_FIELD]);
-            Long before = lastRunDelayNanos.put(pid, runDelayNanos);
-            if (before != null) {
-                record(runDelayNanos - before);
+            Long previousNanos = lastRunDelayNanos.put(pid, runDelayNanos);
+            if (previousNanos != null) {
+                record(runDelayNanos - previousNanos);
             }
         } catch (IOException | RuntimeException e) {
             // The process has ended, or the kernel has no such statistics.
@@ -88,7 +93,10 @@
         }
     }
 
-    /** Returns the statistics of the event loop's thread; null before it has started. */
+    /**
+     * Returns the path of the scheduler statistics of a process's event loop thread; null before
+     * the thread has started.
+     */
     private static Path schedstatOfEventLoop(long pid) throws IOException {
         try (Stream<Path> tasks = Files.list(Path.of("/proc/" + pid + "/task"))) {
             for (Path task : tasks.toList()) {
@@ -100,14 +108,16 @@
         return null;
     }
 
-    /** Returns the 99th percentile of the seconds that a thread waited in one interval. */
+    /**
+     * Returns the 99th percentile of the seconds that a thread waited for a core in one interval.
+     */
     double p99() {
         synchronized (waitNanos) {
             return waitNanos.getValueAtPercentile(99) / NANOS_PER_SECOND;
         }
     }
 
-    /** Returns the most seconds that a thread waited in one interval. */
+    /** Returns the largest number of seconds that a thread waited for a core in one interval. */
     double max() {
         synchronized (waitNanos) {
             return waitNanos.getMaxValue() / NANOS_PER_SECOND;
--- a/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
+++ b/kit/src/main/java/wheelroute/kit/process/ServerConnection.java
@@ -11,8 +11,8 @@
 import wheelroute.net.loop.StreamConnection;
 
 /**
- * A connection that a stub has accepted. It decodes requests as strictly as the daemon does. Used
- * on the event loop's thread.
+ * A connection that a stub has accepted. Decodes requests as strictly as the daemon does and
+ * answers invalid ones with 400. Used on the event loop's thread.
  */
 public abstract class ServerConnection extends StreamConnection {
     private static final long MAX_BODY_BYTES = 64L << 20;
@@ -27,10 +27,10 @@
         out = new WriteQueue(endPoint, () -> onFailure(null));
     }
 
-    /** A request has arrived completely. */
+    /** Called when a request has arrived completely. */
     protected abstract void onRequest(ClientRequest message);
 
-    /** The connection is closed, by either side; called once. */
+    /** Called once when the connection is closed, by either side. */
     protected abstract void onClosed();
 
     @Override
@@ -58,7 +58,7 @@
         closeNow();
     }
 
-    /** Closes the connection at once; what is queued is dropped. */
+    /** Closes the connection at once and drops queued writes. */
     protected final void closeNow() {
         if (!isEnded) {
             isEnded = true;
--- a/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubDiscovery.java
@@ -22,30 +22,31 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * Discovery as one dispatcher sees it: serves the model's registry by the discovery protocol. Used
- * on the event loop's thread.
+ * Stub of discovery for one dispatcher, which serves the endpoint registry of the model by the
+ * discovery protocol. Used on the event loop's thread.
  */
 final class StubDiscovery implements EventLoop.ChannelHandler {
     /**
-     * A change counts as known to the dispatcher after this time even if it was not sent: a missed
-     * watch is not an excuse for using an old list.
+     * Time after which a change counts as known to the dispatcher even if it was not sent, because
+     * a missed watch does not justify the use of an outdated list.
      */
     private static final double NOTIFICATION_DEADLINE_SECONDS = 6;
 
     private final EventLoop loop;
     private final int dispatcher;
-    private final Subject subject;
+    private final RunContext context;
     private final BooleanSupplier isReachable;
     private final Set<DispatcherConnection> connections = new HashSet<>();
     private final InetSocketAddress address;
 
     /**
-     * What is common to the stubs of all dispatchers.
+     * Objects of the run that a stub uses; all but the worker addresses are shared by the stubs of
+     * all dispatchers.
      *
-     * @param workerAddresses as this dispatcher reaches them, by worker number
-     * @param calls counts the calls of all dispatchers
+     * @param workerAddresses address of each worker as this dispatcher reaches it, by worker number
+     * @param calls counter for the calls of all dispatchers
      */
-    record Subject(
+    record RunContext(
             EndpointRegistry registry,
             Auditor auditor,
             Scenario scenario,
@@ -53,26 +54,26 @@
             DiscoveryCallCounter calls) {}
 
     /**
-     * Starts to listen for one dispatcher.
+     * Creates a stub for one dispatcher and starts to listen.
      *
-     * @param wanted the address to listen on
-     * @param isReachable false while responses may not arrive
+     * @param listenAddress address to listen on; port 0 lets the system choose the port
+     * @param isReachable returns false while responses may not arrive at the dispatcher
      */
     StubDiscovery(
             EventLoop loop,
             int dispatcher,
-            Subject subject,
-            InetSocketAddress wanted,
+            RunContext context,
+            InetSocketAddress listenAddress,
             BooleanSupplier isReachable)
             throws IOException {
         this.loop = loop;
         this.dispatcher = dispatcher;
-        this.subject = subject;
+        this.context = context;
         this.isReachable = isReachable;
-        ServerSocketChannel server = loop.listen(wanted, this);
+        ServerSocketChannel server = loop.listen(listenAddress, this);
         address = Loopback.address(server.socket().getLocalPort());
-        subject.registry.watch(this::onChanged);
-        subject.registry.onOutage(
+        context.registry.watch(this::onChanged);
+        context.registry.onOutage(
                 () -> new ArrayList<>(connections).forEach(DispatcherConnection::failOutage));
     }
 
@@ -89,7 +90,7 @@
 
     @Override
     public void onFailed(Throwable cause) {
-        // The dispatcher retries.
+        // The dispatcher retries a call whose connection failed.
     }
 
     private void onChanged(EndpointRegistry.Entry entry) {
@@ -97,21 +98,21 @@
         loop.schedule(
                 NOTIFICATION_DEADLINE_SECONDS,
                 () -> {
-                    if (subject.registry.entries().contains(entry)) {
+                    if (context.registry.entries().contains(entry)) {
                         notifyAuditor(entry);
                     }
                 });
     }
 
     private void notifyAuditor(EndpointRegistry.Entry entry) {
-        subject.auditor.onNotified(dispatcher, entry.worker().number, entry.state());
+        context.auditor.onNotified(dispatcher, entry.worker().number, entry.state());
     }
 
     private String listJson(List<EndpointRegistry.Entry> entries, boolean isComplete) {
         List<String> listed = new ArrayList<>();
         for (EndpointRegistry.Entry entry : entries) {
-            // A response that may not arrive counts only at the deadline, unless it is in the
-            // dispatcher's favor.
+            // A response that may not arrive counts as known only at the deadline. An entry that
+            // permits new attempts counts at once, because that is in favor of the dispatcher.
             if (isReachable.getAsBoolean() || entry.state() == EndpointRegistry.State.READY) {
                 notifyAuditor(entry);
             }
@@ -119,7 +120,7 @@
                 listed.add(entryJson(entry));
             }
         }
-        return DiscoveryJson.list(subject.registry.version(), isComplete, listed);
+        return DiscoveryJson.list(context.registry.version(), isComplete, listed);
     }
 
     private String entryJson(EndpointRegistry.Entry entry) {
@@ -127,10 +128,10 @@
         boolean isStartKnown = !Double.isNaN(entry.startedAt());
         return new DiscoveryJson.Endpoint(
                         entry.worker().name,
-                        subject.workerAddresses.apply(entry.worker().number),
+                        context.workerAddresses.apply(entry.worker().number),
                         group.zone(),
                         group.model(),
-                        subject.scenario.groups().indexOf(group),
+                        context.scenario.groups().indexOf(group),
                         stateName(entry.state()),
                         isStartKnown ? Math.round(entry.startedAt() * MILLIS_PER_SECOND) : 0)
                 .json();
@@ -144,11 +145,17 @@
         };
     }
 
-    /** One connection of the dispatcher: one call at a time; a watch is held until a change. */
+    /**
+     * One connection of the dispatcher, which carries one call at a time. A watch is held until the
+     * list changes or its hold time ends.
+     */
     private final class DispatcherConnection extends ServerConnection {
         private static final long NONE = -1;
 
-        /** The version after which a held watch wants changes; NONE while no watch is held. */
+        /**
+         * List version of the caller of a held watch, who requests newer changes; NONE while no
+         * watch is held.
+         */
         private long heldVersion = NONE;
 
         private EventLoop.Timer holdTimeout;
@@ -160,11 +167,11 @@
         @Override
         protected void onRequest(ClientRequest message) {
             Optional<DiscoveryWatch> watch = DiscoveryWatch.parse(message.target());
-            subject.calls.record(loop.now());
-            if (subject.registry.isDown()) {
+            context.calls.record(loop.now());
+            if (context.registry.isDown()) {
                 failOutage();
             } else if (message.target().equals("/v1/servers")) {
-                respond(subject.registry.entries(), true);
+                respond(context.registry.entries(), true);
             } else if (watch.isPresent()) {
                 heldVersion = watch.get().version();
                 holdTimeout = loop.schedule(watch.get().holdSeconds(), this::answerHeldWatch);
@@ -175,7 +182,7 @@
         }
 
         private void answerIfChanged() {
-            if (heldVersion >= 0 && subject.registry.version() > heldVersion) {
+            if (heldVersion >= 0 && context.registry.version() > heldVersion) {
                 answerHeldWatch();
             }
         }
@@ -186,7 +193,7 @@
             }
             long version = heldVersion;
             respond(
-                    subject.registry.entries().stream()
+                    context.registry.entries().stream()
                             .filter(entry -> entry.version() > version)
                             .toList(),
                     false);
--- a/kit/src/main/java/wheelroute/kit/process/StubRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubRun.java
@@ -35,11 +35,14 @@
     }
 
     /**
-     * Runs the stubs until the time is over or the run is stopped.
+     * Runs the stubs until the period ends or the run is stopped.
      *
-     * @param discoveryPort 0 lets the system choose it
-     * @param firstWorkerPort those of the other workers follow; 0 lets the system choose them
-     * @param output gets a line of text with the address of each stub
+     * @param seconds period of the run
+     * @param discoveryPort port of discovery; 0 lets the system choose it
+     * @param firstWorkerPort port of the first worker, followed by those of the other workers; 0
+     *     lets the system choose all of them
+     * @param stop polled during the run; ends it early when it returns true
+     * @param output receives a line of text with the address of each stub
      * @throws RehearsalException if a port cannot be used or the run fails
      */
     public static void run(
@@ -61,9 +64,9 @@
             run.loop.stop();
         } catch (ExecutionException e) {
             throw new RehearsalException(
-                    "the stubs cannot listen: " + e.getCause().getMessage(), e.getCause());
+                    "a stub cannot listen: " + e.getCause().getMessage(), e.getCause());
         } catch (Exception e) {
-            throw new RehearsalException("the stubs failed: " + e, e);
+            throw new RehearsalException("the run of the stubs failed: " + e, e);
         }
     }
 
@@ -74,60 +77,65 @@
         }
     }
 
-    /** Faults of dispatchers have no effect: they are not processes of this run. */
+    /** Ignores the faults of dispatchers, because these are not processes of this run. */
     private static final class ExternalDispatchers implements ClusterModel.DispatcherControl {
         @Override
         public void kill(int dispatcher) {
-            // External.
+            // The dispatcher is not a process of this run.
         }
 
         @Override
         public void terminate(int dispatcher) {
-            // External.
+            // The dispatcher is not a process of this run.
         }
 
         @Override
         public void start(int dispatcher, FaultMode mode) {
-            // External.
+            // The dispatcher is not a process of this run.
         }
     }
 
-    /** Starts the stubs, on the event loop's thread; returns a line for each. */
+    /**
+     * Starts the stubs. Must be called on the event loop's thread.
+     *
+     * @return a line of text with the address of each stub
+     */
     private List<String> start(int discoveryPort, int firstWorkerPort) throws IOException {
-        EventLoopTimeline time = new EventLoopTimeline(loop);
-        // Its findings are not reported, because it does not see the external clients' requests.
-        Auditor auditor = new Auditor(scenario, time, 0);
+        EventLoopTimeline timeline = new EventLoopTimeline(loop);
+        // The findings of this auditor are not reported, because it does not observe the
+        // requests of external clients.
+        Auditor auditor = new Auditor(scenario, timeline, 0);
         ClusterModel cluster =
-                new ClusterModel(scenario, time, new SeededRandom(seed), seconds, auditor);
+                new ClusterModel(scenario, timeline, new SeededRandom(seed), seconds, auditor);
         List<StubWorker> workers = new ArrayList<>();
         for (int i = 0; i < cluster.workers.size(); i++) {
-            InetSocketAddress wanted =
+            InetSocketAddress listenAddress =
                     Loopback.address(firstWorkerPort == 0 ? 0 : firstWorkerPort + i);
-            workers.add(new StubWorker(loop, cluster.workers.get(i), auditor, wanted));
+            workers.add(new StubWorker(loop, cluster.workers.get(i), auditor, listenAddress));
         }
-        StubDiscovery.Subject subject =
-                new StubDiscovery.Subject(
+        StubDiscovery.RunContext context =
+                new StubDiscovery.RunContext(
                         cluster.registry,
                         auditor,
                         scenario,
                         number -> workers.get(number).address(),
                         new DiscoveryCallCounter());
         StubDiscovery discovery =
-                new StubDiscovery(loop, 0, subject, Loopback.address(discoveryPort), () -> true);
+                new StubDiscovery(loop, 0, context, Loopback.address(discoveryPort), () -> true);
         cluster.start(new ExternalDispatchers());
         List<String> lines = new ArrayList<>();
-        lines.add("discovery at " + text(discovery.address()));
+        lines.add("discovery at " + formatAddress(discovery.address()));
         for (int i = 0; i < workers.size(); i++) {
             lines.add(
                     "worker "
                             + cluster.workers.get(i).name
                             + " at "
-                            + text(workers.get(i).address()));
+                            + formatAddress(workers.get(i).address()));
         }
         return lines;
     }
 
-    private static String text(InetSocketAddress address) {
+    private static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/StubWorker.java
+++ b/kit/src/main/java/wheelroute/kit/process/StubWorker.java
@@ -18,12 +18,17 @@
 import wheelroute.net.clients.ClientRequest;
 import wheelroute.net.loop.EventLoop;
 
-/** Puts a worker of the model behind a socket. Used on the event loop's thread. */
+/**
+ * Serves a worker of the model over HTTP on a listening socket. Used on the event loop's thread.
+ */
 final class StubWorker implements EventLoop.ChannelHandler, WorkerModel.PortListener {
-    /** Work of a request that does not name it. */
+    /** Work of a request whose body does not state it. */
     private static final double DEFAULT_WORK_SECONDS = 0.05;
 
-    /** Delay before listening is retried, because the system may not have released the port. */
+    /**
+     * Delay before the worker tries again to listen, because the system may not have released the
+     * port yet.
+     */
     private static final double RELISTEN_DELAY_SECONDS = 0.05;
 
     private static final Logger LOG = LoggerFactory.getLogger(StubWorker.class);
@@ -34,16 +39,16 @@
     private final Set<DispatcherConnection> connections = new HashSet<>();
     private final InetSocketAddress address;
 
-    /** Null while the worker is down. */
+    /** Listening socket; null while the worker is down. */
     private ServerSocketChannel server;
 
-    /** Starts to listen. */
-    StubWorker(EventLoop loop, WorkerModel model, Auditor auditor, InetSocketAddress wanted)
+    /** Creates a worker and starts to listen. */
+    StubWorker(EventLoop loop, WorkerModel model, Auditor auditor, InetSocketAddress listenAddress)
             throws IOException {
         this.loop = loop;
         this.model = model;
         this.auditor = auditor;
-        server = loop.listen(wanted, this);
+        server = loop.listen(listenAddress, this);
         address = Loopback.address(server.socket().getLocalPort());
         model.portListener(this);
     }
@@ -61,7 +66,7 @@
 
     @Override
     public void onFailed(Throwable cause) {
-        LOG.warn("{} could not accept a connection: {}", model.name, cause.toString());
+        LOG.warn("worker {} failed to accept a connection: {}", model.name, cause.toString());
     }
 
     @Override
@@ -89,9 +94,10 @@
                 server = null;
             }
         } catch (IOException e) {
-            LOG.warn("{} did not stop listening: {}", model.name, e.toString());
+            LOG.warn(
+                    "worker {} failed to close its listening socket: {}", model.name, e.toString());
         }
-        // The model ends the connections with an attempt itself.
+        // The model itself ends the connections that carry an attempt.
         loop.schedule(0, this::closeIdleConnections);
     }
 
@@ -104,10 +110,10 @@
     }
 
     /**
-     * The dispatcher has closed a connection, and the link delays that: its attempt no longer
-     * counts as a copy.
+     * Called when the dispatcher has closed a connection while the link delays the closing. The
+     * attempt on this connection no longer counts as a concurrent copy of its request.
      *
-     * @param port from which the connection came
+     * @param port remote port of the connection at the worker
      */
     void onDispatcherClosed(int port) {
         for (DispatcherConnection connection : connections) {
@@ -120,7 +126,7 @@
         }
     }
 
-    /** One connection of a dispatcher: one attempt at a time. */
+    /** One connection of a dispatcher, which carries one attempt at a time. */
     private final class DispatcherConnection extends ServerConnection
             implements WorkerAttempt.Reply {
         private WorkerAttempt attempt;
@@ -149,7 +155,7 @@
             model.accept(attempt);
         }
 
-        /** Sends a line of the response body, and the head before the first. */
+        /** Sends a line of the response body, and the response head before the first line. */
         private void sendLine(String fields) {
             if (!isHeadSent) {
                 isHeadSent = true;
--- a/kit/src/main/java/wheelroute/kit/process/TemporaryDirectory.java
+++ b/kit/src/main/java/wheelroute/kit/process/TemporaryDirectory.java
@@ -10,7 +10,11 @@
 public final class TemporaryDirectory {
     private TemporaryDirectory() {}
 
-    /** Deletes a directory with all that it contains. */
+    /**
+     * Deletes a directory with all its contents.
+     *
+     * @throws IOException if a file cannot be deleted; some may have been deleted then
+     */
     public static void delete(Path directory) throws IOException {
         try (Stream<Path> files = Files.walk(directory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
--- a/kit/src/main/java/wheelroute/kit/process/TimerLag.java
+++ b/kit/src/main/java/wheelroute/kit/process/TimerLag.java
@@ -11,34 +11,34 @@
     private static final long MAX_MICROS = 600_000_000;
 
     private final EventLoop loop;
-    private final Histogram micros = new Histogram(MAX_MICROS, 3);
+    private final Histogram lagMicros = new Histogram(MAX_MICROS, 3);
 
     TimerLag(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** Starts to measure, for as long as the loop runs. */
+    /** Starts to measure. The measurement continues until the event loop stops. */
     void start() {
-        measureAt(loop.now() + INTERVAL_SECONDS);
+        scheduleMeasurement(loop.now() + INTERVAL_SECONDS);
     }
 
-    private void measureAt(double due) {
+    private void scheduleMeasurement(double dueAt) {
         loop.schedule(
-                due - loop.now(),
+                dueAt - loop.now(),
                 () -> {
-                    double lag = Math.max(0, MICROS_PER_SECOND * (loop.now() - due));
-                    micros.recordValue((long) Math.min(MAX_MICROS, lag));
-                    measureAt(loop.now() + INTERVAL_SECONDS);
+                    double lag = Math.max(0, MICROS_PER_SECOND * (loop.now() - dueAt));
+                    lagMicros.recordValue((long) Math.min(MAX_MICROS, lag));
+                    scheduleMeasurement(loop.now() + INTERVAL_SECONDS);
                 });
     }
 
-    /** Returns the 99th percentile in seconds. */
+    /** Returns the 99th percentile of the lag in seconds. */
     double p99() {
-        return micros.getValueAtPercentile(99) / MICROS_PER_SECOND;
+        return lagMicros.getValueAtPercentile(99) / MICROS_PER_SECOND;
     }
 
-    /** Returns the maximum in seconds. */
+    /** Returns the maximum lag in seconds. */
     double max() {
-        return micros.getMaxValue() / MICROS_PER_SECOND;
+        return lagMicros.getMaxValue() / MICROS_PER_SECOND;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/process/WriteQueue.java
+++ b/kit/src/main/java/wheelroute/kit/process/WriteQueue.java
@@ -6,7 +6,10 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.Callback;
 
-/** Writes to one connection, in order, one write at a time. Used on the event loop's thread. */
+/**
+ * Queue of the writes to one connection, which are made in order and one at a time. Used on the
+ * event loop's thread.
+ */
 public final class WriteQueue {
     private final EndPoint endPoint;
     private final Runnable failureHandler;
@@ -17,19 +20,22 @@
     /**
      * Creates the queue of one connection.
      *
-     * @param failureHandler runs if a write fails
+     * @param failureHandler called if a write fails
      */
     public WriteQueue(EndPoint endPoint, Runnable failureHandler) {
         this.endPoint = endPoint;
         this.failureHandler = failureHandler;
     }
 
-    /** Sends a text after everything that was sent before. */
+    /** Queues a text, encoded in UTF-8, after everything that was sent before. */
     public void send(String text) {
         send(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Sends bytes after everything that was sent before. */
+    /**
+     * Queues buffers after everything that was sent before. The buffers must not be changed until
+     * they are written.
+     */
     public void send(ByteBuffer... buffers) {
         for (ByteBuffer buffer : buffers) {
             queue.addLast(buffer);
@@ -37,7 +43,7 @@
         flush();
     }
 
-    /** Closes the connection once everything is written. */
+    /** Closes the connection once everything that was sent before is written. */
     public void close() {
         closesWhenEmpty = true;
         flush();
--- a/kit/src/test/java/wheelroute/kit/process/DispatcherStartTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/DispatcherStartTest.java
@@ -14,9 +14,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Processes that the shipped script starts at the same time, while discovery is down. */
+/**
+ * Guards against slow starts when the shipped script starts many processes at the same time while
+ * discovery is down.
+ */
 public class DispatcherStartTest {
-    /** Time within which 90% of the processes must listen. */
+    /** Time within which the required fraction of the processes must listen. */
     private static final double MAX_START_SECONDS = 10;
 
     private static final double IN_TIME_FRACTION = 0.9;
@@ -25,7 +28,8 @@
     @DataProvider
     public Object[][] starts() {
         return new Object[][] {
-            // processes, workers in the cached list, memory limit of a process in MB
+            // The columns are processes, workers in the cached list, memory limit of a process in
+            // MB.
             {32, 0, 128}, {32, 200, 128}, {4, 30_000, 192},
         };
     }
@@ -33,8 +37,8 @@
     @Test(dataProvider = "starts", timeOut = 120_000)
     public void listenInTimeWithoutDiscovery(int processes, int workers, int memoryMb)
             throws Exception {
-        try (ScriptedDispatchers dispatchers =
-                new ScriptedDispatchers(processes, DispatcherStartTest::now)) {
+        try (ScriptStartedDispatchers dispatchers =
+                new ScriptStartedDispatchers(processes, DispatcherStartTest::now)) {
             String cachedList = cachedList(workers);
             double startedAt = now();
             for (int i = 0; i < processes; i++) {
@@ -50,7 +54,14 @@
             }
             assertTrue(
                     inTime >= IN_TIME_FRACTION * processes,
-                    inTime + " of " + processes + " in time");
+                    "expected at least "
+                            + IN_TIME_FRACTION * processes
+                            + " processes listening within "
+                            + MAX_START_SECONDS
+                            + " s, got "
+                            + inTime
+                            + " of "
+                            + processes);
             assertEquals(dispatchers.terminateAll(), new int[processes]);
         }
     }
@@ -59,7 +70,7 @@
         return System.nanoTime() / (double) TimeUnit.SECONDS.toNanos(1);
     }
 
-    /** Returns a list in a single line, as programs write it. */
+    /** Returns an endpoint list on a single line, which is how programs write it. */
     private static String cachedList(int workers) throws IOException {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < workers; i++) {
@@ -87,7 +98,7 @@
         return new InetSocketAddress(InetAddress.getByAddress(address), 9001);
     }
 
-    private static String config(int number, int all, int memoryMb, String cachedList)
+    private static String config(int number, int balancers, int memoryMb, String cachedList)
             throws IOException {
         return "{\"name\":\"n"
                 + number
@@ -96,7 +107,7 @@
                 + "\",\"known\":"
                 + cachedList
                 + ",\"settings\":{\"az\":\"z1\",\"balancers\":"
-                + all
+                + balancers
                 + ",\"request_classes\":[{\"name\":\"job\",\"effect\":\"free\",\"on_time_us\":500000,"
                 + "\"hard_limit_us\":5000000,\"worth\":1}]},\"limits\":{\"memory_mb\":"
                 + memoryMb
--- a/kit/src/test/java/wheelroute/kit/process/FaultTables.java
+++ b/kit/src/test/java/wheelroute/kit/process/FaultTables.java
@@ -1,12 +1,14 @@
 package wheelroute.kit.process;
 
-/** Writes faults as tables of a scenario's TOML text. */
+/** Formats faults as tables of a scenario file in TOML. */
 final class FaultTables {
     private FaultTables() {}
 
     /**
      * Returns the table of one fault.
      *
+     * @param at start of the fault in seconds
+     * @param length duration of the fault in seconds
      * @param moreKeys further lines of the table
      */
     static String fault(String kind, double at, double length, String... moreKeys) {
@@ -21,7 +23,7 @@
                 + "\n";
     }
 
-    /** Returns the table of a replacement within four seconds. */
+    /** Returns the table of a process replacement that must be completed within four seconds. */
     static String replacement(double at, String targets, String how) {
         return fault("dispatcher-replace", at, 4, targets, "how = \"" + how + "\"");
     }
--- a/kit/src/test/java/wheelroute/kit/process/JudgedRuns.java
+++ b/kit/src/test/java/wheelroute/kit/process/JudgedRuns.java
@@ -9,7 +9,10 @@
 import wheelroute.kit.report.TableWriter;
 import wheelroute.kit.scenario.Scenario;
 
-/** Runs scenarios for tests whose assertions hold only if the machine was not too busy. */
+/**
+ * Runs scenarios for tests whose assertions hold only if the machine is not too busy for the run to
+ * be judged.
+ */
 final class JudgedRuns {
     private static final int MAX_RUNS = 3;
 
@@ -18,7 +21,7 @@
     /**
      * Returns the report of the first run that can be judged.
      *
-     * @throws SkipException with the last report, if no run can be judged
+     * @throws SkipException with the last report if none of the runs can be judged
      */
     static Report run(Scenario scenario, long seed, double seconds) throws Exception {
         Report report = null;
@@ -33,10 +36,14 @@
                 return report;
             }
         }
-        throw new SkipException("not judged in " + MAX_RUNS + " runs: " + TableWriter.text(report));
+        throw new SkipException(
+                "none of "
+                        + MAX_RUNS
+                        + " runs could be judged; last report: "
+                        + TableWriter.text(report));
     }
 
-    /** Asserts that each request has ended in exactly one way. */
+    /** Asserts that each request has ended with exactly one result. */
     static void assertEachRequestEndedOnce(Report.Row all, String message) {
         assertEquals(
                 all.inTime()
--- a/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
@@ -13,7 +13,10 @@
 import wheelroute.kit.scenario.FigureNames;
 import wheelroute.kit.scenario.Scenario;
 
-/** Several processes of the daemon, with overlapping faults of processes and links. */
+/**
+ * Tests that several daemon processes keep the audit rules during overlapping faults of processes
+ * and links.
+ */
 public class LinkFaultsTest {
     private static final int DISPATCHERS = 5;
     private static final long SEED = 5;
--- a/kit/src/test/java/wheelroute/kit/process/OverloadedDiscovery.java
+++ b/kit/src/test/java/wheelroute/kit/process/OverloadedDiscovery.java
@@ -16,21 +16,21 @@
 import wheelroute.net.loop.EventLoop;
 
 /**
- * A discovery that serves all dispatchers from one queue with a limited rate of calls. It rejects a
- * call at once if the queue is too long, and fails a call that has waited for its timeout; the work
- * on a call is done whether or not its caller still waits. A watch that continues after a response
- * costs nothing. While it is down, calls are accepted and fail at their timeout. Used on the event
- * loop's thread.
+ * A discovery that serves the calls of all dispatchers from one queue at a limited rate. It rejects
+ * a call at once if the queue is too long and fails a call that has waited for its timeout, but
+ * spends its capacity on a call whether or not the caller still waits. A watch that continues after
+ * a response uses no capacity. During an outage, calls are accepted and fail at their timeout. Used
+ * on the event loop's thread.
  */
 final class OverloadedDiscovery {
     private static final String UNAVAILABLE =
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
     /**
-     * What it can serve.
+     * Limits of the service.
      *
-     * @param timeoutSeconds after which a queued call fails
-     * @param maxBacklogSeconds of queued work, beyond which a call is rejected
+     * @param timeoutSeconds time after which a queued call fails
+     * @param maxBacklogSeconds duration of the queued work above which a call is rejected
      */
     record Capacity(double callsPerSecond, double timeoutSeconds, double maxBacklogSeconds) {}
 
@@ -39,19 +39,22 @@
     private final List<InetSocketAddress> addresses = new ArrayList<>();
     private final Set<DispatcherConnection> connections = new HashSet<>();
 
-    /** When each dispatcher first got the present version; NaN before. */
+    /**
+     * Time at which each dispatcher first received the present list version, by dispatcher number;
+     * NaN before.
+     */
     private final double[] answeredAt;
 
     private long version = 1;
     private boolean isDown;
 
-    /** When the calls that are queued now will have been served. */
+    /** Time at which all calls that are queued now will have been served. */
     private double idleAt;
 
     private int rejectedCalls;
     private int unreadResponses;
 
-    /** Starts to listen for each dispatcher. */
+    /** Creates a discovery and starts to listen on a port for each dispatcher. */
     OverloadedDiscovery(EventLoop loop, int dispatchers, Capacity capacity) throws IOException {
         this.loop = loop;
         this.capacity = capacity;
@@ -74,7 +77,7 @@
 
                             @Override
                             public void onFailed(Throwable cause) {
-                                // The dispatcher retries.
+                                // The dispatcher retries a call whose connection failed.
                             }
                         });
         return Loopback.address(server.socket().getLocalPort());
@@ -84,39 +87,46 @@
         return addresses.get(dispatcher);
     }
 
-    /** Returns when the dispatcher first got the present version; NaN before. */
+    /**
+     * Returns the time at which a dispatcher first received the present list version; NaN before.
+     */
     double answeredAt(int dispatcher) {
         return answeredAt[dispatcher];
     }
 
-    /** Ends all calls; later ones fail at their timeout. */
-    void goDown() {
+    /** Begins an outage, which fails all open calls at once and later ones at their timeout. */
+    void beginOutage() {
         isDown = true;
         new ArrayList<>(connections).forEach(DispatcherConnection::fail);
     }
 
-    /** Serves calls again, with a new version of the list. */
-    void comeBack() {
+    /** Ends the outage and serves calls again, with a new version of the list. */
+    void endOutage() {
         isDown = false;
         version++;
         Arrays.fill(answeredAt, Double.NaN);
     }
 
-    /** Returns counts for the message of a failed assertion. */
-    String counts() {
+    /**
+     * Returns the numbers of rejected calls and unread responses as text for assertion messages.
+     */
+    String countsText() {
         return rejectedCalls + " calls rejected, " + unreadResponses + " responses not read";
     }
 
     private final class DispatcherConnection extends ServerConnection {
         private final int dispatcher;
 
-        /** Whether the dispatcher's place is kept, so that its next call is not queued. */
+        /**
+         * Whether a call on this connection has been served since the last failed one, so that the
+         * next call is not queued.
+         */
         private boolean isWatching;
 
         private boolean isEnded;
-        private long versionOfCaller;
+        private long callerVersion;
 
-        /** The number of the last call; results of earlier ones are out of date. */
+        /** Number of the last call on this connection; results of earlier calls are discarded. */
         private int lastCall;
 
         private boolean isCallOpen;
@@ -132,7 +142,7 @@
             int call = ++lastCall;
             isCallOpen = true;
             Optional<DiscoveryWatch> watch = DiscoveryWatch.parse(message.target());
-            versionOfCaller = watch.map(DiscoveryWatch::version).orElse(0L);
+            callerVersion = watch.map(DiscoveryWatch::version).orElse(0L);
             double holdSeconds = watch.map(DiscoveryWatch::holdSeconds).orElse(0.0);
             if (isDown) {
                 loop.schedule(capacity.timeoutSeconds, () -> failIfLast(call));
@@ -142,11 +152,11 @@
                 rejectedCalls++;
                 fail();
             } else {
-                queue(call, holdSeconds);
+                enqueue(call, holdSeconds);
             }
         }
 
-        private void queue(int call, double holdSeconds) {
+        private void enqueue(int call, double holdSeconds) {
             idleAt = Math.max(idleAt, loop.now()) + 1 / capacity.callsPerSecond;
             double waitSeconds = idleAt - loop.now();
             if (waitSeconds > capacity.timeoutSeconds) {
@@ -156,11 +166,14 @@
             }
         }
 
-        /** Responds now if there is a newer version, else at the end of the hold. */
+        /**
+         * Responds at once if the caller has an older version, otherwise at the end of the hold
+         * time.
+         */
         private void serve(int call, double holdSeconds) {
             if (!isCallOpen || call != lastCall) {
                 unreadResponses++;
-            } else if (versionOfCaller < version || holdSeconds == 0) {
+            } else if (callerVersion < version || holdSeconds == 0) {
                 respond();
             } else {
                 isWatching = true;
@@ -180,7 +193,7 @@
             if (Double.isNaN(answeredAt[dispatcher])) {
                 answeredAt[dispatcher] = loop.now();
             }
-            String json = DiscoveryJson.list(version, versionOfCaller == 0, List.of());
+            String json = DiscoveryJson.list(version, callerVersion == 0, List.of());
             out.send(
                     "HTTP/1.1 200 OK\r\nContent-Length: "
                             + json.getBytes(StandardCharsets.UTF_8).length
--- a/kit/src/test/java/wheelroute/kit/process/OverloadedDiscoveryTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/OverloadedDiscoveryTest.java
@@ -12,41 +12,39 @@
 import wheelroute.kit.EventLoopHarness;
 
 /**
- * Real processes and a discovery that all of them call at the same time after an outage.
+ * Guards against a fleet that overloads discovery with repeated calls after an outage, so that
+ * dispatchers keep an outdated endpoint list.
  *
- * <p>Symptom: attempts went to workers that had been removed 2.2 s after the removal counted as
- * known, at a few of 100 dispatchers. None of these had got a response of discovery for 15 s,
- * although it was up and answered others.
- *
- * <p>Course: discovery was down for 8 s; 1.6 s after its return, 70% of the dispatchers were killed
- * and restarted. All called at once, and the queue of discovery exceeded the 1.8 s after which a
- * dispatcher timed a call out, for as long as it was observed.
- *
- * <p>Cause: a dispatcher timed calls out that discovery had queued, and called again within a
- * second. Discovery works on a call whether or not its caller still waits, so its whole capacity
- * went into calls that had timed out. The backoff did not reduce the fleet's rate of calls below
- * the capacity of discovery.
- *
- * <p>Evidence: a trace of all calls of 100 dispatchers: 13 calls per second timed out and 17 were
- * rejected during 25 s, none was answered.
+ * <p>In a run with 100 dispatchers, discovery was down for 8 s, and 70% of the dispatchers were
+ * killed and restarted 1.6 s after its return. All of them called at once, and the queue of
+ * discovery exceeded the timeout of a call, 1.8 s, for as long as it was observed. A dispatcher
+ * whose queued call had timed out called again within a second, but discovery works on a call
+ * whether or not its caller still waits, so calls that had timed out used its whole capacity. The
+ * backoff did not reduce the call rate of the fleet below this capacity. In a trace of all calls of
+ * the 100 dispatchers, 13 calls per second timed out and 17 were rejected during 25 s, and none was
+ * answered. A few dispatchers had received no response for 15 s, although discovery was up and
+ * answered others, and sent attempts to removed workers 2.2 s after the removal counted as known.
  */
 public class OverloadedDiscoveryTest extends EventLoopHarness {
     private static final int DISPATCHERS = 40;
     private static final int KILLED_DISPATCHERS = 28;
     private static final double OUTAGE_SECONDS = 8;
 
-    /** Discovery can serve one call of each dispatcher within 5 s. */
+    /** Capacity of discovery, which suffices to serve one call of each dispatcher within 5 s. */
     private static final OverloadedDiscovery.Capacity CAPACITY =
             new OverloadedDiscovery.Capacity(DISPATCHERS / 5.0, 2, 5);
 
-    /** A change counts as known after 6 s; attempts may continue for a grace period of 3 s. */
+    /**
+     * Time within which a dispatcher must receive the list. A change counts as known after 6 s, and
+     * attempts may continue for a grace period of 3 s.
+     */
     private static final double MAX_WAIT_SECONDS = 9;
 
     private static final int TIMEOUT_SECONDS = 30;
     private static final double POLL_INTERVAL_SECONDS = 0.05;
 
     private OverloadedDiscovery discovery;
-    private ScriptedDispatchers dispatchers;
+    private ScriptStartedDispatchers dispatchers;
 
     @Override
     protected long loopTimeoutMillis() {
@@ -54,14 +52,14 @@
     }
 
     @BeforeMethod
-    public void begin() throws Exception {
+    public void setUp() throws Exception {
         startLoop();
         discovery = onLoop(() -> new OverloadedDiscovery(loop, DISPATCHERS, CAPACITY));
-        dispatchers = new ScriptedDispatchers(DISPATCHERS, loop::now);
+        dispatchers = new ScriptStartedDispatchers(DISPATCHERS, loop::now);
     }
 
     @AfterMethod(alwaysRun = true)
-    public void end() throws Exception {
+    public void tearDown() throws Exception {
         dispatchers.close();
         loop.stop();
     }
@@ -71,31 +69,37 @@
         start(DISPATCHERS);
         awaitAnswers();
 
-        runOnLoop(discovery::goDown);
-        ScriptedDispatchers.sleep(OUTAGE_SECONDS);
+        runOnLoop(discovery::beginOutage);
+        ScriptStartedDispatchers.sleep(OUTAGE_SECONDS);
         for (int i = 0; i < KILLED_DISPATCHERS; i++) {
             dispatchers.kill(i);
         }
-        double returnedAt =
+        double outageEndedAt =
                 onLoop(
                         () -> {
-                            discovery.comeBack();
+                            discovery.endOutage();
                             return loop.now();
                         });
         start(KILLED_DISPATCHERS);
         awaitAnswers();
 
-        List<String> late = lateDispatchers(returnedAt);
+        List<String> late = lateDispatchers(outageEndedAt);
         assertTrue(
-                late.isEmpty(), "late, or never (NaN): " + late + "; " + onLoop(discovery::counts));
+                late.isEmpty(),
+                "expected an answer to each dispatcher within "
+                        + MAX_WAIT_SECONDS
+                        + " s, got late or no (NaN) answers: "
+                        + late
+                        + "; "
+                        + onLoop(discovery::countsText));
     }
 
-    private List<String> lateDispatchers(double returnedAt) throws Exception {
+    private List<String> lateDispatchers(double outageEndedAt) throws Exception {
         List<String> late = new ArrayList<>();
         for (int i = 0; i < DISPATCHERS; i++) {
             int dispatcher = i;
-            double since = Math.max(returnedAt, dispatchers.listeningAt(i));
-            double waitSeconds = onLoop(() -> discovery.answeredAt(dispatcher)) - since;
+            double serviceExpectedAt = Math.max(outageEndedAt, dispatchers.listeningAt(i));
+            double waitSeconds = onLoop(() -> discovery.answeredAt(dispatcher)) - serviceExpectedAt;
             if (!(waitSeconds <= MAX_WAIT_SECONDS)) {
                 late.add(String.format(Locale.ROOT, "%d: %.1f s", i, waitSeconds));
             }
@@ -113,11 +117,11 @@
         }
     }
 
-    /** Waits until all have been answered, or for the timeout. */
+    /** Waits until discovery has answered all dispatchers or the timeout has passed. */
     private void awaitAnswers() throws Exception {
         double deadline = loop.now() + TIMEOUT_SECONDS;
         while (loop.now() < deadline && !onLoop(this::areAllAnswered)) {
-            ScriptedDispatchers.sleep(POLL_INTERVAL_SECONDS);
+            ScriptStartedDispatchers.sleep(POLL_INTERVAL_SECONDS);
         }
     }
 
--- a/kit/src/test/java/wheelroute/kit/process/PeerFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/PeerFaultsTest.java
@@ -15,7 +15,10 @@
 import wheelroute.kit.scenario.ScenarioException;
 import wheelroute.kit.scenario.ScenarioReader;
 
-/** Processes of the daemon that are members of one group, with faults of processes and links. */
+/**
+ * Tests that daemon processes of one cluster keep the audit rules and agree on the members after
+ * faults of processes and links.
+ */
 public class PeerFaultsTest {
     private static final int MEMBERS = 7;
     private static final long SEED = 5;
--- a/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessRunTest.java
@@ -17,12 +17,15 @@
 import wheelroute.kit.simulation.SimulationRun;
 import wheelroute.kit.strategy.Strategies;
 
-/** Complete runs on sockets, each daemon a process of its own. */
+/** Tests complete runs in real time, in which each dispatcher is a process of its own. */
 public class ProcessRunTest {
     private static final long SEED = 3;
     private static final double SECONDS = 4;
 
-    /** Largest difference between the fractions of requests in time of both clocks. */
+    /**
+     * Largest difference between the fractions of requests answered in time under the real and the
+     * virtual clock.
+     */
     private static final double SERVICE_TOLERANCE = 0.03;
 
     @DataProvider
@@ -45,8 +48,8 @@
 
     @Test(dataProvider = "faults")
     public void keepsRulesDuringFault(String name, String scenarioText) throws Exception {
-        // With a single dispatcher, requests that it reads late after its start could not be
-        // answered in time.
+        // Uses two dispatchers for faults of dispatchers, because a single one could not answer in
+        // time the requests that it reads late after its start.
         int dispatchers = scenarioText.contains("dispatcher-") ? 2 : 1;
         Report report =
                 JudgedRuns.run(SmallScenario.scenario(scenarioText, dispatchers), SEED, SECONDS);
@@ -57,7 +60,7 @@
         assertTrue(all.inTime() > all.requested() / 4, TableWriter.text(report));
     }
 
-    /** A model that deviates from the real sockets is found here. */
+    /** Detects deviations of the simulation model from runs on real sockets. */
     @Test
     public void agreesWithSimulation() throws Exception {
         Scenario scenario = SmallScenario.scenario("");
--- a/kit/src/test/java/wheelroute/kit/process/ProcessSupervisorTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/ProcessSupervisorTest.java
@@ -14,21 +14,21 @@
 public class ProcessSupervisorTest {
     private static final int TIMEOUT_SECONDS = 20;
 
-    // States of processes in /proc.
+    // Codes of process states in /proc/PID/stat.
     private static final char STOPPED = 'T';
     private static final char SLEEPING = 'S';
 
-    /** An option of the daemon's JVM that the rehearsal's JVM does not have. */
+    /** Option of the daemon's JVM that the JVM of the rehearsal does not have. */
     private static final String DAEMON_OPTION = "-XX:+UseSerialGC";
 
-    /** Killed after the test, if it still runs. */
+    /** Process started by the supervisor; killed after the test if it still runs. */
     private Process supervised;
 
     private Process other;
     private Path directory;
 
     @BeforeMethod
-    public void begin() throws Exception {
+    public void setUp() throws Exception {
         directory = Files.createTempDirectory("supervisor");
     }
 
@@ -36,7 +36,11 @@
         return supervisor.start(new ProcessBuilder("sleep", "600"));
     }
 
-    /** Returns the state of a process once it is the expected one, or after the timeout. */
+    /**
+     * Waits until a process has the expected state or the timeout has passed.
+     *
+     * @return the last state seen
+     */
     private static char awaitState(Process process, char expected) throws Exception {
         Path stat = Path.of("/proc/" + process.pid() + "/stat");
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
@@ -72,13 +76,13 @@
         supervisor.close();
         assertTrue(
                 supervised.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS),
-                "it outlived its supervisor");
+                "the paused process still runs after close of its supervisor");
 
-        // As if the starting process were killed while it starts another one.
+        // Simulates a starting process that is killed while it starts another process.
         other = startSleep(supervisor);
         assertTrue(
                 other.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS),
-                "it was started after its supervisor had closed");
+                "a process that was started after close of the supervisor still runs");
         assertEquals(other.exitValue(), 1);
     }
 
@@ -88,10 +92,10 @@
         List<ProcessHandle> started = awaitDaemon(other);
         assertTrue(
                 started.stream().anyMatch(ProcessSupervisorTest::isDaemon),
-                "no daemon was started");
+                "expected a daemon within " + TIMEOUT_SECONDS + " s, got " + started);
         other.destroyForcibly();
-        for (ProcessHandle one : started) {
-            one.onExit().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        for (ProcessHandle handle : started) {
+            handle.onExit().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 
@@ -111,7 +115,11 @@
                 .start();
     }
 
-    /** Returns the descendants of a process once there is a daemon, or after the timeout. */
+    /**
+     * Waits until a descendant of a process is a daemon or the timeout has passed.
+     *
+     * @return all descendants of the process at that time
+     */
     private static List<ProcessHandle> awaitDaemon(Process process) {
         List<ProcessHandle> started = List.of();
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
@@ -124,8 +132,8 @@
     }
 
     /**
-     * Whether a process is a daemon. Until a started process executes its command, it is a copy of
-     * the JVM that starts it, so the executable alone does not tell.
+     * Whether a process is a daemon. A started process is a copy of the starting JVM until it
+     * executes its command, so its executable alone does not identify a daemon.
      */
     private static boolean isDaemon(ProcessHandle process) {
         return process.info().command().orElse("").endsWith("java")
@@ -133,7 +141,7 @@
     }
 
     @AfterMethod(alwaysRun = true)
-    public void end() throws Exception {
+    public void tearDown() throws Exception {
         for (Process process : new Process[] {supervised, other}) {
             if (process != null) {
                 process.destroyForcibly().waitFor();
--- a/kit/src/test/java/wheelroute/kit/process/ScriptedDispatchers.java
+++ b/kit/src/test/java/wheelroute/kit/process/ScriptStartedDispatchers.java
@@ -10,10 +10,10 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Dispatchers, by number, that are started by the shipped script; their configurations and logs are
- * in one temporary directory.
+ * Dispatchers that are started with the shipped script, by number. Their configuration files and
+ * logs are in one temporary directory.
  */
-final class ScriptedDispatchers implements AutoCloseable {
+final class ScriptStartedDispatchers implements AutoCloseable {
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
     private static final double POLL_INTERVAL_SECONDS = 0.02;
     private static final String LISTENING = "listens on";
@@ -21,24 +21,27 @@
     private final Path directory;
     private final Process[] processes;
 
-    /** When each was first seen to listen; NaN before. */
+    /** Time at which each dispatcher was first seen to listen, by dispatcher number; NaN before. */
     private final double[] listeningAt;
 
     private final DoubleSupplier now;
 
     /**
-     * Creates the directory; no process is started yet.
+     * Creates the temporary directory; no process is started yet.
      *
-     * @param now the clock, in seconds
+     * @param now clock in seconds
      */
-    ScriptedDispatchers(int count, DoubleSupplier now) throws IOException {
+    ScriptStartedDispatchers(int count, DoubleSupplier now) throws IOException {
         directory = Files.createTempDirectory("dispatchers");
         processes = new Process[count];
         listeningAt = new double[count];
         this.now = now;
     }
 
-    /** Starts a dispatcher, possibly in place of one that has ended. */
+    /**
+     * Starts a dispatcher; replaces the log of an earlier process with the same number, which must
+     * have ended.
+     */
     void start(int number, String config) throws IOException {
         Path file = directory.resolve("config" + number);
         Files.writeString(file, config);
@@ -52,7 +55,7 @@
                 builder.redirectErrorStream(true).redirectOutput(log(number).toFile()).start();
     }
 
-    /** Waits until all listen, or for the timeout. */
+    /** Waits until all dispatchers listen or the timeout has passed. */
     void awaitListening(double timeoutSeconds) throws IOException {
         double deadline = now.getAsDouble() + timeoutSeconds;
         recordListening();
@@ -74,7 +77,7 @@
         return Arrays.stream(listeningAt).noneMatch(Double::isNaN);
     }
 
-    /** Returns when a dispatcher was first seen to listen; NaN before. */
+    /** Returns the time at which a dispatcher was first seen to listen; NaN before. */
     double listeningAt(int number) {
         return listeningAt[number];
     }
@@ -89,12 +92,12 @@
         return directory.resolve("log" + number);
     }
 
-    /** Sends SIGKILL and waits until the process has ended. */
+    /** Sends SIGKILL to a dispatcher and waits until its process has ended. */
     void kill(int number) throws InterruptedException {
         processes[number].destroyForcibly().waitFor();
     }
 
-    /** Sends SIGTERM to all and returns their exit codes. */
+    /** Sends SIGTERM to all dispatchers and returns their exit codes, by dispatcher number. */
     int[] terminateAll() throws InterruptedException {
         for (Process process : processes) {
             process.toHandle().destroy();
@@ -113,7 +116,7 @@
         }
     }
 
-    /** Kills the processes that are left, and deletes the directory. */
+    /** Kills the processes that still run and deletes the directory. */
     @Override
     public void close() throws IOException {
         for (Process process : processes) {
