--- a/kit/src/main/java/wheelroute/kit/process/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/process/Fleet.java
@@ -50,8 +50,8 @@
                         loop,
                         spec.random(),
                         pauser,
-                        // The replacer polls the admin server of a successor for its readiness
-                        // instead.
+                        // Ignores the readiness that the log shows, because the replacer polls the
+                        // admin server of a successor for its readiness.
                         (slot, mode) -> startProcess(slot, mode, process -> {}),
                         listener);
         for (int i = 0; i < spec.scenario().dispatcherCount(); i++) {
--- a/kit/src/main/java/wheelroute/kit/process/IdleConnectionFlood.java
+++ b/kit/src/main/java/wheelroute/kit/process/IdleConnectionFlood.java
@@ -20,8 +20,8 @@
     private static final double CONNECTION_LIFETIME_SECONDS = 4;
 
     /**
-     * Smallest rate that counts as one; a lower rate is a rounding error left by rates that were
-     * added and removed.
+     * Smallest rate that is not treated as 0; a lower one is a rounding error left by rates that
+     * were added and removed.
      */
     private static final double MIN_CONNECTIONS_PER_SECOND = 1e-9;
 
--- a/kit/src/main/java/wheelroute/kit/process/LoadRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/LoadRun.java
@@ -101,8 +101,7 @@
     private final Set<Long> inFlight = new HashSet<>();
 
     /**
-     * Time at which the first request was scheduled, on the clock of the event loop; 0 before the
-     * run has started.
+     * Start of the load in seconds on the clock of the event loop; 0 before the run has started.
      */
     private double startedAt;
 
--- a/kit/src/main/java/wheelroute/kit/process/ProcessSupervisor.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessSupervisor.java
@@ -16,8 +16,8 @@
  */
 public final class ProcessSupervisor implements AutoCloseable {
     /**
-     * Script of the shell. The script ignores the signal of ^C, which the terminal sends to the
-     * whole process group, because the shell must clean up after this signal.
+     * Script of the shell. The script ignores signals such as that of ^C, which the terminal sends
+     * to the whole process group, because the shell must clean up after this signal.
      */
     private static final String SCRIPT =
             """
