--- a/daemon/src/main/java/wheelroute/JsonLogFormatter.java
+++ b/daemon/src/main/java/wheelroute/JsonLogFormatter.java
@@ -12,8 +12,8 @@
 /**
  * Formats each log record as one line with a JSON object, for log collectors.
  *
- * <p>Its fields are the time in UTC, level, logger and message, and the stack trace of the
- * exception, if any.
+ * <p>The fields are {@code time} (in UTC), {@code level}, {@code logger} and {@code message}. A
+ * record with an exception also has {@code trace}, the stack trace.
  */
 public final class JsonLogFormatter extends Formatter {
     private static final JsonFactory JSON = new JsonFactory();
--- a/daemon/src/main/java/wheelroute/Main.java
+++ b/daemon/src/main/java/wheelroute/Main.java
@@ -19,7 +19,7 @@
     private static final int EXIT_FAILURE = 1;
     private static final int EXIT_USAGE_ERROR = 2;
 
-    /** Names the configuration file in the environment. */
+    /** Environment variable that names the configuration file. */
     private static final String CONFIG_FILE_VARIABLE = "LB_CONFIG";
 
     private Main() {}
@@ -39,20 +39,23 @@
                 throw new UsageException("no such subcommand: " + command);
             }
         } catch (UsageException e) {
-            failWithUsage();
+            exitWithUsage();
         }
     }
 
-    private static void failWithUsage() {
+    private static void exitWithUsage() {
         System.err.println(
-                "usage: wheelroute adapter    the wire on standard input and output\n"
+                "usage: wheelroute adapter\n"
+                        + "           run the simulator's wire protocol on standard input and"
+                        + " output\n"
                         + "       wheelroute serve [--log-format text|json] [FILE]\n"
-                        + "                             dispatch on sockets, by LB_* and FILE, TOML or JSON, or"
-                        + " the file that LB_CONFIG names");
+                        + "           dispatch requests from sockets; configured by LB_*"
+                        + " variables and by FILE (TOML or JSON) or the file that LB_CONFIG"
+                        + " names");
         System.exit(EXIT_USAGE_ERROR);
     }
 
-    /** Returns the environment, with a file from the command line in place of LB_CONFIG. */
+    /** Returns the environment, where a file from the command line replaces that of LB_CONFIG. */
     private static Map<String, String> environment(ServeOptions options) {
         if (options.configFile() == null) {
             return System.getenv();
@@ -63,12 +66,13 @@
     }
 
     private static void runAdapter() {
-        // Plain descriptors: System.out would add a lock and a second buffer to every reply.
+        // The streams use the file descriptors directly because System.out would add a lock and a
+        // second buffer to every reply.
         try (FileInputStream in = new FileInputStream(FileDescriptor.in);
                 FileOutputStream out = new FileOutputStream(FileDescriptor.out)) {
             new Adapter(in, out).run();
         } catch (WireException | IOException e) {
-            fail(e);
+            exitWithError(e);
         }
     }
 
@@ -76,23 +80,27 @@
         if (options.logFormat() != null) {
             System.setProperty(PersistentLogManager.FORMAT_PROPERTY, options.logFormat());
         }
-        // Before the first logger is created: the default manager drops its handlers on shutdown.
+        // The property must be set before the first logger is created. The default manager would
+        // remove its handlers on shutdown.
         System.setProperty("java.util.logging.manager", PersistentLogManager.class.getName());
         Map<String, String> environment = environment(options);
         try {
             Service service = new Service(ConfigReader.read(environment));
-            // Before the service accepts requests: by default SIGHUP and SIGTERM would end the
-            // process and lose them.
+            // The signals are handled before the service accepts requests, because by default
+            // SIGHUP and SIGTERM would end the process and lose requests.
             ReloadSignal.onSignal(() -> service.reload(() -> ConfigReader.reread(environment)));
             Thread shutdownHook = new Thread(() -> shutDown(service), "shutdown");
             Runtime.getRuntime().addShutdownHook(shutdownHook);
             start(service, shutdownHook);
         } catch (Exception e) {
-            fail(e);
+            exitWithError(e);
         }
     }
 
-    /** Starts the service; if that fails, there is nothing to drain when the process exits. */
+    /**
+     * Starts the service. Removes the shutdown hook if the start fails, because there is then
+     * nothing to drain when the process exits.
+     */
     private static void start(Service service, Thread shutdownHook) throws Exception {
         try {
             service.start();
@@ -102,7 +110,7 @@
         }
     }
 
-    /** Drains the service and exits with status 0, where the default after a signal is not 0. */
+    /** Drains the service and exits with status 0. The default status after a signal is not 0. */
     private static void shutDown(Service service) {
         try {
             service.drain();
@@ -112,7 +120,7 @@
         Runtime.getRuntime().halt(0);
     }
 
-    private static void fail(Exception e) {
+    private static void exitWithError(Exception e) {
         System.err.println("wheelroute: " + e.getMessage());
         System.exit(EXIT_FAILURE);
     }
--- a/daemon/src/main/java/wheelroute/ReloadSignal.java
+++ b/daemon/src/main/java/wheelroute/ReloadSignal.java
@@ -6,14 +6,15 @@
  * Handles SIGHUP, which requests a reload of the configuration and would end the process by
  * default.
  *
- * <p>The runtime's only API for signals is an internal class that the compiler warns of wherever it
- * is named, hence the access by reflection.
+ * <p>The runtime's only API for signals, {@code sun.misc.Signal}, is internal. It is accessed by
+ * reflection because the compiler warns about each direct use.
  */
 final class ReloadSignal {
     private ReloadSignal() {}
 
     /**
-     * Runs the task for each signal, on a thread of the runtime; replaces an earlier task.
+     * Registers a task that runs on a thread of the runtime for each SIGHUP, in place of any task
+     * registered before.
      *
      * @throws ReflectiveOperationException if the runtime lacks the API or rejects the handler
      */
--- a/daemon/src/main/java/wheelroute/ServeOptions.java
+++ b/daemon/src/main/java/wheelroute/ServeOptions.java
@@ -4,7 +4,7 @@
  * The command line options of {@code serve}.
  *
  * @param logFormat a value of {@link PersistentLogManager#FORMAT_PROPERTY}; null if not given
- * @param configFile the configuration file; null if not given
+ * @param configFile path of the configuration file; null if not given
  */
 record ServeOptions(String logFormat, String configFile) {
     private static final String LOG_FORMAT_OPTION = "--log-format";
@@ -12,7 +12,8 @@
     /**
      * Parses the arguments, of which the first is the subcommand.
      *
-     * @throws UsageException if there is an unknown option or a surplus argument
+     * @throws UsageException if an option is unknown or has an invalid value, or an argument is
+     *     surplus
      */
     static ServeOptions parse(String[] args) throws UsageException {
         String logFormat = null;
--- a/daemon/src/main/java/wheelroute/TextLogFormatter.java
+++ b/daemon/src/main/java/wheelroute/TextLogFormatter.java
@@ -10,8 +10,8 @@
  * Formats each log record as one line of text with its time in UTC, followed by the stack trace of
  * its exception, if any.
  *
- * <p>The runtime's own formatter is not used because it loads locale data, which slows down the
- * start.
+ * <p>The runtime's own formatter is not used because it loads locale data, which slows down
+ * startup.
  */
 public final class TextLogFormatter extends Formatter {
     private static final long MILLIS_PER_DAY = 86_400_000;
--- a/daemon/src/main/java/wheelroute/UsageException.java
+++ b/daemon/src/main/java/wheelroute/UsageException.java
@@ -1,6 +1,6 @@
 package wheelroute;
 
-/** Thrown when the command line is not one that the daemon accepts. */
+/** Thrown when the command line is invalid. */
 final class UsageException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/daemon/src/main/java/wheelroute/config/Config.java
+++ b/daemon/src/main/java/wheelroute/config/Config.java
@@ -10,22 +10,23 @@
 /**
  * The configuration of one dispatcher. Immutable.
  *
- * @param name identifies the dispatcher among others
+ * @param name identifies this dispatcher among others
  * @param listen address of the server for clients
  * @param discovery address at which the endpoint list is polled
  * @param admin address of the admin server; null for none
- * @param handoverDirectory directory in which an old and a new process of the dispatcher find each
- *     other; null for no handover
+ * @param handoverDirectory directory in which a successor process finds its predecessor; null for
+ *     no handover
  * @param maxDescriptors maximum number of file descriptors of the process
- * @param maxMemoryBytes maximum size of the process; NaN if unknown
- * @param cachedEndpoints an earlier endpoint list, as JSON in the form of discovery; null for none
- * @param settings of the decisions
+ * @param maxMemoryBytes maximum size of the process; NaN if not configured
+ * @param cachedEndpoints the endpoint list to start with, as JSON in the format of discovery; null
+ *     for none
+ * @param settings settings of the dispatch decisions
  * @param connectTimeoutSeconds timeout for connecting to a worker
  * @param idleTimeoutSeconds time after which workers close an idle connection
  * @param maxTimeoutSeconds maximum of the deadlines of all request classes
- * @param listIsPushed whether a watch event counts as received by this dispatcher once it has
- *     reached the agent of discovery, even before it is polled
- * @param peers communication with other dispatchers; null for none
+ * @param listIsPushed whether discovery pushes changes of the endpoint list to its agent at this
+ *     dispatcher; a change then counts as received once the agent has it, even before it is polled
+ * @param peers configuration of gossip with other dispatchers; null for none
  */
 public record Config(
         String name,
@@ -44,7 +45,7 @@
         PeeringConfig peers) {
     private static final String SETTINGS_KEY = "settings";
 
-    /** Returns the keys whose values differ in the other configuration and need a restart. */
+    /** Returns the keys whose values differ in the other configuration and require a restart. */
     public List<String> keysRequiringRestart(Config other) {
         List<String> keys = new ArrayList<>();
         addIfDifferent(keys, ConfigKeys.NAME, name, other.name);
--- a/daemon/src/main/java/wheelroute/config/ConfigDefaults.java
+++ b/daemon/src/main/java/wheelroute/config/ConfigDefaults.java
@@ -1,11 +1,12 @@
 package wheelroute.config;
 
-/** Defaults and bounds that JSON and TOML files have in common. */
+/** Default values and bounds that apply to both JSON and TOML files. */
 final class ConfigDefaults {
     static final int DESCRIPTORS = 1024;
 
     /**
-     * The runtime alone needs some 30 descriptors; with fewer than this, no request can be served.
+     * Lower bound of the descriptor limit. The Java runtime alone needs about 30 descriptors, and
+     * with fewer than 64 no request can be served.
      */
     static final int MIN_DESCRIPTORS = 64;
 
--- a/daemon/src/main/java/wheelroute/config/ConfigFile.java
+++ b/daemon/src/main/java/wheelroute/config/ConfigFile.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 
 /**
- * The contents of a configuration file, which is the platform's JSON or an operator's TOML.
+ * The contents of a configuration file, which is JSON from the platform or TOML from an operator.
  *
- * @param pairs all values by their paths, in the form that {@link JsonFlattener} writes
- * @param cachedEndpoints an endpoint list, as JSON in the form of discovery; null for none
+ * @param pairs all values by their paths, in the format of {@link JsonFlattener}
+ * @param cachedEndpoints an endpoint list, as JSON in the format of discovery; null for none
  */
 record ConfigFile(Map<String, String> pairs, byte[] cachedEndpoints) {
     private static final JsonFactory JSON = new JsonFactory();
@@ -61,13 +61,13 @@
             if (parser.nextToken() != null) {
                 throw new ConfigException(
                         ConfigKeys.CONFIG_FILE_VARIABLE,
-                        "names a file that goes on after its object");
+                        "names a file with content after the JSON object");
             }
         }
         return new ConfigFile(pairs, cachedEndpoints);
     }
 
-    /** Returns the JSON text of a value, which is decoded later. */
+    /** Returns the JSON text of the value at the parser's position, which is decoded later. */
     private static byte[] copyValue(JsonParser parser) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (JsonGenerator generator = JSON.createGenerator(out)) {
--- a/daemon/src/main/java/wheelroute/config/ConfigKeys.java
+++ b/daemon/src/main/java/wheelroute/config/ConfigKeys.java
@@ -1,15 +1,16 @@
 package wheelroute.config;
 
 /**
- * The names of environment variables and configuration keys, each under our own term. This is the
- * only place that has them, apart from the keys of the operator's TOML, which {@link TomlFile}
- * converts to these. The names are part of the interface to the platform and must not change.
+ * The names of environment variables and configuration keys, kept in one place. Each constant is
+ * named by this program's own term for the key. {@link TomlFile} has the keys of operators' TOML
+ * files and converts them to these keys.
+ *
+ * <p>The names are part of the interface to the platform and must not change. Values of keys that
+ * end with {@code _us} are in microseconds.
  */
 final class ConfigKeys {
     private ConfigKeys() {}
 
-    // ---- environment variables
-
     static final String CONFIG_FILE_VARIABLE = "LB_CONFIG";
     static final String NAME_VARIABLE = "LB_NAME";
     static final String LISTEN_VARIABLE = "LB_LISTEN";
@@ -17,8 +18,6 @@
     static final String ADMIN_VARIABLE = "LB_ADMIN";
     static final String HANDOVER_DIRECTORY_VARIABLE = "TMPDIR";
 
-    // ---- keys of the file
-
     static final String NAME = "name";
     static final String LISTEN = "listen";
     static final String DISCOVERY = "discovery";
@@ -32,11 +31,9 @@
     static final String PEERING_ADDRESSES = "peering.addresses";
     static final String PEERING_CLUSTER = "peering.cluster";
 
-    /** Before each of the keys below, in the file but not on the simulator's wire. */
+    /** Prefix of all keys of settings in the file. The simulator's wire has the keys without it. */
     static final String SETTINGS_PREFIX = "settings.";
 
-    // ---- keys of the settings; those that end with _us are in microseconds
-
     static final String ZONE = "az";
     static final String DISPATCHERS = "balancers";
     static final String POSITION = "position";
@@ -66,14 +63,14 @@
     static final String CROSS_ZONE_PRICE = "prices.cross_zone";
     static final String CACHE_MISS_PRICE = "prices.origin";
 
-    // ---- keys of lists of the settings: a count, and a prefix with an index before each item's
-    // key
-
     static final String REQUEST_CLASSES = "request_classes";
     static final String TENANTS = "tenants";
-    static final String COUNT = ".count";
 
-    // ---- keys of a request class
+    /**
+     * Suffix that turns the key of a list into the key of the number of its items. The keys of an
+     * item begin with {@link #itemPrefix}.
+     */
+    static final String COUNT_SUFFIX = ".count";
 
     static final String CLASS_NAME = "name";
     static final String CLASS_IDEMPOTENCY = "effect";
@@ -86,12 +83,10 @@
     static final String CLASS_IDEMPOTENCY_WINDOW = "window_us";
     static final String CLASS_ORDERED = "one_at_a_time";
 
-    // ---- keys of a tenant
-
     static final String TENANT_NAME = "name";
     static final String TENANT_QUOTA = "quota_per_s";
 
-    /** Returns the prefix of the keys of a list's item. */
+    /** Returns the prefix of the keys of the list item with this index, from 0. */
     static String itemPrefix(String list, int index) {
         return list + "." + index + ".";
     }
--- a/daemon/src/main/java/wheelroute/config/ConfigReader.java
+++ b/daemon/src/main/java/wheelroute/config/ConfigReader.java
@@ -12,8 +12,8 @@
 /**
  * Reads a dispatcher's configuration from the environment and the file that LB_CONFIG names.
  *
- * <p>At the start, variables of the environment take precedence over the file. On a reload only the
- * file can have changed, so the address of discovery in the file takes precedence then.
+ * <p>At startup, environment variables take precedence over the file. On a reload only the file can
+ * have changed, so the discovery address in the file then takes precedence over its variable.
  */
 public final class ConfigReader {
     private static final int HEX_RADIX = 16;
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Reads the configuration of a process that starts.
+     * Reads the configuration of a starting process.
      *
      * @throws ConfigException if the file or a value cannot be used
      */
@@ -41,7 +41,7 @@
     /**
      * Reads the configuration again for a running process.
      *
-     * @param environment as at the process's start
+     * @param environment the environment at the start of the process
      * @throws ConfigException if the file or a value cannot be used
      */
     public static Config reread(Map<String, String> environment) throws ConfigException {
@@ -53,7 +53,8 @@
         String path = environment.get(ConfigKeys.CONFIG_FILE_VARIABLE);
         if (path == null || path.isEmpty()) {
             throw new ConfigException(
-                    ConfigKeys.CONFIG_FILE_VARIABLE, "is missing: it names the configuration file");
+                    ConfigKeys.CONFIG_FILE_VARIABLE,
+                    "is not set; it must name the configuration file");
         }
         return new ConfigReader(environment, ConfigFile.read(path), isReload).readConfig();
     }
@@ -63,7 +64,8 @@
         boolean listIsPushed =
                 SettingsVocabulary.LIST_MODE_PUSH.equals(
                         settingsPairs.get(ConfigKeys.ENDPOINT_LIST_MODE));
-        // The service always polls: the mode only tells what the agent of discovery does.
+        // The service always polls. The configured mode only says whether discovery pushes changes
+        // to its agent.
         settingsPairs.put(ConfigKeys.ENDPOINT_LIST_MODE, SettingsVocabulary.LIST_MODE_POLL);
         SettingsReader settingsReader = new SettingsReader(settingsPairs);
         Settings settings = settingsReader.readSettings(seed());
@@ -115,12 +117,12 @@
                 ConfigKeys.DISCOVERY);
     }
 
-    /** Returns the maximum over all request classes, whose names it checks. */
+    /** Returns the longest deadline of all request classes, and checks their names. */
     private static double maxDeadlineSeconds(Settings settings, SettingsReader settingsReader)
             throws ConfigException {
         String classesKey = ConfigKeys.SETTINGS_PREFIX + ConfigKeys.REQUEST_CLASSES;
         if (settings.requestClasses().isEmpty()) {
-            throw new ConfigException(classesKey, "names no request class");
+            throw new ConfigException(classesKey, "lists no request class; expected at least one");
         }
         double maxDeadline = 0;
         Set<String> names = new HashSet<>();
@@ -130,7 +132,9 @@
             if (name.isEmpty() || !names.add(name)) {
                 throw new ConfigException(
                         ConfigKeys.SETTINGS_PREFIX + prefix + ConfigKeys.CLASS_NAME,
-                        name.isEmpty() ? "is missing" : "is another request class's too: " + name);
+                        name.isEmpty()
+                                ? "is missing"
+                                : "names more than one request class: " + name);
             }
             double deadline =
                     positiveSeconds(
@@ -147,16 +151,18 @@
                 values.fileNumber(ConfigKeys.MAX_DESCRIPTORS, ConfigDefaults.DESCRIPTORS);
         if (!(descriptors >= ConfigDefaults.MIN_DESCRIPTORS)) {
             throw new ConfigException(
-                    ConfigKeys.MAX_DESCRIPTORS, "is under " + ConfigDefaults.MIN_DESCRIPTORS);
+                    ConfigKeys.MAX_DESCRIPTORS,
+                    "is less than " + ConfigDefaults.MIN_DESCRIPTORS + ": " + descriptors);
         }
         return (int) descriptors;
     }
 
-    /** Returns NaN if the file has no limit. */
+    /** Returns the memory limit of the process; NaN if the file has none. */
     private double maxMemoryBytes() throws ConfigException {
         double megabytes = values.fileNumber(ConfigKeys.MAX_MEMORY_MEGABYTES, Double.NaN);
         if (megabytes <= 0) {
-            throw new ConfigException(ConfigKeys.MAX_MEMORY_MEGABYTES, "is not above 0");
+            throw new ConfigException(
+                    ConfigKeys.MAX_MEMORY_MEGABYTES, "is not greater than 0: " + megabytes);
         }
         return megabytes * BYTES_PER_MEGABYTE;
     }
@@ -166,7 +172,8 @@
             throws ConfigException {
         double seconds = settingsReader.seconds(key, defaultSeconds);
         if (!(seconds > 0)) {
-            throw new ConfigException(ConfigKeys.SETTINGS_PREFIX + key, "is not above 0");
+            throw new ConfigException(
+                    ConfigKeys.SETTINGS_PREFIX + key, "is not greater than 0: " + seconds + " s");
         }
         return seconds;
     }
@@ -176,11 +183,12 @@
         try {
             return Long.parseUnsignedLong(seed, HEX_RADIX);
         } catch (NumberFormatException e) {
-            throw new ConfigException(ConfigKeys.SEED, "is not up to 16 hex digits: " + seed);
+            throw new ConfigException(
+                    ConfigKeys.SEED, "is not a hexadecimal number of 1 to 16 digits: " + seed);
         }
     }
 
-    /** Returns the process's temporary directory, which a successor process shares; may be null. */
+    /** Returns the temporary directory, which a successor process shares; null if not set. */
     private Path handoverDirectory() throws ConfigException {
         String directory = values.variable(ConfigKeys.HANDOVER_DIRECTORY_VARIABLE);
         try {
@@ -188,7 +196,7 @@
         } catch (InvalidPathException e) {
             throw new ConfigException(
                     ConfigKeys.HANDOVER_DIRECTORY_VARIABLE,
-                    "names no directory: " + e.getMessage());
+                    "is not a valid path: " + e.getMessage());
         }
     }
 }
--- a/daemon/src/main/java/wheelroute/config/ConfigValues.java
+++ b/daemon/src/main/java/wheelroute/config/ConfigValues.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * The values of the environment and the configuration file, where a variable takes precedence over
- * the key of the same meaning. An empty value counts as absent.
+ * The values of the environment and the configuration file. A variable that is set, even to an
+ * empty value, takes precedence over the key of the same meaning. An empty value counts as absent.
  */
 final class ConfigValues {
-    /** Stands for a variable where a key has none. */
+    /** Passed in place of a variable's name for a key that has no variable. */
     static final String NO_VARIABLE = "";
 
     private final Map<String, String> environment;
@@ -19,7 +19,7 @@
         this.pairs = pairs;
     }
 
-    /** Whether the file has the key, possibly with an empty value. */
+    /** Returns whether the file has the key, possibly with an empty value. */
     boolean fileContains(String key) {
         return pairs.containsKey(key);
     }
@@ -47,7 +47,7 @@
     String required(String variable, String key) throws ConfigException {
         String value = environment.getOrDefault(variable, pairs.get(key));
         if (value == null || value.isEmpty()) {
-            String alternative = variable.isEmpty() ? "" : " (or " + variable + ")";
+            String alternative = variable.isEmpty() ? "" : ", and so is " + variable;
             throw new ConfigException(key, "is missing" + alternative);
         }
         return value;
--- a/daemon/src/main/java/wheelroute/config/JsonFlattener.java
+++ b/daemon/src/main/java/wheelroute/config/JsonFlattener.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Flattens nested JSON to path=value pairs, as the simulator's wire has them for the same settings.
- * The values of a list are joined with commas. The objects of a list are under .0, .1 and so on,
- * and their number is under .count. Nulls are omitted.
+ * Flattens nested JSON to path=value pairs, the format in which the simulator's wire carries the
+ * same settings. The values of a list are joined with commas. The objects of a list are under .0,
+ * .1 and so on, and their number is under .count. Nulls are omitted.
  */
 final class JsonFlattener {
     private JsonFlattener() {}
@@ -16,7 +16,7 @@
     /**
      * Adds the pairs of the value at the parser's position, and moves the parser to its end.
      *
-     * @param path of the value; empty for the root
+     * @param path path of the value; empty for the root
      */
     static void flatten(JsonParser parser, String path, Map<String, String> pairs)
             throws IOException {
@@ -30,7 +30,7 @@
             }
             case START_ARRAY -> flattenList(parser, path, pairs);
             case VALUE_NULL -> {}
-            // Unchanged, so that names equal those in paths and headers of requests.
+            // A value stays unchanged, so that names equal those in request paths and headers.
             default -> pairs.put(path, parser.getText());
         }
     }
@@ -42,7 +42,7 @@
         int valueCount = 0;
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             if (parser.currentToken().isScalarValue()) {
-                // A value must not contain the separator.
+                // A comma within a value would be read as the separator.
                 joinedValues
                         .append(valueCount++ > 0 ? "," : "")
                         .append(parser.getText().replace(',', '_'));
@@ -50,7 +50,7 @@
                 flatten(parser, path + "." + objectCount++, pairs);
             }
         }
-        pairs.put(path + ConfigKeys.COUNT, Integer.toString(objectCount));
+        pairs.put(path + ConfigKeys.COUNT_SUFFIX, Integer.toString(objectCount));
         pairs.put(path, joinedValues.toString());
     }
 }
--- a/daemon/src/main/java/wheelroute/config/PeeringConfig.java
+++ b/daemon/src/main/java/wheelroute/config/PeeringConfig.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * How this dispatcher communicates with the others of its installation. Immutable.
+ * Configuration of gossip with the other dispatchers of the cluster. Immutable.
  *
- * @param cluster name of the installation; datagrams of other installations are ignored
+ * @param cluster name of the cluster; datagrams from other clusters are ignored
  * @param listen address at which this dispatcher receives datagrams
- * @param addresses of all dispatchers, including this one, in the order of their numbers
+ * @param addresses addresses of all dispatchers, including this one, in the order of their numbers
  * @param number this dispatcher's number, from 0
  */
 public record PeeringConfig(
--- a/daemon/src/main/java/wheelroute/config/SettingsReader.java
+++ b/daemon/src/main/java/wheelroute/config/SettingsReader.java
@@ -10,10 +10,10 @@
 
 /**
  * Reads the settings from path=value pairs, for both the adapter and the service. Ignores unknown
- * keys; a number of '-' is absent. Not thread-safe.
+ * keys. A number or flag with the value '-' counts as absent. Not thread-safe.
  */
 public final class SettingsReader {
-    /** Entry of a list of models by index for a request class that any model may run. */
+    /** Item of {@link ConfigKeys#CLASS_MODELS} for a request class that any model may run. */
     private static final String ANY_MODEL = "-1";
 
     private final Map<String, String> pairs;
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Reads all settings of the decisions.
+     * Reads all settings of the dispatch decisions.
      *
      * @param seed seed of the random choices
      * @throws ConfigException if a value is malformed or out of range
@@ -36,9 +36,11 @@
         double dispatchers = number(ConfigKeys.DISPATCHERS, 1);
         double position = number(ConfigKeys.POSITION, -1);
         if (!(position < dispatchers)) {
-            // Such a dispatcher would never send a request to a worker in slow start.
+            // A dispatcher with such a position would never send a request to a worker in slow
+            // start.
             throw new ConfigException(
-                    ConfigKeys.POSITION, "is not under the number of dispatchers");
+                    ConfigKeys.POSITION,
+                    "is " + position + ", which is not less than the number of dispatchers");
         }
         return new Settings(
                 seed,
@@ -82,7 +84,7 @@
 
     private List<Settings.RequestClass> requestClasses() throws ConfigException {
         List<Settings.RequestClass> requestClasses = new ArrayList<>();
-        int count = (int) number(ConfigKeys.REQUEST_CLASSES + ConfigKeys.COUNT, 0);
+        int count = (int) number(ConfigKeys.REQUEST_CLASSES + ConfigKeys.COUNT_SUFFIX, 0);
         for (int i = 0; i < count; i++) {
             requestClasses.add(requestClass(i));
         }
@@ -105,7 +107,7 @@
                 strictFlag(prefix + ConfigKeys.CLASS_ORDERED));
     }
 
-    /** Returns the value of the class itself, or else its item in the list for all classes. */
+    /** Returns the value of the class's own key, or else its item in the list for all classes. */
     private double objectivePerWork(int index) throws ConfigException {
         String key =
                 ConfigKeys.itemPrefix(ConfigKeys.REQUEST_CLASSES, index)
@@ -140,7 +142,7 @@
 
     private Map<Ids.Tenant, Double> quotas() throws ConfigException {
         Map<Ids.Tenant, Double> quotas = new LinkedHashMap<>();
-        int count = (int) number(ConfigKeys.TENANTS + ConfigKeys.COUNT, 0);
+        int count = (int) number(ConfigKeys.TENANTS + ConfigKeys.COUNT_SUFFIX, 0);
         for (int i = 0; i < count; i++) {
             String prefix = ConfigKeys.itemPrefix(ConfigKeys.TENANTS, i);
             quotas.put(
@@ -153,7 +155,8 @@
     private double keyQuietPeriodSeconds() throws ConfigException {
         double period = seconds(ConfigKeys.KEY_QUIET_PERIOD, 0);
         if (!(period >= 0)) {
-            throw new ConfigException(ConfigKeys.KEY_QUIET_PERIOD, "is under 0");
+            throw new ConfigException(
+                    ConfigKeys.KEY_QUIET_PERIOD, "is not 0 s or more: " + period + " s");
         }
         return period;
     }
@@ -167,7 +170,7 @@
         return value.equals("true") || value.equals("1");
     }
 
-    /** Reads a flag, and rejects any other value, so that a misspelled one does not mean false. */
+    /** Reads a flag. Rejects an unknown word, so that a misspelled one does not mean false. */
     private boolean strictFlag(String key) throws ConfigException {
         String value = text(key, "false");
         if (!List.of("true", "1", "false", "0", "-").contains(value)) {
@@ -176,7 +179,7 @@
         return flag(key);
     }
 
-    /** Returns seconds, read from a value in microseconds. */
+    /** Returns the number of seconds of a value that is in microseconds. */
     double seconds(String key, double defaultSeconds) throws ConfigException {
         return number(key, defaultSeconds * TimeUnits.MICROS_PER_SECOND)
                 / TimeUnits.MICROS_PER_SECOND;
--- a/daemon/src/main/java/wheelroute/config/SettingsVocabulary.java
+++ b/daemon/src/main/java/wheelroute/config/SettingsVocabulary.java
@@ -4,20 +4,28 @@
 import wheelroute.decision.Idempotency;
 import wheelroute.decision.IdempotencyScope;
 
-/** The words in the values of settings, and the constants of this program that they stand for. */
+/** Maps the words in the values of settings to the constants of this program, and back. */
 final class SettingsVocabulary {
-    /** {@link ConfigKeys#ENDPOINT_LIST_MODE}: changes of the endpoint list are sent unrequested. */
+    /**
+     * Value of {@link ConfigKeys#ENDPOINT_LIST_MODE} if changes of the endpoint list are pushed to
+     * dispatchers.
+     */
     static final String LIST_MODE_PUSH = "push";
 
-    /** {@link ConfigKeys#ENDPOINT_LIST_MODE}: changes of the endpoint list are polled for. */
+    /**
+     * Value of {@link ConfigKeys#ENDPOINT_LIST_MODE} if dispatchers poll for changes of the
+     * endpoint list.
+     */
     static final String LIST_MODE_POLL = "ask";
 
-    /** {@link ConfigKeys#LOAD_REPORT_FIELD}: load reports have the number of free slots. */
+    /**
+     * Value of {@link ConfigKeys#LOAD_REPORT_FIELD} if load reports have the number of free slots.
+     */
     static final String REPORTS_FREE_SLOTS = "free_slots";
 
     private SettingsVocabulary() {}
 
-    /** Returns the strictest constant for an unknown word, which may be of a later version. */
+    /** Returns the constant of a word; the strictest for a word unknown to this version. */
     static Idempotency idempotency(String word) {
         return switch (word) {
             case "free" -> Idempotency.IDEMPOTENT;
@@ -34,7 +42,7 @@
         };
     }
 
-    /** Returns the narrowest scope for an unknown word. */
+    /** Returns the scope of a word; the narrowest for a word unknown to this version. */
     static IdempotencyScope idempotencyScope(String word) {
         return switch (word) {
             case "all" -> IdempotencyScope.ALL;
--- a/daemon/src/main/java/wheelroute/config/SocketAddresses.java
+++ b/daemon/src/main/java/wheelroute/config/SocketAddresses.java
@@ -5,7 +5,7 @@
 import java.net.UnknownHostException;
 import java.util.regex.Pattern;
 
-/** Reads and writes socket addresses as texts of the form host:port, without any name look-up. */
+/** Parses and formats socket addresses of the form host:port, without name resolution. */
 public final class SocketAddresses {
     private static final Pattern IPV4 =
             Pattern.compile("((25[0-5]|2[0-4]\\d|1?\\d?\\d)(\\.(?!$)|$)){4}");
@@ -20,10 +20,10 @@
     }
 
     /**
-     * Parses a text of the form host:port. The host is an IP address or localhost: any other name
-     * would need a resolver, whose answer would block the event loop.
+     * Parses a text of the form host:port. The host must be an IP address or localhost, because the
+     * resolution of any other name would block the event loop.
      *
-     * @return null for any other text
+     * @return null if the text is not such an address
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
--- a/daemon/src/main/java/wheelroute/config/TomlEndpointList.java
+++ b/daemon/src/main/java/wheelroute/config/TomlEndpointList.java
@@ -5,7 +5,9 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Converts the workers of an operator's TOML file to an endpoint list in the form of discovery. */
+/**
+ * Converts the workers of an operator's TOML file to an endpoint list in the format of discovery.
+ */
 final class TomlEndpointList {
     private static final int MAX_CELL = 1 << 30;
     private static final double MIN_WEIGHT = 0.000001;
@@ -14,17 +16,17 @@
     /** Texts that need no escapes in JSON. */
     private static final Pattern PLAIN_TEXT = Pattern.compile("[ -~&&[^\"\\\\]]*");
 
-    /** The same without spaces. */
+    /** Texts without spaces that need no escapes in JSON. */
     private static final Pattern PLAIN_NAME = Pattern.compile("[!-~&&[^\"\\\\]]*");
 
     private final List<String> entries = new ArrayList<>();
 
-    /** Adds the worker of a table. Faults are recorded there. */
+    /** Adds the worker that a table describes, and records errors in that table. */
     void add(TomlFields worker) {
         String name = worker.text("name", null);
         String address = worker.text("address", null);
         if (!PLAIN_NAME.matcher(name).matches()) {
-            worker.addFault("name", "has a character that no id may have: " + name);
+            worker.addFault("name", "has a character that is not allowed in a name: " + name);
         }
         if (!address.isEmpty() && SocketAddresses.parse(address) == null) {
             worker.addFault("address", "is not host:port: " + address);
@@ -34,7 +36,10 @@
         for (String text : List.of(address, zone, model)) {
             if (!PLAIN_TEXT.matcher(text).matches()) {
                 worker.addFault(
-                        "name", "has a zone, model or address that is no plain text: " + text);
+                        "name",
+                        "has a zone, model or address that is not printable ASCII text without"
+                                + " quotes and backslashes: "
+                                + text);
             }
         }
         int cell = worker.integer("cell", 0, 0, MAX_CELL);
@@ -46,7 +51,7 @@
                         + (",\"state\":\"ready\",\"weight\":" + weight + "}"));
     }
 
-    /** Returns the list as JSON; null if it is empty. */
+    /** Returns the endpoint list as JSON; null if it is empty. */
     byte[] toJson() {
         if (entries.isEmpty()) {
             return null;
--- a/daemon/src/main/java/wheelroute/config/TomlFields.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFields.java
@@ -15,8 +15,8 @@
 import wheelroute.decision.Idempotency;
 
 /**
- * Reads and checks the fields of one TOML table. Faults are collected with their lines, and reading
- * continues with a substitute value, so that all faults of a file are reported at once.
+ * Reads and checks the fields of one TOML table. Errors are collected with their lines, and reading
+ * continues with a substitute value, so that all errors of a file are reported at once.
  *
  * <p>Not thread-safe.
  */
@@ -29,15 +29,15 @@
 
     private final TomlTable table;
     private final String path;
-    private final List<Fault> faults;
+    private final List<Fault> errors;
     private final Set<String> knownKeys = new HashSet<>();
 
     /**
-     * A fault in a file.
+     * An error in a file.
      *
-     * @param line from 1
+     * @param line line number, from 1
      * @param key path of the field; may be empty
-     * @param message the fault, as the predicate of a sentence about the key
+     * @param message what is wrong, as the predicate of a sentence about the key
      */
     public record Fault(int line, String key, String message) {
         @Override
@@ -49,18 +49,18 @@
     /**
      * Creates a reader of one table.
      *
-     * @param path of the table, with a dot at its end; empty for the root
-     * @param faults to which the faults found are added
+     * @param path path of the table, with a dot at its end; empty for the root
+     * @param errors list to which the reader adds the errors that it finds
      */
-    public TomlFields(TomlTable table, String path, List<Fault> faults) {
+    public TomlFields(TomlTable table, String path, List<Fault> errors) {
         this.table = table;
         this.path = path;
-        this.faults = faults;
+        this.errors = errors;
     }
 
-    /** Records a fault at the line of the key, or of the table's first key if it is absent. */
+    /** Records an error at the line of the key, or of the table's first key if it is absent. */
     public void addFault(String key, String message) {
-        faults.add(new Fault(line(key), path + key, message));
+        errors.add(new Fault(line(key), path + key, message));
     }
 
     private int line(String key) {
@@ -76,7 +76,7 @@
         return position == null ? 1 : position.line();
     }
 
-    /** Whether the table has this key. */
+    /** Returns whether the table has this key. */
     public boolean contains(String key) {
         return table.contains(List.of(key));
     }
@@ -90,7 +90,7 @@
      * Reads a number within bounds.
      *
      * @param defaultValue NaN for a required key
-     * @return the minimum if the value has a fault, NaN if a required key is missing
+     * @return the minimum if the value is invalid; NaN if a required key is missing
      */
     public double number(String key, double defaultValue, double min, double max) {
         Object value = value(key);
@@ -106,7 +106,9 @@
         }
         double number = ((Number) value).doubleValue();
         if (!(number >= min && number <= max)) {
-            addFault(key, "is not from " + plain(min) + " to " + plain(max) + ": " + plain(number));
+            addFault(
+                    key,
+                    "is not from " + format(min) + " to " + format(max) + ": " + format(number));
             return min;
         }
         return number;
@@ -116,7 +118,8 @@
      * Reads a whole number within bounds.
      *
      * @param defaultValue NaN for a required key
-     * @return the minimum if a required key is missing
+     * @return the minimum if the value is invalid or a required key is missing; a fraction is cut
+     *     off
      */
     public int integer(String key, double defaultValue, int min, int max) {
         double number = number(key, defaultValue, min, max);
@@ -127,7 +130,7 @@
     }
 
     /** Formats a number; a whole number without a decimal point. */
-    private static String plain(double number) {
+    private static String format(double number) {
         return number == Math.rint(number) && Math.abs(number) < Integer.MAX_VALUE
                 ? Long.toString((long) number)
                 : Double.toString(number);
@@ -137,7 +140,7 @@
      * Reads a text.
      *
      * @param defaultValue null for a required key
-     * @return empty if there is a fault; never null
+     * @return empty if the value is invalid or a required key is missing; never null
      */
     public String text(String key, String defaultValue) {
         Object value = value(key);
@@ -148,13 +151,13 @@
             return defaultValue == null ? "" : defaultValue;
         }
         if (!(value instanceof String text)) {
-            addFault(key, "is not a text: " + value);
+            addFault(key, "is not a string: " + value);
             return "";
         }
         return text;
     }
 
-    /** Reads true or false; returns the default if the key is absent or has a fault. */
+    /** Reads true or false; returns the default if the key is absent or its value is invalid. */
     public boolean flag(String key, boolean defaultValue) {
         Object value = value(key);
         if (value != null && !(value instanceof Boolean)) {
@@ -168,7 +171,7 @@
      * Reads a constant by its {@link #configuredName}.
      *
      * @param defaultValue null for a required key
-     * @return the type's first constant if there is a fault
+     * @return the type's first constant if the value is invalid or a required key is missing
      */
     public <E extends Enum<E>> E enumConstant(String key, E defaultValue, Class<E> type) {
         String text = text(key, defaultValue == null ? null : configuredName(defaultValue));
@@ -186,7 +189,7 @@
         return type.getEnumConstants()[0];
     }
 
-    /** Returns the name of a constant in TOML files: in lower case, with dashes. */
+    /** Returns the name of a constant in TOML files, by default in lower case with dashes. */
     public static String configuredName(Enum<?> constant) {
         String configured = CONFIGURED_NAMES.get(constant);
         return configured != null
@@ -194,19 +197,19 @@
                 : constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Reads a list of texts. Records a fault for each that is not allowed, and omits it. */
+    /** Reads a list of texts. Records an error for each that is not allowed, and omits it. */
     public List<String> textList(String key, List<String> defaultValue, List<String> allowed) {
         return textList(
                 key, defaultValue, allowed::contains, "none of " + String.join(", ", allowed));
     }
 
-    /** Reads a list of any texts; empty if the key is absent. */
+    /** Reads a list of texts without a restriction on them; empty if the key is absent. */
     public List<String> anyTextList(String key) {
-        return textList(key, List.of(), text -> true, "not a text");
+        return textList(key, List.of(), text -> true, "not a string");
     }
 
     private List<String> textList(
-            String key, List<String> defaultValue, Predicate<String> allowed, String faultOfItem) {
+            String key, List<String> defaultValue, Predicate<String> allowed, String itemError) {
         Object value = value(key);
         if (value == null) {
             return defaultValue;
@@ -220,13 +223,13 @@
             if (item instanceof String text && allowed.test(text)) {
                 texts.add(text);
             } else {
-                addFault(key, "has an item that is " + faultOfItem + ": " + item);
+                addFault(key, "has an item that is " + itemError + ": " + item);
             }
         }
         return texts;
     }
 
-    /** Returns the table under this key; an empty one if it is absent or there is a fault. */
+    /** Returns the table under this key; an empty one if the key is absent or not a table. */
     public TomlFields table(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof TomlTable)) {
@@ -234,10 +237,10 @@
             value = null;
         }
         TomlTable subtable = value == null ? Toml.parse("") : (TomlTable) value;
-        return new TomlFields(subtable, path + key + ".", faults);
+        return new TomlFields(subtable, path + key + ".", errors);
     }
 
-    /** Returns the list of tables under this key; empty if it is absent. */
+    /** Returns the list of tables under this key; empty if the key is absent. */
     public List<TomlFields> tables(String key) {
         Object value = value(key);
         List<TomlFields> tables = new ArrayList<>();
@@ -250,7 +253,7 @@
         }
         for (int i = 0; i < array.size(); i++) {
             if (array.get(i) instanceof TomlTable item) {
-                tables.add(new TomlFields(item, path + key + "[" + i + "].", faults));
+                tables.add(new TomlFields(item, path + key + "[" + i + "].", errors));
             } else {
                 addFault(key, "has an item that is not a table: " + array.get(i));
             }
@@ -264,8 +267,8 @@
     }
 
     /**
-     * Records a fault for each key that was not read, since a misspelled key would otherwise be
-     * taken for an absent one. Called after all fields have been read.
+     * Records an error for each key that was not read, because a misspelled key would otherwise
+     * count as absent. Must be called after all fields have been read.
      */
     public void rejectUnknownKeys() {
         for (String key : table.keySet()) {
--- a/daemon/src/main/java/wheelroute/config/TomlFile.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFile.java
@@ -12,20 +12,20 @@
 import wheelroute.decision.IdempotencyScope;
 
 /**
- * Reads an operator's TOML file and converts it to the pairs that the platform's JSON has, so that
- * both are processed alike from there on. Times in the file are in seconds.
+ * Reads an operator's TOML file and converts it to the path=value pairs of the platform's JSON, so
+ * that both are processed alike afterwards. Times in the file are in seconds.
  *
- * <p>The arguments after a number's key are its default, its minimum and its maximum. The bounds
- * only serve to detect mistakes: no reasonable value is near them.
+ * <p>In calls that read a number, the arguments after the key are the default, the minimum and the
+ * maximum. The bounds only serve to detect mistakes, and no reasonable value is near them.
  */
 final class TomlFile {
-    /** In place of the default of a number that must be given. */
+    /** Passed in place of the default of a number that is required. */
     private static final double REQUIRED = Double.NaN;
 
-    private static final double DAY_SECONDS = 86_400;
-    private static final double HOUR_SECONDS = 3600;
-    private static final double MINUTE_SECONDS = 60;
-    private static final double MILLISECOND_SECONDS = 0.001;
+    private static final double SECONDS_PER_DAY = 86_400;
+    private static final double SECONDS_PER_HOUR = 3600;
+    private static final double SECONDS_PER_MINUTE = 60;
+    private static final double SECONDS_PER_MILLISECOND = 0.001;
     private static final double MAX_NUMBER = 1e9;
     private static final double MAX_FACTOR = 1000;
     private static final double MIN_FRACTION = 0.001;
@@ -39,7 +39,7 @@
     private static final int DEFAULT_MAX_RETRY_AFTER_SECONDS = 2;
 
     private final Map<String, String> pairs = new HashMap<>();
-    private final List<TomlFields.Fault> faults = new ArrayList<>();
+    private final List<TomlFields.Fault> errors = new ArrayList<>();
     private final TomlEndpointList endpoints = new TomlEndpointList();
 
     private TomlFile() {}
@@ -47,32 +47,32 @@
     /**
      * Parses the text of a file.
      *
-     * @throws ConfigException with all faults of the file, each with its line
+     * @throws ConfigException with all errors of the file, each with its line
      */
     static ConfigFile parse(String text) throws ConfigException {
         TomlParseResult toml = Toml.parse(text);
         if (toml.hasErrors()) {
             TomlParseError error = toml.errors().get(0);
             throw new ConfigException(
-                    "line " + error.position().line(), "is no TOML: " + error.getMessage());
+                    "line " + error.position().line(), "is not valid TOML: " + error.getMessage());
         }
         TomlFile file = new TomlFile();
-        file.readRoot(new TomlFields(toml, "", file.faults));
-        if (!file.faults.isEmpty()) {
-            throw exceptionOf(file.faults);
+        file.readRoot(new TomlFields(toml, "", file.errors));
+        if (!file.errors.isEmpty()) {
+            throw toException(file.errors);
         }
         return new ConfigFile(file.pairs, file.endpoints.toJson());
     }
 
-    /** Returns an exception with the first fault by line, followed by the others on a line each. */
-    private static ConfigException exceptionOf(List<TomlFields.Fault> faults) {
+    /** Returns an exception with the first error by line, followed by the others on a line each. */
+    private static ConfigException toException(List<TomlFields.Fault> errors) {
         List<TomlFields.Fault> sorted =
-                faults.stream().sorted(Comparator.comparingInt(TomlFields.Fault::line)).toList();
+                errors.stream().sorted(Comparator.comparingInt(TomlFields.Fault::line)).toList();
         TomlFields.Fault first = sorted.get(0);
         StringBuilder message = new StringBuilder();
         message.append(first.message()).append(" (line ").append(first.line()).append(')');
-        for (TomlFields.Fault fault : sorted.subList(1, sorted.size())) {
-            message.append("\n  ").append(fault);
+        for (TomlFields.Fault error : sorted.subList(1, sorted.size())) {
+            message.append("\n  ").append(error);
         }
         return new ConfigException(first.key(), message.toString());
     }
@@ -131,16 +131,16 @@
                         fields.enumConstant(
                                 "effect", Idempotency.NON_IDEMPOTENT, Idempotency.class),
                         fields.enumConstant("group", IdempotencyScope.CELL, IdempotencyScope.class),
-                        fields.number("quoted", REQUIRED, 0, DAY_SECONDS),
+                        fields.number("quoted", REQUIRED, 0, SECONDS_PER_DAY),
                         fields.number("stretch", 0, 0, MAX_FACTOR),
                         fields.number(
                                 "outer",
                                 ConfigDefaults.DEADLINE_SECONDS,
-                                MILLISECOND_SECONDS,
-                                DAY_SECONDS),
+                                SECONDS_PER_MILLISECOND,
+                                SECONDS_PER_DAY),
                         fields.number("value", 1, 0, MAX_NUMBER),
                         fields.number("late_value", 0, 0, 1),
-                        fields.number("window", 0, 0, DAY_SECONDS),
+                        fields.number("window", 0, 0, SECONDS_PER_DAY),
                         fields.flag("in_turn", false));
         fields.rejectUnknownKeys();
         return settings;
@@ -157,7 +157,7 @@
         List<String> addresses = peers.anyTextList("addresses");
         putIfNotEmpty(ConfigKeys.PEERING_ADDRESSES, String.join(",", addresses));
         if (peers.contains("listen") == addresses.isEmpty()) {
-            peers.addFault("listen", "and addresses go together");
+            peers.addFault("listen", "and addresses must be given together");
         }
         peers.rejectUnknownKeys();
     }
@@ -166,7 +166,7 @@
         settings.flag(ConfigKeys.REPORTS_START, fields.flag("tells_start", true))
                 .seconds(
                         ConfigKeys.PROGRESS_INTERVAL,
-                        fields.number("progress_every", 0, 0, MINUTE_SECONDS))
+                        fields.number("progress_every", 0, 0, SECONDS_PER_MINUTE))
                 .flag(ConfigKeys.MAY_CANCEL, fields.flag("may_cancel", true))
                 .flag(ConfigKeys.MAY_HEDGE, fields.flag("may_copy", false))
                 .number(
@@ -179,7 +179,7 @@
                                 "longest_retry_after",
                                 DEFAULT_MAX_RETRY_AFTER_SECONDS,
                                 0,
-                                HOUR_SECONDS));
+                                SECONDS_PER_HOUR));
         readConnectionTimeouts(fields, settings);
         settings.number(
                         ConfigKeys.CROSS_ZONE_PRICE,
@@ -187,7 +187,8 @@
                 .number(ConfigKeys.OVER_QUOTA_VALUE, fields.number("over_share_value", 1, 0, 1))
                 .flag(ConfigKeys.REMOVAL_IS_ADVISORY, fields.flag("gone_is_advice", false))
                 .seconds(
-                        ConfigKeys.KEY_QUIET_PERIOD, fields.number("key_rest", 0, 0, HOUR_SECONDS));
+                        ConfigKeys.KEY_QUIET_PERIOD,
+                        fields.number("key_rest", 0, 0, SECONDS_PER_HOUR));
         if (fields.flag("reports_free_slots", false)) {
             settings.text(ConfigKeys.LOAD_REPORT_FIELD, SettingsVocabulary.REPORTS_FREE_SLOTS);
         }
@@ -200,26 +201,27 @@
                         fields.number(
                                 "connect_limit",
                                 ConfigDefaults.CONNECT_TIMEOUT_SECONDS,
-                                MILLISECOND_SECONDS,
-                                MINUTE_SECONDS))
+                                SECONDS_PER_MILLISECOND,
+                                SECONDS_PER_MINUTE))
                 .seconds(
                         ConfigKeys.IDLE_TIMEOUT,
                         fields.number(
                                 "idle_limit",
                                 ConfigDefaults.IDLE_TIMEOUT_SECONDS,
                                 MIN_IDLE_TIMEOUT_SECONDS,
-                                DAY_SECONDS));
+                                SECONDS_PER_DAY));
     }
 
     private static void readSlowStart(TomlFields fields, WireSettingsWriter settings) {
         settings.number(ConfigKeys.SLOW_START_SHARE, fields.number("share", 1, MIN_FRACTION, 1))
-                .seconds(ConfigKeys.SLOW_START_DURATION, fields.number("for", 0, 0, DAY_SECONDS))
+                .seconds(
+                        ConfigKeys.SLOW_START_DURATION, fields.number("for", 0, 0, SECONDS_PER_DAY))
                 .number(
                         ConfigKeys.OVERLOAD_MULTIPLE,
                         fields.number("tip_multiple", 1, MIN_FRACTION, MAX_FACTOR))
                 .seconds(
                         ConfigKeys.OVERLOAD_WINDOW,
-                        fields.number("tip_window", 0, 0, HOUR_SECONDS));
+                        fields.number("tip_window", 0, 0, SECONDS_PER_HOUR));
         fields.rejectUnknownKeys();
     }
 
--- a/daemon/src/main/java/wheelroute/config/WireSettingsWriter.java
+++ b/daemon/src/main/java/wheelroute/config/WireSettingsWriter.java
@@ -5,7 +5,7 @@
 import wheelroute.units.TimeUnits;
 
 /**
- * Writes settings that do not come from the platform's JSON, as the path=value pairs that {@link
+ * Converts settings that do not come from the platform's JSON to the path=value pairs that {@link
  * SettingsReader} reads. Not thread-safe.
  */
 public final class WireSettingsWriter {
@@ -18,13 +18,13 @@
         return pairs;
     }
 
-    /** Writes a text. */
+    /** Writes a text unchanged. A later value of the same path replaces it. */
     public WireSettingsWriter text(String path, String value) {
         pairs.put(path, value);
         return this;
     }
 
-    /** Writes true or false. */
+    /** Writes a flag as true or false. */
     public WireSettingsWriter flag(String path, boolean value) {
         return text(path, Boolean.toString(value));
     }
@@ -60,19 +60,19 @@
                         prefix + ConfigKeys.CLASS_IDEMPOTENCY_WINDOW,
                         settings.idempotencyWindowSeconds())
                 .flag(prefix + ConfigKeys.CLASS_ORDERED, settings.ordered())
-                .number(ConfigKeys.REQUEST_CLASSES + ConfigKeys.COUNT, requestClassCount);
+                .number(ConfigKeys.REQUEST_CLASSES + ConfigKeys.COUNT_SUFFIX, requestClassCount);
     }
 
     /**
      * Adds a tenant after those written before.
      *
-     * @param quota in requests per second; 0 for none
+     * @param quota quota in requests per second; 0 for no quota
      */
     public WireSettingsWriter tenant(String name, double quota) {
         String prefix = ConfigKeys.itemPrefix(ConfigKeys.TENANTS, tenantCount);
         tenantCount++;
         return text(prefix + ConfigKeys.TENANT_NAME, name)
                 .number(prefix + ConfigKeys.TENANT_QUOTA, quota)
-                .number(ConfigKeys.TENANTS + ConfigKeys.COUNT, tenantCount);
+                .number(ConfigKeys.TENANTS + ConfigKeys.COUNT_SUFFIX, tenantCount);
     }
 }
--- a/daemon/src/main/java/wheelroute/units/TimeUnits.java
+++ b/daemon/src/main/java/wheelroute/units/TimeUnits.java
@@ -1,14 +1,14 @@
 package wheelroute.units;
 
-/** Factors between seconds, the unit of all times in this program, and the units of others. */
+/** Conversion factors between seconds, the unit of times in this program, and other units. */
 public final class TimeUnits {
-    /** For times of libraries and of some protocols, which are in milliseconds. */
+    /** Milliseconds are the unit of libraries and of some protocols. */
     public static final double MILLIS_PER_SECOND = 1e3;
 
-    /** For times on the wire and in settings, many of which are in microseconds. */
+    /** Microseconds are the unit of many times on the simulator's wire and in settings. */
     public static final double MICROS_PER_SECOND = 1e6;
 
-    /** For the clocks of the runtime. */
+    /** Nanoseconds are the unit of the clocks of the Java runtime. */
     public static final double NANOS_PER_SECOND = 1e9;
 
     private TimeUnits() {}
--- a/daemon/src/test/java/wheelroute/config/ConfigReaderTest.java
+++ b/daemon/src/test/java/wheelroute/config/ConfigReaderTest.java
@@ -20,7 +20,7 @@
 import wheelroute.decision.Ids;
 import wheelroute.decision.Settings;
 
-/** Configurations read from the environment and a JSON file. */
+/** Tests how configurations are read from the environment and a JSON file. */
 public class ConfigReaderTest {
     private static final String CLASSES =
             "'request_classes':[{'name':'light','effect':'free',"
@@ -31,13 +31,15 @@
             "'settings':{'az':'west','family_info':{"
                     + "'class_stretch':[1.75,2.0],'class_kind':[-1,1],'progress_us':1000000},"
                     + "'models':['fast core','slow'],"
-                    + "'permissions':{'cancel':true,'connect_timeout_us':250000,'conn_idle_us':60000000},"
+                    + "'permissions':{'cancel':true,'connect_timeout_us':250000,"
+                    + "'conn_idle_us':60000000},"
                     + "'tenants':[{'name':'t','quota_per_s':28.0}],'later':{'key':[{'a':null}]},"
                     + CLASSES
                     + "}";
     private static final String COMPLETE =
             "{'name':'n3','listen':'127.0.0.4:8081','discovery':'127.0.0.1:8500',"
-                    + "'seed':'8c1f30d27a5be964','limits':{'memory_mb':96,'sockets':512},'peers':['127.0.0.9:1'],"
+                    + "'seed':'8c1f30d27a5be964','limits':{'memory_mb':96,'sockets':512},"
+                    + "'peers':['127.0.0.9:1'],"
                     + "'known':{'version':41,'full':true,'servers':[]},"
                     + SETTINGS
                     + "}";
@@ -145,10 +147,14 @@
         Map<String, String> wire = new HashMap<>();
         for (String pair :
                 ("az=west family_info.class_stretch=1.75,2.0 family_info.class_kind=-1,1"
-                                + " family_info.progress_us=1000000 models=fast_core,slow permissions.cancel=true"
-                                + " tenants.count=1 tenants.0.name=t tenants.0.quota_per_s=28.0 request_classes.count=2"
-                                + " request_classes.0.name=light request_classes.0.effect=free request_classes.0.worth=2.0"
-                                + " request_classes.0.on_time_us=200000 request_classes.1.name=alert"
+                                + " family_info.progress_us=1000000 models=fast_core,slow"
+                                + " permissions.cancel=true"
+                                + " tenants.count=1 tenants.0.name=t tenants.0.quota_per_s=28.0"
+                                + " request_classes.count=2"
+                                + " request_classes.0.name=light request_classes.0.effect=free"
+                                + " request_classes.0.worth=2.0"
+                                + " request_classes.0.on_time_us=200000"
+                                + " request_classes.1.name=alert"
                                 + " request_classes.1.effect=guarded request_classes.1.group=cell"
                                 + " request_classes.1.window_us=30000000 membership_mode=ask")
                         .split(" ")) {
@@ -159,7 +165,7 @@
                 SettingsReader.read(0x8c1f30d27a5be964L, wire));
     }
 
-    /** Names may look like a part of a path, a list or a key. */
+    /** Names that look like a part of a path, a list or a key must be kept as well. */
     @Test
     public void keepsNamesUnchanged() throws IOException, ConfigException {
         for (String name :
@@ -186,15 +192,15 @@
     }
 
     @DataProvider
-    public Object[][] faults() {
-        return Stream.of(faultsOfSettings(), faultsOfPeeringAndFile())
+    public Object[][] invalidFiles() {
+        return Stream.of(invalidSettings(), invalidPeeringAndFileFormat())
                 .flatMap(Arrays::stream)
                 .toArray(Object[][]::new);
     }
 
-    private static Object[][] faultsOfSettings() {
+    private static Object[][] invalidSettings() {
         return new Object[][] {
-            // text to replace, its replacement, the key that the message must name
+            // Each row has the text to replace, its replacement and the key that the message names.
             {"'listen':'127.0.0.4:8081',", "", "listen"},
             {"127.0.0.4:8081", "127.0.0.4", "listen"},
             {"127.0.0.4:8081", "127.0.0.4:80810", "listen"},
@@ -228,7 +234,7 @@
         };
     }
 
-    private static Object[][] faultsOfPeeringAndFile() {
+    private static Object[][] invalidPeeringAndFileFormat() {
         return new Object[][] {
             {"'settings':{", PEERING + "'settings':{'balancers':2,", "peering"},
             {
@@ -253,7 +259,7 @@
         };
     }
 
-    @Test(dataProvider = "faults")
+    @Test(dataProvider = "invalidFiles")
     public void rejectsFaultyFileNamingTheKey(String target, String replacement, String key) {
         String message =
                 expectThrows(
--- a/daemon/src/test/java/wheelroute/config/SocketAddressesTest.java
+++ b/daemon/src/test/java/wheelroute/config/SocketAddressesTest.java
@@ -24,7 +24,7 @@
         };
     }
 
-    /** The timeout is for a look-up of a name whose resolver does not answer. */
+    /** The timeout fails the test if a name is looked up and its resolver does not answer. */
     @Test(dataProvider = "addresses", timeOut = 5_000)
     public void parsesAddressesWithoutLookingUpNames(String text, String host) {
         InetSocketAddress address = SocketAddresses.parse(text);
--- a/daemon/src/test/java/wheelroute/config/TomlFileTest.java
+++ b/daemon/src/test/java/wheelroute/config/TomlFileTest.java
@@ -16,7 +16,7 @@
 import wheelroute.decision.Ids;
 import wheelroute.net.discovery.EndpointList;
 
-/** Configurations read from an operator's TOML file. */
+/** Tests how configurations are read from an operator's TOML file. */
 public class TomlFileTest {
     private static final String TOML =
             """
@@ -92,9 +92,9 @@
     }
 
     @DataProvider
-    public Object[][] tomlFaults() {
+    public Object[][] invalidTomlFiles() {
         return new Object[][] {
-            // text to replace, its replacement, part of the message
+            // Each row has the text to replace, its replacement and a part of the message.
             {"quoted = 0.2\n", "", "offerings[0].quoted"},
             {
                 "quoted = 0.2",
@@ -111,7 +111,7 @@
             {
                 "[limits]",
                 "position = 3\n[limits]",
-                "'position' is not under the number of dispatchers"
+                "'position' is 3.0, which is not less than the number of dispatchers"
             },
             {
                 "127.0.0.1:9001",
@@ -119,7 +119,7 @@
                 "'workers[0].address' is not host:port: nowhere (line 27)"
             },
             {"\"w1\"", "\"w\\\"1\"", "'workers[0].name' has a character"},
-            {"[limits]", "[limits", "'line 5' is no TOML"},
+            {"[limits]", "[limits", "'line 5' is not valid TOML"},
             {"idle_limit = 60", "key_rest = -1", "'terms.key_rest' is not from 0"},
             {"idle_limit = 60", "gone_is_advice = 3", "terms.gone_is_advice"},
             {"window = 30", "in_turn = \"yes\"", "offerings[1].in_turn"},
@@ -128,7 +128,7 @@
         };
     }
 
-    @Test(dataProvider = "tomlFaults")
+    @Test(dataProvider = "invalidTomlFiles")
     public void rejectsFaultyFileWithKeyAndLine(
             String target, String replacement, String expected) {
         String message =
