--- a/kit/src/main/java/wheelroute/kit/audit/AttemptRules.java
+++ b/kit/src/main/java/wheelroute/kit/audit/AttemptRules.java
@@ -6,9 +6,9 @@
 import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
 
-/** Checks an attempt that arrives at a worker against the rules. */
+/** Checks attempts against the rules when they arrive at a worker. */
 final class AttemptRules {
-    /** How soon a dispatcher must notice that a client has cancelled a request that waits. */
+    /** The time within which a dispatcher must handle the cancellation of a waiting request. */
     private static final double CANCELLATION_DELAY_SECONDS = 0.3;
 
     private final Scenario scenario;
@@ -30,7 +30,7 @@
     /**
      * Checks an attempt that has just arrived.
      *
-     * @param slackSeconds how late the attempt may be
+     * @param slackSeconds how late the attempt may be without a breach
      */
     void checkArrival(ObservedAttempt attempt, double slackSeconds) {
         checkTime(attempt, slackSeconds);
@@ -46,11 +46,12 @@
         if (now > record.respondedAt + slackSeconds) {
             breaches.add(Rule.ONE_FINAL_ANSWER, "an attempt after the final response", record);
         }
-        boolean timed = !record.startUnknown && !record.pausedMidTurn;
-        if (timed && now > record.deadline() + slackSeconds) {
+        boolean isDeadlineKnown = !record.sendTimeUnknown && !record.pausedDuringAcceptance;
+        if (isDeadlineKnown && now > record.deadline() + slackSeconds) {
             breaches.add(Rule.ONE_FINAL_ANSWER, "an attempt after the deadline", record);
         }
-        if (timed && now > record.cancelledAt + CANCELLATION_DELAY_SECONDS + slackSeconds) {
+        if (isDeadlineKnown
+                && now > record.cancelledAt + CANCELLATION_DELAY_SECONDS + slackSeconds) {
             String late = RequestRecord.seconds(now - record.cancelledAt);
             breaches.add(
                     Rule.ONE_FINAL_ANSWER,
@@ -82,7 +83,7 @@
         RequestRecord record = attempt.record;
         Scenario.RequestClass requestClass = record.requestClass();
         if (!scenario.terms().mayHedge() && !earlier.ended) {
-            // The worker may notice the end of the earlier connection after the new attempt.
+            // The worker may notice the end of the earlier connection only after the new attempt.
             timeline.schedule(slackSeconds, () -> checkNotHedged(earlier));
         }
         if (earlier.neverRan || requestClass.idempotency() == Idempotency.IDEMPOTENT) {
@@ -107,7 +108,7 @@
         }
     }
 
-    /** A worker group of the scenario is a cell. */
+    /** Returns whether two workers share the scope of a key; each worker group is a cell. */
     private static boolean isSameScope(IdempotencyScope scope, WorkerModel one, WorkerModel other) {
         return switch (scope) {
             case ALL -> true;
@@ -116,7 +117,9 @@
         };
     }
 
-    /** Whether a rejection, which promises that a retry is safe, is true. */
+    /**
+     * Returns whether a request may be rejected, which promises the client that a retry is safe.
+     */
     static boolean mayReject(RequestRecord record) {
         Scenario.RequestClass requestClass = record.requestClass();
         boolean isSafeAnywhere =
--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -15,23 +15,25 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * Checks the rules on what workers and clients observe. A request's record is kept until no event
- * can break a rule any more, so that a run of any length takes bounded memory.
+ * Checks the rules against the observations of workers and clients. The record of a request is
+ * removed when no event can break a rule any more, so that memory is bounded in a run of any
+ * length.
  *
  * <p>Not thread-safe: all calls come from tasks of the run's timeline.
  */
 public final class Auditor implements EventListener {
     /**
-     * A broken rule.
+     * A breach of a rule.
      *
-     * @param history of the request concerned, in lines of text; empty for no request
+     * @param history the events of the request concerned, in lines of text; empty if the breach
+     *     concerns no single request
      */
     public record Breach(Rule rule, String description, List<String> history) {}
 
-    /** From a request's sending to the end of the event in which the dispatcher accepts it. */
-    private static final double TURN_SECONDS = 0.02;
+    /** The maximum time from the sending of a request until the dispatcher has accepted it. */
+    private static final double ACCEPTANCE_SECONDS = 0.02;
 
-    /** Texts of histories, created once because each is added millions of times. */
+    /** Texts of histories, which are created once because each is added millions of times. */
     private static final String[] RESPONSE_LABELS =
             labels("response: ", FinalResponse.values(), FinalResponse::label, "");
 
@@ -42,7 +44,7 @@
 
     private final Timeline timeline;
 
-    /** What network and machine may add to any time. */
+    /** The delay that network and machine may add to any event. */
     private final double slackSeconds;
 
     private final DispatcherConditions conditions;
@@ -53,7 +55,7 @@
     /**
      * Creates an auditor of one run.
      *
-     * @param slackSeconds how late any event may be without fault of a dispatcher
+     * @param slackSeconds how late any event may be without a fault of a dispatcher
      */
     public Auditor(Scenario scenario, Timeline timeline, double slackSeconds) {
         this.timeline = timeline;
@@ -63,7 +65,7 @@
         attemptRules = new AttemptRules(scenario, timeline, conditions, breaches);
     }
 
-    /** Returns a label for each constant, by its ordinal. */
+    /** Returns the labels of the constants, indexed by ordinal. */
     private static <E extends Enum<E>> String[] labels(
             String prefix, E[] constants, Function<E, String> name, String suffix) {
         return Arrays.stream(constants)
@@ -71,27 +73,26 @@
                 .toArray(String[]::new);
     }
 
-    /** Sets the time from which histories count. */
+    /** Sets the current time as the start of the run, to which times in histories are relative. */
     public void start() {
         breaches.startAt(timeline.now());
     }
 
-    // ---- events at clients
-
-    /** A client has sent an attempt. */
+    /** Records that a client has sent an attempt. */
     public void onSent(ClientAttempt clientAttempt) {
         int dispatcher = clientAttempt.dispatcher();
         RequestRecord record = new RequestRecord(clientAttempt);
         record.addEvent(timeline.now(), "sent to dispatcher", dispatcher);
-        record.startUnknown = conditions.areClientsImpaired(dispatcher);
+        record.sendTimeUnknown = conditions.areClientsImpaired(dispatcher);
         record.excused = conditions.excusesRequests(dispatcher);
         Double pausedSince = conditions.pausedSince(dispatcher);
-        record.pausedMidTurn = pausedSince != null && timeline.now() - pausedSince < TURN_SECONDS;
+        record.pausedDuringAcceptance =
+                pausedSince != null && timeline.now() - pausedSince < ACCEPTANCE_SECONDS;
         records.add(record);
         records.removeExpired(timeline.now(), slackSeconds, conditions.maxLinkDelay());
     }
 
-    /** A client has received a final response. */
+    /** Records and checks a final response that a client has received. */
     public void onResponse(ClientAttempt clientAttempt, FinalResponse response) {
         RequestRecord record = records.find(clientAttempt.key());
         if (record == null) {
@@ -118,10 +119,10 @@
     }
 
     /**
-     * A client no longer waits for a response.
+     * Records that a client has stopped waiting for a response.
      *
-     * @param cancelled whether it cancelled; otherwise its timeout was reached, which is a fault of
-     *     the dispatcher
+     * @param cancelled whether the client cancelled; otherwise its timeout was reached, which is a
+     *     breach by the dispatcher
      */
     public void onAbandoned(ClientAttempt clientAttempt, boolean cancelled) {
         RequestRecord record = records.find(clientAttempt.key());
@@ -138,7 +139,7 @@
         }
     }
 
-    /** A client's connection ended without a response, as only a killed dispatcher may do it. */
+    /** Records a lost connection; only a stopped dispatcher may end one without a response. */
     public void onConnectionLost(ClientAttempt clientAttempt) {
         RequestRecord record = records.find(clientAttempt.key());
         if (record == null) {
@@ -151,7 +152,7 @@
         }
     }
 
-    /** A client's connection was refused, so no dispatcher has to respond. */
+    /** Records that a client's connection was refused, so that no dispatcher has to respond. */
     public void onRefused(ClientAttempt clientAttempt) {
         RequestRecord record = records.find(clientAttempt.key());
         if (record != null) {
@@ -160,27 +161,29 @@
         }
     }
 
-    // ---- events at dispatchers
-
     /**
-     * A dispatcher's process ended without having been stopped.
+     * Records that a dispatcher's process ended although the run did not stop it.
      *
-     * @param lastOutput the last lines that it logged
+     * @param lastOutput the last lines that the process logged
      */
     public void onCrash(int dispatcher, String lastOutput) {
         String description = "dispatcher " + dispatcher + " crashed; " + lastOutput;
         breaches.add(Rule.NO_CRASH, description, null);
     }
 
-    /** A dispatcher was killed or has ended: its requests are lost, its attempts still count. */
+    /**
+     * Records that a dispatcher was killed or has ended. Its pending requests may stay without a
+     * response, but its attempts are still checked.
+     */
     public void onDispatcherStopped(int dispatcher) {
         conditions.onStopped(dispatcher);
         excusePending(dispatcher);
     }
 
     /**
-     * One of a dispatcher's two processes is being killed, or both are paused. Requests of that
-     * process may be lost until this ends, and which these are cannot be observed from outside.
+     * Records that a fault affects a dispatcher while it has two processes: one of them is being
+     * killed, or both are paused. Until the fault ends any request may stay without a response,
+     * because the process that has a request cannot be observed from outside.
      */
     public void setDispatcherSplit(int dispatcher, boolean isSplit) {
         conditions.setSplit(dispatcher, isSplit);
@@ -189,23 +192,29 @@
         }
     }
 
-    /** A dispatcher's process has started. */
+    /** Records that a process of a dispatcher has started. */
     public void onDispatcherStarted(int dispatcher) {
         conditions.onStarted(dispatcher);
     }
 
-    /** Messages to or from a dispatcher's clients may be late or lost; attempts still count. */
+    /**
+     * Records whether messages between a dispatcher and its clients may be late or lost. Responses
+     * may then be missing, but attempts are still checked.
+     */
     public void setClientsImpaired(int dispatcher, boolean isImpaired) {
         conditions.setClientsImpaired(dispatcher, isImpaired);
         if (isImpaired) {
             excusePending(dispatcher);
             records.forEach(
                     record -> record.dispatcher() == dispatcher && record.response == null,
-                    record -> record.startUnknown = true);
+                    record -> record.sendTimeUnknown = true);
         }
     }
 
-    /** Pending requests may stay without a response; attempts still count, also later. */
+    /**
+     * Records that a dispatcher was paused. Its pending requests may stay without a response, but
+     * its attempts are still checked, also after the pause.
+     */
     public void onDispatcherPaused(int dispatcher) {
         double now = timeline.now();
         conditions.onPaused(dispatcher);
@@ -213,21 +222,21 @@
         records.forEach(
                 record ->
                         record.dispatcher() == dispatcher
-                                && now - record.clientAttempt.sentAt() < TURN_SECONDS,
-                record -> record.pausedMidTurn = true);
+                                && now - record.clientAttempt.sentAt() < ACCEPTANCE_SECONDS,
+                record -> record.pausedDuringAcceptance = true);
     }
 
-    /** A pause is over. */
+    /** Records that a pause of a dispatcher has ended. */
     public void onDispatcherResumed(int dispatcher) {
         conditions.onResumed(dispatcher);
     }
 
-    /** Messages from a dispatcher to a worker are late by at most this from now on. */
+    /** Sets the maximum delay of messages from a dispatcher to a worker, from now on. */
     public void setLinkDelay(int dispatcher, int worker, double delaySeconds) {
         conditions.setLinkDelay(dispatcher, worker, delaySeconds);
     }
 
-    /** A dispatcher has received a worker's state from discovery. */
+    /** Records that a dispatcher has received a worker's state from discovery. */
     public void onNotified(int dispatcher, int worker, EndpointRegistry.State state) {
         conditions.onNotified(dispatcher, worker, state);
     }
@@ -238,8 +247,6 @@
                 record -> record.excused = true);
     }
 
-    // ---- events at workers
-
     @Override
     public void onArrived(WorkerAttempt attempt, WorkerModel worker) {
         RequestRecord record = records.find(attempt.requestId);
@@ -265,7 +272,8 @@
         }
         RequestRecord record = observed.record;
         record.addEvent(timeline.now(), "started at worker", worker.number);
-        // Over all attempts of a client: a rejection promises that a retry is safe.
+        // Starts are counted over all attempts of the client, because a rejection promises that a
+        // retry is safe.
         if (record.requestClass().idempotency() == Idempotency.NON_IDEMPOTENT) {
             int request = record.clientAttempt.request().number();
             if (records.addStart(request, worker.number)) {
@@ -292,7 +300,7 @@
         }
     }
 
-    /** A dispatcher has closed an attempt's connection. */
+    /** Records that a dispatcher has closed the connection of an attempt. */
     public void onClosed(WorkerAttempt attempt) {
         ObservedAttempt observed = (ObservedAttempt) attempt.attachment();
         if (observed != null && !observed.ended) {
@@ -308,9 +316,7 @@
         breaches.add(Rule.NO_SLOW_START_OVERLOAD, description, null);
     }
 
-    // ---- results
-
-    /** Finds, at the end of the run, the requests without a response whose deadline has passed. */
+    /** Checks at the end of the run that no request has missed its deadline without a response. */
     public void finish() {
         for (RequestRecord record : records.byAge()) {
             boolean isDue = timeline.now() > record.deadline() + slackSeconds;
@@ -320,7 +326,7 @@
         }
     }
 
-    /** Returns the first breaches, in order; not all are kept. */
+    /** Returns the first breaches in the order of their detection; later ones are only counted. */
     public List<Breach> breaches() {
         return breaches.breaches();
     }
@@ -335,7 +341,7 @@
         return breaches.total();
     }
 
-    /** Returns a client's attempt by its key; null for one whose record is not kept any more. */
+    /** Returns a client's attempt by its key; null if its record was removed. */
     public ClientAttempt clientAttempt(long key) {
         RequestRecord record = records.find(key);
         return record == null ? null : record.clientAttempt;
--- a/kit/src/main/java/wheelroute/kit/audit/BreachLog.java
+++ b/kit/src/main/java/wheelroute/kit/audit/BreachLog.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** The breaches of a run: all are counted, the first ones are kept with their history. */
+/** The breaches of a run. All are counted, and the first ones are kept with their history. */
 final class BreachLog {
     private static final int MAX_DETAILED_BREACHES = 20;
 
     private final List<Auditor.Breach> breaches = new ArrayList<>();
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
 
-    /** Histories show times from here. */
+    /** The start of the run, to which times in histories are relative. */
     private double start;
 
     BreachLog(double start) {
@@ -26,7 +26,7 @@
     /**
      * Adds a breach.
      *
-     * @param record of the request concerned; null for none
+     * @param record the record of the request concerned; null if the breach concerns none
      */
     void add(Rule rule, String description, RequestRecord record) {
         counts.merge(rule, 1, Integer::sum);
--- a/kit/src/main/java/wheelroute/kit/audit/CounterHistory.java
+++ b/kit/src/main/java/wheelroute/kit/audit/CounterHistory.java
@@ -11,7 +11,7 @@
     private final ArrayDeque<Point> points = new ArrayDeque<>();
     private long value;
 
-    /** The value before the oldest one that is kept. */
+    /** The value before the oldest point that is kept. */
     private long droppedValue;
 
     void add(double now, long change) {
@@ -26,7 +26,7 @@
         return value;
     }
 
-    /** Returns the value at this time; before what is kept, the last value that was dropped. */
+    /** Returns the value at a time; for a time before the oldest point, the last dropped value. */
     long valueAt(double time) {
         long last = droppedValue;
         for (Point point : points) {
@@ -38,7 +38,7 @@
         return last;
     }
 
-    /** Returns the minimum value within a period. */
+    /** Returns the minimum value within a period, including the value at its start. */
     long min(double from, double to) {
         long min = valueAt(from);
         for (Point point : points) {
@@ -49,7 +49,7 @@
         return min;
     }
 
-    /** Returns the maximum value within a period. */
+    /** Returns the maximum value within a period, including the value at its start. */
     long max(double from, double to) {
         long max = valueAt(from);
         for (Point point : points) {
--- a/kit/src/main/java/wheelroute/kit/audit/DispatcherConditions.java
+++ b/kit/src/main/java/wheelroute/kit/audit/DispatcherConditions.java
@@ -7,7 +7,7 @@
 import wheelroute.kit.model.EndpointRegistry;
 import wheelroute.kit.model.Timeline;
 
-/** Faults at dispatchers and their links, and what dispatchers are notified of about workers. */
+/** The active faults at dispatchers and their links, and the worker states known to dispatchers. */
 final class DispatcherConditions {
     private final Timeline timeline;
     private final Set<Integer> stopped = new HashSet<>();
@@ -15,10 +15,10 @@
     private final Set<Integer> split = new HashSet<>();
     private final Set<Integer> clientsImpaired = new HashSet<>();
 
-    /** By dispatcher and worker: since when the dispatcher is notified of draining or removal. */
+    /** When a dispatcher was notified that a worker is draining or removed, by {@link #linkKey}. */
     private final Map<Long, Double> drainingSince = new HashMap<>();
 
-    /** By dispatcher and worker: how late messages may be now, or could be lately. */
+    /** The maximum delay of messages that may be under way on a link, by {@link #linkKey}. */
     private final Map<Long, Double> linkDelays = new HashMap<>();
 
     private double maxLinkDelay;
@@ -45,7 +45,7 @@
         pausedSince.put(dispatcher, timeline.now());
     }
 
-    /** Notifications that arrived during the pause count from its end. */
+    /** Ends a pause; the drain grace of workers whose notification arrived during it begins now. */
     void onResumed(int dispatcher) {
         Double since = pausedSince.remove(dispatcher);
         if (since != null) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Null for a dispatcher that is not paused. */
+    /** Returns when the dispatcher was paused; null if it is not paused. */
     Double pausedSince(int dispatcher) {
         return pausedSince.get(dispatcher);
     }
@@ -72,7 +72,9 @@
         return clientsImpaired.contains(dispatcher);
     }
 
-    /** Whether requests that reach the dispatcher now may be lost without fault of its own. */
+    /**
+     * Returns whether faults may prevent a dispatcher from responding to requests sent to it now.
+     */
     boolean excusesRequests(int dispatcher) {
         return areClientsImpaired(dispatcher)
                 || pausedSince.containsKey(dispatcher)
@@ -87,7 +89,7 @@
         }
     }
 
-    /** Messages on the link are late by at most this from now on. */
+    /** Sets the maximum delay of messages on a link from now on. */
     void setLinkDelay(int dispatcher, int worker, double delay) {
         long key = linkKey(dispatcher, worker);
         maxLinkDelay = Math.max(maxLinkDelay, delay);
@@ -95,7 +97,7 @@
         if (delay >= before) {
             linkDelays.put(key, delay);
         } else {
-            // Messages under way are still late by up to the earlier delay.
+            // Messages that are under way may still arrive with the earlier delay.
             timeline.schedule(before, () -> linkDelays.replace(key, before, delay));
         }
     }
@@ -104,7 +106,7 @@
         return linkDelays.getOrDefault(linkKey(dispatcher, worker), 0.0);
     }
 
-    /** The maximum delay of all links so far. */
+    /** Returns the maximum delay of any link since the start of the run. */
     double maxLinkDelay() {
         return maxLinkDelay;
     }
@@ -118,7 +120,10 @@
         }
     }
 
-    /** Null for a worker that the dispatcher may believe ready. */
+    /**
+     * Returns when the dispatcher was notified that a worker is draining or removed; null if it may
+     * believe the worker to be ready.
+     */
     Double drainingSince(int dispatcher, int worker) {
         return drainingSince.get(linkKey(dispatcher, worker));
     }
--- a/kit/src/main/java/wheelroute/kit/audit/DispatcherMetrics.java
+++ b/kit/src/main/java/wheelroute/kit/audit/DispatcherMetrics.java
@@ -5,19 +5,22 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a dispatcher's processes have reported, and what clients and workers observed of it. */
+/**
+ * The metrics reported by a dispatcher's processes, and the observations of clients and workers.
+ */
 final class DispatcherMetrics {
-    /** A count over all processes of the dispatcher. */
+    /** The observed events of one metric, over all processes of the dispatcher. */
     static final class Count {
         final CounterHistory observed = new CounterHistory();
 
-        /** Bounds of how many of those observed were counted by processes that have ended. */
-        long minBefore;
+        /** The minimum number of observed events that ended processes have counted. */
+        long minInEndedProcesses;
 
-        long maxBefore;
+        /** The maximum number of observed events that ended processes have counted. */
+        long maxInEndedProcesses;
     }
 
-    /** The metrics that a process reported last. */
+    /** The metrics in the last report of a process. */
     private static final class ReportedMetrics {
         final Map<String, Long> values = new HashMap<>();
         boolean isReceived;
@@ -26,11 +29,11 @@
     final Map<String, Count> counts = new LinkedHashMap<>();
     final CounterHistory pending = new CounterHistory();
 
-    /** Requests whose response was not received: the count of any response may include them. */
+    /** Requests whose response was not received; the count of any response may include them. */
     final CounterHistory unattributed = new CounterHistory();
 
-    /** Whether attempts that a running process has sent may have been lost on a link. */
-    boolean areAttemptsLost;
+    /** Whether attempts that were sent by a running process may have been lost on a link. */
+    boolean mayHaveLostAttempts;
 
     private final Map<Object, ReportedMetrics> processes = new LinkedHashMap<>();
     private double suspendedUntil = Double.NEGATIVE_INFINITY;
@@ -40,21 +43,21 @@
         return counts.computeIfAbsent(name, key -> new Count());
     }
 
-    // ---- processes
-
-    /** Adds a process; one that follows no other counts from 0. */
+    /**
+     * Adds a process; if no other is running, all events observed so far belong to ended processes.
+     */
     void addProcess(Object process) {
         if (processes.isEmpty()) {
             for (Count count : counts.values()) {
-                count.minBefore = count.observed.current();
-                count.maxBefore = count.observed.current();
+                count.minInEndedProcesses = count.observed.current();
+                count.maxInEndedProcesses = count.observed.current();
             }
-            areAttemptsLost = false;
+            mayHaveLostAttempts = false;
         }
         processes.put(process, new ReportedMetrics());
     }
 
-    /** Removes a process and returns what it reported last; null for an unknown process. */
+    /** Removes a process and returns its last reported metrics; null for an unknown process. */
     Map<String, Long> removeProcess(Object process) {
         ReportedMetrics reported = processes.remove(process);
         return reported == null ? null : reported.values;
@@ -79,7 +82,7 @@
         return processes.values().stream().allMatch(each -> each.isReceived);
     }
 
-    /** Returns the sums of what all processes reported last. */
+    /** Returns the sums of the last reported metrics of all processes. */
     Map<String, Long> sums() {
         Map<String, Long> sums = new HashMap<>();
         Collection<ReportedMetrics> all = processes.values();
@@ -88,8 +91,6 @@
         return sums;
     }
 
-    // ---- suspension of checks during faults
-
     void suspendUntil(double time) {
         suspendedUntil = time;
     }
--- a/kit/src/main/java/wheelroute/kit/audit/MetricsAuditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/MetricsAuditor.java
@@ -9,41 +9,46 @@
 import wheelroute.kit.model.Timeline;
 
 /**
- * Compares the metrics that dispatchers report on their admin servers with what clients and workers
- * observe.
+ * Compares the metrics that dispatchers report on their admin servers with the observations of
+ * clients and workers.
  *
- * <p>Counts start at 0 in each process, also in one that replaces another: while a dispatcher has
+ * <p>Counts start at 0 in each process, also in one that replaces another. While a dispatcher has
  * two processes, the sum of their metrics is compared.
  *
  * <p>Not thread-safe: all calls come from tasks of the run's timeline.
  */
 public final class MetricsAuditor {
-    /** By how much metrics may be older, or newer, than the clients' observations. */
+    /** The time by which metrics may be older or newer than the clients' observations. */
     private static final double TOLERATED_DELAY_SECONDS = 0.5;
 
     /** The longest time between two reports of a process. */
     private static final double MAX_REPORT_INTERVAL_SECONDS = 1;
 
-    /** Nothing is compared this long after a fault, when delayed messages arrive all at once. */
+    /** The time without comparisons after a fault, when delayed messages arrive in a burst. */
     private static final double SETTLE_SECONDS = 2.5;
 
-    /** The fractions by which a figure may be off; at least {@link #MIN_TOLERANCE}. */
+    /** The fraction by which a count of responses may be off. */
     private static final double COUNT_TOLERANCE = 0.01;
 
+    /** The fraction by which the count of attempts may be off. */
     private static final double ATTEMPT_TOLERANCE = 0.02;
+
+    /** The fraction by which the number of pending requests may be off. */
     private static final double PENDING_TOLERANCE = 0.1;
+
+    /** The minimum tolerance of any metric, in units of its value. */
     private static final long MIN_TOLERANCE = 3;
 
-    /** More than any count: the bound of what cannot be observed. */
+    /** A bound above any count, for metrics whose limit cannot be observed. */
     private static final long UNBOUNDED = 1L << 60;
 
-    /** Mismatches that are described; more are counted. */
+    /** The number of mismatches that are described; further ones are only counted. */
     private static final int MAX_DETAILED_MISMATCHES = 10;
 
     private static final String ATTEMPTS = "upstream_requests";
     private static final String PENDING = "pending";
 
-    /** The values of a metric that the observations allow, before any tolerance. */
+    /** The range of values of a metric that agrees with the observations. */
     private record Bounds(long min, long max) {
         Bounds widenedBy(double fraction) {
             double base = Math.max(0, Math.min(max, UNBOUNDED / 2));
@@ -62,7 +67,7 @@
     }
 
     private final Timeline timeline;
-    private final boolean writesInPieces;
+    private final boolean requestsArriveInPieces;
     private final Map<Integer, DispatcherMetrics> dispatchers = new HashMap<>();
     private final List<String> mismatches = new ArrayList<>();
     private long checkCount;
@@ -73,12 +78,12 @@
     /**
      * Creates an auditor of all dispatchers' metrics.
      *
-     * @param writesInPieces whether requests may arrive slowly, so that fewer are pending at the
-     *     dispatcher than were sent
+     * @param requestsArriveInPieces whether clients write requests in pieces with pauses, so that
+     *     fewer requests are pending at the dispatcher than were sent
      */
-    public MetricsAuditor(Timeline timeline, boolean writesInPieces) {
+    public MetricsAuditor(Timeline timeline, boolean requestsArriveInPieces) {
         this.timeline = timeline;
-        this.writesInPieces = writesInPieces;
+        this.requestsArriveInPieces = requestsArriveInPieces;
     }
 
     private DispatcherMetrics metricsOf(int dispatcher) {
@@ -95,41 +100,37 @@
                 + requestClass;
     }
 
-    // ---- observations
-
-    /** A client has sent a request. */
+    /** Records that a client has sent a request. */
     public void onSent(int dispatcher) {
         metricsOf(dispatcher).pending.add(timeline.now(), 1);
     }
 
-    /** A client has received a final response. */
+    /** Records that a client has received a final response. */
     public void onResponse(int dispatcher, String requestClass, FinalResponse response) {
         DispatcherMetrics metrics = metricsOf(dispatcher);
         metrics.pending.add(timeline.now(), -1);
         metrics.count(metricName(response, requestClass)).observed.add(timeline.now(), 1);
     }
 
-    /** A client will receive no response: it has cancelled, or its connection was lost. */
+    /** Records that a client will receive no response, as it cancelled or lost its connection. */
     public void onResponseLost(int dispatcher) {
         metricsOf(dispatcher).pending.add(timeline.now(), -1);
         metricsOf(dispatcher).unattributed.add(timeline.now(), 1);
     }
 
-    /** A worker has received an attempt. */
+    /** Records that a worker has received an attempt. */
     public void onAttempt(int dispatcher) {
         metricsOf(dispatcher).count(ATTEMPTS).observed.add(timeline.now(), 1);
     }
 
-    // ---- processes
-
-    /** A process of the dispatcher has started; processes are distinguished by identity. */
+    /** Records that a process of a dispatcher has started; the process object identifies it. */
     public void onProcessStarted(int dispatcher, Object process) {
         metricsOf(dispatcher).addProcess(process);
     }
 
     /**
-     * A process of the dispatcher has ended. Its final counts are at least those that it reported
-     * last, and at most higher by what has been observed since.
+     * Records that a process of a dispatcher has ended. Its final counts are at least the last
+     * reported ones, and exceed them by at most the events observed since that report.
      */
     public void onProcessEnded(int dispatcher, Object process) {
         DispatcherMetrics metrics = metricsOf(dispatcher);
@@ -144,8 +145,8 @@
                 (name, count) -> {
                     long last = reported.getOrDefault(name, 0L);
                     long since = increaseSince(count.observed, reportedAt) + unattributed;
-                    count.minBefore += last;
-                    count.maxBefore += last + since + MIN_TOLERANCE;
+                    count.minInEndedProcesses += last;
+                    count.maxInEndedProcesses += last + since + MIN_TOLERANCE;
                 });
         suspendChecks(dispatcher);
     }
@@ -154,29 +155,29 @@
         return counter.current() - counter.valueAt(time);
     }
 
-    /** A fault has just affected the dispatcher: nothing is compared for a while. */
+    /** Suspends comparisons for a short time because a fault has just affected a dispatcher. */
     public void suspendChecks(int dispatcher) {
         metricsOf(dispatcher).suspendUntil(timeline.now() + SETTLE_SECONDS);
     }
 
-    /** A fault that affects the dispatcher begins or ends. */
+    /** Suspends comparisons while a fault affects a dispatcher, and for a short time after it. */
     public void suspendChecks(int dispatcher, boolean begins) {
         metricsOf(dispatcher).setFaultActive(begins);
         suspendChecks(dispatcher);
     }
 
-    /** Attempts may be lost on a link: the dispatcher may count more than workers observe. */
+    /**
+     * Records that a link may lose attempts, so that the dispatcher may count more than workers.
+     */
     public void onAttemptsLost(int dispatcher) {
-        metricsOf(dispatcher).areAttemptsLost = true;
+        metricsOf(dispatcher).mayHaveLostAttempts = true;
     }
 
     private boolean isSuspended(DispatcherMetrics metrics) {
         return metrics.isSuspended(timeline.now());
     }
 
-    // ---- reported metrics
-
-    /** A call to a process's admin server timed out. */
+    /** Counts a call to the admin server of a process that timed out, except during faults. */
     public void onCallTimeout(int dispatcher) {
         if (!isSuspended(metricsOf(dispatcher))) {
             callCount++;
@@ -184,7 +185,7 @@
         }
     }
 
-    /** A process has reported its metrics. */
+    /** Compares metrics that a process has reported, once later observations have arrived. */
     public void onMetrics(int dispatcher, Object process, Map<String, Long> values) {
         DispatcherMetrics metrics = metricsOf(dispatcher);
         if (!metrics.hasProcess(process)) {
@@ -195,7 +196,7 @@
         if (isSuspended(metrics) || !metrics.haveAllReported()) {
             return;
         }
-        // Two processes were called at different times, which widens the window.
+        // The window is wider for two processes because they are called at different times.
         double windowSeconds =
                 metrics.processCount() > 1 ? 2 * TOLERATED_DELAY_SECONDS : TOLERATED_DELAY_SECONDS;
         Map<String, Long> sums = metrics.sums();
@@ -217,23 +218,23 @@
         long unattributed = metrics.unattributed.current();
         metrics.counts.forEach(
                 (name, count) -> {
-                    long min = count.observed.valueAt(from) - count.maxBefore;
-                    long max = count.observed.valueAt(to) - count.minBefore;
+                    long min = count.observed.valueAt(from) - count.maxInEndedProcesses;
+                    long max = count.observed.valueAt(to) - count.minInEndedProcesses;
                     boolean isAttempts = name.equals(ATTEMPTS);
                     if (isAttempts) {
-                        max = metrics.areAttemptsLost ? UNBOUNDED : max;
+                        max = metrics.mayHaveLostAttempts ? UNBOUNDED : max;
                     } else {
                         max += unattributed;
                     }
                     double tolerance = isAttempts ? ATTEMPT_TOLERANCE : COUNT_TOLERANCE;
                     check(dispatcher, name, sums.get(name), new Bounds(min, max), tolerance);
                 });
-        long minPending = writesInPieces ? -UNBOUNDED : metrics.pending.min(from, to);
+        long minPending = requestsArriveInPieces ? -UNBOUNDED : metrics.pending.min(from, to);
         Bounds pending = new Bounds(minPending, metrics.pending.max(from, to));
         check(dispatcher, PENDING, sums.get(PENDING), pending, PENDING_TOLERANCE);
     }
 
-    /** Counts a check; reported is null for a metric that is missing. */
+    /** Compares a reported metric with its bounds; reported is null for a missing metric. */
     private void check(
             int dispatcher, String name, Long reported, Bounds bounds, double tolerance) {
         checkCount++;
@@ -253,24 +254,24 @@
         }
     }
 
-    // ---- results
-
-    /** Returns the fraction of compared metrics that did not match or were missing. */
+    /**
+     * Returns the fraction of comparisons that did not match or lacked the metric; 0 without any.
+     */
     public double mismatchFraction() {
         return checkCount == 0 ? 0 : (double) mismatchCount / checkCount;
     }
 
-    /** Returns the fraction of calls that timed out. */
+    /** Returns the fraction of admin server calls that timed out; 0 without calls. */
     public double lateCallFraction() {
         return callCount == 0 ? 0 : (double) lateCallCount / callCount;
     }
 
-    /** Returns the number of metrics compared. */
+    /** Returns the number of comparisons of single metrics. */
     public long checkCount() {
         return checkCount;
     }
 
-    /** Returns descriptions of the first mismatches. */
+    /** Returns descriptions of the first mismatches, in the order of their detection. */
     public List<String> mismatches() {
         return List.copyOf(mismatches);
     }
--- a/kit/src/main/java/wheelroute/kit/audit/ObservedAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/audit/ObservedAttempt.java
@@ -2,16 +2,16 @@
 
 import wheelroute.kit.model.WorkerModel;
 
-/** An attempt as its worker observed it. */
+/** An attempt as observed at its worker. */
 final class ObservedAttempt {
     final RequestRecord record;
     final WorkerModel worker;
     final double arrivedAt;
 
-    /** The dispatcher can know that the attempt has ended. */
+    /** Whether the dispatcher can know that the attempt has ended. */
     boolean ended;
 
-    /** The dispatcher is notified that the attempt was never started. */
+    /** Whether the dispatcher was notified that the attempt was never started. */
     boolean neverRan;
 
     ObservedAttempt(RequestRecord record, WorkerModel worker, double arrivedAt) {
--- a/kit/src/main/java/wheelroute/kit/audit/RequestRecord.java
+++ b/kit/src/main/java/wheelroute/kit/audit/RequestRecord.java
@@ -8,35 +8,45 @@
 import wheelroute.kit.model.FinalResponse;
 import wheelroute.kit.scenario.Scenario;
 
-/** What is known of a client's attempt and of its dispatcher's attempts at workers. */
+/** The observations of a client's attempt and of its dispatcher's attempts at workers. */
 final class RequestRecord {
-    /** An event in the record's history; the worker or dispatcher is negative for none. */
+    /**
+     * An event in the history of a request.
+     *
+     * @param subject the number of the worker or dispatcher concerned; negative for none
+     */
     private record Event(double time, String text, int subject) {}
 
     final ClientAttempt clientAttempt;
     final List<ObservedAttempt> attempts = new ArrayList<>(2);
 
-    /** Null until the client has a final response. */
+    /** The final response; null until the client has received one. */
     FinalResponse response;
 
     double respondedAt = Double.NaN;
 
-    /** When the client cancelled of its own accord, before any response. */
+    /** When the client cancelled before a response; NaN if it did not. */
     double cancelledAt = Double.NaN;
 
-    /** The client no longer waits, or its connection was lost or refused. */
+    /** Whether the client stopped waiting, or its connection was lost or refused. */
     boolean abandoned;
 
-    /** A fault at the dispatcher excuses it from a response. */
+    /** Whether a fault at the dispatcher excuses a late or missing response. */
     boolean excused;
 
-    /** The link from the client was impaired: the dispatcher cannot know when its time began. */
-    boolean startUnknown;
+    /**
+     * Whether the link from the client was impaired, so that the dispatcher cannot know when the
+     * client sent the request.
+     */
+    boolean sendTimeUnknown;
 
-    /** The dispatcher was paused while it accepted the request, and completes that when resumed. */
-    boolean pausedMidTurn;
+    /**
+     * Whether the dispatcher was paused while accepting the request, which it completes when it is
+     * resumed.
+     */
+    boolean pausedDuringAcceptance;
 
-    /** A worker has completed an attempt. */
+    /** Whether a worker has completed an attempt of the request. */
     boolean succeeded;
 
     private final List<Event> events = new ArrayList<>();
@@ -53,7 +63,7 @@
         return clientAttempt.request().requestClass();
     }
 
-    /** When the client's timeout is reached. */
+    /** Returns when the client's timeout is reached. */
     double deadline() {
         return clientAttempt.sentAt() + clientAttempt.timeoutSeconds();
     }
@@ -66,7 +76,7 @@
         events.add(new Event(time, text, subject));
     }
 
-    /** The record in lines of text, with times from the start of the run. */
+    /** Returns the history in lines of text, with times relative to the start of the run. */
     List<String> history(double start) {
         List<String> lines = new ArrayList<>();
         lines.add(
@@ -88,7 +98,7 @@
         return lines;
     }
 
-    /** Seconds as text, to the millisecond. */
+    /** Formats a time in seconds with three decimals. */
     static String seconds(double time) {
         return String.format(Locale.ROOT, "%.3f", time);
     }
--- a/kit/src/main/java/wheelroute/kit/audit/RequestRecords.java
+++ b/kit/src/main/java/wheelroute/kit/audit/RequestRecords.java
@@ -11,15 +11,15 @@
 import java.util.function.Predicate;
 import wheelroute.kit.model.ClientAttempt;
 
-/** The records of the requests on which an event may still break a rule. */
+/** The records of the requests for which an event may still break a rule. */
 final class RequestRecords {
-    /** How long a record is kept after its deadline. */
+    /** The time for which a record is kept after its deadline. */
     private static final double RETENTION_SECONDS = 1;
 
     private final Map<Long, RequestRecord> byKey = new HashMap<>();
     private final Deque<RequestRecord> byAge = new ArrayDeque<>();
 
-    /** By request: the workers that have started it, if it is not idempotent. */
+    /** The workers that have started a non-idempotent request, by request number. */
     private final Map<Integer, Set<Integer>> startedAt = new HashMap<>();
 
     void add(RequestRecord record) {
@@ -27,7 +27,7 @@
         byAge.addLast(record);
     }
 
-    /** Returns null for a record that is not kept any more. */
+    /** Returns the record of a client's attempt by its key; null if it was removed. */
     RequestRecord find(long key) {
         return byKey.get(key);
     }
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Adds a worker that has started a request, in any attempt of its client.
+     * Adds a worker that has started a request, in any attempt of the client.
      *
-     * @return whether a worker had started it before
+     * @return whether a worker had started the request before
      */
     boolean addStart(int request, int worker) {
         Set<Integer> workers = startedAt.computeIfAbsent(request, key -> new HashSet<>());
@@ -52,14 +52,14 @@
         return isRepeated;
     }
 
-    /** Removes the records whose deadline is over by more than the retention and this slack. */
+    /** Removes the records whose deadline, plus retention, slack and link delay, has passed. */
     void removeExpired(double now, double slackSeconds, double maxLinkDelaySeconds) {
         while (!byAge.isEmpty()) {
             RequestRecord oldest = byAge.peekFirst();
             ClientAttempt clientAttempt = oldest.clientAttempt;
-            // A dispatcher that does not know when the request was sent may wait twice as long.
+            // A dispatcher that cannot know when the request was sent may take twice as long.
             double deadlineSeconds =
-                    oldest.requestClass().deadlineSeconds() * (oldest.startUnknown ? 2 : 1);
+                    oldest.requestClass().deadlineSeconds() * (oldest.sendTimeUnknown ? 2 : 1);
             double expiry =
                     clientAttempt.sentAt() + deadlineSeconds + RETENTION_SECONDS + slackSeconds;
             if (now < expiry + maxLinkDelaySeconds) {
--- a/kit/src/main/java/wheelroute/kit/audit/Rule.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Rule.java
@@ -1,6 +1,6 @@
 package wheelroute.kit.audit;
 
-/** The rules that a run must keep: the operators' four, and that no process crashes. */
+/** The rules that a run must keep: four rules of the operators, and that no process crashes. */
 public enum Rule {
     ONE_FINAL_ANSWER("one_answer", "exactly one final answer in time, and no attempt after it"),
     AT_MOST_ONE_EFFECT("no_effect_twice", "no request takes effect twice"),
@@ -17,12 +17,12 @@
         this.description = description;
     }
 
-    /** Returns the rule's key in reports for programs, which never changes. */
+    /** Returns the rule's key in JSON reports, which must not change. */
     public String key() {
         return key;
     }
 
-    /** Returns the rule as people read it. */
+    /** Returns the rule's wording for text reports. */
     public String description() {
         return description;
     }
--- a/kit/src/main/java/wheelroute/kit/audit/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/audit/package-info.java
@@ -1,2 +1,2 @@
-/** Checks the rules from outside, on what clients, workers and discovery observe. */
+/** Checks the rules against what clients, workers and discovery observe of dispatchers. */
 package wheelroute.kit.audit;
--- a/kit/src/main/java/wheelroute/kit/model/AttemptEnding.java
+++ b/kit/src/main/java/wheelroute/kit/model/AttemptEnding.java
@@ -4,11 +4,11 @@
 public enum AttemptEnding {
     SUCCEEDED("succeeded"),
     FAILED("failed"),
-    /** Returned by a draining worker before it was started. */
+    /** A draining worker returned the attempt before starting it. */
     RETURNED("returned"),
-    /** Not accepted: the worker's queue or memory is full. */
+    /** The worker did not accept the attempt because its queue or memory is full. */
     REJECTED("rejected"),
-    /** The connection was lost: the process died, or the machine dropped it. */
+    /** The connection was lost because the process died or the machine dropped it. */
     CONNECTION_LOST("connection lost");
 
     private final String label;
@@ -17,12 +17,12 @@
         this.label = label;
     }
 
-    /** Returns the ending as people read it. */
+    /** Returns the text for the ending in request histories. */
     public String label() {
         return label;
     }
 
-    /** Whether the protocol proves that the attempt was never started. */
+    /** Returns whether the protocol proves that the attempt was never started. */
     public boolean provesNeverRan() {
         return this == RETURNED || this == REJECTED;
     }
--- a/kit/src/main/java/wheelroute/kit/model/ClientAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClientAttempt.java
@@ -3,14 +3,17 @@
 /**
  * One attempt of a client's request, which a dispatcher sees as a request of its own.
  *
- * @param number from 0; above 0 for retries by the client
- * @param dispatcher to which it is sent
- * @param sentAt seconds on the run's timeline
+ * @param number counted from 0 within the request; above 0 for retries by the client
+ * @param dispatcher the number of the dispatcher to which the attempt is sent
+ * @param sentAt when the attempt was sent, in seconds on the run's timeline
  * @param timeoutSeconds how long the client waits for a response
  */
 public record ClientAttempt(
         ClientRequest request, int number, int dispatcher, double sentAt, double timeoutSeconds) {
-    /** Identifies the attempt; the request is in the low bits, which hash tables use. */
+    /**
+     * Returns a key that is unique among all attempts of a run. The request number is in the low
+     * bits because hash tables use these.
+     */
     public long key() {
         return (long) number << Integer.SIZE | request.number();
     }
--- a/kit/src/main/java/wheelroute/kit/model/Clients.java
+++ b/kit/src/main/java/wheelroute/kit/model/Clients.java
@@ -6,13 +6,14 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * The clients of a run, an open-loop load: requests are sent at the times that the scenario's load
- * gives, however long responses take. Clients wait, cancel, and retry what may be retried.
+ * The clients of a run. They generate an open-loop load: requests are sent at the times that the
+ * scenario's load gives, however long responses take. A client waits for the response, cancels the
+ * request, or retries it where a retry is allowed.
  *
  * <p>Not thread-safe: all calls come from tasks of the run's timeline.
  */
 public final class Clients implements ResponseListener {
-    /** Delay until another dispatcher is tried when none accepts connections. */
+    /** The least delay before a retry if a connection is refused or no dispatcher accepts any. */
     private static final double RECONNECT_DELAY_SECONDS = 0.2;
 
     private static final int NO_DISPATCHER = -1;
@@ -23,9 +24,12 @@
         LATE,
         REJECTED,
         FAILED,
-        /** The deadline passed without a response, or too little time was left for a retry. */
+        /**
+         * The deadline passed without a response, or a retry was needed and was not allowed or
+         * would have had too little time.
+         */
         UNANSWERED,
-        /** The client cancelled before a response; the request does not count. */
+        /** The client cancelled before a response arrived; the request does not count. */
         CANCELLED
     }
 
@@ -37,39 +41,39 @@
         /** Closes the connection of an attempt without a response. */
         void cancel(ClientAttempt clientAttempt);
 
-        /** Whether a dispatcher accepts connections, as far as its clients know. */
+        /** Returns whether a dispatcher accepts connections, as far as its clients know. */
         boolean isOpen(int dispatcher);
     }
 
     /** Observes requests and their attempts. */
     public interface Observer {
-        /** A client has a new request. */
+        /** Called when a client has a new request, before its first attempt. */
         void onRequest(ClientRequest request);
 
         /**
-         * A client's request is complete.
+         * Called when a client's request is complete.
          *
-         * @param latencySeconds from the time at which the load places the request
+         * @param latencySeconds the time since the load scheduled the request
          */
         void onFinished(ClientRequest request, Result result, double latencySeconds);
 
-        /** An attempt of a request was sent to a dispatcher. */
+        /** Called when an attempt of a request is sent to a dispatcher. */
         void onSent(ClientAttempt clientAttempt);
 
-        /** A dispatcher responded to an attempt. */
+        /** Called when a dispatcher has responded to an attempt. */
         void onResponse(ClientAttempt clientAttempt, FinalResponse response);
 
         /**
-         * The client no longer waits for a response.
+         * Called when a client stops waiting for a response.
          *
-         * @param cancelled whether it cancelled; otherwise its timeout was reached
+         * @param cancelled whether the client cancelled; otherwise its timeout was reached
          */
         void onAbandoned(ClientAttempt clientAttempt, boolean cancelled);
 
-        /** The connection ended without a response. */
+        /** Called when the connection of an attempt ended without a response. */
         void onConnectionLost(ClientAttempt clientAttempt);
 
-        /** The connection was refused. */
+        /** Called when the connection for an attempt was refused. */
         void onRefused(ClientAttempt clientAttempt);
     }
 
@@ -88,12 +92,12 @@
         final ClientRequest request;
 
         /**
-         * When the load places the first attempt. Latency counts from here, so that a client that
-         * sends late does not make the response look faster.
+         * When the load schedules the first attempt. Latency is measured from this time, so that a
+         * client that sends late does not make the response look faster.
          */
         final double scheduledAt;
 
-        /** Null while no attempt is open. */
+        /** The attempt that waits for a response; null while none does. */
         ClientAttempt openAttempt;
 
         int attemptCount;
@@ -115,7 +119,7 @@
     /**
      * Creates the clients of a scenario; {@link #start} begins the load.
      *
-     * @param seconds how long requests arrive
+     * @param seconds the time during which requests arrive
      */
     public Clients(
             Scenario scenario,
@@ -138,7 +142,7 @@
         scheduleNext();
     }
 
-    /** Whether all requests have been sent and are complete. */
+    /** Returns whether all requests have been sent and are complete. */
     public boolean isOver() {
         return isGeneratorExhausted && pending.isEmpty();
     }
@@ -193,7 +197,10 @@
         }
     }
 
-    /** Returns a random dispatcher, or the next one after it that accepts connections. */
+    /**
+     * Returns a random dispatcher, or the next one after it if that one does not accept
+     * connections; {@link #NO_DISPATCHER} if none does.
+     */
     private int chooseDispatcher(PendingRequest state) {
         int count = scenario.dispatcherCount();
         double draw =
@@ -224,7 +231,7 @@
         finish(state, Result.CANCELLED);
     }
 
-    /** Returns the request of an attempt and closes the attempt; null if it is not open. */
+    /** Closes an attempt and returns its request; null if the attempt is not open. */
     private PendingRequest closeIfOpen(ClientAttempt attempt) {
         PendingRequest state = pending.get(attempt.request().number());
         if (state == null || state.openAttempt != attempt) {
@@ -234,7 +241,7 @@
         return state;
     }
 
-    /** Handles a final response; a retryAfterSeconds of 0 is no advice. */
+    /** Handles a final response; retryAfterSeconds is 0 if the response has none. */
     @Override
     public void onResponse(
             ClientAttempt clientAttempt, FinalResponse response, double retryAfterSeconds) {
@@ -254,7 +261,7 @@
         return timeline.now() - state.scheduledAt <= state.request.latencyObjectiveSeconds();
     }
 
-    /** Handles a refused connection: no dispatcher has the attempt, so a retry is safe. */
+    /** Retries after a refused connection, which is safe because no dispatcher has the attempt. */
     @Override
     public void onRefused(ClientAttempt clientAttempt) {
         PendingRequest state = closeIfOpen(clientAttempt);
@@ -264,7 +271,10 @@
         }
     }
 
-    /** Handles a connection that ended without a response: the attempt may have run. */
+    /**
+     * Retries an idempotent request whose connection ended without a response, after which the
+     * attempt may have run.
+     */
     @Override
     public void onConnectionLost(ClientAttempt clientAttempt) {
         PendingRequest state = closeIfOpen(clientAttempt);
--- a/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
@@ -16,13 +16,13 @@
 public final class ClusterModel {
     /** Injects faults into dispatchers' processes and links. */
     public interface DispatcherControl {
-        /** Kills the dispatcher's process at once. */
+        /** Kills the dispatcher's process without letting it drain. */
         void kill(int dispatcher);
 
         /** Asks the dispatcher's process to drain and end. */
         void terminate(int dispatcher);
 
-        /** Starts a process of the dispatcher. */
+        /** Starts a process of the dispatcher, in the mode that the fault gives. */
         void start(int dispatcher, FaultMode mode);
 
         /** Pauses or resumes the dispatcher's process. */
@@ -40,7 +40,7 @@
             throw new UnsupportedFaultException("a link fault");
         }
 
-        /** Limits the dispatcher to this fraction of a core; 1 for no limit. */
+        /** Limits the CPU time of a dispatcher to a fraction of a core; 1 for no limit. */
         default void limitCpu(int dispatcher, double coreFraction) {
             throw new UnsupportedFaultException("a limit of CPU time");
         }
@@ -48,7 +48,7 @@
         /**
          * Replaces the dispatcher's process by a second one.
          *
-         * @param timeoutSeconds in which the replacement must be complete
+         * @param timeoutSeconds the time within which the replacement must be complete
          */
         default void replace(int dispatcher, FaultMode mode, double timeoutSeconds) {
             throw new UnsupportedFaultException("a replacement of a dispatcher's process");
@@ -60,7 +60,13 @@
         }
     }
 
-    /** A fault with its period in the run, in seconds from its start, and its targets. */
+    /**
+     * A fault with its period and targets in a run.
+     *
+     * @param startAt in seconds from the start of the run
+     * @param endAt in seconds from the start of the run
+     * @param targets the numbers of the dispatchers or workers that the fault affects
+     */
     public record ScheduledFault(
             Scenario.Fault fault, double startAt, double endAt, int[] targets) {}
 
@@ -74,7 +80,7 @@
     /**
      * Creates workers, endpoint list and fault schedule of a scenario.
      *
-     * @param seconds how long requests arrive
+     * @param seconds the time during which requests arrive
      */
     public ClusterModel(
             Scenario scenario,
@@ -99,13 +105,13 @@
         scheduledFaults = new FaultScheduler(scenario, random, workers).schedule(seconds);
     }
 
-    /** Schedules every fault on the timeline; called at the start of the run. */
+    /** Schedules all faults on the timeline; called once, at the start of the run. */
     public void start(DispatcherControl dispatchers) {
         DispatcherFaults dispatcherFaults = new DispatcherFaults(dispatchers);
         for (ScheduledFault fault : scheduledFaults) {
             timeline.schedule(
                     fault.startAt(), () -> apply(fault, true, dispatchers, dispatcherFaults));
-            // Deployments and replacements end by themselves.
+            // Rolling deploys and replacements end by themselves, without an event for their end.
             if (fault.fault().kind() != FaultKind.ROLLING_DEPLOY
                     && fault.fault().kind() != FaultKind.DISPATCHER_REPLACE) {
                 timeline.schedule(
@@ -165,7 +171,7 @@
         }
     }
 
-    /** The level is the rate over all targets. */
+    /** Adds or subtracts a flood of connections; the fault's level is the rate over all targets. */
     private static void changeFloodRate(
             ScheduledFault scheduled, boolean begins, DispatcherControl dispatchers) {
         double change = (begins ? 1 : -1) * scheduled.fault().level() / scheduled.targets().length;
@@ -189,18 +195,21 @@
             case SLOWDOWN -> worker.changeSpeed(begins ? level : 1 / level);
             case UNRESPONSIVE -> worker.setUnresponsive(begins);
             case PARTITION -> worker.setPartitioned(begins);
-            case CRASH -> run(begins, worker::crash, worker::start);
-            case DRAIN -> run(begins, worker::drain, worker::start);
+            case CRASH -> runTransition(begins, worker::crash, worker::start);
+            case DRAIN -> runTransition(begins, worker::drain, worker::start);
             case LOAD_REPORT_DELAY -> worker.changeReportDelay(begins ? level : -level);
             default -> throw new UnsupportedFaultException(fault.kind() + " at a worker");
         }
     }
 
-    private static void run(boolean begins, Runnable atBegin, Runnable atEnd) {
+    private static void runTransition(boolean begins, Runnable atBegin, Runnable atEnd) {
         (begins ? atBegin : atEnd).run();
     }
 
-    /** Restarts the targets in batches of the fault's level, in equal parts of its duration. */
+    /**
+     * Restarts the targets in batches; the fault's level is the batch size, and each batch has an
+     * equal part of the fault's duration.
+     */
     private void deploy(ScheduledFault scheduled) {
         int batchSize = (int) Math.max(1, Math.round(scheduled.fault().level()));
         int[] targets = scheduled.targets();
--- a/kit/src/main/java/wheelroute/kit/model/DispatcherFaults.java
+++ b/kit/src/main/java/wheelroute/kit/model/DispatcherFaults.java
@@ -7,8 +7,8 @@
 import wheelroute.kit.scenario.FaultKind;
 
 /**
- * The faults in force at dispatchers' processes. Where faults of one kind overlap, a dispatcher
- * recovers at the end of the last of them.
+ * The active faults at dispatchers' processes. If faults of one kind overlap, a dispatcher recovers
+ * when the last of them ends.
  */
 final class DispatcherFaults {
     private final ClusterModel.DispatcherControl control;
@@ -25,14 +25,14 @@
         return faults.computeIfAbsent(dispatcher, key -> new LinkedHashSet<>());
     }
 
-    /** Kills or terminates a dispatcher when the fault begins, and starts it when it ends. */
+    /** Kills or terminates a dispatcher when a fault begins, and starts it when the fault ends. */
     void setDown(ClusterModel.ScheduledFault fault, int dispatcher, boolean begins) {
         Set<ClusterModel.ScheduledFault> active = faultsOf(outages, dispatcher);
         if (begins) {
             boolean isFirst = active.isEmpty();
             active.add(fault);
             if (fault.fault().kind() == FaultKind.DISPATCHER_KILL) {
-                // Also a dispatcher that is being terminated, which may still be draining.
+                // A dispatcher that is already terminated may still be draining.
                 faultsOf(pauses, dispatcher).clear();
                 control.kill(dispatcher);
             } else if (isFirst) {
@@ -44,7 +44,10 @@
         }
     }
 
-    /** Pauses or resumes a dispatcher; one that is down is not paused, not even once restarted. */
+    /**
+     * Pauses or resumes a dispatcher. A pause that begins while the dispatcher is down is ignored,
+     * also after its restart.
+     */
     void setPaused(ClusterModel.ScheduledFault fault, int dispatcher, boolean begins) {
         Set<ClusterModel.ScheduledFault> active = faultsOf(pauses, dispatcher);
         if (begins && faultsOf(outages, dispatcher).isEmpty()) {
@@ -57,7 +60,7 @@
         }
     }
 
-    /** Limits a dispatcher's CPU time to the lowest level of the faults in force. */
+    /** Limits a dispatcher's CPU time to the lowest level of its active faults. */
     void setCpuLimited(ClusterModel.ScheduledFault fault, int dispatcher, boolean begins) {
         Set<ClusterModel.ScheduledFault> active = faultsOf(cpuLimits, dispatcher);
         if (begins) {
--- a/kit/src/main/java/wheelroute/kit/model/EndpointRegistry.java
+++ b/kit/src/main/java/wheelroute/kit/model/EndpointRegistry.java
@@ -7,19 +7,24 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The endpoint list of discovery: each update of a worker takes effect after a lag. */
+/** The endpoint list of discovery, in which each update of a worker takes effect after a lag. */
 public final class EndpointRegistry {
-    /** How often a draining worker checks whether it is empty. */
+    /** The interval at which a draining worker checks whether all its attempts have ended. */
     static final double POLL_INTERVAL_SECONDS = 0.1;
 
-    /** A worker's state in the list. */
+    /** A worker's state in the endpoint list. */
     public enum State {
         READY,
         DRAINING,
         REMOVED
     }
 
-    /** A worker's entry; startedAt is NaN for a start long ago. */
+    /**
+     * A worker's entry in the endpoint list.
+     *
+     * @param startedAt when the worker's process started; NaN if it started long before the run
+     * @param version the number of changes of the list up to this entry; 0 for the initial entry
+     */
     public record Entry(WorkerModel worker, State state, double startedAt, long version) {}
 
     private final Timeline timeline;
@@ -28,7 +33,7 @@
     private final List<Consumer<Entry>> watchers = new ArrayList<>();
     private final List<Runnable> outageListeners = new ArrayList<>();
 
-    /** By worker: the number of the last update in effect. */
+    /** The number of the last update in effect, by worker number. */
     private final Map<Integer, Long> appliedUpdates = new HashMap<>();
 
     private long updateCount;
@@ -52,7 +57,7 @@
     }
 
     private void apply(long update, WorkerModel worker, State state, double startedAt) {
-        // The lag changes, so updates may overtake each other: only a newer one is applied.
+        // Updates may overtake each other when the lag changes; an outdated one is ignored.
         if (update > appliedUpdates.getOrDefault(worker.number, 0L)) {
             appliedUpdates.put(worker.number, update);
             Entry entry = new Entry(worker, state, startedAt, ++version);
@@ -61,17 +66,17 @@
         }
     }
 
-    /** Adds a watcher of all changes from now on; {@link #entries} has the state before them. */
+    /** Adds a watcher of all later changes; {@link #entries} has the state before them. */
     public void watch(Consumer<Entry> watcher) {
         watchers.add(watcher);
     }
 
-    /** Removes a watcher. */
+    /** Removes a watcher; no effect for one that was not added. */
     public void unwatch(Consumer<Entry> watcher) {
         watchers.remove(watcher);
     }
 
-    /** Adds a task that runs whenever discovery goes down. */
+    /** Adds a task that runs whenever an outage of discovery begins. */
     public void onOutage(Runnable task) {
         outageListeners.add(task);
     }
@@ -81,12 +86,12 @@
         return new ArrayList<>(entries.values());
     }
 
-    /** Returns the number of changes so far. */
+    /** Returns the number of changes that have taken effect since the start of the run. */
     public long version() {
         return version;
     }
 
-    /** Whether discovery is down. */
+    /** Returns whether at least one outage of discovery is active. */
     public boolean isDown() {
         return activeOutages > 0;
     }
--- a/kit/src/main/java/wheelroute/kit/model/EventListener.java
+++ b/kit/src/main/java/wheelroute/kit/model/EventListener.java
@@ -1,17 +1,21 @@
 package wheelroute.kit.model;
 
-/** Observes events at workers, independently of what dispatchers make of them. */
+/** Observes events at workers, whether or not dispatchers learn of them. */
 public interface EventListener {
-    /** The last byte of an attempt has arrived. */
+    /** Called when the last byte of an attempt has arrived. */
     void onArrived(WorkerAttempt attempt, WorkerModel worker);
 
-    /** An attempt was started. */
+    /** Called when a worker has started an attempt. */
     void onStarted(WorkerAttempt attempt, WorkerModel worker);
 
-    /** An attempt has ended; delivered is whether the worker could send its response. */
+    /**
+     * Called when an attempt has ended.
+     *
+     * @param delivered whether the end of the attempt reaches the dispatcher
+     */
     void onEnded(
             WorkerAttempt attempt, WorkerModel worker, AttemptEnding ending, boolean delivered);
 
-    /** A worker in slow start was overloaded and has crashed. */
+    /** Called when a worker in slow start crashes because of overload. */
     void onCollapsed(WorkerModel worker);
 }
--- a/kit/src/main/java/wheelroute/kit/model/FaultScheduler.java
+++ b/kit/src/main/java/wheelroute/kit/model/FaultScheduler.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import wheelroute.kit.scenario.Scenario;
 
-/** Places the faults of a scenario in the time of a run, and draws their targets from its seed. */
+/** Schedules the faults of a scenario in a run, and draws their targets from the run's seed. */
 final class FaultScheduler {
     /**
-     * Offset of the draws of start times, which keeps them apart from those of targets: these are
-     * numbered from 0 on.
+     * The offset of the draws of start times, which are numbered downwards from -1. The draws of
+     * targets are numbered upwards from 0, so that the two never share a number.
      */
-    private static final long START_DRAW = -1;
+    private static final long START_DRAW_OFFSET = -1;
 
-    /** Keeps the draws of different picks apart; within a pick they are numbered by cycle. */
+    /** The number of draw keys reserved for each pick, which uses one per cycle. */
     private static final long DRAWS_PER_PICK = 1000;
 
     private final Scenario scenario;
@@ -26,7 +26,7 @@
         this.workers = workers;
     }
 
-    /** Returns the faults that start within the duration, in the order of their starts. */
+    /** Returns the faults that start within a run of this duration, ordered by start time. */
     List<ClusterModel.ScheduledFault> schedule(double durationSeconds) {
         List<ClusterModel.ScheduledFault> all = new ArrayList<>();
         for (int cycle = 0; cycle * scenario.cycleSeconds() < durationSeconds; cycle++) {
@@ -54,7 +54,9 @@
         for (int target : targets) {
             double draw =
                     random.uniform(
-                            SeededRandom.Purpose.FAULT, drawKey(fault, cycle), START_DRAW - target);
+                            SeededRandom.Purpose.FAULT,
+                            drawKey(fault, cycle),
+                            START_DRAW_OFFSET - target);
             double ownStartAt = startAt + fault.startSpreadSeconds() * draw;
             schedule.add(scheduledFault(fault, ownStartAt, new int[] {target}));
         }
@@ -66,12 +68,18 @@
                 fault, startAt, startAt + fault.durationSeconds(), targets);
     }
 
-    /** Faults with the same pick share their draws, and so meet the same targets first. */
+    /**
+     * Returns the key of a fault's draws in a cycle. Faults with the same pick share draws, and so
+     * affect targets in the same order.
+     */
     private static long drawKey(Scenario.Fault fault, int cycle) {
         return fault.pick() * DRAWS_PER_PICK + cycle;
     }
 
-    /** Returns the first ones of an order that is drawn anew for each pick and cycle. */
+    /**
+     * Returns the targets of a fault: the first candidates of a random order, which is drawn for
+     * each pick and cycle.
+     */
     private int[] targets(Scenario.Fault fault, int cycle) {
         List<Integer> candidates = candidates(fault);
         long key = drawKey(fault, cycle);
--- a/kit/src/main/java/wheelroute/kit/model/FinalResponse.java
+++ b/kit/src/main/java/wheelroute/kit/model/FinalResponse.java
@@ -12,7 +12,7 @@
         this.label = label;
     }
 
-    /** Returns the response as people read it. */
+    /** Returns the text for the response in request histories. */
     public String label() {
         return label;
     }
--- a/kit/src/main/java/wheelroute/kit/model/LoadReportHistory.java
+++ b/kit/src/main/java/wheelroute/kit/model/LoadReportHistory.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** The free slots of a worker over time, from which load reports of any age are made. */
+/** The free slots of a worker over time, from which delayed load reports are derived. */
 final class LoadReportHistory {
     private record Sample(double at, int freeSlots) {}
 
@@ -11,9 +11,9 @@
     private final ArrayDeque<Sample> samples = new ArrayDeque<>();
 
     /**
-     * Creates the history of a worker that is idle.
+     * Creates the history of a worker whose slots are all free.
      *
-     * @param lagSeconds the age of a report when it is sent; negative for no reports
+     * @param lagSeconds the age of a load report when it is sent; negative if none are sent
      */
     LoadReportHistory(int slots, double lagSeconds) {
         this.slots = slots;
@@ -26,7 +26,11 @@
         }
     }
 
-    /** The free slots that a report sent now states; NaN without reports. */
+    /**
+     * Returns the free slots that a load report sent now contains; NaN if no reports are sent.
+     *
+     * @param extraLagSeconds the additional age of reports, caused by faults
+     */
     double reportedFreeSlots(double now, double extraLagSeconds) {
         if (lagSeconds < 0) {
             return Double.NaN;
--- a/kit/src/main/java/wheelroute/kit/model/ModelContext.java
+++ b/kit/src/main/java/wheelroute/kit/model/ModelContext.java
@@ -2,7 +2,7 @@
 
 import wheelroute.kit.scenario.Scenario;
 
-/** What all workers of a cluster share. */
+/** The objects that all workers of a cluster share. */
 record ModelContext(
         Timeline timeline,
         Scenario.PlatformTerms terms,
--- a/kit/src/main/java/wheelroute/kit/model/RequestGenerator.java
+++ b/kit/src/main/java/wheelroute/kit/model/RequestGenerator.java
@@ -7,7 +7,7 @@
 
 /**
  * Generates the requests of a run: open-loop arrivals of a Poisson process whose rate follows the
- * scenario's load. What is generated depends on the seed alone.
+ * scenario's load. The generated requests depend only on the scenario and the seed.
  */
 public final class RequestGenerator {
     private final Scenario scenario;
@@ -35,7 +35,7 @@
         tenantShares = cumulativeShares(scenario.tenants(), Scenario.Tenant::share);
     }
 
-    /** Returns the next request; null at the end of the run's duration. */
+    /** Returns the next request in the order of arrival; null after the last one. */
     public ClientRequest next() {
         while (maxRate > 0) {
             SplittableRandom arrival =
@@ -44,8 +44,8 @@
             if (time >= durationSeconds) {
                 return null;
             }
-            // Thinning: of a process with the maximum rate, keeps the fraction that the current
-            // rate needs.
+            // Thinning draws arrivals at the maximum rate, and keeps the fraction that corresponds
+            // to the current rate.
             if (arrival.nextDouble() * maxRate < rateAt(time)) {
                 return createRequest(requestCount++);
             }
@@ -85,7 +85,7 @@
         return Math.max(Scenario.MIN_WORK_SECONDS, requestClass.meanWorkSeconds() * factor);
     }
 
-    /** Returns NaN for a request class without estimates. */
+    /** Returns the cost estimate in seconds; NaN for a request class without estimates. */
     private double drawCostEstimate(Scenario.RequestClass requestClass, double work, int number) {
         if (requestClass.estimateError() < 0) {
             return Double.NaN;
@@ -95,7 +95,7 @@
         return work * SeededRandom.lognormal(generator, requestClass.estimateError());
     }
 
-    /** Returns the seconds after which the client cancels; infinity if it does not. */
+    /** Returns the time in seconds after which the client cancels; infinity if it does not. */
     private double drawCancellation(Scenario.RequestClass requestClass, int number) {
         SplittableRandom generator = random.generator(SeededRandom.Purpose.CANCELLATION, number, 0);
         if (generator.nextDouble() < scenario.clients().cancelFraction()) {
@@ -104,7 +104,10 @@
         return Double.POSITIVE_INFINITY;
     }
 
-    /** Returns the requests per second at this time; the load repeats in each cycle. */
+    /**
+     * Returns the requests per second at a time in seconds from the start of the run. The load is
+     * repeated in each cycle.
+     */
     public double rateAt(double at) {
         double atInCycle = at % scenario.cycleSeconds();
         List<Scenario.LoadPoint> points = scenario.load();
--- a/kit/src/main/java/wheelroute/kit/model/ResponseListener.java
+++ b/kit/src/main/java/wheelroute/kit/model/ResponseListener.java
@@ -1,13 +1,17 @@
 package wheelroute.kit.model;
 
-/** Receives the outcome of clients' attempts. */
+/** Receives the responses to clients' attempts, and the failures of their connections. */
 public interface ResponseListener {
-    /** A complete final response has arrived; a retryAfterSeconds of 0 gives no advice. */
+    /**
+     * Called when a complete final response has arrived.
+     *
+     * @param retryAfterSeconds the least delay before a retry; 0 if the response has none
+     */
     void onResponse(ClientAttempt clientAttempt, FinalResponse response, double retryAfterSeconds);
 
-    /** The connection was refused: no dispatcher has the attempt, and a retry is safe. */
+    /** Called when a connection was refused; a retry is safe, as no dispatcher has the attempt. */
     void onRefused(ClientAttempt clientAttempt);
 
-    /** The connection ended before a response. */
+    /** Called when a connection ended before a response; the attempt may have run. */
     void onConnectionLost(ClientAttempt clientAttempt);
 }
--- a/kit/src/main/java/wheelroute/kit/model/RunningAttempts.java
+++ b/kit/src/main/java/wheelroute/kit/model/RunningAttempts.java
@@ -6,8 +6,8 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * The attempts that run on a worker's slots. Each completes once its work is done, at a pace that
- * faults change.
+ * The attempts that run on a worker's slots. An attempt completes when its work is done; the pace
+ * of the work depends on the worker's speed and on faults.
  */
 final class RunningAttempts {
     private final WorkerModel worker;
@@ -61,7 +61,7 @@
         return slotsInUse + slotsOf(attempt) <= group.slots();
     }
 
-    /** Returns the slots of an attempt; one that needs more than there are gets all of them. */
+    /** Returns the slots that an attempt occupies: at most all slots of the worker. */
     private int slotsOf(WorkerAttempt attempt) {
         return Math.min(attempt.slots, group.slots());
     }
@@ -72,7 +72,7 @@
         attempts.add(attempt);
         attempt.startedAt = timeline.now();
         attempt.progressedAt = attempt.startedAt;
-        // The ramp fraction of the start applies to the whole attempt, as if it had more work.
+        // The ramp fraction at the start applies to the whole attempt, and is modeled as more work.
         attempt.remainingSeconds = attempt.workSeconds / slowStart.rampFraction(attempt.startedAt);
         context.listener().onStarted(attempt, worker);
         if (context.terms().reportsStart()) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Removes and returns all attempts; none of them completes any more. */
+    /** Removes and returns all attempts; the caller must mark them as ended. */
     List<WorkerAttempt> removeAll() {
         List<WorkerAttempt> removed = new ArrayList<>(attempts);
         attempts.clear();
@@ -92,12 +92,12 @@
         return removed;
     }
 
-    /** Returns the seconds of work done per second, without slow start. */
+    /** Returns the seconds of work done per second, without the effect of slow start. */
     double pace() {
         return faults.isStalled() ? 0 : group.speed() * faults.speedFactor();
     }
 
-    /** Applies a fault that changes the pace to the attempts that are running. */
+    /** Applies a change of the pace, and reschedules the completion of all running attempts. */
     void changePace(Runnable change) {
         double paceBefore = pace();
         change.run();
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Returns the work that is left of an attempt. */
+    /** Returns the seconds of work that are left of an attempt. */
     double remainingSeconds(WorkerAttempt attempt) {
         return remainingSeconds(attempt, timeline.now(), pace());
     }
@@ -156,7 +156,7 @@
         loadReports.record(timeline.now(), group.slots() - slotsInUse);
     }
 
-    /** Returns the free slots that a load report sent now states; NaN without reports. */
+    /** Returns the free slots that a load report sent now contains; NaN if none are sent. */
     double reportedFreeSlots() {
         return loadReports.reportedFreeSlots(timeline.now(), faults.reportDelaySeconds());
     }
--- a/kit/src/main/java/wheelroute/kit/model/SeededRandom.java
+++ b/kit/src/main/java/wheelroute/kit/model/SeededRandom.java
@@ -4,10 +4,14 @@
 
 /**
  * Random numbers that depend only on the seed, the purpose and two indices, and not on earlier
- * draws. Runs on both clocks, and of different builds, therefore draw the same numbers.
+ * draws. Runs on the simulated and the real clock, and runs of different builds, therefore draw the
+ * same numbers.
  */
 public final class SeededRandom {
-    /** What is drawn. Ordinals are part of the seed's meaning: new constants go to the end. */
+    /**
+     * What a draw is used for. The ordinals determine the draws of a seed, so new constants must be
+     * added at the end.
+     */
     public enum Purpose {
         ARRIVAL,
         REQUEST_CLASS,
@@ -27,40 +31,50 @@
         CLIENT
     }
 
-    /** Constants of splitmix64, by which keys that differ in one bit get unrelated seeds. */
-    private static final long GOLDEN = 0x9e3779b97f4a7c15L;
+    /**
+     * The increment of splitmix64, whose mixing gives unrelated seeds to keys that differ in one
+     * bit.
+     */
+    private static final long GOLDEN_GAMMA = 0x9e3779b97f4a7c15L;
 
-    private static final long MIX = 0xbf58476d1ce4e5b9L;
+    /** The first multiplier of the mixing function of splitmix64. */
+    private static final long MIX_MULTIPLIER = 0xbf58476d1ce4e5b9L;
 
     private final long seed;
 
-    /** Creates the random numbers of a seed. */
+    /** Creates a source of random numbers; equal seeds give equal numbers. */
     public SeededRandom(long seed) {
         this.seed = seed;
     }
 
-    /** Returns a generator for this purpose and these indices. */
-    public SplittableRandom generator(Purpose what, long a, long b) {
-        return new SplittableRandom(seedOf(what, a, b));
+    /** Returns a new generator, seeded from the purpose and the indices. */
+    public SplittableRandom generator(Purpose purpose, long index1, long index2) {
+        return new SplittableRandom(seedOf(purpose, index1, index2));
     }
 
     /** Returns a draw from 0 (inclusive) to 1 (exclusive), cheaper than a generator. */
-    public double uniform(Purpose what, long a, long b) {
-        return (mix(seedOf(what, a, b)) >>> 11) * 0x1.0p-53;
+    public double uniform(Purpose purpose, long index1, long index2) {
+        return (mix(seedOf(purpose, index1, index2)) >>> 11) * 0x1.0p-53;
     }
 
-    /** Returns a seed for this purpose and these indices. */
-    public long seedOf(Purpose what, long a, long b) {
-        return mix(mix(mix(seed + GOLDEN * (what.ordinal() + 1)) + a) + GOLDEN * b);
+    /** Returns a seed derived from the purpose and the indices. */
+    public long seedOf(Purpose purpose, long index1, long index2) {
+        return mix(
+                mix(mix(seed + GOLDEN_GAMMA * (purpose.ordinal() + 1)) + index1)
+                        + GOLDEN_GAMMA * index2);
     }
 
     private static long mix(long value) {
-        long z = (value ^ value >>> 30) * MIX;
+        long z = (value ^ value >>> 30) * MIX_MULTIPLIER;
         z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
         return z ^ z >>> 31;
     }
 
-    /** Returns a lognormal draw of mean 1; the shape is the standard deviation of its logarithm. */
+    /**
+     * Returns a draw from a lognormal distribution of mean 1.
+     *
+     * @param shape the standard deviation of the logarithm; 0 always gives 1
+     */
     public static double lognormal(SplittableRandom random, double shape) {
         if (shape == 0) {
             return 1;
--- a/kit/src/main/java/wheelroute/kit/model/SlowStartModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/SlowStartModel.java
@@ -4,19 +4,21 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * The slow start of a worker's process: its capacity ramps up, and it collapses when too much work
- * arrives before it has warmed up.
+ * The slow start of a worker's process, whose capacity ramps up after its start. The process
+ * crashes if too much work arrives during the ramp-up.
  */
 final class SlowStartModel {
-    /** The standard deviations of a Poisson count that random arrivals are allowed. */
-    private static final int ALLOWED_DEVIATIONS = 2;
+    /**
+     * The standard deviations by which a Poisson count of arrivals may exceed the overload limit.
+     */
+    private static final int ALLOWED_STANDARD_DEVIATIONS = 2;
 
     private record Arrival(double at, double workSeconds) {}
 
     private final Scenario.WorkerGroup group;
     private final ArrayDeque<Arrival> recentArrivals = new ArrayDeque<>();
 
-    /** NaN for a process that has been running since long before the run. */
+    /** When the process started; NaN if it started long before the run. */
     private double startedAt = Double.NaN;
 
     SlowStartModel(Scenario.WorkerGroup group) {
@@ -35,7 +37,7 @@
         return startedAt;
     }
 
-    /** The fraction of its capacity that the worker has at this time. */
+    /** Returns the fraction of its full capacity that the worker has at this time. */
     double rampFraction(double at) {
         double age = at - startedAt;
         if (!(age < group.slowStartDurationSeconds())) {
@@ -47,7 +49,7 @@
                         / group.slowStartDurationSeconds();
     }
 
-    /** Adds the work of an arrival, and returns whether it makes the worker collapse. */
+    /** Adds the work of an arrival, and returns whether the worker crashes because of it. */
     boolean collapsesUnder(double workSeconds, double now) {
         double windowStart = now - group.overloadWindowSeconds();
         double rampFraction = rampFraction(windowStart);
@@ -62,7 +64,7 @@
         return recentWork > maxWork(rampFraction);
     }
 
-    /** The most work that may arrive within the overload window. */
+    /** Returns the maximum seconds of work that may arrive within the overload window. */
     private double maxWork(double rampFraction) {
         double max =
                 group.overloadMultiple()
@@ -72,7 +74,10 @@
                         * group.overloadWindowSeconds();
         double meanWork = group.overloadMeanWorkSeconds();
         if (meanWork > 0) {
-            max += (ALLOWED_DEVIATIONS * Math.sqrt(max / meanWork) + ALLOWED_DEVIATIONS) * meanWork;
+            max +=
+                    (ALLOWED_STANDARD_DEVIATIONS * Math.sqrt(max / meanWork)
+                                    + ALLOWED_STANDARD_DEVIATIONS)
+                            * meanWork;
         }
         return max;
     }
--- a/kit/src/main/java/wheelroute/kit/model/UnsupportedFaultException.java
+++ b/kit/src/main/java/wheelroute/kit/model/UnsupportedFaultException.java
@@ -1,15 +1,15 @@
 package wheelroute.kit.model;
 
-/** A scenario has a fault that this kind of run cannot inject. */
+/** Thrown when a scenario has a fault that this kind of run cannot inject. */
 public final class UnsupportedFaultException extends UnsupportedOperationException {
     private static final long serialVersionUID = 1L;
 
     /**
-     * Creates the exception.
+     * Creates an exception for one fault.
      *
-     * @param fault what cannot be injected
+     * @param fault the description of the fault, which is added to the message
      */
     public UnsupportedFaultException(String fault) {
-        super("this run cannot inject: " + fault);
+        super("fault not supported by this kind of run: " + fault);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerAttempt.java
@@ -1,48 +1,50 @@
 package wheelroute.kit.model;
 
-/** An attempt at a worker, from its last byte to the end of its connection. */
+/** An attempt at a worker, from the arrival of its last byte to the end of its connection. */
 public final class WorkerAttempt {
-    /** Receives what the worker sends on the attempt's connection. */
+    /** Receives the events that the worker sends on the attempt's connection. */
     public interface Reply {
-        /** The worker has started the attempt. */
+        /** Called when the worker has started the attempt. */
         void onStarted();
 
-        /** The fraction of the work that is done. */
+        /** Called at intervals with the fraction of the work that is done. */
         void onProgress(double fraction);
 
-        /** The final event; freeSlots is NaN without a load report. */
+        /** Called when the attempt has ended; freeSlots is NaN without a load report. */
         void onEnded(AttemptEnding ending, double freeSlots);
     }
 
     public final long requestId;
 
-    /** Seconds on a worker of speed 1. */
+    /** The work of the attempt, in seconds on a worker of speed 1. */
     public final double workSeconds;
 
     final int slots;
     final double memory;
     final Reply reply;
 
-    /** Work that was left at {@link #progressedAt}. */
+    /** The seconds of work that were left at {@link #progressedAt}. */
     double remainingSeconds;
 
     double progressedAt;
     double startedAt = Double.NaN;
 
-    /** Changes whenever the completion is scheduled anew, which voids the earlier schedule. */
+    /**
+     * Incremented when the completion is rescheduled, so that an earlier schedule has no effect.
+     */
     int completionVersion;
 
     boolean ended;
 
-    /** The connection is closed: nothing that the worker sends arrives. */
+    /** Whether the connection is closed, so that nothing that the worker sends arrives. */
     boolean cancelled;
 
-    /** An event of this attempt was lost, and so is everything after it. */
+    /** Whether an event of this attempt was lost; all later events are lost too. */
     boolean eventLost;
 
     private Object attachment;
 
-    /** Creates an attempt that has not arrived yet. */
+    /** Creates an attempt that has not arrived at a worker yet. */
     public WorkerAttempt(
             long requestId, double workSeconds, int slots, double memory, Reply reply) {
         this.requestId = requestId;
@@ -53,17 +55,17 @@
         remainingSeconds = workSeconds;
     }
 
-    /** Returns the event listener's own object, which saves it a look-up at each event. */
+    /** Returns the object that the event listener attached; null if there is none. */
     public Object attachment() {
         return attachment;
     }
 
-    /** Attaches an object of the event listener's. */
+    /** Attaches an object of the event listener, which saves it a look-up at each event. */
     public void attachment(Object newAttachment) {
         attachment = newAttachment;
     }
 
-    /** Whether the worker has ended the attempt, even if its response could not be sent. */
+    /** Returns whether the worker has ended the attempt, even if its response was lost. */
     public boolean isEnded() {
         return ended;
     }
--- a/kit/src/main/java/wheelroute/kit/model/WorkerFaults.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerFaults.java
@@ -1,8 +1,8 @@
 package wheelroute.kit.model;
 
 /**
- * The faults in force at a worker. Faults of one kind may overlap: each kind lasts until the last
- * of its faults has ended, and levels add up or multiply.
+ * The active faults at a worker. Faults of one kind may overlap: the kind is active until the last
+ * of them has ended, and their levels are added or multiplied.
  */
 final class WorkerFaults {
     private int activeStalls;
@@ -28,12 +28,12 @@
         activePartitions += begins ? 1 : -1;
     }
 
-    /** Whether nothing reaches the worker, and nothing that it sends arrives. */
+    /** Returns whether nothing reaches the worker and nothing that it sends arrives. */
     boolean isPartitioned() {
         return activePartitions > 0;
     }
 
-    /** Whether nothing that the worker sends arrives. */
+    /** Returns whether nothing that the worker sends arrives. */
     boolean areResponsesLost() {
         return activeUnresponsive > 0 || activePartitions > 0;
     }
@@ -50,7 +50,7 @@
         failureFraction = Math.max(0, Math.min(1, failureFraction + change));
     }
 
-    /** The fraction of attempts that fail as soon as they arrive. */
+    /** Returns the fraction of attempts that fail immediately after their arrival. */
     double failureFraction() {
         return failureFraction;
     }
@@ -59,7 +59,7 @@
         reportDelaySeconds += changeSeconds;
     }
 
-    /** By how much load reports are older than the platform's terms say. */
+    /** Returns the age of load reports in excess of the lag in the platform's terms. */
     double reportDelaySeconds() {
         return reportDelaySeconds;
     }
--- a/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
@@ -5,22 +5,25 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * A worker: slots served from one bounded queue in order of arrival, at a speed that slow start and
- * faults change. An attempt runs at the ramp fraction of its start; slowdowns and stalls also
- * affect attempts that are running already.
+ * A worker, whose slots are served from one bounded queue in order of arrival. Slow start and
+ * faults change its speed: an attempt runs at the ramp fraction that applied when it started, while
+ * slowdowns and stalls also affect attempts that are already running.
  *
  * <p>Not thread-safe: all calls come from tasks of the run's timeline.
  */
 public final class WorkerModel {
+    /** The time after which an attempt fails during an error burst. */
     private static final double ERROR_DELAY_SECONDS = 0.002;
+
+    /** The time after which a worker restarts that crashed because of overload in slow start. */
     private static final double COLLAPSE_RESTART_SECONDS = 3;
 
-    /** Opens and closes the worker's port; a closed port refuses connections. */
+    /** Opens and closes the ports of workers; a closed port refuses connections. */
     public interface PortListener {
-        /** The worker listens on its port from now on. */
+        /** Called when the worker begins to listen on its port. */
         void onOpened(WorkerModel worker);
 
-        /** The worker's port is closed: its connections break and new ones are refused. */
+        /** Called when the port closes: open connections break and new ones are refused. */
         void onClosed(WorkerModel worker);
     }
 
@@ -41,7 +44,7 @@
     private double memoryInUse;
     private boolean up = true;
 
-    /** Changes whenever the process starts or ends, so that timers of an earlier one do nothing. */
+    /** Incremented when the process starts or ends, so that its earlier timers have no effect. */
     private int incarnation;
 
     WorkerModel(int number, String name, Scenario.WorkerGroup group, ModelContext context) {
@@ -59,19 +62,17 @@
                 new RunningAttempts(this, context, faults, slowStart, responses, this::onCompleted);
     }
 
-    /** Sets the listener that is called when the worker's port opens or closes. */
+    /** Sets the listener that is called when the worker's port opens or closes; null for none. */
     public void portListener(PortListener newListener) {
         portListener = newListener;
     }
 
-    // ---- attempts
-
-    /** Whether the worker's process runs; connections are refused otherwise. */
+    /** Returns whether the worker's process runs; connections are refused otherwise. */
     public boolean isUp() {
         return up;
     }
 
-    /** Accepts an attempt whose last byte has arrived: queues, starts, fails or rejects it. */
+    /** Queues, starts, fails or rejects an attempt whose last byte has arrived. */
     public void accept(WorkerAttempt attempt) {
         listener.onArrived(attempt, this);
         if (faults.isPartitioned()) {
@@ -119,8 +120,8 @@
     }
 
     /**
-     * Notices that an attempt's connection was closed by the dispatcher: a queued attempt is
-     * dropped, a running one continues without a connection.
+     * Handles the close of an attempt's connection by the dispatcher: a queued attempt is dropped,
+     * a running one continues without a connection.
      */
     public void cancel(WorkerAttempt attempt) {
         attempt.cancelled = true;
@@ -131,7 +132,7 @@
         }
     }
 
-    /** Runs a task after a delay, unless the process has ended or restarted in between. */
+    /** Runs a task after a delay, unless the process has ended or restarted in the meantime. */
     private void runInThisProcess(double delaySeconds, Runnable task) {
         int scheduledIn = incarnation;
         timeline.schedule(
@@ -166,8 +167,6 @@
         responses.deliver(attempt, () -> attempt.reply.onEnded(ending, freeSlots));
     }
 
-    // ---- faults
-
     void changeFailureFraction(double change) {
         faults.changeFailureFraction(change);
     }
@@ -202,27 +201,26 @@
         }
     }
 
-    // ---- process
-
     /**
-     * Drains the worker: it is listed as draining now, and ends once it is empty, but not before
-     * every dispatcher has had time to learn of it.
+     * Drains the worker: updates its state in the endpoint list to draining, and ends the process
+     * when it has no attempts, but not before the list's lag and the drain grace are over, so that
+     * every dispatcher has had time to be notified.
      */
     void drain() {
         registry.update(this, EndpointRegistry.State.DRAINING, slowStart.startedAt());
         runInThisProcess(
-                terms.endpointListLagSeconds() + terms.drainGraceSeconds(), this::crashWhenEmpty);
+                terms.endpointListLagSeconds() + terms.drainGraceSeconds(), this::endWhenIdle);
     }
 
-    private void crashWhenEmpty() {
+    private void endWhenIdle() {
         if (running.count() == 0 && queue.isEmpty()) {
             crash();
         } else {
-            runInThisProcess(EndpointRegistry.POLL_INTERVAL_SECONDS, this::crashWhenEmpty);
+            runInThisProcess(EndpointRegistry.POLL_INTERVAL_SECONDS, this::endWhenIdle);
         }
     }
 
-    /** Ends the process; the connections of its attempts are lost. */
+    /** Ends the process at once; the connections of all its attempts are lost. */
     void crash() {
         incarnation++;
         up = false;
@@ -239,7 +237,7 @@
         responses.resetInterrupted();
     }
 
-    /** Starts a new process, which begins with slow start. */
+    /** Starts a new process, which begins with slow start; a running process crashes first. */
     void start() {
         if (up) {
             crash();
@@ -253,31 +251,29 @@
         registry.update(this, EndpointRegistry.State.READY, slowStart.startedAt());
     }
 
-    // ---- the true state, which no dispatcher sees
-
-    /** The fraction of its capacity that the worker has at this time. */
+    /** Returns the fraction of its full capacity that the worker has at this time. */
     public double rampFraction(double at) {
         return slowStart.rampFraction(at);
     }
 
-    /** The number of attempts that are running. */
+    /** Returns the number of attempts that occupy slots, without queued ones. */
     public int runningCount() {
         return running.count();
     }
 
-    /** The number of attempts that wait for a slot. */
+    /** Returns the number of attempts that wait for free slots. */
     public int queuedCount() {
         return queue.size();
     }
 
-    /** The fraction of attempts that fail as soon as they arrive. */
+    /** Returns the fraction of attempts that fail immediately because of error bursts. */
     public double failureFraction() {
         return faults.failureFraction();
     }
 
     /**
-     * Returns when an attempt that arrived now would be completed; infinity if it would not be, as
-     * far as the faults in force show.
+     * Returns when an attempt that arrives now is expected to complete; infinity if the active
+     * faults or a full queue prevent it.
      */
     public double expectedCompletionAt(double workSeconds) {
         double now = timeline.now();
--- a/kit/src/main/java/wheelroute/kit/model/WorkerResponses.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerResponses.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What a worker sends on the connections of its attempts. While responses are lost, the attempts
- * concerned are remembered; their connections are reset once the worker can be reached again.
+ * Delivers the events that a worker sends on the connections of its attempts. Attempts whose events
+ * are lost in a fault are recorded; their connections are reset when the fault ends.
  */
 final class WorkerResponses {
     private final WorkerModel worker;
@@ -21,7 +21,7 @@
         this.listener = listener;
     }
 
-    /** Marks an attempt's connection as one on which an event was lost. */
+    /** Records that an event of an attempt was lost. */
     void markInterrupted(WorkerAttempt attempt) {
         if (!attempt.eventLost) {
             attempt.eventLost = true;
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Delivers an event, unless it or an earlier one of the attempt is lost. */
+    /** Delivers an event of an attempt, unless this or an earlier event of it is lost. */
     void deliver(WorkerAttempt attempt, Runnable event) {
         if (attempt.cancelled) {
             return;
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Resets the interrupted connections; what still runs on them continues without one. */
+    /** Resets the interrupted connections; attempts that still run continue without one. */
     void resetInterrupted() {
         List<WorkerAttempt> reset = new ArrayList<>(interrupted);
         interrupted.clear();
--- a/kit/src/test/java/wheelroute/kit/audit/AuditedRun.java
+++ b/kit/src/test/java/wheelroute/kit/audit/AuditedRun.java
@@ -17,8 +17,8 @@
 import wheelroute.kit.simulation.SimulatedTime;
 
 /**
- * An audited run of one request that has just been sent. The test acts as the dispatcher, and the
- * auditor sees what it does.
+ * An audited run of one request that has just been sent. The test acts as the dispatcher, whose
+ * attempts and responses the auditor observes.
  */
 final class AuditedRun {
     static final int DISPATCHER = 0;
@@ -26,13 +26,13 @@
     static final int WORKER_OF_SAME_ZONE = 1;
     static final int WORKER_OF_OTHER_ZONE = 2;
 
-    /** Request classes of the scenario. */
+    /** The request class of the scenario that is idempotent without a key. */
     static final String IDEMPOTENT = "free";
 
     static final String IDEMPOTENT_BY_KEY_IN_ZONE = "keyed";
     static final String NON_IDEMPOTENT = "once";
 
-    /** All attempts fail while the run's faults are in force. */
+    /** The scenario lines of an error burst that fails all attempts in the first four seconds. */
     static final String FAILING_WORKERS = "[[faults]]\nkind = \"burst\"\nat = 0\nfor = 4\n";
 
     static final double SLACK_SECONDS = 0.01;
@@ -40,40 +40,40 @@
     private static final double WORK_SECONDS = 0.05;
     private static final double RUN_SECONDS = 5;
 
-    /** The receiver of responses that no test looks at. */
+    /** A reply that ignores all events of the attempt. */
     static final WorkerAttempt.Reply NO_REPLY =
             new WorkerAttempt.Reply() {
                 @Override
                 public void onStarted() {
-                    // Not looked at.
+                    // Events of this attempt are not tested.
                 }
 
                 @Override
-                public void onProgress(double share) {
-                    // Not looked at.
+                public void onProgress(double fraction) {
+                    // Events of this attempt are not tested.
                 }
 
                 @Override
                 public void onEnded(AttemptEnding ending, double freeSlots) {
-                    // Not looked at.
+                    // Events of this attempt are not tested.
                 }
             };
 
-    /** The control of dispatchers in a run whose faults affect workers only. */
+    /** Fails the test on any fault of a dispatcher, in a run whose faults affect workers only. */
     private static final class NoDispatcherFaults implements ClusterModel.DispatcherControl {
         @Override
         public void kill(int dispatcher) {
-            throw new AssertionError("a fault of a dispatcher");
+            throw new AssertionError("unexpected fault of dispatcher " + dispatcher);
         }
 
         @Override
         public void terminate(int dispatcher) {
-            throw new AssertionError("a fault of a dispatcher");
+            throw new AssertionError("unexpected fault of dispatcher " + dispatcher);
         }
 
         @Override
         public void start(int dispatcher, FaultMode mode) {
-            throw new AssertionError("a fault of a dispatcher");
+            throw new AssertionError("unexpected fault of dispatcher " + dispatcher);
         }
     }
 
@@ -83,12 +83,12 @@
     final ClusterModel cluster;
     final ClientAttempt clientAttempt;
 
-    /** Creates a run whose request has this class. */
+    /** Creates a run of one request of this class. */
     static AuditedRun of(String requestClass) {
         return new AuditedRun(requestClass, "");
     }
 
-    /** Creates a run with additional lines in its scenario. */
+    /** Creates a run of one request of this class, with additional lines in its scenario. */
     static AuditedRun of(String requestClass, String scenarioLines) {
         return new AuditedRun(requestClass, scenarioLines);
     }
@@ -122,7 +122,7 @@
         cluster.start(new NoDispatcherFaults());
     }
 
-    /** Starts the faults of the scenario, and passes the first of them. */
+    /** Starts the faults of the scenario, and advances until those at its start are active. */
     void startFaultsAndAdvance() {
         startFaults();
         advance(0.001);
@@ -136,12 +136,12 @@
         return startAttempt(clientAttempt, worker, workSeconds);
     }
 
-    WorkerAttempt startAttemptOf(ClientAttempt of, int worker) {
-        return startAttempt(of, worker, WORK_SECONDS);
+    WorkerAttempt startAttemptOf(ClientAttempt ofClient, int worker) {
+        return startAttempt(ofClient, worker, WORK_SECONDS);
     }
 
-    private WorkerAttempt startAttempt(ClientAttempt of, int worker, double workSeconds) {
-        WorkerAttempt attempt = new WorkerAttempt(of.key(), workSeconds, 1, 0, NO_REPLY);
+    private WorkerAttempt startAttempt(ClientAttempt ofClient, int worker, double workSeconds) {
+        WorkerAttempt attempt = new WorkerAttempt(ofClient.key(), workSeconds, 1, 0, NO_REPLY);
         cluster.workers.get(worker).accept(attempt);
         return attempt;
     }
@@ -150,7 +150,7 @@
         auditor.onResponse(clientAttempt, response);
     }
 
-    /** Rejects the request, and lets its client retry after a delay. */
+    /** Rejects the request, and sends the client's retry after a delay. */
     ClientAttempt rejectAndRetryAfter(double delaySeconds) {
         respond(FinalResponse.REJECTED);
         advance(delaySeconds);
@@ -169,16 +169,16 @@
         boolean[] isOver = {false};
         time.schedule(seconds, () -> isOver[0] = true);
         while (!isOver[0] && time.step()) {
-            // Each step moves the simulated clock on.
+            // Each step advances the simulated clock.
         }
     }
 
-    /** Ends the run, and asserts that this rule was broken by the request. */
+    /** Ends the run, and asserts a breach of the rule that has the history of a request. */
     void assertBreachOfRequest(Rule rule) {
-        assertFalse(firstBreach(rule).history().isEmpty(), "a breach without its request");
+        assertFalse(firstBreach(rule).history().isEmpty(), "the breach has no request history");
     }
 
-    /** Ends the run, and asserts that this rule was broken, though by no single request. */
+    /** Ends the run, and asserts a breach of the rule that concerns no single request. */
     void assertBreachWithoutRequest(Rule rule) {
         Auditor.Breach breach = firstBreach(rule);
         assertEquals(breach.history().size(), 0, breach.toString());
@@ -193,10 +193,10 @@
                 .orElseThrow();
     }
 
-    /** Ends the run, and asserts that no request broke a rule. */
+    /** Ends the run, and asserts that no breach has the history of a request. */
     void assertNoBreach() {
         auditor.finish();
-        // Attempts of unknown requests, which only fill a worker, have no history.
+        // Breaches by attempts of unknown requests, which only fill a worker, have no history.
         assertFalse(
                 auditor.breaches().stream().anyMatch(breach -> !breach.history().isEmpty()),
                 auditor.breaches().toString());
--- a/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
@@ -13,7 +13,7 @@
 import wheelroute.kit.report.Recorder;
 import wheelroute.kit.scenario.Scenario;
 
-/** Rules that concern no single request, and the memory of an auditor. */
+/** Tests rules that concern no single request, and the removal of records. */
 public class AuditorTest {
     private static final String CRASH =
             "[[faults]]\nkind = \"crash\"\nat = 0.1\nfor = 0.1\ngroup = \"near\"\n";
@@ -37,7 +37,9 @@
         run.assertBreachWithoutRequest(Rule.NO_SLOW_START_OVERLOAD);
     }
 
-    /** A run of any length takes bounded memory, and a forgotten request is no breach. */
+    /**
+     * Records must be removed, as memory would grow without bound, and must cause no breach then.
+     */
     @Test
     public void forgetsRequestsAfterTheirDeadline() {
         AuditedRun run = AuditedRun.of(IDEMPOTENT);
@@ -60,6 +62,6 @@
         }
         run.auditor.finish();
         assertEquals(run.auditor.total(), 0, run.auditor.breaches().toString());
-        assertTrue(run.auditor.recordCount() < 10, run.auditor.recordCount() + " are kept");
+        assertTrue(run.auditor.recordCount() < 10, run.auditor.recordCount() + " records are kept");
     }
 }
--- a/kit/src/test/java/wheelroute/kit/audit/CounterHistoryTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/CounterHistoryTest.java
@@ -22,7 +22,7 @@
         assertEquals(history.max(17, 19), 19);
     }
 
-    /** The counter is at 14 then, although its oldest value that is kept is 15. */
+    /** The oldest value that is kept is 15, and the value dropped before it is 14. */
     @Test
     public void returnsLastDroppedValueBeforeRetention() {
         CounterHistory history = incrementedEverySecond(20);
--- a/kit/src/test/java/wheelroute/kit/audit/DrainingWorkerAuditTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/DrainingWorkerAuditTest.java
@@ -10,9 +10,11 @@
 import wheelroute.kit.model.EndpointRegistry;
 import wheelroute.kit.model.FinalResponse;
 
-/** No attempt at a worker that the dispatcher knows to be draining or removed. */
+/** Tests the rule against attempts at workers known to be draining or removed. */
 public class DrainingWorkerAuditTest {
-    /** More than the grace, which is as long as a request's deadline: a retry is needed. */
+    /**
+     * Exceeds the drain grace, which equals a request's deadline, so that only a retry can be sent.
+     */
     private static final double AFTER_GRACE_SECONDS = 2.1;
 
     @Test
--- a/kit/src/test/java/wheelroute/kit/audit/FinalAnswerAuditTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/FinalAnswerAuditTest.java
@@ -9,7 +9,7 @@
 import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.model.FinalResponse;
 
-/** Exactly one final answer, in time, to each request. */
+/** Tests the rule that each request gets exactly one final response in time. */
 public class FinalAnswerAuditTest {
     @Test
     public void acceptsOneAnswerInTime() {
--- a/kit/src/test/java/wheelroute/kit/audit/LateAttemptAuditTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/LateAttemptAuditTest.java
@@ -9,7 +9,7 @@
 import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.model.FinalResponse;
 
-/** No attempt at a worker after the final response, the deadline or a cancellation. */
+/** Tests the rule against attempts after the final response, the deadline or a cancellation. */
 public class LateAttemptAuditTest {
     @Test
     public void reportsAttemptAfterAnswer() {
@@ -73,7 +73,7 @@
     }
 
     @Test
-    public void excusesAttemptOfTurnInterruptedByPause() {
+    public void excusesAttemptOfRequestThatWasBeingAcceptedAtPause() {
         AuditedRun run = AuditedRun.of(NON_IDEMPOTENT);
         run.advance(0.01);
         run.auditor.onDispatcherPaused(DISPATCHER);
--- a/kit/src/test/java/wheelroute/kit/audit/MetricsAuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/MetricsAuditorTest.java
@@ -11,7 +11,7 @@
 import wheelroute.kit.model.FinalResponse;
 import wheelroute.kit.simulation.SimulatedTime;
 
-/** Metrics of a dispatcher that serves ten requests per second, right and wrong. */
+/** Tests right and wrong metrics of a dispatcher that serves ten requests per second. */
 public class MetricsAuditorTest {
     private static final int DISPATCHER = 0;
     private static final String PREDECESSOR = "predecessor";
@@ -23,7 +23,7 @@
     private SimulatedTime time;
     private MetricsAuditor auditor;
 
-    /** What a right dispatcher counts. */
+    /** The metrics of a dispatcher that counts correctly. */
     private Map<String, Long> metrics;
 
     @BeforeMethod
@@ -38,7 +38,7 @@
         boolean[] isOver = {false};
         time.schedule(seconds, () -> isOver[0] = true);
         while (!isOver[0] && time.step()) {
-            // Each step moves the simulated clock on.
+            // Each step advances the simulated clock.
         }
     }
 
@@ -60,13 +60,15 @@
     }
 
     private void assertMatch() {
-        assertTrue(auditor.checkCount() > 0, "nothing was compared");
+        assertTrue(auditor.checkCount() > 0, "no metric was compared");
         assertTrue(auditor.mismatches().isEmpty(), auditor.mismatches().toString());
     }
 
     private void assertMismatch() {
-        assertTrue(auditor.checkCount() > 0, "nothing was compared");
-        assertFalse(auditor.mismatches().isEmpty(), "no mismatch was found");
+        assertTrue(auditor.checkCount() > 0, "no metric was compared");
+        assertFalse(
+                auditor.mismatches().isEmpty(),
+                "no mismatch was found in " + auditor.checkCount() + " checks");
     }
 
     @Test
@@ -128,7 +130,7 @@
         assertMismatch();
     }
 
-    /** A cancelled request may have been completed or not. */
+    /** A cancelled request may have been completed at the dispatcher, or not. */
     @Test
     public void acceptsAnyResultOfCancelledRequests() {
         serve(50, FinalResponse.SUCCEEDED);
@@ -179,7 +181,7 @@
         assertMatch();
     }
 
-    /** A dispatcher that is paused or unreachable need not answer. */
+    /** A dispatcher that is paused or unreachable need not answer calls to its admin server. */
     @Test
     public void countsTimeoutsOfCallsExceptDuringFaults() {
         serve(10, FinalResponse.SUCCEEDED);
--- a/kit/src/test/java/wheelroute/kit/audit/RepeatedEffectAuditTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/RepeatedEffectAuditTest.java
@@ -15,7 +15,7 @@
 import wheelroute.kit.model.FinalResponse;
 import wheelroute.kit.model.WorkerAttempt;
 
-/** No request takes effect twice: rules of retries, hedged requests and rejections. */
+/** Tests the rule that no request takes effect twice, for retries, hedging and rejections. */
 public class RepeatedEffectAuditTest {
     private static final String NO_HEDGING = "[terms]\nmay_copy = false\n";
 
@@ -132,7 +132,8 @@
     }
 
     /**
-     * A rejection promises that a retry is safe, so effects count over all attempts of a client.
+     * Effects are counted over all attempts of a client, because a rejection promises that a retry
+     * is safe.
      */
     @Test
     public void reportsEffectOfRetryAfterRejectionOfStartedRequest() {
--- a/kit/src/test/java/wheelroute/kit/model/EndpointRegistryTest.java
+++ b/kit/src/test/java/wheelroute/kit/model/EndpointRegistryTest.java
@@ -9,8 +9,8 @@
 
 public class EndpointRegistryTest {
     /**
-     * An update that was delayed by a longer lag does not replace a newer one: the start takes 3 s
-     * to be listed, the second crash 1 s.
+     * An update delayed by a longer lag must not replace a newer one: the update of the start takes
+     * 3 s, and that of the second crash 1 s.
      */
     @Test
     public void ignoresUpdateThatWasOvertaken() {
--- a/kit/src/test/java/wheelroute/kit/model/SlowStartModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/model/SlowStartModelTest.java
@@ -9,7 +9,7 @@
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.scenario.ScenarioReader;
 
-/** A worker that has just started: its speed, and the work under which it collapses. */
+/** Tests the speed and the overload limit of a worker that has just started. */
 public class SlowStartModelTest {
     @Test
     public void startsAttemptsAtFractionOfSpeed() {
@@ -33,11 +33,12 @@
     @DataProvider
     public Object[][] overloads() {
         return new Object[][] {
-            // mean work of a request, work that arrives at once, whether the worker stays up:
-            // the limit is 4 times a ramp fraction of 0.2 of 2 slots in 3 s, 4.8 s
+            // The columns are the mean work of a request, the work that arrives at once, and
+            // whether the worker stays up.
+            // The limit is 4 times the capacity of 2 slots in 3 s at a ramp fraction of 0.2: 4.8 s.
             {"0", 4.7, true},
             {"0", 4.9, false},
-            // 9.6 requests, and by chance 2 sqrt(9.6) + 2 more of them
+            // The limit is 9.6 requests, and 2 sqrt(9.6) + 2 more for the variance of arrivals.
             {"0.5", 8.8, true},
             {"0.5", 9.0, false},
         };
--- a/kit/src/test/java/wheelroute/kit/model/WorkerFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/model/WorkerFaultsTest.java
@@ -2,7 +2,7 @@
 
 import org.testng.annotations.Test;
 
-/** What each fault of a worker does to the attempts that it meets. */
+/** Tests the effect of each fault of a worker on queued, running and new attempts. */
 public class WorkerFaultsTest {
     @Test
     public void stallDelaysRunningAndQueuedAttempts() {
--- a/kit/src/test/java/wheelroute/kit/model/WorkerHarness.java
+++ b/kit/src/test/java/wheelroute/kit/model/WorkerHarness.java
@@ -10,11 +10,11 @@
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.simulation.SimulatedTime;
 
-/** One worker of two slots, whose responses are recorded with the time since their request. */
+/** Runs one worker of two slots, and records its events with the time since their attempt. */
 final class WorkerHarness {
     private static final double RUN_SECONDS = 5;
 
-    /** Long enough for all attempts of a test to end. */
+    /** The time for which responses are awaited at the end of a test. */
     private static final double SETTLE_SECONDS = 3;
 
     final SimulatedTime time = new SimulatedTime();
@@ -26,7 +26,7 @@
         this("");
     }
 
-    /** Creates a worker with additional lines in its scenario. */
+    /** Creates a worker of the small scenario with additional lines. */
     WorkerHarness(String scenarioLines) {
         this(SmallScenario.scenario(scenarioLines));
     }
@@ -68,8 +68,8 @@
             }
 
             @Override
-            public void onProgress(double share) {
-                record(String.format(Locale.ROOT, "at %.2f", share));
+            public void onProgress(double fraction) {
+                record(String.format(Locale.ROOT, "at %.2f", fraction));
             }
 
             @Override
@@ -83,11 +83,11 @@
         boolean[] isOver = {false};
         time.schedule(seconds, () -> isOver[0] = true);
         while (!isOver[0] && time.step()) {
-            // Each step moves the simulated clock on.
+            // Each step advances the simulated clock.
         }
     }
 
-    /** Replaces the worker's process by a new one, which begins with slow start. */
+    /** Restarts the worker's process, which then begins with slow start. */
     void restart() {
         worker.crash();
         worker.start();
@@ -97,7 +97,7 @@
         return responses;
     }
 
-    /** Lets all attempts end, and compares all responses. */
+    /** Waits for responses, and asserts which events were recorded. */
     void assertResponses(String... expected) {
         advance(SETTLE_SECONDS);
         assertEquals(responses, List.of(expected));
--- a/kit/src/test/java/wheelroute/kit/model/WorkerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/model/WorkerModelTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Queue, slots, reports and process of a worker without faults. */
+/** Tests queue, slots, load reports and process of a worker without faults. */
 public class WorkerModelTest {
     @Test
     public void runsAttemptsInOrderOnTwoSlots() {
@@ -102,7 +102,9 @@
                 "c CONNECTION_LOST 0.00");
     }
 
-    /** A draining worker waits until every dispatcher is notified, and until it is empty. */
+    /**
+     * A draining worker runs until every dispatcher is notified and all its attempts have ended.
+     */
     @Test
     public void endsAfterDrainWhenItIsEmpty() {
         WorkerHarness harness = new WorkerHarness();
@@ -110,12 +112,14 @@
         harness.send("a", 2.8);
         worker.drain();
         harness.advance(2.5);
-        assertTrue(worker.isUp(), "it ended while an attempt was running");
+        assertTrue(worker.isUp(), "the worker ended while an attempt was running");
         harness.advance(0.5);
-        assertFalse(worker.isUp(), "it did not end though it was empty");
+        assertFalse(worker.isUp(), "the worker did not end although it had no attempts");
         assertEquals(harness.responses().get(1), "a SUCCEEDED 2.80");
         worker.start();
-        assertTrue(worker.isUp(), "it did not restart");
-        assertTrue(worker.rampFraction(harness.time.now()) < 1, "it restarted without slow start");
+        assertTrue(worker.isUp(), "the worker did not restart");
+        assertTrue(
+                worker.rampFraction(harness.time.now()) < 1,
+                "the worker restarted without slow start");
     }
 }
