--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -7,10 +7,10 @@
 import wheelroute.kit.model.AttemptEnding;
 import wheelroute.kit.model.ClientAttempt;
 import wheelroute.kit.model.EndpointRegistry;
-import wheelroute.kit.model.EventListener;
 import wheelroute.kit.model.FinalResponse;
 import wheelroute.kit.model.Timeline;
 import wheelroute.kit.model.WorkerAttempt;
+import wheelroute.kit.model.WorkerEventListener;
 import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
 
@@ -21,7 +21,7 @@
  *
  * <p>Not thread-safe: all calls come from tasks of the run's timeline.
  */
-public final class Auditor implements EventListener {
+public final class Auditor implements WorkerEventListener {
     /**
      * A breach of a rule.
      *
--- a/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClusterModel.java
@@ -87,7 +87,7 @@
             Timeline timeline,
             SeededRandom random,
             double seconds,
-            EventListener listener) {
+            WorkerEventListener listener) {
         this.scenario = scenario;
         this.timeline = timeline;
         this.random = random;
--- a/kit/src/main/java/wheelroute/kit/model/ModelContext.java
+++ b/kit/src/main/java/wheelroute/kit/model/ModelContext.java
@@ -8,4 +8,4 @@
         Scenario.PlatformTerms terms,
         SeededRandom random,
         EndpointRegistry registry,
-        EventListener listener) {}
+        WorkerEventListener listener) {}
--- a/kit/src/main/java/wheelroute/kit/model/EventListener.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerEventListener.java
@@ -1,7 +1,7 @@
 package wheelroute.kit.model;
 
 /** Observes events at workers, whether or not dispatchers learn of them. */
-public interface EventListener {
+public interface WorkerEventListener {
     /** Called when the last byte of an attempt has arrived. */
     void onArrived(WorkerAttempt attempt, WorkerModel worker);
 
--- a/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
@@ -34,7 +34,7 @@
     private final Scenario.PlatformTerms terms;
     private final SeededRandom random;
     private final EndpointRegistry registry;
-    private final EventListener listener;
+    private final WorkerEventListener listener;
     private final WorkerFaults faults = new WorkerFaults();
     private final WorkerResponses responses;
     private final SlowStartModel slowStart;
--- a/kit/src/main/java/wheelroute/kit/model/WorkerResponses.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerResponses.java
@@ -10,12 +10,12 @@
 final class WorkerResponses {
     private final WorkerModel worker;
     private final WorkerFaults faults;
-    private final EventListener listener;
+    private final WorkerEventListener listener;
 
     /** Attempts of which at least one event was lost. */
     private final List<WorkerAttempt> interrupted = new ArrayList<>();
 
-    WorkerResponses(WorkerModel worker, WorkerFaults faults, EventListener listener) {
+    WorkerResponses(WorkerModel worker, WorkerFaults faults, WorkerEventListener listener) {
         this.worker = worker;
         this.faults = faults;
         this.listener = listener;
--- a/kit/src/main/java/wheelroute/kit/report/Recorder.java
+++ b/kit/src/main/java/wheelroute/kit/report/Recorder.java
@@ -7,15 +7,15 @@
 import wheelroute.kit.model.ClientRequest;
 import wheelroute.kit.model.Clients;
 import wheelroute.kit.model.ClusterModel;
-import wheelroute.kit.model.EventListener;
 import wheelroute.kit.model.FinalResponse;
 import wheelroute.kit.model.Timeline;
 import wheelroute.kit.model.WorkerAttempt;
+import wheelroute.kit.model.WorkerEventListener;
 import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
 
 /** Passes the events of clients and workers to the tally and the auditors, on both clocks. */
-public final class Recorder implements Clients.Observer, EventListener {
+public final class Recorder implements Clients.Observer, WorkerEventListener {
     private final Tally tally;
     private final Auditor auditor;
     private final MetricsAuditor metricsAuditor;
