--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -185,7 +185,7 @@
      * killed, or both are paused. Until the fault ends any request may stay without a response,
      * because the process that has a request cannot be observed from outside.
      */
-    public void setDispatcherSplit(int dispatcher, boolean isSplit) {
+    public void setHandoverDisrupted(int dispatcher, boolean isSplit) {
         conditions.setSplit(dispatcher, isSplit);
         if (isSplit) {
             excusePending(dispatcher);
--- a/kit/src/main/java/wheelroute/kit/process/FleetMonitor.java
+++ b/kit/src/main/java/wheelroute/kit/process/FleetMonitor.java
@@ -48,7 +48,7 @@
     @Override
     public void onSplit(int dispatcher, boolean begins) {
         // Only the kernel knows which connections belong to the process concerned.
-        environment.auditor.setDispatcherSplit(dispatcher, begins);
+        environment.auditor.setHandoverDisrupted(dispatcher, begins);
         environment.transport.onConnectionsBroken(dispatcher);
         environment.metricsAuditor.suspendChecks(dispatcher);
     }
--- a/kit/src/test/java/wheelroute/kit/audit/FinalAnswerAuditTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/FinalAnswerAuditTest.java
@@ -68,8 +68,8 @@
     @Test
     public void reportsLostConnectionAfterOtherProcessHasEnded() {
         AuditedRun run = AuditedRun.of(IDEMPOTENT);
-        run.auditor.setDispatcherSplit(DISPATCHER, true);
-        run.auditor.setDispatcherSplit(DISPATCHER, false);
+        run.auditor.setHandoverDisrupted(DISPATCHER, true);
+        run.auditor.setHandoverDisrupted(DISPATCHER, false);
         ClientAttempt retry = run.rejectAndRetryAfter(0.1);
         run.auditor.onConnectionLost(retry);
         run.assertBreachOfRequest(Rule.ONE_FINAL_ANSWER);
@@ -108,9 +108,9 @@
     @Test
     public void excusesLostConnectionWhileOneOfTwoProcessesIsKilled() {
         AuditedRun run = AuditedRun.of(NON_IDEMPOTENT);
-        run.auditor.setDispatcherSplit(DISPATCHER, true);
+        run.auditor.setHandoverDisrupted(DISPATCHER, true);
         ClientAttempt retry = run.rejectAndRetryAfter(0.01);
-        run.auditor.setDispatcherSplit(DISPATCHER, false);
+        run.auditor.setHandoverDisrupted(DISPATCHER, false);
         run.auditor.onConnectionLost(retry);
         run.assertNoBreach();
     }
