--- a/kit/src/main/java/wheelroute/kit/audit/Auditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/Auditor.java
@@ -181,13 +181,13 @@
     }
 
     /**
-     * Records that a fault affects a dispatcher while it has two processes: one of them is being
+     * Records whether a fault affects a dispatcher while it has two processes: one of them is being
      * killed, or both are paused. Until the fault ends any request may stay without a response,
      * because the process that has a request cannot be observed from outside.
      */
-    public void setHandoverDisrupted(int dispatcher, boolean isSplit) {
-        conditions.setSplit(dispatcher, isSplit);
-        if (isSplit) {
+    public void setHandoverDisrupted(int dispatcher, boolean isDisrupted) {
+        conditions.setHandoverDisrupted(dispatcher, isDisrupted);
+        if (isDisrupted) {
             excusePending(dispatcher);
         }
     }
--- a/kit/src/main/java/wheelroute/kit/audit/DispatcherConditions.java
+++ b/kit/src/main/java/wheelroute/kit/audit/DispatcherConditions.java
@@ -12,7 +12,7 @@
     private final Timeline timeline;
     private final Set<Integer> stopped = new HashSet<>();
     private final Map<Integer, Double> pausedSince = new HashMap<>();
-    private final Set<Integer> split = new HashSet<>();
+    private final Set<Integer> disruptedHandovers = new HashSet<>();
     private final Set<Integer> clientsImpaired = new HashSet<>();
 
     /** When a dispatcher was notified that a worker is draining or removed, by {@link #linkKey}. */
@@ -60,8 +60,8 @@
         return pausedSince.get(dispatcher);
     }
 
-    void setSplit(int dispatcher, boolean isSplit) {
-        set(split, dispatcher, isSplit);
+    void setHandoverDisrupted(int dispatcher, boolean isDisrupted) {
+        set(disruptedHandovers, dispatcher, isDisrupted);
     }
 
     void setClientsImpaired(int dispatcher, boolean isImpaired) {
@@ -78,7 +78,7 @@
     boolean excusesRequests(int dispatcher) {
         return areClientsImpaired(dispatcher)
                 || pausedSince.containsKey(dispatcher)
-                || split.contains(dispatcher);
+                || disruptedHandovers.contains(dispatcher);
     }
 
     private static void set(Set<Integer> dispatchers, int dispatcher, boolean isMember) {
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Returns when the dispatcher was notified that a worker is draining or removed; null if it may
-     * believe the worker to be ready.
+     * Returns when the dispatcher was notified that a worker is draining or removed; null if it was
+     * not, has stopped since, or was later notified that the worker is ready.
      */
     Double drainingSince(int dispatcher, int worker) {
         return drainingSince.get(linkKey(dispatcher, worker));
--- a/kit/src/main/java/wheelroute/kit/audit/MetricsAuditor.java
+++ b/kit/src/main/java/wheelroute/kit/audit/MetricsAuditor.java
@@ -112,7 +112,7 @@
         metrics.count(metricName(response, requestClass)).observed.add(timeline.now(), 1);
     }
 
-    /** Records that a client will receive no response, as it cancelled or lost its connection. */
+    /** Records that a client gets no response, because it cancelled or its connection was lost. */
     public void onResponseLost(int dispatcher) {
         metricsOf(dispatcher).pending.add(timeline.now(), -1);
         metricsOf(dispatcher).unattributed.add(timeline.now(), 1);
--- a/kit/src/main/java/wheelroute/kit/model/AttemptEnding.java
+++ b/kit/src/main/java/wheelroute/kit/model/AttemptEnding.java
@@ -8,7 +8,7 @@
     RETURNED("returned"),
     /** The worker did not accept the attempt because its queue or memory is full. */
     REJECTED("rejected"),
-    /** The connection was lost because the process died or the machine dropped it. */
+    /** The connection was lost because the process died or the machine dropped the connection. */
     CONNECTION_LOST("connection lost");
 
     private final String label;
--- a/kit/src/main/java/wheelroute/kit/model/ClientAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/model/ClientAttempt.java
@@ -1,7 +1,7 @@
 package wheelroute.kit.model;
 
 /**
- * One attempt of a client's request, which a dispatcher sees as a request of its own.
+ * One attempt of a client's request, which a dispatcher treats as a separate request.
  *
  * @param number counted from 0 within the request; above 0 for retries by the client
  * @param dispatcher the number of the dispatcher to which the attempt is sent
--- a/kit/src/main/java/wheelroute/kit/model/WorkerEventListener.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerEventListener.java
@@ -1,6 +1,6 @@
 package wheelroute.kit.model;
 
-/** Observes events at workers, whether or not dispatchers learn of them. */
+/** Observes events at workers, including those of which no dispatcher is notified. */
 public interface WorkerEventListener {
     /** Called when the last byte of an attempt has arrived. */
     void onArrived(WorkerAttempt attempt, WorkerModel worker);
--- a/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
+++ b/kit/src/test/java/wheelroute/kit/audit/AuditorTest.java
@@ -41,7 +41,7 @@
      * Records must be removed, as memory would grow without bound, and must cause no breach then.
      */
     @Test
-    public void forgetsRequestsAfterTheirDeadline() {
+    public void removesRecordsAfterTheirDeadline() {
         AuditedRun run = AuditedRun.of(IDEMPOTENT);
         run.respond(FinalResponse.REJECTED);
         Recorder recorder = new Recorder(run.scenario, run.time, 5, run.auditor);
