--- a/kit/src/main/java/wheelroute/kit/process/FleetMonitor.java
+++ b/kit/src/main/java/wheelroute/kit/process/FleetMonitor.java
@@ -55,7 +55,7 @@
     @Override
     public void onPartialOutage(int dispatcher, boolean begins) {
         // Marks all connections, because only the kernel knows which of them belong to the process.
-        environment.auditor.setDispatcherSplit(dispatcher, begins);
+        environment.auditor.setHandoverDisrupted(dispatcher, begins);
         environment.transport.onConnectionsBroken(dispatcher);
         environment.metricsAuditor.suspendChecks(dispatcher);
     }
