--- a/daemon/src/main/java/wheelroute/config/ConfigReader.java
+++ b/daemon/src/main/java/wheelroute/config/ConfigReader.java
@@ -132,9 +132,7 @@
             if (name.isEmpty() || !names.add(name)) {
                 throw new ConfigException(
                         ConfigKeys.SETTINGS_PREFIX + prefix + ConfigKeys.CLASS_NAME,
-                        name.isEmpty()
-                                ? "is missing"
-                                : "names more than one request class: " + name);
+                        name.isEmpty() ? "is missing" : "is another request class's too: " + name);
             }
             double deadline =
                     positiveSeconds(
