--- a/kit/src/main/java/wheelroute/kit/scenario/DaemonConfigFile.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/DaemonConfigFile.java
@@ -12,9 +12,9 @@
 /**
  * The configuration file of a dispatcher's process, as JSON.
  *
- * @param limits of its memory and open sockets
+ * @param limits of the process's memory and open sockets
  * @param settingsByPath see {@link DaemonSettings}
- * @param peers addresses of the other dispatchers; empty for no peering
+ * @param peers addresses of the other dispatchers; if empty, the process joins no cluster
  */
 public record DaemonConfigFile(
         String name,
@@ -24,7 +24,7 @@
         List<String> peers) {
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Returns the content of the file. */
+    /** Returns the content of the file as JSON text. */
     public String text() {
         StringWriter out = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(out)) {
@@ -39,7 +39,8 @@
             write(json, tree(settingsByPath));
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot write to a string", e);
+            throw new UncheckedIOException(
+                    "failed to write the configuration of " + name + " as JSON", e);
         }
         return out.toString();
     }
@@ -63,7 +64,11 @@
         json.writeEndObject();
     }
 
-    /** A table of settings whose values are texts or further tables. */
+    /**
+     * A node of the settings tree: a table of named children, or a leaf with a value.
+     *
+     * @param value null for a table
+     */
     private record Node(Map<String, Node> children, String value) {
         static Node table() {
             return new Node(new TreeMap<>(), null);
@@ -79,7 +84,7 @@
         Node root = Node.table();
         settingsByPath.forEach(
                 (path, value) -> {
-                    // The dispatcher's reader counts the items of a list itself.
+                    // The dispatcher's JSON reader adds the number of items of each list.
                     if (!path.endsWith(".count")) {
                         put(root, path, value);
                     }
@@ -96,7 +101,7 @@
         table.children().put(keys[keys.length - 1], new Node(Map.of(), value));
     }
 
-    /** Writes a table whose keys are all numbers as a list. */
+    /** Writes a node. A table whose keys are all numbers becomes a JSON array. */
     private static void write(JsonGenerator json, Node node) throws IOException {
         if (node.value() != null) {
             json.writeString(node.value());
--- a/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
@@ -9,15 +9,16 @@
 import wheelroute.decision.Settings;
 
 /**
- * Dispatcher settings of a scenario, by path in the dispatcher's own configuration. Simulated
- * dispatchers and dispatcher processes both get them from here.
+ * Derives dispatcher settings from a scenario, keyed by their paths in the dispatcher's own
+ * configuration. Simulated dispatchers and dispatcher processes both use these settings.
  */
 public final class DaemonSettings {
     private DaemonSettings() {}
 
     /**
-     * Returns the settings that all dispatchers share. Those of the variant precede the scenario's
-     * overrides, and these what is derived from the rest of the scenario.
+     * Returns the settings that all dispatchers share. The variant's settings take precedence over
+     * the scenario's overrides, which take precedence over the settings that are derived from the
+     * rest of the scenario.
      */
     public static Map<String, String> settingsByPath(
             Scenario scenario, Map<String, String> variant) {
@@ -50,7 +51,10 @@
         }
     }
 
-    /** A dispatcher has one set of slow-start rules: those of the first group that has any. */
+    /**
+     * Writes the slow-start rules of the first group that has any, as a dispatcher has one set of
+     * rules for all groups.
+     */
     private static void writeSlowStart(WireSettingsWriter settings, Scenario scenario) {
         Scenario.WorkerGroup group =
                 scenario.groups().stream()
@@ -77,7 +81,10 @@
                 false);
     }
 
-    /** Returns the settings of one dispatcher: the shared ones, its zone and its position. */
+    /**
+     * Returns the settings of one dispatcher: the shared settings, its own zone and its position. A
+     * position among the shared settings is kept.
+     */
     public static Map<String, String> settingsOfDispatcher(
             Scenario scenario, int dispatcher, Map<String, String> shared) {
         Map<String, String> own = new LinkedHashMap<>(shared);
@@ -86,11 +93,16 @@
         return own;
     }
 
-    /** Returns the settings as the dispatcher's own reader reads them, for a simulated one. */
+    /**
+     * Returns the settings of a simulated dispatcher, parsed by the configuration reader of the
+     * dispatcher's process.
+     *
+     * @throws ConfigException if a setting is invalid
+     */
     public static Settings settings(long seed, Map<String, String> settingsByPath)
             throws ConfigException {
         Map<String, String> all = new LinkedHashMap<>(settingsByPath);
-        // As in the dispatcher's process, which always calls discovery for the endpoint list.
+        // Matches a dispatcher's process, which always gets the endpoint list from discovery.
         all.put("membership_mode", "ask");
         return SettingsReader.read(seed, all);
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/FaultKind.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultKind.java
@@ -2,59 +2,73 @@
 
 import java.util.List;
 
-/** What can fail. The order of the constants is part of what a seed draws. */
+/**
+ * The kinds of faults that a scenario injects. Reordering the constants changes which random faults
+ * a seed yields.
+ */
 public enum FaultKind implements KeyedConstant {
-    /** Attempts fail as soon as they arrive; the level is their fraction. */
+    /** Attempts fail as soon as they arrive; the level is the fraction that fails. */
     ERROR_BURST("burst", 1, 0, 1),
     /** Workers make no progress until the fault ends. */
     STALL("stall"),
-    /** Workers run at their speed times the level. */
+    /** Workers run at their configured speed multiplied by the level. */
     SLOWDOWN("slow", 0.3, 0.001, 1),
-    /** Workers run attempts, but send nothing. */
+    /** Workers execute attempts, but send nothing. */
     UNRESPONSIVE("silence"),
-    /** Nothing reaches the workers or comes from them; they run what they have. */
+    /** No message reaches or leaves the workers, which continue the attempts that they have. */
     PARTITION("vanish"),
-    /** Workers' processes crash, and restart with slow start at the end. */
+    /** Worker processes crash, and restart with slow start when the fault ends. */
     CRASH("crash"),
-    /** Workers drain, end once they are empty, and restart with slow start at the end. */
+    /**
+     * Workers drain, exit once they have no attempts left, and restart with slow start when the
+     * fault ends.
+     */
     DRAIN("drain"),
-    /** All targets drain and restart in batches; the level is the number of workers in a batch. */
+    /** All targets drain and restart in batches; the level is the batch size in workers. */
     ROLLING_DEPLOY("deploy", 1, 1, 1000),
-    /** Load reports are older by the level, in seconds. */
+    /** The age of load reports is increased by the level, in seconds. */
     LOAD_REPORT_DELAY("late-reports", 1, 0, 60),
     /** Calls to discovery fail. */
     DISCOVERY_DOWN("list-down"),
-    /** Changes of the endpoint list are later by the level, in seconds. */
+    /** The lag of the endpoint list is increased by the level, in seconds. */
     DISCOVERY_DELAY("list-late", 1, 0, 60),
-    /** Dispatchers are killed, and restart at the end. */
+    /** Dispatchers are killed, and restart when the fault ends. */
     DISPATCHER_KILL("dispatcher-kill"),
-    /** Dispatchers shut down gracefully, and restart at the end. */
+    /** Dispatchers shut down gracefully, and restart when the fault ends. */
     DISPATCHER_RESTART("dispatcher-restart"),
-    /** Dispatchers' processes are paused, as by SIGSTOP, and resumed at the end. */
+    /** Dispatcher processes are paused, as by SIGSTOP, and resumed when the fault ends. */
     DISPATCHER_PAUSE("dispatcher-pause"),
     /** Messages between dispatchers and the workers are held back in both directions. */
     LINK_CUT("link-cut"),
     /** Connections are reset and new ones are refused. */
     LINK_REFUSE("link-refuse"),
-    /** Messages to the workers arrive, those from them are held back. */
+    /** Messages to the workers arrive, but messages from the workers are held back. */
     LINK_INBOUND_CUT("link-one-way"),
-    /** Messages are later by the level in each direction, in seconds. */
+    /** Messages are delayed in each direction by the level, in seconds. */
     LINK_DELAY("link-slow", 0.1, 0, 60),
     /** Messages between dispatchers and discovery are held back. */
     DISCOVERY_LINK_CUT("list-cut"),
-    /** Messages from the workers arrive, those to them are held back. */
+    /** Messages from the workers arrive, but messages to the workers are held back. */
     LINK_OUTBOUND_CUT("link-unheard"),
-    /** The level's fraction of messages arrives only when retransmitted; datagrams are lost. */
+    /**
+     * The level is the fraction of messages that arrive only when retransmitted, and of datagrams
+     * that are lost.
+     */
     LINK_LOSS("link-loss", 0.2, 0, 1),
     /** The level is the bandwidth of each direction in bytes per second. */
     LINK_BANDWIDTH("link-trickle", 2000, 100, 1e9),
-    /** The level's fraction of datagrams between peers arrives twice. */
+    /** The level is the fraction of datagrams between peers that arrive twice. */
     LINK_DUPLICATION("link-double", 0.2, 0, 1),
-    /** Dispatchers' processes get the level's fraction of a core. */
+    /** Dispatcher processes are limited to the level's fraction of a CPU core. */
     DISPATCHER_CPU_LIMIT("dispatcher-starve", 0.3, 0.05, 1),
-    /** Dispatchers' processes are replaced by a successor, which must be ready by the end. */
+    /**
+     * Each dispatcher process is replaced by a successor, which must be ready when the fault ends.
+     */
     DISPATCHER_REPLACE("dispatcher-replace"),
-    /** Connections that never complete a request; the level is their rate per second. */
+    /**
+     * Connections are opened that never complete a request; the level is the number of connections
+     * opened per second.
+     */
     IDLE_CONNECTION_FLOOD("crowd", 100, 1, 10_000);
 
     private final String key;
@@ -62,7 +76,7 @@
     private final double minLevel;
     private final double maxLevel;
 
-    /** Creates a kind whose level has no meaning. */
+    /** Creates a kind that ignores the level of a fault. */
     FaultKind(String key) {
         this(key, 1, 0, 1000);
     }
@@ -91,7 +105,7 @@
         return maxLevel;
     }
 
-    /** Whether the targets are dispatchers, or links of dispatchers. */
+    /** Whether faults of this kind target dispatchers or links of dispatchers. */
     public boolean affectsDispatchers() {
         return switch (this) {
             case DISPATCHER_KILL,
@@ -105,7 +119,7 @@
         };
     }
 
-    /** Whether links between processes are affected. */
+    /** Whether faults of this kind affect links between processes. */
     public boolean affectsLinks() {
         return switch (this) {
             case LINK_CUT,
@@ -122,7 +136,10 @@
         };
     }
 
-    /** Whether the simulation cannot inject it: it has no bytes, CPU time or second process. */
+    /**
+     * Whether faults of this kind can be injected only into real processes, because the simulation
+     * models neither bytes on a connection nor CPU time nor a second process.
+     */
     public boolean needsProcesses() {
         return switch (this) {
             case LINK_BANDWIDTH,
@@ -135,7 +152,7 @@
         };
     }
 
-    /** Returns the modes that the kind may have, the default first. */
+    /** Returns the modes that a fault of this kind may have, the default first. */
     public List<FaultMode> allowedModes() {
         return switch (this) {
             case DISPATCHER_KILL, DISPATCHER_RESTART ->
--- a/kit/src/main/java/wheelroute/kit/scenario/FaultMode.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultMode.java
@@ -1,18 +1,18 @@
 package wheelroute.kit.scenario;
 
-/** How a dispatcher's process is started or replaced. */
+/** How a dispatcher's process is restarted or replaced. */
 public enum FaultMode implements KeyedConstant {
-    /** With the same build and settings. */
+    /** The new process has the same build and settings. */
     USUAL("usual"),
-    /** With other settings: see {@link Scenario#changedSettings}. */
+    /** The new process has other settings; see {@link Scenario#changedSettings}. */
     CHANGED_SETTINGS("changed"),
-    /** With the jar of an older build. */
+    /** The new process runs the jar of an older build. */
     OLDER_BUILD("older"),
     /** The successor is killed before it has taken over. */
     SUCCESSOR_KILLED("new-killed"),
     /** The predecessor is killed while both processes run. */
     PREDECESSOR_KILLED("old-killed"),
-    /** Both processes are paused for a second while both run. */
+    /** Predecessor and successor are paused for one second while both run. */
     BOTH_PAUSED("both-stopped");
 
     private final String key;
--- a/kit/src/main/java/wheelroute/kit/scenario/FaultReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultReader.java
@@ -12,29 +12,29 @@
     private final double cycleSeconds;
     private final List<Scenario.WorkerGroup> groups;
     private final List<String> dispatcherZones;
-    private final boolean isSimulated;
+    private final boolean allowsVirtualClock;
 
     /**
      * Creates a reader of the faults of one scenario.
      *
-     * @param isSimulated whether the scenario can run on the virtual clock
+     * @param allowsVirtualClock whether the scenario can run on the virtual clock
      */
     FaultReader(
             double cycleSeconds,
             List<Scenario.WorkerGroup> groups,
             List<String> dispatcherZones,
-            boolean isSimulated) {
+            boolean allowsVirtualClock) {
         this.cycleSeconds = cycleSeconds;
         this.groups = groups;
         this.dispatcherZones = dispatcherZones;
-        this.isSimulated = isSimulated;
+        this.allowsVirtualClock = allowsVirtualClock;
     }
 
     Scenario.Fault fault(TomlFields fields) {
         FaultKind kind = ScenarioFields.constant(fields, "kind", null, FaultKind.class);
         String group = fields.text("group", "");
         if (!group.isEmpty() && groups.stream().noneMatch(each -> each.name().equals(group))) {
-            fields.addFault("group", "names no group of workers: " + group);
+            fields.addFault("group", "is not the name of a worker group: " + group);
         }
         Scenario.Fault fault = fault(fields, kind, group);
         checkTimes(fields, fault);
@@ -64,10 +64,18 @@
 
     private void checkTimes(TomlFields fields, Scenario.Fault fault) {
         if (fault.endSeconds() > cycleSeconds) {
-            fields.addFault("for", "goes on past the end of the cycle, " + cycleSeconds + " s");
+            fields.addFault(
+                    "for",
+                    "makes the fault end at "
+                            + fault.endSeconds()
+                            + " s, after the end of the cycle at "
+                            + cycleSeconds
+                            + " s");
         }
         if (fault.startSpreadSeconds() > 0 && !fault.kind().affectsDispatchers()) {
-            fields.addFault("within", "is for faults of dispatchers only");
+            fields.addFault(
+                    "within",
+                    "is allowed only for faults of dispatchers, not for " + fault.kind().key());
         }
     }
 
@@ -75,24 +83,26 @@
         FaultKind kind = fault.kind();
         if (fields.contains("to")
                 && (!kind.affectsLinks() || kind == FaultKind.DISCOVERY_LINK_CUT)) {
-            fields.addFault("to", "is for links only");
+            fields.addFault("to", "is allowed only for faults of links, not for " + kind.key());
         }
         if (kind == FaultKind.LINK_DUPLICATION && fault.linkKind() != LinkKind.PEERS) {
-            fields.addFault("kind", "is for links to peers only: to must be \"peers\"");
+            fields.addFault("kind", "requires to = \"peers\", got " + fault.linkKind().key());
         }
     }
 
     private void checkTargets(TomlFields fields, Scenario.Fault fault) {
         if (!fault.workerZone().isEmpty() && groups.stream().noneMatch(fault::affects)) {
-            fields.addFault("zone", "names no zone of those workers: " + fault.workerZone());
+            fields.addFault("zone", "is not a zone of the selected workers: " + fault.workerZone());
         }
         if (fault.dispatcherZone().isEmpty()) {
             return;
         }
         if (!fault.kind().affectsDispatchers()) {
-            fields.addFault("from", "is for faults of dispatchers only");
+            fields.addFault(
+                    "from",
+                    "is allowed only for faults of dispatchers, not for " + fault.kind().key());
         } else if (!dispatcherZones.contains(fault.dispatcherZone())) {
-            fields.addFault("from", "is none of run.zones: " + fault.dispatcherZone());
+            fields.addFault("from", "is not one of run.zones: " + fault.dispatcherZone());
         }
     }
 
@@ -100,15 +110,16 @@
         FaultKind kind = fault.kind();
         if (!kind.allowedModes().contains(fault.mode())) {
             fields.addFault(
-                    "how", "is not available for " + kind.key() + ": " + fault.mode().key());
+                    "how", "is not supported for " + kind.key() + ": " + fault.mode().key());
         }
-        if (kind.needsProcesses() && isSimulated) {
-            fields.addFault("kind", "needs processes: run.clocks must be [\"real\"]");
+        if (kind.needsProcesses() && allowsVirtualClock) {
+            fields.addFault(
+                    "kind", "cannot be simulated, so run.clocks must be [\"real\"]: " + kind.key());
         }
     }
 
     Scenario.RandomFaults randomFaults(TomlFields fields) {
-        List<FaultKind> allowed = FaultScheduleGenerator.kinds(!isSimulated);
+        List<FaultKind> allowed = FaultScheduleGenerator.eligibleKinds(!allowsVirtualClock);
         List<String> allowedKeys = allowed.stream().map(FaultKind::key).toList();
         List<String> keys = fields.textList("kinds", allowedKeys, allowedKeys);
         double minSeconds = FaultScheduleGenerator.MIN_DURATION_SECONDS;
--- a/kit/src/main/java/wheelroute/kit/scenario/FaultScheduleGenerator.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultScheduleGenerator.java
@@ -11,46 +11,52 @@
 
 /**
  * Draws the random faults of a scenario. Kinds, times and targets depend on the seed alone, so a
- * schedule that fails can be run again and written as a scenario file.
+ * schedule under which a run fails can be reproduced, and saved as a scenario file.
  */
 public final class FaultScheduleGenerator {
     static final double MIN_DURATION_SECONDS = 0.1;
 
-    /** Time without faults at the start and at the end of a cycle. */
-    private static final double QUIET_SECONDS = 0.5;
+    /** Time without random faults at the start and at the end of each cycle. */
+    private static final double FAULT_FREE_SECONDS = 0.5;
 
     /** Times and levels are rounded to two decimals, which keeps written scenarios legible. */
     private static final double ROUNDING_STEPS = 100;
 
-    /** Each random fault has its own pick: removing one does not change the others' targets. */
+    /**
+     * Pick of the first random fault. Each random fault has its own pick, so that removing one
+     * fault does not change the targets of the others.
+     */
     private static final int FIRST_RANDOM_PICK = 100;
 
     private static final double MIN_TARGET_FRACTION = 0.01;
     private static final double MAX_TARGET_FRACTION = 0.6;
     private static final double MAX_DELAY_SPREAD_SECONDS = 0.1;
 
-    /** Kinds that are useful only as part of a plan. */
-    private static final Set<FaultKind> NEVER_RANDOM =
+    /** Kinds that are never drawn, as they are useful only as part of a planned schedule. */
+    private static final Set<FaultKind> EXCLUDED_KINDS =
             EnumSet.of(
                     FaultKind.ROLLING_DEPLOY,
                     FaultKind.LOAD_REPORT_DELAY,
                     FaultKind.LINK_DUPLICATION);
 
-    /** Links to peers are left out, as few scenarios have any. */
+    /** Links that random faults affect; without links to peers, as few scenarios have peers. */
     private static final List<LinkKind> RANDOM_LINKS =
             List.of(LinkKind.WORKERS, LinkKind.DISCOVERY, LinkKind.CLIENTS);
 
     private FaultScheduleGenerator() {}
 
-    /** Returns the kinds that may be drawn. */
-    static List<FaultKind> kinds(boolean hasProcesses) {
+    /** Returns the kinds that may be drawn, given whether the run has real processes. */
+    static List<FaultKind> eligibleKinds(boolean hasProcesses) {
         return Arrays.stream(FaultKind.values())
                 .filter(kind -> hasProcesses || !kind.needsProcesses())
-                .filter(kind -> !NEVER_RANDOM.contains(kind))
+                .filter(kind -> !EXCLUDED_KINDS.contains(kind))
                 .toList();
     }
 
-    /** Returns the scenario with the faults that this seed draws in addition to its own. */
+    /**
+     * Returns the scenario with its own faults and the faults that the seed draws. A scenario
+     * without random faults is returned unchanged.
+     */
     public static Scenario withRandomFaults(Scenario scenario, long seed) {
         if (scenario.randomFaults().countPerCycle() == 0) {
             return scenario;
@@ -67,14 +73,14 @@
         return scenario.withFaults(all);
     }
 
-    /** The order of the draws is part of what a seed means. */
+    /** Draws a fault. Reordering the draws changes which faults a seed yields. */
     private static Scenario.Fault randomFault(
             Scenario scenario, SplittableRandom random, int pick) {
         FaultKind kind = randomItem(scenario.randomFaults().kinds(), random);
         double maxSeconds =
                 Math.min(
                         scenario.randomFaults().maxDurationSeconds(),
-                        scenario.cycleSeconds() - 2 * QUIET_SECONDS);
+                        scenario.cycleSeconds() - 2 * FAULT_FREE_SECONDS);
         double durationSeconds = randomDuration(maxSeconds, random);
         double startSpreadSeconds = randomStartSpread(kind, maxSeconds - durationSeconds, random);
         double startSeconds =
@@ -106,7 +112,10 @@
                 MIN_DURATION_SECONDS + (maxSeconds - MIN_DURATION_SECONDS) * random.nextDouble());
     }
 
-    /** Half of the faults of dispatchers affect all targets at once. */
+    /**
+     * Draws the longest delay of the start at a target, in seconds. Half of the faults of
+     * dispatchers, and all other faults, have no delay and affect all their targets at once.
+     */
     private static double randomStartSpread(
             FaultKind kind, double maxSeconds, SplittableRandom random) {
         return kind.affectsDispatchers() && random.nextBoolean()
@@ -119,11 +128,12 @@
             double durationSeconds,
             double startSpreadSeconds,
             SplittableRandom random) {
-        double latest = cycleSeconds - 2 * QUIET_SECONDS - durationSeconds - startSpreadSeconds;
-        return round(QUIET_SECONDS + random.nextDouble() * Math.max(0, latest));
+        double latest =
+                cycleSeconds - 2 * FAULT_FREE_SECONDS - durationSeconds - startSpreadSeconds;
+        return round(FAULT_FREE_SECONDS + random.nextDouble() * Math.max(0, latest));
     }
 
-    /** Returns the name of a worker group; empty for all groups. */
+    /** Returns the name of a random worker group, or an empty name for all groups. */
     private static String randomGroup(Scenario scenario, FaultKind kind, SplittableRandom random) {
         boolean isOneGroup =
                 !kind.affectsDispatchers() || (kind.affectsLinks() && random.nextBoolean());
--- a/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
@@ -1,8 +1,8 @@
 package wheelroute.kit.scenario;
 
-/** The names of a report's figures, of which scenarios may expect bounds. */
+/** Names of the figures in a run's report, for which scenarios may set bounds. */
 public final class FigureNames {
-    /** Value earned over value requested, from 0 to 1. */
+    /** Value earned divided by value requested, from 0 to 1. */
     public static final String SERVICE = "service";
 
     public static final String IN_TIME = "in_time";
@@ -11,32 +11,34 @@
     public static final String UNANSWERED = "unanswered";
     public static final String BREACHES = "breaches";
 
-    /** Attempts over requests. */
+    /** Number of attempts divided by number of requests. */
     public static final String ATTEMPTS = "launches_per_submission";
 
     public static final String P50 = "p50";
     public static final String P99 = "p99";
     public static final String P999 = "p999";
 
-    /** The most calls to discovery within one second, by all dispatchers. */
+    /** The highest number of calls by all dispatchers to discovery within one second. */
     public static final String MAX_DISCOVERY_CALLS = "list_calls_most";
 
-    /** The fraction of dispatchers' metrics that were wrong or missing. */
+    /** The fraction of the dispatchers' metrics that were wrong or missing. */
     public static final String MISMATCHED_METRICS = "figures_untrue";
 
     /** The fraction of calls to admin servers that timed out. */
     public static final String ADMIN_CALL_TIMEOUTS = "doors_late";
 
-    /** Replacements of dispatchers' processes that were not complete in time. */
+    /** The number of replacements of dispatcher processes that were not complete in time. */
     public static final String FAILED_REPLACEMENTS = "not_replaced";
 
-    /** Dispatchers whose list of alive members is wrong at the end of the requests. */
+    /** The number of dispatchers with a wrong list of alive members when the requests end. */
     public static final String PEERS_NOT_CONVERGED = "peers_wrong";
 
-    /** The service of one request class or tenant: the name follows. */
+    /** Prefix of the service of one request class; the name of the class follows. */
     public static final String REQUEST_CLASS = "offering:";
 
+    /** Prefix of the service of one tenant; the name of the tenant follows. */
     public static final String TENANT = "tenant:";
+
     static final String KNOWN =
             String.join(
                     ", ",
--- a/kit/src/main/java/wheelroute/kit/scenario/KeyedConstant.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/KeyedConstant.java
@@ -1,7 +1,7 @@
 package wheelroute.kit.scenario;
 
-/** An enum constant with a key of its own in scenario files and reports. */
+/** An enum constant that scenario files and reports denote by a key instead of its name. */
 public interface KeyedConstant {
-    /** Returns the constant's key, which never changes. */
+    /** Returns the constant's key, which must not change, as scenario files and reports use it. */
     String key();
 }
--- a/kit/src/main/java/wheelroute/kit/scenario/LinkKind.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/LinkKind.java
@@ -1,11 +1,11 @@
 package wheelroute.kit.scenario;
 
-/** Which of a dispatcher's links a fault affects. */
+/** The remote side of the dispatchers' links that a fault affects. */
 public enum LinkKind implements KeyedConstant {
     WORKERS("workers"),
     DISCOVERY("list"),
     CLIENTS("clients"),
-    /** The other dispatchers; the targets of one fault keep their links to each other. */
+    /** The other dispatchers. Links between two targets of the same fault are not affected. */
     PEERS("peers");
 
     private final String key;
--- a/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
@@ -6,15 +6,18 @@
 import wheelroute.decision.IdempotencyScope;
 
 /**
- * What a run consists of, and what must hold at its end. Work is in seconds on a worker of speed 1.
+ * The processes, load and faults of a run, and the expectations that must hold at its end. Work is
+ * measured in seconds on a worker of speed 1.
  *
- * @param durationSeconds how long requests arrive, unless the command line says otherwise
+ * @param durationSeconds how long requests arrive, unless the command line overrides it
  * @param cycleSeconds the period after which load and faults repeat
- * @param clocks the labels of the clocks on which it can run
- * @param zones assigned to the dispatchers in turn; if empty, all are in the first group's zone
- * @param peersEnabled whether dispatchers are peers of each other; real clock only
- * @param randomFaults faults that are drawn from the seed in addition
- * @param settingOverrides dispatcher settings by path, which precede those derived from the rest
+ * @param clocks labels of the clocks on which the scenario can run
+ * @param zones zones assigned to the dispatchers in turn; if empty, all dispatchers are in the
+ *     first group's zone
+ * @param peersEnabled whether the dispatchers are peers of each other; only on the real clock
+ * @param randomFaults faults that are drawn from the seed in addition to {@code faults}
+ * @param settingOverrides dispatcher settings by path, which take precedence over those derived
+ *     from the rest of the scenario
  * @param changedSettings settings of processes that start with {@link FaultMode#CHANGED_SETTINGS}
  */
 public record Scenario(
@@ -39,19 +42,20 @@
         List<Expectation> expectations,
         Map<String, String> settingOverrides,
         Map<String, String> changedSettings) {
-    /** Less work than this would be lost among the steps of the simulated network. */
+    /** Minimum work of a request; less would be lost in the time steps of the simulated network. */
     public static final double MIN_WORK_SECONDS = 1e-6;
 
     /**
      * A group of identical workers.
      *
-     * @param queueCapacity the attempts that may wait at a worker before it rejects more
-     * @param memoryCapacity in the unit of the request classes' memory; infinite for no limit
-     * @param slowStartFraction the fraction of its capacity that a worker has at its start
+     * @param queueCapacity the number of attempts that may wait at a worker before it rejects more
+     * @param memoryCapacity memory of a worker in the unit of the request classes' memory; infinite
+     *     for no limit
+     * @param slowStartFraction the fraction of its full capacity that a worker has when it starts
      * @param overloadMultiple a worker in slow start collapses when this multiple of its capacity
      *     arrives within the overload window
-     * @param overloadMeanWorkSeconds the mean work of the requests for whose random arrival the
-     *     limit is raised, from N to N + 2 sqrt(N) + 2 of them; 0 for none
+     * @param overloadMeanWorkSeconds mean work of a request, used to allow for random arrivals: an
+     *     overload limit of N such requests is raised to N + 2 sqrt(N) + 2; 0 for no allowance
      */
     public record WorkerGroup(
             String name,
@@ -71,10 +75,10 @@
     /**
      * A request class.
      *
-     * @param share of the requests, in proportion to the other classes' shares
-     * @param workSpread standard deviation of the work's logarithm; 0 for constant work
-     * @param estimateError standard deviation of the cost estimate's logarithm; negative for
-     *     requests without an estimate
+     * @param share the class's share of the requests, relative to the other classes' shares
+     * @param workSpread standard deviation of the logarithm of the work; 0 for constant work
+     * @param estimateError standard deviation of the logarithm of the ratio of the cost estimate to
+     *     the work; negative for requests without an estimate
      * @param deadlineSeconds how long a client waits for the response
      */
     public record RequestClass(
@@ -94,25 +98,31 @@
             int slots,
             double memory) {}
 
-    /** A tenant; its quota is in requests per second, 0 for none. */
+    /**
+     * A tenant.
+     *
+     * @param share the tenant's share of the requests, relative to the other tenants' shares
+     * @param quota in requests per second; 0 for no quota
+     */
     public record Tenant(String name, double share, double quota) {
         public static final Tenant NONE = new Tenant("", 1, 0);
     }
 
-    /** A point of the load, which is linear in between. */
+    /** A point of the load curve, which is linear between its points. */
     public record LoadPoint(double atSeconds, double requestsPerSecond) {}
 
     /**
      * The behavior of clients.
      *
-     * @param maxRetries attempts of a request after the first
-     * @param retryDelaySeconds delay before a retry; up to twice that at random, more where the
-     *     response advises it
-     * @param minTimeoutSeconds a request is not retried with less time than this left
+     * @param maxRetries the maximum number of attempts of a request after the first
+     * @param retryDelaySeconds minimum delay before a retry; the actual delay is random up to twice
+     *     this value, and longer where the response advises it
+     * @param minTimeoutSeconds a request is not retried if less time than this would be left
      * @param cancelFraction the fraction of requests that the client cancels before their deadline
      * @param newConnectionFraction the fraction of attempts sent on a new connection; real clock
      *     only
-     * @param writePauseSeconds such an attempt is written in two parts with at most this pause
+     * @param writePauseSeconds the longest pause between the two parts in which an attempt on a new
+     *     connection is written
      */
     public record Clients(
             int maxRetries,
@@ -122,19 +132,20 @@
             double newConnectionFraction,
             double writePauseSeconds) {}
 
-    /** The limits of a dispatcher's process. */
+    /** Resource limits of a dispatcher's process. */
     public record Limits(int memoryMb, int sockets) {}
 
-    /** The delay of a message in one direction, random from delay to delay + jitter. */
+    /** The delay of a message in one direction, random from the delay to the delay plus jitter. */
     public record Network(double delaySeconds, double jitterSeconds) {}
 
     /**
-     * What the platform reports and allows.
+     * The information that the platform reports, and the operations that it permits.
      *
-     * @param endpointListLagSeconds from a change at a worker to its entry in the endpoint list
+     * @param endpointListLagSeconds time from a change at a worker to the change of the endpoint
+     *     list
      * @param loadReportLagSeconds the age of a load report when it is sent; negative for no reports
      * @param drainGraceSeconds how long attempts may still arrive at a worker after the dispatcher
-     *     is notified that it is draining or removed
+     *     is notified that the worker is draining or removed
      */
     public record PlatformTerms(
             boolean reportsStart,
@@ -154,18 +165,18 @@
     /**
      * A fault.
      *
-     * @param startSeconds from the start of each cycle
-     * @param group the worker group whose members it may affect; empty for all
-     * @param targetFraction the fraction of possible targets that it affects, drawn at random
-     * @param pick selects the draw of the targets: faults with the same pick affect the same ones
-     *     first, so the targets of one can contain those of another
-     * @param startSpreadSeconds each target is affected at a random time, later by at most this
-     * @param linkKind which links of the targets it affects
-     * @param workerZone the zone of the workers that it may affect; empty for all
-     * @param dispatcherZone the zone of the dispatchers that it may affect; empty for all
-     * @param delaySpreadSeconds random addition to the delay of a link, at most this
+     * @param startSeconds time from the start of each cycle
+     * @param group the worker group whose members may be affected; empty for all groups
+     * @param targetFraction the fraction of possible targets that are affected, drawn at random
+     * @param pick selects the draw of the targets; faults with the same pick affect the same
+     *     targets first, so that the targets of one fault can contain those of another
+     * @param startSpreadSeconds the longest random delay of the start at a target
+     * @param linkKind which links of the targets are affected
+     * @param workerZone the zone of the workers that may be affected; empty for all zones
+     * @param dispatcherZone the zone of the dispatchers that may be affected; empty for all zones
+     * @param delaySpreadSeconds the largest random addition to the delay of a link
      * @param peerFraction the fraction of the other dispatchers, in order of number, whose links to
-     *     a target it affects
+     *     a target are affected
      */
     public record Fault(
             FaultKind kind,
@@ -182,13 +193,16 @@
             double delaySpreadSeconds,
             FaultMode mode,
             double peerFraction) {
-        /** Whether workers of this group may be affected. */
+        /** Whether the fault may affect workers of this group. */
         public boolean affects(WorkerGroup workers) {
             return (group.isEmpty() || group.equals(workers.name()))
                     && (workerZone.isEmpty() || workerZone.equals(workers.zone()));
         }
 
-        /** Returns the links affected; those to discovery also have a fault kind of their own. */
+        /**
+         * Returns which links of the targets are affected. {@link FaultKind#DISCOVERY_LINK_CUT}
+         * affects the links to discovery, whatever {@link #linkKind} is.
+         */
         public LinkKind affectedLinks() {
             return kind == FaultKind.DISCOVERY_LINK_CUT ? LinkKind.DISCOVERY : linkKind;
         }
@@ -199,21 +213,26 @@
         }
     }
 
-    /** Faults to draw at random: how many in each cycle, 0 for none, how long, of which kinds. */
+    /**
+     * Parameters of the faults that are drawn at random.
+     *
+     * @param countPerCycle the number of faults in each cycle; 0 for none
+     * @param kinds the kinds that may be drawn
+     */
     public record RandomFaults(
             int countPerCycle, double maxDurationSeconds, List<FaultKind> kinds) {
         public static final RandomFaults NONE = new RandomFaults(0, 1, List.of());
     }
 
-    /** Bounds that a figure of the report must keep. */
+    /** Bounds of a figure of the report; a bound is infinite where there is none. */
     public record Expectation(String figure, double min, double max) {}
 
-    /** Returns the zone of a dispatcher. */
+    /** Returns the zone of a dispatcher, by its number from 0. */
     public String zoneOf(int dispatcher) {
         return zones.isEmpty() ? groups.get(0).zone() : zones.get(dispatcher % zones.size());
     }
 
-    /** Returns the same scenario with exactly these faults. */
+    /** Returns a copy of the scenario with exactly these faults and no random faults. */
     public Scenario withFaults(List<Fault> newFaults) {
         return new Scenario(
                 name,
@@ -239,7 +258,7 @@
                 changedSettings);
     }
 
-    /** Returns the number of workers of all groups. */
+    /** Returns the total number of workers in all groups. */
     public int workerCount() {
         return groups.stream().mapToInt(WorkerGroup::count).sum();
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioException.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioException.java
@@ -2,25 +2,28 @@
 
 import java.util.List;
 
-/** A scenario cannot be used; the message has every fault found, with its line and key. */
+/**
+ * Thrown for a scenario that is invalid or cannot be read. The message lists every error that was
+ * found, with its line and key.
+ */
 public final class ScenarioException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final transient List<String> faults;
+    private final transient List<String> errors;
 
-    ScenarioException(String file, List<String> faults) {
+    ScenarioException(String file, List<String> errors) {
         super(
                 file
                         + ": "
-                        + faults.size()
-                        + (faults.size() == 1 ? " fault" : " faults")
+                        + errors.size()
+                        + (errors.size() == 1 ? " fault" : " faults")
                         + "\n  "
-                        + String.join("\n  ", faults));
-        this.faults = List.copyOf(faults);
+                        + String.join("\n  ", errors));
+        this.errors = List.copyOf(errors);
     }
 
-    /** Returns the faults, each with its line. */
-    public List<String> faults() {
-        return faults;
+    /** Returns the errors; each begins with its line, unless the file could not be read. */
+    public List<String> errors() {
+        return errors;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioFields.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioFields.java
@@ -5,9 +5,9 @@
 import java.util.function.Function;
 import wheelroute.config.TomlFields;
 
-/** Bounds and kinds of fields that several tables of a scenario file share. */
+/** Limits and readers of fields that several tables of a scenario file share. */
 final class ScenarioFields {
-    /** In place of a default: the field must be given. */
+    /** Passed as the default value of a field that must be present. */
     static final double REQUIRED = Double.NaN;
 
     static final double MAX_SECONDS = 86_400;
@@ -16,11 +16,14 @@
 
     private ScenarioFields() {}
 
-    /** Reads the name of an item of a list. */
+    /** Reads the name of an item of a list; empty if the name is missing or not a text. */
     static String name(TomlFields fields) {
         String name = fields.text("name", null);
         if (!name.isEmpty() && !name.matches("[a-z0-9][a-z0-9-]{0,40}")) {
-            fields.addFault("name", "is not made of small letters, digits and dashes: " + name);
+            fields.addFault(
+                    "name",
+                    "must be 1 to 41 lowercase letters, digits and dashes, not a dash first: "
+                            + name);
         }
         return name;
     }
@@ -29,7 +32,7 @@
      * Reads a constant by its key.
      *
      * @param defaultValue null for a required field
-     * @return the type's first constant after a fault
+     * @return the type's first constant if the key is missing or unknown
      */
     static <E extends Enum<E> & KeyedConstant> E constant(
             TomlFields fields, String key, E defaultValue, Class<E> type) {
@@ -42,13 +45,13 @@
         if (!text.isEmpty()) {
             List<String> keys =
                     Arrays.stream(type.getEnumConstants()).map(KeyedConstant::key).toList();
-            fields.addFault(key, "is none of " + String.join(", ", keys) + ": " + text);
+            fields.addFault(key, "is not one of " + String.join(", ", keys) + ": " + text);
         }
         return type.getEnumConstants()[0];
     }
 
-    /** Reads one table, and adds a fault for each of its keys that was not read. */
-    static <T> T readWhole(TomlFields fields, Function<TomlFields, T> reader) {
+    /** Reads one table, and records an error for each of its keys that the reader did not read. */
+    static <T> T readStrictly(TomlFields fields, Function<TomlFields, T> reader) {
         T item = reader.apply(fields);
         fields.rejectUnknownKeys();
         return item;
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioLibrary.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioLibrary.java
@@ -9,7 +9,7 @@
 
 /** The scenarios that are shipped with the kit. */
 public final class ScenarioLibrary {
-    /** In the order in which they are listed; the first is the default of a rehearsal. */
+    /** Names in the order in which they are listed; the first is the default of a rehearsal. */
     public static final List<String> NAMES =
             List.of(
                     "closing-prices",
@@ -39,7 +39,11 @@
 
     private ScenarioLibrary() {}
 
-    /** Finds a shipped scenario by name, or reads a file, whose path has a dot or a slash. */
+    /**
+     * Returns the shipped scenario of this name, or else reads the scenario file at this path.
+     *
+     * @throws ScenarioException if there is no such scenario or file, or the file is invalid
+     */
     public static Scenario find(String nameOrFile) throws ScenarioException {
         if (NAMES.contains(nameOrFile)) {
             return shipped(nameOrFile);
@@ -47,7 +51,10 @@
         Path path = Path.of(nameOrFile);
         if (!nameOrFile.contains(".") && !nameOrFile.contains("/") && !Files.exists(path)) {
             throw new ScenarioException(
-                    nameOrFile, List.of("is no file and none of " + String.join(", ", NAMES)));
+                    nameOrFile,
+                    List.of(
+                            "is neither a file nor one of the shipped scenarios: "
+                                    + String.join(", ", NAMES)));
         }
         return ScenarioReader.read(path);
     }
@@ -56,7 +63,7 @@
         try (InputStream in = ScenarioLibrary.class.getResourceAsStream(FOLDER + name + ".toml")) {
             return ScenarioReader.read(name, new String(in.readAllBytes(), StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new ScenarioException(name, List.of("cannot be read: " + e));
+            throw new ScenarioException(name, List.of("resource cannot be read: " + e));
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -18,9 +18,9 @@
 import wheelroute.config.TomlFields;
 
 /**
- * Reads a scenario file and checks it as a whole: all its faults are reported at once, and none is
- * left to appear during the run. With its helpers, the only place that knows the file's keys,
- * beside {@link ScenarioWriter}.
+ * Reads a scenario file and validates the whole file, so that all its errors are reported at once
+ * and none appears during the run. Only this class, the readers that it uses and {@link
+ * ScenarioWriter} know the keys of scenario files.
  */
 public final class ScenarioReader {
     private static final String VIRTUAL = "virtual";
@@ -28,7 +28,7 @@
     private static final int MAX_DISPATCHERS = 10_000;
     private static final long MAX_BYTES = 1 << 20;
 
-    /** The table "run". */
+    /** The values of the table "run". */
     private record RunSection(
             double durationSeconds,
             double cycleSeconds,
@@ -46,13 +46,13 @@
     /**
      * Reads a scenario file.
      *
-     * @throws ScenarioException if it cannot be read, or with every fault found in it
+     * @throws ScenarioException if the file is invalid, too large or cannot be read
      */
     public static Scenario read(Path file) throws ScenarioException {
         try {
             if (Files.size(file) > MAX_BYTES) {
                 throw new ScenarioException(
-                        file.toString(), List.of("is over " + MAX_BYTES + " bytes"));
+                        file.toString(), List.of("is larger than " + MAX_BYTES + " bytes"));
             }
             return read(file.toString(), Files.readString(file, StandardCharsets.UTF_8));
         } catch (IOException | InvalidPathException e) {
@@ -61,10 +61,10 @@
     }
 
     /**
-     * Reads a scenario.
+     * Reads a scenario from the text of a scenario file.
      *
-     * @param name for error messages
-     * @throws ScenarioException with every fault found in the text
+     * @param name of the scenario, also used in error messages
+     * @throws ScenarioException with every error in the text
      */
     public static Scenario read(String name, String text) throws ScenarioException {
         TomlParseResult toml = Toml.parse(text);
@@ -121,12 +121,12 @@
     }
 
     private <T> T readTable(String key, Function<TomlFields, T> reader) {
-        return ScenarioFields.readWhole(root.table(key), reader);
+        return ScenarioFields.readStrictly(root.table(key), reader);
     }
 
     private <T> List<T> readAll(String key, Function<TomlFields, T> reader) {
         List<T> items = new ArrayList<>();
-        root.tables(key).forEach(fields -> items.add(ScenarioFields.readWhole(fields, reader)));
+        root.tables(key).forEach(fields -> items.add(ScenarioFields.readStrictly(fields, reader)));
         return items;
     }
 
@@ -141,7 +141,8 @@
         List<String> zones = run.textList("zones", List.of(), workerZones);
         boolean peersEnabled = run.flag("peers", false);
         if (peersEnabled && clocks.contains(VIRTUAL)) {
-            run.addFault("peers", "need processes: run.clocks must be [\"real\"]");
+            run.addFault(
+                    "peers", "cannot be simulated, so run.clocks must be [\"real\"]: " + clocks);
         }
         run.rejectUnknownKeys();
         return new RunSection(
@@ -161,10 +162,11 @@
         for (String figure : fields.keys()) {
             if (FigureNames.isKnown(figure)) {
                 expectations.add(
-                        ScenarioFields.readWhole(
+                        ScenarioFields.readStrictly(
                                 fields.table(figure), bounds -> expectation(figure, bounds)));
             } else {
-                fields.addFault(figure, "is no figure of a report; known: " + FigureNames.KNOWN);
+                fields.addFault(
+                        figure, "is not a figure of a report; known figures: " + FigureNames.KNOWN);
                 fields.table(figure);
             }
         }
@@ -179,24 +181,28 @@
                 bounds.number("most", Double.POSITIVE_INFINITY, -max, max));
     }
 
-    // ---- checks across tables
-
+    /** Records violations of rules that concern more than one item or table. */
     private void check(Scenario scenario) {
-        requireSome("workers", scenario.groups());
-        requireSome("offerings", scenario.requestClasses());
-        requireSome("load", scenario.load());
+        requireNonEmpty("workers", scenario.groups());
+        requireNonEmpty("offerings", scenario.requestClasses());
+        requireNonEmpty("load", scenario.load());
         requireUnique("workers", scenario.groups(), Scenario.WorkerGroup::name);
         requireUnique("offerings", scenario.requestClasses(), Scenario.RequestClass::name);
         requireUnique("tenants", scenario.tenants(), Scenario.Tenant::name);
         requireAscending(scenario.load());
         if (scenario.workerCount() > WorkloadReader.MAX_WORKERS) {
-            root.addFault("workers", "are more than " + WorkloadReader.MAX_WORKERS);
+            root.addFault(
+                    "workers",
+                    "must be at most "
+                            + WorkloadReader.MAX_WORKERS
+                            + " in total, got "
+                            + scenario.workerCount());
         }
     }
 
-    private void requireSome(String key, List<?> items) {
+    private void requireNonEmpty(String key, List<?> items) {
         if (items.isEmpty()) {
-            root.addFault(key, root.contains(key) ? "has none" : "is missing");
+            root.addFault(key, root.contains(key) ? "is empty" : "is missing");
         }
     }
 
@@ -205,7 +211,7 @@
         for (T item : items) {
             String name = nameOf.apply(item);
             if (!seen.add(name)) {
-                root.addFault(key, "names " + name + " twice");
+                root.addFault(key, "has more than one item named " + name);
             }
         }
     }
@@ -214,7 +220,12 @@
         for (int i = 1; i < load.size(); i++) {
             double at = load.get(i).atSeconds();
             if (at < load.get(i - 1).atSeconds()) {
-                root.addFault("load", "has a point before the one above it, at " + at);
+                root.addFault(
+                        "load",
+                        "must be in order of time, but at = "
+                                + at
+                                + " follows at = "
+                                + load.get(i - 1).atSeconds());
             }
         }
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -2,13 +2,13 @@
 
 import wheelroute.config.TomlFields;
 
-/** Writes a scenario as a file that {@link ScenarioReader} reads as the same scenario. */
+/** Writes a scenario as a file from which {@link ScenarioReader} reads an equal scenario. */
 public final class ScenarioWriter {
     private final TomlWriter toml = new TomlWriter();
 
     private ScenarioWriter() {}
 
-    /** Returns the scenario as a TOML file. */
+    /** Returns the content of the TOML file. */
     public static String text(Scenario scenario) {
         ScenarioWriter writer = new ScenarioWriter();
         writer.write(scenario);
@@ -50,7 +50,7 @@
     }
 
     private void write(Scenario.WorkerGroup group) {
-        toml.item("workers")
+        toml.arrayTable("workers")
                 .text("name", group.name())
                 .text("model", group.model())
                 .number("count", group.count())
@@ -67,7 +67,7 @@
     }
 
     private void write(Scenario.RequestClass requestClass) {
-        toml.item("offerings")
+        toml.arrayTable("offerings")
                 .text("name", requestClass.name())
                 .text("effect", TomlFields.configuredName(requestClass.idempotency()))
                 .text("group", TomlFields.configuredName(requestClass.idempotencyScope()))
@@ -86,14 +86,16 @@
     }
 
     private void write(Scenario.Tenant tenant) {
-        toml.item("tenants")
+        toml.arrayTable("tenants")
                 .text("name", tenant.name())
                 .number("share", tenant.share())
                 .number("quota", tenant.quota());
     }
 
     private void write(Scenario.LoadPoint point) {
-        toml.item("load").number("at", point.atSeconds()).number("rate", point.requestsPerSecond());
+        toml.arrayTable("load")
+                .number("at", point.atSeconds())
+                .number("rate", point.requestsPerSecond());
     }
 
     private void write(Scenario.Clients clients) {
@@ -129,9 +131,12 @@
                 .number("over_share_value", terms.overQuotaValue());
     }
 
-    /** Leaves out what is at its default, as the reader rejects some keys for other kinds. */
+    /**
+     * Writes a fault. Some optional keys are omitted at their defaults, because the reader rejects
+     * them for kinds that do not support them.
+     */
     private void write(Scenario.Fault fault) {
-        toml.item("faults")
+        toml.arrayTable("faults")
                 .text("kind", fault.kind().key())
                 .number("at", fault.startSeconds())
                 .number("for", fault.durationSeconds())
--- a/kit/src/main/java/wheelroute/kit/scenario/TomlWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/TomlWriter.java
@@ -21,8 +21,8 @@
         return this;
     }
 
-    /** Begins an item of a list of tables. */
-    TomlWriter item(String name) {
+    /** Begins an element of an array of tables. */
+    TomlWriter arrayTable(String name) {
         out.append("\n[[").append(name).append("]]\n");
         return this;
     }
@@ -32,7 +32,7 @@
         return this;
     }
 
-    /** Writes a number without an exponent, such that it is read as the same number. */
+    /** Writes a number without an exponent, in a form that is parsed as the same number. */
     TomlWriter number(String key, double value) {
         boolean isWhole = value == Math.rint(value) && Math.abs(value) < Long.MAX_VALUE;
         return value(
@@ -62,7 +62,7 @@
                         .collect(Collectors.joining(", ", "[", "]")));
     }
 
-    /** Writes a table of texts, unless it is empty. */
+    /** Writes a table of texts; nothing if there are no values. */
     void texts(String table, Map<String, String> values) {
         if (!values.isEmpty()) {
             table(table);
--- a/kit/src/main/java/wheelroute/kit/scenario/WorkloadReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/WorkloadReader.java
@@ -58,7 +58,12 @@
                         fields.integer("slots", 1, 1, MAX_SLOTS),
                         fields.number("memory", 0, 0, MAX_NUMBER));
         if (requestClass.deadlineSeconds() < objectiveSeconds) {
-            fields.addFault("outer", "is under quoted: no response could be late");
+            fields.addFault(
+                    "outer",
+                    "must be at least quoted, "
+                            + objectiveSeconds
+                            + ", or no response could be late: "
+                            + requestClass.deadlineSeconds());
         }
         return requestClass;
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** Scenarios: what a run consists of and what must hold, their files, and random faults. */
+/** Scenarios of runs, their file format, dispatcher settings, and generation of random faults. */
 package wheelroute.kit.scenario;
--- a/kit/src/test/java/wheelroute/kit/EventLoopHarness.java
+++ b/kit/src/test/java/wheelroute/kit/EventLoopHarness.java
@@ -6,9 +6,9 @@
 import wheelroute.net.loop.Clock;
 import wheelroute.net.loop.EventLoop;
 
-/** Runs an event loop for tests of classes that are used on its thread. */
+/** Runs an event loop for tests of classes that are used only on the loop's thread. */
 public abstract class EventLoopHarness {
-    /** Time within which anything expected happens on loopback sockets. */
+    /** Maximum time until an expected event on loopback sockets. */
     protected static final int TIMEOUT_MILLIS = 10_000;
 
     private static final double CONNECT_TIMEOUT_SECONDS = 1;
@@ -20,7 +20,7 @@
         loop.start();
     }
 
-    /** Returns the time within which a task on the loop must be done. */
+    /** Returns the maximum time until a task on the loop is done. */
     protected long loopTimeoutMillis() {
         return TIMEOUT_MILLIS;
     }
--- a/kit/src/test/java/wheelroute/kit/SmallScenario.java
+++ b/kit/src/test/java/wheelroute/kit/SmallScenario.java
@@ -4,9 +4,9 @@
 import wheelroute.kit.scenario.ScenarioException;
 import wheelroute.kit.scenario.ScenarioReader;
 
-/** A small scenario, to which tests add lines. */
+/** A small valid scenario, to which tests add lines. */
 public final class SmallScenario {
-    /** Two groups of workers in two zones, three request classes, a steady load. */
+    /** The file of a scenario with two zones, three request classes and a constant load. */
     public static final String TEXT =
             """
             [run]
@@ -57,7 +57,7 @@
         return scenario(lines, dispatchers, "");
     }
 
-    /** Returns the scenario with these lines at its end and others in its table "run". */
+    /** Returns the scenario with lines added at its end and others in its table "run". */
     public static Scenario scenario(String lines, int dispatchers, String runLines) {
         try {
             String text =
--- a/kit/src/test/java/wheelroute/kit/scenario/DaemonSettingsTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/DaemonSettingsTest.java
@@ -13,21 +13,27 @@
 import wheelroute.kit.SmallScenario;
 
 public class DaemonSettingsTest {
-    private static final String TERMS =
+    private static final String SCENARIO_LINES =
             "[terms]\nmost_launches = 4\nmay_copy = false\n"
                     + "[[tenants]]\nname = \"t\"\nquota = 7\n"
                     + "[daemon]\n\"permissions.most_tries\" = \"5\"\n";
     private static final Map<String, String> VARIANT = Map.of("prices.cross_zone", "0.5");
 
-    /** Simulated dispatchers get what a dispatcher's process reads from its configuration file. */
+    /**
+     * Guards against a simulated dispatcher whose settings differ from those that a dispatcher's
+     * process reads from its configuration file.
+     */
     @Test
     public void simulatedDispatcherAndProcessGetSameSettings() throws Exception {
         Map<String, String> settingsByPath =
-                DaemonSettings.settingsByPath(SmallScenario.scenario(TERMS), VARIANT);
+                DaemonSettings.settingsByPath(SmallScenario.scenario(SCENARIO_LINES), VARIANT);
 
         Settings settings = DaemonSettings.settings(3, settingsByPath);
 
-        assertEquals(settings.maxAttempts(), 5, "the override of the scenario comes first");
+        assertEquals(
+                settings.maxAttempts(),
+                5,
+                "the override takes precedence over the scenario's terms");
         assertEquals(settings.crossZonePrice(), 0.5);
         assertEquals(settings.mayHedge(), false);
         assertEquals(settings.quotas().size(), 1);
--- a/kit/src/test/java/wheelroute/kit/scenario/FaultScheduleGeneratorTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/FaultScheduleGeneratorTest.java
@@ -12,10 +12,10 @@
 import wheelroute.kit.SmallScenario;
 
 public class FaultScheduleGeneratorTest {
-    private static final int RANDOM_FAULTS = 6;
-    private static final String RANDOM = "[drawn]\nfaults = 6\nlongest = 2\n";
-    private static final int SEEDS = 300;
-    private static final int SIMULATED_SEEDS = 100;
+    private static final int RANDOM_FAULT_COUNT = 6;
+    private static final String RANDOM_FAULTS_TABLE = "[drawn]\nfaults = 6\nlongest = 2\n";
+    private static final int SEED_COUNT = 300;
+    private static final int SIMULATED_SEED_COUNT = 100;
 
     private static Scenario processScenario(String lines) {
         return SmallScenario.scenario(lines, 3, "clocks = [\"real\"]");
@@ -23,7 +23,7 @@
 
     @Test
     public void scheduleDependsOnSeedAlone() {
-        Scenario scenario = processScenario(RANDOM);
+        Scenario scenario = processScenario(RANDOM_FAULTS_TABLE);
         assertEquals(
                 FaultScheduleGenerator.withRandomFaults(scenario, 4),
                 FaultScheduleGenerator.withRandomFaults(scenario, 4));
@@ -36,15 +36,16 @@
                 withoutRandomFaults);
     }
 
-    /** Whatever is drawn is within the cycle, and valid in a scenario file. */
+    /** Every random fault is within the cycle, and valid in a scenario file. */
     @Test
     public void drawsValidFaultsOfAllKindsAndLinks() throws Exception {
         Scenario scenario =
-                processScenario(RANDOM + "[[faults]]\nkind = \"burst\"\nat = 1\nfor = 1\n");
-        int faultCount = RANDOM_FAULTS + 1;
+                processScenario(
+                        RANDOM_FAULTS_TABLE + "[[faults]]\nkind = \"burst\"\nat = 1\nfor = 1\n");
+        int faultCount = RANDOM_FAULT_COUNT + 1;
         Set<FaultKind> kinds = EnumSet.noneOf(FaultKind.class);
         Set<LinkKind> links = EnumSet.noneOf(LinkKind.class);
-        for (int seed = 0; seed < SEEDS; seed++) {
+        for (int seed = 0; seed < SEED_COUNT; seed++) {
             Scenario drawn = FaultScheduleGenerator.withRandomFaults(scenario, seed);
             assertEquals(drawn.faults().size(), faultCount);
             assertEquals(ScenarioReader.read(drawn.name(), ScenarioWriter.text(drawn)), drawn);
@@ -59,14 +60,14 @@
             List<Integer> picks = drawn.faults().stream().map(Scenario.Fault::pick).toList();
             assertEquals(new HashSet<>(picks).size(), faultCount);
         }
-        assertEquals(kinds, EnumSet.copyOf(FaultScheduleGenerator.kinds(true)));
+        assertEquals(kinds, EnumSet.copyOf(FaultScheduleGenerator.eligibleKinds(true)));
         assertEquals(links, EnumSet.complementOf(EnumSet.of(LinkKind.PEERS)));
     }
 
     @Test
     public void drawsNoFaultThatNeedsProcessesForVirtualClock() {
-        Scenario scenario = SmallScenario.scenario(RANDOM, 3);
-        for (int seed = 0; seed < SIMULATED_SEEDS; seed++) {
+        Scenario scenario = SmallScenario.scenario(RANDOM_FAULTS_TABLE, 3);
+        for (int seed = 0; seed < SIMULATED_SEED_COUNT; seed++) {
             assertTrue(
                     FaultScheduleGenerator.withRandomFaults(scenario, seed).faults().stream()
                             .noneMatch(fault -> fault.kind().needsProcesses()),
--- a/kit/src/test/java/wheelroute/kit/scenario/ScenarioLibraryTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/ScenarioLibraryTest.java
@@ -19,7 +19,7 @@
     @Test(dataProvider = "shippedScenarios")
     public void shippedScenarioHasExpectationsAndValidSettings(String name) throws Exception {
         Scenario scenario = ScenarioLibrary.find(name);
-        assertTrue(scenario.expectations().size() > 0, "it expects nothing");
+        assertTrue(scenario.expectations().size() > 0, name + " has no expectations");
         Settings settings =
                 DaemonSettings.settings(1, DaemonSettings.settingsByPath(scenario, Map.of()));
         assertEquals(settings.requestClasses().size(), scenario.requestClasses().size());
--- a/kit/src/test/java/wheelroute/kit/scenario/ScenarioWriterTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/ScenarioWriterTest.java
@@ -8,7 +8,7 @@
 import wheelroute.kit.SmallScenario;
 
 public class ScenarioWriterTest {
-    /** Every key that has a default, with another value. */
+    /** Lines that set keys with defaults to other values. */
     private static final String ALL_OPTIONAL_KEYS =
             """
             [clients]
