--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioException.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioException.java
@@ -16,7 +16,7 @@
                 file
                         + ": "
                         + errors.size()
-                        + (errors.size() == 1 ? " fault" : " faults")
+                        + (errors.size() == 1 ? " error" : " errors")
                         + "\n  "
                         + String.join("\n  ", errors));
         this.errors = List.copyOf(errors);
--- a/kit/src/test/java/wheelroute/kit/cli/CommandLineTest.java
+++ b/kit/src/test/java/wheelroute/kit/cli/CommandLineTest.java
@@ -10,7 +10,7 @@
     @DataProvider
     public Object[][] invalidRehearsals() {
         return new Object[][] {
-            {"rehearse nowhere", "nowhere: 1 fault"},
+            {"rehearse nowhere", "nowhere: 1 error"},
             {"rehearse ./nowhere.toml", "cannot be read"},
             {"rehearse calm calm", "calm is named twice"},
             {"rehearse calm --clock sun", "--clock: sun is none of virtual, real, both"},
@@ -54,7 +54,7 @@
     public Object[][] missingFiles() {
         return new Object[][] {
             {"check /nowhere/at/all", "/nowhere/at/all is no file"},
-            {"stand-in nowhere", "nowhere: 1 fault"},
+            {"stand-in nowhere", "nowhere: 1 error"},
             {"scale --size /nowhere/at/all", "--size: /nowhere/at/all is no file"},
             {"capacity --check /nowhere --slopes /at/all", "--slopes: /at/all is no file"},
         };
--- a/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
+++ b/kit/src/test/java/wheelroute/kit/scenario/ScenarioReaderTest.java
@@ -194,7 +194,7 @@
                                         "x.toml",
                                         "[run]\nseconds = -1\nspeed = 2\n[[workers]]\ncount = 0\n[[load]]\n"));
         assertEquals(e.errors().size(), 6, e.getMessage());
-        assertTrue(e.getMessage().startsWith("x.toml: 6 faults"), e.getMessage());
+        assertTrue(e.getMessage().startsWith("x.toml: 6 errors"), e.getMessage());
     }
 
     @Test
