--- a/kit/src/main/java/wheelroute/kit/cli/Adapter.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Adapter.java
@@ -8,12 +8,12 @@
         name = "adapter",
         mixinStandardHelpOptions = true,
         description =
-                "Run the policy alone: events of the bench's protocol on standard input, actions on"
-                        + " standard output.")
+                "Run the policy without a network: read events of the simulator's protocol from"
+                        + " standard input and write actions to standard output.")
 final class Adapter implements Callable<Integer> {
     @Override
     public Integer call() {
         Main.main(new String[] {"adapter"});
-        return Exit.HOLDS;
+        return ExitCode.SUCCESS;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/Admin.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Admin.java
@@ -10,7 +10,9 @@
 @Command(
         name = "admin",
         mixinStandardHelpOptions = true,
-        description = "Call a dispatcher's admin server; a READY answered by \"fail\" ends with 3.")
+        description =
+                "Send a command to a dispatcher's admin server and print its answer; the exit code"
+                        + " is 3 if the answer begins with \"fail\".")
 final class Admin implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "HOST:PORT", description = "the admin server's address")
     private String address;
@@ -22,7 +24,7 @@
             names = "--timeout",
             defaultValue = "1",
             paramLabel = "S",
-            description = "for the complete answer (default: ${DEFAULT-VALUE})")
+            description = "seconds to wait for the complete answer (default: ${DEFAULT-VALUE})")
     private double timeoutSeconds;
 
     @Spec private CommandSpec spec;
@@ -32,12 +34,12 @@
         return call(spec, address, command, timeoutSeconds);
     }
 
-    /** Calls an admin server and prints its answer; returns the exit code. */
+    /** Sends a command to an admin server, prints the answer and returns the exit code. */
     static int call(CommandSpec spec, String address, String command, double timeoutSeconds)
             throws CommandLineException {
         String answer = AdminClient.create(address, timeoutSeconds).call(command);
         spec.commandLine().getOut().print(answer);
         spec.commandLine().getOut().flush();
-        return answer.startsWith(AdminClient.FAIL) ? Exit.DOES_NOT_HOLD : Exit.HOLDS;
+        return answer.startsWith(AdminClient.FAIL) ? ExitCode.CHECK_FAILED : ExitCode.SUCCESS;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/AdminClient.java
+++ b/kit/src/main/java/wheelroute/kit/cli/AdminClient.java
@@ -11,13 +11,16 @@
 import java.nio.charset.StandardCharsets;
 import wheelroute.config.SocketAddresses;
 
-/** Calls the admin server of a dispatcher, and waits for the complete answer. */
+/** Client of a dispatcher's admin server that waits for the complete answer to a command. */
 final class AdminClient {
     static final String FAIL = "fail";
     private static final String OK = "ok";
-    private static final String END_OF_FIGURES = "eof";
+    private static final String END_OF_METRICS = "eof";
 
-    /** Far more than any dispatcher's metrics, as another kind of server may listen there. */
+    /**
+     * Bounds the memory for an answer in case another kind of server listens at the address; the
+     * metrics of any dispatcher are far shorter.
+     */
     private static final int MAX_ANSWER_CHARS = 1 << 20;
 
     private static final int BUFFER_BYTES = 4096;
@@ -33,30 +36,31 @@
         this.timeoutSeconds = timeoutSeconds;
     }
 
-    /** Creates a client; rejects what is no address and a timeout that is out of bounds. */
+    /** Creates a client; throws if the address is invalid or the timeout is out of bounds. */
     static AdminClient create(String address, double timeoutSeconds) throws CommandLineException {
         InetSocketAddress server = SocketAddresses.parse(address);
         if (server == null) {
-            throw new CommandLineException("HOST:PORT: " + address + " is no address");
+            throw new CommandLineException("HOST:PORT: expected an address, got " + address);
         }
         if (!(timeoutSeconds >= MIN_TIMEOUT_SECONDS && timeoutSeconds <= MAX_TIMEOUT_SECONDS)) {
             throw new CommandLineException(
-                    "--timeout: " + timeoutSeconds + " is not from 0.01 to 60");
+                    "--timeout: expected seconds from 0.01 to 60, got " + timeoutSeconds);
         }
         return new AdminClient(address, server, timeoutSeconds);
     }
 
-    /** Returns the complete answer to a command. */
+    /** Returns the complete answer to a command, on a connection of its own. */
     String call(String command) throws CommandLineException {
         if (!command.matches("[!-~]+")) {
-            throw new CommandLineException("CALL: " + command + " is no command");
+            throw new CommandLineException(
+                    "CALL: expected printable ASCII without spaces, got " + command);
         }
         String answer = exchange(command);
         if (!isComplete(answer)) {
             throw new CommandLineException(
                     address
-                            + " gave no complete answer: it is no admin server, or closed the"
-                            + " connection early");
+                            + " sent an incomplete answer: not an admin server, or the connection"
+                            + " was closed early");
         }
         return answer;
     }
@@ -65,7 +69,7 @@
         boolean isStatus = answer.startsWith(OK) || answer.startsWith(FAIL);
         String lastLine =
                 answer.substring(answer.lastIndexOf('\n', answer.length() - 2) + 1).strip();
-        return answer.endsWith("\n") && (isStatus || lastLine.equals(END_OF_FIGURES));
+        return answer.endsWith("\n") && (isStatus || lastLine.equals(END_OF_METRICS));
     }
 
     private String exchange(String command) throws CommandLineException {
@@ -76,9 +80,10 @@
             return readToEnd(socket, deadlineNanos);
         } catch (SocketTimeoutException e) {
             throw new CommandLineException(
-                    address + " has not answered within " + timeoutSeconds + " s");
+                    address + " did not answer within " + timeoutSeconds + " s");
         } catch (IOException e) {
-            throw new CommandLineException(address + " cannot be called: " + e.getMessage());
+            throw new CommandLineException(
+                    address + ": call to the admin server failed: " + e.getMessage());
         }
     }
 
@@ -88,18 +93,18 @@
         byte[] buffer = new byte[BUFFER_BYTES];
         for (int count = 0; count >= 0 && answer.length() < MAX_ANSWER_CHARS; ) {
             answer.append(new String(buffer, 0, count, StandardCharsets.ISO_8859_1));
-            // Before each read, as the timeout applies to the answer and not to a single read.
+            // The socket timeout is set anew because the deadline applies to the whole answer.
             socket.setSoTimeout(millisUntil(deadlineNanos));
             count = in.read(buffer);
         }
         return answer.toString();
     }
 
-    /** Never returns 0, which a socket takes for no timeout. */
+    /** Returns the time until a deadline, at least 1 ms because a socket treats 0 as no timeout. */
     private static int millisUntil(long deadlineNanos) throws SocketTimeoutException {
         double leftSeconds = (deadlineNanos - System.nanoTime()) / NANOS_PER_SECOND;
         if (leftSeconds <= 0) {
-            throw new SocketTimeoutException("no time left");
+            throw new SocketTimeoutException("deadline has passed");
         }
         return (int) Math.max(1, leftSeconds * MILLIS_PER_SECOND);
     }
--- a/kit/src/main/java/wheelroute/kit/cli/Capacity.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Capacity.java
@@ -22,25 +22,25 @@
         mixinStandardHelpOptions = true,
         description = "Compute the tables of a capacity page from the slopes of a scale run.")
 final class Capacity implements Callable<Integer> {
-    static final String SIZE = "docs/capacity/size.toml";
+    static final String DEFAULT_SIZE_FILE = "docs/capacity/size.toml";
 
-    /** What is done with the tables: exactly one of the three. */
+    /** The options that select what to do with the tables; exactly one of them is required. */
     static final class Action {
         @Option(
                 names = "--check",
                 paramLabel = "PAGE",
                 required = true,
-                description = "end with 3 if the page's tables differ")
+                description = "exit with code 3 if the tables in the page differ")
         private Path check;
 
         @Option(
                 names = "--write",
                 paramLabel = "PAGE",
                 required = true,
-                description = "write them into the page")
+                description = "write the tables into the page")
         private Path write;
 
-        @Option(names = "--print", required = true, description = "print them")
+        @Option(names = "--print", required = true, description = "print the tables")
         private boolean print;
     }
 
@@ -51,14 +51,14 @@
             names = "--slopes",
             paramLabel = "FILE",
             defaultValue = "docs/capacity/slopes.json",
-            description = "default: ${DEFAULT-VALUE}")
+            description = "the slopes of a scale run (default: ${DEFAULT-VALUE})")
     private Path slopes;
 
     @Option(
             names = "--size",
             paramLabel = "FILE",
-            defaultValue = SIZE,
-            description = "default: ${DEFAULT-VALUE}")
+            defaultValue = DEFAULT_SIZE_FILE,
+            description = "the deployment's size (default: ${DEFAULT-VALUE})")
     private Path size;
 
     @Spec private CommandSpec spec;
@@ -70,19 +70,19 @@
         if (action.print) {
             tables.forEach((name, table) -> out.println(name + "\n" + table));
         } else if (action.write != null) {
-            String page = Files.readString(existing("--write", action.write));
+            String page = Files.readString(requireRegularFile("--write", action.write));
             Files.writeString(action.write, CapacityPage.withTables(page, tables));
         } else {
             return check(tables, out);
         }
-        return Exit.HOLDS;
+        return ExitCode.SUCCESS;
     }
 
     private Map<String, String> tables() throws CommandLineException {
         try {
             ScaleResults results =
-                    ScaleResults.read(Files.readString(existing("--slopes", slopes)));
-            DeploymentSize deployment = DeploymentSize.read(existing("--size", size));
+                    ScaleResults.read(Files.readString(requireRegularFile("--slopes", slopes)));
+            DeploymentSize deployment = DeploymentSize.read(requireRegularFile("--size", size));
             return new CapacityModel(results, deployment).tables();
         } catch (IOException | IllegalArgumentException e) {
             throw new CommandLineException(slopes + ": " + e.getMessage());
@@ -91,18 +91,18 @@
 
     private int check(Map<String, String> tables, PrintWriter out)
             throws IOException, CommandLineException {
-        String page = Files.readString(existing("--check", action.check));
+        String page = Files.readString(requireRegularFile("--check", action.check));
         List<String> differences = CapacityPage.mismatches(page, tables);
         differences.forEach(out::println);
-        String verb = differences.isEmpty() ? " follows from " : " does not follow from ";
+        String verb = differences.isEmpty() ? " matches " : " does not match ";
         out.println(action.check + verb + slopes);
-        return differences.isEmpty() ? Exit.HOLDS : Exit.DOES_NOT_HOLD;
+        return differences.isEmpty() ? ExitCode.SUCCESS : ExitCode.CHECK_FAILED;
     }
 
-    /** Returns the path of an option, which must be that of a file. */
-    static Path existing(String option, Path path) throws CommandLineException {
+    /** Returns the path given to an option; throws if there is no regular file at it. */
+    static Path requireRegularFile(String option, Path path) throws CommandLineException {
         if (!Files.isRegularFile(path)) {
-            throw new CommandLineException(option + ": " + path + " is no file");
+            throw new CommandLineException(option + ": " + path + " is not a regular file");
         }
         return path;
     }
--- a/kit/src/main/java/wheelroute/kit/cli/Check.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Check.java
@@ -21,10 +21,11 @@
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Read a scenario or a dispatcher's configuration, and report all its faults.")
+        description =
+                "Validate a scenario or a dispatcher's configuration and report all its errors.")
 final class Check implements Callable<Integer> {
-    /** The address to listen on, which only a configuration has. */
-    private static final String LISTEN_KEY = "(?s)(^|.*\\n)\\s*listen\\s*=.*";
+    /** Matches a file with the key listen, which only a dispatcher's configuration has. */
+    private static final String CONFIGURATION_PATTERN = "(?s)(^|.*\\n)\\s*listen\\s*=.*";
 
     @Parameters(paramLabel = "FILE", description = "a scenario or a configuration, TOML or JSON")
     private Path file;
@@ -34,15 +35,16 @@
     @Override
     public Integer call() throws Exception {
         if (!Files.isRegularFile(file)) {
-            throw new CommandLineException(file + " is no file");
+            throw new CommandLineException(file + " is not a regular file");
         }
-        String content = isScenario() ? checkScenario() : checkConfiguration();
-        spec.commandLine().getOut().println(file + ": " + content);
-        return Exit.HOLDS;
+        String summary = isScenario() ? checkScenario() : checkConfiguration();
+        spec.commandLine().getOut().println(file + ": " + summary);
+        return ExitCode.SUCCESS;
     }
 
     private boolean isScenario() throws IOException {
-        return file.toString().endsWith(".toml") && !Files.readString(file).matches(LISTEN_KEY);
+        return file.toString().endsWith(".toml")
+                && !Files.readString(file).matches(CONFIGURATION_PATTERN);
     }
 
     private String checkScenario() throws ScenarioException, ConfigException {
--- a/kit/src/main/java/wheelroute/kit/cli/CommandLineException.java
+++ b/kit/src/main/java/wheelroute/kit/cli/CommandLineException.java
@@ -1,6 +1,6 @@
 package wheelroute.kit.cli;
 
-/** An argument or its file cannot be used; the message names it. */
+/** Thrown if an argument or the file that it names cannot be used; the message names it. */
 final class CommandLineException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/kit/src/main/java/wheelroute/kit/cli/FailureMinimizer.java
+++ b/kit/src/main/java/wheelroute/kit/cli/FailureMinimizer.java
@@ -15,7 +15,7 @@
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.scenario.ScenarioWriter;
 
-/** Reduces the faults of a run that does not hold, by running it again with fewer of them. */
+/** Minimizes the fault schedule of a failed run by repeating the run with fewer faults. */
 final class FailureMinimizer {
     private static final int MAX_RUNS = 60;
 
@@ -25,9 +25,11 @@
     private final Consumer<String> progress;
 
     /**
-     * Creates a minimizer of what these plans found.
+     * Creates a minimizer for plans that have been run.
      *
-     * @param progress receives the result of each run, in a line
+     * @param reports the reports of the plans' runs
+     * @param stop after this returns true, no run is counted as failing
+     * @param progress receives one line with the result of each run
      */
     FailureMinimizer(
             List<Plan> plans,
@@ -40,7 +42,7 @@
         this.progress = progress;
     }
 
-    /** Minimizes the first run that does not hold, if any, and writes it as a scenario. */
+    /** Minimizes the first failed run, if there is one, and writes it to the file as a scenario. */
     void minimizeFirst(OutputFile file, PrintWriter out) throws Exception {
         for (Plan plan : plans) {
             for (Plan.Item item : plan.items()) {
@@ -84,8 +86,8 @@
                         + ", reduced to "
                         + result.faults().size()
                         + summary
-                        + (result.complete() ? "" : ", not completely")
-                        + ": run it with this seed.\n"
+                        + (result.complete() ? "" : " (reduction incomplete)")
+                        + "; repeat the run with this seed.\n"
                         + ScenarioWriter.text(scenario.withFaults(result.faults())));
         out.println(item.text() + ": reduced to " + result.faults().size() + summary);
     }
--- a/kit/src/main/java/wheelroute/kit/cli/Load.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Load.java
@@ -38,8 +38,8 @@
 
     @Option(
             names = "--keys",
-            description = "send an Idempotency-Key with each request, as some classes need")
-    private boolean keys;
+            description = "send an Idempotency-Key with each request, which some classes require")
+    private boolean sendKeys;
 
     @Option(
             names = "--rate",
@@ -60,60 +60,61 @@
             defaultValue = "0.05",
             paramLabel = "S",
             description = "mean work at stub workers, in seconds (default: ${DEFAULT-VALUE})")
-    private double work;
+    private double meanWorkSeconds;
 
     @Option(
             names = "--spread",
             defaultValue = "0.5",
             paramLabel = "X",
-            description = "deviation of the work's logarithm (default: ${DEFAULT-VALUE})")
-    private double spread;
+            description =
+                    "standard deviation of the logarithm of the work (default: ${DEFAULT-VALUE})")
+    private double workSigma;
 
     @Option(
             names = "--timeout",
             defaultValue = "5",
             paramLabel = "S",
-            description = "default: ${DEFAULT-VALUE}")
-    private double timeout;
+            description = "timeout of a request in seconds (default: ${DEFAULT-VALUE})")
+    private double timeoutSeconds;
 
     @Option(
             names = "--seconds",
             defaultValue = "10",
             paramLabel = "S",
-            description = "default: ${DEFAULT-VALUE}")
-    private double seconds;
+            description = "duration of the load in seconds (default: ${DEFAULT-VALUE})")
+    private double durationSeconds;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
             paramLabel = "N",
-            description = "default: ${DEFAULT-VALUE}")
+            description = "seed of the random numbers (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws Exception {
-        InetSocketAddress to = parseAddress();
+        InetSocketAddress dispatcher = parseAddress();
         checkOptions();
         StopSignal stop = new StopSignal();
         try {
-            spec.commandLine().getOut().println(LoadRun.run(load(to), stop).text());
+            spec.commandLine().getOut().println(LoadRun.run(load(dispatcher), stop).text());
             spec.commandLine().getOut().flush();
         } finally {
-            stop.finished();
+            stop.onCommandFinished();
         }
-        return Exit.HOLDS;
+        return ExitCode.SUCCESS;
     }
 
     private InetSocketAddress parseAddress() throws CommandLineException {
         InetSocketAddress parsed = SocketAddresses.parse(address);
         if (parsed == null) {
-            throw new CommandLineException("HOST:PORT: " + address + " is no address");
+            throw new CommandLineException("HOST:PORT: expected an address, got " + address);
         }
         if (!LoadRun.isLocal(parsed)) {
             throw new CommandLineException(
-                    "HOST:PORT: " + address + " is no address of this machine");
+                    "HOST:PORT: " + address + " is not an address of this machine");
         }
         return parsed;
     }
@@ -121,7 +122,7 @@
     private void checkOptions() throws CommandLineException {
         if (!requestClass.matches("[A-Za-z0-9._~-]{1,100}")) {
             throw new CommandLineException(
-                    "--offering: " + requestClass + " cannot be part of a path");
+                    "--offering: expected 1 to 100 letters, digits or ._~-, got " + requestClass);
         }
         if (rate > 0 == connections > 0) {
             throw new CommandLineException(
@@ -129,23 +130,23 @@
         }
         requireWithin("--rate", rate, 0, MAX_RATE);
         requireWithin("--connections", connections, 0, MAX_CONNECTIONS);
-        requireWithin("--work", work, MIN_WORK_SECONDS, MAX_WORK_SECONDS);
-        requireWithin("--spread", spread, 0, MAX_WORK_SIGMA);
-        requireWithin("--timeout", timeout, MIN_TIMEOUT_SECONDS, MAX_TIMEOUT_SECONDS);
-        requireWithin("--seconds", seconds, MIN_DURATION_SECONDS, MAX_DURATION_SECONDS);
+        requireWithin("--work", meanWorkSeconds, MIN_WORK_SECONDS, MAX_WORK_SECONDS);
+        requireWithin("--spread", workSigma, 0, MAX_WORK_SIGMA);
+        requireWithin("--timeout", timeoutSeconds, MIN_TIMEOUT_SECONDS, MAX_TIMEOUT_SECONDS);
+        requireWithin("--seconds", durationSeconds, MIN_DURATION_SECONDS, MAX_DURATION_SECONDS);
     }
 
-    private LoadRun.Load load(InetSocketAddress to) {
+    private LoadRun.Load load(InetSocketAddress dispatcher) {
         return new LoadRun.Load(
-                to,
+                dispatcher,
                 requestClass,
-                keys ? Idempotency.IDEMPOTENT_BY_KEY : Idempotency.IDEMPOTENT,
+                sendKeys ? Idempotency.IDEMPOTENT_BY_KEY : Idempotency.IDEMPOTENT,
                 rate,
                 connections,
-                work,
-                spread,
-                timeout,
-                seconds,
+                meanWorkSeconds,
+                workSigma,
+                timeoutSeconds,
+                durationSeconds,
                 seed,
                 0,
                 0);
@@ -155,7 +156,7 @@
             throws CommandLineException {
         if (!(value >= min && value <= max)) {
             throw new CommandLineException(
-                    option + ": " + value + " is not from " + min + " to " + max);
+                    option + ": expected a number from " + min + " to " + max + ", got " + value);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/OutputFile.java
+++ b/kit/src/main/java/wheelroute/kit/cli/OutputFile.java
@@ -7,11 +7,11 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * A file to which a command writes its result. It is opened before the command runs, so that a path
- * that cannot be written is reported at once.
+ * A file to which a command writes its result. The command opens the file before it does its work,
+ * so that a path that cannot be written is reported immediately.
  */
 final class OutputFile implements AutoCloseable {
-    /** Null for no file: what is written is dropped. */
+    /** The path of the result; null if the result is discarded. */
     private final Path path;
 
     private final Path partialFile;
@@ -22,9 +22,10 @@
     }
 
     /**
-     * Opens a file beside the path, which replaces it once it is written.
+     * Creates a partial file in the directory of the path; {@link #write} moves it to the path.
      *
-     * @param path null for no file
+     * @param option the command line option, for error messages
+     * @param path null to discard what is written
      */
     static OutputFile open(String option, Path path) throws CommandLineException {
         if (path == null) {
@@ -39,7 +40,7 @@
                     option + ": " + path + " is in a directory that does not exist");
         }
         try {
-            // Not a temporary file of the JDK's: only its owner could read it.
+            // Files.createTempFile would create a file that only its owner can read.
             String name = "." + path.getFileName() + "." + ProcessHandle.current().pid() + ".part";
             Path partialFile = Files.createFile(directory.resolve(name));
             partialFile.toFile().deleteOnExit();
@@ -49,7 +50,9 @@
         }
     }
 
-    /** Writes the whole text at once: a reader never sees a part of it. */
+    /**
+     * Writes the text to the partial file and then moves it, so that readers see all or nothing.
+     */
     void write(String text) throws CommandLineException {
         if (path == null) {
             return;
@@ -62,7 +65,7 @@
         }
     }
 
-    /** Deletes the partial file, if nothing was written. */
+    /** Deletes the partial file if nothing was written. */
     @Override
     public void close() {
         if (path == null) {
--- a/kit/src/main/java/wheelroute/kit/cli/Peers.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Peers.java
@@ -10,7 +10,7 @@
 @Command(
         name = "peers",
         mixinStandardHelpOptions = true,
-        description = "Print the members that a dispatcher knows, and the quotas that it holds.")
+        description = "Print the members that a dispatcher knows and its quota leases.")
 final class Peers implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "HOST:PORT", description = "the admin server's address")
     private String address;
@@ -19,7 +19,7 @@
             names = "--timeout",
             defaultValue = "1",
             paramLabel = "S",
-            description = "for the complete answer (default: ${DEFAULT-VALUE})")
+            description = "seconds to wait for the complete answer (default: ${DEFAULT-VALUE})")
     private double timeoutSeconds;
 
     @Spec private CommandSpec spec;
--- a/kit/src/main/java/wheelroute/kit/cli/PlanOptions.java
+++ b/kit/src/main/java/wheelroute/kit/cli/PlanOptions.java
@@ -17,7 +17,7 @@
 import wheelroute.kit.scenario.ScenarioLibrary;
 import wheelroute.kit.strategy.Strategies;
 
-/** Options of a rehearsal that say what is run: scenarios, seeds, variants and clocks. */
+/** The options that select the runs of a rehearsal: scenarios, seeds, variants and clocks. */
 final class PlanOptions {
     private static final String REAL = Plan.Clock.REAL.label();
     private static final String VIRTUAL = Plan.Clock.VIRTUAL.label();
@@ -27,8 +27,8 @@
     @Parameters(
             arity = "0..*",
             paramLabel = "NAME|FILE",
-            description = "shipped scenarios or files; by default a quick run of closing-prices")
-    private List<String> names = new ArrayList<>();
+            description = "scenarios by name or file (default: a quick run of closing-prices)")
+    private List<String> scenarioNames = new ArrayList<>();
 
     @Option(
             names = "--seed",
@@ -40,36 +40,38 @@
     @Option(
             names = "--seconds",
             paramLabel = "S",
-            description = "how long requests arrive, instead of the scenario's duration")
-    private double seconds;
+            description = "for how long requests arrive (default: the scenario's duration)")
+    private double durationSeconds;
 
     @Option(
             names = "--clock",
             paramLabel = "virtual|real|both",
-            description = "real if all scenarios and variants can run on it; both compares the two")
+            description =
+                    "clock of the runs; both compares the two (default: real if all scenarios and"
+                            + " variants can run on it)")
     private String clock;
 
-    @Option(names = "--quick", description = "30 s at most")
+    @Option(names = "--quick", description = "limit each run to 30 s")
     private boolean quick;
 
     @Option(
             names = "--variant",
             paramLabel = "NAME:KEY=VALUE,...",
             description =
-                    "a variant to compare with the first: a setting, brain=NAME on the virtual"
-                            + " clock, daemon=JAR on the real one; repeatable")
+                    "a variant to compare with the first: settings, brain=NAME on the virtual"
+                            + " clock, daemon=JAR on the real clock; repeatable")
     private List<String> variants = new ArrayList<>();
 
-    @Option(names = "--baselines", description = "every baseline as a variant")
+    @Option(names = "--baselines", description = "add every baseline strategy as a variant")
     private boolean baselines;
 
     @Option(
             names = "--older",
             paramLabel = "JAR",
             description = "the daemon of an earlier build, for faults that start one")
-    private Path older;
+    private Path olderJar;
 
-    /** Returns one plan for each clock, the virtual one first. */
+    /** Returns one plan for each selected clock, that of the virtual clock first. */
     List<Plan> plans() throws ScenarioException, CommandLineException {
         List<Scenario> scenarios = readScenarios();
         List<Variant> allVariants = readVariants();
@@ -82,31 +84,39 @@
         for (Plan.Clock each : Plan.Clock.values()) {
             if (wanted.equals(BOTH) || wanted.equals(each.label())) {
                 plans.add(
-                        new Plan(scenarios, seedNumbers, allVariants, each, seconds, quick, older));
+                        new Plan(
+                                scenarios,
+                                seedNumbers,
+                                allVariants,
+                                each,
+                                durationSeconds,
+                                quick,
+                                olderJar));
             }
         }
         return plans;
     }
 
     private void checkValues() throws CommandLineException {
-        if (seconds < 0 || (seconds > 0 && seconds < MIN_SECONDS)) {
-            throw new CommandLineException("--seconds: " + seconds + " is under 1");
+        if (durationSeconds < 0 || (durationSeconds > 0 && durationSeconds < MIN_SECONDS)) {
+            throw new CommandLineException(
+                    "--seconds: expected at least 1, got " + durationSeconds);
         }
-        if (older != null && !Files.isRegularFile(older)) {
-            throw new CommandLineException("--older: " + older + " is no file");
+        if (olderJar != null && !Files.isRegularFile(olderJar)) {
+            throw new CommandLineException("--older: " + olderJar + " is not a regular file");
         }
     }
 
     private List<Scenario> readScenarios() throws ScenarioException, CommandLineException {
-        if (names.isEmpty()) {
-            names = List.of(ScenarioLibrary.NAMES.get(0));
-            quick |= seconds == 0;
+        if (scenarioNames.isEmpty()) {
+            scenarioNames = List.of(ScenarioLibrary.NAMES.get(0));
+            quick |= durationSeconds == 0;
         }
         List<Scenario> scenarios = new ArrayList<>();
         Set<String> seen = new HashSet<>();
-        for (String name : names) {
+        for (String name : scenarioNames) {
             if (!seen.add(name)) {
-                throw new CommandLineException(name + " is named twice");
+                throw new CommandLineException("scenario " + name + " is given more than once");
             }
             scenarios.add(ScenarioLibrary.find(name));
         }
@@ -114,7 +124,7 @@
     }
 
     private List<Variant> readVariants() throws CommandLineException {
-        List<Variant> all = new ArrayList<>(List.of(Variant.USUAL));
+        List<Variant> all = new ArrayList<>(List.of(Variant.DEFAULT));
         try {
             for (String text : variants) {
                 all.add(Variant.parse(text));
@@ -130,7 +140,8 @@
         Set<String> seen = new HashSet<>();
         for (Variant variant : all) {
             if (!seen.add(variant.name())) {
-                throw new CommandLineException("--variant: " + variant.name() + " is named twice");
+                throw new CommandLineException(
+                        "--variant: name " + variant.name() + " is used more than once");
             }
         }
         return all;
@@ -148,7 +159,7 @@
         }
         String wanted = clock.toLowerCase(Locale.ROOT);
         if (!Set.of(REAL, VIRTUAL, BOTH).contains(wanted)) {
-            throw new CommandLineException("--clock: " + clock + " is none of virtual, real, both");
+            throw new CommandLineException("--clock: expected virtual, real or both, got " + clock);
         }
         return wanted;
     }
@@ -166,10 +177,10 @@
             }
         }
         if (!wanted.equals(VIRTUAL) && !canRunReal) {
-            throw new CommandLineException("baselines run on the virtual clock only");
+            throw new CommandLineException("baseline strategies run on the virtual clock only");
         }
         if (!wanted.equals(REAL) && variants.stream().anyMatch(each -> each.jar() != null)) {
-            throw new CommandLineException("another build's daemon runs on the real clock only");
+            throw new CommandLineException("a daemon of another build runs on the real clock only");
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/Rehearsal.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Rehearsal.java
@@ -15,12 +15,12 @@
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
 
-/** Runs the plans of a rehearsal, prints what they found, and gives the verdict. */
+/** Runs the plans of a rehearsal, prints their results and determines the exit code. */
 final class Rehearsal {
     private final List<Plan> plans;
 
-    /** Null for the default of each clock. */
-    private final Integer cores;
+    /** The number of runs in parallel; null for the default of each clock. */
+    private final Integer parallelRuns;
 
     private final boolean twice;
     private final StopSignal stop;
@@ -35,40 +35,44 @@
     /**
      * Creates a rehearsal that has not run.
      *
-     * @param cores runs in parallel; null for the default of each clock
+     * @param parallelRuns the number of runs in parallel; null for the default of each clock
      * @param twice whether every plan is run twice and the results are compared
      */
     Rehearsal(
             List<Plan> plans,
-            Integer cores,
+            Integer parallelRuns,
             boolean twice,
             StopSignal stop,
             Consumer<String> progress) {
         this.plans = plans;
-        this.cores = cores;
+        this.parallelRuns = parallelRuns;
         this.twice = twice;
         this.stop = stop;
         this.progress = progress;
     }
 
-    /** Runs all plans, or those before the stop signal. */
+    /** Runs all plans; after the stop signal, no further run begins. */
     void run() throws RehearsalException, ConfigException {
         int repetitionCount = twice ? 2 : 1;
         for (Plan plan : plans) {
             for (int i = 0; i < repetitionCount && !stop.getAsBoolean(); i++) {
-                List<Report> found = new Matrix(plan, cores(plan), stop, progress).run();
-                repetitions.add(found);
+                List<Report> repetition =
+                        new Matrix(plan, parallelRuns(plan), stop, progress).run();
+                repetitions.add(repetition);
                 if (i == 0) {
-                    reports.addAll(found);
+                    reports.addAll(repetition);
                 }
             }
         }
     }
 
-    /** Runs on the real clock share the cores, and disturb each other when run in parallel. */
-    private int cores(Plan plan) {
-        if (cores != null) {
-            return cores;
+    /**
+     * Returns the number of runs in parallel. The default on the real clock is 1 because parallel
+     * runs would compete for the cores and disturb each other.
+     */
+    private int parallelRuns(Plan plan) {
+        if (parallelRuns != null) {
+            return parallelRuns;
         }
         return plan.clock() == Plan.Clock.REAL ? 1 : Runtime.getRuntime().availableProcessors();
     }
@@ -85,7 +89,7 @@
                 : "";
     }
 
-    /** Prints reports, comparison, and whether repetitions and clocks agree. */
+    /** Prints the reports, their comparison, and whether repetitions and clocks agree. */
     void print(PrintWriter out) {
         for (Report report : reports) {
             out.println(TableWriter.text(report));
@@ -104,7 +108,7 @@
         List<Agreement> agreements = new ArrayList<>();
         if (twice) {
             for (int i = 0; i < repetitions.size(); i += 2) {
-                agreements.add(Agreement.ofRepeats(repetitions.get(i), repetitions.get(i + 1)));
+                agreements.add(Agreement.ofRepetitions(repetitions.get(i), repetitions.get(i + 1)));
             }
         }
         if (plans.size() > 1) {
@@ -115,12 +119,12 @@
     }
 
     /**
-     * Returns the exit code. Variants are there for comparison and need not hold, but every run
-     * must have been judged.
+     * Returns the exit code. Expectations must hold for the first variant only, as the others serve
+     * for comparison, but every run must have been judged.
      */
     int exitCode() {
         if (stop.getAsBoolean()) {
-            return Exit.STOPPED;
+            return ExitCode.STOPPED;
         }
         String firstVariant = plans.get(0).variants().get(0).name();
         Set<Report.Judgement> judgements =
@@ -129,11 +133,11 @@
                         .map(Report::judgement)
                         .collect(Collectors.toSet());
         if (judgements.contains(Report.Judgement.DOES_NOT_HOLD)) {
-            return Exit.DOES_NOT_HOLD;
+            return ExitCode.CHECK_FAILED;
         }
         if (reports.stream().anyMatch(r -> r.judgement() == Report.Judgement.NOT_JUDGED)) {
-            return Exit.NOT_JUDGED;
+            return ExitCode.NOT_JUDGED;
         }
-        return agrees ? Exit.HOLDS : Exit.DOES_NOT_HOLD;
+        return agrees ? ExitCode.SUCCESS : ExitCode.CHECK_FAILED;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Rehearse.java
@@ -24,23 +24,24 @@
 
     @Option(
             names = "--twice",
-            description = "run everything twice: the same seed must give the same figures")
+            description = "run everything twice and require the same figures from the same seed")
     private boolean twice;
 
     @Option(
             names = "--cores",
             paramLabel = "N",
             description =
-                    "runs in parallel (default: on the virtual clock all cores, on the real one 1)")
-    private Integer cores;
+                    "runs in parallel (default: all cores on the virtual clock, 1 on the real"
+                            + " clock)")
+    private Integer parallelRuns;
 
     @Option(
             names = "--cut-down",
             paramLabel = "FILE",
             description =
-                    "reduce the faults of the first run that does not hold, as long as it still"
-                            + " does not, and write them as a scenario")
-    private Path cutDown;
+                    "minimize the faults of the first run that fails, as long as the run still"
+                            + " fails, and write them as a scenario")
+    private Path minimizedPath;
 
     @Option(names = "--json", paramLabel = "FILE", description = "write the reports as JSON")
     private Path json;
@@ -61,30 +62,31 @@
         PrintWriter out = spec.commandLine().getOut();
         if (list) {
             listScenarios(out);
-            return Exit.HOLDS;
+            return ExitCode.SUCCESS;
         }
-        if (cores != null && cores < 1) {
-            throw new CommandLineException("--cores: " + cores + " is under 1");
+        if (parallelRuns != null && parallelRuns < 1) {
+            throw new CommandLineException("--cores: expected at least 1, got " + parallelRuns);
         }
         List<Plan> plans = planOptions.plans();
         StopSignal stop = null;
         try (OutputFile jsonFile = OutputFile.open("--json", json);
                 OutputFile htmlFile = OutputFile.open("--html", html);
-                OutputFile minimizedFile = OutputFile.open("--cut-down", cutDown)) {
+                OutputFile minimizedFile = OutputFile.open("--cut-down", minimizedPath)) {
             stop = new StopSignal();
-            Rehearsal rehearsal = new Rehearsal(plans, cores, twice, stop, this::printProgress);
+            Rehearsal rehearsal =
+                    new Rehearsal(plans, parallelRuns, twice, stop, this::printProgress);
             rehearsal.run();
             rehearsal.print(out);
             jsonFile.write(JsonWriter.text(rehearsal.reports()));
             htmlFile.write(HtmlWriter.text(rehearsal.reports(), rehearsal.comparison()));
-            if (cutDown != null) {
+            if (minimizedPath != null) {
                 new FailureMinimizer(plans, rehearsal.reports(), stop, this::printProgress)
                         .minimizeFirst(minimizedFile, out);
             }
             return rehearsal.exitCode();
         } finally {
             if (stop != null) {
-                stop.finished();
+                stop.onCommandFinished();
             }
         }
     }
--- a/kit/src/main/java/wheelroute/kit/cli/Scale.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Scale.java
@@ -23,25 +23,25 @@
                 "Measure what dispatchers and discovery cost as workers, changes, attempts, tenants"
                         + " and dispatchers grow, and compare it with a deployment's size.")
 final class Scale implements Callable<Integer> {
-    /** One of the two. */
-    static final class Kind {
-        // Never read: the option only names the default.
+    /** The options that select the size of the measurement; at most one of them is given. */
+    static final class PlanSize {
+        // The field is never read because the option only names the default.
         @SuppressWarnings("UnusedVariable")
-        @Option(names = "--quick", description = "small sizes, under a minute (the default)")
+        @Option(names = "--quick", description = "small sizes, takes under a minute (the default)")
         private boolean quick;
 
         @Option(
                 names = "--full",
-                description = "to 30,000 workers and 300 dispatchers, some minutes")
+                description = "up to 30,000 workers and 300 dispatchers, takes some minutes")
         private boolean full;
     }
 
-    @ArgGroup private Kind kind;
+    @ArgGroup private PlanSize planSize;
 
     @Option(
             names = "--size",
             paramLabel = "FILE",
-            defaultValue = Capacity.SIZE,
+            defaultValue = Capacity.DEFAULT_SIZE_FILE,
             description = "the deployment's size (default: ${DEFAULT-VALUE})")
     private Path size;
 
@@ -55,7 +55,8 @@
 
     @Override
     public Integer call() throws Exception {
-        DeploymentSize deployment = DeploymentSize.read(Capacity.existing("--size", size));
+        DeploymentSize deployment =
+                DeploymentSize.read(Capacity.requireRegularFile("--size", size));
         StopSignal stop = new StopSignal();
         try (OutputFile jsonFile = OutputFile.open("--json", json);
                 OutputFile htmlFile = OutputFile.open("--html", html)) {
@@ -71,12 +72,12 @@
             out.flush();
             return exitCode(results, exceeded);
         } finally {
-            stop.finished();
+            stop.onCommandFinished();
         }
     }
 
     private ScalePlan plan() {
-        return kind != null && kind.full ? ScalePlan.full() : ScalePlan.quick();
+        return planSize != null && planSize.full ? ScalePlan.full() : ScalePlan.quick();
     }
 
     private void printProgress(String line) {
@@ -97,8 +98,8 @@
 
     private static int exitCode(ScaleResults results, List<String> exceeded) {
         if (!results.notJudged().isEmpty()) {
-            return Exit.NOT_JUDGED;
+            return ExitCode.NOT_JUDGED;
         }
-        return exceeded.isEmpty() ? Exit.HOLDS : Exit.DOES_NOT_HOLD;
+        return exceeded.isEmpty() ? ExitCode.SUCCESS : ExitCode.CHECK_FAILED;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/SeedRange.java
+++ b/kit/src/main/java/wheelroute/kit/cli/SeedRange.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Parses the values of the option --seed: numbers, and ranges such as 1..20. */
+/** Parses the values of the option --seed, which are integers or ranges such as 1..20. */
 final class SeedRange {
     private static final String SEPARATOR = "..";
-    private static final long MAX_LENGTH = 1000;
+    private static final long MAX_SPAN = 1000;
 
     private SeedRange() {}
 
@@ -17,7 +17,7 @@
                 parse(text, seeds);
             } catch (NumberFormatException e) {
                 throw new CommandLineException(
-                        "--seed: " + text + " is no whole number and no range");
+                        "--seed: expected an integer or a range such as 1..20, got " + text);
             }
         }
         return seeds;
@@ -31,9 +31,12 @@
         }
         long first = Long.parseLong(text.substring(0, separator).trim());
         long last = Long.parseLong(text.substring(separator + SEPARATOR.length()).trim());
-        if (last < first || last - first > MAX_LENGTH) {
+        if (last < first || last - first > MAX_SPAN) {
             throw new CommandLineException(
-                    "--seed: " + text + " is no range of up to " + MAX_LENGTH);
+                    "--seed: expected an ascending range that spans at most "
+                            + MAX_SPAN
+                            + ", got "
+                            + text);
         }
         for (long seed = first; seed <= last; seed++) {
             seeds.add(seed);
--- a/kit/src/main/java/wheelroute/kit/cli/Serve.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Serve.java
@@ -17,13 +17,13 @@
             arity = "0..1",
             paramLabel = "FILE",
             description =
-                    "the configuration, TOML or JSON; by default the file that LB_CONFIG names")
+                    "the configuration, TOML or JSON (default: the file that LB_CONFIG names)")
     private String file;
 
     @Option(
             names = "--log-format",
             paramLabel = "text|json",
-            description = "the log's lines (default: text)")
+            description = "the format of log lines (default: text)")
     private String logFormat;
 
     @Override
@@ -37,8 +37,8 @@
             args.add(file);
         }
         Main.main(args.toArray(new String[0]));
-        // The service runs on a thread of its own, and ends the process.
+        // The dispatcher runs on its own thread, which ends the process.
         Thread.currentThread().join();
-        return Exit.HOLDS;
+        return ExitCode.SUCCESS;
     }
 }
--- a/kit/src/main/java/wheelroute/kit/cli/StandIn.java
+++ b/kit/src/main/java/wheelroute/kit/cli/StandIn.java
@@ -13,8 +13,8 @@
         name = "stand-in",
         mixinStandardHelpOptions = true,
         description =
-                "Run a scenario's stub workers and discovery alone, on loopback, for a dispatcher"
-                        + " that you start.")
+                "Run the stub workers and discovery of a scenario on loopback, for a dispatcher"
+                        + " that you start yourself.")
 final class StandIn implements Callable<Integer> {
     @Parameters(
             arity = "0..1",
@@ -27,7 +27,7 @@
             names = "--seed",
             defaultValue = "1",
             paramLabel = "N",
-            description = "default: ${DEFAULT-VALUE}")
+            description = "seed of the random numbers (default: ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
@@ -41,15 +41,17 @@
             names = "--workers",
             defaultValue = "0",
             paramLabel = "PORT",
-            description = "the first worker's port, the others' follow; 0 for any (default)")
+            description =
+                    "port of the first worker, the others get the ports after it; 0 for any"
+                            + " (default)")
     private int firstWorkerPort;
 
     @Option(
             names = "--seconds",
             defaultValue = "3600",
             paramLabel = "S",
-            description = "how long (default: ${DEFAULT-VALUE})")
-    private double seconds;
+            description = "duration of the run in seconds (default: ${DEFAULT-VALUE})")
+    private double durationSeconds;
 
     @Spec private CommandSpec spec;
 
@@ -60,15 +62,15 @@
             StubRun.run(
                     ScenarioLibrary.find(name),
                     seed,
-                    seconds,
+                    durationSeconds,
                     discoveryPort,
                     firstWorkerPort,
                     stop,
                     this::printLine);
         } finally {
-            stop.finished();
+            stop.onCommandFinished();
         }
-        return Exit.HOLDS;
+        return ExitCode.SUCCESS;
     }
 
     private void printLine(String line) {
--- a/kit/src/main/java/wheelroute/kit/cli/StopSignal.java
+++ b/kit/src/main/java/wheelroute/kit/cli/StopSignal.java
@@ -5,10 +5,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Whether the process was asked to end, as by ^C. The JVM then waits for the command to end its
- * child processes and to write its partial report.
+ * Tells a command whether the process was asked to end, for example by ^C. Shutdown then waits for
+ * the command to end its child processes and to write its partial report.
  *
- * <p>Thread-safe: the request comes on the thread of a shutdown hook.
+ * <p>Instances are thread-safe because a shutdown hook sets the signal on its own thread.
  */
 final class StopSignal implements BooleanSupplier {
     private static final int MAX_WAIT_SECONDS = 15;
@@ -35,14 +35,14 @@
         return requested;
     }
 
-    /** Lets the JVM end: the command has written everything. */
-    void finished() {
+    /** Lets the JVM shut down; called after the command has written all of its output. */
+    void onCommandFinished() {
         finished.countDown();
         if (!requested) {
             try {
                 Runtime.getRuntime().removeShutdownHook(hook);
             } catch (IllegalStateException e) {
-                // The shutdown has begun in between.
+                // The shutdown began after the signal was checked.
                 requested = true;
             }
         }
--- a/kit/src/main/java/wheelroute/kit/cli/Wheelroute.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Wheelroute.java
@@ -11,14 +11,14 @@
 import wheelroute.kit.process.RehearsalException;
 import wheelroute.kit.scenario.ScenarioException;
 
-/** The command line of dispatcher and kit. */
+/** The command line of the dispatcher and its test kit. */
 @Command(
         name = "wheelroute",
         mixinStandardHelpOptions = true,
         versionProvider = Wheelroute.Version.class,
         description =
-                "A dispatcher that runs beside each client and sends its requests to workers, and its"
-                        + " test kit.",
+                "A dispatcher that runs beside each client and sends its requests to workers, and"
+                        + " its test kit.",
         subcommands = {
             Serve.class,
             Adapter.class,
@@ -34,14 +34,14 @@
         },
         footer = {
             "",
-            "Exit codes: 0 success, all expectations hold; 1 an input cannot be used, or a run could"
+            "Exit codes: 0 success, all expectations hold; 1 an input is invalid, or a run could"
                     + " not be completed; 2 wrong usage; 3 a rule was broken or an expectation does"
-                    + " not hold; 4 the machine is too slow for the load; 130 stopped."
+                    + " not hold; 4 the machine is too slow for the load; 130 stopped by a signal."
         })
 public final class Wheelroute implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
-    /** The version that the build wrote into the jar. */
+    /** Provides the version that the build writes into the manifest of the jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -55,7 +55,7 @@
     @Override
     public Integer call() {
         spec.commandLine().usage(spec.commandLine().getErr());
-        return Exit.BAD_USAGE;
+        return ExitCode.USAGE_ERROR;
     }
 
     static CommandLine commandLine() {
@@ -68,7 +68,7 @@
                             || e instanceof RehearsalException
                             || e instanceof IOException) {
                         command.getErr().println("wheelroute: " + e.getMessage());
-                        return Exit.BAD_INPUT;
+                        return ExitCode.INVALID_INPUT;
                     }
                     throw e;
                 });
@@ -76,7 +76,7 @@
         return line;
     }
 
-    /** Runs the command line and exits with its code. */
+    /** Runs the given command and ends the process with its exit code. */
     public static void main(String[] args) {
         System.exit(commandLine().execute(args));
     }
--- a/kit/src/main/java/wheelroute/kit/cli/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The command line of dispatcher and kit. */
+/** The command line of the dispatcher and its test kit. */
 package wheelroute.kit.cli;
--- a/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
@@ -10,12 +10,15 @@
 import wheelroute.kit.report.TableWriter;
 import wheelroute.kit.scenario.FigureNames;
 
-/** Whether two sets of runs agree: repetitions with the same seeds, or runs on the two clocks. */
+/**
+ * The comparison of two sets of runs, which are repetitions with the same seeds or runs on the two
+ * clocks.
+ */
 public final class Agreement {
-    /** Allowed difference in service between two repetitions on the real clock. */
-    private static final double MAX_REPEAT_DIFFERENCE = 0.005;
+    /** The allowed difference in service between two repetitions on the real clock. */
+    private static final double MAX_REPETITION_DIFFERENCE = 0.005;
 
-    /** Allowed difference in the mean service of a request class between the two clocks. */
+    /** The allowed difference in the mean service of a request class between the two clocks. */
     private static final double MAX_CLOCK_DIFFERENCE = 0.03;
 
     private final List<String[]> rows = new ArrayList<>();
@@ -28,42 +31,42 @@
     }
 
     /**
-     * Compares repetitions: on the virtual clock the reports must be identical, on the real one the
-     * service may differ slightly.
+     * Compares repetitions. On the virtual clock the reports must be identical; on the real clock
+     * the service may differ by {@link #MAX_REPETITION_DIFFERENCE}.
      */
-    public static Agreement ofRepeats(List<Report> firstRuns, List<Report> secondRuns) {
+    public static Agreement ofRepetitions(List<Report> firstRuns, List<Report> secondRuns) {
         Agreement agreement = new Agreement("the same seed twice", "first", "second");
         for (int i = 0; i < Math.min(firstRuns.size(), secondRuns.size()); i++) {
             Report first = firstRuns.get(i);
             Report second = secondRuns.get(i);
             if (first.run().clock().equals(Plan.Clock.VIRTUAL.label())) {
-                agreement.compareWhole(first, second);
+                agreement.compareReports(first, second);
             } else {
                 agreement.compare(
-                        name(first),
+                        runLabel(first),
                         FigureNames.SERVICE,
                         first.figures().get(FigureNames.SERVICE),
                         second.figures().get(FigureNames.SERVICE),
-                        MAX_REPEAT_DIFFERENCE);
+                        MAX_REPETITION_DIFFERENCE);
             }
         }
         return agreement;
     }
 
-    private static String name(Report report) {
+    private static String runLabel(Report report) {
         return report.run().scenario() + " " + report.run().seed() + " " + report.run().variant();
     }
 
-    private void compareWhole(Report first, Report second) {
+    private void compareReports(Report first, Report second) {
         boolean isSame = JsonWriter.text(List.of(first)).equals(JsonWriter.text(List.of(second)));
         holds &= isSame;
         String difference = isSame ? "none" : "SOME";
-        rows.add(new String[] {name(first), "whole report", "", "", difference, "none"});
+        rows.add(new String[] {runLabel(first), "whole report", "", "", difference, "none"});
     }
 
     /**
-     * Compares the service of each request class on the two clocks. Means over the seeds are
-     * compared, as single runs differ widely where all queues are full.
+     * Compares the mean service of each request class over the seeds on the two clocks. Means are
+     * compared because single runs differ widely where all queues are full.
      */
     public static Agreement ofClocks(List<Report> virtual, List<Report> real) {
         Agreement agreement = new Agreement("the two clocks", "virtual", "real");
@@ -114,12 +117,12 @@
                 });
     }
 
-    /** Whether all differences are allowed. */
+    /** Returns whether every difference is within its allowed bound. */
     public boolean holds() {
         return holds;
     }
 
-    /** Returns the comparison as a table for people. */
+    /** Returns the comparison as a table in plain text. */
     public String text() {
         return title + (holds ? " agree\n" : " DO NOT AGREE\n") + TableWriter.aligned(rows);
     }
--- a/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
@@ -11,9 +11,9 @@
 import wheelroute.kit.scenario.FigureNames;
 
 /**
- * Statistics over several runs: the mean and spread of each figure over the seeds, and the
- * difference of each variant from the first. All variants get the same requests with a seed, so
- * differences are paired by seed, and their standard error excludes what the seeds differ by.
+ * Computes the mean and spread of each figure over the seeds, and the difference of each variant
+ * from the first variant. All variants get the same requests with the same seed; differences are
+ * therefore paired by seed, so that their standard error excludes the variation between seeds.
  */
 public final class Comparison {
     private static final List<String> FIGURES =
@@ -134,7 +134,7 @@
         return Math.sqrt(squares / (values.length - 1) / values.length);
     }
 
-    /** Returns the cells as a table for people. */
+    /** Returns the cells as a table in plain text. */
     public static String text(List<Cell> cells) {
         List<String[]> rows = new ArrayList<>();
         rows.add(COLUMNS);
--- a/kit/src/main/java/wheelroute/kit/experiment/InvalidVariantException.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/InvalidVariantException.java
@@ -1,6 +1,6 @@
 package wheelroute.kit.experiment;
 
-/** The text of a variant cannot be used; the message names the variant and the fault. */
+/** Thrown if the text of a variant is invalid; the message names the variant and the error. */
 public final class InvalidVariantException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Matrix.java
@@ -23,7 +23,8 @@
 /**
  * Runs the items of a plan, several in parallel.
  *
- * <p>A matrix is used by one thread; it calls stop and progress on threads of its own.
+ * <p>A matrix must be used by one thread. The functions stop and progress are called on the threads
+ * that execute the runs.
  */
 public final class Matrix {
     private final Plan plan;
@@ -34,11 +35,11 @@
     private final AtomicBoolean hasFailed = new AtomicBoolean();
 
     /**
-     * Creates the runs of a plan.
+     * Creates a matrix that has run nothing yet.
      *
-     * @param parallelRuns how many runs there are at a time
-     * @param stop no run begins after it returns true, and those that have begun end early
-     * @param progress receives a line after each run
+     * @param parallelRuns the maximum number of runs at a time
+     * @param stop after this returns true, no run begins and runs in progress end early
+     * @param progress receives one line after each run
      */
     public Matrix(Plan plan, int parallelRuns, BooleanSupplier stop, Consumer<String> progress) {
         this.plan = plan;
@@ -69,7 +70,7 @@
         }
     }
 
-    /** Returns null after a stop, or after another run has failed. */
+    /** Runs one item; returns null after a stop or after another run has failed. */
     private Report runUnlessStopped(Plan.Item item, int itemCount)
             throws RehearsalException, ConfigException {
         if (stop.getAsBoolean() || hasFailed.get()) {
@@ -122,7 +123,7 @@
         return reports;
     }
 
-    /** Runs one item. */
+    /** Runs one item on the calling thread and returns its report. */
     public Report run(Plan.Item item) throws RehearsalException, ConfigException {
         Variant variant = item.variant();
         if (plan.clock() == Plan.Clock.REAL) {
--- a/kit/src/main/java/wheelroute/kit/experiment/Plan.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Plan.java
@@ -9,7 +9,7 @@
 /**
  * All runs of a rehearsal on one clock, in the order of their reports.
  *
- * @param durationSeconds how long requests arrive; 0 for the scenario's duration
+ * @param durationSeconds for how long requests arrive; 0 for the scenario's duration
  * @param quick whether a run is limited to {@link #QUICK_SECONDS}
  * @param olderJar the daemon of an older build, which some faults start; null for none
  */
@@ -21,31 +21,35 @@
         double durationSeconds,
         boolean quick,
         Path olderJar) {
-    /** The maximum duration of a quick run. */
+    /** The time for which requests arrive in a quick run, at most. */
     public static final double QUICK_SECONDS = 30;
 
-    /** The clock of a run. */
+    /** The clock that a run uses. */
     public enum Clock {
-        /** Simulated time and simulated dispatchers. */
+        /** The dispatchers are simulated in simulated time. */
         VIRTUAL,
-        /** Processes on sockets. */
+        /** The dispatchers are processes that communicate over sockets. */
         REAL;
 
-        /** Returns the clock's name on the command line, in scenarios and in reports. */
+        /** Returns the name of the clock on the command line, in scenarios and in reports. */
         public String label() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
-    /** One run; index is its place in the plan. */
+    /**
+     * One run of a plan.
+     *
+     * @param index the position of the run in {@link Plan#items}
+     */
     public record Item(
             int index, Scenario scenario, long seed, Variant variant, double durationSeconds) {
-        /** Returns the same run of another scenario. */
+        /** Returns a copy of this run with another scenario. */
         public Item with(Scenario other) {
             return new Item(index, other, seed, variant, durationSeconds);
         }
 
-        /** Returns scenario, seed and variant as text. */
+        /** Returns the scenario, the seed and the variant as text. */
         public String text() {
             return scenario.name() + ", seed " + seed + ", " + variant.name();
         }
--- a/kit/src/main/java/wheelroute/kit/experiment/Variant.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Variant.java
@@ -7,37 +7,39 @@
 import wheelroute.kit.strategy.Strategies;
 
 /**
- * A dispatcher to compare with others: its strategy or build, and its settings.
+ * A dispatcher to compare with others, given by its strategy or build and by its settings.
  *
- * @param strategy the name of the strategy that decides on the virtual clock
- * @param jar another build's daemon for the real clock; null for this build's
- * @param settings by path, which precede those of the scenario
+ * @param strategy the name of the strategy that makes the decisions on the virtual clock
+ * @param jar the daemon of another build, for the real clock; null for that of this build
+ * @param settings values by path, which take precedence over those of the scenario
  */
 public record Variant(String name, String strategy, Path jar, Map<String, String> settings) {
-    /** This build with the scenario's settings. */
-    public static final Variant USUAL = new Variant("as-built", Strategies.POLICY, null, Map.of());
+    /** The variant of this build with the scenario's settings. */
+    public static final Variant DEFAULT =
+            new Variant("as-built", Strategies.POLICY, null, Map.of());
 
-    /** Keys of a variant's text; all others are paths of settings. */
+    /** The key of the strategy; keys other than this and the key of the jar are setting paths. */
     private static final String STRATEGY_KEY = "brain";
 
     private static final String JAR_KEY = "daemon";
 
-    /** Returns the variant in which a baseline strategy decides. */
+    /** Returns the variant in which a baseline strategy makes the decisions. */
     public static Variant baseline(String strategy) {
         return new Variant(strategy, strategy, null, Map.of());
     }
 
     /**
-     * Parses NAME:KEY=VALUE,KEY=VALUE.
+     * Parses a text of the form NAME:KEY=VALUE,KEY=VALUE.
      *
-     * @throws InvalidVariantException with a message that names the fault
+     * @throws InvalidVariantException if the text is malformed, or names an unknown strategy or a
+     *     missing jar
      */
     public static Variant parse(String text) {
         int colon = text.indexOf(':');
         String name = colon < 0 ? text : text.substring(0, colon);
         if (name.isEmpty()) {
             throw new InvalidVariantException(
-                    "variant '" + text + "' has no name before its colon");
+                    "variant '" + text + "': empty name, expected NAME:KEY=VALUE,...");
         }
         String strategy = Strategies.POLICY;
         Path jar = null;
@@ -57,7 +59,7 @@
             int equalsSign = pair.indexOf('=');
             if (equalsSign < 1) {
                 throw new InvalidVariantException(
-                        "variant '" + name + "': '" + pair + "' is not KEY=VALUE");
+                        "variant '" + name + "': expected KEY=VALUE, got '" + pair + "'");
             }
             String value = pair.substring(equalsSign + 1).trim();
             pairs.put(pair.substring(0, equalsSign).trim(), value);
@@ -70,9 +72,9 @@
             throw new InvalidVariantException(
                     "variant '"
                             + variant
-                            + "': no strategy '"
+                            + "': unknown strategy '"
                             + strategy
-                            + "'; there are "
+                            + "', expected one of "
                             + String.join(", ", Strategies.names()));
         }
         return strategy;
@@ -81,7 +83,8 @@
     private static Path existingJar(String variant, String path) {
         Path jar = Path.of(path);
         if (!Files.isRegularFile(jar)) {
-            throw new InvalidVariantException("variant '" + variant + "': no daemon at " + path);
+            throw new InvalidVariantException(
+                    "variant '" + variant + "': daemon jar not found: " + path);
         }
         return jar.toAbsolutePath();
     }
--- a/kit/src/main/java/wheelroute/kit/experiment/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Several runs: scenarios, seeds and variants, run in parallel and compared. */
+/** Runs scenarios with several seeds and variants in parallel, and compares their results. */
 package wheelroute.kit.experiment;
--- a/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Writes reports as an HTML page that needs no other file. */
+/** Writes reports as a self-contained HTML page. */
 public final class HtmlWriter {
     private static final String KIT_RESOURCES = "/wheelroute/kit/report/";
     private static final String PLOT_RESOURCES = "/META-INF/resources/webjars/uplot/1.6.30/dist/";
@@ -14,9 +14,9 @@
     private HtmlWriter() {}
 
     /**
-     * Returns the page of these reports.
+     * Returns a page that shows the reports.
      *
-     * @param comparison of the reports as text; empty for none
+     * @param comparison the comparison of the reports as plain text; empty for none
      */
     public static String text(List<Report> reports, String comparison) {
         StringBuilder page = new StringBuilder("<h1>wheelroute rehearsal</h1>\n");
@@ -48,9 +48,14 @@
         return page("wheelroute rehearsal", page.toString(), JsonWriter.text(reports), "page.js");
     }
 
-    /** Returns a page whose script draws what is in the JSON. */
+    /**
+     * Returns a page whose script plots the JSON data.
+     *
+     * @param body HTML, which is not escaped here
+     * @param script the name of a resource in this package
+     */
     public static String page(String title, String body, String json, String script) {
-        // Escaped, as "</" could end the script element early.
+        // "</" is escaped in the JSON because it could end the script element early.
         return "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>"
                 + title
                 + "</title>\n<style>"
@@ -76,7 +81,7 @@
         try (InputStream in = HtmlWriter.class.getResourceAsStream(path)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new UncheckedIOException("a resource of the kit cannot be read: " + path, e);
+            throw new UncheckedIOException("cannot read resource " + path, e);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
@@ -14,12 +14,14 @@
 import wheelroute.kit.audit.Rule;
 
 /**
- * Writes reports as JSON, for programs. Times are in seconds; what was not measured is null. With
- * {@link wheelroute.kit.audit.Rule}, the only place that knows the keys of this format.
+ * Writes reports as JSON, for programs. Times are in seconds, and values that were not measured are
+ * null. Only this class and {@link wheelroute.kit.audit.Rule} define keys of this format.
  */
 public final class JsonWriter {
-    /** Raised when readers of the earlier format would misread the new one. */
-    private static final int VERSION = 2;
+    /**
+     * The version of the format, raised if readers of the previous format would misread the new.
+     */
+    private static final int FORMAT_VERSION = 2;
 
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -32,10 +34,10 @@
             json.setPrettyPrinter(
                     new DefaultPrettyPrinter().withObjectIndenter(new DefaultIndenter("  ", "\n")));
             json.writeStartObject();
-            json.writeNumberField("version", VERSION);
+            json.writeNumberField("version", FORMAT_VERSION);
             json.writeArrayFieldStart("runs");
             for (Report report : reports) {
-                report(json, report);
+                writeReport(json, report);
             }
             json.writeEndArray();
             json.writeEndObject();
@@ -45,55 +47,55 @@
         return out.append('\n').toString();
     }
 
-    private static void report(JsonGenerator json, Report report) throws IOException {
+    private static void writeReport(JsonGenerator json, Report report) throws IOException {
         json.writeStartObject();
-        run(json, report.run());
+        writeRun(json, report.run());
         json.writeBooleanField("partial", report.partial());
         json.writeBooleanField("holds", report.holds());
         json.writeStringField("judgement", lowerCase(report.judgement()));
         json.writeStringField("why_not_judged", report.notJudgedReason());
-        lag(json, report.lag());
-        strings(json, "notes", report.notes());
+        writeLag(json, report.lag());
+        writeStrings(json, "notes", report.notes());
         json.writeObjectFieldStart("figures");
         for (Map.Entry<String, Double> figure : report.figures().entrySet()) {
-            number(json, figure.getKey(), figure.getValue());
+            writeNumber(json, figure.getKey(), figure.getValue());
         }
         json.writeEndObject();
-        rows(json, "offerings", report.requestClasses());
-        rows(json, "tenants", report.tenants());
-        rows(json, "total", List.of(report.total()));
-        breaches(json, report);
-        verdicts(json, report.verdicts());
-        series(json, report.series());
+        writeRows(json, "offerings", report.requestClasses());
+        writeRows(json, "tenants", report.tenants());
+        writeRows(json, "total", List.of(report.total()));
+        writeBreaches(json, report);
+        writeVerdicts(json, report.verdicts());
+        writeSeries(json, report.series());
         json.writeArrayFieldStart("latency_distribution");
         for (double[] point : report.distribution()) {
             json.writeArray(point, 0, point.length);
         }
         json.writeEndArray();
-        faults(json, report.faultPeriods());
+        writeFaults(json, report.faultPeriods());
         json.writeEndObject();
     }
 
-    private static void run(JsonGenerator json, Report.Run run) throws IOException {
+    private static void writeRun(JsonGenerator json, Report.Run run) throws IOException {
         json.writeStringField("scenario", run.scenario());
         json.writeStringField("clock", run.clock());
         json.writeStringField("variant", run.variant());
         json.writeNumberField("seed", run.seed());
-        number(json, "seconds", run.durationSeconds());
+        writeNumber(json, "seconds", run.durationSeconds());
         json.writeNumberField("workers", run.workers());
         json.writeNumberField("dispatchers", run.dispatchers());
     }
 
-    private static void lag(JsonGenerator json, Report.MachineLag lag) throws IOException {
+    private static void writeLag(JsonGenerator json, Report.MachineLag lag) throws IOException {
         json.writeObjectFieldStart("lag");
-        number(json, "p99", lag.timerP99Seconds());
-        number(json, "most", lag.timerMaxSeconds());
-        number(json, "core_wait_p99", lag.coreWaitP99Seconds());
-        number(json, "core_wait_most", lag.coreWaitMaxSeconds());
+        writeNumber(json, "p99", lag.timerP99Seconds());
+        writeNumber(json, "most", lag.timerMaxSeconds());
+        writeNumber(json, "core_wait_p99", lag.coreWaitP99Seconds());
+        writeNumber(json, "core_wait_most", lag.coreWaitMaxSeconds());
         json.writeEndObject();
     }
 
-    private static void breaches(JsonGenerator json, Report report) throws IOException {
+    private static void writeBreaches(JsonGenerator json, Report report) throws IOException {
         json.writeObjectFieldStart("rules");
         for (Map.Entry<Rule, Integer> count : report.breachCounts().entrySet()) {
             json.writeNumberField(count.getKey().key(), count.getValue());
@@ -104,60 +106,60 @@
             json.writeStartObject();
             json.writeStringField("rule", breach.rule().key());
             json.writeStringField("what", breach.description());
-            strings(json, "history", breach.history());
+            writeStrings(json, "history", breach.history());
             json.writeEndObject();
         }
         json.writeEndArray();
     }
 
-    private static void verdicts(JsonGenerator json, List<Report.Verdict> verdicts)
+    private static void writeVerdicts(JsonGenerator json, List<Report.Verdict> verdicts)
             throws IOException {
         json.writeArrayFieldStart("expected");
         for (Report.Verdict verdict : verdicts) {
             json.writeStartObject();
             json.writeStringField("figure", verdict.figure());
-            number(json, "least", verdict.min());
-            number(json, "most", verdict.max());
-            number(json, "value", verdict.value());
+            writeNumber(json, "least", verdict.min());
+            writeNumber(json, "most", verdict.max());
+            writeNumber(json, "value", verdict.value());
             json.writeBooleanField("holds", verdict.holds());
             json.writeEndObject();
         }
         json.writeEndArray();
     }
 
-    private static void series(JsonGenerator json, Report.Series series) throws IOException {
+    private static void writeSeries(JsonGenerator json, Report.Series series) throws IOException {
         json.writeObjectFieldStart("over_time");
-        numbers(json, "seconds", series.timesSeconds());
-        numbers(json, "asked_per_s", series.requested());
-        numbers(json, "launched_per_s", series.attempted());
-        numbers(json, "service", series.service());
+        writeNumbers(json, "seconds", series.timesSeconds());
+        writeNumbers(json, "asked_per_s", series.requested());
+        writeNumbers(json, "launched_per_s", series.attempted());
+        writeNumbers(json, "service", series.service());
         json.writeObjectFieldStart("jobs_at_a_worker");
         for (Map.Entry<String, double[]> queue : series.queues().entrySet()) {
-            numbers(json, queue.getKey(), queue.getValue());
+            writeNumbers(json, queue.getKey(), queue.getValue());
         }
         json.writeEndObject();
         json.writeEndObject();
     }
 
-    private static void faults(JsonGenerator json, List<Report.FaultPeriod> bands)
+    private static void writeFaults(JsonGenerator json, List<Report.FaultPeriod> periods)
             throws IOException {
         json.writeArrayFieldStart("faults");
-        for (Report.FaultPeriod band : bands) {
+        for (Report.FaultPeriod period : periods) {
             json.writeStartObject();
-            json.writeStringField("kind", band.kind());
-            number(json, "from", band.startSeconds());
-            number(json, "to", band.endSeconds());
+            json.writeStringField("kind", period.kind());
+            writeNumber(json, "from", period.startSeconds());
+            writeNumber(json, "to", period.endSeconds());
             json.writeEndObject();
         }
         json.writeEndArray();
     }
 
-    /** The names of judgements are values in reports for programs. */
+    /** Returns the name of a constant in lower case, which is its value in the JSON. */
     private static String lowerCase(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT);
     }
 
-    private static void strings(JsonGenerator json, String name, List<String> values)
+    private static void writeStrings(JsonGenerator json, String name, List<String> values)
             throws IOException {
         json.writeArrayFieldStart(name);
         for (String value : values) {
@@ -166,7 +168,7 @@
         json.writeEndArray();
     }
 
-    private static void rows(JsonGenerator json, String name, List<Report.Row> rows)
+    private static void writeRows(JsonGenerator json, String name, List<Report.Row> rows)
             throws IOException {
         json.writeArrayFieldStart(name);
         for (Report.Row row : rows) {
@@ -179,16 +181,16 @@
             json.writeNumberField("scrapped", row.failed());
             json.writeNumberField("unanswered", row.unanswered());
             json.writeNumberField("left", row.cancelled());
-            number(json, "service", row.service());
-            number(json, "p50", row.p50Seconds());
-            number(json, "p99", row.p99Seconds());
-            number(json, "p999", row.p999Seconds());
+            writeNumber(json, "service", row.service());
+            writeNumber(json, "p50", row.p50Seconds());
+            writeNumber(json, "p99", row.p99Seconds());
+            writeNumber(json, "p999", row.p999Seconds());
             json.writeEndObject();
         }
         json.writeEndArray();
     }
 
-    private static void numbers(JsonGenerator json, String name, double[] values)
+    private static void writeNumbers(JsonGenerator json, String name, double[] values)
             throws IOException {
         json.writeArrayFieldStart(name);
         for (double value : values) {
@@ -201,8 +203,9 @@
         json.writeEndArray();
     }
 
-    /** Null for infinity and NaN, which JSON does not have. */
-    private static void number(JsonGenerator json, String name, double value) throws IOException {
+    /** Writes a number, or null for infinity and NaN, which JSON cannot represent. */
+    private static void writeNumber(JsonGenerator json, String name, double value)
+            throws IOException {
         if (Double.isFinite(value)) {
             json.writeNumberField(name, value);
         } else {
--- a/kit/src/main/java/wheelroute/kit/report/OutcomeCounter.java
+++ b/kit/src/main/java/wheelroute/kit/report/OutcomeCounter.java
@@ -7,9 +7,9 @@
 import wheelroute.kit.model.Clients;
 import wheelroute.kit.scenario.Scenario;
 
-/** Counts requests of one kind by their results, with their latencies and the value earned. */
+/** Counts a set of requests by result, and sums up their latencies and the value earned. */
 final class OutcomeCounter {
-    /** A day; a longer latency is counted as this. */
+    /** One day; longer latencies are recorded as this value. */
     private static final long MAX_LATENCY_MICROS = 86_400_000_000L;
 
     private static final int SIGNIFICANT_DIGITS = 3;
--- a/kit/src/main/java/wheelroute/kit/report/Recorder.java
+++ b/kit/src/main/java/wheelroute/kit/report/Recorder.java
@@ -14,21 +14,25 @@
 import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
 
-/** Passes the events of clients and workers to the tally and the auditors, on both clocks. */
+/** Forwards the events of clients and workers to the tally and the auditors, on both clocks. */
 public final class Recorder implements Clients.Observer, EventListener {
     private final Tally tally;
     private final Auditor auditor;
     private final MetricsAuditor metricsAuditor;
     private final Timeline timeline;
-    private long requestCount;
-    private long attemptCount;
+    private long clientAttemptCount;
+    private long workerAttemptCount;
 
-    /** Creates a recorder of a run without admin servers. */
+    /** Creates a recorder of a run whose dispatchers have no admin servers. */
     public Recorder(Scenario scenario, Timeline timeline, double seconds, Auditor auditor) {
         this(scenario, timeline, seconds, auditor, new MetricsAuditor(timeline, false));
     }
 
-    /** Creates a recorder of one run. */
+    /**
+     * Creates a recorder of one run.
+     *
+     * @param seconds for how long requests arrive
+     */
     public Recorder(
             Scenario scenario,
             Timeline timeline,
@@ -41,17 +45,17 @@
         tally = new Tally(scenario, seconds);
     }
 
-    /** Returns what was counted so far. */
+    /** Returns the counts so far, which later events update. */
     public Tally tally() {
         return tally;
     }
 
-    /** Returns the number of attempts at workers per attempt of a client. */
+    /** Returns the number of attempts at workers for each attempt of a client. */
     public double attemptsPerRequest() {
-        return (double) attemptCount / Math.max(1, requestCount);
+        return (double) workerAttemptCount / Math.max(1, clientAttemptCount);
     }
 
-    /** Starts the clients' requests, and samples the queues until they have ended. */
+    /** Starts the clients, and samples the workers' queues until the clients have ended. */
     public void start(ClusterModel cluster, Clients clients) {
         tally.startAt(timeline.now());
         auditor.start();
@@ -82,7 +86,7 @@
 
     @Override
     public void onSent(ClientAttempt clientAttempt) {
-        requestCount++;
+        clientAttemptCount++;
         auditor.onSent(clientAttempt);
         metricsAuditor.onSent(clientAttempt.dispatcher());
     }
@@ -116,7 +120,7 @@
 
     @Override
     public void onArrived(WorkerAttempt attempt, WorkerModel worker) {
-        attemptCount++;
+        workerAttemptCount++;
         tally.onAttempt(timeline.now());
         auditor.onArrived(attempt, worker);
         ClientAttempt clientAttempt = auditor.clientAttempt(attempt.requestId);
--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -12,13 +12,14 @@
 import wheelroute.kit.scenario.Scenario;
 
 /**
- * The result of one run. On the virtual clock it does not depend on the machine: the same seed
- * gives the same report.
+ * The result of one run. On the virtual clock, the same seed gives the same report on every
+ * machine.
  *
- * @param figures by name, see {@link FigureNames}
- * @param breaches the first ones; all are counted
- * @param distribution points of the latency distribution: fraction of requests, seconds
- * @param notes lines for people
+ * @param figures values by the names in {@link FigureNames}
+ * @param breachCounts the number of all breaches by rule
+ * @param breaches the first breaches only
+ * @param distribution points of the latency distribution, each a fraction of requests and seconds
+ * @param notes further results as lines of text
  * @param partial whether the run was stopped before its end
  */
 public record Report(
@@ -36,13 +37,17 @@
         MachineLag lag,
         List<String> notes,
         boolean partial) {
-    /** A run on a machine whose lag has a 99th percentile above this is not judged. */
+    /** The 99th percentile of a machine's lag above which a run is not judged. */
     public static final double MAX_P99_LAG_SECONDS = 0.05;
 
-    /** A machine that lagged by more than this even once may be the cause of a late response. */
+    /** A single lag of the machine above this value may be the cause of a late response. */
     public static final double MAX_SINGLE_LAG_SECONDS = 0.1;
 
-    /** What was run. */
+    /**
+     * The scenario, options and size of a run.
+     *
+     * @param durationSeconds for how long requests arrive
+     */
     public record Run(
             String scenario,
             String title,
@@ -53,7 +58,12 @@
             int workers,
             int dispatchers) {}
 
-    /** Counts of requests by result; latencies in seconds, NaN if no request succeeded. */
+    /**
+     * Counts of requests by result.
+     *
+     * @param service the value earned as a fraction of the value requested; 1 if none was requested
+     * @param p50Seconds the median latency; like the other percentiles NaN if no request succeeded
+     */
     public record Row(
             String name,
             long requested,
@@ -68,14 +78,14 @@
             double p99Seconds,
             double p999Seconds) {}
 
-    /** An expectation of the scenario, and whether it holds. */
+    /** An expectation of the scenario with the measured value, and whether the value meets it. */
     public record Verdict(String figure, double min, double max, double value, boolean holds) {
         static Verdict of(Scenario.Expectation expected, double value) {
             boolean holds = value >= expected.min() && value <= expected.max();
             return new Verdict(expected.figure(), expected.min(), expected.max(), value, holds);
         }
 
-        /** Returns the verdict as a line for people. */
+        /** Returns the verdict as a line of text. */
         public String text() {
             return figure
                     + (Double.isInfinite(min) ? "" : " at least " + min)
@@ -86,7 +96,11 @@
         }
     }
 
-    /** Rates and service over time; attempts at a worker by worker group. */
+    /**
+     * Rates per second and service over time.
+     *
+     * @param queues the mean and the maximum number of attempts at a worker, by worker group
+     */
     public record Series(
             double[] timesSeconds,
             double[] requested,
@@ -98,11 +112,12 @@
     public record FaultPeriod(String kind, double startSeconds, double endSeconds) {}
 
     /**
-     * How late the machine ran the kit and the dispatchers; zeros on the virtual clock.
+     * The delays with which the machine ran the kit and the dispatchers; zeros on the virtual
+     * clock.
      *
-     * @param timerP99Seconds lag of the kit's own timers, 99th percentile
-     * @param coreWaitP99Seconds how long a dispatcher that was ready to run waited for a core in
-     *     each tenth of a second, 99th percentile
+     * @param timerP99Seconds the 99th percentile of the lag of the kit's own timers
+     * @param coreWaitP99Seconds the 99th percentile of the time in each tenth of a second for which
+     *     a dispatcher that was ready to run waited for a core
      */
     public record MachineLag(
             double timerP99Seconds,
@@ -116,16 +131,16 @@
         }
     }
 
-    /** What only some kinds of runs can measure: figures by name, and lines for people. */
+    /** The figures by name, and lines of text, that only some kinds of runs can provide. */
     public record Measurements(Map<String, Double> figures, List<String> notes) {
         public static final Measurements NONE = new Measurements(Map.of(), List.of());
     }
 
-    /** The judgement of a run. Names in lower case are values in reports for programs. */
+    /** The judgement of a run; the names in lower case are values in JSON reports. */
     public enum Judgement {
         HOLDS,
         DOES_NOT_HOLD,
-        /** The machine was too busy for a judgement. */
+        /** The machine was too busy for the run to be judged. */
         NOT_JUDGED,
         /** The run was stopped before its end. */
         PARTIAL
@@ -163,13 +178,13 @@
     private static Map<String, Double> figures(Recorder recorder, Auditor auditor) {
         Tally tally = recorder.tally();
         Row total = tally.total();
-        double counted = Math.max(1, total.requested() - total.cancelled());
+        double countedRequests = Math.max(1, total.requested() - total.cancelled());
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put(FigureNames.SERVICE, total.service());
-        figures.put(FigureNames.IN_TIME, total.inTime() / counted);
-        figures.put(FigureNames.REJECTED, total.rejected() / counted);
-        figures.put(FigureNames.FAILED, total.failed() / counted);
-        figures.put(FigureNames.UNANSWERED, total.unanswered() / counted);
+        figures.put(FigureNames.IN_TIME, total.inTime() / countedRequests);
+        figures.put(FigureNames.REJECTED, total.rejected() / countedRequests);
+        figures.put(FigureNames.FAILED, total.failed() / countedRequests);
+        figures.put(FigureNames.UNANSWERED, total.unanswered() / countedRequests);
         figures.put(FigureNames.BREACHES, (double) auditor.total());
         figures.put(FigureNames.ATTEMPTS, recorder.attemptsPerRequest());
         figures.put(FigureNames.P50, total.p50Seconds());
@@ -210,7 +225,7 @@
                 .toList();
     }
 
-    /** Returns why the machine does not allow a judgement of the run; null if it does. */
+    /** Returns why the run cannot be judged on this machine; null if it can be judged. */
     public String notJudgedReason() {
         if (lag.timerP99Seconds() > MAX_P99_LAG_SECONDS) {
             return "the kit's own timers were late";
@@ -219,22 +234,24 @@
             return "dispatchers waited for a core";
         }
         boolean mayBeCausedByLag = breachCounts.getOrDefault(Rule.AT_MOST_ONE_EFFECT, 0) == 0;
-        if (!meetsAll() && mayBeCausedByLag && lag.isEverAbove(MAX_SINGLE_LAG_SECONDS)) {
+        if (!keepsRulesAndExpectations()
+                && mayBeCausedByLag
+                && lag.isEverAbove(MAX_SINGLE_LAG_SECONDS)) {
             return "the machine stalled once, which may be the cause of the failure";
         }
         return null;
     }
 
-    /** Whether no rule was broken. */
+    /** Returns whether no rule was broken. */
     public boolean keepsRules() {
         return breachCounts.values().stream().allMatch(count -> count == 0);
     }
 
-    private boolean meetsAll() {
+    private boolean keepsRulesAndExpectations() {
         return keepsRules() && verdicts.stream().allMatch(Verdict::holds);
     }
 
-    /** Returns the judgement of the run. */
+    /** Returns the judgement of the run; a partial run is never judged. */
     public Judgement judgement() {
         if (partial) {
             return Judgement.PARTIAL;
@@ -242,10 +259,10 @@
         if (notJudgedReason() != null) {
             return Judgement.NOT_JUDGED;
         }
-        return meetsAll() ? Judgement.HOLDS : Judgement.DOES_NOT_HOLD;
+        return keepsRulesAndExpectations() ? Judgement.HOLDS : Judgement.DOES_NOT_HOLD;
     }
 
-    /** Whether the run was judged, no rule was broken and all expectations hold. */
+    /** Returns whether the run was judged, no rule was broken and all expectations hold. */
     public boolean holds() {
         return judgement() == Judgement.HOLDS;
     }
--- a/kit/src/main/java/wheelroute/kit/report/TableWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/TableWriter.java
@@ -10,7 +10,7 @@
 import wheelroute.kit.audit.Rule;
 import wheelroute.kit.scenario.FigureNames;
 
-/** Writes a report as text for people. */
+/** Writes a report as plain text with tables. */
 public final class TableWriter {
     private static final String[] COLUMNS = {
         "",
@@ -31,7 +31,7 @@
 
     private TableWriter() {}
 
-    /** Returns the report as text for a terminal. */
+    /** Returns the report as plain text for a terminal. */
     public static String text(Report report) {
         TableWriter writer = new TableWriter();
         writer.writeRun(report.run());
@@ -138,7 +138,7 @@
         };
     }
 
-    /** Returns the rows as a table: the first column aligned left, the others right. */
+    /** Returns the rows as a table with the first column aligned left and the others right. */
     public static String aligned(List<String[]> rows) {
         int[] widths = new int[rows.get(0).length];
         for (String[] row : rows) {
--- a/kit/src/main/java/wheelroute/kit/report/Tally.java
+++ b/kit/src/main/java/wheelroute/kit/report/Tally.java
@@ -10,15 +10,17 @@
 import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
 
-/** Counts the requests of a run by result: in total, by request class, by tenant and over time. */
+/** Counts the requests of a run by result, in total, by request class, by tenant and over time. */
 public final class Tally {
-    /** The points of a series, which are as many as a plot can show. */
-    private static final int MAX_POINTS = 600;
+    /** The maximum number of points in a series, which is as many as a plot can show. */
+    private static final int MAX_SERIES_POINTS = 600;
 
     private static final double MIN_INTERVAL_SECONDS = 1;
 
-    /** Each point of the latency distribution has this fraction of requests left above it. */
-    private static final double DISTRIBUTION_STEP = 0.8;
+    /**
+     * The ratio of the requests above a point of the latency distribution to those above the last.
+     */
+    private static final double DISTRIBUTION_TAIL_RATIO = 0.8;
 
     private static final double MIN_DISTRIBUTION_TAIL = 1e-5;
 
@@ -32,7 +34,7 @@
     private final double[] valueEarned;
     private final double[] attemptCounts;
 
-    /** For each sample, the attempts at each worker. */
+    /** The number of attempts at each worker, by worker number, for each sample. */
     private final List<double[]> queueSamples = new ArrayList<>();
 
     private double startAt;
@@ -40,11 +42,12 @@
     /**
      * Creates an empty tally.
      *
-     * @param seconds how long requests arrive
+     * @param seconds for how long requests arrive
      */
     public Tally(Scenario scenario, double seconds) {
         this.scenario = scenario;
-        sampleIntervalSeconds = Math.max(MIN_INTERVAL_SECONDS, Math.ceil(seconds / MAX_POINTS));
+        sampleIntervalSeconds =
+                Math.max(MIN_INTERVAL_SECONDS, Math.ceil(seconds / MAX_SERIES_POINTS));
         int points = (int) Math.ceil(seconds / sampleIntervalSeconds);
         requestCounts = new double[points];
         valueRequested = new double[points];
@@ -59,12 +62,12 @@
         startAt = time;
     }
 
-    /** Returns the interval of the samples of the queues. */
+    /** Returns the interval at which the workers' queues are sampled. */
     public double sampleIntervalSeconds() {
         return sampleIntervalSeconds;
     }
 
-    /** Counts a request of a client. */
+    /** Counts a request of a client, at the time at which the load places the request. */
     public void onRequest(ClientRequest request) {
         countersOf(request).forEach(OutcomeCounter::onRequest);
         requestCounts[point(request.sendAt())]++;
@@ -84,7 +87,7 @@
     /**
      * Counts the end of a client's request.
      *
-     * @param latencySeconds from the time at which the load places the request
+     * @param latencySeconds the time since the load placed the request
      */
     public void onFinished(ClientRequest request, Clients.Result result, double latencySeconds) {
         countersOf(request).forEach(counter -> counter.onFinished(request, result, latencySeconds));
@@ -95,12 +98,12 @@
         }
     }
 
-    /** Counts an attempt at a worker. */
+    /** Counts an attempt at a worker, at the given time of the run's clock. */
     public void onAttempt(double now) {
         attemptCounts[point(now - startAt)]++;
     }
 
-    /** Samples the number of attempts at each worker. */
+    /** Records the number of attempts at each worker, unless the series is full. */
     public void sample(ClusterModel cluster) {
         if (queueSamples.size() < requestCounts.length) {
             double[] sample = new double[cluster.workers.size()];
@@ -171,13 +174,16 @@
         queues.put(group.name() + " most", max);
     }
 
-    /** Returns points of the latency distribution: fraction of successful requests, seconds. */
+    /**
+     * Returns points of the latency distribution, each a fraction of successful requests and
+     * seconds.
+     */
     List<double[]> distribution() {
         List<double[]> points = new ArrayList<>();
         double tail = 1;
         while (tail > MIN_DISTRIBUTION_TAIL && all.latencyCount() * tail > 1) {
             points.add(new double[] {1 - tail, all.latencySecondsAt(100 * (1 - tail))});
-            tail *= DISTRIBUTION_STEP;
+            tail *= DISTRIBUTION_TAIL_RATIO;
         }
         return points;
     }
--- a/kit/src/main/java/wheelroute/kit/report/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/report/package-info.java
@@ -1,2 +1,2 @@
-/** The result of a run, and its forms: tables for people, JSON for programs, a page. */
+/** The results of runs, and writers for them as plain text, JSON and HTML. */
 package wheelroute.kit.report;
--- a/kit/src/test/java/wheelroute/kit/cli/AdminTest.java
+++ b/kit/src/test/java/wheelroute/kit/cli/AdminTest.java
@@ -13,16 +13,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The commands that call an admin server, against one with a scripted answer. */
+/** Tests the commands that call an admin server against a server with a scripted answer. */
 public class AdminTest {
     private static final int TEST_TIMEOUT_MILLIS = 20_000;
 
-    /** In place of an answer: the server keeps the connection open and sends nothing. */
+    /** Makes the server keep the connection open without sending an answer. */
     private static final String NO_ANSWER = null;
 
     private final CommandLineHarness harness = new CommandLineHarness();
 
-    /** Accepts one connection, and answers its first line. */
+    /** A server that accepts one connection and answers the first line that it receives. */
     private static final class ScriptedServer implements AutoCloseable {
         final ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         final CompletableFuture<String> receivedLine = new CompletableFuture<>();
@@ -41,7 +41,7 @@
                                                 client.getInputStream(), StandardCharsets.US_ASCII))
                                 .readLine());
                 if (answer == NO_ANSWER) {
-                    // Returns when the client closes the connection.
+                    // The read returns when the client closes the connection.
                     client.getInputStream().read();
                 } else {
                     client.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
@@ -64,15 +64,19 @@
     @DataProvider
     public Object[][] answers() {
         return new Object[][] {
-            {"ok ready\n", Exit.HOLDS, "ok ready\n"},
-            {"fail draining\n", Exit.DOES_NOT_HOLD, "fail draining\n"},
-            {"app.pending:1|g\neof\n", Exit.HOLDS, "app.pending:1|g\neof\n"},
-            {"eof\n", Exit.HOLDS, "eof\n"},
-            {"app.pending:1|g\n", Exit.BAD_INPUT, "no complete answer"},
-            {"ok rea", Exit.BAD_INPUT, "no complete answer"},
-            {"", Exit.BAD_INPUT, "no complete answer"},
-            {"HTTP/1.1 400 Bad Request\r\n\r\n", Exit.BAD_INPUT, "no complete answer"},
-            {NO_ANSWER, Exit.BAD_INPUT, "has not answered within 0.2 s"},
+            {"ok ready\n", ExitCode.SUCCESS, "ok ready\n"},
+            {"fail draining\n", ExitCode.CHECK_FAILED, "fail draining\n"},
+            {"app.pending:1|g\neof\n", ExitCode.SUCCESS, "app.pending:1|g\neof\n"},
+            {"eof\n", ExitCode.SUCCESS, "eof\n"},
+            {"app.pending:1|g\n", ExitCode.INVALID_INPUT, "sent an incomplete answer"},
+            {"ok rea", ExitCode.INVALID_INPUT, "sent an incomplete answer"},
+            {"", ExitCode.INVALID_INPUT, "sent an incomplete answer"},
+            {
+                "HTTP/1.1 400 Bad Request\r\n\r\n",
+                ExitCode.INVALID_INPUT,
+                "sent an incomplete answer"
+            },
+            {NO_ANSWER, ExitCode.INVALID_INPUT, "did not answer within 0.2 s"},
         };
     }
 
@@ -91,7 +95,7 @@
     public void peersPrintsMembers() throws Exception {
         String members = "n0 0 alive itself\neof\n";
         try (ScriptedServer server = new ScriptedServer(members)) {
-            harness.assertExitCode(Exit.HOLDS, "peers", server.address(), "--timeout", "10");
+            harness.assertExitCode(ExitCode.SUCCESS, "peers", server.address(), "--timeout", "10");
             assertEquals(harness.output(), members);
             assertEquals(server.receivedLine.get(), "PEERS");
         }
@@ -100,25 +104,31 @@
     @DataProvider
     public Object[][] invalidArguments() {
         return new Object[][] {
-            {"9500 READY", "HOST:PORT: 9500 is no address"},
-            {"127.0.0.1:9500 READY --timeout 0", "--timeout: 0.0 is not from"},
-            {"127.0.0.1:9500 R\u00c4DY", "is no command"},
+            {"9500 READY", "HOST:PORT: expected an address, got 9500"},
+            {
+                "127.0.0.1:9500 READY --timeout 0",
+                "--timeout: expected seconds from 0.01 to 60, got 0.0"
+            },
+            {"127.0.0.1:9500 R\u00c4DY", "CALL: expected printable ASCII without spaces"},
         };
     }
 
     @Test(dataProvider = "invalidArguments")
     public void rejectsInvalidArgument(String args, String message) {
-        harness.assertExitCode(Exit.BAD_INPUT, ("admin " + args).split(" "));
+        harness.assertExitCode(ExitCode.INVALID_INPUT, ("admin " + args).split(" "));
         harness.assertOutputContains(message);
     }
 
-    /** As for a script that waits until a dispatcher has started. */
+    /**
+     * A script that waits for a dispatcher to start depends on the exit code of a refused
+     * connection.
+     */
     @Test(timeOut = TEST_TIMEOUT_MILLIS)
     public void reportsRefusedConnection() throws Exception {
         ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         closed.close();
         harness.assertExitCode(
-                Exit.BAD_INPUT, "admin", "127.0.0.1:" + closed.getLocalPort(), "READY");
-        harness.assertOutputContains("cannot be called");
+                ExitCode.INVALID_INPUT, "admin", "127.0.0.1:" + closed.getLocalPort(), "READY");
+        harness.assertOutputContains("call to the admin server failed");
     }
 }
--- a/kit/src/test/java/wheelroute/kit/cli/CommandLineHarness.java
+++ b/kit/src/test/java/wheelroute/kit/cli/CommandLineHarness.java
@@ -8,7 +8,7 @@
 import java.io.StringWriter;
 import picocli.CommandLine;
 
-/** Runs commands, and keeps what the last one printed to both of its streams. */
+/** Runs commands and keeps the output and error text of the last one. */
 final class CommandLineHarness {
     private final StringWriter output = new StringWriter();
 
--- a/kit/src/test/java/wheelroute/kit/cli/CommandLineTest.java
+++ b/kit/src/test/java/wheelroute/kit/cli/CommandLineTest.java
@@ -3,7 +3,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Arguments that cannot be used: the exit code, and the message that names them. */
+/** Tests the exit code and the error message for invalid arguments. */
 public class CommandLineTest {
     private final CommandLineHarness harness = new CommandLineHarness();
 
@@ -12,57 +12,72 @@
         return new Object[][] {
             {"rehearse nowhere", "nowhere: 1 fault"},
             {"rehearse ./nowhere.toml", "cannot be read"},
-            {"rehearse calm calm", "calm is named twice"},
-            {"rehearse calm --clock sun", "--clock: sun is none of virtual, real, both"},
+            {"rehearse calm calm", "scenario calm is given more than once"},
+            {"rehearse calm --clock sun", "--clock: expected virtual, real or both, got sun"},
             {"rehearse hundred --clock real", "hundred cannot run on the real clock"},
             {"rehearse calm --clock real --baselines", "on the virtual clock only"},
-            {"rehearse calm --seed x", "--seed: x is no whole number"},
-            {"rehearse calm --seed 9..2", "--seed: 9..2 is no range"},
-            {"rehearse calm --seconds 0.5", "--seconds: 0.5 is under 1"},
-            {"rehearse calm --cores 0", "--cores: 0 is under 1"},
+            {
+                "rehearse calm --seed x",
+                "--seed: expected an integer or a range such as 1..20, got x"
+            },
+            {
+                "rehearse calm --seed 9..2",
+                "--seed: expected an ascending range that spans at most 1000, got 9..2"
+            },
+            {"rehearse calm --seconds 0.5", "--seconds: expected at least 1, got 0.5"},
+            {"rehearse calm --cores 0", "--cores: expected at least 1, got 0"},
             {"rehearse calm --json /nowhere/at/all.json", "in a directory that does not exist"},
             {"rehearse calm --html /", "--html: / is a directory"},
-            {"rehearse calm --variant as-built", "as-built is named twice"},
+            {"rehearse calm --variant as-built", "--variant: name as-built is used more than once"},
         };
     }
 
     @Test(dataProvider = "invalidRehearsals")
     public void rehearseRejectsInvalidArgument(String commandLine, String message) {
-        harness.assertFails(commandLine, Exit.BAD_INPUT, message);
+        harness.assertFails(commandLine, ExitCode.INVALID_INPUT, message);
     }
 
     @DataProvider
     public Object[][] invalidLoads() {
         return new Object[][] {
-            {"load 8081 --offering x --rate 1", "8081 is no address"},
-            {"load 192.0.2.1:80 --offering x --rate 1", "is no address of this machine"},
+            {"load 8081 --offering x --rate 1", "HOST:PORT: expected an address, got 8081"},
+            {
+                "load 192.0.2.1:80 --offering x --rate 1",
+                "192.0.2.1:80 is not an address of this machine"
+            },
             {"load 127.0.0.1:1 --offering x", "one of them must be above 0"},
             {
                 "load 127.0.0.1:1 --offering a/b --rate 1",
-                "--offering: a/b cannot be part of a path"
+                "--offering: expected 1 to 100 letters, digits or ._~-, got a/b"
+            },
+            {
+                "load 127.0.0.1:1 --offering x --rate 1 --work 0",
+                "--work: expected a number from 1.0E-6 to 3600.0, got 0.0"
             },
-            {"load 127.0.0.1:1 --offering x --rate 1 --work 0", "--work: 0.0 is not from"},
         };
     }
 
     @Test(dataProvider = "invalidLoads")
     public void loadRejectsInvalidArgument(String commandLine, String message) {
-        harness.assertFails(commandLine, Exit.BAD_INPUT, message);
+        harness.assertFails(commandLine, ExitCode.INVALID_INPUT, message);
     }
 
     @DataProvider
     public Object[][] missingFiles() {
         return new Object[][] {
-            {"check /nowhere/at/all", "/nowhere/at/all is no file"},
+            {"check /nowhere/at/all", "/nowhere/at/all is not a regular file"},
             {"stand-in nowhere", "nowhere: 1 fault"},
-            {"scale --size /nowhere/at/all", "--size: /nowhere/at/all is no file"},
-            {"capacity --check /nowhere --slopes /at/all", "--slopes: /at/all is no file"},
+            {"scale --size /nowhere/at/all", "--size: /nowhere/at/all is not a regular file"},
+            {
+                "capacity --check /nowhere --slopes /at/all",
+                "--slopes: /at/all is not a regular file"
+            },
         };
     }
 
     @Test(dataProvider = "missingFiles")
     public void namesMissingFile(String commandLine, String message) {
-        harness.assertFails(commandLine, Exit.BAD_INPUT, message);
+        harness.assertFails(commandLine, ExitCode.INVALID_INPUT, message);
     }
 
     @DataProvider
@@ -78,6 +93,6 @@
 
     @Test(dataProvider = "wrongUsages")
     public void printsUsageOnWrongUsage(String commandLine, String message) {
-        harness.assertFails(commandLine, Exit.BAD_USAGE, message);
+        harness.assertFails(commandLine, ExitCode.USAGE_ERROR, message);
     }
 }
--- a/kit/src/test/java/wheelroute/kit/cli/RehearseTest.java
+++ b/kit/src/test/java/wheelroute/kit/cli/RehearseTest.java
@@ -37,9 +37,9 @@
     @DataProvider
     public Object[][] expectations() {
         return new Object[][] {
-            {"", Exit.HOLDS},
-            {"[expect.service]\nleast = 1.01\n", Exit.DOES_NOT_HOLD},
-            {"[expect.bounced]\nmost = -1\n", Exit.DOES_NOT_HOLD},
+            {"", ExitCode.SUCCESS},
+            {"[expect.service]\nleast = 1.01\n", ExitCode.CHECK_FAILED},
+            {"[expect.bounced]\nmost = -1\n", ExitCode.CHECK_FAILED},
         };
     }
 
@@ -63,15 +63,18 @@
                 Files.readString(json).contains("\"scenario\" : \"" + scenario),
                 "the report does not name its scenario");
         assertTrue(Files.readString(html).endsWith("</html>\n"));
-        harness.assertExitCode(Exit.HOLDS, "check", scenario.toString());
+        harness.assertExitCode(ExitCode.SUCCESS, "check", scenario.toString());
         try (var files = Files.list(directory)) {
-            assertEquals(files.count(), 3, "files beside the scenario and the two reports");
+            assertEquals(
+                    files.count(),
+                    3,
+                    "expected only the scenario and the two reports in the directory");
         }
     }
 
     @Test
     public void listsAllShippedScenarios() {
-        harness.assertExitCode(Exit.HOLDS, "rehearse", "--list");
+        harness.assertExitCode(ExitCode.SUCCESS, "rehearse", "--list");
         ScenarioLibrary.NAMES.forEach(name -> harness.assertOutputContains(name + " "));
     }
 }
--- a/kit/src/test/java/wheelroute/kit/experiment/AgreementTest.java
+++ b/kit/src/test/java/wheelroute/kit/experiment/AgreementTest.java
@@ -11,8 +11,9 @@
     @Test
     public void repetitionsAgreeAndDifferentSeedsDoNot() throws Exception {
         List<Report> reports = SmallPlan.run(2);
-        assertTrue(Agreement.ofRepeats(reports, SmallPlan.run(3)).holds());
-        Agreement ofTwoSeeds = Agreement.ofRepeats(reports.subList(0, 1), reports.subList(1, 2));
+        assertTrue(Agreement.ofRepetitions(reports, SmallPlan.run(3)).holds());
+        Agreement ofTwoSeeds =
+                Agreement.ofRepetitions(reports.subList(0, 1), reports.subList(1, 2));
         assertFalse(ofTwoSeeds.holds());
         assertTrue(ofTwoSeeds.text().contains("DO NOT AGREE"), ofTwoSeeds.text());
     }
--- a/kit/src/test/java/wheelroute/kit/experiment/ComparisonTest.java
+++ b/kit/src/test/java/wheelroute/kit/experiment/ComparisonTest.java
@@ -11,7 +11,7 @@
 public class ComparisonTest {
     private static final double TOLERANCE = 1e-12;
 
-    /** The expected values are computed from the figures of the single runs. */
+    /** Computes the expected values independently, from the figures of the single runs. */
     @Test
     public void pairsDifferencesBySeed() throws Exception {
         List<Report> reports = SmallPlan.run(2);
--- a/kit/src/test/java/wheelroute/kit/experiment/MatrixTest.java
+++ b/kit/src/test/java/wheelroute/kit/experiment/MatrixTest.java
@@ -11,7 +11,7 @@
     @Test
     public void reportsDoNotDependOnNumberOfParallelRuns() throws Exception {
         List<Report> reports = SmallPlan.run(1);
-        assertEquals(reports.size(), SmallPlan.RUNS);
+        assertEquals(reports.size(), SmallPlan.RUN_COUNT);
         assertEquals(JsonWriter.text(SmallPlan.run(4)), JsonWriter.text(reports));
         assertEquals(reports.get(4).run().seed(), 2L);
         assertEquals(reports.get(4).run().variant(), SmallPlan.BASELINE);
--- a/kit/src/test/java/wheelroute/kit/experiment/SmallPlan.java
+++ b/kit/src/test/java/wheelroute/kit/experiment/SmallPlan.java
@@ -4,16 +4,16 @@
 import wheelroute.kit.SmallScenario;
 import wheelroute.kit.report.Report;
 
-/** Six quick runs on the virtual clock: two variants with three seeds. */
+/** A plan of six quick runs on the virtual clock, with two variants and three seeds. */
 final class SmallPlan {
     static final String BASELINE = "round-robin";
-    static final int RUNS = 6;
+    static final int RUN_COUNT = 6;
 
     static final Plan PLAN =
             new Plan(
                     List.of(SmallScenario.scenario("")),
                     List.of(1L, 2L, 3L),
-                    List.of(Variant.USUAL, Variant.baseline(BASELINE)),
+                    List.of(Variant.DEFAULT, Variant.baseline(BASELINE)),
                     Plan.Clock.VIRTUAL,
                     0,
                     true,
--- a/kit/src/test/java/wheelroute/kit/experiment/VariantTest.java
+++ b/kit/src/test/java/wheelroute/kit/experiment/VariantTest.java
@@ -13,11 +13,11 @@
     @DataProvider
     public Object[][] invalidTexts() {
         return new Object[][] {
-            {":a=b", "has no name before its colon"},
-            {"x:a", "'a' is not KEY=VALUE"},
-            {"x:=b", "'=b' is not KEY=VALUE"},
-            {"x:brain=none", "no strategy 'none'; there are least-outstanding, module"},
-            {"x:daemon=/nowhere/at/all.jar", "no daemon at /nowhere/at/all.jar"},
+            {":a=b", "variant ':a=b': empty name, expected NAME:KEY=VALUE"},
+            {"x:a", "expected KEY=VALUE, got 'a'"},
+            {"x:=b", "expected KEY=VALUE, got '=b'"},
+            {"x:brain=none", "unknown strategy 'none', expected one of least-outstanding, module"},
+            {"x:daemon=/nowhere/at/all.jar", "daemon jar not found: /nowhere/at/all.jar"},
         };
     }
 
--- a/kit/src/test/java/wheelroute/kit/report/ReportTest.java
+++ b/kit/src/test/java/wheelroute/kit/report/ReportTest.java
@@ -15,7 +15,7 @@
 import wheelroute.kit.report.Report.MachineLag;
 import wheelroute.kit.simulation.SimulatedRuns;
 
-/** The judgement of a run, and how it is shown. */
+/** Tests the judgement of a run and its presentation as text and HTML. */
 public class ReportTest {
     private static final double RUN_SECONDS = 5;
 
@@ -39,20 +39,20 @@
                         && page.contains("uPlot"));
         assertTrue(
                 !page.contains("src=\"http") && !page.contains("href=\"http"),
-                "the page needs another file");
+                "the page refers to another file");
     }
 
     @DataProvider
     public Object[][] lagsAndBreaches() {
-        double tooMuch = Report.MAX_P99_LAG_SECONDS * 1.01;
-        double tooMuchOnce = Report.MAX_SINGLE_LAG_SECONDS * 1.01;
-        MachineLag timersLag = new MachineLag(tooMuch, 1, 0, 0);
-        MachineLag coresLag = new MachineLag(0, 0, tooMuch, 1);
-        MachineLag timersLagOnce = new MachineLag(0, tooMuchOnce, 0, 0);
-        MachineLag coresLagOnce = new MachineLag(0, 0, 0, tooMuchOnce);
-        MachineLag bothLagOnce = new MachineLag(0, tooMuchOnce, 0, tooMuchOnce);
+        double tooLong = Report.MAX_P99_LAG_SECONDS * 1.01;
+        double tooLongOnce = Report.MAX_SINGLE_LAG_SECONDS * 1.01;
+        MachineLag timersLag = new MachineLag(tooLong, 1, 0, 0);
+        MachineLag coresLag = new MachineLag(0, 0, tooLong, 1);
+        MachineLag timersLagOnce = new MachineLag(0, tooLongOnce, 0, 0);
+        MachineLag coresLagOnce = new MachineLag(0, 0, 0, tooLongOnce);
+        MachineLag bothLagOnce = new MachineLag(0, tooLongOnce, 0, tooLongOnce);
         return new Object[][] {
-            // lag of the machine, rule that is broken, judgement
+            // The columns are the lag of the machine, the broken rule and the expected judgement.
             {timersLag, null, Judgement.NOT_JUDGED},
             {coresLag, null, Judgement.NOT_JUDGED},
             {bothLagOnce, null, Judgement.HOLDS},
@@ -63,7 +63,9 @@
         };
     }
 
-    /** A lag may cause any breach but a repeated effect. */
+    /**
+     * Machine lag may be the cause of any breach except that of {@link Rule#AT_MOST_ONE_EFFECT}.
+     */
     @Test(dataProvider = "lagsAndBreaches")
     public void doesNotJudgeRunOnMachineThatLags(
             MachineLag lag, Rule brokenRule, Judgement expected) throws Exception {
