--- a/kit/src/main/java/wheelroute/kit/report/Recorder.java
+++ b/kit/src/main/java/wheelroute/kit/report/Recorder.java
@@ -7,10 +7,10 @@
 import wheelroute.kit.model.ClientRequest;
 import wheelroute.kit.model.Clients;
 import wheelroute.kit.model.ClusterModel;
-import wheelroute.kit.model.WorkerEventListener;
 import wheelroute.kit.model.FinalResponse;
 import wheelroute.kit.model.Timeline;
 import wheelroute.kit.model.WorkerAttempt;
+import wheelroute.kit.model.WorkerEventListener;
 import wheelroute.kit.model.WorkerModel;
 import wheelroute.kit.scenario.Scenario;
 
