--- a/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerModel.java
@@ -13,44 +13,44 @@
 import wheelroute.peers.PeerId;
 
 /**
- * A cluster of {@link Membership}s on the virtual clock. Every datagram passes through the codec
- * and a network that may delay, reorder, duplicate or lose it, or block it by sender and receiver.
- * Members crash, pause, stall, leave and restart. All randomness is drawn from one seed.
+ * A cluster of {@link Membership}s in simulated time. Every datagram passes through the codec and a
+ * network that may delay, reorder, duplicate or lose it, or block it by sender and receiver.
+ * Members can crash, pause, stall, leave and restart. All random numbers are drawn from one seed.
  */
 public final class PeerModel {
-    /** The host of all members, which differ by port. */
+    /** IPv4 address of all members, 127.0.0.1; members differ by port. */
     private static final int HOST = 0x7f000001;
 
     private static final int FIRST_PORT = 10_000;
 
-    /** Interval at which a condition is checked. */
+    /** Interval at which {@link #advanceUntil} checks its condition. */
     private static final double CHECK_INTERVAL_SECONDS = 0.1;
 
     private static final String NAME_PREFIX = "n";
 
-    /** The clock of the whole model. */
+    /** Clock of the members and the network. */
     public final SimulatedTime time = new SimulatedTime();
 
-    /** All members, up or not, in the order of their numbers. */
+    /** All members in the order of their numbers, whether they are up or not. */
     public final List<SimulatedMember> members = new ArrayList<>();
 
     private final SeededRandom random;
-    private final int seeds;
+    private final int seedMembers;
     private final boolean localHealthAware;
     private final double startedAt = time.now();
-    private long draws;
+    private long drawCount;
     private final PeerNetwork network = new PeerNetwork(time, this::draw, this::deliver);
     private long falsePositives;
 
     /**
-     * Creates a cluster with no member started.
+     * Creates a cluster whose members are not started yet.
      *
      * @param count number of members
-     * @param seeds how many of them, from the first on, are everybody's seeds
-     * @param localHealthAware whether they use Lifeguard's local health multiplier
+     * @param seedMembers number of members, from the first on, that are the seeds of all members
+     * @param localHealthAware whether members use Lifeguard's local health multiplier
      */
-    public PeerModel(int count, int seeds, long seed, boolean localHealthAware) {
-        this.seeds = seeds;
+    public PeerModel(int count, int seedMembers, long seed, boolean localHealthAware) {
+        this.seedMembers = seedMembers;
         this.localHealthAware = localHealthAware;
         random = new SeededRandom(seed);
         for (int i = 0; i < count; i++) {
@@ -58,10 +58,8 @@
         }
     }
 
-    // ---- what members use
-
-    int seedCount() {
-        return seeds;
+    int seedMembers() {
+        return seedMembers;
     }
 
     boolean isLocalHealthAware() {
@@ -97,7 +95,7 @@
         return members.get(Integer.parseInt(number));
     }
 
-    /** Name of the member of this number. */
+    /** Returns the name of the member with this number. */
     public static PeerId id(int number) {
         return new PeerId(NAME_PREFIX + number);
     }
@@ -106,28 +104,29 @@
         return new MemberAddress(HOST, FIRST_PORT + number);
     }
 
-    /** The next random number, from 0 inclusive to 1 exclusive. */
+    /** Returns the next random number, from 0 (inclusive) to 1 (exclusive). */
     public double draw() {
-        return random.uniform(SeededRandom.Purpose.LINK, draws++, 0);
+        return random.uniform(SeededRandom.Purpose.LINK, drawCount++, 0);
     }
 
     /**
-     * Sets how the network treats datagrams from here on.
+     * Sets how the network treats datagrams that are sent from now on.
      *
-     * @param newLoss part that is lost
-     * @param newDuplication part that arrives twice
-     * @param newSpreadSeconds maximum of a further random delay
+     * @param lossFraction fraction of datagrams that is lost
+     * @param duplicationFraction fraction of datagrams that arrives twice
+     * @param maxExtraDelaySeconds maximum of an additional random delay
      */
-    public void setNetwork(double newLoss, double newDuplication, double newSpreadSeconds) {
-        network.configure(newLoss, newDuplication, newSpreadSeconds);
+    public void setNetwork(
+            double lossFraction, double duplicationFraction, double maxExtraDelaySeconds) {
+        network.configure(lossFraction, duplicationFraction, maxExtraDelaySeconds);
     }
 
-    /** Loses from here on the datagrams for whose sender and receiver this holds. */
+    /** Sets which pairs of sender and receiver lose all datagrams that are sent from now on. */
     public void block(BiPredicate<Integer, Integer> newBlocked) {
         network.block(newBlocked);
     }
 
-    /** Starts all members at random times within this many seconds. */
+    /** Schedules the start of each member at a random time within this many seconds. */
     public void startAll(double withinSeconds) {
         for (SimulatedMember member : members) {
             time.schedule(withinSeconds * draw(), () -> member.start(0));
@@ -139,15 +138,15 @@
         boolean[] elapsed = {false};
         time.schedule(seconds, () -> elapsed[0] = true);
         while (!elapsed[0] && time.step()) {
-            // Each step moves the virtual clock on.
+            // Each step advances the simulated time.
         }
     }
 
     /**
      * Runs the model until a condition holds.
      *
-     * @param timeoutSeconds how long it runs at most
-     * @return seconds that it took; NaN if the condition did not hold in time
+     * @param timeoutSeconds maximum duration of the wait in simulated time
+     * @return seconds until the condition held; NaN if it did not hold in time
      */
     public double advanceUntil(BooleanSupplier condition, double timeoutSeconds) {
         double from = time.now();
@@ -160,7 +159,7 @@
         return Double.NaN;
     }
 
-    /** Whether all members that run hold exactly those to be alive that are up. */
+    /** Whether all reachable members consider exactly those members alive that are up. */
     public boolean hasConverged() {
         long upCount = members.stream().filter(SimulatedMember::isUp).count();
         return members.stream()
@@ -168,29 +167,29 @@
                 .allMatch(member -> member.hasConverged(upCount));
     }
 
-    /** Whether all others that are up hold this member to be dead, or to have left. */
+    /** Whether all other members that are up consider this member dead, or to have left. */
     public boolean isDeadEverywhere(int number) {
         return members.stream()
                 .filter(member -> member.isUp() && member.number != number)
-                .allMatch(member -> member.holdsDead(number));
+                .allMatch(member -> member.considersDead(number));
     }
 
-    /** Number of deaths declared of members that ran without a fault. */
+    /** Number of times that a member without a fault was declared dead since the last reset. */
     public long falsePositives() {
         return falsePositives;
     }
 
-    /** Bytes sent since the last reset, by all members. */
+    /** Number of bytes sent by all members since the last reset. */
     public long bytes() {
         return network.bytes();
     }
 
-    /** Datagrams sent since the last reset, by all members. */
+    /** Number of datagrams sent by all members since the last reset. */
     public long datagrams() {
         return network.datagrams();
     }
 
-    /** Size of the largest datagram of the whole run in bytes. */
+    /** Size of the largest datagram in bytes; not affected by resets. */
     public int largestDatagram() {
         return network.largestDatagram();
     }
--- a/kit/src/main/java/wheelroute/kit/peers/PeerNetwork.java
+++ b/kit/src/main/java/wheelroute/kit/peers/PeerNetwork.java
@@ -6,23 +6,23 @@
 import wheelroute.kit.simulation.SimulatedTime;
 
 /**
- * The datagram network of a {@link PeerModel}: delays, reorders, duplicates, loses and blocks
- * datagrams, and counts what is sent.
+ * The datagram network of a {@link PeerModel}, which delays, reorders, duplicates, loses and blocks
+ * datagrams, and counts those that are sent.
  */
 final class PeerNetwork {
     private static final double MIN_DELAY_SECONDS = 0.0005;
 
-    /** Maximum random part of the delay. */
+    /** Maximum random part of the delay that every datagram has. */
     private static final double JITTER_SECONDS = 0.001;
 
     private final SimulatedTime time;
     private final DoubleSupplier random;
     private final Receiver receiver;
-    private double loss;
-    private double duplication;
+    private double lossFraction;
+    private double duplicationFraction;
 
-    /** Further random delay in seconds, from 0 on, by which datagrams overtake each other. */
-    private double spreadSeconds;
+    /** Maximum of an additional random delay, by which datagrams overtake each other. */
+    private double maxExtraDelaySeconds;
 
     private BiPredicate<Integer, Integer> blocked = (from, to) -> false;
     private long datagrams;
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Creates a network that loses nothing.
+     * Creates a network that delivers each datagram once, without extra delay.
      *
-     * @param random draws from 0 inclusive to 1 exclusive
+     * @param random draws numbers from 0 (inclusive) to 1 (exclusive)
      */
     PeerNetwork(SimulatedTime time, DoubleSupplier random, Receiver receiver) {
         this.time = time;
@@ -45,14 +45,15 @@
         this.receiver = receiver;
     }
 
-    /** See {@link PeerModel#setNetwork}. */
-    void configure(double newLoss, double newDuplication, double newSpreadSeconds) {
-        loss = newLoss;
-        duplication = newDuplication;
-        spreadSeconds = newSpreadSeconds;
+    /** Implements {@link PeerModel#setNetwork}. */
+    void configure(
+            double newLossFraction, double newDuplicationFraction, double newMaxExtraDelaySeconds) {
+        lossFraction = newLossFraction;
+        duplicationFraction = newDuplicationFraction;
+        maxExtraDelaySeconds = newMaxExtraDelaySeconds;
     }
 
-    /** Loses from here on the datagrams for whose sender and receiver this holds. */
+    /** Sets which pairs of sender and receiver lose all datagrams that are sent from now on. */
     void block(BiPredicate<Integer, Integer> newBlocked) {
         blocked = newBlocked;
     }
@@ -60,37 +61,39 @@
     /**
      * Sends a datagram.
      *
-     * @param exists whether the receiver's address is a member's; a datagram to none is only
-     *     counted
+     * @param receiverExists whether the receiver's address belongs to a member; a datagram to
+     *     another address is counted and dropped
      */
-    void send(int from, int to, boolean exists, ByteBuffer datagram) {
+    void send(int from, int to, boolean receiverExists, ByteBuffer datagram) {
         datagrams++;
         bytes += datagram.remaining();
         largestDatagram = Math.max(largestDatagram, datagram.remaining());
-        if (!exists || blocked.test(from, to) || random.getAsDouble() < loss) {
+        if (!receiverExists || blocked.test(from, to) || random.getAsDouble() < lossFraction) {
             return;
         }
-        for (int copies = random.getAsDouble() < duplication ? 2 : 1; copies > 0; copies--) {
+        for (int copies = random.getAsDouble() < duplicationFraction ? 2 : 1;
+                copies > 0;
+                copies--) {
             ByteBuffer copy = datagram.duplicate();
             double delaySeconds =
                     MIN_DELAY_SECONDS
                             + JITTER_SECONDS * random.getAsDouble()
-                            + spreadSeconds * random.getAsDouble();
+                            + maxExtraDelaySeconds * random.getAsDouble();
             time.schedule(delaySeconds, () -> receiver.onDatagram(from, to, copy));
         }
     }
 
-    /** Datagrams sent since the last reset. */
+    /** Number of datagrams sent since the last reset. */
     long datagrams() {
         return datagrams;
     }
 
-    /** Bytes sent since the last reset. */
+    /** Number of bytes sent since the last reset. */
     long bytes() {
         return bytes;
     }
 
-    /** Size of the largest datagram of the whole run in bytes. */
+    /** Size of the largest datagram in bytes; not affected by resets. */
     int largestDatagram() {
         return largestDatagram;
     }
--- a/kit/src/main/java/wheelroute/kit/peers/SimulatedMember.java
+++ b/kit/src/main/java/wheelroute/kit/peers/SimulatedMember.java
@@ -17,14 +17,14 @@
 import wheelroute.peers.MessageCodec;
 import wheelroute.peers.PeerId;
 
-/** A member of a {@link PeerModel}: a process that runs, is paused, or is down. */
+/** A member of a {@link PeerModel}, whose process runs, is paused or is down. */
 public final class SimulatedMember implements Membership.Transport {
-    private static final int CLUSTER = 7;
+    private static final int CLUSTER_ID = 7;
 
-    /** How long a member that stalls repeatedly runs in between. */
+    /** How long a member that stalls repeatedly runs between two stalls. */
     private static final double RUN_BETWEEN_STALLS_SECONDS = 0.3;
 
-    /** What a member's clock shows when the model starts. */
+    /** Reading of an accurate member clock when the model starts. */
     private static final double CLOCK_AT_START_SECONDS = 1e6;
 
     /** Index in {@link PeerModel#members}. */
@@ -33,20 +33,20 @@
     private final PeerModel model;
     private final SimulatedTime time;
 
-    /** Events that arrived while it was paused. */
+    /** Events that arrived while the process was paused. */
     private final ArrayDeque<Runnable> deferredEvents = new ArrayDeque<>();
 
     private Membership membership;
 
-    /** Counts starts and ends, so that events of an earlier process are dropped. */
-    private int processCount;
+    /** Number of starts and ends so far. Events from before the latest of them are dropped. */
+    private int processGeneration;
 
     private boolean isPaused;
     private boolean isUp;
     private double timerAt = Double.POSITIVE_INFINITY;
 
-    /** Mean duration of its repeated stalls; 0 for none. */
-    private double stallSeconds;
+    /** Mean duration of the repeated stalls; 0 while the process does not stall. */
+    private double meanStallSeconds;
 
     SimulatedMember(PeerModel model, int number) {
         this.model = model;
@@ -54,30 +54,28 @@
         time = model.time;
     }
 
-    /** Returns the membership of its latest process; null before the first. */
+    /** Returns the membership of the latest process; null before the first start. */
     public Membership membership() {
         return membership;
     }
 
-    /** Whether it has a process, paused or not. */
+    /** Whether the member has a process, paused or not. */
     public boolean isUp() {
         return isUp;
     }
 
-    /** Whether its process gets no CPU. */
+    /** Whether the process is paused, and so gets no CPU time. */
     public boolean isPaused() {
         return isPaused;
     }
 
-    // ---- process
-
     /**
-     * Starts a new process of the same name.
+     * Starts a new process with the same member name.
      *
-     * @param clockAheadSeconds by how much its clock is ahead; negative for behind
+     * @param clockAheadSeconds by how much the process's clock is ahead; negative for behind
      */
     public void start(double clockAheadSeconds) {
-        processCount++;
+        processGeneration++;
         isUp = true;
         isPaused = false;
         deferredEvents.clear();
@@ -88,15 +86,15 @@
 
     private MembershipConfig config(double clockAheadSeconds) {
         List<MemberAddress> seedAddresses = new ArrayList<>();
-        for (int i = 0; i < model.seedCount(); i++) {
+        for (int i = 0; i < model.seedMembers(); i++) {
             seedAddresses.add(PeerModel.address(i));
         }
         double clockSeconds =
                 CLOCK_AT_START_SECONDS + time.now() - model.startedAt() + clockAheadSeconds;
         long incarnation = (long) (MILLIS_PER_SECOND * clockSeconds);
-        long seed = model.seedOf(SeededRandom.Purpose.STRATEGY, number, processCount);
+        long seed = model.seedOf(SeededRandom.Purpose.STRATEGY, number, processGeneration);
         return new MembershipConfig(
-                CLUSTER,
+                CLUSTER_ID,
                 PeerModel.id(number),
                 PeerModel.address(number),
                 incarnation,
@@ -105,63 +103,61 @@
                 model.isLocalHealthAware());
     }
 
-    /** Ends the process without a message. */
+    /** Ends the process without a message to the other members. */
     public void crash() {
         isUp = false;
-        processCount++;
+        processGeneration++;
     }
 
-    /** Pauses the process, or resumes it; it then handles what arrived meanwhile. */
-    public void pause(boolean newPaused) {
-        isPaused = newPaused;
+    /** Pauses or resumes the process. On resume, the deferred events run at once. */
+    public void setPaused(boolean paused) {
+        isPaused = paused;
         while (!isPaused && !deferredEvents.isEmpty()) {
             deferredEvents.pollFirst().run();
         }
     }
 
     /**
-     * Lets the process stall again and again, as on an overloaded machine.
+     * Makes the process stall repeatedly, as on an overloaded machine.
      *
-     * @param seconds mean duration of a stall; 0 ends them
+     * @param meanSeconds mean duration of a stall; 0 for no further stalls
      */
-    public void stall(double seconds) {
-        boolean wasStalling = stallSeconds > 0;
-        stallSeconds = seconds;
-        if (!wasStalling && seconds > 0) {
+    public void stall(double meanSeconds) {
+        boolean wasStalling = meanStallSeconds > 0;
+        meanStallSeconds = meanSeconds;
+        if (!wasStalling && meanSeconds > 0) {
             stallRepeatedly();
         }
     }
 
     private void stallRepeatedly() {
-        if (stallSeconds > 0 && isUp) {
-            pause(true);
+        if (meanStallSeconds > 0 && isUp) {
+            setPaused(true);
             time.schedule(
-                    stallSeconds * (0.5 + model.draw()),
+                    meanStallSeconds * (0.5 + model.draw()),
                     () -> {
-                        pause(false);
+                        setPaused(false);
                         time.schedule(RUN_BETWEEN_STALLS_SECONDS, this::stallRepeatedly);
                     });
         }
     }
 
-    /** Announces that it leaves, and ends the process. */
+    /** Announces that the member leaves, and ends the process. */
     public void leave() {
         runEvent(membership::leave);
         crash();
     }
 
-    // ---- events
-
     private void runEvent(Runnable event) {
-        runEventOf(processCount, event);
+        runEventOf(processGeneration, event);
     }
 
-    private void runEventOf(int process, Runnable event) {
-        if (process != processCount) {
+    private void runEventOf(int generation, Runnable event) {
+        if (generation != processGeneration) {
             return;
         }
         if (isPaused) {
-            deferredEvents.addLast(() -> runEventOf(process, event));
+            deferredEvents.addLast(() -> runEventOf(generation, event));
             return;
         }
         membership.advanceTo(time.now());
@@ -181,7 +177,7 @@
             Message message = MessageCodec.decode(datagram);
             runEvent(() -> membership.receive(PeerModel.address(from), message));
         } catch (MalformedMessageException e) {
-            throw new AssertionError("a member sent a malformed datagram", e);
+            throw new AssertionError("member " + from + " sent a malformed datagram", e);
         }
     }
 
@@ -190,11 +186,11 @@
         double at = time.now() + delaySeconds;
         if (at < timerAt) {
             timerAt = at;
-            int process = processCount;
+            int generation = processGeneration;
             time.schedule(
                     delaySeconds,
                     () -> {
-                        if (process == processCount && timerAt == at) {
+                        if (generation == processGeneration && timerAt == at) {
                             timerAt = Double.POSITIVE_INFINITY;
                             runEvent(membership::onTimer);
                         }
@@ -204,38 +200,36 @@
 
     @Override
     public void memberChanged(MemberUpdate update, MemberUpdate.State previous, PeerId reportedBy) {
-        // Counted only at the member that declares the death, as the others repeat its verdict.
+        // A death counts only at the member that declares it, since the others repeat its update.
         if (update.state() == MemberUpdate.State.DEAD && reportedBy.equals(PeerModel.id(number))) {
             model.onDeclaredDead(update);
         }
     }
 
-    // ---- views of the cluster
-
     boolean isReachable() {
         return isUp && !isPaused;
     }
 
-    /** Whether a verdict that it is dead is wrong, and not the result of a stall. */
+    /** Whether the member is reachable and does not stall, so that declaring it dead is wrong. */
     boolean runsWithoutFault() {
-        return isReachable() && stallSeconds == 0;
+        return isReachable() && meanStallSeconds == 0;
     }
 
-    /** Whether it holds exactly those members to be alive that are up. */
+    /** Whether this member considers exactly those members alive that are up. */
     boolean hasConverged(long upCount) {
         if (membership.aliveCount() != upCount) {
             return false;
         }
         for (MemberUpdate other : membership.others()) {
-            boolean heldAlive = other.state() == MemberUpdate.State.ALIVE;
-            if (heldAlive != model.memberOf(other).isUp) {
+            boolean isConsideredAlive = other.state() == MemberUpdate.State.ALIVE;
+            if (isConsideredAlive != model.memberOf(other).isUp) {
                 return false;
             }
         }
         return true;
     }
 
-    boolean holdsDead(int other) {
+    boolean considersDead(int other) {
         MemberUpdate update = membership.find(PeerModel.id(other));
         return update == null
                 || update.state() == MemberUpdate.State.DEAD
--- a/kit/src/main/java/wheelroute/kit/peers/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/peers/package-info.java
@@ -1,2 +1,2 @@
-/** Simulates {@link wheelroute.peers.Membership}: a cluster, its network and their faults. */
+/** Simulation of a cluster of {@link wheelroute.peers.Membership}s, its network and faults. */
 package wheelroute.kit.peers;
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedAttempt.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedAttempt.java
@@ -19,21 +19,21 @@
     private final Auditor auditor;
     private final SimulatedNetwork network;
     private final SimulatedProcess process;
-    private final int startedIn;
+    private final int startIncarnation;
     private final SimulatedLink link;
 
-    /** Null until the attempt has arrived at the worker. */
+    /** The attempt as the worker sees it; null until it has arrived there. */
     private WorkerAttempt workerAttempt;
 
     private boolean isEnded;
 
-    /** The connection is closed or broken: nothing passes in either direction any more. */
+    /** Whether the connection is closed or broken, so that no message passes either way. */
     private boolean isClosed;
 
     /**
      * Creates an attempt that is not yet sent.
      *
-     * @param number of the attempt within its request, from 0
+     * @param number index of the attempt within its request, from 0
      */
     SimulatedAttempt(
             SimulatedDispatcher dispatcher,
@@ -48,11 +48,11 @@
         this.auditor = auditor;
         network = dispatcher.network();
         process = dispatcher.process();
-        startedIn = process.incarnation();
+        startIncarnation = process.incarnation();
         link = network.toWorker(worker.number);
     }
 
-    /** Sends the attempt; whether the worker is up is decided when it arrives there. */
+    /** Sends the attempt. The connect fails if the worker is down when the attempt arrives. */
     void send() {
         if (link.state().refuses()) {
             network.transmit(() -> receive(() -> end(Outcome.CONNECT_FAILED, Double.NaN)));
@@ -65,7 +65,7 @@
 
     private void onArrivalAtWorker() {
         if (isClosed && !link.state().equals(LinkState.OPEN)) {
-            // Reset on the way, or cancelled while the link was impaired.
+            // The attempt was reset in transit, or cancelled while the link was impaired.
             return;
         }
         if (!worker.isUp()) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Sends an event from the worker to the dispatcher, by the same link. */
+    /** Sends an event from the worker to the dispatcher, over the link of the attempt. */
     private void sendBack(Runnable event) {
         network.transmit(
                 link.state(), () -> link.sendInbound(() -> receive(event), () -> !isClosed));
@@ -104,7 +104,7 @@
     }
 
     private boolean isCurrent() {
-        return startedIn == process.incarnation();
+        return startIncarnation == process.incarnation();
     }
 
     @Override
@@ -112,17 +112,17 @@
         sendBack(
                 () -> {
                     if (!isEnded) {
-                        dispatcher.dispatch(() -> request.handle().onStarted(number));
+                        dispatcher.handleEvent(() -> request.handle().onStarted(number));
                     }
                 });
     }
 
     @Override
-    public void onProgress(double share) {
+    public void onProgress(double fraction) {
         sendBack(
                 () -> {
                     if (!isEnded) {
-                        dispatcher.dispatch(() -> request.handle().onProgress(number, share));
+                        dispatcher.handleEvent(() -> request.handle().onProgress(number, fraction));
                     }
                 });
     }
@@ -147,10 +147,10 @@
         }
         isEnded = true;
         link.remove(this);
-        dispatcher.dispatch(
+        dispatcher.handleEvent(
                 () -> {
-                    // As in the daemon, the client has its response before the strategy learns of
-                    // the end.
+                    // As in the daemon, the client gets its response before the strategy learns
+                    // that the attempt has ended.
                     if (outcome == Outcome.SUCCEEDED) {
                         request.respond(FinalResponse.SUCCEEDED, 0);
                     }
@@ -164,7 +164,7 @@
         abort(Outcome.CANCELLED);
     }
 
-    /** Closes the connection and ends the attempt with this outcome, unless it has ended. */
+    /** Closes the connection and ends the attempt with an outcome, unless it has ended. */
     void abort(Outcome outcome) {
         if (!isEnded) {
             close();
@@ -172,7 +172,7 @@
         }
     }
 
-    /** The link resets the connection for both sides; what was sent may have run. */
+    /** Resets the connection for both sides. The worker may have run what was sent. */
     @Override
     public void reset() {
         isClosed = true;
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDiscoveryWatch.java
@@ -11,12 +11,12 @@
 import wheelroute.kit.model.EndpointRegistry;
 import wheelroute.kit.model.WorkerModel;
 
-/** A simulated dispatcher's watch of the endpoint list, and how it fails. */
+/** A simulated dispatcher's watch of the endpoint list, with its failures and timeouts. */
 final class SimulatedDiscoveryWatch {
-    /** A watch without a response fails after its hold time and another 1.5 s. */
+    /** Timeout of a watch without a response: its hold time and another 1.5 s. */
     private static final double WATCH_TIMEOUT_SECONDS = 6.5;
 
-    /** Timeout of a call for the complete list, which discovery answers at once. */
+    /** Timeout of a call for the complete list, to which discovery responds at once. */
     private static final double CALL_TIMEOUT_SECONDS = 1.5;
 
     private final int number;
@@ -44,7 +44,7 @@
         cluster.registry.onOutage(this::onOutage);
     }
 
-    /** Calls discovery: the strategy gets the complete list and then its changes, or a failure. */
+    /** Calls discovery. The strategy gets the complete list and then its changes, or a failure. */
     void start() {
         LinkState state = network.toDiscovery().state();
         if (cluster.registry.isDown() || state.refuses()) {
@@ -58,13 +58,13 @@
         }
     }
 
-    /** Ends the watch without a failure. */
+    /** Ends the watch without reporting a failure to the strategy. */
     void stop() {
         cluster.registry.unwatch(watcher);
         isWatching = false;
     }
 
-    /** Called after the state of the link to discovery has changed. */
+    /** Handles a change of the state of the link to discovery, after it was applied. */
     void onLinkChanged(LinkState before, LinkState state) {
         boolean wasPassing = before.outbound() && before.inbound();
         if (state.refuses()) {
@@ -99,31 +99,34 @@
     }
 
     private void failAfter(double delaySeconds) {
-        int calledIn = process.incarnation();
+        int callIncarnation = process.incarnation();
         cluster.timeline.schedule(
                 delaySeconds,
                 () ->
                         network.transmit(
                                 () -> {
-                                    if (calledIn == process.incarnation()) {
+                                    if (callIncarnation == process.incarnation()) {
                                         process.receive(dispatcher::onEndpointsFailed);
                                     }
                                 }));
     }
 
     private void send(List<EndpointRegistry.Entry> entries, boolean isComplete) {
-        int sentTo = process.incarnation();
+        int targetIncarnation = process.incarnation();
         SimulatedLink link = network.toDiscovery();
-        Runnable arrival = () -> process.receive(() -> receive(entries, isComplete, sentTo));
+        Runnable arrival =
+                () -> process.receive(() -> receive(entries, isComplete, targetIncarnation));
         network.transmit(
                 link.state(),
                 () ->
                         link.sendInbound(
-                                arrival, () -> sentTo == process.incarnation() && isWatching));
+                                arrival,
+                                () -> targetIncarnation == process.incarnation() && isWatching));
     }
 
-    private void receive(List<EndpointRegistry.Entry> entries, boolean isComplete, int sentTo) {
-        if (sentTo != process.incarnation()) {
+    private void receive(
+            List<EndpointRegistry.Entry> entries, boolean isComplete, int targetIncarnation) {
+        if (targetIncarnation != process.incarnation()) {
             return;
         }
         List<Endpoint> endpoints = new ArrayList<>();
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
@@ -23,15 +23,15 @@
 import wheelroute.kit.strategy.Strategy;
 
 /**
- * A dispatcher without sockets: what the daemon does around its policy, event by event, with links
- * that only delay messages. The daemon's order of events is kept: a client has its response before
- * the strategy learns of the attempt's end.
+ * A dispatcher without sockets, which does what the daemon does around its policy. Messages pass
+ * over {@link SimulatedLink}s. Events have the same order as in the daemon: a client gets its
+ * response before the strategy learns that the attempt has ended.
  */
 final class SimulatedDispatcher implements ActionHandler {
-    /** Requests that are pending this long after SIGTERM fail. */
+    /** Requests that are still pending this long after SIGTERM fail. */
     private static final double DRAIN_TIMEOUT_SECONDS = 3.5;
 
-    /** How long a cancellation is remembered: a pause may delay the response by as much. */
+    /** How long a cancellation is remembered, since a pause may delay the response as long. */
     private static final double CANCELLATION_RETENTION_SECONDS = 60;
 
     private final int number;
@@ -43,20 +43,20 @@
     private final SimulatedNetwork network;
     private final SimulatedDiscoveryWatch discoveryWatch;
 
-    /** Events wait here while the strategy decides on another one. */
+    /** Events that wait while the strategy handles another one. */
     private final Deque<Runnable> eventQueue = new ArrayDeque<>();
 
     private final Map<Ids.Request, SimulatedRequest> pending = new HashMap<>();
 
-    /** Attempts that have arrived but are not read yet, by key. */
+    /** Client attempts that have arrived but are not read yet, by key. */
     private final Map<Long, ClientAttempt> unread = new HashMap<>();
 
-    /** Keys of attempts that their clients have cancelled. */
+    /** Keys of client attempts that their clients have cancelled. */
     private final Set<Long> cancelled = new HashSet<>();
 
     private Clients clients;
     private Strategy strategy;
-    private boolean isDeciding;
+    private boolean isHandlingEvent;
     private boolean isListening;
 
     SimulatedDispatcher(
@@ -76,8 +76,8 @@
                 new SimulatedDiscoveryWatch(number, this, cluster, network, process, auditor);
     }
 
-    /** Sets who gets the responses; once, before the start. */
-    void clients(Clients newClients) {
+    /** Sets the receiver of responses and connection failures; called once, before the start. */
+    void setClients(Clients newClients) {
         clients = newClients;
     }
 
@@ -101,9 +101,7 @@
         return cluster.timeline.now();
     }
 
-    // ---- lifecycle
-
-    /** Starts the process, after killing one that still runs. */
+    /** Starts the process. A process that still runs is killed first. */
     void start() {
         if (isListening || !pending.isEmpty()) {
             kill();
@@ -111,10 +109,10 @@
         process.start();
         isListening = true;
         auditor.onDispatcherStarted(number);
-        dispatch(() -> strategy = strategyFactory.create(settings, this));
+        handleEvent(() -> strategy = strategyFactory.create(settings, this));
     }
 
-    /** Kills the process: its connections to clients and workers are lost. */
+    /** Kills the process, so that its connections to clients and workers are lost. */
     void kill() {
         process.kill();
         isListening = false;
@@ -126,14 +124,17 @@
             request.attempts().forEach(SimulatedAttempt::close);
             network.transmit(() -> clients.onConnectionLost(request.clientAttempt()));
         }
-        List<ClientAttempt> neverRead = new ArrayList<>(unread.values());
+        List<ClientAttempt> lostUnread = new ArrayList<>(unread.values());
         unread.clear();
-        for (ClientAttempt clientAttempt : neverRead) {
+        for (ClientAttempt clientAttempt : lostUnread) {
             network.transmit(() -> clients.onConnectionLost(clientAttempt));
         }
     }
 
-    /** Shuts down gracefully: accepts no new requests, completes the pending ones, then ends. */
+    /**
+     * Shuts the process down gracefully: it accepts no new requests and completes the pending ones.
+     * After the drain timeout it fails those that are still pending, and ends.
+     */
     void terminate() {
         isListening = false;
         process.schedule(
@@ -144,7 +145,7 @@
                 });
     }
 
-    /** Pauses or resumes the process. */
+    /** Pauses or resumes the process, and reports the change to the auditor. */
     void setPaused(boolean paused) {
         process.setPaused(paused);
         if (paused) {
@@ -169,36 +170,32 @@
         }
     }
 
-    // ---- events for the strategy
-
-    /** Runs an event at once, or after those that were dispatched during the current decision. */
-    void dispatch(Runnable event) {
+    /** Runs an event at once, or after the event that runs now and those queued before. */
+    void handleEvent(Runnable event) {
         eventQueue.add(event);
-        if (isDeciding) {
+        if (isHandlingEvent) {
             return;
         }
-        isDeciding = true;
+        isHandlingEvent = true;
         for (Runnable next = eventQueue.poll(); next != null; next = eventQueue.poll()) {
             if (strategy != null) {
                 strategy.advanceTo(now());
             }
             next.run();
         }
-        isDeciding = false;
+        isHandlingEvent = false;
     }
 
     void onEndpoints(List<Endpoint> endpoints, boolean isComplete) {
-        dispatch(() -> strategy.onEndpoints(endpoints, isComplete));
+        handleEvent(() -> strategy.onEndpoints(endpoints, isComplete));
     }
 
     void onEndpointsFailed() {
-        dispatch(strategy::onEndpointsFailed);
+        handleEvent(strategy::onEndpointsFailed);
     }
 
-    // ---- clients
-
     void submit(ClientAttempt clientAttempt) {
-        int sentTo = process.incarnation();
+        int targetIncarnation = process.incarnation();
         SimulatedLink link = network.toClients();
         if (link.state().refuses()) {
             network.transmit(() -> clients.onRefused(clientAttempt));
@@ -208,12 +205,12 @@
                 link.state(),
                 () ->
                         link.sendInbound(
-                                () -> onArrival(clientAttempt, sentTo),
+                                () -> onArrival(clientAttempt, targetIncarnation),
                                 () -> !cancelled.contains(clientAttempt.key())));
     }
 
-    private void onArrival(ClientAttempt clientAttempt, int sentTo) {
-        if (sentTo != process.incarnation() || !isListening) {
+    private void onArrival(ClientAttempt clientAttempt, int targetIncarnation) {
+        if (targetIncarnation != process.incarnation() || !isListening) {
             clients.onRefused(clientAttempt);
             return;
         }
@@ -222,18 +219,18 @@
     }
 
     private void read(ClientAttempt clientAttempt) {
-        // An attempt that was cancelled before it is read is not accepted.
+        // A client attempt that was cancelled before it is read is not accepted.
         if (unread.remove(clientAttempt.key()) == null || cancelled.contains(clientAttempt.key())) {
             return;
         }
         SimulatedRequest request = new SimulatedRequest(this, clientAttempt);
         pending.put(request.id(), request);
         network.toClients().add(request);
-        dispatch(request::start);
+        handleEvent(request::start);
         process.schedule(request.deadline() - now(), request::onDeadline);
     }
 
-    /** The client closes the connection of its attempt. */
+    /** Cancels a client attempt: the client closes its connection. */
     void cancel(ClientAttempt clientAttempt) {
         long key = clientAttempt.key();
         cancelled.add(key);
@@ -247,16 +244,16 @@
         unread.remove(key);
         SimulatedRequest request = pending.get(new Ids.Request(key));
         if (request != null) {
-            dispatch(request::onClientGone);
+            handleEvent(request::onClientGone);
         }
     }
 
     void onClientConnectionReset(SimulatedRequest request) {
         network.transmit(() -> clients.onConnectionLost(request.clientAttempt()));
-        process.receive(() -> dispatch(request::onClientGone));
+        process.receive(() -> handleEvent(request::onClientGone));
     }
 
-    /** Sends the final response; a client that has cancelled does not read it. */
+    /** Sends the final response, which a client that has cancelled does not read. */
     void sendResponse(SimulatedRequest request, FinalResponse response, double retryAfterSeconds) {
         ClientAttempt clientAttempt = request.clientAttempt();
         SimulatedLink link = network.toClients();
@@ -278,8 +275,6 @@
         pending.remove(request.id());
     }
 
-    // ---- actions of the strategy
-
     @Override
     public void startAttempt(Ids.Request id, Ids.Worker workerId, double timeoutSeconds) {
         SimulatedRequest request = pending.get(id);
@@ -311,7 +306,7 @@
 
     @Override
     public void scheduleWakeup(double delaySeconds) {
-        process.schedule(delaySeconds, () -> dispatch(strategy::onWakeup));
+        process.schedule(delaySeconds, () -> handleEvent(strategy::onWakeup));
     }
 
     @Override
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedLink.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedLink.java
@@ -11,21 +11,25 @@
 
 /**
  * A link of a simulated dispatcher. While a direction is cut, its messages are held back, as by the
- * relays of the real clock; they are dropped if their sender closes its connection meanwhile.
+ * relays of runs on the real clock. A held message is dropped if its sender closes the connection
+ * meanwhile.
  */
 final class SimulatedLink {
-    /** A connection over the link, which is reset when the link refuses connections. */
+    /** A connection over the link. Connections are reset when the link starts to refuse them. */
     interface Connection {
-        /** Resets the connection; both ends are notified. */
+        /** Resets the connection and notifies both of its ends. */
         void reset();
     }
 
-    /** A message, which is dropped if it is no longer wanted when it could pass. */
+    /** A held message, which is dropped if it is no longer wanted when the link passes it. */
     private record Message(Runnable arrival, BooleanSupplier stillWanted) {}
 
     private final Timeline timeline;
 
-    /** In the order of their creation: the same seed must reset them in the same order. */
+    /**
+     * Open connections in the order of their creation, since runs with the same seed must reset
+     * them in the same order.
+     */
     private final Set<Connection> connections = new LinkedHashSet<>();
 
     private final ArrayDeque<Message> heldOutbound = new ArrayDeque<>();
@@ -53,9 +57,9 @@
         if (newState.refuses()) {
             heldOutbound.clear();
             heldInbound.clear();
-            List<Connection> broken = new ArrayList<>(connections);
+            List<Connection> connectionsToReset = new ArrayList<>(connections);
             connections.clear();
-            broken.forEach(Connection::reset);
+            connectionsToReset.forEach(Connection::reset);
         }
         if (newState.outbound()) {
             flush(heldOutbound);
@@ -69,13 +73,14 @@
         while (!held.isEmpty()) {
             Message first = held.pollFirst();
             if (first.stillWanted().getAsBoolean()) {
-                // As a task of its own, since the link may recover in the middle of an event.
+                // Each message arrives in a task of its own, since the link may recover during an
+                // event.
                 timeline.schedule(0, first.arrival());
             }
         }
     }
 
-    /** Passes a message on, or holds it back; held messages keep their order. */
+    /** Delivers a message, or holds it back. Held messages keep their order. */
     void sendOutbound(Runnable arrival, BooleanSupplier stillWanted) {
         deliver(state.outbound(), heldOutbound, arrival, stillWanted);
     }
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedNetwork.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedNetwork.java
@@ -8,7 +8,7 @@
 import wheelroute.kit.model.SeededRandom;
 import wheelroute.kit.scenario.Scenario;
 
-/** The links of one simulated dispatcher, and the delays of the messages on them. */
+/** The links of one simulated dispatcher, with the delays of messages on them. */
 final class SimulatedNetwork {
     private final int dispatcher;
     private final ClusterModel cluster;
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Delivers a message after the network's delay and that of the link. Never runs the arrival
-     * before it returns, so no event reaches a strategy during a decision.
+     * Delivers a message after the delays of the network and the link. Never delivers a message
+     * before this method returns, so no event reaches a strategy while it handles another one.
      */
     void transmit(LinkState state, Runnable arrival) {
         Scenario.Network network = cluster.scenario.network();
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedProcess.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedProcess.java
@@ -5,8 +5,8 @@
 import wheelroute.kit.model.Timeline;
 
 /**
- * The process of a simulated dispatcher: its incarnations, and pauses during which timers and input
- * wait.
+ * The process of a simulated dispatcher. It can be killed, restarted and paused; due timers and
+ * input wait until the end of a pause.
  */
 final class SimulatedProcess {
     private final Timeline timeline;
@@ -19,7 +19,7 @@
         this.timeline = timeline;
     }
 
-    /** Changes whenever the process starts or is killed. */
+    /** Returns a number that changes whenever the process starts or is killed. */
     int incarnation() {
         return incarnation;
     }
@@ -28,7 +28,7 @@
         incarnation++;
     }
 
-    /** Drops all timers and all input that waits for the end of a pause. */
+    /** Kills the process and drops its timers, and the input that waits for a pause to end. */
     void kill() {
         incarnation++;
         isPaused = false;
@@ -36,10 +36,10 @@
         inputDuringPause.clear();
     }
 
-    /** Pauses or resumes the process, which then runs what has waited before this returns. */
+    /** Pauses or resumes the process. On resume, the waiting timers and input run at once. */
     void setPaused(boolean paused) {
         isPaused = paused;
-        // As in the daemon's event loop, timers that are due run before any input is read.
+        // As in the daemon's event loop, due timers run before any input is read.
         while (!isPaused && !(timersDuringPause.isEmpty() && inputDuringPause.isEmpty())) {
             (timersDuringPause.isEmpty() ? inputDuringPause : timersDuringPause).pollFirst().run();
         }
@@ -47,11 +47,11 @@
 
     /** Runs a task after a delay, unless the process was killed or restarted meanwhile. */
     void schedule(double delaySeconds, Runnable task) {
-        int scheduledIn = incarnation;
+        int scheduledIncarnation = incarnation;
         timeline.schedule(
                 delaySeconds,
                 () -> {
-                    if (scheduledIn != incarnation) {
+                    if (scheduledIncarnation != incarnation) {
                         return;
                     }
                     if (isPaused) {
@@ -62,7 +62,7 @@
                 });
     }
 
-    /** Handles input from outside the process. */
+    /** Handles input from outside the process at once, or at the end of a pause. */
     void receive(Runnable event) {
         if (isPaused) {
             inputDuringPause.addLast(event);
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedRequest.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedRequest.java
@@ -10,12 +10,12 @@
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.strategy.Strategy;
 
-/** A request that a simulated dispatcher has read, until its last attempt has ended. */
+/** A request in a simulated dispatcher, from when it is read until its last attempt ends. */
 final class SimulatedRequest implements SimulatedLink.Connection {
-    /** What the dispatcher subtracts from the client's timeout, for the transit of the response. */
+    /** Subtracted from the client's timeout, to leave time for the transit of the response. */
     private static final double RESPONSE_MARGIN_SECONDS = 0.08;
 
-    /** The margin is at most this fraction of the timeout. */
+    /** Maximum response margin, as a fraction of the client's timeout. */
     private static final double RESPONSE_MARGIN_FRACTION = 0.1;
 
     private final SimulatedDispatcher dispatcher;
@@ -23,7 +23,7 @@
     private final Request request;
     private final List<SimulatedAttempt> attempts = new ArrayList<>(2);
 
-    /** Null until the strategy has accepted the request. */
+    /** The strategy's handle of the request; null until the strategy has accepted it. */
     private Strategy.Handle handle;
 
     /** Whether the client has its final response, or is gone. */
@@ -87,7 +87,7 @@
         }
     }
 
-    /** The link to the client resets the connection. */
+    /** Handles that the link to the client has reset the connection. */
     @Override
     public void reset() {
         dispatcher.onClientConnectionReset(this);
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Ends all attempts, and fails the request unless an attempt's end is answered otherwise. */
+    /** Times out all open attempts, and fails the request if it has no final response then. */
     void onDeadline() {
         if (!dispatcher.isPending(this)) {
             return;
@@ -110,7 +110,7 @@
         for (SimulatedAttempt attempt : new ArrayList<>(attempts)) {
             attempt.abort(Outcome.TIMED_OUT);
         }
-        dispatcher.dispatch(
+        dispatcher.handleEvent(
                 () -> {
                     if (!isAnswered) {
                         respond(FinalResponse.FAILED, 0);
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulationRun.java
@@ -24,15 +24,13 @@
 
 /** A run of a scenario in simulated time. */
 public final class SimulationRun {
-    /**
-     * How long the run continues after its last request, to observe late attempts and responses.
-     */
+    /** Duration of the run after its last request, to observe late attempts and responses. */
     private static final double SETTLE_SECONDS = 2;
 
-    /** Messages of a request: to the dispatcher and the worker, and back from both. */
+    /** Messages of a request: to the dispatcher, to the worker, and back from each of them. */
     private static final double MESSAGES_PER_REQUEST = 4;
 
-    /** Steps between two checks of whether the run is to stop. */
+    /** Number of steps between two calls of the stop condition. */
     private static final int STOP_CHECK_STEPS = 4096;
 
     private final SimulatedTime time = new SimulatedTime();
@@ -47,16 +45,16 @@
     /**
      * Runs a scenario to its end.
      *
-     * @param written the scenario, whose random faults are not drawn yet
-     * @param seconds how long requests arrive
-     * @param variant settings that differ from the scenario's
-     * @param variantName of the variant, for the report
+     * @param scenarioTemplate the scenario, with its random faults not drawn yet
+     * @param seconds how long requests arrive, in seconds
+     * @param variant settings that override those of the scenario
+     * @param variantName name of the variant in the report
      * @param strategies creates the dispatchers' strategies
-     * @param stop ends the run early when it returns true; the report is partial then
-     * @throws ConfigException if the settings cannot be used
+     * @param stop returns true to end the run early, which makes the report partial
+     * @throws ConfigException if the settings are invalid
      */
     public static Report run(
-            Scenario written,
+            Scenario scenarioTemplate,
             long seed,
             double seconds,
             Map<String, String> variant,
@@ -64,7 +62,7 @@
             Function<ClusterModel, Strategy.Factory> strategies,
             BooleanSupplier stop)
             throws ConfigException {
-        Scenario scenario = FaultScheduleGenerator.withRandomFaults(written, seed);
+        Scenario scenario = FaultScheduleGenerator.withRandomFaults(scenarioTemplate, seed);
         Report.Run run =
                 new Report.Run(
                         scenario.name(),
@@ -85,10 +83,10 @@
             Function<ClusterModel, Strategy.Factory> strategies)
             throws ConfigException {
         SeededRandom random = new SeededRandom(run.seed());
-        double slack =
+        double slackSeconds =
                 MESSAGES_PER_REQUEST
                         * (scenario.network().delaySeconds() + scenario.network().jitterSeconds());
-        Auditor auditor = new Auditor(scenario, time, slack);
+        Auditor auditor = new Auditor(scenario, time, slackSeconds);
         Recorder recorder = new Recorder(scenario, time, run.durationSeconds(), auditor);
         ClusterModel cluster =
                 new ClusterModel(scenario, time, random, run.durationSeconds(), recorder);
@@ -103,7 +101,7 @@
                         run.durationSeconds(),
                         transport(dispatchers),
                         recorder);
-        dispatchers.forEach(dispatcher -> dispatcher.clients(clients));
+        dispatchers.forEach(dispatcher -> dispatcher.setClients(clients));
         dispatchers.forEach(SimulatedDispatcher::start);
         cluster.start(dispatcherControl(cluster, dispatchers));
         recorder.start(cluster, clients);
@@ -139,7 +137,7 @@
         return dispatchers;
     }
 
-    /** Runs tasks while the condition holds, there are any, and the run is not stopped. */
+    /** Runs tasks while there are any, the condition holds and the run is not stopped. */
     private void advanceWhile(BooleanSupplier condition) {
         while (condition.getAsBoolean() && !isStopped && time.step()) {
             stepCount++;
@@ -150,13 +148,13 @@
     private static Clients.Transport transport(List<SimulatedDispatcher> dispatchers) {
         return new Clients.Transport() {
             @Override
-            public void submit(ClientAttempt submitted) {
-                dispatchers.get(submitted.dispatcher()).submit(submitted);
+            public void submit(ClientAttempt clientAttempt) {
+                dispatchers.get(clientAttempt.dispatcher()).submit(clientAttempt);
             }
 
             @Override
-            public void cancel(ClientAttempt submitted) {
-                dispatchers.get(submitted.dispatcher()).cancel(submitted);
+            public void cancel(ClientAttempt clientAttempt) {
+                dispatchers.get(clientAttempt.dispatcher()).cancel(clientAttempt);
             }
 
             @Override
@@ -186,13 +184,13 @@
             }
 
             @Override
-            public void start(int dispatcher, FaultMode how) {
+            public void start(int dispatcher, FaultMode mode) {
                 dispatchers.get(dispatcher).start();
             }
 
             @Override
-            public void setPaused(int dispatcher, boolean begins) {
-                dispatchers.get(dispatcher).setPaused(begins);
+            public void setPaused(int dispatcher, boolean paused) {
+                dispatchers.get(dispatcher).setPaused(paused);
             }
 
             @Override
--- a/kit/src/main/java/wheelroute/kit/simulation/package-info.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/package-info.java
@@ -1,2 +1,2 @@
-/** Runs on the virtual clock, with simulated dispatchers and links. */
+/** Runs of scenarios in simulated time, with simulated dispatchers and links. */
 package wheelroute.kit.simulation;
--- a/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/BaselineStrategy.java
@@ -17,18 +17,18 @@
 import wheelroute.decision.Settings;
 
 /**
- * A textbook load balancer: sends a request to a ready worker, retries it elsewhere where that is
- * allowed, and then rejects or fails it. It keeps the rules of retries and draining, but sheds no
- * load and does not spare workers in slow start.
+ * A textbook load balancer. It sends a request to a ready worker, retries it at other workers where
+ * that is allowed, and otherwise rejects or fails it. It respects the rules for retries and
+ * draining, but sheds no load and does not spare workers in slow start.
  */
 public final class BaselineStrategy implements Strategy {
-    /** No attempt is started with less time than this left. */
+    /** Minimum time before the deadline at which an attempt is still started. */
     private static final double MIN_TIME_LEFT_SECONDS = 0.02;
 
-    /** Subtracted from the idempotency window, for the transit of the retry to its worker. */
+    /** Subtracted from the idempotency window, to leave time for a retry to reach its worker. */
     private static final double TRANSIT_MARGIN_SECONDS = 0.5;
 
-    /** Delay until discovery is called again after a failure. */
+    /** Delay after a failed call to discovery until the next one. */
     private static final double POLL_DELAY_SECONDS = 0.5;
 
     private final Settings settings;
@@ -41,7 +41,7 @@
     private double now;
     private boolean isPollPending;
 
-    /** Creates the strategy of one dispatcher, and calls discovery. */
+    /** Creates the strategy of one dispatcher and starts to watch the endpoint list. */
     BaselineStrategy(Settings settings, ActionHandler actions, WorkerSelector selector) {
         this.settings = settings;
         this.actions = actions;
@@ -91,7 +91,7 @@
             return null;
         }
         AcceptedRequest accepted = new AcceptedRequest(request, requestClass);
-        accepted.startAttemptOrAnswer();
+        accepted.startAttemptOrRespond();
         return accepted;
     }
 
@@ -99,7 +99,7 @@
         final Endpoint endpoint;
         final double sentAt;
 
-        /** Null while the attempt is in flight. */
+        /** How the attempt ended; null while it is in flight. */
         Outcome outcome;
 
         SentAttempt(Endpoint endpoint, double sentAt) {
@@ -124,7 +124,7 @@
             this.requestClass = requestClass;
         }
 
-        void startAttemptOrAnswer() {
+        void startAttemptOrRespond() {
             List<Endpoint> candidates = candidates();
             Ids.Worker worker =
                     candidates.isEmpty()
@@ -149,7 +149,7 @@
             actions.startAttempt(request.id(), worker, 0);
         }
 
-        /** A rejection promises that a retry by the client is safe. */
+        /** Whether a retry by the client is safe, as a rejection promises. */
         private boolean mayReject() {
             return requestClass.idempotency() == Idempotency.IDEMPOTENT
                     || (requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY
@@ -161,7 +161,7 @@
             return attempts.stream().anyMatch(SentAttempt::mayHaveRun);
         }
 
-        /** Returns the workers of the next attempt, new ones if there are any. */
+        /** Returns the allowed workers of the next attempt, only untried ones if there are any. */
         private List<Endpoint> candidates() {
             boolean mayHaveRun = mayHaveRun();
             if (attempts.size() >= settings.maxAttempts()
@@ -181,7 +181,7 @@
             return untried.isEmpty() ? allowed : untried;
         }
 
-        /** Whether the key of an earlier attempt may be unknown at this worker. */
+        /** Whether a worker may repeat the effect of an earlier attempt, not knowing its key. */
         private boolean mayRepeatEffect(SentAttempt sent, Endpoint endpoint) {
             double windowSeconds = requestClass.idempotencyWindowSeconds();
             boolean isWindowOver = now > sent.sentAt + windowSeconds - TRANSIT_MARGIN_SECONDS;
@@ -218,17 +218,17 @@
 
         @Override
         public void onStarted(int attempt) {
-            // Baselines count attempts in flight only.
+            // Baselines only count the attempts in flight.
         }
 
         @Override
-        public void onProgress(int attempt, double share) {
-            // Baselines count attempts in flight only.
+        public void onProgress(int attempt, double fraction) {
+            // Baselines only count the attempts in flight.
         }
 
         @Override
         public void onEnded(
-                int attempt, Outcome outcome, boolean hasFinalAnswer, LoadReport report) {
+                int attempt, Outcome outcome, boolean hasFinalResponse, LoadReport report) {
             SentAttempt sent = attempts.get(attempt);
             if (sent.outcome != null) {
                 return;
@@ -236,13 +236,13 @@
             sent.outcome = outcome;
             openAttempts--;
             inFlight.merge(sent.endpoint.worker(), -1, Integer::sum);
-            if (hasFinalAnswer || outcome == Outcome.SUCCEEDED) {
+            if (hasFinalResponse || outcome == Outcome.SUCCEEDED) {
                 isAnswered = true;
             } else if (outcome == Outcome.INVALID_REQUEST && !isAnswered) {
                 isAnswered = true;
                 actions.fail(request.id());
             } else if (!isAnswered) {
-                startAttemptOrAnswer();
+                startAttemptOrRespond();
             }
         }
     }
--- a/kit/src/main/java/wheelroute/kit/strategy/OmniscientSelector.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/OmniscientSelector.java
@@ -12,10 +12,10 @@
 
 /**
  * Chooses the worker that completes a request first, by the true state of all workers, which no
- * dispatcher can see. Chooses none if even that one would be too late.
+ * real dispatcher can see. Chooses none if even the first completion would be too late.
  */
 final class OmniscientSelector implements WorkerSelector {
-    /** A class whose late responses earn less than this gets no attempt that would be late. */
+    /** Request classes with a lower value of late responses get no attempt that would be late. */
     private static final double MIN_LATE_VALUE = 0.5;
 
     private final ClusterModel cluster;
@@ -49,7 +49,10 @@
                 .orElseThrow();
     }
 
-    /** Adds the time that a failed attempt would cost, in proportion to the failures. */
+    /**
+     * Returns the expected completion time, plus the expected time lost to a failed attempt: the
+     * latency objective times the worker's failure fraction.
+     */
     private double expectedCompletion(
             Endpoint candidate, double work, Scenario.RequestClass requestClass) {
         WorkerModel worker = WorkerSelectors.model(cluster, candidate);
--- a/kit/src/main/java/wheelroute/kit/strategy/PolicyStrategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/PolicyStrategy.java
@@ -11,9 +11,9 @@
 import wheelroute.decision.Settings;
 import wheelroute.net.discovery.Backoff;
 
-/** The dispatcher's own policy, with its backoff between failed calls to discovery. */
+/** The dispatcher's own policy, with the daemon's backoff after failed calls to discovery. */
 public final class PolicyStrategy implements Strategy {
-    /** Rounding may let a wakeup come this much before the time that it was scheduled for. */
+    /** Maximum time by which rounding may let a wakeup come before its scheduled time. */
     private static final double ROUNDING_TOLERANCE_SECONDS = 1e-6;
 
     private final Policy policy;
@@ -22,7 +22,7 @@
     private double now;
     private double nextPollAt = Double.POSITIVE_INFINITY;
 
-    /** Creates the policy of one dispatcher. */
+    /** Creates the policy of one dispatcher, which acts through the handler. */
     public PolicyStrategy(Settings settings, ActionHandler actions) {
         this.actions = actions;
         policy = new Policy(settings, actions);
@@ -80,8 +80,8 @@
         }
 
         @Override
-        public void onProgress(int attempt, double share) {
-            handle.onProgress(attempt, share);
+        public void onProgress(int attempt, double fraction) {
+            handle.onProgress(attempt, fraction);
         }
 
         @Override
--- a/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
@@ -7,12 +7,12 @@
 import java.util.function.Supplier;
 import wheelroute.kit.model.ClusterModel;
 
-/** All strategies by name. */
+/** Registry of all strategies by name. */
 public final class Strategies {
-    /** The dispatcher's own policy, with which the others are compared. */
+    /** Name of the dispatcher's own policy, with which the others are compared. */
     public static final String POLICY = "module";
 
-    /** Knows the true state of all workers, which no dispatcher can. */
+    /** Name of the baseline that knows the true state of all workers, unlike any dispatcher. */
     public static final String OMNISCIENT = "seeing";
 
     private static final Map<String, Function<ClusterModel, Strategy.Factory>> FACTORIES =
@@ -38,13 +38,14 @@
         return List.copyOf(FACTORIES.keySet());
     }
 
-    /** Returns the factory of the strategy of this name. */
+    /** Returns the factory of the strategy of this name, which must be one of {@link #names}. */
     public static Strategy.Factory factory(String name, ClusterModel cluster) {
         return FACTORIES.get(name).apply(cluster);
     }
 
-    /** Each dispatcher has a selector of its own, as a selector may have state. */
-    private static Strategy.Factory baseline(Supplier<WorkerSelector> selectors) {
-        return (settings, actions) -> new BaselineStrategy(settings, actions, selectors.get());
+    /** Returns a factory that gives each baseline its own selector, which may have state. */
+    private static Strategy.Factory baseline(Supplier<WorkerSelector> selectorFactory) {
+        return (settings, actions) ->
+                new BaselineStrategy(settings, actions, selectorFactory.get());
     }
 }
--- a/kit/src/main/java/wheelroute/kit/strategy/Strategy.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategy.java
@@ -9,53 +9,53 @@
 import wheelroute.decision.Settings;
 
 /**
- * Makes the decisions of one simulated dispatcher. The calls are those of the dispatcher's policy,
- * so a baseline can take its place.
+ * Makes the decisions of one simulated dispatcher. The interface matches that of the dispatcher's
+ * policy, so that a baseline can replace the policy.
  */
 public interface Strategy {
-    /** Creates the strategy of each dispatcher, and a new one at its restart. */
+    /** Creates a strategy at each start of a dispatcher. */
     interface Factory {
-        /** Creates a strategy, which acts through the handler. */
+        /** Creates a strategy that acts through the handler. */
         Strategy create(Settings settings, ActionHandler actions);
     }
 
-    /** Sets the time of the events that follow, in seconds. */
+    /** Sets the current time in seconds, which holds for the events that follow. */
     void advanceTo(double time);
 
-    /** The delay of a scheduled wakeup has passed. */
+    /** Handles a wakeup whose delay has passed. */
     void onWakeup();
 
     /**
-     * The endpoint list, or a change of it, has arrived.
+     * Handles the arrival of the endpoint list or of changes to it.
      *
-     * @param isComplete whether it is the complete list
+     * @param isComplete whether the endpoints are the complete list
      */
     void onEndpoints(List<Endpoint> endpoints, boolean isComplete);
 
-    /** A call for the endpoint list has failed. */
+    /** Handles the failure of a call for the endpoint list. */
     void onEndpointsFailed();
 
     /** Accepts a request; returns null if its request class is unknown. */
     Handle accept(Request request);
 
-    /** An accepted request, until its last attempt has ended. */
+    /** An accepted request until the end of its last attempt. */
     interface Handle {
-        /** Whether the request has its final answer and no attempt is in flight. */
+        /** Whether the request has its final response and no attempt is in flight. */
         boolean isComplete();
 
-        /** The client has cancelled the request, or its connection is lost. */
+        /** Handles a cancellation by the client, or the loss of its connection. */
         void onClientGone();
 
-        /** The worker has started an attempt. */
+        /** Handles that the worker has started an attempt. */
         void onStarted(int attempt);
 
-        /** The worker has completed this fraction of an attempt. */
-        void onProgress(int attempt, double share);
+        /** Handles that the worker has completed a fraction of an attempt, from 0 to 1. */
+        void onProgress(int attempt, double fraction);
 
         /**
-         * An attempt has ended.
+         * Handles the end of an attempt.
          *
-         * @param isAnswered whether the request has its final answer
+         * @param isAnswered whether the request has its final response
          */
         void onEnded(int attempt, Outcome outcome, boolean isAnswered, LoadReport report);
     }
--- a/kit/src/main/java/wheelroute/kit/strategy/WorkerSelector.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/WorkerSelector.java
@@ -10,11 +10,11 @@
 /** Chooses the worker of an attempt. */
 interface WorkerSelector {
     /**
-     * Chooses one of the candidates.
+     * Chooses one of the candidates for an attempt.
      *
-     * @param candidates at least one
+     * @param candidates the allowed workers, at least one
      * @param inFlight the dispatcher's attempts in flight at each worker
-     * @return null if no candidate is worth an attempt
+     * @return the chosen worker; null if no candidate is worth an attempt
      */
     Ids.Worker choose(
             List<Endpoint> candidates,
--- a/kit/src/main/java/wheelroute/kit/strategy/WorkerSelectors.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/WorkerSelectors.java
@@ -14,7 +14,7 @@
 final class WorkerSelectors {
     private WorkerSelectors() {}
 
-    /** Creates a random choice, weighted by the workers' capacity. */
+    /** Returns a selector that chooses at random, weighted by the workers' capacity. */
     static WorkerSelector random(ClusterModel cluster) {
         return (candidates, request, inFlight, random) -> {
             double total = candidates.stream().mapToDouble(each -> capacity(cluster, each)).sum();
@@ -29,7 +29,7 @@
         };
     }
 
-    /** Creates a choice of each candidate in turn. */
+    /** Returns a selector that chooses each candidate in turn. */
     static WorkerSelector roundRobin() {
         return new WorkerSelector() {
             private int next;
@@ -45,17 +45,18 @@
         };
     }
 
-    /** Creates a choice of the worker with the fewest attempts in flight from this dispatcher. */
+    /** Returns a selector of the worker with the dispatcher's fewest attempts in flight. */
     static WorkerSelector leastOutstanding() {
         return (candidates, request, inFlight, random) -> {
-            // A random start spreads ties, which would otherwise all go to the first candidate.
+            // A random start index spreads ties, which would all go to the first candidate
+            // otherwise.
             int first = random.nextInt(candidates.size());
             return minBy(
                     candidates, first, candidate -> inFlight.getOrDefault(candidate.worker(), 0));
         };
     }
 
-    /** Creates a choice of the better of two random candidates. */
+    /** Returns a selector of the less loaded of two random candidates. */
     static WorkerSelector twoChoices() {
         return (candidates, request, inFlight, random) -> {
             Ids.Worker one = candidates.get(random.nextInt(candidates.size())).worker();
@@ -73,7 +74,7 @@
         return worker.group.speed() * worker.group.slots();
     }
 
-    /** Returns the candidate of the least value; of several, the next one from an index on. */
+    /** Returns the candidate with the minimum value; ties go to the first one from an index on. */
     static Ids.Worker minBy(
             List<Endpoint> candidates, int first, ToDoubleFunction<Endpoint> valueOf) {
         Endpoint best = null;
--- a/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
+++ b/kit/src/test/java/wheelroute/kit/peers/PeerModelTest.java
@@ -9,7 +9,7 @@
 import wheelroute.peers.MemberUpdate;
 import wheelroute.peers.MessageCodec;
 
-/** Membership under faults, on the virtual clock; every datagram is encoded and decoded. */
+/** Tests membership under faults in simulated time, with encoded and decoded datagrams. */
 public class PeerModelTest {
     private static final int SEEDS = 3;
     private static final double TIMEOUT_SECONDS = 120;
@@ -20,8 +20,8 @@
         model.advance(0.5);
         assertFalse(
                 Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT_SECONDS)),
-                "the cluster never converged");
-        // Until the gossip of the start has ended.
+                "cluster did not converge within " + TIMEOUT_SECONDS + " s");
+        // Waits until the gossip of the start has ended.
         model.advance(10 + count / 5.0);
         return model;
     }
@@ -29,15 +29,15 @@
     @DataProvider
     public Object[][] sizes() {
         return new Object[][] {
-            // members; maximum seconds until all know of a crash, maximum seconds until all agree
-            // after a partition, maximum bytes per second and member
+            // Number of members, maximum seconds until all know of a crash, maximum seconds until
+            // all agree after a partition, maximum bytes per second and member.
             {3, 6, 5, 400}, {10, 8, 6, 400}, {40, 14, 12, 500}, {100, 18, 20, 700},
         };
     }
 
     /**
-     * Detection times grow no faster than the logarithm of the cluster's size, and the traffic of a
-     * member hardly at all.
+     * Detection times must grow no faster than the logarithm of the cluster's size, and the traffic
+     * of a member hardly at all.
      */
     @Test(dataProvider = "sizes")
     public void crashesAndHealedPartitionsAreDetectedInTime(
@@ -47,12 +47,14 @@
         model.advance(10);
         assertEquals(model.falsePositives(), 0);
         double bytes = model.bytes() / 10.0 / count;
-        assertTrue(bytes < maxBytes, bytes + " bytes");
+        assertTrue(bytes < maxBytes, bytes + " bytes per second and member");
         assertTrue(model.largestDatagram() <= MessageCodec.MAX_DATAGRAM_BYTES);
         model.members.get(count - 1).crash();
         double detection =
                 model.advanceUntil(() -> model.isDeadEverywhere(count - 1), TIMEOUT_SECONDS);
-        assertTrue(detection < maxDetectionSeconds, detection + " s until all knew it");
+        assertTrue(
+                detection < maxDetectionSeconds,
+                detection + " s until all members knew of the crash");
         model.members.get(count - 1).start(0);
         assertFalse(Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT_SECONDS)));
         int half = count / 2;
@@ -62,10 +64,12 @@
         assertEquals(model.members.get(half).membership().aliveCount(), count - half);
         model.block((from, to) -> false);
         double healing = model.advanceUntil(model::hasConverged, TIMEOUT_SECONDS);
-        assertTrue(healing < maxHealingSeconds, healing + " s until all agreed again");
+        assertTrue(
+                healing < maxHealingSeconds,
+                healing + " s until all members agreed after the partition");
     }
 
-    /** Loss, duplicates and reordering: hardly any member that runs is declared dead. */
+    /** Loss, duplicates and reordering must cause at most one false positive in the whole run. */
     @Test
     public void lossyNetworkCausesNoFalsePositives() {
         PeerModel model = convergedCluster(20, 5, true);
@@ -79,7 +83,7 @@
         assertFalse(Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT_SECONDS)));
     }
 
-    /** A fault of a converged cluster of 12 members; blocked links are unblocked at its end. */
+    /** A fault of a converged cluster of 12 members. The test unblocks links afterwards. */
     private interface Fault {
         void inject(PeerModel model);
     }
@@ -87,13 +91,13 @@
     @DataProvider
     public Object[][] faults() {
         return new Object[][] {
-            {"seeds", (Fault) PeerModelTest::seedsCrash},
+            {"crash of all seeds", (Fault) PeerModelTest::seedsCrash},
             {"outbound loss", (Fault) PeerModelTest::messagesOfMemberAreLost},
-            {"pair", (Fault) PeerModelTest::pairIsPartitioned},
-            {"thirds", (Fault) PeerModelTest::thirdsArePartitioned},
-            {"flapping", (Fault) PeerModelTest::memberFlaps},
-            {"clock", (Fault) PeerModelTest::memberRestartsWithClockBehind},
-            {"stop", (Fault) PeerModelTest::membersPause},
+            {"partition of a pair", (Fault) PeerModelTest::pairIsPartitioned},
+            {"partition into thirds", (Fault) PeerModelTest::thirdsArePartitioned},
+            {"flapping member", (Fault) PeerModelTest::memberFlaps},
+            {"restart with clock behind", (Fault) PeerModelTest::memberRestartsWithClockBehind},
+            {"pause", (Fault) PeerModelTest::membersPause},
             {"leave", (Fault) PeerModelTest::memberLeaves},
         };
     }
@@ -117,14 +121,17 @@
         assertFalse(
                 model.members.get(0).membership().find(PeerModel.id(4)).state()
                         == MemberUpdate.State.ALIVE,
-                "a member whose messages are lost counts as alive");
+                "a member whose messages are lost is considered alive");
     }
 
     private static void pairIsPartitioned(PeerModel model) {
         model.block((from, to) -> (from == 4 && to == 5) || (from == 5 && to == 4));
         model.resetCounters();
         model.advance(30);
-        assertEquals(model.falsePositives(), 0, "indirect probes reach both");
+        assertEquals(
+                model.falsePositives(),
+                0,
+                "false positives although indirect probes reach both members");
     }
 
     private static void thirdsArePartitioned(PeerModel model) {
@@ -142,31 +149,31 @@
         }
     }
 
-    /** Its earlier incarnation seems to be the newer one. */
+    /** The clock behind makes the earlier incarnation of the member seem the newer one. */
     private static void memberRestartsWithClockBehind(PeerModel model) {
         model.members.get(4).crash();
         model.members.get(4).start(-500);
     }
 
     private static void membersPause(PeerModel model) {
-        model.members.get(4).pause(true);
-        model.members.get(5).pause(true);
+        model.members.get(4).setPaused(true);
+        model.members.get(5).setPaused(true);
         model.advance(15);
         model.resetCounters();
-        model.members.get(4).pause(false);
-        model.members.get(5).pause(false);
+        model.members.get(4).setPaused(false);
+        model.members.get(5).setPaused(false);
         model.advance(5);
-        assertEquals(model.falsePositives(), 0, "a paused member blames the others");
+        assertEquals(model.falsePositives(), 0, "false positives after the pause of members");
     }
 
     private static void memberLeaves(PeerModel model) {
         model.members.get(4).leave();
         double detection = model.advanceUntil(() -> model.isDeadEverywhere(4), TIMEOUT_SECONDS);
-        assertTrue(detection < 3, detection + " s, though it has announced that it leaves");
+        assertTrue(detection < 3, detection + " s until all members knew of the announced leave");
         model.members.get(4).start(1);
     }
 
-    /** After each fault the cluster converges again. */
+    /** The cluster must converge again after each fault. */
     @Test(dataProvider = "faults")
     public void clusterConvergesAfterFault(String name, Fault fault) {
         PeerModel model = convergedCluster(12, 11, true);
@@ -174,10 +181,13 @@
         model.block((from, to) -> false);
         assertFalse(
                 Double.isNaN(model.advanceUntil(model::hasConverged, TIMEOUT_SECONDS)),
-                "no convergence after: " + name);
+                "cluster did not converge after fault: " + name);
     }
 
-    /** With a tenth of the members stalling, the local health multiplier halves wrong deaths. */
+    /**
+     * With a tenth of the members stalling, the local health multiplier must at least halve the
+     * number of false positives.
+     */
     @Test
     public void localHealthAwarenessAvoidsFalsePositives() {
         long[] falsePositives = new long[2];
@@ -194,6 +204,9 @@
         }
         assertTrue(
                 falsePositives[0] * 2 <= falsePositives[1],
-                falsePositives[0] + " false positives with, " + falsePositives[1] + " without");
+                falsePositives[0]
+                        + " false positives with the local health multiplier, "
+                        + falsePositives[1]
+                        + " without it");
     }
 }
--- a/kit/src/test/java/wheelroute/kit/simulation/ShippedScenariosTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/ShippedScenariosTest.java
@@ -15,15 +15,15 @@
 import wheelroute.kit.scenario.ScenarioLibrary;
 import wheelroute.kit.strategy.Strategies;
 
-/** The shipped scenarios on the virtual clock, with the dispatcher's policy and the baselines. */
+/** Runs shipped scenarios on the virtual clock, with the policy and with the baselines. */
 public class ShippedScenariosTest {
-    /** Runs of scenarios with more dispatchers than this are shorter, to keep the test short. */
-    private static final int MANY_DISPATCHERS = 10;
+    /** Scenarios with more dispatchers run for a third of the time, to keep the test short. */
+    private static final int MAX_DISPATCHERS_OF_FULL_RUNS = 10;
 
     private static final int SLOW_START_SEEDS = 50;
 
-    /** By how much the policy's service exceeds that of any baseline under overload. */
-    private static final double MIN_ADVANTAGE = 0.1;
+    /** Minimum by which the policy's service exceeds that of any baseline under overload. */
+    private static final double MIN_SERVICE_ADVANTAGE = 0.1;
 
     @DataProvider
     public Object[][] simulatedScenarios() throws ScenarioException {
@@ -40,20 +40,23 @@
     public void policyMeetsExpectations(String name) throws Exception {
         Scenario scenario = ScenarioLibrary.find(name);
         double seconds =
-                scenario.dispatcherCount() > MANY_DISPATCHERS
+                scenario.dispatcherCount() > MAX_DISPATCHERS_OF_FULL_RUNS
                         ? Plan.QUICK_SECONDS / 3
                         : Plan.QUICK_SECONDS;
         Report report = SimulatedRuns.run(scenario, 7, seconds);
         assertTrue(report.holds(), TableWriter.text(report));
     }
 
-    /** Each of thirty dispatchers sees only its own attempts at a worker in slow start. */
+    /**
+     * Guards against overload of a worker in slow start by many dispatchers together, of which each
+     * sees only its own attempts.
+     */
     @Test
     public void thirtyDispatchersTogetherOverloadNoWorkerInSlowStart() throws Exception {
         Scenario scenario = ScenarioLibrary.find("cold-thirty");
         for (int seed = 1; seed <= SLOW_START_SEEDS; seed++) {
             Report report = SimulatedRuns.run(scenario, seed, Plan.QUICK_SECONDS / 2);
-            assertTrue(report.keepsRules(), seed + ": " + TableWriter.text(report));
+            assertTrue(report.keepsRules(), "seed " + seed + ": " + TableWriter.text(report));
         }
     }
 
@@ -70,8 +73,13 @@
             if (!strategy.equals(Strategies.POLICY) && !strategy.equals(Strategies.OMNISCIENT)) {
                 double service = report.figures().get(FigureNames.SERVICE);
                 assertTrue(
-                        service < policyService - MIN_ADVANTAGE,
-                        strategy + ": " + service + ", policy: " + policyService);
+                        service < policyService - MIN_SERVICE_ADVANTAGE,
+                        "service of "
+                                + strategy
+                                + " "
+                                + service
+                                + ", of the policy "
+                                + policyService);
             }
         }
     }
--- a/kit/src/test/java/wheelroute/kit/simulation/SimulatedLinkTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/SimulatedLinkTest.java
@@ -11,7 +11,7 @@
 public class SimulatedLinkTest {
     private static final int CONNECTIONS = 50;
 
-    /** The order must not depend on hash codes, or a seed would not give the same run twice. */
+    /** If the order depended on hash codes, two runs with the same seed would differ. */
     @Test
     public void resetsConnectionsInOrderOfCreation() {
         SimulatedLink link = new SimulatedLink(new SimulatedTime());
--- a/kit/src/test/java/wheelroute/kit/simulation/SimulatedRuns.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/SimulatedRuns.java
@@ -5,7 +5,7 @@
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.strategy.Strategies;
 
-/** Runs scenarios on the virtual clock, with the scenario's own settings. */
+/** Runs scenarios on the virtual clock, with their own settings. */
 public final class SimulatedRuns {
     private SimulatedRuns() {}
 
@@ -14,7 +14,7 @@
         return run(scenario, seed, seconds, Strategies.POLICY);
     }
 
-    /** Runs a scenario with the strategy of this name. */
+    /** Runs a scenario with the strategy of this name, one of {@link Strategies#names}. */
     public static Report run(Scenario scenario, long seed, double seconds, String strategy)
             throws Exception {
         return SimulationRun.run(
--- a/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/SimulationRunTest.java
@@ -16,12 +16,12 @@
 import wheelroute.kit.scenario.ScenarioLibrary;
 import wheelroute.kit.strategy.Strategies;
 
-/** What all simulated runs have in common: repeatability, and complete counts. */
+/** Tests that simulated runs are repeatable and that each request is counted once. */
 public class SimulationRunTest {
     private static final int RANDOM_SCHEDULES = 60;
     private static final double SMALL_RUN_SECONDS = 5;
 
-    /** Random faults of dispatchers' processes and links, too, as far as they can be simulated. */
+    /** The random faults include those of dispatchers and links that can be simulated. */
     @Test
     public void keepsRulesUnderRandomFaults() throws Exception {
         Scenario scenario =
@@ -29,12 +29,12 @@
                         "[drawn]\nfaults = 5\nlongest = 2\n[clients]\nretries = 2\n", 4);
         for (int seed = 0; seed < RANDOM_SCHEDULES; seed++) {
             Report report = SimulatedRuns.run(scenario, seed, SMALL_RUN_SECONDS);
-            assertTrue(report.keepsRules(), seed + ": " + TableWriter.text(report));
-            assertEquals(sumOfResults(report.total()), report.total().requested());
+            assertTrue(report.keepsRules(), "seed " + seed + ": " + TableWriter.text(report));
+            assertEquals(resultCount(report.total()), report.total().requested());
         }
     }
 
-    private static long sumOfResults(Report.Row row) {
+    private static long resultCount(Report.Row row) {
         return row.inTime()
                 + row.late()
                 + row.rejected()
@@ -51,7 +51,7 @@
         assertNotEquals(JsonWriter.text(List.of(SimulatedRuns.run(scenario, 6, 12))), first);
     }
 
-    /** Otherwise the differences of variants could not be paired by seed. */
+    /** Experiments pair runs by seed, so the requests must be the same under each strategy. */
     @Test
     public void requestsDoNotDependOnStrategy() throws Exception {
         Scenario scenario = ScenarioLibrary.find("failures-overlap");
@@ -75,11 +75,11 @@
                                 + "[[faults]]\nkind = \"list-down\"\nat = 1.5\nfor = 2\n");
         Report report = SimulatedRuns.run(scenario, 1, SMALL_RUN_SECONDS);
         Report.Row total = report.total();
-        assertEquals(sumOfResults(total), total.requested());
+        assertEquals(resultCount(total), total.requested());
         assertTrue(
                 total.requested() > 150 && total.requested() < 250,
-                total.requested() + " requests, expected were 40 per second for 5 s");
-        assertTrue(total.cancelled() > 0, "no client cancelled");
+                "expected about 200 requests (40 per second for 5 s), got " + total.requested());
+        assertTrue(total.cancelled() > 0, "expected cancelled requests, got none");
         assertTrue(report.keepsRules(), TableWriter.text(report));
     }
 
