--- a/daemon/src/test/java/wheelroute/net/AdminServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/AdminServiceTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
 
-/** Commands at the admin server, and the figures that they report. */
+/** Commands to the admin server and the statistics that it reports. */
 public class AdminServiceTest extends ServiceHarness {
     private static final Map<String, Integer> INITIAL_STATS =
             Map.of(
@@ -81,26 +81,26 @@
     }
 
     @Test(dataProvider = "commands", timeOut = TIMEOUT_MILLIS)
-    public void answersOneCommandPerConnection(String text, String answer) throws Exception {
+    public void answersOneCommandPerConnection(String command, String response) throws Exception {
         serve(Idempotency.IDEMPOTENT);
-        assertEquals(adminCommand(text), answer);
+        assertEquals(adminCommand(command), response);
     }
 
-    /** The end of the input ends the command as a line feed does. */
+    /** The end of the input terminates a command just as a line feed does. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void readsCommandByteByByte() throws Exception {
         serve(Idempotency.IDEMPOTENT);
         Socket socket = connectAdmin();
         socket.setTcpNoDelay(true);
-        for (byte piece : "READY".getBytes(StandardCharsets.UTF_8)) {
-            socket.getOutputStream().write(piece);
+        for (byte octet : "READY".getBytes(StandardCharsets.UTF_8)) {
+            socket.getOutputStream().write(octet);
             assertEquals(adminCommand("READY\n"), "ok ready\n");
         }
         socket.shutdownOutput();
         assertEquals(new String(socket.getInputStream().readAllBytes(), UTF_8), "ok ready\n");
     }
 
-    /** They delay neither other commands nor client requests. */
+    /** Connections with an incomplete command delay neither other commands nor client requests. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void closesConnectionsWithoutCompleteCommand() throws Exception {
         serve(Idempotency.IDEMPOTENT, SUCCESS);
@@ -118,7 +118,8 @@
 
     @Test(timeOut = TIMEOUT_MILLIS)
     public void reportsStatsThatMatchObservedTraffic() throws Exception {
-        // Succeeds; is rejected, then succeeds; loses its connection, then succeeds; stays open.
+        // One request succeeds, one is rejected and then succeeds, one loses its connection and
+        // then succeeds, and one stays open.
         workers.responses.addAll(List.of(SUCCESS, REJECTION, SUCCESS, CLOSE, SUCCESS, ACCEPTED));
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen(), workers.listen()));
         assertEquals(adminStats(), INITIAL_STATS);
@@ -127,8 +128,8 @@
             assertEquals(statusOf(exchange(connect(), jobRequest(10).replace("/job/", path))), 200);
         }
         sendMessagesThatAreNotAccepted();
-        Socket waiting = connect();
-        send(waiting, jobRequest(10));
+        Socket pendingClient = connect();
+        send(pendingClient, jobRequest(10));
         while (workers.messages.get() < 6) {
             workers.nextFirstLine();
         }
@@ -143,7 +144,7 @@
                         1,
                         "upstream_requests",
                         6));
-        waiting.close();
+        pendingClient.close();
         awaitNoPendingRequests();
         assertEquals(adminStats().get("rejected.job") + adminStats().get("failed.job"), 0);
         // A request that finds no worker is rejected.
--- a/daemon/src/test/java/wheelroute/net/ClientConnectionLimitTest.java
+++ b/daemon/src/test/java/wheelroute/net/ClientConnectionLimitTest.java
@@ -31,7 +31,7 @@
         for (int i = 11; i < 20; i++) {
             String message = jobRequest(10).replace("77", "" + (10 + i));
             clients.get(i).getOutputStream().write(message.getBytes(StandardCharsets.UTF_8));
-            // Beyond the limit of seven worker connections the last two requests are rejected.
+            // At most seven worker connections are allowed, so the last two requests are rejected.
             assertTrue(i >= 18 || workers.nextFirstLine().startsWith("POST"));
         }
         assertEquals(statusOf(readMessage(clients.get(19).getInputStream())), 503);
@@ -82,38 +82,39 @@
         assertEquals(statusOf(exchange(kept, HEALTH_CHECK)), 200);
         long before = System.nanoTime();
         Socket idle = connect();
-        Socket endless = connect();
-        endless.getOutputStream()
+        Socket incomplete = connect();
+        incomplete
+                .getOutputStream()
                 .write(jobRequest(10).replace("hi", "h").getBytes(StandardCharsets.UTF_8));
-        String answer = readMessage(endless.getInputStream());
-        assertEquals(statusOf(answer), 408);
-        assertTrue(answer.contains("Connection: close"), answer);
+        String response = readMessage(incomplete.getInputStream());
+        assertEquals(statusOf(response), 408);
+        assertTrue(response.contains("Connection: close"), response);
         assertEquals(idle.getInputStream().read(), -1);
         assertTrue((System.nanoTime() - before) / 1e9 < 3);
-        // Later messages have as long, from their first byte on.
+        // Later messages have the same time limit, counted from their first byte.
         assertEquals(statusOf(exchange(kept, HEALTH_CHECK + "POST /jo")), 200);
         assertEquals(statusOf(readMessage(kept.getInputStream())), 408);
     }
 
     /**
-     * The order holds however long ago the last request was, and no connection with unread bytes is
-     * closed.
+     * A client that has only sent health checks is evicted first, however long ago the last request
+     * of the other client was. No connection with unread bytes is closed.
      */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void evictsStatusClientsBeforeRequestClients() throws Exception {
         workers.responses.addAll(List.of(SUCCESS, SUCCESS, SUCCESS));
         serve(Idempotency.IDEMPOTENT, 58, endpointList(workers.listen()));
-        Socket submitter = connect();
-        assertEquals(statusOf(exchange(submitter, jobRequest(10))), 200);
-        Socket visitor = connect();
-        assertEquals(statusOf(exchange(visitor, HEALTH_CHECK)), 200);
-        List<Socket> fresh = new ArrayList<>();
+        Socket requestClient = connect();
+        assertEquals(statusOf(exchange(requestClient, jobRequest(10))), 200);
+        Socket healthCheckClient = connect();
+        assertEquals(statusOf(exchange(healthCheckClient, HEALTH_CHECK)), 200);
+        List<Socket> newClients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            fresh.add(connect());
+            newClients.add(connect());
         }
-        assertEquals(visitor.getInputStream().read(), -1);
-        assertEquals(statusOf(exchange(submitter, jobRequest(10))), 200);
-        assertEquals(statusOf(exchange(fresh.get(0), jobRequest(10))), 200);
+        assertEquals(healthCheckClient.getInputStream().read(), -1);
+        assertEquals(statusOf(exchange(requestClient, jobRequest(10))), 200);
+        assertEquals(statusOf(exchange(newClients.get(0), jobRequest(10))), 200);
     }
 
     @Test(timeOut = TIMEOUT_MILLIS)
--- a/daemon/src/test/java/wheelroute/net/ClientDisconnectTest.java
+++ b/daemon/src/test/java/wheelroute/net/ClientDisconnectTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
 
-/** Clients that disconnect before their response. */
+/** Clients that disconnect before they receive their response. */
 public class ClientDisconnectTest extends ServiceHarness {
     @Test(timeOut = TIMEOUT_MILLIS)
     public void cancelsAttemptWhenClientDisconnects() throws Exception {
@@ -37,7 +37,7 @@
         assertEquals(metric("submissions_open"), 0);
     }
 
-    private enum Leaving {
+    private enum Disconnect {
         CLOSE,
         HALF_CLOSE,
         RESET
@@ -46,21 +46,21 @@
     @DataProvider
     public Object[][] disconnects() {
         return new Object[][] {
-            {0, Leaving.CLOSE}, {0, Leaving.HALF_CLOSE}, {0, Leaving.RESET},
-            {1, Leaving.CLOSE}, {20_000, Leaving.CLOSE}, {200_000, Leaving.CLOSE},
-            {20_000, Leaving.HALF_CLOSE}, {20_000, Leaving.RESET},
+            {0, Disconnect.CLOSE}, {0, Disconnect.HALF_CLOSE}, {0, Disconnect.RESET},
+            {1, Disconnect.CLOSE}, {20_000, Disconnect.CLOSE}, {200_000, Disconnect.CLOSE},
+            {20_000, Disconnect.HALF_CLOSE}, {20_000, Disconnect.RESET},
         };
     }
 
     @Test(dataProvider = "disconnects", timeOut = TIMEOUT_MILLIS)
-    public void cancelsAttemptWhenClientDisconnectsBehindPipelinedInput(int more, Leaving how)
-            throws Exception {
+    public void cancelsAttemptWhenClientDisconnectsBehindPipelinedInput(
+            int pipelinedBytes, Disconnect disconnect) throws Exception {
         maxTimeoutSeconds = 60;
         serve(Idempotency.IDEMPOTENT);
         Socket client = connect();
-        send(client, jobRequest(60.0) + "x".repeat(more));
+        send(client, jobRequest(60.0) + "x".repeat(pipelinedBytes));
         workers.nextFirstLine();
-        switch (how) {
+        switch (disconnect) {
             case CLOSE -> client.close();
             case HALF_CLOSE -> client.shutdownOutput();
             default -> {
@@ -69,14 +69,19 @@
             }
         }
         assertNotEquals(
-                workers.closed.poll(TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS), null, "still out");
+                workers.closed.poll(TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS),
+                null,
+                "attempt not cancelled");
         assertEquals(metric("clients_gone_total"), 1);
         assertEquals(metric("launch_ends_total{end=\"called_off\"}"), 1);
         assertEquals(metric("launches_total"), 1);
         assertEquals(metric("submissions_open"), 0);
     }
 
-    /** The end of the client's connection is still unread when the first attempt fails. */
+    /**
+     * The dispatcher has not yet read the end of the client's connection when the first attempt
+     * fails.
+     */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void doesNotRetryForDisconnectedClient() throws Exception {
         ServerSocket worker = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -84,28 +89,29 @@
         InetSocketAddress address = (InetSocketAddress) worker.getLocalSocketAddress();
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(address, workers.listen()));
         worker.setSoTimeout(50);
-        // Which of the two workers is chosen is random; the other one never responds.
+        // The choice between the two workers is random, so requests are sent until this worker is
+        // chosen. The other one never responds.
         Socket client = null;
-        Socket launched = null;
-        int asked = 0;
-        while (launched == null) {
+        Socket attemptConnection = null;
+        int requestCount = 0;
+        while (attemptConnection == null) {
             client = connect();
             holdInputAfter(client, HEALTH_CHECK);
-            send(client, jobRequestWithId(100 + asked++));
-            awaitMetric("launches_total", asked);
-            launched = acceptIfSoon(worker);
+            send(client, jobRequestWithId(100 + requestCount++));
+            awaitMetric("launches_total", requestCount);
+            attemptConnection = acceptWithinTimeout(worker);
         }
-        open.add(launched);
-        readMessage(launched.getInputStream());
+        open.add(attemptConnection);
+        readMessage(attemptConnection.getInputStream());
         client.close();
-        launched.close();
+        attemptConnection.close();
         awaitMetric("launch_ends_total{end=\"broke\"}", 1);
-        awaitMetric("submissions_open", asked - 1);
-        assertEquals(metric("launches_total"), asked, "retried for a disconnected client");
+        awaitMetric("submissions_open", requestCount - 1);
+        assertEquals(metric("launches_total"), requestCount, "retried for a disconnected client");
         assertEquals(metric("clients_gone_total"), 1);
     }
 
-    private static Socket acceptIfSoon(ServerSocket server) throws IOException {
+    private static Socket acceptWithinTimeout(ServerSocket server) throws IOException {
         try {
             return server.accept();
         } catch (SocketTimeoutException e) {
--- a/daemon/src/test/java/wheelroute/net/ConnectionReuseTest.java
+++ b/daemon/src/test/java/wheelroute/net/ConnectionReuseTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
 
-/** When connections to workers and clients are used again, and when they are closed instead. */
+/** When connections to workers and clients are reused, and when they are closed instead. */
 public class ConnectionReuseTest extends ServiceHarness {
     /**
      * Longer than the quiescence time of a connection, shorter than any deadline in these tests.
@@ -33,17 +33,17 @@
         workers.responses.addAll(List.of(SUCCESS, SUCCESS, SUCCESS));
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
         Socket client = connect();
-        String two =
+        String bothResponses =
                 exchange(client, jobRequest(10) + jobRequest(10))
                         + readMessage(client.getInputStream());
-        assertEquals(two.split("fine", -1).length, 3, two);
+        assertEquals(bothResponses.split("fine", -1).length, 3, bothResponses);
         assertEquals(statusOf(exchange(client, jobRequest(10))), 200);
         assertEquals(workers.connections.get(), 1);
     }
 
     /**
-     * The client is answered as soon as the result is complete, but the connection is not used
-     * again.
+     * The client is answered as soon as the result is complete, but the connection to the worker is
+     * not reused.
      */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void closesWorkerConnectionWithUnreadResponseTail() throws Exception {
@@ -52,12 +52,12 @@
         assertEquals(statusOf(exchange(connect(), jobRequest(10))), 200);
         assertEquals(statusOf(exchange(connect(), jobRequest(10))), 200);
         assertEquals(workers.connections.get(), 2);
-        // It is closed, as a worker that never sends its last chunks would hold one for each
-        // attempt.
+        // The connection is closed because a worker that never sends its last chunks would
+        // otherwise hold one connection for each attempt.
         assertEquals(workers.closed.take().intValue(), 1);
     }
 
-    /** A worker is not blamed for closing an idle connection. */
+    /** An idle connection that the worker closes does not count as a failure of the worker. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void countsBrokenIdleConnectionAsStale() throws Exception {
         workers.responses.addAll(List.of(SUCCESS, CLOSE, SUCCESS));
@@ -69,7 +69,8 @@
     }
 
     /**
-     * A late second response to an earlier attempt must not be taken for the response to this one.
+     * A late second response to an earlier attempt must not be mistaken for the response to the
+     * current one.
      */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void sendsNonIdempotentRequestOnConnectionWithoutPendingBytes() throws Exception {
@@ -78,19 +79,19 @@
         serve(Idempotency.NON_IDEMPOTENT, 1024, endpointList(workers.listen()));
         Socket first = connect();
         assertEquals(statusOf(exchange(first, jobRequest(10))), 200);
-        Socket late = workers.last;
+        Socket previousConnection = workers.lastConnection;
         workers.received.clear();
         Socket second = connect();
         send(second, jobRequestWithId(88));
         workers.nextFirstLine();
-        late.getOutputStream().write(REJECTION.getBytes(StandardCharsets.UTF_8));
+        previousConnection.getOutputStream().write(REJECTION.getBytes(StandardCharsets.UTF_8));
         // The second attempt, to which the late response might be attributed, succeeds.
         assertTrue(
-                workers.last != late,
-                "on a connection that may still carry a response to the previous request");
+                workers.lastConnection != previousConnection,
+                "sent on a connection that may still carry a response to the previous request");
         workers.sendUnsolicited(SUCCESS.replace("ID", "88"));
         assertEquals(statusOf(readMessage(second.getInputStream())), 200);
-        assertEquals(workers.messages.get(), 2, "attempted twice");
+        assertEquals(workers.messages.get(), 2, "second request attempted more than once");
     }
 
     @Test(timeOut = TIMEOUT_MILLIS)
@@ -106,7 +107,10 @@
         assertEquals(workers.connections.get(), 2);
     }
 
-    /** The error may belong to the earlier attempt, so this attempt may still be running there. */
+    /**
+     * The error response may belong to the earlier attempt, so the current attempt may still be
+     * running at the worker.
+     */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void closesRecentlyUsedConnectionOnErrorResponse() throws Exception {
         clock.stop();
@@ -130,10 +134,10 @@
         return new Object[][] {{"HTTP/1.1 5"}, {"\r\n"}, {REJECTION}, {SUCCESS}};
     }
 
-    /** The bytes would be read as the beginning of the next response. */
+    /** Stray bytes would be read as the beginning of the next response. */
     @Test(dataProvider = "strayBytes", timeOut = TIMEOUT_MILLIS)
     public void closesIdleConnectionThatReceivesBytes(String stray) throws Exception {
-        // It is not to expire.
+        // With the clock stopped, the idle connection does not expire.
         clock.stop();
         workers.responses.addAll(List.of(SUCCESS, SUCCESS));
         serve(Idempotency.NON_IDEMPOTENT, 1024, endpointList(workers.listen()));
@@ -142,7 +146,7 @@
         assertEquals(
                 workers.closed.poll(TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS),
                 Integer.valueOf(1),
-                "kept with part of an answer");
+                "connection with stray bytes not closed");
         assertEquals(statusOf(exchange(connect(), jobRequest(10))), 200);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/DisconnectBeforeAttemptTest.java
+++ b/daemon/src/test/java/wheelroute/net/DisconnectBeforeAttemptTest.java
@@ -38,19 +38,19 @@
 import wheelroute.net.metrics.Counters;
 
 /**
- * A client disconnects while its request waits for an attempt: no attempt is started for it,
- * whatever the request waits for and however the connection ends.
+ * Tests that no attempt is started for a waiting request whose client has disconnected, whatever
+ * the request waits for and however the connection ends.
  */
 public class DisconnectBeforeAttemptTest extends ServiceHarness {
-    /** Far more than one read takes, and less than is read ahead of a response. */
+    /** Input that is far longer than one read, and shorter than the limit on pipelined input. */
     private static final String INPUT_LONGER_THAN_ONE_READ = "x".repeat(20_000);
 
     private static final int WORKER_COUNT = 3;
 
-    /** Descriptors of the process, enough for {@link #CLIENT_CONNECTIONS}. */
-    private static final int FEW_DESCRIPTORS = 72;
+    /** Descriptor limit that allows {@link #MAX_CLIENT_CONNECTIONS} client connections. */
+    private static final int DESCRIPTOR_LIMIT = 72;
 
-    private static final int CLIENT_CONNECTIONS = 16;
+    private static final int MAX_CLIENT_CONNECTIONS = 16;
 
     private static final String REMOVAL =
             "{\"version\":6,\"full\":false,\"servers\":[{\"id\":\"wPORT\","
@@ -60,40 +60,40 @@
     /** How the client disconnects. */
     private enum Disconnect {
         /**
-         * It stays connected: the attempt is started, which shows that the other cases test
-         * something.
+         * The client stays connected and the attempt is started, which shows that the other cases
+         * are effective.
          */
         NONE,
-        /** FIN. */
+        /** The client closes the connection with FIN. */
         CLOSE_CONNECTION,
-        /** RST. */
+        /** The client closes the connection with RST. */
         RESET,
-        /** RST, because the client closes its socket with an unread response. */
+        /** The client closes its socket with an unread response, which sends RST. */
         RESET_OVER_UNREAD_RESPONSE,
-        /** FIN; the client still reads. */
+        /** The client sends FIN and still reads. */
         HALF_CLOSE,
-        /** FIN behind more bytes than one read takes. */
+        /** The client sends FIN behind more bytes than one read takes. */
         HALF_CLOSE_BEHIND_INPUT,
-        /** RST behind the same. */
+        /** The client sends RST behind more bytes than one read takes. */
         RESET_BEHIND_INPUT
     }
 
-    /** What the request waits for. */
+    /** What the request waits for when the client disconnects. */
     private enum WaitReason {
-        /** To be accepted by the event loop, which is busy, while all connections are in use. */
+        /** The busy event loop has not accepted the connection, and all connections are in use. */
         CONNECTION_LIMIT,
-        /** To be read by the event loop, which is busy. */
+        /** The busy event loop has not read the request. */
         EVENT_LOOP,
-        /** An earlier request with the same key. */
+        /** An earlier request with the same key is running. */
         KEY_QUEUE,
         KEY_QUEUE_WHILE_DRAINING,
         KEY_QUEUE_DURING_HANDOVER,
-        /** A new connection to a worker. */
+        /** A new connection to a worker is being established. */
         WORKER_CONNECTION,
         WORKER_CONNECTION_WHILE_DRAINING,
-        /** A retry after the first attempt failed. */
+        /** The first attempt has not failed yet, and a retry will follow its failure. */
         RETRY,
-        /** A hedged request, as the first worker is removed from the list. */
+        /** The first worker will be removed from the list, and a hedged request will follow. */
         HEDGED_REQUEST;
 
         boolean isKeyQueue() {
@@ -104,7 +104,7 @@
             return name().startsWith("WORKER_CONNECTION");
         }
 
-        /** The event loop has not read the request when its client disconnects. */
+        /** Returns whether the event loop has not read the request when its client disconnects. */
         boolean isEventLoop() {
             return this == CONNECTION_LIMIT || this == EVENT_LOOP;
         }
@@ -154,8 +154,8 @@
     }
 
     /**
-     * Connects a client that has exchanged one message, and holds back from the event loop whatever
-     * follows.
+     * Connects a client that sends one health check, and hides all its later input from the event
+     * loop.
      */
     private Socket connectWithHeldInput(Disconnect disconnect) throws Exception {
         Socket client = connect();
@@ -196,10 +196,11 @@
         ordered = reason.isKeyQueue();
         hasAdminServer = reason == WaitReason.KEY_QUEUE_DURING_HANDOVER;
         mayHedge = reason == WaitReason.HEDGED_REQUEST;
-        boolean again = reason == WaitReason.RETRY || reason == WaitReason.HEDGED_REQUEST;
+        boolean needsSecondAttempt =
+                reason == WaitReason.RETRY || reason == WaitReason.HEDGED_REQUEST;
         serve(
-                again ? Idempotency.IDEMPOTENT : Idempotency.NON_IDEMPOTENT,
-                reason == WaitReason.CONNECTION_LIMIT ? FEW_DESCRIPTORS : 1024,
+                needsSecondAttempt ? Idempotency.IDEMPOTENT : Idempotency.NON_IDEMPOTENT,
+                reason == WaitReason.CONNECTION_LIMIT ? DESCRIPTOR_LIMIT : 1024,
                 endpointList(addresses.toArray(new InetSocketAddress[0])),
                 2);
         if (hasAdminServer) {
@@ -210,7 +211,7 @@
     /** Restarts the service so that another process can listen on its port as well. */
     private void restartOnSamePort() throws Exception {
         service.drain();
-        handoverDirectory = Files.createTempDirectory("meet");
+        handoverDirectory = Files.createTempDirectory("handover");
         config =
                 new Config(
                         "n0",
@@ -242,7 +243,8 @@
     }
 
     /**
-     * Starts the shutdown or handover that this case waits through, and waits until it has started.
+     * Starts the shutdown or handover that the test case requires, if any, and waits until it has
+     * started.
      */
     private void startShutdown(WaitReason reason) throws Exception {
         if (reason == WaitReason.KEY_QUEUE_DURING_HANDOVER) {
@@ -265,7 +267,9 @@
         }
     }
 
-    /** The end of the connection is still unread when the attempt would be started. */
+    /**
+     * The dispatcher has not yet read the end of the client's connection when the attempt is due.
+     */
     @Test(dataProvider = "disconnects", timeOut = TIMEOUT_MILLIS)
     public void startsNoAttemptForDisconnectedClient(WaitReason reason, Disconnect disconnect)
             throws Exception {
@@ -292,7 +296,7 @@
     }
 
     private void fillConnectionLimit(WaitReason reason) throws IOException {
-        for (int i = 1; reason == WaitReason.CONNECTION_LIMIT && i < CLIENT_CONNECTIONS; i++) {
+        for (int i = 1; reason == WaitReason.CONNECTION_LIMIT && i < MAX_CLIENT_CONNECTIONS; i++) {
             exchange(connect(), HEALTH_CHECK);
         }
     }
@@ -318,8 +322,7 @@
     }
 
     /**
-     * Sends a request, disconnects its client, and lets the event happen that the request waits
-     * for.
+     * Sends a request, disconnects its client, and triggers the event that the request waits for.
      */
     private Socket disconnectWhileRequestWaits(
             WaitReason reason, Disconnect disconnect, Set<SocketAddress> addresses, Socket first)
@@ -337,38 +340,41 @@
         disconnect(client, disconnect);
         if (reason.isWorkerConnection()) {
             loop.connecting.take();
-            // Only connects are released: the client's last bytes are still unread.
+            // Only connects are released, so the client's last bytes stay unread.
             loop.releaseConnects();
         } else if (reason.isKeyQueue()) {
             workers.sendUnsolicited(
                     (STARTED + progressLine("done") + "0\r\n\r\n").replace("ID", "11"));
             assertEquals(statusOf(readMessage(first.getInputStream())), 200);
         } else if (reason == WaitReason.RETRY) {
-            workers.last.close();
+            workers.lastConnection.close();
         } else {
             discovery.nextFirstLine();
             discovery.sendUnsolicited(
-                    okResponse(REMOVAL.replace("PORT", "" + workers.last.getLocalPort())));
+                    okResponse(
+                            REMOVAL.replace("PORT", "" + workers.lastConnection.getLocalPort())));
         }
         return client;
     }
 
     private void assertNoAttemptFollows(WaitReason reason) throws Exception {
         int earlierAttempts = reason.isKeyQueue() || reason.isFurtherAttempt() ? 1 : 0;
-        // A request that had not been read is not accepted; any other has a client that is gone.
+        // An unread request counts as not accepted, any other as one whose client disconnected.
         long clientsGone = reason.isEventLoop() ? 0 : 1;
         Counters counters = service.counters();
         while (counters.value(Counters.Counter.CLIENTS_GONE) < clientsGone
                 || counters.value(Counters.Counter.REQUESTS_NOT_ACCEPTED) < 1 - clientsGone) {
             assertEquals(
-                    workers.messages.get(), earlierAttempts, "attempt for a disconnected client");
+                    workers.messages.get(),
+                    earlierAttempts,
+                    "attempt started for a disconnected client");
             LockSupport.parkNanos(1_000_000);
         }
         awaitOpenRequests(0);
         assertEquals(
                 counters.value(Counters.Counter.ATTEMPTS_WRITTEN),
                 earlierAttempts,
-                "written for a disconnected client");
+                "attempt written for a disconnected client");
         assertEquals(workers.messages.get(), earlierAttempts);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/DiscoveryRecoveryTest.java
+++ b/daemon/src/test/java/wheelroute/net/DiscoveryRecoveryTest.java
@@ -19,18 +19,21 @@
 import wheelroute.net.metrics.Counters;
 
 /**
- * Discovery fails in one of several ways and returns: changes are received within the recovery
- * time.
+ * Tests that endpoint changes are received within the recovery time after each kind of discovery
+ * outage.
  */
 public class DiscoveryRecoveryTest extends ServiceHarness {
     private static final double OUTAGE_SECONDS = 17;
     private static final double STEP_SECONDS = 0.1;
 
-    /** From the end of the outage to the complete response; changes count as notified after 6 s. */
+    /**
+     * Longest time allowed from the end of the outage to the complete response, as changes count as
+     * notified after 6 s.
+     */
     private static final double MAX_RECOVERY_SECONDS = 4.8;
 
-    /** Each outage draws other backoff delays. */
-    private static final int OUTAGES = 3;
+    /** Number of outages in each test, as the random backoff delays differ between outages. */
+    private static final int OUTAGE_COUNT = 3;
 
     private static final String HALF_A_RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":6,";
@@ -38,7 +41,7 @@
     private static final Counters.Counter CALLS = Counters.Counter.DISCOVERY_CALLS;
     private static final Counters.Counter FAILURES = Counters.Counter.DISCOVERY_FAILURES;
 
-    private int refused;
+    private int refusedPort;
     private long version = 5;
 
     private enum OutageKind {
@@ -51,9 +54,9 @@
     }
 
     private enum EndOfOutage {
-        /** A call has just failed: the whole backoff delay follows. */
+        /** A call has just failed, so the whole backoff delay follows. */
         AFTER_FAILED_CALL,
-        /** A call has just begun: its timeout follows, and then the backoff delay. */
+        /** A call has just begun, so its timeout follows and then the backoff delay. */
         AFTER_CALL_BEGAN
     }
 
@@ -67,16 +70,17 @@
             {OutageKind.DOES_NOT_RESPOND, EndOfOutage.AFTER_CALL_BEGAN},
             {OutageKind.STOPS_MID_RESPONSE, EndOfOutage.AFTER_FAILED_CALL},
             {OutageKind.STOPS_MID_RESPONSE, EndOfOutage.AFTER_CALL_BEGAN},
-            // No call gets through, so the outage can only end after a failed one.
+            // No call reaches discovery, so the outage can only end after a failed call.
             {OutageKind.DOES_NOT_COMPLETE_HANDSHAKE, EndOfOutage.AFTER_FAILED_CALL},
         };
     }
 
     /**
-     * Rule 3: what drained or was removed during the outage is known before it counts as notified.
+     * By rule 3, workers that drained or were removed during the outage must be known as such
+     * before these changes count as notified.
      */
     @Test(dataProvider = "outages", timeOut = 6 * TIMEOUT_MILLIS)
-    public void receivesChangesWithinRecoveryTimeAfterOutage(OutageKind kind, EndOfOutage when)
+    public void receivesChangesWithinRecoveryTimeAfterOutage(OutageKind kind, EndOfOutage end)
             throws Exception {
         clock.stop();
         InetSocketAddress worker = workers.listen();
@@ -86,29 +90,29 @@
             LockSupport.parkNanos(100_000);
         }
         awaitDiscoveryCalls();
-        double worst = 0;
-        for (int i = 0; i < OUTAGES; i++) {
+        double longestSeconds = 0;
+        for (int i = 0; i < OUTAGE_COUNT; i++) {
             beginOutage(kind);
-            for (double passed = 0; passed < OUTAGE_SECONDS; passed += STEP_SECONDS) {
+            for (double elapsed = 0; elapsed < OUTAGE_SECONDS; elapsed += STEP_SECONDS) {
                 stepWithDiscovery(STEP_SECONDS);
             }
-            // Continue until the worst moment for the outage to end.
-            Counters.Counter moment = when == EndOfOutage.AFTER_FAILED_CALL ? FAILURES : CALLS;
-            for (long before = count(moment); count(moment) == before; ) {
+            // The outage continues until the least favourable moment for it to end.
+            Counters.Counter awaited = end == EndOfOutage.AFTER_FAILED_CALL ? FAILURES : CALLS;
+            for (long before = count(awaited); count(awaited) == before; ) {
                 stepWithDiscovery(STEP_SECONDS);
             }
             endOutage(kind, worker, i % 2 == 0);
-            double waited = 0;
+            double waitedSeconds = 0;
             while (metric("workers_listed") != 1 + (i + 1) % 2) {
                 stepWithDiscovery(STEP_SECONDS);
-                waited += STEP_SECONDS;
-                assertTrue(waited < 20, "discovery is not polled any more");
+                waitedSeconds += STEP_SECONDS;
+                assertTrue(waitedSeconds < 20, "discovery is no longer polled");
             }
-            worst = Math.max(worst, waited);
+            longestSeconds = Math.max(longestSeconds, waitedSeconds);
         }
         assertTrue(
-                worst <= MAX_RECOVERY_SECONDS + STEP_SECONDS,
-                "complete list received after " + worst + " s");
+                longestSeconds <= MAX_RECOVERY_SECONDS + STEP_SECONDS,
+                "complete list received only after " + longestSeconds + " s");
     }
 
     private long count(Counters.Counter counter) {
@@ -126,16 +130,16 @@
             case CLOSES_CONNECTION -> discovery.defaultResponse = () -> CLOSE;
             default -> loop.holdConnects(Set.of(config.discovery()));
         }
-        // The open watch is closed, or gets no response from here on.
-        if (kind != OutageKind.DOES_NOT_RESPOND && discovery.last != null) {
-            discovery.last.close();
+        // From here on, the open watch either is closed or gets no response.
+        if (kind != OutageKind.DOES_NOT_RESPOND && discovery.lastConnection != null) {
+            discovery.lastConnection.close();
         }
     }
 
     private void closeListeningSocket() throws Exception {
-        refused = config.discovery().getPort();
-        for (AutoCloseable one : List.copyOf(open)) {
-            if (one instanceof ServerSocket server && server.getLocalPort() == refused) {
+        refusedPort = config.discovery().getPort();
+        for (AutoCloseable resource : List.copyOf(open)) {
+            if (resource instanceof ServerSocket server && server.getLocalPort() == refusedPort) {
                 server.close();
             }
         }
@@ -151,13 +155,16 @@
                         .replace("\"version\":5", "\"version\":" + ++version);
         respondOnceThenHold(list);
         if (kind == OutageKind.REFUSES_CONNECTION) {
-            discovery.listen(refused);
+            discovery.listen(refusedPort);
         } else if (kind == OutageKind.DOES_NOT_COMPLETE_HANDSHAKE) {
             loop.releaseAll();
         }
     }
 
-    /** Answers the next call with the list, and holds all calls after that, as a watch is held. */
+    /**
+     * Answers the next call with the list, and leaves all later calls without a response, as
+     * discovery does while it holds a watch.
+     */
     private void respondOnceThenHold(String list) {
         AtomicBoolean listSent = new AtomicBoolean();
         discovery.defaultResponse = () -> listSent.getAndSet(true) ? NO_RESPONSE : okResponse(list);
--- a/daemon/src/test/java/wheelroute/net/EndpointLeaseServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/EndpointLeaseServiceTest.java
@@ -14,20 +14,20 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
 
-/** Discovery is up and overloaded: it answers other dispatchers and not this one. */
+/** Discovery is overloaded and answers other dispatchers but not this one. */
 public class EndpointLeaseServiceTest extends ServiceHarness {
-    private static final String CONFIRMED = "{\"version\":5,\"full\":false,\"servers\":[]}";
+    private static final String NO_CHANGES = "{\"version\":5,\"full\":false,\"servers\":[]}";
     private static final double STEP_SECONDS = 0.1;
 
-    /** 6 s until a change counts as notified, and the drain grace of 2 s. */
+    /** Sum of the 6 s until a change counts as notified and the drain grace of 2 s. */
     private static final double LEASE_SECONDS = 8;
 
-    /** The longest interval between calls under overload, and half of it for jitter. */
+    /** Longest interval between calls under overload, plus half of that interval for jitter. */
     private static final double MAX_CALL_INTERVAL_SECONDS = 30;
 
     /**
-     * Rule 3: any worker may have been removed meanwhile, so none is used until the list is
-     * confirmed.
+     * By rule 3, no worker is used until the list is confirmed, as any worker may have been removed
+     * meanwhile.
      */
     @Test(timeOut = 3 * TIMEOUT_MILLIS)
     public void rejectsRequestsWhileEndpointLeaseIsExpired() throws Exception {
@@ -47,7 +47,7 @@
         assertEquals(statusOf(exchange(connect(), jobRequest(2))), 503);
         assertEquals(workers.messages.get(), 1);
 
-        discovery.defaultResponse = () -> okResponse(CONFIRMED);
+        discovery.defaultResponse = () -> okResponse(NO_CHANGES);
         for (double elapsedSeconds = 0;
                 metric("list_lease_expired") != 0;
                 elapsedSeconds += STEP_SECONDS) {
@@ -55,7 +55,7 @@
             assertEquals(
                     elapsedSeconds < MAX_CALL_INTERVAL_SECONDS,
                     true,
-                    "discovery is not polled any more");
+                    "discovery is no longer polled");
         }
         assertEquals(statusOf(exchange(connect(), jobRequest(2))), 200);
     }
@@ -74,16 +74,16 @@
     }
 
     /**
-     * Many dispatchers lose their watches at once and queue up at discovery. A call waits as long
-     * as two of them fit into the recovery time.
+     * When many dispatchers lose their watches at once, their calls queue up at discovery. The call
+     * timeout is therefore the longest at which two calls fit into the recovery time.
      */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void waitsLongerForResponseInLargeFleet() throws Exception {
         clock.stop();
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()), 100);
         awaitDiscoveryCalls();
-        // The first call is delayed by the start spread, then held; 0.9 s after that the watch is
-        // unresponsive.
+        // The first call is delayed by the start spread and then held. The watch counts as
+        // unresponsive 0.9 s after that.
         stepUntilCallCount(2);
         stepFor(2.2);
         assertEquals(metric("list_calls_total"), 2);
@@ -99,7 +99,7 @@
             assertEquals(
                     elapsedSeconds < MAX_CALL_INTERVAL_SECONDS,
                     true,
-                    "discovery is not polled any more");
+                    "discovery is no longer polled");
         }
     }
 
--- a/daemon/src/test/java/wheelroute/net/EndpointWatchServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/EndpointWatchServiceTest.java
@@ -18,7 +18,7 @@
 import wheelroute.config.ConfigException;
 import wheelroute.decision.Idempotency;
 
-/** How the endpoint watch goes on after each kind of response or failure of discovery. */
+/** How the endpoint watch continues after each kind of response or failure of discovery. */
 public class EndpointWatchServiceTest extends ServiceHarness {
     private static final String NO_CHANGES = "{\"version\":5,\"full\":false,\"servers\":[]}";
     private static final String HELD_CALL = "GET /v1/servers?from=5&hold_ms=HELD HTTP/1.1";
@@ -27,12 +27,12 @@
     @DataProvider
     public Object[][] discoveryResponses() {
         String text = "{\"version\":7,\"full\":false,\"servers\":[]}";
-        String fresh = okResponse(text);
+        String update = okResponse(text);
         return new Object[][] {
-            // what the first call is answered, and the call that follows it
-            {fresh, "/v1/servers?from=7&hold_ms=HELD"},
+            // Each row has the response to the first call, and the call that follows it.
+            {update, "/v1/servers?from=7&hold_ms=HELD"},
             {
-                fresh.replace("HTTP/1.1 200 OK", "HTTP/1.1 200 OK\r\nConnection: close"),
+                update.replace("HTTP/1.1 200 OK", "HTTP/1.1 200 OK\r\nConnection: close"),
                 "/v1/servers?from=7&hold_ms=HELD"
             },
             {okResponse(text.replace("7", "3")), "/v1/servers"},
@@ -40,33 +40,34 @@
             {okResponse(text.replace("false", "true")), "/v1/servers?from=7&hold_ms=HELD"},
             {okResponse("nonsense"), "/v1/servers?from=5&hold_ms=0"},
             {"nonsense\r\n\r\n", "/v1/servers?from=5&hold_ms=0"},
-            {fresh.replace("200", "503"), "/v1/servers?from=5&hold_ms=0"},
+            {update.replace("200", "503"), "/v1/servers?from=5&hold_ms=0"},
             {CLOSE, "/v1/servers?from=5&hold_ms=0"},
             {NO_RESPONSE, "/v1/servers?from=5&hold_ms=0"},
         };
     }
 
     @Test(dataProvider = "discoveryResponses", timeOut = TIMEOUT_MILLIS)
-    public void continuesWatchAfterAnyResponse(String answer, String call) throws Exception {
-        discovery.responses.add(answer);
+    public void continuesWatchAfterAnyResponse(String response, String call) throws Exception {
+        discovery.responses.add(response);
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
         assertEquals(discovery.nextFirstLine(), "GET /v1/servers?from=5&hold_ms=HELD HTTP/1.1");
         assertEquals(discovery.nextFirstLine(), "GET " + call + " HTTP/1.1");
     }
 
     /**
-     * Discovery may neither hold calls nor send complete lists; that must not cause a busy loop.
+     * A discovery service that neither holds calls nor sends complete lists must not cause a busy
+     * loop.
      */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void delaysPollAfterResponsesWithoutChanges() throws Exception {
-        String nothing = okResponse("{\"version\":5,\"full\":false,\"servers\":[]}");
+        String noChanges = okResponse("{\"version\":5,\"full\":false,\"servers\":[]}");
         discovery.responses.addAll(
                 List.of(
-                        nothing,
-                        nothing,
-                        nothing,
+                        noChanges,
+                        noChanges,
+                        noChanges,
                         okResponse("{\"version\":1,\"full\":false," + "\"servers\":[]}"),
-                        nothing));
+                        noChanges));
         long before = System.nanoTime();
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
         for (int i = 0; i < 4; i++) {
@@ -85,7 +86,7 @@
         serve(Idempotency.IDEMPOTENT, 1024, "{\"version\":5,\"full\":true,\"servers\":[]}");
         discovery.nextFirstLine();
         StubServer other = new StubServer(open);
-        Config moved = config(other.listen());
+        Config changedConfig = config(other.listen());
         service.reload(
                 () -> {
                     throw new ConfigException("discovery", "is missing");
@@ -95,7 +96,7 @@
         assertEquals(discovery.closed.size(), 0);
         other.responses.addAll(
                 List.of("nonsense\r\n\r\n", CLOSE, okResponse(endpointList(workers.listen()))));
-        service.reload(() -> moved);
+        service.reload(() -> changedConfig);
         long before = System.nanoTime();
         for (int i = 0; i < 3; i++) {
             assertEquals(other.nextFirstLine(), "GET /v1/servers HTTP/1.1");
@@ -119,14 +120,17 @@
         assertEquals(statusOf(exchange(connect(), jobRequest(10))), 200);
     }
 
-    /** Rule 3: changes that the watch missed count as notified 6 s after it became unresponsive. */
+    /**
+     * By rule 3, changes that the watch missed count as notified 6 s after the watch became
+     * unresponsive.
+     */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void reopensUnresponsiveWatchImmediately() throws Exception {
         clock.stop();
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
         assertEquals(discovery.nextFirstLine(), HELD_CALL);
         loop.step(4.8);
-        // Time is stopped: a delayed call would never be made.
+        // The clock is stopped, so a delayed call would never be made.
         assertEquals(discovery.promptFirstLine(), SHORT_CALL);
         // The second call gets no response either: it times out after 1.2 s, and the next follows
         // 0.2 s later.
@@ -141,16 +145,14 @@
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
         for (int i = 0; i < 100; i++) {
             loop.step(0.2);
-            // A round trip through the event loop, in which a call that is due is made.
+            // The round trip through the event loop lets a call that is due be made.
             metric("list_calls_total");
         }
         long calls = metric("list_calls_total");
         assertTrue(calls >= 4 && calls <= 9, calls + " calls in 20 s");
     }
 
-    /**
-     * A watch that had worked is reopened without delay; only a refused call is followed by one.
-     */
+    /** A watch that had worked is reopened without delay; a delay only follows a refused call. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void reopensBrokenWatchImmediately() throws Exception {
         clock.stop();
@@ -158,11 +160,11 @@
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
         assertEquals(discovery.nextFirstLine(), HELD_CALL);
         assertEquals(discovery.nextFirstLine(), HELD_CALL);
-        // Time is stopped: a delayed call would never be made.
+        // The clock is stopped, so a delayed call would never be made.
         assertEquals(discovery.promptFirstLine(), SHORT_CALL);
     }
 
-    /** The incomplete response may contain changes that count as notified. */
+    /** An incomplete response may contain changes that count as notified. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void timesOutIncompleteResponse() throws Exception {
         clock.stop();
@@ -170,7 +172,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"version\":6,\"fu");
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
         assertEquals(discovery.nextFirstLine(), HELD_CALL);
-        // Its first part is read before the time goes on.
+        // The first part of the response is read before the clock advances.
         metric("list_calls_total");
         loop.step(1.01);
         assertEquals(discovery.promptFirstLine(), SHORT_CALL);
--- a/daemon/src/test/java/wheelroute/net/GracefulShutdownServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/GracefulShutdownServiceTest.java
@@ -27,14 +27,17 @@
 import wheelroute.decision.Idempotency;
 import wheelroute.net.metrics.Counters;
 
-/** What clients see while a process ends. */
+/** What clients observe while a process shuts down. */
 public class GracefulShutdownServiceTest extends ServiceHarness {
     /**
      * Longer than the quiescence time of a connection, shorter than any deadline in these tests.
      */
     private static final double LONGER_THAN_QUIESCENCE_SECONDS = 0.2;
 
-    /** New requests that cannot finish are rejected with the time of the expected restart. */
+    /**
+     * New requests that cannot finish are rejected with a Retry-After header for the expected
+     * restart.
+     */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void servesKeptConnectionsWhileDrainingAsOnlyDispatcher() throws Exception {
         maxTimeoutSeconds = 10;
@@ -87,7 +90,7 @@
         slow.getOutputStream().write(message, 0, half);
         CompletableFuture<Void> ended = drain(service);
         awaitDraining();
-        // A byte at a time, and so for longer than the listening socket stays open.
+        // Sending single bytes takes longer than the listening socket stays open.
         for (int i = half; i < message.length; i++) {
             slow.getOutputStream().write(message, i, 1);
             LockSupport.parkNanos(1_500_000_000L / (message.length - half));
@@ -107,15 +110,15 @@
         CompletableFuture<Void> ended = drain(service);
         String health = awaitDraining();
         assertTrue(health.contains("Connection: close"), health);
-        String answer = readMessage(waiting.getInputStream());
-        assertEquals(statusOf(answer), 502, answer);
-        assertTrue(answer.contains("Connection: close"), answer);
+        String response = readMessage(waiting.getInputStream());
+        assertEquals(statusOf(response), 502, response);
+        assertTrue(response.contains("Connection: close"), response);
         ended.get();
         expectThrows(IOException.class, this::connect);
         service = null;
     }
 
-    /** The request arrives on a connection that had not sent anything before. */
+    /** The request is the first input on its connection. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void answersRequestThatArrivesJustBeforeExit() throws Exception {
         clock.stop();
@@ -127,13 +130,13 @@
         loop.holdReads(idle.getLocalPort());
         idle.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), TIMEOUT_MILLIS);
         idle.setSoTimeout(TIMEOUT_MILLIS);
-        // Accepted after it.
+        // This connection is accepted after the idle one, which is therefore accepted as well.
         assertEquals(statusOf(exchange(connect(), HEALTH_CHECK)), 200);
         loop.step(LONGER_THAN_QUIESCENCE_SECONDS);
         CompletableFuture<Void> ended = drain(service);
         awaitDraining();
         send(idle, jobRequest(10));
-        // Until the process has ended or has seen the request.
+        // The clock advances until the process has started an attempt or has ended.
         while (service.counters().value(Counters.Counter.ATTEMPTS) == 0 && !ended.isDone()) {
             loop.step(0.02);
         }
--- a/daemon/src/test/java/wheelroute/net/HttpMessages.java
+++ b/daemon/src/test/java/wheelroute/net/HttpMessages.java
@@ -24,16 +24,16 @@
     public static final String SERVICE_UNAVAILABLE = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
     public static final String HEALTH_CHECK = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
 
-    /** The worker begins the request and does not end it. */
+    /** A worker's response that begins and is never completed. */
     public static final String ACCEPTED = RESPONSE_HEAD;
 
-    /** The connection is closed instead of a response. */
+    /** Makes {@link StubServer} close the connection instead of responding. */
     public static final String CLOSE = "";
 
-    /** The connection is closed after the start of the job. */
+    /** Makes {@link StubServer} close the connection after the start of the job. */
     public static final String START_THEN_CLOSE = RESPONSE_HEAD + STARTED;
 
-    /** No response, and the connection stays open. */
+    /** Makes {@link StubServer} send no response and keep the connection open. */
     public static final String NO_RESPONSE = null;
 
     private static final String CONTENT_LENGTH = "Content-Length: ";
@@ -44,7 +44,8 @@
     public static String progressLine(String state) {
         String line =
                 "{\"id\":\"ID\",\"from\":\"w\",\"state\":\"" + state + "\",\"result\":\"fine\"}\n";
-        // The ids in the tests are as long as their placeholder, so the chunk's length stays right.
+        // The ids in the tests are as long as their placeholder, so the chunk length stays
+        // correct.
         return Integer.toHexString(line.length()) + "\r\n" + line + "\r\n";
     }
 
@@ -70,12 +71,12 @@
                 + "\r\nX-Cost: 20000\r\nContent-Length: 2\r\n\r\nhi";
     }
 
-    /** Returns a client's request with this id and 10 s of time. */
+    /** Returns a client's request with this id and a timeout of 10 s. */
     public static String jobRequestWithId(int id) {
         return jobRequest(10).replace("77", Integer.toString(id));
     }
 
-    /** Returns a response with this body. */
+    /** Returns a response with status 200 and this body. */
     public static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
@@ -94,7 +95,7 @@
         return readMessage(socket.getInputStream());
     }
 
-    /** Reads one message: its head, and as much body as the head announces. */
+    /** Reads the head of one message, and as much body as the head announces. */
     public static String readMessage(InputStream in) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         while (!out.toString(StandardCharsets.UTF_8).endsWith("\r\n\r\n")) {
@@ -110,7 +111,8 @@
     private static void copyByte(InputStream in, ByteArrayOutputStream out) throws IOException {
         int next = in.read();
         if (next < 0) {
-            throw new EOFException("connection closed after: " + out);
+            throw new EOFException(
+                    "connection closed before the end of the message, received: " + out);
         }
         out.write(next);
     }
--- a/daemon/src/test/java/wheelroute/net/KeyOrderServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/KeyOrderServiceTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
 
-/** Requests with one key run one at a time, in the order of their acceptance. */
+/** Requests with the same key run one at a time, in the order of their acceptance. */
 public class KeyOrderServiceTest extends ServiceHarness {
     @BeforeMethod
     public void enableKeyOrder() {
@@ -44,7 +44,10 @@
                 .replaceAll("(?s).*X-Request-ID: (\\w+).*", "$1");
     }
 
-    /** The first attempt is cancelled and may still run, so the key stays quiet for a while. */
+    /**
+     * The cancelled first attempt may still be running, so the next request with its key waits for
+     * a quiet period.
+     */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void startsNextRequestAfterQuietPeriodWhenFirstClientDisconnects() throws Exception {
         workers.responses.addAll(List.of(ACCEPTED, SUCCESS, SUCCESS));
@@ -53,15 +56,20 @@
         assertEquals(nextRequestId(), "11");
         Socket second = sendOnNewConnection(jobRequestWithKey(12, "a", 9));
         assertEquals(statusOf(exchange(connect(), jobRequestWithKey(13, "b", 9))), 200);
-        assertEquals(nextRequestId(), "13", "another key does not wait");
+        assertEquals(nextRequestId(), "13", "a request with another key must not wait");
         long disconnectedAt = System.nanoTime();
         first.close();
         assertEquals(nextRequestId(), "12");
-        assertTrue(System.nanoTime() - disconnectedAt >= 200_000_000L, "no quiet period");
+        assertTrue(
+                System.nanoTime() - disconnectedAt >= 200_000_000L,
+                "next request started within the quiet period");
         assertEquals(statusOf(readMessage(second.getInputStream())), 200);
     }
 
-    /** The first request never ends. The id of the rejected one may be used again at once. */
+    /**
+     * The first request never ends, so the queued one is rejected. The id of the rejected request
+     * may be used again at once.
+     */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void rejectsQueuedRequestBeforeItsDeadline() throws Exception {
         workers.responses.addAll(List.of(ACCEPTED));
@@ -71,11 +79,11 @@
         long sentAt = System.nanoTime();
         Socket client = connect();
         assertEquals(statusOf(exchange(client, jobRequestWithKey(12, "a", 0.8))), 503);
-        assertTrue(System.nanoTime() - sentAt < 800_000_000L, "after its deadline");
+        assertTrue(System.nanoTime() - sentAt < 800_000_000L, "rejected after its deadline");
         assertEquals(
                 statusOf(exchange(client, jobRequestWithKey(12, "a", 0.8))),
                 503,
-                "its id is not open any more");
+                "the id of a rejected request may be used again");
         assertTrue(workers.received.isEmpty());
     }
 
@@ -89,7 +97,10 @@
         Socket second = sendOnNewConnection(jobRequestWithKey(12, "a", 9));
         Socket third = sendOnNewConnection(jobRequestWithKey(13, "a", 9));
         drain(service);
-        assertEquals(statusOf(readMessage(first.getInputStream())), 502, "it may have run");
+        assertEquals(
+                statusOf(readMessage(first.getInputStream())),
+                502,
+                "the first request may have run");
         assertEquals(statusOf(readMessage(second.getInputStream())), 503);
         assertEquals(statusOf(readMessage(third.getInputStream())), 503);
     }
--- a/daemon/src/test/java/wheelroute/net/PendingConnectionTest.java
+++ b/daemon/src/test/java/wheelroute/net/PendingConnectionTest.java
@@ -17,66 +17,72 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
 
-/** Attempts that wait for a new connection to their worker while something else changes. */
+/**
+ * Attempts that wait for a new connection to their worker while the endpoint list changes or the
+ * client disconnects.
+ */
 public class PendingConnectionTest extends ServiceHarness {
     @DataProvider
     public Object[][] listChanges() {
         String entry =
                 "{\"version\":6,\"full\":false,\"servers\":[{\"id\":\"wPORT\",\"addr\":"
                         + "\"127.0.0.1:PORT\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,\"state\":\"STATE\"}]}";
-        String whole =
+        String completeList =
                 "{\"version\":6,\"full\":true,\"servers\":[{\"id\":\"wOTHER\",\"addr\":"
                         + "\"127.0.0.1:OTHER\",\"zone\":\"here\",\"kind\":\"m\",\"cell\":1,\"state\":\"ready\"}]}";
         return new Object[][] {
             {Idempotency.IDEMPOTENT, entry.replace("STATE", "draining")},
             {Idempotency.NON_IDEMPOTENT, entry.replace("STATE", "draining")},
             {Idempotency.NON_IDEMPOTENT, entry.replace("STATE", "gone")},
-            {Idempotency.NON_IDEMPOTENT, whole},
+            {Idempotency.NON_IDEMPOTENT, completeList},
             {Idempotency.IDEMPOTENT_BY_KEY, entry.replace("STATE", "draining")},
         };
     }
 
-    /** Rule 3: the attempt has not been sent yet, so it goes to another worker. */
+    /** By rule 3, an attempt that has not been sent yet goes to another worker. */
     @Test(dataProvider = "listChanges", timeOut = TIMEOUT_MILLIS)
     public void movesUnsentAttemptWhenWorkerDrainsOrIsRemoved(Idempotency idempotency, String list)
             throws Exception {
         StubServer[] stubs = {new StubServer(open), new StubServer(open)};
-        InetSocketAddress[] at = {stubs[0].listen(), stubs[1].listen()};
+        InetSocketAddress[] addresses = {stubs[0].listen(), stubs[1].listen()};
         stubs[0].responses.add(SUCCESS);
         stubs[1].responses.add(SUCCESS);
-        serve(idempotency, 1024, endpointList(at));
+        serve(idempotency, 1024, endpointList(addresses));
         discovery.nextFirstLine();
-        loop.holdConnects(Set.of(at));
+        loop.holdConnects(Set.of(addresses));
         Socket client = connect();
         send(client, jobRequest(10));
         InetSocketAddress first = (InetSocketAddress) loop.connecting.take();
-        int chosen = first.equals(at[0]) ? 0 : 1;
+        int chosen = first.equals(addresses[0]) ? 0 : 1;
         discovery.sendUnsolicited(
                 okResponse(
                         list.replace("PORT", "" + first.getPort())
-                                .replace("OTHER", "" + at[1 - chosen].getPort())));
+                                .replace("OTHER", "" + addresses[1 - chosen].getPort())));
         discovery.nextFirstLine();
         loop.releaseAll();
         assertEquals(statusOf(readMessage(client.getInputStream())), 200);
-        assertEquals(stubs[chosen].messages.get(), 0, "sent to a worker that drains");
+        assertEquals(
+                stubs[chosen].messages.get(), 0, "sent to a worker that drains or was removed");
         assertEquals(stubs[1 - chosen].messages.get(), 1);
         awaitMetric("connections_open{peer=\"worker\"}", 1);
     }
 
-    /** The unsent attempt ends and is placed again. */
+    /** The unsent attempt ends, and another attempt is started for the request. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void sendsAttemptOnceWhenWorkerRestarts() throws Exception {
         StubServer worker = new StubServer(open);
-        InetSocketAddress at = worker.listen();
+        InetSocketAddress address = worker.listen();
         worker.responses.add(SUCCESS);
-        serve(Idempotency.NON_IDEMPOTENT, 1024, endpointList(at));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, endpointList(address));
         discovery.nextFirstLine();
-        loop.holdConnects(Set.of(at));
+        loop.holdConnects(Set.of(address));
         Socket client = connect();
         send(client, jobRequest(10));
         loop.connecting.take();
         discovery.sendUnsolicited(
-                okResponse(endpointList(at).replace("\"state\"", "\"started_ms\":1000,\"state\"")));
+                okResponse(
+                        endpointList(address)
+                                .replace("\"state\"", "\"started_ms\":1000,\"state\"")));
         discovery.nextFirstLine();
         loop.releaseAll();
         assertEquals(statusOf(readMessage(client.getInputStream())), 200);
@@ -87,14 +93,14 @@
     }
 
     /**
-     * The end of the client's connection is still unread when the connection to the worker is
-     * established.
+     * The dispatcher has not yet read the end of the client's connection when its connection to the
+     * worker is established.
      */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void sendsNothingForClientThatDisconnectedMeanwhile() throws Exception {
-        InetSocketAddress at = workers.listen();
-        serve(Idempotency.IDEMPOTENT, 1024, endpointList(at));
-        loop.holdConnects(Set.of(at));
+        InetSocketAddress address = workers.listen();
+        serve(Idempotency.IDEMPOTENT, 1024, endpointList(address));
+        loop.holdConnects(Set.of(address));
         Socket client = connect();
         holdInputAfter(client, HEALTH_CHECK);
         send(client, jobRequest(10));
--- a/daemon/src/test/java/wheelroute/net/PipeliningTest.java
+++ b/daemon/src/test/java/wheelroute/net/PipeliningTest.java
@@ -21,7 +21,7 @@
 import wheelroute.BackgroundTask;
 import wheelroute.decision.Idempotency;
 
-/** Requests that a client sends before the response to its previous one. */
+/** Requests that a client sends before it has received the response to its previous one. */
 public class PipeliningTest extends ServiceHarness {
     @Test(timeOut = TIMEOUT_MILLIS)
     public void servesLargePipelinedRequestsInOrder() throws Exception {
@@ -43,51 +43,52 @@
         assertTrue(workers.received.take().endsWith("h".repeat(60_000)));
     }
 
-    /** Input is read ahead up to a bound only, and none of it is lost. */
+    /** Pipelined input is read ahead only up to a bound, and none of it is lost. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void answersManyPipelinedRequestsInOrder() throws Exception {
         workers.responses.add(SUCCESS);
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
         Socket client = connect();
-        int pages = 10_000;
-        BackgroundTask.start(() -> send(client, HEALTH_CHECK.repeat(pages) + jobRequestWithId(88)));
-        for (int i = 0; i < pages; i++) {
+        int healthChecks = 10_000;
+        BackgroundTask.start(
+                () -> send(client, HEALTH_CHECK.repeat(healthChecks) + jobRequestWithId(88)));
+        for (int i = 0; i < healthChecks; i++) {
             assertEquals(statusOf(readMessage(client.getInputStream())), 200);
         }
         assertTrue(readMessage(client.getInputStream()).endsWith("\r\n\r\nfine"));
     }
 
-    /** Connections that send far ahead compete for one budget and do not affect other clients. */
+    /** Connections with much pipelined input share one budget and do not affect other clients. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void boundsPipelinedInputOfAllConnectionsTogether() throws Exception {
-        // With time stopped no worker is considered unresponsive.
+        // With the clock stopped, no worker is considered unresponsive.
         clock.stop();
         maxTimeoutSeconds = 60;
         int clients = 24;
-        InetSocketAddress[] at = new InetSocketAddress[clients];
+        InetSocketAddress[] addresses = new InetSocketAddress[clients];
         for (int i = 0; i < clients; i++) {
-            // One worker for each request, so that none is rejected.
-            at[i] = workers.listen();
+            // Each request has a worker of its own, so that none is rejected.
+            addresses[i] = workers.listen();
         }
-        serve(Idempotency.IDEMPOTENT, 1024, endpointList(at));
+        serve(Idempotency.IDEMPOTENT, 1024, endpointList(addresses));
         for (int i = 0; i < clients; i++) {
-            Socket one = connect();
-            send(one, jobRequestWithId(100 + i).replace("10.0", "60.0"));
+            Socket sender = connect();
+            send(sender, jobRequestWithId(100 + i).replace("10.0", "60.0"));
             workers.nextFirstLine();
         }
-        for (AutoCloseable one : List.copyOf(open)) {
-            if (one instanceof Socket client && client.getPort() == port) {
+        for (AutoCloseable resource : List.copyOf(open)) {
+            if (resource instanceof Socket client && client.getPort() == port) {
                 client.getOutputStream().write(new byte[200_000]);
             }
         }
-        // More bytes have arrived than the budget holds: they are read until it is used up.
+        // More bytes have arrived than the budget allows, so they are read until it is used up.
         for (long before = -1; before != loop.bytesRead.get(); ) {
             before = loop.bytesRead.get();
             for (int i = 0; i < 10; i++) {
                 loop.settle();
             }
         }
-        assertTrue(loop.bytesRead.get() < clients * 200_000L, "all of it was read");
+        assertTrue(loop.bytesRead.get() < clients * 200_000L, "all pipelined input was read");
         assertEquals(statusOf(exchange(connect(), HEALTH_CHECK)), 200);
         assertEquals(metric("submissions_open"), clients);
     }
@@ -105,7 +106,7 @@
             throws Exception {
         clock.stop();
         maxTimeoutSeconds = 60;
-        // The worker that has not responded for so long is not chosen again.
+        // The second worker is needed because the first does not respond and is not chosen again.
         serve(Idempotency.NON_IDEMPOTENT, 1024, endpointList(workers.listen(), workers.listen()));
         Socket client = connect();
         send(client, jobRequestWithId(88));
@@ -121,8 +122,7 @@
         workers.sendUnsolicited(SUCCESS.replace("ID", "88"));
         assertEquals(statusOf(readMessage(client.getInputStream())), 200);
         assertEquals(statusOf(readMessage(client.getInputStream())), status);
-        String launched = workers.received.poll();
-        assertTrue(
-                status == 503 ? launched == null : launched.contains("X-Timeout: 2.9"), launched);
+        String attempt = workers.received.poll();
+        assertTrue(status == 503 ? attempt == null : attempt.contains("X-Timeout: 2.9"), attempt);
     }
 }
--- a/daemon/src/test/java/wheelroute/net/PolicyFailureTest.java
+++ b/daemon/src/test/java/wheelroute/net/PolicyFailureTest.java
@@ -15,7 +15,7 @@
 import wheelroute.net.requests.Exchange;
 import wheelroute.net.requests.RequestDispatcher;
 
-/** An unexpected exception in the policy costs no request its answer. */
+/** A request is answered even if the policy throws an unexpected exception. */
 public class PolicyFailureTest extends ServiceHarness {
     private static final ClientRequest MESSAGE =
             new ClientRequest(
@@ -43,7 +43,7 @@
                                     MESSAGE,
                                     statusRecorder(status),
                                     false);
-                    // Without a policy the call fails as it would if the policy threw.
+                    // Without a policy the call throws an exception, as a faulty policy does.
                     dispatcher.runEvent(() -> exchange.begin(null));
                     exchange.onDeadline();
                 });
--- a/daemon/src/test/java/wheelroute/net/ProcessReplacementTest.java
+++ b/daemon/src/test/java/wheelroute/net/ProcessReplacementTest.java
@@ -39,7 +39,7 @@
 import wheelroute.decision.Idempotency;
 import wheelroute.net.lifecycle.Service;
 
-/** One process of a dispatcher replaces another, on real maxDescriptors and in one directory. */
+/** One process of a dispatcher replaces another, with real sockets and one handover directory. */
 public class ProcessReplacementTest extends ServiceHarness {
     private static final int CLIENT_COUNT = 24;
 
@@ -56,7 +56,7 @@
         handoverDirectory = Files.createTempDirectory("handover");
     }
 
-    /** Starts one more process of the harness's dispatcher on the same clients' address. */
+    /** Starts another process of the harness's dispatcher on the same address for clients. */
     private Service startSuccessor(Path directory) throws Exception {
         Service next = newProcess(directory, port);
         next.start();
@@ -64,9 +64,9 @@
         return next;
     }
 
-    private Service newProcess(Path directory, int clientsPort) {
+    private Service newProcess(Path directory, int clientPort) {
         InetSocketAddress shared =
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), clientsPort);
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), clientPort);
         return new Service(
                 new Config(
                         "n0",
@@ -86,26 +86,26 @@
     }
 
     /**
-     * Replaces the harness's process, which listens on a port of the system's choice, by one on the
-     * same known port.
+     * Replaces the harness's process, which listens on a port that the system chose, with one that
+     * is configured with this port.
      */
-    private void serveOnKnownAddress(Idempotency idempotency, String... answers) throws Exception {
-        Path wanted = handoverDirectory;
+    private void serveOnFixedPort(Idempotency idempotency, String... answers) throws Exception {
+        Path directory = handoverDirectory;
         handoverDirectory = null;
         serve(idempotency, answers);
         service.drain();
-        service = newProcess(wanted, port);
+        service = newProcess(directory, port);
         service.start();
-        handoverDirectory = wanted;
+        handoverDirectory = directory;
         awaitSocketFile();
     }
 
-    /** Returns what tells a file from a later one with the same name. */
+    /** Returns a key that distinguishes a file from a later one with the same name. */
     private static Object fileKey(Path file) throws IOException {
         return Files.readAttributes(file, BasicFileAttributes.class).fileKey();
     }
 
-    /** Ids of two characters, as the stub servers expect. */
+    /** Returns a request whose id has two characters, as the stub servers expect. */
     private static String jobRequestNumber(int id) {
         return jobRequest(10)
                 .replace("77", Integer.toString(FIRST_TWO_DIGIT_ID + id, Character.MAX_RADIX));
@@ -118,7 +118,7 @@
     /** Clients that are idle, queued or in the middle of a message are all served. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void servesAllConnectedClientsDuringReplacement() throws Exception {
-        serveOnKnownAddress(
+        serveOnFixedPort(
                 Idempotency.IDEMPOTENT,
                 Collections.nCopies(5 * CLIENT_COUNT, SUCCESS).toArray(new String[0]));
         List<Socket> idle = new ArrayList<>();
@@ -145,7 +145,8 @@
             assertEquals(statusOf(exchange(queued.get(i), nextJobRequest())), 200);
         }
         for (Socket socket : kept) {
-            // Closed between two messages with nothing unread, so the client may reconnect.
+            // The connection is closed between two messages with nothing unread, so its client
+            // may reconnect.
             assertEquals(socket.getInputStream().read(), -1);
         }
         for (Socket socket : queued) {
@@ -165,11 +166,11 @@
         return clients;
     }
 
-    /** Connections are evicted at that moment, not when further clients connect. */
+    /** Connections are evicted when the successor connects, not when further clients connect. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void halvesConnectionLimitWhenSuccessorConnects() throws Exception {
         maxDescriptors = 72;
-        serveOnKnownAddress(
+        serveOnFixedPort(
                 Idempotency.IDEMPOTENT, Collections.nCopies(10, SUCCESS).toArray(new String[0]));
         List<Socket> kept = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
@@ -185,8 +186,7 @@
 
     @Test(timeOut = TIMEOUT_MILLIS)
     public void answersOpenRequestsAtOldProcessAndRejectsTheirIdsAtBoth() throws Exception {
-        serveOnKnownAddress(
-                Idempotency.NON_IDEMPOTENT, ACCEPTED, SUCCESS, SUCCESS, SUCCESS, SUCCESS);
+        serveOnFixedPort(Idempotency.NON_IDEMPOTENT, ACCEPTED, SUCCESS, SUCCESS, SUCCESS, SUCCESS);
         Socket waiting = connect();
         send(waiting, jobRequestNumber(0));
         workers.nextFirstLine();
@@ -194,9 +194,9 @@
         CompletableFuture<Void> ended = drain(service);
         Socket other = connect();
         while (adminStats(next).get("completed.job") == 0) {
-            // The connection reaches either process; both know the open id.
-            int same = statusOf(exchange(other, jobRequestNumber(0)));
-            assertEquals(same, 409);
+            // The connection reaches either process, and both know the open id.
+            int status = statusOf(exchange(other, jobRequestNumber(0)));
+            assertEquals(status, 409);
             other = connect();
             statusOf(exchange(other, jobRequestNumber(1)));
             other = connect();
@@ -213,7 +213,7 @@
      */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void handsOverRepeatedly() throws Exception {
-        serveOnKnownAddress(
+        serveOnFixedPort(
                 Idempotency.IDEMPOTENT,
                 Collections.nCopies(CLIENT_COUNT, SUCCESS).toArray(new String[0]));
         for (int i = 0; i < 4; i++) {
@@ -226,7 +226,7 @@
             assertEquals(adminCommand(service, "READY\n"), "ok ready\n");
             long before = System.nanoTime();
             drain(service).get();
-            // With nothing left to answer it ends at once, as its successor serves.
+            // With nothing left to answer, a process ends at once if its successor serves.
             assertTrue((System.nanoTime() - before) / 1e9 < 0.4);
             service = next;
             assertEquals(statusOf(exchange(connect(), jobRequestNumber(i))), 200);
@@ -234,23 +234,23 @@
         service.drain();
         service = null;
         try (var files = Files.list(handoverDirectory)) {
-            assertEquals(files.count(), 0, "files are left over");
+            assertEquals(files.count(), 0, "files left in the handover directory");
         }
     }
 
-    /** Another dispatcher's socket stands where the predecessor's would. */
+    /** Another dispatcher's socket has the path that the predecessor's would have. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void ignoresStateOfAnotherDispatcher() throws Exception {
-        serveOnKnownAddress(Idempotency.IDEMPOTENT);
+        serveOnFixedPort(Idempotency.IDEMPOTENT);
         Path file = awaitSocketFile();
         service.drain();
         try (ServerSocketChannel other = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
             other.bind(UnixDomainSocketAddress.of(file));
             BackgroundTask.start(
                     () -> {
-                        SocketChannel asks = other.accept();
-                        open.add(asks);
-                        asks.write(
+                        SocketChannel successor = other.accept();
+                        open.add(successor);
+                        successor.write(
                                 StandardCharsets.UTF_8.encode(
                                         "wheelroute-handover n1 /127.0.0.1:1\nlist "
                                                 + endpointList(workers.listen())
@@ -264,12 +264,12 @@
     }
 
     /**
-     * A successor can still find the old process, and a message is not answered by another message
-     * for ever.
+     * Another successor can still find the old process, and the processes do not answer each other
+     * endlessly.
      */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void keepsServingWhenSuccessorFailsBeforeServing() throws Exception {
-        serveOnKnownAddress(Idempotency.IDEMPOTENT, SUCCESS, SUCCESS, SUCCESS);
+        serveOnFixedPort(Idempotency.IDEMPOTENT, SUCCESS, SUCCESS, SUCCESS);
         Path file = awaitSocketFile();
         try (SocketChannel failing = SocketChannel.open(UnixDomainSocketAddress.of(file))) {
             failing.write(
@@ -303,7 +303,7 @@
         assertEquals(adminCommand(next, "READY\n"), "ok ready\n");
     }
 
-    /** The file is created a moment after the process begins to serve. */
+    /** Waits for the socket file, which is created a moment after the process begins to serve. */
     private Path awaitSocketFile() throws IOException {
         while (true) {
             try (var files = Files.list(handoverDirectory)) {
@@ -329,13 +329,13 @@
     }
 
     @Test(dataProvider = "directoryContents", timeOut = TIMEOUT_MILLIS)
-    public void startsWhateverLiesInHandoverDirectory(String what) throws Exception {
-        serveOnKnownAddress(Idempotency.IDEMPOTENT, SUCCESS, SUCCESS);
+    public void startsWhateverLiesInHandoverDirectory(String contents) throws Exception {
+        serveOnFixedPort(Idempotency.IDEMPOTENT, SUCCESS, SUCCESS);
         Path file = awaitSocketFile();
         service.drain();
         assertFalse(Files.exists(file));
         Path directory = handoverDirectory;
-        switch (what) {
+        switch (contents) {
             case "a plain file" -> Files.writeString(file, "12345\n");
             case "a dead socket" -> listen(file).close();
             case "another protocol" -> {
@@ -349,20 +349,20 @@
             case "an unresponsive process" -> listen(file);
             case "no directory" -> directory = handoverDirectory.resolve("none");
             case "a path too long" -> directory = handoverDirectory.resolve("x".repeat(200));
-            default -> assertEquals(what, "nothing");
+            default -> assertEquals(contents, "nothing");
         }
         service = newProcess(directory, port);
         service.start();
         assertEquals(adminCommand(service, "READY\n"), "ok ready\n");
         assertEquals(statusOf(exchange(connect(), jobRequestNumber(1))), 200);
-        // From here on a successor finds this process, where the socket could be created.
+        // From here on a successor finds this process if its socket could be created.
         Service next = startSuccessor(directory);
         assertEquals(adminCommand(next, "READY\n"), "ok ready\n");
     }
 
     @Test(timeOut = TIMEOUT_MILLIS)
     public void leavesNoFileWhenSocketPathIsTaken() throws Exception {
-        serveOnKnownAddress(Idempotency.IDEMPOTENT);
+        serveOnFixedPort(Idempotency.IDEMPOTENT);
         Path file = awaitSocketFile();
         service.drain();
         Files.createDirectory(file);
@@ -384,10 +384,10 @@
 
     @Test(timeOut = TIMEOUT_MILLIS)
     public void restrictsSocketFileToOwner() throws Exception {
-        serveOnKnownAddress(Idempotency.IDEMPOTENT);
-        String rights =
+        serveOnFixedPort(Idempotency.IDEMPOTENT);
+        String permissions =
                 PosixFilePermissions.toString(Files.getPosixFilePermissions(awaitSocketFile()));
-        assertEquals(rights, "rw-------");
+        assertEquals(permissions, "rw-------");
         assertTrue(
                 awaitSocketFile()
                         .getFileName()
--- a/daemon/src/test/java/wheelroute/net/ProcessStallServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/ProcessStallServiceTest.java
@@ -21,9 +21,12 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
 
-/** A process that did not run for a while: what waited unread is older than it seems. */
+/** After a process stall, input that waited unread is older than it seems. */
 public class ProcessStallServiceTest extends ServiceHarness {
-    /** More than the clock is read between the arrival of a request and the end of its response. */
+    /**
+     * More than the number of clock reads between the arrival of a request and the end of its
+     * response.
+     */
     private static final int MAX_CLOCK_READS = 80;
 
     /**
@@ -50,7 +53,7 @@
 
     @DataProvider
     public Object[][] stalledConnections() {
-        // How many connections, and whether they were there before.
+        // Each row has the number of connections, and whether they were open before the stall.
         return new Object[][] {{1, false}, {1, true}, {300, false}, {600, true}};
     }
 
@@ -95,22 +98,22 @@
         assertTrue(attempt.contains("X-Timeout: 3.7"), attempt);
     }
 
-    /** The clock jumps after each of its readings in turn. */
+    /** In each round the clock jumps after one more read than in the previous round. */
     @Test(timeOut = 2 * TIMEOUT_MILLIS)
     public void sendsNoAttemptPastDeadlineWhereverProcessStalls() throws Exception {
         clock.stop();
         workers.responses.addAll(Collections.nCopies(2 * MAX_CLOCK_READS, SUCCESS));
-        InetSocketAddress[] at = new InetSocketAddress[MAX_CLOCK_READS];
+        InetSocketAddress[] addresses = new InetSocketAddress[MAX_CLOCK_READS];
         for (int i = 0; i < MAX_CLOCK_READS; i++) {
-            // One worker for each round, as one that seems unresponsive is avoided for a while.
-            at[i] = workers.listen();
+            // Each round has a worker of its own, as an unresponsive one is avoided for a while.
+            addresses[i] = workers.listen();
         }
-        serve(Idempotency.NON_IDEMPOTENT, 1024, endpointList(at));
+        serve(Idempotency.NON_IDEMPOTENT, 1024, endpointList(addresses));
         int attempts = 0;
         for (int reads = 1; reads <= MAX_CLOCK_READS; reads++) {
             Socket client = connect();
             exchange(client, HEALTH_CHECK);
-            // After the quiescence time the connections to workers are used again.
+            // After the quiescence time the connections to workers are reused.
             loop.step(LONGER_THAN_QUIESCENCE_SECONDS);
             workers.received.clear();
             clock.jumpAfterReads(reads, 4);
--- a/daemon/src/test/java/wheelroute/net/RequestOutcomeTest.java
+++ b/daemon/src/test/java/wheelroute/net/RequestOutcomeTest.java
@@ -27,14 +27,15 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
 
-/** What a client is answered, depending on what the workers did with its request. */
+/** Which response a client receives, depending on how the workers handled its request. */
 public class RequestOutcomeTest extends ServiceHarness {
     @DataProvider
     public Object[][] workerResponses() {
         String otherId = RESPONSE_HEAD + progressLine("done").replace("ID", "78") + "0\r\n\r\n";
-        String plain = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
+        String errorResponse = "HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n";
         return new Object[][] {
-            // Idempotency, responses to the attempts, status of the client, number of attempts.
+            // Each row has the idempotency, the responses to the attempts, the status that the
+            // client receives and the number of attempts.
             {Idempotency.NON_IDEMPOTENT, List.of(SUCCESS), 200, 1},
             {Idempotency.NON_IDEMPOTENT, List.of(REJECTION, SUCCESS), 200, 2},
             {
@@ -51,7 +52,7 @@
                 1
             },
             {Idempotency.NON_IDEMPOTENT, List.of(START_THEN_CLOSE, SUCCESS), 502, 1},
-            {Idempotency.NON_IDEMPOTENT, List.of(plain, SUCCESS), 502, 1},
+            {Idempotency.NON_IDEMPOTENT, List.of(errorResponse, SUCCESS), 502, 1},
             {
                 Idempotency.NON_IDEMPOTENT,
                 List.of(RESPONSE_HEAD + progressLine("lost") + "0\r\n\r\n", SUCCESS),
@@ -74,12 +75,12 @@
 
     @Test(dataProvider = "workerResponses", timeOut = TIMEOUT_MILLIS)
     public void answersOnceAccordingToWorkerResponses(
-            Idempotency idempotency, List<String> answers, int status, int attempts)
+            Idempotency idempotency, List<String> responses, int status, int attempts)
             throws Exception {
-        serve(idempotency, answers.toArray(new String[0]));
-        String answer = exchange(connect(), jobRequest(10));
-        assertEquals(statusOf(answer), status, answer);
-        assertEquals(answer.endsWith("\r\n\r\nfine"), status == 200, answer);
+        serve(idempotency, responses.toArray(new String[0]));
+        String response = exchange(connect(), jobRequest(10));
+        assertEquals(statusOf(response), status, response);
+        assertEquals(response.endsWith("\r\n\r\nfine"), status == 200, response);
         assertEquals(workers.messages.get(), attempts);
         String first = workers.received.take();
         assertTrue(
@@ -91,7 +92,8 @@
     }
 
     /**
-     * Two open requests with one id are indistinguishable at the workers; the first one goes on.
+     * Workers cannot distinguish two open requests with the same id, so the second is rejected and
+     * the first continues.
      */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void rejectsDuplicateOfOpenRequestId() throws Exception {
@@ -104,7 +106,8 @@
         assertEquals(statusOf(exchange(second, jobRequest(10))), 409);
         assertEquals(statusOf(readMessage(first.getInputStream())), 503);
         assertEquals(workers.messages.get(), 1);
-        // Once it is answered the id is free, and the refused connection is as good as any.
+        // Once the first request is answered, its id may be used again, even on the connection on
+        // which it was rejected.
         assertEquals(statusOf(exchange(second, jobRequest(10))), 200);
     }
 
@@ -121,13 +124,13 @@
     /** A worker that refuses the connection cannot have run the request. */
     @Test(timeOut = TIMEOUT_MILLIS)
     public void retriesNonIdempotentRequestAfterRefusedConnection() throws Exception {
-        ServerSocket dead = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        InetSocketAddress refusing = (InetSocketAddress) dead.getLocalSocketAddress();
-        dead.close();
+        ServerSocket closedServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        InetSocketAddress refusing = (InetSocketAddress) closedServer.getLocalSocketAddress();
+        closedServer.close();
         workers.responses.addAll(List.of(SUCCESS, SUCCESS, SUCCESS, SUCCESS, SUCCESS, SUCCESS));
         serve(Idempotency.NON_IDEMPOTENT, 1024, endpointList(refusing, workers.listen()));
-        // Which of two equals is chosen first is chance: six go wrong all the same with one chance
-        // in 64.
+        // The first choice between two equal workers is random. The probability that none of six
+        // requests meets the refusing worker is 1 in 64.
         for (int i = 0; i < 6; i++) {
             assertEquals(statusOf(exchange(connect(), jobRequest(10))), 200);
         }
@@ -144,10 +147,12 @@
             throws Exception {
         serve(idempotency);
         long before = System.nanoTime();
-        String answer = exchange(connect(), jobRequest(0.3));
-        double took = (System.nanoTime() - before) / 1e9;
-        assertEquals(statusOf(answer), status, answer);
-        assertTrue(took > 0.2 && took < 1.3, "after " + took);
+        String response = exchange(connect(), jobRequest(0.3));
+        double elapsedSeconds = (System.nanoTime() - before) / 1e9;
+        assertEquals(statusOf(response), status, response);
+        assertTrue(
+                elapsedSeconds > 0.2 && elapsedSeconds < 1.3,
+                "answered after " + elapsedSeconds + " s");
         assertTrue(workers.closed.take() > 0);
         assertEquals(metric("launch_ends_total{end=\"timed_out\"}"), 1);
     }
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -41,7 +41,7 @@
     protected static final int TIMEOUT_MILLIS = 20_000;
     private static final long POLL_NANOS = 1_000_000;
 
-    /** Exceptions that the service has caught and logged: each fails the test that caused it. */
+    /** Exceptions that the service has caught and logged; each fails the test that caused it. */
     private static final Queue<String> LOGGED_EXCEPTIONS = new ConcurrentLinkedQueue<>();
 
     private static final Logger LOGGER = Logger.getLogger("wheelroute.net");
@@ -64,12 +64,12 @@
 
                     @Override
                     public void close() {
-                        // Nothing is open.
+                        // The handler holds no resources.
                     }
                 });
     }
 
-    /** The test makes the policy throw. */
+    /** Whether the test causes the service to log an exception; reset after each test. */
     protected boolean expectsException;
 
     protected final List<AutoCloseable> open = new ArrayList<>();
@@ -87,14 +87,16 @@
     protected Service service;
     protected int port;
 
-    /** For {@link #awaitDiscoveryCalls}; null before its first use. */
-    private Socket roundTrips;
+    /** Connection that {@link #awaitDiscoveryCalls} uses; null before its first use. */
+    private Socket healthCheckConnection;
 
-    protected void serve(Idempotency idempotency, int sockets, String known) throws Exception {
-        serve(idempotency, sockets, known, 1);
+    protected void serve(Idempotency idempotency, int maxDescriptors, String cachedEndpoints)
+            throws Exception {
+        serve(idempotency, maxDescriptors, cachedEndpoints, 1);
     }
 
-    protected void serve(Idempotency idempotency, int sockets, String known, int dispatchers)
+    protected void serve(
+            Idempotency idempotency, int maxDescriptors, String cachedEndpoints, int dispatchers)
             throws Exception {
         PolicyHarness.SettingsFixture fixture = new PolicyHarness.SettingsFixture();
         fixture.dispatchers = dispatchers;
@@ -111,9 +113,9 @@
                         discovery.listen(),
                         hasAdminServer ? any : null,
                         handoverDirectory,
-                        sockets,
+                        maxDescriptors,
                         Double.NaN,
-                        known.getBytes(StandardCharsets.UTF_8),
+                        cachedEndpoints.getBytes(StandardCharsets.UTF_8),
                         settings,
                         0.5,
                         10,
@@ -144,8 +146,8 @@
                 null);
     }
 
-    protected void serve(Idempotency idempotency, String... answers) throws Exception {
-        workers.responses.addAll(List.of(answers));
+    protected void serve(Idempotency idempotency, String... responses) throws Exception {
+        workers.responses.addAll(List.of(responses));
         serve(idempotency, 1024, endpointList(workers.listen(), workers.listen()));
     }
 
@@ -156,7 +158,7 @@
         return socket;
     }
 
-    /** Exchanges one more message, and holds back from the event loop whatever follows it. */
+    /** Exchanges one more message, and hides all later input of the client from the event loop. */
     protected void holdInputAfter(Socket client, String message) throws Exception {
         exchange(client, message);
         loop.settle();
@@ -171,18 +173,18 @@
 
     /** Waits until discovery has answered all calls, and the service has read the responses. */
     protected void awaitDiscoveryCalls() throws Exception {
-        if (roundTrips == null) {
-            roundTrips = connect();
+        if (healthCheckConnection == null) {
+            healthCheckConnection = connect();
         }
-        // A round trip takes several passes of the event loop: what has arrived is read, and a
-        // connection that is being established is used.
-        exchange(roundTrips, HEALTH_CHECK);
+        // A round trip takes several passes of the event loop, in which input that has arrived
+        // is read and connections that are being established are used.
+        exchange(healthCheckConnection, HEALTH_CHECK);
         loop.settle();
         while (discovery.answered.get()
                 != service.counters().value(Counters.Counter.DISCOVERY_CALLS)) {
             LockSupport.parkNanos(POLL_NANOS);
         }
-        exchange(roundTrips, HEALTH_CHECK);
+        exchange(healthCheckConnection, HEALTH_CHECK);
         loop.settle();
     }
 
@@ -192,7 +194,7 @@
         }
     }
 
-    /** Waits until health checks say that the service drains. */
+    /** Waits until a health check reports that the service drains, and returns its response. */
     protected String awaitDraining() throws IOException {
         String health = "";
         while (!health.startsWith("HTTP/1.1 503")) {
@@ -213,7 +215,7 @@
         return socket;
     }
 
-    /** Sends one command to a process's administrative port, and returns the response. */
+    /** Sends one command to the admin server of a process, and returns the response. */
     protected String adminCommand(Service target, String text) throws IOException {
         try (Socket socket = connectAdmin(target)) {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
@@ -234,7 +236,7 @@
         return metrics;
     }
 
-    /** Drains a service; completes when it has ended. */
+    /** Drains a service in the background; the result completes when the service has ended. */
     protected static CompletableFuture<Void> drain(Service target) {
         CompletableFuture<Void> ended = new CompletableFuture<>();
         BackgroundTask.start(
@@ -247,8 +249,8 @@
 
     @AfterMethod(alwaysRun = true)
     public void end() throws Exception {
-        for (AutoCloseable one : new ArrayList<>(open)) {
-            one.close();
+        for (AutoCloseable resource : new ArrayList<>(open)) {
+            resource.close();
         }
         clock.resume();
         String metrics = null;
@@ -258,7 +260,8 @@
             metrics = service.finalMetrics();
         }
         open.clear();
-        // All state is reset before an assertion can fail, for the sake of the next test.
+        // All state is reset before an assertion can fail, so that the next test is not
+        // affected.
         List<String> exceptions = new ArrayList<>(LOGGED_EXCEPTIONS);
         LOGGED_EXCEPTIONS.clear();
         boolean expected = expectsException;
@@ -266,7 +269,7 @@
         workers.reset();
         discovery.reset();
         service = null;
-        roundTrips = null;
+        healthCheckConnection = null;
         clock = new ManualClock();
         endpointsArePushed = false;
         maxTimeoutSeconds = 2;
@@ -275,12 +278,12 @@
         handoverDirectory = null;
         assertEquals(exceptions.isEmpty(), !expected, "exceptions logged: " + exceptions);
         if (metrics != null) {
-            assertBalanced(metrics);
+            assertCountersConsistent(metrics);
         }
     }
 
-    /** Each accepted request was answered or abandoned, once, and none is open. */
-    private static void assertBalanced(String metrics) {
+    /** Checks that each accepted request was answered or abandoned once, and that none is open. */
+    private static void assertCountersConsistent(String metrics) {
         long answered = metricValue(metrics, "clients_gone_total");
         for (String kind : List.of("fulfilled", "bounced", "scrapped")) {
             answered += metricValue(metrics, "answers_total{kind=\"" + kind + "\"}");
--- a/daemon/src/test/java/wheelroute/net/ServiceStartTest.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceStartTest.java
@@ -16,7 +16,7 @@
 import wheelroute.decision.PolicyHarness;
 import wheelroute.net.lifecycle.Service;
 
-/** Starts that fail: the message names the configuration key, and nothing stays open. */
+/** A failed start names the configuration key in its message and leaves nothing open. */
 public class ServiceStartTest extends ServiceHarness {
     @DataProvider
     public Object[][] invalidConfigurations() {
@@ -26,7 +26,8 @@
     }
 
     @Test(dataProvider = "invalidConfigurations", timeOut = TIMEOUT_MILLIS)
-    public void namesConfigurationKeyThatPreventsStart(String known, String key) throws Exception {
+    public void namesConfigurationKeyThatPreventsStart(String cachedEndpoints, String key)
+            throws Exception {
         Config config =
                 new Config(
                         "n0",
@@ -36,7 +37,7 @@
                         null,
                         64,
                         Double.NaN,
-                        known.getBytes(StandardCharsets.UTF_8),
+                        cachedEndpoints.getBytes(StandardCharsets.UTF_8),
                         new PolicyHarness.SettingsFixture().settings(),
                         0.5,
                         10,
@@ -98,8 +99,8 @@
                             endpointsArePushed,
                             null);
             Service failing = new Service(config);
-            ConfigException fault = expectThrows(ConfigException.class, failing::start);
-            assertTrue(fault.getMessage().contains("listen"), fault.getMessage());
+            ConfigException exception = expectThrows(ConfigException.class, failing::start);
+            assertTrue(exception.getMessage().contains("listen"), exception.getMessage());
             new ServerSocket(adminPort, 1, loopback).close();
         }
     }
--- a/daemon/src/test/java/wheelroute/net/StubServer.java
+++ b/daemon/src/test/java/wheelroute/net/StubServer.java
@@ -27,11 +27,11 @@
     private static final Pattern HOLD_MILLIS = Pattern.compile("hold_ms=(\\d+)");
     private static final int MIN_WATCH_HOLD_MILLIS = 3000;
     private static final int MAX_WATCH_HOLD_MILLIS = 3800;
-    private static final String NO_MESSAGE = "nothing came";
+    private static final String NO_MESSAGE = "no message received";
 
     final BlockingQueue<String> received = new LinkedBlockingQueue<>();
 
-    /** The numbers of the connections that have been closed, from 1. */
+    /** Numbers, counted from 1, of the connections that have been closed. */
     final BlockingQueue<Integer> closed = new LinkedBlockingQueue<>();
 
     final List<String> responses = new ArrayList<>();
@@ -42,11 +42,11 @@
 
     final AtomicInteger connections = new AtomicInteger();
 
-    /** Makes the responses that follow those of the list. */
+    /** Supplies the responses to the messages after those that {@link #responses} covers. */
     volatile Supplier<String> defaultResponse = () -> HttpMessages.NO_RESPONSE;
 
     /** The connection of the last message. */
-    volatile Socket last;
+    volatile Socket lastConnection;
 
     private final List<AutoCloseable> resources;
 
@@ -89,7 +89,7 @@
         boolean closes = false;
         while (!closes) {
             String message = HttpMessages.readMessage(socket.getInputStream());
-            last = socket;
+            lastConnection = socket;
             int number = messages.getAndIncrement();
             received.add(message);
             String response =
@@ -122,7 +122,9 @@
         return firstLine(received.poll(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    /** The same for a message that is sent without the test's clock moving on. */
+    /**
+     * Like {@link #nextFirstLine}, for a message that is sent while the test's clock is stopped.
+     */
     String promptFirstLine() throws InterruptedException {
         return firstLine(received.poll(MAX_PROMPT_WAIT_SECONDS, TimeUnit.SECONDS));
     }
@@ -143,12 +145,12 @@
         return isWatch ? hold.replaceFirst("hold_ms=HELD") : call;
     }
 
-    /** Sends text on the connection of the last message, without having been asked. */
+    /** Sends text on the connection of the last message, without a message to respond to. */
     void sendUnsolicited(String text) throws IOException {
-        HttpMessages.send(last, text);
+        HttpMessages.send(lastConnection, text);
     }
 
-    /** Forgets all messages, connections and responses. */
+    /** Discards all recorded messages and connections, and all responses. */
     void reset() {
         received.clear();
         closed.clear();
--- a/daemon/src/test/java/wheelroute/net/SystemCallFaultsTest.java
+++ b/daemon/src/test/java/wheelroute/net/SystemCallFaultsTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.Test;
 import wheelroute.decision.Idempotency;
 
-/** System calls that fail temporarily cost no request its answer. */
+/** Requests are answered even if system calls fail temporarily. */
 public class SystemCallFaultsTest extends ServiceHarness {
     private static final Optional<IOException> SUCCESSFUL_CALL = Optional.empty();
 
