--- a/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
@@ -21,7 +21,7 @@
  * A connection to discovery and the calls that are made on it one after another. Confined to the
  * event loop's thread.
  */
-final class DiscoveryCall implements EventLoop.ChannelHandler, ResponseParser.Reader {
+final class DiscoveryCall implements EventLoop.ChannelHandler, ResponseParser.Handler {
     private final EndpointWatch watch;
     private final EventLoop loop;
     private final InetSocketAddress address;
@@ -163,7 +163,8 @@
     }
 
     @Override
-    public void head(int status, Map<String, String> fields) throws DiscoveryResponseException {
+    public void onHeaders(int status, Map<String, String> fields)
+            throws DiscoveryResponseException {
         body.reset();
         if (status != HttpStatus.OK_200) {
             counters.count(Counters.Counter.DISCOVERY_REJECTIONS);
@@ -173,12 +174,12 @@
     }
 
     @Override
-    public void piece(ByteBuffer bytes) throws DiscoveryResponseException {
+    public void onContent(ByteBuffer bytes) throws DiscoveryResponseException {
         body.append(bytes);
     }
 
     @Override
-    public void end(boolean keepsOpen) throws IOException {
+    public void onComplete(boolean keepsOpen) throws IOException {
         boolean hasChanges = watch.onResponse(body.toByteArray());
         answeredBefore = true;
         double delay =
--- a/daemon/src/main/java/wheelroute/net/http/ResponseParser.java
+++ b/daemon/src/main/java/wheelroute/net/http/ResponseParser.java
@@ -17,20 +17,20 @@
      * Receives the parsed responses. Each method may throw an exception to reject a response;
      * {@link #parse} or {@link #atEnd} then throws that exception.
      */
-    public interface Reader {
+    public interface Handler {
         /**
          * Receives the status and the header fields, whose names are in lower case.
          *
          * @throws IOException to reject the response
          */
-        void head(int status, Map<String, String> fields) throws IOException;
+        void onHeaders(int status, Map<String, String> fields) throws IOException;
 
         /**
          * Receives the next part of the body.
          *
          * @throws IOException to reject the response
          */
-        void piece(ByteBuffer bytes) throws IOException;
+        void onContent(ByteBuffer bytes) throws IOException;
 
         /**
          * Called when the response is complete.
@@ -38,7 +38,7 @@
          * @param keepsOpen whether the connection may be used for another request
          * @throws IOException to reject the response
          */
-        void end(boolean keepsOpen) throws IOException;
+        void onComplete(boolean keepsOpen) throws IOException;
     }
 
     /** The maximum size of the status line together with all header fields. */
@@ -55,22 +55,22 @@
 
     private final HttpParser parser =
             withoutHeaderCache(new HttpParser(this, MAX_HEAD_BYTES, COMPLIANCE));
-    private final Reader reader;
+    private final Handler handler;
     private int status;
 
     /** The exception to throw once Jetty's parser has returned; null if there is none. */
     private IOException failure;
 
     /** Creates a parser for a new connection. */
-    public ResponseParser(Reader reader) {
-        this.reader = reader;
+    public ResponseParser(Handler handler) {
+        this.handler = handler;
     }
 
     /**
      * Parses all remaining bytes of the buffer.
      *
      * @throws MalformedResponseException if the bytes are not an HTTP response
-     * @throws IOException if the reader rejects the response
+     * @throws IOException if the handler rejects the response
      */
     public void parse(ByteBuffer in) throws IOException {
         while (in.hasRemaining()) {
@@ -86,7 +86,7 @@
             if (takeComplete()) {
                 parser.reset();
                 if (status >= FIRST_FINAL_STATUS) {
-                    reader.end(keepsOpen() && !in.hasRemaining());
+                    handler.onComplete(keepsOpen() && !in.hasRemaining());
                 }
             }
         }
@@ -96,7 +96,7 @@
      * Processes the peer's end of stream, which completes a response of unknown length.
      *
      * @throws MalformedResponseException if a response is incomplete
-     * @throws IOException if the reader rejects the response
+     * @throws IOException if the handler rejects the response
      */
     public void atEnd() throws IOException {
         parser.atEOF();
@@ -105,16 +105,16 @@
             throw failure;
         }
         if (takeComplete()) {
-            reader.end(false);
+            handler.onComplete(false);
         }
     }
 
-    private interface ReaderCall {
+    private interface HandlerCall {
         void run() throws IOException;
     }
 
-    /** Calls the reader. Returns whether Jetty's parser must stop because of an exception. */
-    private boolean callReader(ReaderCall call) {
+    /** Calls the handler. Returns whether Jetty's parser must stop because of an exception. */
+    private boolean callHandler(HandlerCall call) {
         try {
             call.run();
         } catch (IOException e) {
@@ -131,12 +131,12 @@
 
     @Override
     public boolean headerComplete() {
-        return status >= FIRST_FINAL_STATUS && callReader(() -> reader.head(status, fields));
+        return status >= FIRST_FINAL_STATUS && callHandler(() -> handler.onHeaders(status, fields));
     }
 
     @Override
     public boolean content(ByteBuffer piece) {
-        return callReader(() -> reader.piece(piece));
+        return callHandler(() -> handler.onContent(piece));
     }
 
     @Override
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
@@ -14,7 +14,7 @@
  *
  * <p>Used on the event loop's thread only. After an exception the connection must be closed.
  */
-final class AttemptResponseDecoder implements ResponseParser.Reader {
+final class AttemptResponseDecoder implements ResponseParser.Handler {
     /** Receives the contents of the responses. */
     interface Listener {
         /** Called when the worker has started to run the attempt. */
@@ -89,7 +89,7 @@
     }
 
     @Override
-    public void head(int status, Map<String, String> fields) throws IOException {
+    public void onHeaders(int status, Map<String, String> fields) throws IOException {
         if (ended) {
             throw new MalformedResponseException(
                     "received a response with status " + status + ", expected none");
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public void piece(ByteBuffer bytes) throws IOException {
+    public void onContent(ByteBuffer bytes) throws IOException {
         if (hasStatusLines) {
             for (byte[] line = lines.next(bytes); line != null; line = lines.next(bytes)) {
                 onLine(line);
@@ -177,7 +177,7 @@
     }
 
     @Override
-    public void end(boolean keepsOpen) throws IOException {
+    public void onComplete(boolean keepsOpen) throws IOException {
         if (hasStatusLines && !lines.isEmpty()) {
             // The last line may end without a line feed.
             onLine(lines.rest());
--- a/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
+++ b/daemon/src/test/java/wheelroute/net/clients/ClientRequestDecoderTest.java
@@ -84,7 +84,7 @@
         Arrays.setAll(messages, i -> bytes(i % 4 < 2 ? POST : WORKER_RESPONSE));
         // The classes are loaded before the allocations are counted.
         new ClientRequestDecoder(new MemoryQuota(QUOTA_BYTES)).decode(bytes(POST));
-        new ResponseParser(new IgnoringReader()).parse(bytes(WORKER_RESPONSE));
+        new ResponseParser(new IgnoringHandler()).parse(bytes(WORKER_RESPONSE));
         MemoryQuota quota = new MemoryQuota(QUOTA_BYTES);
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
         long thread = Thread.currentThread().getId();
@@ -93,7 +93,7 @@
             decoders[i] = new ClientRequestDecoder(quota);
             decoders[i].decode(messages[4 * i]);
             decoders[i].decode(messages[4 * i + 1]);
-            parsers[i] = new ResponseParser(new IgnoringReader());
+            parsers[i] = new ResponseParser(new IgnoringHandler());
             parsers[i].parse(messages[4 * i + 2]);
             parsers[i].parse(messages[4 * i + 3]);
         }
@@ -103,19 +103,19 @@
                 each + " bytes for a client's and a worker's connection");
     }
 
-    private static final class IgnoringReader implements ResponseParser.Reader {
+    private static final class IgnoringHandler implements ResponseParser.Handler {
         @Override
-        public void head(int status, Map<String, String> fields) {
+        public void onHeaders(int status, Map<String, String> fields) {
             assertEquals(status, 200);
         }
 
         @Override
-        public void piece(ByteBuffer bytes) {
+        public void onContent(ByteBuffer bytes) {
             // The test does not check the content.
         }
 
         @Override
-        public void end(boolean keepsOpen) {
+        public void onComplete(boolean keepsOpen) {
             assertTrue(keepsOpen);
         }
     }
--- a/kit/src/main/java/wheelroute/kit/process/ClientPool.java
+++ b/kit/src/main/java/wheelroute/kit/process/ClientPool.java
@@ -165,7 +165,8 @@
         }
     }
 
-    private final class ClientConnection extends StreamConnection implements ResponseParser.Reader {
+    private final class ClientConnection extends StreamConnection
+            implements ResponseParser.Handler {
         private final ResponseParser parser = new ResponseParser(this);
         private final WriteQueue out;
 
@@ -235,7 +236,7 @@
         }
 
         @Override
-        public void head(int newStatus, Map<String, String> fields) {
+        public void onHeaders(int newStatus, Map<String, String> fields) {
             status = newStatus;
             retryAfterSeconds = 0;
             String retryAfter = fields.get("retry-after");
@@ -245,12 +246,12 @@
         }
 
         @Override
-        public void piece(ByteBuffer bytes) {
+        public void onContent(ByteBuffer bytes) {
             bytes.position(bytes.limit());
         }
 
         @Override
-        public void end(boolean keepsOpen) {
+        public void onComplete(boolean keepsOpen) {
             PendingAttempt done = pending;
             pending = null;
             hasServedRequest = true;
