--- a/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
+++ b/daemon/src/main/java/wheelroute/net/discovery/DiscoveryCall.java
@@ -230,7 +230,7 @@
         protected void onEndOfStream() {
             String reason = "the connection ended";
             try {
-                parser.atEnd();
+                parser.parseEndOfStream();
             } catch (IOException e) {
                 reason = e.getMessage();
             }
--- a/daemon/src/main/java/wheelroute/net/http/ResponseParser.java
+++ b/daemon/src/main/java/wheelroute/net/http/ResponseParser.java
@@ -15,7 +15,7 @@
 public final class ResponseParser extends HttpMessageReader implements HttpParser.ResponseHandler {
     /**
      * Receives the parsed responses. Each method may throw an exception to reject a response;
-     * {@link #parse} or {@link #atEnd} then throws that exception.
+     * {@link #parse} or {@link #parseEndOfStream} then throws that exception.
      */
     public interface Handler {
         /**
@@ -98,7 +98,7 @@
      * @throws MalformedResponseException if a response is incomplete
      * @throws IOException if the handler rejects the response
      */
-    public void atEnd() throws IOException {
+    public void parseEndOfStream() throws IOException {
         parser.atEOF();
         parser.parseNext(ByteBuffer.allocate(0));
         if (failure != null) {
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
@@ -85,7 +85,7 @@
      * @throws IOException if the response is incomplete
      */
     void onEndOfStream() throws IOException {
-        parser.atEnd();
+        parser.parseEndOfStream();
     }
 
     @Override
