--- a/daemon/src/main/java/wheelroute/net/admin/AdminConnection.java
+++ b/daemon/src/main/java/wheelroute/net/admin/AdminConnection.java
@@ -65,7 +65,7 @@
         if (answered || lines.isEmpty()) {
             close();
         } else {
-            answerCommand(lines.rest());
+            answerCommand(lines.takeBuffered());
         }
     }
 
--- a/daemon/src/main/java/wheelroute/net/loop/LineBuffer.java
+++ b/daemon/src/main/java/wheelroute/net/loop/LineBuffer.java
@@ -27,7 +27,7 @@
         while (in.hasRemaining()) {
             byte b = in.get();
             if (b == '\n') {
-                return rest();
+                return takeBuffered();
             }
             line.write(b);
             if (line.size() > maxLineBytes) {
@@ -38,7 +38,7 @@
     }
 
     /** Returns and removes the beginning of an incomplete line; empty if there is none. */
-    public byte[] rest() {
+    public byte[] takeBuffered() {
         byte[] bytes = line.toByteArray();
         // reset() would keep an array as long as the connection's longest line.
         line = new ByteArrayOutputStream();
--- a/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
+++ b/daemon/src/main/java/wheelroute/net/workers/AttemptResponseDecoder.java
@@ -180,7 +180,7 @@
     public void onComplete(boolean keepsOpen) throws IOException {
         if (hasStatusLines && !lines.isEmpty()) {
             // The last line may end without a line feed.
-            onLine(lines.rest());
+            onLine(lines.takeBuffered());
         }
         if (!ended) {
             throw new MalformedResponseException(
