--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -185,7 +185,7 @@
 
     /** Reads once without waiting. Returns the number of bytes, or -1 at the end of the stream. */
     private int readOnce() throws IOException {
-        ByteBuffer in = loop.peekBuffer();
+        ByteBuffer in = loop.scratchBuffer();
         int count = getEndPoint().fill(in);
         if (count > 0) {
             read(in);
--- a/daemon/src/main/java/wheelroute/net/loop/EventLoop.java
+++ b/daemon/src/main/java/wheelroute/net/loop/EventLoop.java
@@ -37,7 +37,7 @@
      * Size of the buffer for checking whether a connection is still open. Such a check mostly finds
      * no bytes or the end of the stream.
      */
-    private static final int PEEK_BUFFER_BYTES = 2 * 1024;
+    private static final int SCRATCH_BUFFER_BYTES = 2 * 1024;
 
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
@@ -84,7 +84,7 @@
     private final TimerQueue timers;
     private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
     private final ByteBuffer readBuffer = BufferUtil.allocateDirect(READ_BUFFER_BYTES);
-    private final ByteBuffer peekBuffer = BufferUtil.allocate(PEEK_BUFFER_BYTES);
+    private final ByteBuffer scratchBuffer = BufferUtil.allocate(SCRATCH_BUFFER_BYTES);
     private Thread thread;
 
     /** Null until the first selector pass. */
@@ -203,9 +203,9 @@
      * Returns an empty buffer for checking one connection while the bytes of another are still in
      * {@link #readBuffer}.
      */
-    public ByteBuffer peekBuffer() {
-        BufferUtil.clear(peekBuffer);
-        return peekBuffer;
+    public ByteBuffer scratchBuffer() {
+        BufferUtil.clear(scratchBuffer);
+        return scratchBuffer;
     }
 
     /**
--- a/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
+++ b/daemon/src/main/java/wheelroute/net/workers/WorkerConnection.java
@@ -101,7 +101,7 @@
         try {
             return state == State.IDLE
                     && getEndPoint().isOpen()
-                    && getEndPoint().fill(loop.peekBuffer()) == 0;
+                    && getEndPoint().fill(loop.scratchBuffer()) == 0;
         } catch (IOException e) {
             return false;
         }
