--- a/daemon/src/main/java/wheelroute/net/lifecycle/Service.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/Service.java
@@ -130,7 +130,7 @@
             components.handover.onServing();
         }
         if (components.membership != null) {
-            components.membership.begin();
+            components.membership.start();
         }
         startResult.complete(null);
     }
--- a/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
+++ b/daemon/src/main/java/wheelroute/net/peers/MembershipService.java
@@ -52,7 +52,7 @@
 
     /**
      * Creates a service that listens at the configured address. No message is sent before {@link
-     * #begin}.
+     * #start}.
      *
      * @param dispatcher the name of this dispatcher
      * @param seed seed of the random number generator
@@ -110,7 +110,7 @@
     }
 
     /** Starts to probe the other dispatchers and to request leases. */
-    public void begin() {
+    public void start() {
         // The test kit waits for this log line and reads the port from the line.
         LOG.info(
                 "membership listening on {} as member {} of {}",
@@ -164,7 +164,7 @@
     private void reactivate() {
         try {
             open();
-            begin();
+            start();
         } catch (IOException e) {
             LOG.warn("membership socket not reopened after replacement: {}", e.toString());
         }
--- a/daemon/src/test/java/wheelroute/net/peers/MembershipServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/peers/MembershipServiceTest.java
@@ -89,7 +89,7 @@
                 () -> {
                     MembershipService service =
                             new MembershipService(loop, peering, "lb-0", 7, false);
-                    service.begin();
+                    service.start();
                     return service;
                 });
     }
