--- a/daemon/src/test/java/wheelroute/net/ConnectionReuseTest.java
+++ b/daemon/src/test/java/wheelroute/net/ConnectionReuseTest.java
@@ -99,7 +99,7 @@
         workers.responses.addAll(List.of(SUCCESS, SUCCESS, SUCCESS));
         serve(Idempotency.NON_IDEMPOTENT, 1024, endpointList(workers.listen()));
         assertEquals(statusOf(exchange(connect(), jobRequest(10))), 200);
-        loop.step(LONGER_THAN_QUIESCENCE_SECONDS);
+        loop.advance(LONGER_THAN_QUIESCENCE_SECONDS);
         assertEquals(statusOf(exchange(connect(), jobRequest(10))), 200);
         assertEquals(workers.connections.get(), 1);
         assertEquals(statusOf(exchange(connect(), jobRequest(10))), 200);
--- a/daemon/src/test/java/wheelroute/net/DiscoveryRecoveryTest.java
+++ b/daemon/src/test/java/wheelroute/net/DiscoveryRecoveryTest.java
@@ -90,17 +90,17 @@
         for (int i = 0; i < OUTAGES; i++) {
             beginOutage(kind);
             for (double passed = 0; passed < OUTAGE_SECONDS; passed += STEP_SECONDS) {
-                stepWithDiscovery(STEP_SECONDS);
+                advanceWithDiscovery(STEP_SECONDS);
             }
             // Continue until the worst moment for the outage to end.
             Counters.Counter moment = when == EndOfOutage.AFTER_FAILED_CALL ? FAILURES : CALLS;
             for (long before = count(moment); count(moment) == before; ) {
-                stepWithDiscovery(STEP_SECONDS);
+                advanceWithDiscovery(STEP_SECONDS);
             }
             endOutage(kind, worker, i % 2 == 0);
             double waited = 0;
             while (metric("workers_listed") != 1 + (i + 1) % 2) {
-                stepWithDiscovery(STEP_SECONDS);
+                advanceWithDiscovery(STEP_SECONDS);
                 waited += STEP_SECONDS;
                 assertTrue(waited < 20, "discovery is not polled any more");
             }
--- a/daemon/src/test/java/wheelroute/net/EndpointLeaseServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/EndpointLeaseServiceTest.java
@@ -51,7 +51,7 @@
         for (double elapsedSeconds = 0;
                 metric("list_lease_expired") != 0;
                 elapsedSeconds += STEP_SECONDS) {
-            stepWithDiscovery(STEP_SECONDS);
+            advanceWithDiscovery(STEP_SECONDS);
             assertEquals(
                     elapsedSeconds < MAX_CALL_INTERVAL_SECONDS,
                     true,
@@ -95,7 +95,7 @@
         for (double elapsedSeconds = 0;
                 metric("list_calls_total") < calls;
                 elapsedSeconds += STEP_SECONDS) {
-            stepWithDiscovery(STEP_SECONDS);
+            advanceWithDiscovery(STEP_SECONDS);
             assertEquals(
                     elapsedSeconds < MAX_CALL_INTERVAL_SECONDS,
                     true,
@@ -105,7 +105,7 @@
 
     private void stepFor(double seconds) throws Exception {
         for (double elapsedSeconds = 0; elapsedSeconds < seconds; elapsedSeconds += STEP_SECONDS) {
-            stepWithDiscovery(STEP_SECONDS);
+            advanceWithDiscovery(STEP_SECONDS);
         }
     }
 }
--- a/daemon/src/test/java/wheelroute/net/EndpointWatchServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/EndpointWatchServiceTest.java
@@ -125,13 +125,13 @@
         clock.stop();
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
         assertEquals(discovery.nextFirstLine(), HELD_CALL);
-        loop.step(4.8);
+        loop.advance(4.8);
         // Time is stopped: a delayed call would never be made.
         assertEquals(discovery.promptFirstLine(), SHORT_CALL);
         // The second call gets no response either: it times out after 1.2 s, and the next follows
         // 0.2 s later.
-        loop.step(1.21);
-        loop.step(0.21);
+        loop.advance(1.21);
+        loop.advance(0.21);
         assertEquals(discovery.nextFirstLine(), SHORT_CALL);
     }
 
@@ -140,7 +140,7 @@
         clock.stop();
         serve(Idempotency.IDEMPOTENT, 1024, endpointList(workers.listen()));
         for (int i = 0; i < 100; i++) {
-            loop.step(0.2);
+            loop.advance(0.2);
             // A round trip through the event loop, in which a call that is due is made.
             metric("list_calls_total");
         }
@@ -172,7 +172,7 @@
         assertEquals(discovery.nextFirstLine(), HELD_CALL);
         // Its first part is read before the time goes on.
         metric("list_calls_total");
-        loop.step(1.01);
+        loop.advance(1.01);
         assertEquals(discovery.promptFirstLine(), SHORT_CALL);
     }
 
@@ -191,7 +191,7 @@
         for (int i = 0; i < 10; i++) {
             assertEquals(discovery.promptFirstLine(), i == 0 ? HELD_CALL : SHORT_CALL);
             awaitMetric("list_failures_total", i + 1);
-            loop.step(0.25);
+            loop.advance(0.25);
         }
     }
 }
--- a/daemon/src/test/java/wheelroute/net/GracefulShutdownServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/GracefulShutdownServiceTest.java
@@ -129,13 +129,13 @@
         idle.setSoTimeout(TIMEOUT_MILLIS);
         // Accepted after it.
         assertEquals(statusOf(exchange(connect(), HEALTH_CHECK)), 200);
-        loop.step(LONGER_THAN_QUIESCENCE_SECONDS);
+        loop.advance(LONGER_THAN_QUIESCENCE_SECONDS);
         CompletableFuture<Void> ended = drain(service);
         awaitDraining();
         send(idle, jobRequest(10));
         // Until the process has ended or has seen the request.
         while (service.counters().value(Counters.Counter.ATTEMPTS) == 0 && !ended.isDone()) {
-            loop.step(0.02);
+            loop.advance(0.02);
         }
         assertEquals(statusOf(readMessage(idle.getInputStream())), 200);
         clock.resume();
--- a/daemon/src/test/java/wheelroute/net/PipeliningTest.java
+++ b/daemon/src/test/java/wheelroute/net/PipeliningTest.java
@@ -116,7 +116,7 @@
         while (loop.bytesRead.get() < before + next.length()) {
             loop.awaitPendingTasks();
         }
-        loop.step(2);
+        loop.advance(2);
         workers.responses.addAll(List.of("", SUCCESS));
         workers.sendUnsolicited(SUCCESS.replace("ID", "88"));
         assertEquals(statusOf(readMessage(client.getInputStream())), 200);
--- a/daemon/src/test/java/wheelroute/net/ProcessStallServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/ProcessStallServiceTest.java
@@ -78,7 +78,7 @@
         }
         Socket longTimeout = connect();
         send(longTimeout, jobRequestWithId(99));
-        clock.step(4);
+        clock.advance(4);
         resume.countDown();
         for (Socket client : clients) {
             assertEquals(statusOf(readMessage(client.getInputStream())), 503);
@@ -111,7 +111,7 @@
             Socket client = connect();
             exchange(client, HEALTH_CHECK);
             // After the quiescence time the connections to workers are used again.
-            loop.step(LONGER_THAN_QUIESCENCE_SECONDS);
+            loop.advance(LONGER_THAN_QUIESCENCE_SECONDS);
             workers.received.clear();
             clock.jumpAfterReads(reads, 4);
             // The harness limits timeouts to 2 s.
--- a/daemon/src/test/java/wheelroute/net/ServiceHarness.java
+++ b/daemon/src/test/java/wheelroute/net/ServiceHarness.java
@@ -164,8 +164,8 @@
     }
 
     /** Advances the stopped clock, and waits for all calls to discovery that this causes. */
-    protected void stepWithDiscovery(double seconds) throws Exception {
-        loop.step(seconds);
+    protected void advanceWithDiscovery(double seconds) throws Exception {
+        loop.advance(seconds);
         awaitDiscoveryCalls();
     }
 
--- a/daemon/src/test/java/wheelroute/net/discovery/DiscoveryCallPolicyTest.java
+++ b/daemon/src/test/java/wheelroute/net/discovery/DiscoveryCallPolicyTest.java
@@ -70,7 +70,7 @@
         assertEquals(policy.nextHoldMillis(), 0);
         assertEquals(policy.callTimeout(), 1.2);
         assertEquals(delayAfter(policy, CONNECT_REFUSED), 0.2);
-        clock.step(2);
+        clock.advance(2);
         assertEquals(policy.state(), State.RECOVERING);
     }
 
--- a/daemon/src/test/java/wheelroute/net/loop/ControlledEventLoop.java
+++ b/daemon/src/test/java/wheelroute/net/loop/ControlledEventLoop.java
@@ -112,10 +112,10 @@
     }
 
     /** Advances the stopped clock; returns when all tasks and timers due by then have run. */
-    public void step(double seconds) throws InterruptedException {
+    public void advance(double seconds) throws InterruptedException {
         // Tasks that have already been posted run before the clock advances.
         awaitPendingTasks();
-        clock.step(seconds);
+        clock.advance(seconds);
         awaitPendingTasks();
     }
 
--- a/daemon/src/test/java/wheelroute/net/loop/ManualClock.java
+++ b/daemon/src/test/java/wheelroute/net/loop/ManualClock.java
@@ -42,7 +42,7 @@
      * Advances the stopped clock. The event loop, which waits by the real time, must then be woken.
      */
     @SuppressWarnings("NonAtomicVolatileUpdate") // Only the test's thread writes the field.
-    public void step(double seconds) {
+    public void advance(double seconds) {
         stoppedAt += seconds;
     }
 
@@ -56,7 +56,7 @@
 
     private synchronized void countRead() {
         if (readsUntilJump > 0 && --readsUntilJump == 0) {
-            step(jumpSeconds);
+            advance(jumpSeconds);
         }
     }
 
--- a/daemon/src/test/java/wheelroute/net/peers/MembershipServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/peers/MembershipServiceTest.java
@@ -164,7 +164,7 @@
             text = onLoop(service::membersText);
         }
         // The service's own voter leaves its quarantine within this time.
-        loop.step(12.3);
+        loop.advance(12.3);
         for (int i = 0; i < MAX_RECEIVES && !text.equals(expected); i++) {
             DatagramPacket packet = receive();
             if (packet != null) {
--- a/daemon/src/test/java/wheelroute/net/requests/EndpointDirectoryTest.java
+++ b/daemon/src/test/java/wheelroute/net/requests/EndpointDirectoryTest.java
@@ -63,7 +63,7 @@
     /** The wall clocks of all machines are stepped while this process runs. */
     @Test(dataProvider = "stepSeconds")
     public void convertsStartOfWorkerThatJoinsAfterStep(double step) {
-        clock.step(4);
+        clock.advance(4);
         clock.stepWallClock(step);
         assertEquals(startedAtAfterListing(clock.wallTime()), clock.now(), 0.01);
     }
@@ -72,7 +72,7 @@
     public void keepsStartOfKnownWorkerAfterStep(double step) {
         double listed = clock.wallTime() - 100;
         double before = startedAtAfterListing(listed);
-        clock.step(4);
+        clock.advance(4);
         clock.stepWallClock(step);
         assertEquals(startedAtAfterListing(listed), before);
     }
@@ -81,7 +81,7 @@
     @Test
     public void reportsLaterStartOfWorkerThatRestartsAfterStepBack() {
         double before = startedAtAfterListing(clock.wallTime() - 100);
-        clock.step(4);
+        clock.advance(4);
         clock.stepWallClock(-3600);
         double after = startedAtAfterListing(clock.wallTime());
         assertEquals(
--- a/daemon/src/test/java/wheelroute/net/requests/StartTimesTest.java
+++ b/daemon/src/test/java/wheelroute/net/requests/StartTimesTest.java
@@ -51,7 +51,7 @@
         clock.stop();
         StartTimes times = new StartTimes(loop);
         double listed = clock.wallTime();
-        clock.step(2);
+        clock.advance(2);
         clock.stepWallClock(step);
         times.observeWallClock();
         double age = clock.now() - times.toLoopTime(listed);
