--- a/daemon/src/main/java/wheelroute/decision/admission/Admission.java
+++ b/daemon/src/main/java/wheelroute/decision/admission/Admission.java
@@ -34,7 +34,8 @@
         var maxWaits = requestClasses.stream().mapToDouble(Admission::maxWaitPerRootWeight);
         double least = maxWaits.min().orElse(0);
         return new WaitLimits(
-                least * Math.sqrt(request.value()), fairnessFactor(request.request().tenant()));
+                least * Math.sqrt(request.priorityWeight()),
+                fairnessFactor(request.request().tenant()));
     }
 
     /**
@@ -74,7 +75,7 @@
 
     private static double maxWaitPerRootWeight(RequestClassState requestClass) {
         double work = requestClass.estimates().meanWork();
-        return maxWaitSeconds(requestClass, work, work) / Math.sqrt(requestClass.value());
+        return maxWaitSeconds(requestClass, work, work) / Math.sqrt(requestClass.priorityWeight());
     }
 
     /**
--- a/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
+++ b/daemon/src/main/java/wheelroute/decision/estimates/TrafficStatistics.java
@@ -28,7 +28,7 @@
 
     private double firstAcceptedAt = Double.POSITIVE_INFINITY;
     private double meanWork = STANDARD_WORK;
-    private double meanValue = 1;
+    private double meanPriorityWeight = 1;
     private double meanWeightedWork = 1;
 
     /** Records the time at which the first request was accepted; later calls have no effect. */
@@ -39,7 +39,7 @@
     /** Records an accepted request, also for its tenant if the tenant has a quota. */
     public void record(TrackedRequest request, boolean tenantHasQuota) {
         double now = request.acceptedAt();
-        arrivals.add(now, request.work(), request.value());
+        arrivals.add(now, request.work(), request.priorityWeight());
         loads.add(now, request.work() * request.slots());
         if (tenantHasQuota) {
             tenants.computeIfAbsent(
@@ -51,7 +51,7 @@
     /** Computes the means, which stay the same until the next choice of a worker. */
     void refreshMeans() {
         meanWork = arrivals.meanOfFirst(STANDARD_WORK);
-        meanValue = arrivals.meanOfSecond();
+        meanPriorityWeight = arrivals.meanOfSecond();
         meanWeightedWork = arrivals.meanOfProduct();
     }
 
@@ -64,8 +64,8 @@
     }
 
     /** Returns the mean priority weight of a request as of the last choice of a worker. */
-    public double meanValue() {
-        return meanValue;
+    public double meanPriorityWeight() {
+        return meanPriorityWeight;
     }
 
     /**
--- a/daemon/src/main/java/wheelroute/decision/order/KeyQueues.java
+++ b/daemon/src/main/java/wheelroute/decision/order/KeyQueues.java
@@ -116,15 +116,15 @@
         double run = fleet.expectedRunSeconds(request);
         double maxWait = Admission.maxWaitSeconds(request.requestClass(), request.work(), run);
         double excessSeconds = expectedStartAt - request.acceptedAt() - maxWait;
-        List<TrackedRequest> lessValuable = ofLessValue(request, kept);
-        double savedSeconds = lessValuable.stream().mapToDouble(fleet::expectedRunSeconds).sum();
+        List<TrackedRequest> lowerPriority = withLowerPriority(request, kept);
+        double savedSeconds = lowerPriority.stream().mapToDouble(fleet::expectedRunSeconds).sum();
         if (isDueForRejection(request, queue) || excessSeconds > savedSeconds) {
             return List.of(request);
         }
         List<TrackedRequest> rejected = new ArrayList<>();
-        for (int i = 0; excessSeconds > 0 && i < lessValuable.size(); i++) {
-            rejected.add(lessValuable.get(i));
-            excessSeconds -= fleet.expectedRunSeconds(lessValuable.get(i));
+        for (int i = 0; excessSeconds > 0 && i < lowerPriority.size(); i++) {
+            rejected.add(lowerPriority.get(i));
+            excessSeconds -= fleet.expectedRunSeconds(lowerPriority.get(i));
         }
         return rejected;
     }
@@ -145,12 +145,15 @@
     }
 
     /**
-     * Returns the other requests that are of less value than the given one, the least valuable
-     * first.
+     * Returns the other requests that have a lower priority weight than the given one, the lowest
+     * weight first.
      */
-    private static List<TrackedRequest> ofLessValue(
+    private static List<TrackedRequest> withLowerPriority(
             TrackedRequest request, List<TrackedRequest> others) {
-        var lessValuable = others.stream().filter(other -> other.value() < request.value());
-        return lessValuable.sorted(Comparator.comparingDouble(TrackedRequest::value)).toList();
+        var lowerPriority =
+                others.stream().filter(other -> other.priorityWeight() < request.priorityWeight());
+        return lowerPriority
+                .sorted(Comparator.comparingDouble(TrackedRequest::priorityWeight))
+                .toList();
     }
 }
--- a/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/AdmittanceCost.java
@@ -67,15 +67,15 @@
         TrafficStatistics traffic = inputs.traffic();
         int senders = inputs.dispatchers().senderCount();
         double load = Math.min(MAX_OFFERED_LOAD, senders * traffic.workRate(now) / capacity);
-        double value = senders * traffic.rate(now) * traffic.meanValue();
-        return new AdmittanceCost(inputs, request, value / (2 * (1 - load)) / capacity);
+        double weightRate = senders * traffic.rate(now) * traffic.meanPriorityWeight();
+        return new AdmittanceCost(inputs, request, weightRate / (2 * (1 - load)) / capacity);
     }
 
     /** Returns the cost of admitting the request at a candidate. */
     double costAt(Candidate candidate) {
         CacheMissCost cacheMissCost = inputs.cacheMissCost();
         int rank = candidate.affinityRank();
-        double value = request.value();
+        double priorityWeight = request.priorityWeight();
         double runSeconds =
                 request.work() / candidate.speed()
                         + CACHE_MISS_FACTOR * cacheMissCost.expectedSeconds(rank);
@@ -84,12 +84,12 @@
         double failureCount = inputs.ejection().recentFailures(candidate.worker());
         double lateProbability =
                 lateProbability(waitSeconds, Math.max(0, objectiveSeconds - runSeconds));
-        return value * (waitSeconds + runSeconds)
+        return priorityWeight * (waitSeconds + runSeconds)
                 + costToLaterArrivals(candidate, runSeconds)
                 + (candidate.worker().isInSameZone() ? 0 : crossZoneCost)
                 + asCost(missPrice)
                 + (failureCount / FAILURES_AT_FULL_COST + lateProbability)
-                        * value
+                        * priorityWeight
                         * objectiveSeconds;
     }
 
--- a/daemon/src/main/java/wheelroute/decision/state/RequestClassState.java
+++ b/daemon/src/main/java/wheelroute/decision/state/RequestClassState.java
@@ -8,12 +8,12 @@
     private static final int ESTIMATE_SAMPLE_COUNT = 64;
 
     private final Settings.RequestClass settings;
-    private final double value;
+    private final double priorityWeight;
     private final CostEstimates estimates = new CostEstimates(ESTIMATE_SAMPLE_COUNT);
 
     RequestClassState(Settings.RequestClass settings) {
         this.settings = settings;
-        value = settings.priorityWeight() > 0 ? settings.priorityWeight() : 1;
+        priorityWeight = settings.priorityWeight() > 0 ? settings.priorityWeight() : 1;
     }
 
     public Settings.RequestClass settings() {
@@ -21,8 +21,8 @@
     }
 
     /** Returns the priority weight of the class; 1 if the settings have none above 0. */
-    public double value() {
-        return value;
+    public double priorityWeight() {
+        return priorityWeight;
     }
 
     /** Returns the corrections of the cost estimates that clients send for this class. */
--- a/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
+++ b/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
@@ -63,8 +63,8 @@
     }
 
     /** Returns the priority weight of the request class, above 0. */
-    public double value() {
-        return requestClass.value();
+    public double priorityWeight() {
+        return requestClass.priorityWeight();
     }
 
     /** Returns the expected work of the request, in seconds on a standard core. */
