--- a/daemon/src/main/java/wheelroute/decision/RequestEvents.java
+++ b/daemon/src/main/java/wheelroute/decision/RequestEvents.java
@@ -23,14 +23,14 @@
 
     @Override
     public void onClientGone() {
-        request.finish();
+        request.markClosed();
         components.sender().cancelAll(request);
         components.keyQueues().removeIfComplete(request);
     }
 
     @Override
     public void onDeadline() {
-        if (!request.isDone() && !request.hasInFlight()) {
+        if (!request.isClosed() && !request.hasInFlight()) {
             components.placer().rejectOrFail(request, 0);
             components.keyQueues().removeIfComplete(request);
         }
@@ -77,9 +77,9 @@
         request.noteOutcome(outcome);
         components.keyQueues().onOutcome(request, outcome);
         if (answered || outcome == Outcome.SUCCEEDED) {
-            request.finish();
+            request.markClosed();
             components.sender().cancelAll(request);
-        } else if (!request.isDone()) {
+        } else if (!request.isClosed()) {
             components.placer().place(request);
         }
         components.keyQueues().removeIfComplete(request);
--- a/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
+++ b/daemon/src/main/java/wheelroute/decision/retry/RetryRules.java
@@ -46,7 +46,7 @@
         if (endpointLease.isExpired(now)) {
             return AttemptPermission.ENDPOINT_LEASE_EXPIRED;
         }
-        if (request.isDone() || request.isStreaming() || request.isInvalid()) {
+        if (request.isClosed() || request.isStreaming() || request.isInvalid()) {
             return AttemptPermission.REQUEST_CLOSED;
         }
         if (request.hasFailed() && errorAttribution.areRequestsAtFault()) {
@@ -117,7 +117,7 @@
      */
     Replacement replacementFor(Attempt attempt, BooleanSupplier hasOtherWorker) {
         TrackedRequest request = attempt.request();
-        if (request.isDone() || request.isStreaming()) {
+        if (request.isClosed() || request.isStreaming()) {
             return Replacement.NONE;
         }
         if (settings.mayHedge()) {
--- a/daemon/src/main/java/wheelroute/decision/routing/RequestPlacer.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/RequestPlacer.java
@@ -91,7 +91,7 @@
      * @param retryAfterSeconds the time after which a retry may succeed
      */
     public void rejectOrFail(TrackedRequest request, double retryAfterSeconds) {
-        request.finish();
+        request.markClosed();
         if (retryRules.isClientRetrySafe(request)) {
             double advisedSeconds = Math.min(settings.maxRetryAfterSeconds(), retryAfterSeconds);
             actions.reject(request.request().id(), settings.sendsRetryAfter() ? advisedSeconds : 0);
--- a/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
+++ b/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
@@ -20,7 +20,7 @@
     private final List<Attempt> attempts = new ArrayList<>(2);
     private double keyBlockedUntil = Double.NEGATIVE_INFINITY;
     private int inFlight;
-    private boolean done;
+    private boolean closed;
     private boolean streaming;
     private boolean invalid;
     private boolean failed;
@@ -130,19 +130,19 @@
         return inFlight > 0;
     }
 
-    /** Marks the request as answered, or as abandoned by its client. */
-    public void finish() {
-        done = true;
+    /** Closes the request, because it is answered or its client has disconnected. */
+    public void markClosed() {
+        closed = true;
     }
 
-    /** Returns whether the request has its answer or its client is gone. */
-    public boolean isDone() {
-        return done;
+    /** Returns whether the request is answered or its client has disconnected. */
+    public boolean isClosed() {
+        return closed;
     }
 
-    /** Returns whether the request is done and has no attempt in flight. */
+    /** Returns whether the request is closed and has no attempt in flight. */
     public boolean isComplete() {
-        return done && inFlight == 0;
+        return closed && inFlight == 0;
     }
 
     /** Marks that part of a result was sent to the client, so that no other attempt may answer. */
