--- a/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
+++ b/daemon/src/main/java/wheelroute/decision/endpoints/EndpointUpdates.java
@@ -97,7 +97,7 @@
                         && endpoint.startedAt() > 0
                         && !(endpoint.startedAt() <= previous.startedAt());
         boolean inSameZone = endpoint.zone().equals(zone);
-        worker.list(endpoint, workers.model(endpoint.model()), inSameZone);
+        worker.markListed(endpoint, workers.model(endpoint.model()), inSameZone);
         // The draw depends on the cell as well as on the start, so that workers that start at the
         // same time get different turns.
         double draw =
--- a/daemon/src/main/java/wheelroute/decision/state/WorkerState.java
+++ b/daemon/src/main/java/wheelroute/decision/state/WorkerState.java
@@ -60,7 +60,7 @@
     }
 
     /** Records an entry of the endpoint list for the worker and marks the worker as listed. */
-    public void list(Endpoint newEndpoint, ModelStatistics newModel, boolean isInSameZone) {
+    public void markListed(Endpoint newEndpoint, ModelStatistics newModel, boolean isInSameZone) {
         endpoint = newEndpoint;
         model = newModel;
         inSameZone = isInSameZone;
