--- a/daemon/src/main/java/wheelroute/config/TomlEndpointList.java
+++ b/daemon/src/main/java/wheelroute/config/TomlEndpointList.java
@@ -26,16 +26,16 @@
         String name = worker.text("name", null);
         String address = worker.text("address", null);
         if (!PLAIN_NAME.matcher(name).matches()) {
-            worker.addFault("name", "has a character that is not allowed in a name: " + name);
+            worker.addError("name", "has a character that is not allowed in a name: " + name);
         }
         if (!address.isEmpty() && SocketAddresses.parse(address) == null) {
-            worker.addFault("address", "is not host:port: " + address);
+            worker.addError("address", "is not host:port: " + address);
         }
         String zone = worker.text("zone", "");
         String model = worker.text("model", "");
         for (String text : List.of(address, zone, model)) {
             if (!PLAIN_TEXT.matcher(text).matches()) {
-                worker.addFault(
+                worker.addError(
                         "name",
                         "has a zone, model or address that is not printable ASCII text without"
                                 + " quotes and backslashes: "
--- a/daemon/src/main/java/wheelroute/config/TomlFields.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFields.java
@@ -29,7 +29,7 @@
 
     private final TomlTable table;
     private final String path;
-    private final List<Fault> errors;
+    private final List<FieldError> errors;
     private final Set<String> knownKeys = new HashSet<>();
 
     /**
@@ -39,7 +39,7 @@
      * @param key path of the field; may be empty
      * @param message what is wrong, as the predicate of a sentence about the key
      */
-    public record Fault(int line, String key, String message) {
+    public record FieldError(int line, String key, String message) {
         @Override
         public String toString() {
             return "line " + line + ": " + (key.isEmpty() ? "" : key + " ") + message;
@@ -52,15 +52,15 @@
      * @param path path of the table, with a dot at its end; empty for the root
      * @param errors list to which the reader adds the errors that it finds
      */
-    public TomlFields(TomlTable table, String path, List<Fault> errors) {
+    public TomlFields(TomlTable table, String path, List<FieldError> errors) {
         this.table = table;
         this.path = path;
         this.errors = errors;
     }
 
     /** Records an error at the line of the key, or of the table's first key if it is absent. */
-    public void addFault(String key, String message) {
-        errors.add(new Fault(line(key), path + key, message));
+    public void addError(String key, String message) {
+        errors.add(new FieldError(line(key), path + key, message));
     }
 
     private int line(String key) {
@@ -96,17 +96,17 @@
         Object value = value(key);
         if (value == null) {
             if (Double.isNaN(defaultValue)) {
-                addFault(key, "is missing");
+                addError(key, "is missing");
             }
             return defaultValue;
         }
         if (!(value instanceof Long) && !(value instanceof Double)) {
-            addFault(key, "is not a number: " + value);
+            addError(key, "is not a number: " + value);
             return min;
         }
         double number = ((Number) value).doubleValue();
         if (!(number >= min && number <= max)) {
-            addFault(
+            addError(
                     key,
                     "is not from " + format(min) + " to " + format(max) + ": " + format(number));
             return min;
@@ -124,7 +124,7 @@
     public int integer(String key, double defaultValue, int min, int max) {
         double number = number(key, defaultValue, min, max);
         if (number != Math.rint(number)) {
-            addFault(key, "is not a whole number: " + number);
+            addError(key, "is not a whole number: " + number);
         }
         return Double.isNaN(number) ? min : (int) number;
     }
@@ -146,12 +146,12 @@
         Object value = value(key);
         if (value == null) {
             if (defaultValue == null) {
-                addFault(key, "is missing");
+                addError(key, "is missing");
             }
             return defaultValue == null ? "" : defaultValue;
         }
         if (!(value instanceof String text)) {
-            addFault(key, "is not a string: " + value);
+            addError(key, "is not a string: " + value);
             return "";
         }
         return text;
@@ -161,7 +161,7 @@
     public boolean flag(String key, boolean defaultValue) {
         Object value = value(key);
         if (value != null && !(value instanceof Boolean)) {
-            addFault(key, "is not true or false: " + value);
+            addError(key, "is not true or false: " + value);
             return defaultValue;
         }
         return value == null ? defaultValue : (Boolean) value;
@@ -184,7 +184,7 @@
             names.add(name);
         }
         if (!text.isEmpty()) {
-            addFault(key, "is none of " + String.join(", ", names) + ": " + text);
+            addError(key, "is none of " + String.join(", ", names) + ": " + text);
         }
         return type.getEnumConstants()[0];
     }
@@ -215,7 +215,7 @@
             return defaultValue;
         }
         if (!(value instanceof TomlArray array)) {
-            addFault(key, "is not a list");
+            addError(key, "is not a list");
             return defaultValue;
         }
         List<String> texts = new ArrayList<>();
@@ -223,7 +223,7 @@
             if (item instanceof String text && allowed.test(text)) {
                 texts.add(text);
             } else {
-                addFault(key, "has an item that is " + itemError + ": " + item);
+                addError(key, "has an item that is " + itemError + ": " + item);
             }
         }
         return texts;
@@ -233,7 +233,7 @@
     public TomlFields table(String key) {
         Object value = value(key);
         if (value != null && !(value instanceof TomlTable)) {
-            addFault(key, "is not a table");
+            addError(key, "is not a table");
             value = null;
         }
         TomlTable subtable = value == null ? Toml.parse("") : (TomlTable) value;
@@ -248,14 +248,14 @@
             return tables;
         }
         if (!(value instanceof TomlArray array)) {
-            addFault(key, "is not a list of tables");
+            addError(key, "is not a list of tables");
             return tables;
         }
         for (int i = 0; i < array.size(); i++) {
             if (array.get(i) instanceof TomlTable item) {
                 tables.add(new TomlFields(item, path + key + "[" + i + "].", errors));
             } else {
-                addFault(key, "has an item that is not a table: " + array.get(i));
+                addError(key, "has an item that is not a table: " + array.get(i));
             }
         }
         return tables;
@@ -274,7 +274,7 @@
         for (String key : table.keySet()) {
             if (!knownKeys.contains(key)) {
                 List<String> sortedKeys = knownKeys.stream().sorted().toList();
-                addFault(key, "is not known; known here: " + String.join(", ", sortedKeys));
+                addError(key, "is not known; known here: " + String.join(", ", sortedKeys));
             }
         }
     }
--- a/daemon/src/main/java/wheelroute/config/TomlFile.java
+++ b/daemon/src/main/java/wheelroute/config/TomlFile.java
@@ -39,7 +39,7 @@
     private static final int DEFAULT_MAX_RETRY_AFTER_SECONDS = 2;
 
     private final Map<String, String> pairs = new HashMap<>();
-    private final List<TomlFields.Fault> errors = new ArrayList<>();
+    private final List<TomlFields.FieldError> errors = new ArrayList<>();
     private final TomlEndpointList endpoints = new TomlEndpointList();
 
     private TomlFile() {}
@@ -65,13 +65,15 @@
     }
 
     /** Returns an exception with the first error by line, followed by the others on a line each. */
-    private static ConfigException toException(List<TomlFields.Fault> errors) {
-        List<TomlFields.Fault> sorted =
-                errors.stream().sorted(Comparator.comparingInt(TomlFields.Fault::line)).toList();
-        TomlFields.Fault first = sorted.get(0);
+    private static ConfigException toException(List<TomlFields.FieldError> errors) {
+        List<TomlFields.FieldError> sorted =
+                errors.stream()
+                        .sorted(Comparator.comparingInt(TomlFields.FieldError::line))
+                        .toList();
+        TomlFields.FieldError first = sorted.get(0);
         StringBuilder message = new StringBuilder();
         message.append(first.message()).append(" (line ").append(first.line()).append(')');
-        for (TomlFields.Fault error : sorted.subList(1, sorted.size())) {
+        for (TomlFields.FieldError error : sorted.subList(1, sorted.size())) {
             message.append("\n  ").append(error);
         }
         return new ConfigException(first.key(), message.toString());
@@ -157,7 +159,7 @@
         List<String> addresses = peers.anyTextList("addresses");
         putIfNotEmpty(ConfigKeys.PEERING_ADDRESSES, String.join(",", addresses));
         if (peers.contains("listen") == addresses.isEmpty()) {
-            peers.addFault("listen", "and addresses must be given together");
+            peers.addError("listen", "and addresses must be given together");
         }
         peers.rejectUnknownKeys();
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/FaultReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultReader.java
@@ -34,7 +34,7 @@
         FaultKind kind = ScenarioFields.constant(fields, "kind", null, FaultKind.class);
         String group = fields.text("group", "");
         if (!group.isEmpty() && groups.stream().noneMatch(each -> each.name().equals(group))) {
-            fields.addFault("group", "is not the name of a worker group: " + group);
+            fields.addError("group", "is not the name of a worker group: " + group);
         }
         Scenario.Fault fault = fault(fields, kind, group);
         checkTimes(fields, fault);
@@ -64,7 +64,7 @@
 
     private void checkTimes(TomlFields fields, Scenario.Fault fault) {
         if (fault.endSeconds() > cycleSeconds) {
-            fields.addFault(
+            fields.addError(
                     "for",
                     "makes the fault end at "
                             + fault.endSeconds()
@@ -73,7 +73,7 @@
                             + " s");
         }
         if (fault.startSpreadSeconds() > 0 && !fault.kind().affectsDispatchers()) {
-            fields.addFault(
+            fields.addError(
                     "within",
                     "is allowed only for faults of dispatchers, not for " + fault.kind().key());
         }
@@ -83,37 +83,37 @@
         FaultKind kind = fault.kind();
         if (fields.contains("to")
                 && (!kind.affectsLinks() || kind == FaultKind.DISCOVERY_LINK_CUT)) {
-            fields.addFault("to", "is allowed only for faults of links, not for " + kind.key());
+            fields.addError("to", "is allowed only for faults of links, not for " + kind.key());
         }
         if (kind == FaultKind.LINK_DUPLICATION && fault.linkKind() != LinkKind.PEERS) {
-            fields.addFault("kind", "requires to = \"peers\", got " + fault.linkKind().key());
+            fields.addError("kind", "requires to = \"peers\", got " + fault.linkKind().key());
         }
     }
 
     private void checkTargets(TomlFields fields, Scenario.Fault fault) {
         if (!fault.workerZone().isEmpty() && groups.stream().noneMatch(fault::affects)) {
-            fields.addFault("zone", "is not a zone of the selected workers: " + fault.workerZone());
+            fields.addError("zone", "is not a zone of the selected workers: " + fault.workerZone());
         }
         if (fault.dispatcherZone().isEmpty()) {
             return;
         }
         if (!fault.kind().affectsDispatchers()) {
-            fields.addFault(
+            fields.addError(
                     "from",
                     "is allowed only for faults of dispatchers, not for " + fault.kind().key());
         } else if (!dispatcherZones.contains(fault.dispatcherZone())) {
-            fields.addFault("from", "is not one of run.zones: " + fault.dispatcherZone());
+            fields.addError("from", "is not one of run.zones: " + fault.dispatcherZone());
         }
     }
 
     private void checkMode(TomlFields fields, Scenario.Fault fault) {
         FaultKind kind = fault.kind();
         if (!kind.allowedModes().contains(fault.mode())) {
-            fields.addFault(
+            fields.addError(
                     "how", "is not supported for " + kind.key() + ": " + fault.mode().key());
         }
         if (kind.needsProcesses() && allowsVirtualClock) {
-            fields.addFault(
+            fields.addError(
                     "kind", "cannot be simulated, so run.clocks must be [\"real\"]: " + kind.key());
         }
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioFields.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioFields.java
@@ -20,7 +20,7 @@
     static String name(TomlFields fields) {
         String name = fields.text("name", null);
         if (!name.isEmpty() && !name.matches("[a-z0-9][a-z0-9-]{0,40}")) {
-            fields.addFault(
+            fields.addError(
                     "name",
                     "must be 1 to 41 lowercase letters, digits and dashes, not a dash first: "
                             + name);
@@ -45,7 +45,7 @@
         if (!text.isEmpty()) {
             List<String> keys =
                     Arrays.stream(type.getEnumConstants()).map(KeyedConstant::key).toList();
-            fields.addFault(key, "is not one of " + String.join(", ", keys) + ": " + text);
+            fields.addError(key, "is not one of " + String.join(", ", keys) + ": " + text);
         }
         return type.getEnumConstants()[0];
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -75,12 +75,12 @@
                             .map(e -> "line " + e.position().line() + ": " + e.getMessage())
                             .toList());
         }
-        List<TomlFields.Fault> faults = new ArrayList<>();
-        Scenario scenario = new ScenarioReader(new TomlFields(toml, "", faults)).read(name);
-        if (!faults.isEmpty()) {
-            faults.sort(Comparator.comparingInt(TomlFields.Fault::line));
+        List<TomlFields.FieldError> errors = new ArrayList<>();
+        Scenario scenario = new ScenarioReader(new TomlFields(toml, "", errors)).read(name);
+        if (!errors.isEmpty()) {
+            errors.sort(Comparator.comparingInt(TomlFields.FieldError::line));
             throw new ScenarioException(
-                    name, faults.stream().map(TomlFields.Fault::toString).toList());
+                    name, errors.stream().map(TomlFields.FieldError::toString).toList());
         }
         return scenario;
     }
@@ -141,7 +141,7 @@
         List<String> zones = run.textList("zones", List.of(), workerZones);
         boolean peersEnabled = run.flag("peers", false);
         if (peersEnabled && clocks.contains(VIRTUAL)) {
-            run.addFault(
+            run.addError(
                     "peers", "cannot be simulated, so run.clocks must be [\"real\"]: " + clocks);
         }
         run.rejectUnknownKeys();
@@ -165,7 +165,7 @@
                         ScenarioFields.readStrictly(
                                 fields.table(figure), bounds -> expectation(figure, bounds)));
             } else {
-                fields.addFault(
+                fields.addError(
                         figure, "is not a figure of a report; known figures: " + FigureNames.KNOWN);
                 fields.table(figure);
             }
@@ -191,7 +191,7 @@
         requireUnique("tenants", scenario.tenants(), Scenario.Tenant::name);
         requireAscending(scenario.load());
         if (scenario.workerCount() > WorkloadReader.MAX_WORKERS) {
-            root.addFault(
+            root.addError(
                     "workers",
                     "must be at most "
                             + WorkloadReader.MAX_WORKERS
@@ -202,7 +202,7 @@
 
     private void requireNonEmpty(String key, List<?> items) {
         if (items.isEmpty()) {
-            root.addFault(key, root.contains(key) ? "is empty" : "is missing");
+            root.addError(key, root.contains(key) ? "is empty" : "is missing");
         }
     }
 
@@ -211,7 +211,7 @@
         for (T item : items) {
             String name = nameOf.apply(item);
             if (!seen.add(name)) {
-                root.addFault(key, "has more than one item named " + name);
+                root.addError(key, "has more than one item named " + name);
             }
         }
     }
@@ -220,7 +220,7 @@
         for (int i = 1; i < load.size(); i++) {
             double at = load.get(i).atSeconds();
             if (at < load.get(i - 1).atSeconds()) {
-                root.addFault(
+                root.addError(
                         "load",
                         "must be in order of time, but at = "
                                 + at
--- a/kit/src/main/java/wheelroute/kit/scenario/WorkloadReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/WorkloadReader.java
@@ -58,7 +58,7 @@
                         fields.integer("slots", 1, 1, MAX_SLOTS),
                         fields.number("memory", 0, 0, MAX_NUMBER));
         if (requestClass.deadlineSeconds() < objectiveSeconds) {
-            fields.addFault(
+            fields.addError(
                     "outer",
                     "must be at least quoted, "
                             + objectiveSeconds
