--- a/daemon/src/main/java/wheelroute/decision/routing/KeyAffinity.java
+++ b/daemon/src/main/java/wheelroute/decision/routing/KeyAffinity.java
@@ -49,12 +49,12 @@
     private static final double MIN_WEIGHT = 0.01;
 
     private final Function<W, Endpoint> endpoints;
-    private final Map<Ids.Key, Placement> placements =
+    private final Map<Ids.Key, CacheLocations> cacheLocations =
             new LinkedHashMap<>(16, 0.75f, true) {
                 private static final long serialVersionUID = 1;
 
                 @Override
-                protected boolean removeEldestEntry(Map.Entry<Ids.Key, Placement> eldest) {
+                protected boolean removeEldestEntry(Map.Entry<Ids.Key, CacheLocations> eldest) {
                     return size() > MAX_KEYS;
                 }
             };
@@ -77,21 +77,21 @@
     }
 
     /**
-     * Returns the placement of a key. A new key evicts the least recently used one when there are
-     * too many.
+     * Returns the cache locations of a key. A new key evicts the least recently used one when there
+     * are too many.
      */
-    public Placement forKey(Ids.Key key) {
-        return placements.computeIfAbsent(key, Placement::new);
+    public CacheLocations forKey(Ids.Key key) {
+        return cacheLocations.computeIfAbsent(key, CacheLocations::new);
     }
 
     /** The workers that are expected to have the data of one key. */
-    public final class Placement {
+    public final class CacheLocations {
         private final long hash;
         private final Map<Ids.Model, List<W>> preferredByModel = new HashMap<>();
         private final Map<W, Integer> attemptCountAtSend = new LinkedHashMap<>();
         private int rankedVersion;
 
-        private Placement(Ids.Key key) {
+        private CacheLocations(Ids.Key key) {
             hash = mix(key.name().hashCode());
         }
 
--- a/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
+++ b/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
@@ -15,7 +15,7 @@
     private final double work;
     private final double slots;
     private final double acceptedAt;
-    private final KeyAffinity<WorkerState>.Placement affinity;
+    private final KeyAffinity<WorkerState>.CacheLocations affinity;
     private final KeyQueue queue;
     private final List<Attempt> attempts = new ArrayList<>(2);
     private double keyBlockedUntil = Double.NEGATIVE_INFINITY;
@@ -37,7 +37,7 @@
             Request request,
             RequestClassState requestClass,
             double acceptedAt,
-            KeyAffinity<WorkerState>.Placement affinity,
+            KeyAffinity<WorkerState>.CacheLocations affinity,
             KeyQueue queue) {
         this.request = request;
         this.requestClass = requestClass;
@@ -86,7 +86,7 @@
      * Returns the workers that likely cache the data of the request's key; null if the request has
      * no key.
      */
-    public KeyAffinity<WorkerState>.Placement affinity() {
+    public KeyAffinity<WorkerState>.CacheLocations affinity() {
         return affinity;
     }
 
--- a/daemon/src/test/java/wheelroute/decision/routing/KeyAffinityTest.java
+++ b/daemon/src/test/java/wheelroute/decision/routing/KeyAffinityTest.java
@@ -132,7 +132,7 @@
     @Test
     public void assumesKeyIsEvictedAfterEightLaterAttempts() {
         KeyAffinity<Endpoint> affinity = affinity(fleet(3));
-        KeyAffinity<Endpoint>.Placement key = affinity.forKey(key(1));
+        KeyAffinity<Endpoint>.CacheLocations key = affinity.forKey(key(1));
         Endpoint sentTo = fleet(3).get(1);
         key.recordAttempt(sentTo, 10);
         for (int attempts = 10; attempts < 20; attempts++) {
@@ -147,7 +147,7 @@
     @Test
     public void forgetsLeastRecentlyUsedKey() {
         KeyAffinity<Endpoint> affinity = affinity(fleet(3));
-        KeyAffinity<Endpoint>.Placement first = affinity.forKey(key(0));
+        KeyAffinity<Endpoint>.CacheLocations first = affinity.forKey(key(0));
         assertTrue(affinity.forKey(key(0)) == first);
         for (int i = 1; i < 3000; i++) {
             affinity.forKey(key(i));
