--- a/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientConnection.java
@@ -282,7 +282,7 @@
     }
 
     /** Handles a message that has arrived, or else closes the connection; for the shutdown. */
-    void readLastAndClose() {
+    void readPendingOrClose() {
         if (state != State.READING) {
             return;
         }
--- a/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
+++ b/daemon/src/main/java/wheelroute/net/clients/ClientServer.java
@@ -199,9 +199,9 @@
      * Reads the requests that have already arrived, before the process ends. All connections
      * without such a request are closed, so that no client sends one that would not be read.
      */
-    public void readLastAndClose() {
+    public void readPendingOrClose() {
         for (ConnectionLimit.Stage stage : ConnectionLimit.Stage.values()) {
-            connections.connectionsIn(stage).forEach(ClientConnection::readLastAndClose);
+            connections.connectionsIn(stage).forEach(ClientConnection::readPendingOrClose);
         }
     }
 
--- a/daemon/src/main/java/wheelroute/net/lifecycle/GracefulShutdown.java
+++ b/daemon/src/main/java/wheelroute/net/lifecycle/GracefulShutdown.java
@@ -104,7 +104,7 @@
             case AWAITING_RESPONSES -> awaitResponses();
             case FLUSHING -> finishIfIdle();
             case FLUSHING_AT_DEADLINE -> {
-                components.clients.readLastAndClose();
+                components.clients.readPendingOrClose();
                 finish();
             }
             case DONE -> throw new AssertionError("unexpected timer in state " + state);
@@ -125,7 +125,7 @@
     private void finishIfIdle() {
         if (isIdle()) {
             // The last read may accept a request, after which the process is no longer idle.
-            components.clients.readLastAndClose();
+            components.clients.readPendingOrClose();
         }
         if (isIdle()) {
             finish();
