--- a/daemon/src/main/java/wheelroute/net/metrics/Counters.java
+++ b/daemon/src/main/java/wheelroute/net/metrics/Counters.java
@@ -108,7 +108,7 @@
     }
 
     /** Returns all metrics in the Prometheus text format. */
-    public String text(Gauges gauges) {
+    public String toPrometheusText(Gauges gauges) {
         StringBuilder out = new StringBuilder();
         appendCounters(out);
         appendAnswers(out);
--- a/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
+++ b/daemon/src/main/java/wheelroute/net/requests/RequestDispatcher.java
@@ -179,7 +179,7 @@
 
     @Override
     public String metrics() {
-        return counters.text(gauges());
+        return counters.toPrometheusText(gauges());
     }
 
     /** Returns the current values of the gauges. */
--- a/daemon/src/test/java/wheelroute/net/admin/MetricsWireFormatTest.java
+++ b/daemon/src/test/java/wheelroute/net/admin/MetricsWireFormatTest.java
@@ -74,7 +74,7 @@
 
     @Test
     public void writesPrometheusTextAsRecorded() {
-        assertEquals(counters.text(GAUGES), WireFixture.read("metrics.txt"));
+        assertEquals(counters.toPrometheusText(GAUGES), WireFixture.read("metrics.txt"));
     }
 
     @Test
