--- a/daemon/src/main/java/wheelroute/adapter/EndpointListReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/EndpointListReader.java
@@ -7,11 +7,11 @@
 import wheelroute.decision.Ids;
 
 /**
- * Reads endpoint lists. A list begins with a line that holds its form and length; one line for each
+ * Reads endpoint lists. A list begins with a line that holds its type and length; one line for each
  * endpoint follows.
  */
 final class EndpointListReader {
-    enum Form {
+    enum ListType {
         /** A complete list from discovery. */
         SNAPSHOT,
         /** A complete list from a cache, which may be out of date. */
@@ -22,16 +22,16 @@
         FAILED
     }
 
-    /** An endpoint list; without endpoints if its form is {@link Form#FAILED}. */
-    record EndpointList(Form form, List<Endpoint> endpoints) {
+    /** An endpoint list; without endpoints if its type is {@link ListType#FAILED}. */
+    record EndpointList(ListType type, List<Endpoint> endpoints) {
         /** Returns whether the list is a response of discovery. */
         boolean isResponse() {
-            return form == Form.SNAPSHOT || form == Form.DELTA;
+            return type == ListType.SNAPSHOT || type == ListType.DELTA;
         }
 
         /** Returns whether endpoints that are missing from the list have been removed. */
         boolean isComplete() {
-            return form == Form.SNAPSHOT || form == Form.CACHED;
+            return type == ListType.SNAPSHOT || type == ListType.CACHED;
         }
     }
 
@@ -46,13 +46,13 @@
      * the end of the last line.
      */
     EndpointList read() throws IOException, WireException {
-        Form form = readForm();
+        ListType type = readListType();
         line.readLong("stamp", 0);
         long count = line.hasMore() ? line.readLong("items", 0) : 0;
         line.expectEnd();
         List<Endpoint> endpoints = new ArrayList<>();
-        if (form == Form.FAILED) {
-            return new EndpointList(form, endpoints);
+        if (type == ListType.FAILED) {
+            return new EndpointList(type, endpoints);
         }
         for (long i = 0; i < count; i++) {
             if (!line.next() || line.isBlank() || !line.readText("message").equals("ROW")) {
@@ -63,17 +63,17 @@
                 line.expectEnd();
             }
         }
-        return new EndpointList(form, endpoints);
+        return new EndpointList(type, endpoints);
     }
 
-    private Form readForm() throws WireException {
+    private ListType readListType() throws WireException {
         String word = line.readText("form");
         return switch (word) {
-            case "F" -> Form.SNAPSHOT;
-            case "C" -> Form.CACHED;
-            case "D" -> Form.DELTA;
-            case "X" -> Form.FAILED;
-            default -> throw line.error("unknown form of endpoint list '" + word + "'");
+            case "F" -> ListType.SNAPSHOT;
+            case "C" -> ListType.CACHED;
+            case "D" -> ListType.DELTA;
+            case "X" -> ListType.FAILED;
+            default -> throw line.error("unknown type of endpoint list '" + word + "'");
         };
     }
 
