--- a/daemon/src/test/java/wheelroute/net/DiscoveryRecoveryTest.java
+++ b/daemon/src/test/java/wheelroute/net/DiscoveryRecoveryTest.java
@@ -94,17 +94,17 @@
         for (int i = 0; i < OUTAGE_COUNT; i++) {
             beginOutage(kind);
             for (double elapsed = 0; elapsed < OUTAGE_SECONDS; elapsed += STEP_SECONDS) {
-                stepWithDiscovery(STEP_SECONDS);
+                advanceWithDiscovery(STEP_SECONDS);
             }
             // The outage continues until the least favourable moment for it to end.
             Counters.Counter awaited = end == EndOfOutage.AFTER_FAILED_CALL ? FAILURES : CALLS;
             for (long before = count(awaited); count(awaited) == before; ) {
-                stepWithDiscovery(STEP_SECONDS);
+                advanceWithDiscovery(STEP_SECONDS);
             }
             endOutage(kind, worker, i % 2 == 0);
             double waitedSeconds = 0;
             while (metric("workers_listed") != 1 + (i + 1) % 2) {
-                stepWithDiscovery(STEP_SECONDS);
+                advanceWithDiscovery(STEP_SECONDS);
                 waitedSeconds += STEP_SECONDS;
                 assertTrue(waitedSeconds < 20, "discovery is no longer polled");
             }
--- a/daemon/src/test/java/wheelroute/net/GracefulShutdownServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/GracefulShutdownServiceTest.java
@@ -132,13 +132,13 @@
         idle.setSoTimeout(TIMEOUT_MILLIS);
         // This connection is accepted after the idle one, which is therefore accepted as well.
         assertEquals(statusOf(exchange(connect(), HEALTH_CHECK)), 200);
-        loop.step(LONGER_THAN_QUIESCENCE_SECONDS);
+        loop.advance(LONGER_THAN_QUIESCENCE_SECONDS);
         CompletableFuture<Void> ended = drain(service);
         awaitDraining();
         send(idle, jobRequest(10));
         // The clock advances until the process has started an attempt or has ended.
         while (service.counters().value(Counters.Counter.ATTEMPTS) == 0 && !ended.isDone()) {
-            loop.step(0.02);
+            loop.advance(0.02);
         }
         assertEquals(statusOf(readMessage(idle.getInputStream())), 200);
         clock.resume();
--- a/daemon/src/test/java/wheelroute/net/ProcessStallServiceTest.java
+++ b/daemon/src/test/java/wheelroute/net/ProcessStallServiceTest.java
@@ -81,7 +81,7 @@
         }
         Socket longTimeout = connect();
         send(longTimeout, jobRequestWithId(99));
-        clock.step(4);
+        clock.advance(4);
         resume.countDown();
         for (Socket client : clients) {
             assertEquals(statusOf(readMessage(client.getInputStream())), 503);
@@ -114,7 +114,7 @@
             Socket client = connect();
             exchange(client, HEALTH_CHECK);
             // After the quiescence time the connections to workers are reused.
-            loop.step(LONGER_THAN_QUIESCENCE_SECONDS);
+            loop.advance(LONGER_THAN_QUIESCENCE_SECONDS);
             workers.received.clear();
             clock.jumpAfterReads(reads, 4);
             // The harness limits timeouts to 2 s.
