--- a/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
@@ -8,7 +8,7 @@
 import wheelroute.kit.report.JsonWriter;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
-import wheelroute.kit.scenario.FigureNames;
+import wheelroute.kit.scenario.MetricNames;
 
 /**
  * The comparison of two sets of runs, which are repetitions with the same seeds or runs on the two
@@ -44,9 +44,9 @@
             } else {
                 agreement.compare(
                         runLabel(first),
-                        FigureNames.SERVICE,
-                        first.figures().get(FigureNames.SERVICE),
-                        second.figures().get(FigureNames.SERVICE),
+                        MetricNames.SERVICE,
+                        first.figures().get(MetricNames.SERVICE),
+                        second.figures().get(MetricNames.SERVICE),
                         MAX_REPETITION_DIFFERENCE);
             }
         }
@@ -84,7 +84,7 @@
     private void compareMeans(
             String name, List<Integer> indices, List<Report> virtual, List<Report> real) {
         for (String figure : virtual.get(indices.get(0)).figures().keySet()) {
-            if (figure.startsWith(FigureNames.REQUEST_CLASS)) {
+            if (figure.startsWith(MetricNames.REQUEST_CLASS)) {
                 compare(
                         name + ", " + indices.size() + " seeds",
                         figure,
--- a/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
-import wheelroute.kit.scenario.FigureNames;
+import wheelroute.kit.scenario.MetricNames;
 
 /**
  * Computes the mean and spread of each figure over the seeds, and the difference of each variant
@@ -18,12 +18,12 @@
 public final class Comparison {
     private static final List<String> FIGURES =
             List.of(
-                    FigureNames.SERVICE,
-                    FigureNames.IN_TIME,
-                    FigureNames.REJECTED,
-                    FigureNames.FAILED,
-                    FigureNames.P99,
-                    FigureNames.ATTEMPTS);
+                    MetricNames.SERVICE,
+                    MetricNames.IN_TIME,
+                    MetricNames.REJECTED,
+                    MetricNames.FAILED,
+                    MetricNames.P99,
+                    MetricNames.ATTEMPTS);
 
     private static final String[] COLUMNS = {
         "scenario", "figure", "variant", "seeds", "mean", "+-", "min", "max", "difference", "+-"
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import wheelroute.kit.audit.MetricsAuditor;
 import wheelroute.kit.report.Report;
-import wheelroute.kit.scenario.FigureNames;
+import wheelroute.kit.scenario.MetricNames;
 import wheelroute.kit.scenario.Scenario;
 
 /**
@@ -64,13 +64,13 @@
         MetricsAuditor metrics = environment.metricsAuditor;
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put(
-                FigureNames.MAX_DISCOVERY_CALLS,
+                MetricNames.MAX_DISCOVERY_CALLS,
                 (double) environment.discoveryCalls.maxPerSecond());
-        figures.put(FigureNames.MISMATCHED_METRICS, metrics.mismatchFraction());
-        figures.put(FigureNames.ADMIN_CALL_TIMEOUTS, metrics.lateCallFraction());
+        figures.put(MetricNames.MISMATCHED_METRICS, metrics.mismatchFraction());
+        figures.put(MetricNames.ADMIN_CALL_TIMEOUTS, metrics.lateCallFraction());
         figures.put(
-                FigureNames.FAILED_REPLACEMENTS, (double) environment.fleet.failedReplacements());
-        figures.put(FigureNames.PEERS_NOT_CONVERGED, (double) membership.mismatches().size());
+                MetricNames.FAILED_REPLACEMENTS, (double) environment.fleet.failedReplacements());
+        figures.put(MetricNames.PEERS_NOT_CONVERGED, (double) membership.mismatches().size());
         return figures;
     }
 
--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -8,14 +8,14 @@
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.audit.Rule;
 import wheelroute.kit.model.ClusterModel;
-import wheelroute.kit.scenario.FigureNames;
+import wheelroute.kit.scenario.MetricNames;
 import wheelroute.kit.scenario.Scenario;
 
 /**
  * The result of one run. On the virtual clock, the same seed gives the same report on every
  * machine.
  *
- * @param figures values by the names in {@link FigureNames}
+ * @param figures values by the names in {@link MetricNames}
  * @param breachCounts the number of all breaches by rule
  * @param breaches the first breaches only
  * @param distribution points of the latency distribution, each a fraction of requests and seconds
@@ -180,20 +180,20 @@
         Row total = tally.total();
         double countedRequests = Math.max(1, total.requested() - total.cancelled());
         Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put(FigureNames.SERVICE, total.service());
-        figures.put(FigureNames.IN_TIME, total.inTime() / countedRequests);
-        figures.put(FigureNames.REJECTED, total.rejected() / countedRequests);
-        figures.put(FigureNames.FAILED, total.failed() / countedRequests);
-        figures.put(FigureNames.UNANSWERED, total.unanswered() / countedRequests);
-        figures.put(FigureNames.BREACHES, (double) auditor.total());
-        figures.put(FigureNames.ATTEMPTS, recorder.attemptsPerRequest());
-        figures.put(FigureNames.P50, total.p50Seconds());
-        figures.put(FigureNames.P99, total.p99Seconds());
-        figures.put(FigureNames.P999, total.p999Seconds());
+        figures.put(MetricNames.SERVICE, total.service());
+        figures.put(MetricNames.IN_TIME, total.inTime() / countedRequests);
+        figures.put(MetricNames.REJECTED, total.rejected() / countedRequests);
+        figures.put(MetricNames.FAILED, total.failed() / countedRequests);
+        figures.put(MetricNames.UNANSWERED, total.unanswered() / countedRequests);
+        figures.put(MetricNames.BREACHES, (double) auditor.total());
+        figures.put(MetricNames.ATTEMPTS, recorder.attemptsPerRequest());
+        figures.put(MetricNames.P50, total.p50Seconds());
+        figures.put(MetricNames.P99, total.p99Seconds());
+        figures.put(MetricNames.P999, total.p999Seconds());
         tally.requestClassRows()
-                .forEach(row -> figures.put(FigureNames.REQUEST_CLASS + row.name(), row.service()));
+                .forEach(row -> figures.put(MetricNames.REQUEST_CLASS + row.name(), row.service()));
         tally.tenantRows()
-                .forEach(row -> figures.put(FigureNames.TENANT + row.name(), row.service()));
+                .forEach(row -> figures.put(MetricNames.TENANT + row.name(), row.service()));
         return figures;
     }
 
--- a/kit/src/main/java/wheelroute/kit/report/TableWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/TableWriter.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import wheelroute.kit.audit.Auditor;
 import wheelroute.kit.audit.Rule;
-import wheelroute.kit.scenario.FigureNames;
+import wheelroute.kit.scenario.MetricNames;
 
 /** Writes a report as plain text with tables. */
 public final class TableWriter {
@@ -100,7 +100,7 @@
     }
 
     private void writeFigures(Report report) {
-        double attempts = report.figures().get(FigureNames.ATTEMPTS);
+        double attempts = report.figures().get(MetricNames.ATTEMPTS);
         line(String.format(Locale.ROOT, "attempts per request: %.3f", attempts));
         Report.MachineLag lag = report.lag();
         if (lag.timerP99Seconds() > 0) {
--- a/kit/src/main/java/wheelroute/kit/scenario/FigureNames.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/MetricNames.java
@@ -1,7 +1,7 @@
 package wheelroute.kit.scenario;
 
 /** Names of the figures in a run's report, for which scenarios may set bounds. */
-public final class FigureNames {
+public final class MetricNames {
     /** Value earned divided by value requested, from 0 to 1. */
     public static final String SERVICE = "service";
 
@@ -60,7 +60,7 @@
                     REQUEST_CLASS + "NAME",
                     TENANT + "NAME");
 
-    private FigureNames() {}
+    private MetricNames() {}
 
     static boolean isKnown(String name) {
         return switch (name) {
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -160,13 +160,13 @@
     private static List<Scenario.Expectation> expectations(TomlFields fields) {
         List<Scenario.Expectation> expectations = new ArrayList<>();
         for (String figure : fields.keys()) {
-            if (FigureNames.isKnown(figure)) {
+            if (MetricNames.isKnown(figure)) {
                 expectations.add(
                         ScenarioFields.readStrictly(
                                 fields.table(figure), bounds -> expectation(figure, bounds)));
             } else {
                 fields.addFault(
-                        figure, "is not a figure of a report; known figures: " + FigureNames.KNOWN);
+                        figure, "is not a figure of a report; known figures: " + MetricNames.KNOWN);
                 fields.table(figure);
             }
         }
--- a/kit/src/test/java/wheelroute/kit/experiment/ComparisonTest.java
+++ b/kit/src/test/java/wheelroute/kit/experiment/ComparisonTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 import wheelroute.kit.report.Report;
-import wheelroute.kit.scenario.FigureNames;
+import wheelroute.kit.scenario.MetricNames;
 
 public class ComparisonTest {
     private static final double TOLERANCE = 1e-12;
@@ -20,12 +20,12 @@
 
         Comparison.Cell cell =
                 cells.stream()
-                        .filter(each -> each.figure().equals(FigureNames.P99))
+                        .filter(each -> each.figure().equals(MetricNames.P99))
                         .filter(each -> each.variant().equals(SmallPlan.BASELINE))
                         .findFirst()
                         .orElseThrow();
         double[] p99 =
-                reports.stream().mapToDouble(r -> r.figures().get(FigureNames.P99)).toArray();
+                reports.stream().mapToDouble(r -> r.figures().get(MetricNames.P99)).toArray();
         double[] differences = {p99[3] - p99[0], p99[4] - p99[1], p99[5] - p99[2]};
         double mean = (differences[0] + differences[1] + differences[2]) / 3;
         double squares =
--- a/kit/src/test/java/wheelroute/kit/process/PeerFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/PeerFaultsTest.java
@@ -10,7 +10,7 @@
 import wheelroute.kit.SmallScenario;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
-import wheelroute.kit.scenario.FigureNames;
+import wheelroute.kit.scenario.MetricNames;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.scenario.ScenarioException;
 import wheelroute.kit.scenario.ScenarioReader;
@@ -67,7 +67,7 @@
         Report report = JudgedRuns.run(scenarioWithPeers(faults), SEED, SECONDS);
         JudgedRuns.assertKeepsRules(report);
         assertEquals(
-                report.figures().get(FigureNames.PEERS_NOT_CONVERGED),
+                report.figures().get(MetricNames.PEERS_NOT_CONVERGED),
                 0.0,
                 TableWriter.text(report));
         assertTrue(
--- a/kit/src/test/java/wheelroute/kit/simulation/ShippedScenariosTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/ShippedScenariosTest.java
@@ -9,7 +9,7 @@
 import wheelroute.kit.experiment.Plan;
 import wheelroute.kit.report.Report;
 import wheelroute.kit.report.TableWriter;
-import wheelroute.kit.scenario.FigureNames;
+import wheelroute.kit.scenario.MetricNames;
 import wheelroute.kit.scenario.Scenario;
 import wheelroute.kit.scenario.ScenarioException;
 import wheelroute.kit.scenario.ScenarioLibrary;
@@ -66,12 +66,12 @@
         double policyService =
                 SimulatedRuns.run(scenario, 3, Plan.QUICK_SECONDS)
                         .figures()
-                        .get(FigureNames.SERVICE);
+                        .get(MetricNames.SERVICE);
         for (String strategy : Strategies.names()) {
             Report report = SimulatedRuns.run(scenario, 3, Plan.QUICK_SECONDS, strategy);
             assertTrue(report.keepsRules(), TableWriter.text(report));
             if (!strategy.equals(Strategies.POLICY) && !strategy.equals(Strategies.OMNISCIENT)) {
-                double service = report.figures().get(FigureNames.SERVICE);
+                double service = report.figures().get(MetricNames.SERVICE);
                 assertTrue(
                         service < policyService - MIN_SERVICE_ADVANTAGE,
                         "service of "
