--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
@@ -108,13 +108,13 @@
             DiscoveryCallStatistics hollow,
             DiscoveryCallStatistics process) {
         ScaleRecorder recorder = environment.recorder();
-        recorder.record(ScaleFigure.HOLLOW_CALLS_PER_SECOND, hollow.calls() / seconds / count);
-        recorder.record(ScaleFigure.PROCESS_CALLS_PER_SECOND, process.calls() / seconds);
+        recorder.record(ScaleMetric.HOLLOW_CALLS_PER_SECOND, hollow.calls() / seconds / count);
+        recorder.record(ScaleMetric.PROCESS_CALLS_PER_SECOND, process.calls() / seconds);
         recorder.record(
-                ScaleFigure.HOLLOW_TIME_TO_IN_FORCE_P50_SECONDS,
+                ScaleMetric.HOLLOW_TIME_TO_IN_FORCE_P50_SECONDS,
                 hollow.secondsToInForceAtPercentile(50));
         recorder.record(
-                ScaleFigure.PROCESS_TIME_TO_IN_FORCE_P50_SECONDS,
+                ScaleMetric.PROCESS_TIME_TO_IN_FORCE_P50_SECONDS,
                 process.secondsToInForceAtPercentile(50));
     }
 
@@ -142,10 +142,10 @@
                 "not all dispatchers reconnected after the restart of discovery");
         ScaleRecorder recorder = environment.recorder();
         recorder.record(
-                ScaleFigure.DISCOVERY_RECOVERY_SECONDS,
+                ScaleMetric.DISCOVERY_RECOVERY_SECONDS,
                 (System.nanoTime() - availableNanos) / NANOS_PER_SECOND);
         recorder.record(
-                ScaleFigure.DISCOVERY_RECOVERY_CALLS,
+                ScaleMetric.DISCOVERY_RECOVERY_CALLS,
                 environment.callOnLoop(() -> (double) statistics.calls()));
         environment.reportProgress("discovery restarted under " + hollowCount + " dispatchers");
     }
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleFigure.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleMetric.java
@@ -1,7 +1,7 @@
 package wheelroute.kit.scale;
 
 /** Figures that a scale run measures once, at its largest number of dispatchers. */
-public enum ScaleFigure {
+public enum ScaleMetric {
     /** Time after the downtime of discovery until the last dispatcher has the current list. */
     DISCOVERY_RECOVERY_SECONDS("list_restart_worst_s"),
     DISCOVERY_RECOVERY_CALLS("list_restart_calls"),
@@ -12,7 +12,7 @@
 
     private final String key;
 
-    ScaleFigure(String key) {
+    ScaleMetric(String key) {
         this.key = key;
     }
 
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRecorder.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRecorder.java
@@ -11,7 +11,7 @@
 /** Collects the results of all measurements of a scale run. Thread-safe. */
 final class ScaleRecorder {
     private final Map<ScaleSeries, List<LinearFit.Point>> points = new EnumMap<>(ScaleSeries.class);
-    private final Map<ScaleFigure, Double> figures = new EnumMap<>(ScaleFigure.class);
+    private final Map<ScaleMetric, Double> figures = new EnumMap<>(ScaleMetric.class);
 
     /** Adds a point to a series. */
     synchronized void record(ScaleSeries series, double x, double y) {
@@ -19,7 +19,7 @@
     }
 
     /** Records a figure, replacing an earlier value. */
-    synchronized void record(ScaleFigure figure, double value) {
+    synchronized void record(ScaleMetric figure, double value) {
         figures.put(figure, value);
     }
 
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleResults.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleResults.java
@@ -9,7 +9,7 @@
  * @param notJudged reason why the results are not valid; empty if they are
  * @param machine description of the machine on which the run took place
  * @param fits fitted lines, by the keys of {@link ScaleSeries}
- * @param figures values that were measured once, by the keys of {@link ScaleFigure}
+ * @param figures values that were measured once, by the keys of {@link ScaleMetric}
  */
 public record ScaleResults(
         String notJudged,
@@ -30,7 +30,7 @@
      *
      * @throws IllegalArgumentException if the results do not contain it
      */
-    public double figure(ScaleFigure figure) {
+    public double figure(ScaleMetric figure) {
         return requirePresent(figures.get(figure.key()), figure.key());
     }
 
--- a/kit/src/test/java/wheelroute/kit/scale/SmallDeployment.java
+++ b/kit/src/test/java/wheelroute/kit/scale/SmallDeployment.java
@@ -67,10 +67,10 @@
 
     private static Map<String, Double> figures() {
         Map<String, Double> figures = new LinkedHashMap<>();
-        for (ScaleFigure figure : ScaleFigure.values()) {
+        for (ScaleMetric figure : ScaleMetric.values()) {
             figures.put(figure.key(), 1.0);
         }
-        figures.put(ScaleFigure.DISCOVERY_RECOVERY_CALLS.key(), 9.0);
+        figures.put(ScaleMetric.DISCOVERY_RECOVERY_CALLS.key(), 9.0);
         return figures;
     }
 
