--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -82,7 +82,7 @@
     public record Verdict(String figure, double min, double max, double value, boolean holds) {
         static Verdict of(Scenario.Expectation expected, double value) {
             boolean holds = value >= expected.min() && value <= expected.max();
-            return new Verdict(expected.figure(), expected.min(), expected.max(), value, holds);
+            return new Verdict(expected.metric(), expected.min(), expected.max(), value, holds);
         }
 
         /** Returns the verdict as a line of text. */
@@ -200,7 +200,7 @@
     private static List<Verdict> verdicts(Scenario scenario, Map<String, Double> figures) {
         List<Verdict> verdicts = new ArrayList<>();
         for (Scenario.Expectation expected : scenario.expectations()) {
-            double value = figures.getOrDefault(expected.figure(), Double.NaN);
+            double value = figures.getOrDefault(expected.metric(), Double.NaN);
             verdicts.add(Verdict.of(expected, value));
         }
         return verdicts;
--- a/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
@@ -224,8 +224,8 @@
         public static final RandomFaults NONE = new RandomFaults(0, 1, List.of());
     }
 
-    /** Bounds of a figure of the report; a bound is infinite where there is none. */
-    public record Expectation(String figure, double min, double max) {}
+    /** Bounds of a metric of the report; a bound is infinite where there is none. */
+    public record Expectation(String metric, double min, double max) {}
 
     /** Returns the zone of a dispatcher, by its number from 0. */
     public String zoneOf(int dispatcher) {
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -173,7 +173,7 @@
     }
 
     private void write(Scenario.Expectation expectation) {
-        toml.table("expect." + TomlWriter.quoted(expectation.figure()));
+        toml.table("expect." + TomlWriter.quoted(expectation.metric()));
         if (Double.isFinite(expectation.min())) {
             toml.number("least", expectation.min());
         }
