--- a/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
+++ b/kit/src/main/java/wheelroute/kit/faults/NetworkLink.java
@@ -9,10 +9,10 @@
  * A link between a dispatcher and another process.
  *
  * @param dispatcher number of the dispatcher
- * @param worker the other end: the number of a worker, {@link #DISCOVERY}, {@link #CLIENTS}, or a
+ * @param remote the other end: the number of a worker, {@link #DISCOVERY}, {@link #CLIENTS}, or a
  *     peer as encoded by {@link #toPeer}
  */
-public record NetworkLink(int dispatcher, int worker) {
+public record NetworkLink(int dispatcher, int remote) {
     /** Denotes discovery in place of a worker's number. */
     public static final int DISCOVERY = -1;
 
@@ -39,17 +39,17 @@
 
     /** Returns whether the other end is a dispatcher. */
     public boolean isToPeer() {
-        return worker <= FIRST_PEER;
+        return remote <= FIRST_PEER;
     }
 
     /** Returns the number of the other dispatcher; meaningful only if the link is to a peer. */
     public int peer() {
-        return FIRST_PEER - worker;
+        return FIRST_PEER - remote;
     }
 
     /** Returns whether the other end is a worker. */
     public boolean isToWorker() {
-        return worker >= 0;
+        return remote >= 0;
     }
 
     /**
--- a/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
+++ b/kit/src/main/java/wheelroute/kit/process/RunEnvironment.java
@@ -145,8 +145,8 @@
                 metricsAuditor.onAttemptsLost(link.dispatcher());
             }
             double delaySeconds = state.maxExtraDelaySeconds(MAX_MESSAGE_BYTES);
-            auditor.setLinkDelay(link.dispatcher(), link.worker(), delaySeconds);
-        } else if (link.worker() == NetworkLink.CLIENTS) {
+            auditor.setLinkDelay(link.dispatcher(), link.remote(), delaySeconds);
+        } else if (link.remote() == NetworkLink.CLIENTS) {
             auditor.setClientsImpaired(link.dispatcher(), !isOpen);
             if (state.refuses()) {
                 transport.onConnectionsBroken(link.dispatcher());
--- a/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
+++ b/kit/src/main/java/wheelroute/kit/simulation/SimulatedDispatcher.java
@@ -156,16 +156,16 @@
     }
 
     void onLinkChanged(NetworkLink networkLink, LinkState state) {
-        if (networkLink.worker() == NetworkLink.CLIENTS) {
+        if (networkLink.remote() == NetworkLink.CLIENTS) {
             auditor.setClientsImpaired(number, !state.equals(LinkState.OPEN));
         }
         if (networkLink.isToWorker()) {
-            auditor.setLinkDelay(number, networkLink.worker(), state.maxExtraDelaySeconds(0));
+            auditor.setLinkDelay(number, networkLink.remote(), state.maxExtraDelaySeconds(0));
         }
         SimulatedLink link = network.link(networkLink);
         LinkState before = link.state();
         link.apply(state);
-        if (networkLink.worker() == NetworkLink.DISCOVERY) {
+        if (networkLink.remote() == NetworkLink.DISCOVERY) {
             discoveryWatch.onLinkChanged(before, state);
         }
     }
--- a/kit/src/test/java/wheelroute/kit/faults/ActiveLinkFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/ActiveLinkFaultsTest.java
@@ -55,7 +55,7 @@
         List<String> changes = new ArrayList<>();
         ActiveLinkFaults links =
                 new ActiveLinkFaults(
-                        (link, state) -> changes.add(link.worker() + " " + state.inbound()));
+                        (link, state) -> changes.add(link.remote() + " " + state.inbound()));
         List<NetworkLink> both = List.of(new NetworkLink(0, 1), new NetworkLink(0, 2));
         links.add(LinkFault.PARTITION, 1, 0, both);
         links.add(LinkFault.INBOUND_CUT, 1, 0, both.subList(0, 1));
