--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
@@ -42,7 +42,7 @@
     private void measure() throws IOException, RehearsalException {
         DispatcherBench bench = new DispatcherBench(environment, ScalePlan.BASELINE_WORKERS, 0);
         try (bench;
-                HollowDispatchers hollow = new HollowDispatchers(environment.directory())) {
+                InProcessDispatchers hollow = new InProcessDispatchers(environment.directory())) {
             bench.startChanges(ScalePlan.BASELINE_CHANGES_PER_SECOND);
             for (int count : environment.plan().dispatcherCounts()) {
                 if (environment.isStopped()) {
@@ -56,7 +56,7 @@
         }
     }
 
-    private static void growTo(int count, DispatcherBench bench, HollowDispatchers hollow)
+    private static void growTo(int count, DispatcherBench bench, InProcessDispatchers hollow)
             throws IOException, RehearsalException {
         RateLimitedDiscovery discovery = bench.discovery();
         hollow.growTo(
--- a/kit/src/main/java/wheelroute/kit/scale/HollowDispatchers.java
+++ b/kit/src/main/java/wheelroute/kit/scale/InProcessDispatchers.java
@@ -16,10 +16,10 @@
 import wheelroute.net.lifecycle.Service;
 
 /**
- * Runs hollow dispatchers: many instances of the daemon's own {@link Service} in this process, each
- * with its own event loop and sockets. Used by one thread.
+ * Runs many instances of the daemon's own {@link Service} in this process, each with its own event
+ * loop and sockets. Results and tables call them hollow dispatchers. Used by one thread.
  */
-final class HollowDispatchers implements AutoCloseable {
+final class InProcessDispatchers implements AutoCloseable {
     private static final int PARALLEL_STARTS = 16;
 
     private final Path directory;
@@ -27,7 +27,7 @@
     private final ExecutorService startExecutor = Executors.newFixedThreadPool(PARALLEL_STARTS);
 
     /** Starts no dispatchers yet; their configuration files will be written to the directory. */
-    HollowDispatchers(Path directory) {
+    InProcessDispatchers(Path directory) {
         this.directory = directory;
     }
 
