--- a/kit/src/main/java/wheelroute/kit/scale/InProcessDispatchers.java
+++ b/kit/src/main/java/wheelroute/kit/scale/InProcessDispatchers.java
@@ -93,15 +93,15 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException e) {
-            throw new HollowDispatcherDrainException(e.getCause());
+            throw new InProcessDispatcherDrainException(e.getCause());
         }
     }
 
     /** Thrown if draining a hollow dispatcher failed. */
-    static final class HollowDispatcherDrainException extends RuntimeException {
+    static final class InProcessDispatcherDrainException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        HollowDispatcherDrainException(Throwable cause) {
+        InProcessDispatcherDrainException(Throwable cause) {
             super("draining a hollow dispatcher failed", cause);
         }
     }
