--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
@@ -14,7 +14,7 @@
  * all dispatchers are connected.
  */
 final class DispatcherCountMeasurement implements ScaleMeasurement {
-    private static final int HOLLOW_MAX_SOCKETS = 128;
+    private static final int IN_PROCESS_MAX_SOCKETS = 128;
 
     /** Factor by which calls of many dispatchers are averaged over a longer time than usual. */
     private static final double AVERAGING_FACTOR = 2;
@@ -66,7 +66,7 @@
                         count,
                         0,
                         DispatcherBench.MEMORY_MB,
-                        HOLLOW_MAX_SOCKETS));
+                        IN_PROCESS_MAX_SOCKETS));
         bench.awaitCondition(
                 () -> discovery.connectionCount() == count + 1,
                 "not all hollow dispatchers loaded the endpoint list");
