--- a/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
@@ -278,7 +278,7 @@
         table.addRow(
                 "calls/s",
                 formatNumber(results.figure(ScaleMetric.PROCESS_CALLS_PER_SECOND)),
-                formatNumber(results.figure(ScaleMetric.HOLLOW_CALLS_PER_SECOND)));
+                formatNumber(results.figure(ScaleMetric.IN_PROCESS_CALLS_PER_SECOND)));
         table.addRow(
                 "s until a change is in force, p50",
                 formatNumber(results.figure(ScaleMetric.PROCESS_TIME_TO_IN_FORCE_P50_SECONDS)),
--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
@@ -108,7 +108,7 @@
             DiscoveryCallStatistics hollow,
             DiscoveryCallStatistics process) {
         ScaleRecorder recorder = environment.recorder();
-        recorder.record(ScaleMetric.HOLLOW_CALLS_PER_SECOND, hollow.calls() / seconds / count);
+        recorder.record(ScaleMetric.IN_PROCESS_CALLS_PER_SECOND, hollow.calls() / seconds / count);
         recorder.record(ScaleMetric.PROCESS_CALLS_PER_SECOND, process.calls() / seconds);
         recorder.record(
                 ScaleMetric.HOLLOW_TIME_TO_IN_FORCE_P50_SECONDS,
--- a/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
@@ -57,7 +57,7 @@
 
     private static void assertFiguresArePlausible(ScaleResults results) {
         assertTrue(
-                results.figure(ScaleMetric.HOLLOW_CALLS_PER_SECOND) > 0,
+                results.figure(ScaleMetric.IN_PROCESS_CALLS_PER_SECOND) > 0,
                 "a hollow dispatcher did not call discovery");
         assertTrue(
                 results.figure(ScaleMetric.PROCESS_CALLS_PER_SECOND) > 0,
