--- a/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
@@ -282,7 +282,7 @@
         table.addRow(
                 "s until a change is in force, p50",
                 formatNumber(results.figure(ScaleMetric.PROCESS_TIME_TO_IN_FORCE_P50_SECONDS)),
-                formatNumber(results.figure(ScaleMetric.HOLLOW_TIME_TO_IN_FORCE_P50_SECONDS)));
+                formatNumber(results.figure(ScaleMetric.IN_PROCESS_TIME_TO_IN_FORCE_P50_SECONDS)));
         return table.text();
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
@@ -111,7 +111,7 @@
         recorder.record(ScaleMetric.IN_PROCESS_CALLS_PER_SECOND, hollow.calls() / seconds / count);
         recorder.record(ScaleMetric.PROCESS_CALLS_PER_SECOND, process.calls() / seconds);
         recorder.record(
-                ScaleMetric.HOLLOW_TIME_TO_IN_FORCE_P50_SECONDS,
+                ScaleMetric.IN_PROCESS_TIME_TO_IN_FORCE_P50_SECONDS,
                 hollow.secondsToInForceAtPercentile(50));
         recorder.record(
                 ScaleMetric.PROCESS_TIME_TO_IN_FORCE_P50_SECONDS,
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleMetric.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleMetric.java
@@ -8,7 +8,7 @@
     PROCESS_CALLS_PER_SECOND("real_calls_per_s"),
     IN_PROCESS_CALLS_PER_SECOND("hollow_calls_per_s"),
     PROCESS_TIME_TO_IN_FORCE_P50_SECONDS("real_in_force_p50_s"),
-    HOLLOW_TIME_TO_IN_FORCE_P50_SECONDS("hollow_in_force_p50_s");
+    IN_PROCESS_TIME_TO_IN_FORCE_P50_SECONDS("hollow_in_force_p50_s");
 
     private final String key;
 
