--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
@@ -62,7 +62,7 @@
         hollow.growTo(
                 count,
                 new DispatcherConfigFile(
-                        discovery.address(RateLimitedDiscovery.Caller.HOLLOW),
+                        discovery.address(RateLimitedDiscovery.Caller.IN_PROCESS),
                         count,
                         0,
                         DispatcherBench.MEMORY_MB,
@@ -74,7 +74,7 @@
 
     private void measureCalls(int count, RateLimitedDiscovery discovery)
             throws IOException, RehearsalException {
-        DiscoveryCallStatistics hollow = discovery.statistics(RateLimitedDiscovery.Caller.HOLLOW);
+        DiscoveryCallStatistics hollow = discovery.statistics(RateLimitedDiscovery.Caller.IN_PROCESS);
         DiscoveryCallStatistics process = discovery.statistics(RateLimitedDiscovery.Caller.PROCESS);
         environment.runOnLoop(
                 () -> {
@@ -123,7 +123,7 @@
             throws IOException, RehearsalException {
         RateLimitedDiscovery discovery = bench.discovery();
         DiscoveryCallStatistics statistics =
-                discovery.statistics(RateLimitedDiscovery.Caller.HOLLOW);
+                discovery.statistics(RateLimitedDiscovery.Caller.IN_PROCESS);
         environment.callOnLoop(
                 () -> {
                     discovery.setCallsPerSecond(
--- a/kit/src/main/java/wheelroute/kit/scale/RateLimitedDiscovery.java
+++ b/kit/src/main/java/wheelroute/kit/scale/RateLimitedDiscovery.java
@@ -36,7 +36,7 @@
         /** A separate process that was started by the shipped command. */
         PROCESS,
         /** A dispatcher within the measuring process. */
-        HOLLOW
+        IN_PROCESS
     }
 
     private final EventLoop loop;
