--- a/kit/src/main/java/wheelroute/kit/strategy/OmniscientSelector.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/OracleSelector.java
@@ -14,13 +14,13 @@
  * Chooses the worker that completes a request first, by the true state of all workers, which no
  * real dispatcher can see. Chooses none if even the first completion would be too late.
  */
-final class OmniscientSelector implements WorkerSelector {
+final class OracleSelector implements WorkerSelector {
     /** Request classes with a lower value of late responses get no attempt that would be late. */
     private static final double MIN_LATE_VALUE = 0.5;
 
     private final ClusterModel cluster;
 
-    OmniscientSelector(ClusterModel cluster) {
+    OracleSelector(ClusterModel cluster) {
         this.cluster = cluster;
     }
 
--- a/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
@@ -21,7 +21,7 @@
                             POLICY,
                             cluster -> PolicyStrategy::new,
                             OMNISCIENT,
-                            cluster -> baseline(() -> new OmniscientSelector(cluster)),
+                            cluster -> baseline(() -> new OracleSelector(cluster)),
                             "random",
                             cluster -> baseline(() -> WorkerSelectors.random(cluster)),
                             "round-robin",
