--- a/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
@@ -13,14 +13,14 @@
     public static final String POLICY = "module";
 
     /** Name of the baseline that knows the true state of all workers, unlike any dispatcher. */
-    public static final String OMNISCIENT = "seeing";
+    public static final String ORACLE = "seeing";
 
     private static final Map<String, Function<ClusterModel, Strategy.Factory>> FACTORIES =
             new TreeMap<>(
                     Map.of(
                             POLICY,
                             cluster -> PolicyStrategy::new,
-                            OMNISCIENT,
+                            ORACLE,
                             cluster -> baseline(() -> new OracleSelector(cluster)),
                             "random",
                             cluster -> baseline(() -> WorkerSelectors.random(cluster)),
--- a/kit/src/test/java/wheelroute/kit/simulation/ShippedScenariosTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/ShippedScenariosTest.java
@@ -70,7 +70,7 @@
         for (String strategy : Strategies.names()) {
             Report report = SimulatedRuns.run(scenario, 3, Plan.QUICK_SECONDS, strategy);
             assertTrue(report.keepsRules(), TableWriter.text(report));
-            if (!strategy.equals(Strategies.POLICY) && !strategy.equals(Strategies.OMNISCIENT)) {
+            if (!strategy.equals(Strategies.POLICY) && !strategy.equals(Strategies.ORACLE)) {
                 double service = report.figures().get(MetricNames.SERVICE);
                 assertTrue(
                         service < policyService - MIN_SERVICE_ADVANTAGE,
