--- a/kit/src/main/java/wheelroute/kit/process/Fleet.java
+++ b/kit/src/main/java/wheelroute/kit/process/Fleet.java
@@ -169,7 +169,7 @@
         }
         listener.onStopped(slot.number());
         if (slot.pendingStart() != null || hasCrashed) {
-            start(slot.number(), hasCrashed ? FaultMode.USUAL : slot.pendingStart());
+            start(slot.number(), hasCrashed ? FaultMode.UNCHANGED : slot.pendingStart());
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRun.java
@@ -148,7 +148,7 @@
         executor.run(
                 () -> {
                     for (int i = 0; i < options.scenario().dispatcherCount(); i++) {
-                        environment.fleet.start(i, FaultMode.USUAL);
+                        environment.fleet.start(i, FaultMode.UNCHANGED);
                     }
                 });
         awaitReady();
--- a/kit/src/main/java/wheelroute/kit/scenario/FaultKind.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultKind.java
@@ -156,9 +156,9 @@
     public List<FaultMode> allowedModes() {
         return switch (this) {
             case DISPATCHER_KILL, DISPATCHER_RESTART ->
-                    List.of(FaultMode.USUAL, FaultMode.CHANGED_SETTINGS, FaultMode.OLDER_BUILD);
+                    List.of(FaultMode.UNCHANGED, FaultMode.CHANGED_SETTINGS, FaultMode.OLDER_BUILD);
             case DISPATCHER_REPLACE -> List.of(FaultMode.values());
-            default -> List.of(FaultMode.USUAL);
+            default -> List.of(FaultMode.UNCHANGED);
         };
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scenario/FaultMode.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultMode.java
@@ -3,7 +3,7 @@
 /** How a dispatcher's process is restarted or replaced. */
 public enum FaultMode implements KeyedConstant {
     /** The new process has the same build and settings. */
-    USUAL("usual"),
+    UNCHANGED("usual"),
     /** The new process has other settings; see {@link Scenario#changedSettings}. */
     CHANGED_SETTINGS("changed"),
     /** The new process runs the jar of an older build. */
--- a/kit/src/main/java/wheelroute/kit/scenario/FaultReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/FaultReader.java
@@ -58,7 +58,7 @@
                 fields.text("zone", ""),
                 fields.text("from", ""),
                 fields.number("spread", 0, 0, 60),
-                ScenarioFields.constant(fields, "how", FaultMode.USUAL, FaultMode.class),
+                ScenarioFields.constant(fields, "how", FaultMode.UNCHANGED, FaultMode.class),
                 fields.number("others", 1, 0, 1));
     }
 
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -158,7 +158,7 @@
         if (fault.peerFraction() < 1) {
             toml.number("others", fault.peerFraction());
         }
-        if (fault.mode() != FaultMode.USUAL) {
+        if (fault.mode() != FaultMode.UNCHANGED) {
             toml.text("how", fault.mode().key());
         }
     }
--- a/kit/src/test/java/wheelroute/kit/faults/ScheduleMinimizerTest.java
+++ b/kit/src/test/java/wheelroute/kit/faults/ScheduleMinimizerTest.java
@@ -34,7 +34,7 @@
                             "",
                             "",
                             0,
-                            FaultMode.USUAL,
+                            FaultMode.UNCHANGED,
                             1));
         }
         return faults;
