--- a/kit/src/main/java/wheelroute/kit/model/ModelContext.java
+++ b/kit/src/main/java/wheelroute/kit/model/ModelContext.java
@@ -5,7 +5,7 @@
 /** The objects that all workers of a cluster share. */
 record ModelContext(
         Timeline timeline,
-        Scenario.PlatformTerms terms,
+        Scenario.PlatformProperties terms,
         SeededRandom random,
         EndpointRegistry registry,
         WorkerEventListener listener) {}
--- a/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
+++ b/kit/src/main/java/wheelroute/kit/model/WorkerModel.java
@@ -31,7 +31,7 @@
     public final String name;
     public final Scenario.WorkerGroup group;
     private final Timeline timeline;
-    private final Scenario.PlatformTerms terms;
+    private final Scenario.PlatformProperties terms;
     private final SeededRandom random;
     private final EndpointRegistry registry;
     private final WorkerEventListener listener;
--- a/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/DaemonSettings.java
@@ -35,7 +35,7 @@
         return all;
     }
 
-    private static void writeTerms(WireSettingsWriter settings, Scenario.PlatformTerms terms) {
+    private static void writeTerms(WireSettingsWriter settings, Scenario.PlatformProperties terms) {
         settings.number("over_share_worth", terms.overQuotaValue())
                 .flag("family_info.tells_start", terms.reportsStart())
                 .seconds("family_info.progress_us", terms.progressIntervalSeconds())
--- a/kit/src/main/java/wheelroute/kit/scenario/PlatformReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/PlatformReader.java
@@ -17,8 +17,8 @@
                 fields.number("delay", 0.0005, 0, 10), fields.number("jitter", 0.0005, 0, 10));
     }
 
-    static Scenario.PlatformTerms terms(TomlFields fields) {
-        return new Scenario.PlatformTerms(
+    static Scenario.PlatformProperties terms(TomlFields fields) {
+        return new Scenario.PlatformProperties(
                 fields.flag("tells_start", true),
                 fields.number("progress_every", 0, 0, 60),
                 fields.flag("may_cancel", true),
--- a/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
@@ -36,7 +36,7 @@
         List<LoadPoint> load,
         Clients clients,
         Network network,
-        PlatformTerms terms,
+        PlatformProperties terms,
         List<Fault> faults,
         RandomFaults randomFaults,
         List<Expectation> expectations,
@@ -147,7 +147,7 @@
      * @param drainGraceSeconds how long attempts may still arrive at a worker after the dispatcher
      *     is notified that the worker is draining or removed
      */
-    public record PlatformTerms(
+    public record PlatformProperties(
             boolean reportsStart,
             double progressIntervalSeconds,
             boolean mayCancel,
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -114,7 +114,7 @@
                 .number("jitter", network.jitterSeconds());
     }
 
-    private void write(Scenario.PlatformTerms terms) {
+    private void write(Scenario.PlatformProperties terms) {
         toml.table("terms")
                 .flag("tells_start", terms.reportsStart())
                 .number("progress_every", terms.progressIntervalSeconds())
