--- a/kit/src/main/java/wheelroute/kit/cli/Scale.java
+++ b/kit/src/main/java/wheelroute/kit/cli/Scale.java
@@ -88,8 +88,8 @@
 
     private static String verdict(
             ScaleResults results, DeploymentSize deployment, List<String> exceeded) {
-        if (!results.notJudged().isEmpty()) {
-            return "not judged: " + results.notJudged();
+        if (!results.invalidReason().isEmpty()) {
+            return "not judged: " + results.invalidReason();
         }
         return "the size '"
                 + deployment.name()
@@ -97,7 +97,7 @@
     }
 
     private static int exitCode(ScaleResults results, List<String> exceeded) {
-        if (!results.notJudged().isEmpty()) {
+        if (!results.invalidReason().isEmpty()) {
             return ExitCode.NOT_JUDGED;
         }
         return exceeded.isEmpty() ? ExitCode.SUCCESS : ExitCode.CHECK_FAILED;
--- a/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
@@ -60,9 +60,9 @@
                     String.format(Locale.ROOT, "%.3f", fit.r2()));
         }
         String validity =
-                results.notJudged().isEmpty()
+                results.invalidReason().isEmpty()
                         ? "valid, the background load was low enough."
-                        : "NOT JUDGED, " + results.notJudged() + ".";
+                        : "NOT JUDGED, " + results.invalidReason() + ".";
         return "Measured on " + results.machine() + ": " + validity + "\n\n" + table.text();
     }
 
--- a/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
@@ -19,9 +19,9 @@
         String summary =
                 results.machine()
                         + "\n"
-                        + (results.notJudged().isEmpty()
+                        + (results.invalidReason().isEmpty()
                                 ? "judged"
-                                : "not judged: " + results.notJudged())
+                                : "not judged: " + results.invalidReason())
                         + "\n"
                         + String.join("\n", exceededBounds);
         StringBuilder body =
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRecorder.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRecorder.java
@@ -26,11 +26,11 @@
     /**
      * Fits a line to each series.
      *
-     * @param notJudged reason why the results are not valid; empty if they are
+     * @param invalidReason reason why the results are not valid; empty if they are
      * @param machine description of the machine
      * @throws IllegalArgumentException if a series has too few points
      */
-    synchronized ScaleResults results(String notJudged, String machine) {
+    synchronized ScaleResults results(String invalidReason, String machine) {
         Map<String, LinearFit> fits = new LinkedHashMap<>();
         for (ScaleSeries series : ScaleSeries.values()) {
             List<LinearFit.Point> ascending =
@@ -43,6 +43,6 @@
         }
         Map<String, Double> figuresByKey = new TreeMap<>();
         figures.forEach((figure, value) -> figuresByKey.put(figure.key(), value));
-        return new ScaleResults(notJudged, machine, fits, figuresByKey);
+        return new ScaleResults(invalidReason, machine, fits, figuresByKey);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleResults.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleResults.java
@@ -6,13 +6,13 @@
 /**
  * The results of a scale run.
  *
- * @param notJudged reason why the results are not valid; empty if they are
+ * @param invalidReason reason why the results are not valid; empty if they are
  * @param machine description of the machine on which the run took place
  * @param fits fitted lines, by the keys of {@link ScaleSeries}
  * @param figures values that were measured once, by the keys of {@link ScaleMetric}
  */
 public record ScaleResults(
-        String notJudged,
+        String invalidReason,
         String machine,
         Map<String, LinearFit> fits,
         Map<String, Double> figures) {
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleResultsJson.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleResultsJson.java
@@ -37,7 +37,7 @@
                     new DefaultPrettyPrinter().withObjectIndenter(new DefaultIndenter("  ", "\n")));
             json.writeStartObject();
             json.writeNumberField("version", VERSION);
-            json.writeStringField("not_judged", results.notJudged());
+            json.writeStringField("not_judged", results.invalidReason());
             json.writeStringField("machine", results.machine());
             json.writeArrayFieldStart("fits");
             for (LinearFit fit : results.fits().values()) {
@@ -75,7 +75,7 @@
     }
 
     static ScaleResults read(String text) throws IOException {
-        String notJudged = "";
+        String invalidReason = "";
         String machine = "";
         Map<String, LinearFit> fits = new LinkedHashMap<>();
         Map<String, Double> figures = new LinkedHashMap<>();
@@ -86,7 +86,7 @@
                 json.nextToken();
                 switch (name) {
                     case "version" -> requireVersion(json.getIntValue());
-                    case "not_judged" -> notJudged = json.getText();
+                    case "not_judged" -> invalidReason = json.getText();
                     case "machine" -> machine = json.getText();
                     case "fits" -> readFits(json, fits);
                     case "figures" -> readFigures(json, figures);
@@ -96,7 +96,7 @@
         } catch (IllegalArgumentException e) {
             throw new InvalidScaleResultsException(e.getMessage(), e);
         }
-        return new ScaleResults(notJudged, machine, fits, figures);
+        return new ScaleResults(invalidReason, machine, fits, figures);
     }
 
     private static void requireVersion(int version) throws InvalidScaleResultsException {
