--- a/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
@@ -21,13 +21,13 @@
     public static String text(List<Report> reports, String comparison) {
         StringBuilder page = new StringBuilder("<h1>wheelroute rehearsal</h1>\n");
         if (!comparison.isEmpty()) {
-            page.append("<h2>All runs</h2>\n<pre>").append(escaped(comparison)).append("</pre>\n");
+            page.append("<h2>All runs</h2>\n<pre>").append(escapeHtml(comparison)).append("</pre>\n");
         }
         for (int i = 0; i < reports.size(); i++) {
             Report report = reports.get(i);
             page.append("<h2>")
                     .append(
-                            escaped(
+                            escapeHtml(
                                     report.run().scenario()
                                             + ", "
                                             + report.run().clock()
@@ -40,7 +40,7 @@
                                     ? " <span class=\"holds\">holds</span>"
                                     : " <span class=\"fails\">does not hold</span>")
                     .append("</h2>\n<pre>")
-                    .append(escaped(TableWriter.text(report)))
+                    .append(escapeHtml(TableWriter.text(report)))
                     .append("</pre>\n<div id=\"run-")
                     .append(i)
                     .append("\"></div>\n");
@@ -73,7 +73,7 @@
     }
 
     /** Returns the text with HTML special characters escaped. */
-    public static String escaped(String text) {
+    public static String escapeHtml(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 
--- a/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
@@ -26,7 +26,7 @@
                         + String.join("\n", exceededBounds);
         StringBuilder body =
                 new StringBuilder("<h1>" + TITLE + "</h1>\n<pre>")
-                        .append(HtmlWriter.escaped(summary))
+                        .append(HtmlWriter.escapeHtml(summary))
                         .append("</pre>\n");
         for (String name : results.fits().keySet()) {
             body.append("<div id=\"").append(name).append("\"></div>\n");
