--- a/kit/src/main/java/wheelroute/kit/faults/RelayDirection.java
+++ b/kit/src/main/java/wheelroute/kit/faults/RelayDirection.java
@@ -18,7 +18,7 @@
     private final ArrayDeque<Chunk> queue = new ArrayDeque<>();
 
     /** End to which the bytes are written; null until the target has accepted the connection. */
-    private RelayedConnection.Side receiver;
+    private RelayedConnection.EndConnection receiver;
 
     private int bufferedBytes;
     private boolean isWriting;
@@ -32,14 +32,14 @@
     private double lastDueAt = Double.NEGATIVE_INFINITY;
 
     /** Bytes that were read in one call and are forwarded together. */
-    private record Chunk(ByteBuffer bytes, int size, double dueAt, RelayedConnection.Side sender) {}
+    private record Chunk(ByteBuffer bytes, int size, double dueAt, RelayedConnection.EndConnection sender) {}
 
     RelayDirection(Relay relay, boolean isFromNear) {
         this.relay = relay;
         this.isFromNear = isFromNear;
     }
 
-    void setReceiver(RelayedConnection.Side side) {
+    void setReceiver(RelayedConnection.EndConnection side) {
         receiver = side;
     }
 
@@ -53,14 +53,14 @@
     }
 
     /** Buffers a copy of bytes that the sender has written. */
-    void add(ByteBuffer in, RelayedConnection.Side sender) {
+    void add(ByteBuffer in, RelayedConnection.EndConnection sender) {
         ByteBuffer copy = ByteBuffer.allocate(in.remaining());
         copy.put(in).flip();
         enqueue(copy, sender);
         forward();
     }
 
-    private void enqueue(ByteBuffer bytes, RelayedConnection.Side sender) {
+    private void enqueue(ByteBuffer bytes, RelayedConnection.EndConnection sender) {
         int size = bytes.remaining();
         bufferedBytes += size;
         queue.addLast(new Chunk(bytes, size, dueAt(size), sender));
@@ -77,7 +77,7 @@
      * Queues the end of the stream because the sender has closed its connection. Bytes that are
      * held back by a partition are lost.
      */
-    void end(RelayedConnection.Side sender) {
+    void end(RelayedConnection.EndConnection sender) {
         hasSenderEnded = true;
         if (!relay.isOpen(isFromNear)) {
             queue.forEach(chunk -> bufferedBytes -= chunk.size);
--- a/kit/src/main/java/wheelroute/kit/faults/RelayedConnection.java
+++ b/kit/src/main/java/wheelroute/kit/faults/RelayedConnection.java
@@ -19,10 +19,10 @@
     private final Relay relay;
     private final RelayDirection fromNear;
     private final RelayDirection fromFar;
-    private final Side near;
+    private final EndConnection near;
 
     /** Connection to the target; null until the target has accepted. */
-    private Side far;
+    private EndConnection far;
 
     private boolean isEnded;
     private boolean isNearCloseNotified;
@@ -32,7 +32,7 @@
         this.relay = relay;
         fromNear = new RelayDirection(relay, true);
         fromFar = new RelayDirection(relay, false);
-        near = new Side(nearEndPoint, fromNear);
+        near = new EndConnection(nearEndPoint, fromNear);
         fromFar.setReceiver(near);
         EventLoop loop = relay.loop();
         loop.post(() -> loop.connect(relay.target(), this));
@@ -44,7 +44,7 @@
 
     @Override
     public Connection onOpened(EndPoint endPoint) {
-        far = new Side(endPoint, fromFar);
+        far = new EndConnection(endPoint, fromFar);
         relay.loop()
                 .post(
                         () -> {
@@ -105,13 +105,13 @@
     }
 
     /** The relay's connection to one of the two ends. */
-    final class Side extends StreamConnection {
+    final class EndConnection extends StreamConnection {
         /** Direction that buffers the bytes that this end sends. */
         private final RelayDirection direction;
 
         private boolean isReadingSuspended;
 
-        Side(EndPoint endPoint, RelayDirection direction) {
+        EndConnection(EndPoint endPoint, RelayDirection direction) {
             super(endPoint, relay.loop());
             this.direction = direction;
         }
