--- a/daemon/src/main/java/wheelroute/adapter/Adapter.java
+++ b/daemon/src/main/java/wheelroute/adapter/Adapter.java
@@ -246,7 +246,7 @@
     private void onEndpointList() throws IOException, WireException {
         EndpointList list = endpointLists.read();
         boolean polls = current.backoff() != null;
-        if (list.form() == EndpointListReader.Form.FAILED) {
+        if (list.form() == EndpointListReader.ListKind.FAILED) {
             if (polls) {
                 schedulePoll();
             }
--- a/daemon/src/main/java/wheelroute/adapter/EndpointListReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/EndpointListReader.java
@@ -11,7 +11,7 @@
  * endpoint follows.
  */
 final class EndpointListReader {
-    enum Form {
+    enum ListKind {
         /** A complete list from discovery. */
         SNAPSHOT,
         /** A complete list from a cache, which may be out of date. */
@@ -22,16 +22,16 @@
         FAILED
     }
 
-    /** An endpoint list; without endpoints if its form is {@link Form#FAILED}. */
-    record EndpointList(Form form, List<Endpoint> endpoints) {
+    /** An endpoint list; without endpoints if its form is {@link ListKind#FAILED}. */
+    record EndpointList(ListKind form, List<Endpoint> endpoints) {
         /** Returns whether the list is a response of discovery. */
         boolean isResponse() {
-            return form == Form.SNAPSHOT || form == Form.DELTA;
+            return form == ListKind.SNAPSHOT || form == ListKind.DELTA;
         }
 
         /** Returns whether endpoints that are missing from the list have been removed. */
         boolean isComplete() {
-            return form == Form.SNAPSHOT || form == Form.CACHED;
+            return form == ListKind.SNAPSHOT || form == ListKind.CACHED;
         }
     }
 
@@ -46,12 +46,12 @@
      * the end of the last line.
      */
     EndpointList read() throws IOException, WireException {
-        Form form = readForm();
+        ListKind form = readForm();
         line.readLong("stamp", 0);
         long count = line.hasMore() ? line.readLong("items", 0) : 0;
         line.expectEnd();
         List<Endpoint> endpoints = new ArrayList<>();
-        if (form == Form.FAILED) {
+        if (form == ListKind.FAILED) {
             return new EndpointList(form, endpoints);
         }
         for (long i = 0; i < count; i++) {
@@ -66,13 +66,13 @@
         return new EndpointList(form, endpoints);
     }
 
-    private Form readForm() throws WireException {
+    private ListKind readForm() throws WireException {
         String word = line.readText("form");
         return switch (word) {
-            case "F" -> Form.SNAPSHOT;
-            case "C" -> Form.CACHED;
-            case "D" -> Form.DELTA;
-            case "X" -> Form.FAILED;
+            case "F" -> ListKind.SNAPSHOT;
+            case "C" -> ListKind.CACHED;
+            case "D" -> ListKind.DELTA;
+            case "X" -> ListKind.FAILED;
             default -> throw line.error("unknown form of endpoint list '" + word + "'");
         };
     }
