--- a/kit/src/main/java/wheelroute/kit/faults/RelayDirection.java
+++ b/kit/src/main/java/wheelroute/kit/faults/RelayDirection.java
@@ -32,7 +32,8 @@
     private double lastDueAt = Double.NEGATIVE_INFINITY;
 
     /** Bytes that were read in one call and are forwarded together. */
-    private record Chunk(ByteBuffer bytes, int size, double dueAt, RelayedConnection.EndConnection sender) {}
+    private record Chunk(
+            ByteBuffer bytes, int size, double dueAt, RelayedConnection.EndConnection sender) {}
 
     RelayDirection(Relay relay, boolean isFromNear) {
         this.relay = relay;
--- a/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/HtmlWriter.java
@@ -21,7 +21,9 @@
     public static String text(List<Report> reports, String comparison) {
         StringBuilder page = new StringBuilder("<h1>wheelroute rehearsal</h1>\n");
         if (!comparison.isEmpty()) {
-            page.append("<h2>All runs</h2>\n<pre>").append(escapeHtml(comparison)).append("</pre>\n");
+            page.append("<h2>All runs</h2>\n<pre>")
+                    .append(escapeHtml(comparison))
+                    .append("</pre>\n");
         }
         for (int i = 0; i < reports.size(); i++) {
             Report report = reports.get(i);
--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
@@ -74,7 +74,8 @@
 
     private void measureCalls(int count, RateLimitedDiscovery discovery)
             throws IOException, RehearsalException {
-        DiscoveryCallStatistics hollow = discovery.statistics(RateLimitedDiscovery.Caller.IN_PROCESS);
+        DiscoveryCallStatistics hollow =
+                discovery.statistics(RateLimitedDiscovery.Caller.IN_PROCESS);
         DiscoveryCallStatistics process = discovery.statistics(RateLimitedDiscovery.Caller.PROCESS);
         environment.runOnLoop(
                 () -> {
