--- a/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Agreement.java
@@ -45,8 +45,8 @@
                 agreement.compare(
                         runLabel(first),
                         MetricNames.SERVICE,
-                        first.figures().get(MetricNames.SERVICE),
-                        second.figures().get(MetricNames.SERVICE),
+                        first.metrics().get(MetricNames.SERVICE),
+                        second.metrics().get(MetricNames.SERVICE),
                         MAX_REPETITION_DIFFERENCE);
             }
         }
@@ -83,33 +83,33 @@
 
     private void compareMeans(
             String name, List<Integer> indices, List<Report> virtual, List<Report> real) {
-        for (String figure : virtual.get(indices.get(0)).figures().keySet()) {
-            if (figure.startsWith(MetricNames.REQUEST_CLASS)) {
+        for (String metric : virtual.get(indices.get(0)).metrics().keySet()) {
+            if (metric.startsWith(MetricNames.REQUEST_CLASS)) {
                 compare(
                         name + ", " + indices.size() + " seeds",
-                        figure,
-                        mean(virtual, indices, figure),
-                        mean(real, indices, figure),
+                        metric,
+                        mean(virtual, indices, metric),
+                        mean(real, indices, metric),
                         MAX_CLOCK_DIFFERENCE);
             }
         }
     }
 
-    private static double mean(List<Report> reports, List<Integer> indices, String figure) {
+    private static double mean(List<Report> reports, List<Integer> indices, String metric) {
         return indices.stream()
-                .mapToDouble(i -> reports.get(i).figures().get(figure))
+                .mapToDouble(i -> reports.get(i).metrics().get(metric))
                 .average()
                 .orElseThrow();
     }
 
-    private void compare(String name, String figure, double first, double second, double allowed) {
+    private void compare(String name, String metric, double first, double second, double allowed) {
         double difference = Math.abs(first - second);
         boolean isAllowed = difference <= allowed;
         holds &= isAllowed;
         rows.add(
                 new String[] {
                     name,
-                    figure,
+                    metric,
                     String.format(Locale.ROOT, "%.4f", first),
                     String.format(Locale.ROOT, "%.4f", second),
                     String.format(Locale.ROOT, "%.4f", difference) + (isAllowed ? "" : " TOO MUCH"),
--- a/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
+++ b/kit/src/main/java/wheelroute/kit/experiment/Comparison.java
@@ -11,12 +11,12 @@
 import wheelroute.kit.scenario.MetricNames;
 
 /**
- * Computes the mean and spread of each figure over the seeds, and the difference of each variant
+ * Computes the mean and spread of each metric over the seeds, and the difference of each variant
  * from the first variant. All variants get the same requests with the same seed; differences are
  * therefore paired by seed, so that their standard error excludes the variation between seeds.
  */
 public final class Comparison {
-    private static final List<String> FIGURES =
+    private static final List<String> METRICS =
             List.of(
                     MetricNames.SERVICE,
                     MetricNames.IN_TIME,
@@ -30,7 +30,7 @@
     };
 
     /**
-     * The statistics of a figure in the runs of one scenario and variant.
+     * The statistics of a metric in the runs of one scenario and variant.
      *
      * @param error standard error of the mean; NaN with one seed
      * @param difference mean difference from the first variant; 0 for the first variant
@@ -39,7 +39,7 @@
     public record Cell(
             String scenario,
             String variant,
-            String figure,
+            String metric,
             int seeds,
             double mean,
             double error,
@@ -50,7 +50,7 @@
 
     private Comparison() {}
 
-    /** Returns a cell for each scenario, figure and variant of the reports. */
+    /** Returns a cell for each scenario, metric and variant of the reports. */
     public static List<Cell> of(List<Report> reports) {
         Map<String, Map<String, Map<Long, Report>>> byScenarioVariantSeed = new LinkedHashMap<>();
         for (Report report : reports) {
@@ -67,21 +67,21 @@
     private static void addCells(
             String scenario, Map<String, Map<Long, Report>> variants, List<Cell> cells) {
         Map<Long, Report> first = variants.values().iterator().next();
-        for (String figure : FIGURES) {
+        for (String metric : METRICS) {
             variants.forEach(
-                    (variant, runs) -> cells.add(cell(scenario, variant, figure, runs, first)));
+                    (variant, runs) -> cells.add(cell(scenario, variant, metric, runs, first)));
         }
     }
 
     private static Cell cell(
             String scenario,
             String variant,
-            String figure,
+            String metric,
             Map<Long, Report> runs,
             Map<Long, Report> firstRuns) {
         double[] values =
-                runs.values().stream().mapToDouble(run -> run.figures().get(figure)).toArray();
-        double[] differences = differences(figure, runs, firstRuns);
+                runs.values().stream().mapToDouble(run -> run.metrics().get(metric)).toArray();
+        double[] differences = differences(metric, runs, firstRuns);
         double min = Double.POSITIVE_INFINITY;
         double max = Double.NEGATIVE_INFINITY;
         for (double value : values) {
@@ -91,7 +91,7 @@
         return new Cell(
                 scenario,
                 variant,
-                figure,
+                metric,
                 values.length,
                 mean(values),
                 standardError(values),
@@ -102,14 +102,14 @@
     }
 
     private static double[] differences(
-            String figure, Map<Long, Report> runs, Map<Long, Report> firstRuns) {
+            String metric, Map<Long, Report> runs, Map<Long, Report> firstRuns) {
         TreeSet<Long> commonSeeds = new TreeSet<>(runs.keySet());
         commonSeeds.retainAll(firstRuns.keySet());
         return commonSeeds.stream()
                 .mapToDouble(
                         seed ->
-                                runs.get(seed).figures().get(figure)
-                                        - firstRuns.get(seed).figures().get(figure))
+                                runs.get(seed).metrics().get(metric)
+                                        - firstRuns.get(seed).metrics().get(metric))
                 .toArray();
     }
 
@@ -142,7 +142,7 @@
             rows.add(
                     new String[] {
                         cell.scenario(),
-                        cell.figure(),
+                        cell.metric(),
                         cell.variant(),
                         Integer.toString(cell.seeds()),
                         number(cell.mean()),
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
@@ -56,22 +56,22 @@
                 environment.auditor,
                 environment.cluster,
                 lag,
-                new Report.Measurements(figures(), notes()),
+                new Report.Measurements(metrics(), notes()),
                 isPartial);
     }
 
-    private Map<String, Double> figures() {
+    private Map<String, Double> metrics() {
         MetricsAuditor metrics = environment.metricsAuditor;
-        Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put(
+        Map<String, Double> values = new LinkedHashMap<>();
+        values.put(
                 MetricNames.MAX_DISCOVERY_CALLS,
                 (double) environment.discoveryCalls.maxPerSecond());
-        figures.put(MetricNames.MISMATCHED_METRICS, metrics.mismatchFraction());
-        figures.put(MetricNames.ADMIN_CALL_TIMEOUTS, metrics.lateCallFraction());
-        figures.put(
+        values.put(MetricNames.MISMATCHED_METRICS, metrics.mismatchFraction());
+        values.put(MetricNames.ADMIN_CALL_TIMEOUTS, metrics.lateCallFraction());
+        values.put(
                 MetricNames.FAILED_REPLACEMENTS, (double) environment.fleet.failedReplacements());
-        figures.put(MetricNames.PEERS_NOT_CONVERGED, (double) membership.mismatches().size());
-        return figures;
+        values.put(MetricNames.PEERS_NOT_CONVERGED, (double) membership.mismatches().size());
+        return values;
     }
 
     private List<String> notes() {
--- a/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/JsonWriter.java
@@ -57,8 +57,8 @@
         writeLag(json, report.lag());
         writeStrings(json, "notes", report.notes());
         json.writeObjectFieldStart("figures");
-        for (Map.Entry<String, Double> figure : report.figures().entrySet()) {
-            writeNumber(json, figure.getKey(), figure.getValue());
+        for (Map.Entry<String, Double> metric : report.metrics().entrySet()) {
+            writeNumber(json, metric.getKey(), metric.getValue());
         }
         json.writeEndObject();
         writeRows(json, "offerings", report.requestClasses());
@@ -117,7 +117,7 @@
         json.writeArrayFieldStart("expected");
         for (Report.Verdict verdict : verdicts) {
             json.writeStartObject();
-            json.writeStringField("figure", verdict.figure());
+            json.writeStringField("figure", verdict.metric());
             writeNumber(json, "least", verdict.min());
             writeNumber(json, "most", verdict.max());
             writeNumber(json, "value", verdict.value());
--- a/kit/src/main/java/wheelroute/kit/report/Report.java
+++ b/kit/src/main/java/wheelroute/kit/report/Report.java
@@ -15,7 +15,7 @@
  * The result of one run. On the virtual clock, the same seed gives the same report on every
  * machine.
  *
- * @param figures values by the names in {@link MetricNames}
+ * @param metrics values by the names in {@link MetricNames}
  * @param breachCounts the number of all breaches by rule
  * @param breaches the first breaches only
  * @param distribution points of the latency distribution, each a fraction of requests and seconds
@@ -27,7 +27,7 @@
         Row total,
         List<Row> requestClasses,
         List<Row> tenants,
-        Map<String, Double> figures,
+        Map<String, Double> metrics,
         List<Verdict> verdicts,
         Map<Rule, Integer> breachCounts,
         List<Auditor.Breach> breaches,
@@ -79,7 +79,7 @@
             double p999Seconds) {}
 
     /** An expectation of the scenario with the measured value, and whether the value meets it. */
-    public record Verdict(String figure, double min, double max, double value, boolean holds) {
+    public record Verdict(String metric, double min, double max, double value, boolean holds) {
         static Verdict of(Scenario.Expectation expected, double value) {
             boolean holds = value >= expected.min() && value <= expected.max();
             return new Verdict(expected.metric(), expected.min(), expected.max(), value, holds);
@@ -87,7 +87,7 @@
 
         /** Returns the verdict as a line of text. */
         public String text() {
-            return figure
+            return metric
                     + (Double.isInfinite(min) ? "" : " at least " + min)
                     + (Double.isInfinite(max) ? "" : " at most " + max)
                     + ": "
@@ -131,8 +131,8 @@
         }
     }
 
-    /** The figures by name, and lines of text, that only some kinds of runs can provide. */
-    public record Measurements(Map<String, Double> figures, List<String> notes) {
+    /** The metrics by name, and lines of text, that only some kinds of runs can provide. */
+    public record Measurements(Map<String, Double> metrics, List<String> notes) {
         public static final Measurements NONE = new Measurements(Map.of(), List.of());
     }
 
@@ -156,15 +156,15 @@
             Measurements measurements,
             boolean partial) {
         Tally tally = recorder.tally();
-        Map<String, Double> figures = figures(recorder, auditor);
-        figures.putAll(measurements.figures());
+        Map<String, Double> metrics = metrics(recorder, auditor);
+        metrics.putAll(measurements.metrics());
         return new Report(
                 run,
                 tally.total(),
                 tally.requestClassRows(),
                 tally.tenantRows(),
-                figures,
-                verdicts(cluster.scenario, figures),
+                metrics,
+                verdicts(cluster.scenario, metrics),
                 breachCounts(auditor),
                 auditor.breaches(),
                 tally.series(cluster),
@@ -175,32 +175,32 @@
                 partial);
     }
 
-    private static Map<String, Double> figures(Recorder recorder, Auditor auditor) {
+    private static Map<String, Double> metrics(Recorder recorder, Auditor auditor) {
         Tally tally = recorder.tally();
         Row total = tally.total();
         double countedRequests = Math.max(1, total.requested() - total.cancelled());
-        Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put(MetricNames.SERVICE, total.service());
-        figures.put(MetricNames.IN_TIME, total.inTime() / countedRequests);
-        figures.put(MetricNames.REJECTED, total.rejected() / countedRequests);
-        figures.put(MetricNames.FAILED, total.failed() / countedRequests);
-        figures.put(MetricNames.UNANSWERED, total.unanswered() / countedRequests);
-        figures.put(MetricNames.BREACHES, (double) auditor.total());
-        figures.put(MetricNames.ATTEMPTS, recorder.attemptsPerRequest());
-        figures.put(MetricNames.P50, total.p50Seconds());
-        figures.put(MetricNames.P99, total.p99Seconds());
-        figures.put(MetricNames.P999, total.p999Seconds());
+        Map<String, Double> metrics = new LinkedHashMap<>();
+        metrics.put(MetricNames.SERVICE, total.service());
+        metrics.put(MetricNames.IN_TIME, total.inTime() / countedRequests);
+        metrics.put(MetricNames.REJECTED, total.rejected() / countedRequests);
+        metrics.put(MetricNames.FAILED, total.failed() / countedRequests);
+        metrics.put(MetricNames.UNANSWERED, total.unanswered() / countedRequests);
+        metrics.put(MetricNames.BREACHES, (double) auditor.total());
+        metrics.put(MetricNames.ATTEMPTS, recorder.attemptsPerRequest());
+        metrics.put(MetricNames.P50, total.p50Seconds());
+        metrics.put(MetricNames.P99, total.p99Seconds());
+        metrics.put(MetricNames.P999, total.p999Seconds());
         tally.requestClassRows()
-                .forEach(row -> figures.put(MetricNames.REQUEST_CLASS + row.name(), row.service()));
+                .forEach(row -> metrics.put(MetricNames.REQUEST_CLASS + row.name(), row.service()));
         tally.tenantRows()
-                .forEach(row -> figures.put(MetricNames.TENANT + row.name(), row.service()));
-        return figures;
+                .forEach(row -> metrics.put(MetricNames.TENANT + row.name(), row.service()));
+        return metrics;
     }
 
-    private static List<Verdict> verdicts(Scenario scenario, Map<String, Double> figures) {
+    private static List<Verdict> verdicts(Scenario scenario, Map<String, Double> metrics) {
         List<Verdict> verdicts = new ArrayList<>();
         for (Scenario.Expectation expected : scenario.expectations()) {
-            double value = figures.getOrDefault(expected.metric(), Double.NaN);
+            double value = metrics.getOrDefault(expected.metric(), Double.NaN);
             verdicts.add(Verdict.of(expected, value));
         }
         return verdicts;
--- a/kit/src/main/java/wheelroute/kit/report/TableWriter.java
+++ b/kit/src/main/java/wheelroute/kit/report/TableWriter.java
@@ -36,7 +36,7 @@
         TableWriter writer = new TableWriter();
         writer.writeRun(report.run());
         writer.writeRows(report);
-        writer.writeFigures(report);
+        writer.writeMetrics(report);
         writer.writeRules(report);
         for (Report.Verdict verdict : report.verdicts()) {
             writer.line("expected: " + verdict.text());
@@ -99,8 +99,8 @@
                 : String.format(Locale.ROOT, "%.1f", MILLIS_PER_SECOND * seconds);
     }
 
-    private void writeFigures(Report report) {
-        double attempts = report.figures().get(MetricNames.ATTEMPTS);
+    private void writeMetrics(Report report) {
+        double attempts = report.metrics().get(MetricNames.ATTEMPTS);
         line(String.format(Locale.ROOT, "attempts per request: %.3f", attempts));
         Report.MachineLag lag = report.lag();
         if (lag.timerP99Seconds() > 0) {
--- a/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
@@ -226,9 +226,9 @@
                         + " dispatchers, from its return",
                 "1",
                 NOT_APPLICABLE,
-                formatNumber(results.figure(ScaleMetric.DISCOVERY_RECOVERY_SECONDS))
+                formatNumber(results.metric(ScaleMetric.DISCOVERY_RECOVERY_SECONDS))
                         + " (measured once, "
-                        + formatNumber(results.figure(ScaleMetric.DISCOVERY_RECOVERY_CALLS))
+                        + formatNumber(results.metric(ScaleMetric.DISCOVERY_RECOVERY_CALLS))
                         + " calls)");
         return table.text();
     }
@@ -277,12 +277,12 @@
         MarkdownTable table = new MarkdownTable("seen by discovery", "process", "hollow");
         table.addRow(
                 "calls/s",
-                formatNumber(results.figure(ScaleMetric.PROCESS_CALLS_PER_SECOND)),
-                formatNumber(results.figure(ScaleMetric.IN_PROCESS_CALLS_PER_SECOND)));
+                formatNumber(results.metric(ScaleMetric.PROCESS_CALLS_PER_SECOND)),
+                formatNumber(results.metric(ScaleMetric.IN_PROCESS_CALLS_PER_SECOND)));
         table.addRow(
                 "s until a change is in force, p50",
-                formatNumber(results.figure(ScaleMetric.PROCESS_TIME_TO_IN_FORCE_P50_SECONDS)),
-                formatNumber(results.figure(ScaleMetric.IN_PROCESS_TIME_TO_IN_FORCE_P50_SECONDS)));
+                formatNumber(results.metric(ScaleMetric.PROCESS_TIME_TO_IN_FORCE_P50_SECONDS)),
+                formatNumber(results.metric(ScaleMetric.IN_PROCESS_TIME_TO_IN_FORCE_P50_SECONDS)));
         return table.text();
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
@@ -88,7 +88,7 @@
         environment.runOnLoop(
                 () -> {
                     recordSeries(count, seconds, hollow);
-                    recordFigures(count, seconds, hollow, process);
+                    recordMetrics(count, seconds, hollow, process);
                 });
     }
 
@@ -103,7 +103,7 @@
         recorder.record(ScaleSeries.TIME_TO_IN_FORCE_MAX, count, hollow.maxSecondsToInForce());
     }
 
-    private void recordFigures(
+    private void recordMetrics(
             int count,
             double seconds,
             DiscoveryCallStatistics hollow,
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleMetric.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleMetric.java
@@ -1,6 +1,6 @@
 package wheelroute.kit.scale;
 
-/** Figures that a scale run measures once, at its largest number of dispatchers. */
+/** Metrics that a scale run measures once, at its largest number of dispatchers. */
 public enum ScaleMetric {
     /** Time after the downtime of discovery until the last dispatcher has the current list. */
     DISCOVERY_RECOVERY_SECONDS("list_restart_worst_s"),
@@ -16,7 +16,7 @@
         this.key = key;
     }
 
-    /** Returns the name of the figure in the results file. */
+    /** Returns the name of the metric in the results file. */
     public String key() {
         return key;
     }
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleRecorder.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleRecorder.java
@@ -11,16 +11,16 @@
 /** Collects the results of all measurements of a scale run. Thread-safe. */
 final class ScaleRecorder {
     private final Map<ScaleSeries, List<LinearFit.Point>> points = new EnumMap<>(ScaleSeries.class);
-    private final Map<ScaleMetric, Double> figures = new EnumMap<>(ScaleMetric.class);
+    private final Map<ScaleMetric, Double> metrics = new EnumMap<>(ScaleMetric.class);
 
     /** Adds a point to a series. */
     synchronized void record(ScaleSeries series, double x, double y) {
         points.computeIfAbsent(series, s -> new ArrayList<>()).add(new LinearFit.Point(x, y));
     }
 
-    /** Records a figure, replacing an earlier value. */
-    synchronized void record(ScaleMetric figure, double value) {
-        figures.put(figure, value);
+    /** Records a metric, replacing an earlier value. */
+    synchronized void record(ScaleMetric metric, double value) {
+        metrics.put(metric, value);
     }
 
     /**
@@ -41,8 +41,8 @@
                     series.key(),
                     LinearFit.of(series.key(), series.xLabel(), series.yLabel(), ascending));
         }
-        Map<String, Double> figuresByKey = new TreeMap<>();
-        figures.forEach((figure, value) -> figuresByKey.put(figure.key(), value));
-        return new ScaleResults(invalidReason, machine, fits, figuresByKey);
+        Map<String, Double> metricsByKey = new TreeMap<>();
+        metrics.forEach((metric, value) -> metricsByKey.put(metric.key(), value));
+        return new ScaleResults(invalidReason, machine, fits, metricsByKey);
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleResults.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleResults.java
@@ -9,13 +9,13 @@
  * @param invalidReason reason why the results are not valid; empty if they are
  * @param machine description of the machine on which the run took place
  * @param fits fitted lines, by the keys of {@link ScaleSeries}
- * @param figures values that were measured once, by the keys of {@link ScaleMetric}
+ * @param metrics values that were measured once, by the keys of {@link ScaleMetric}
  */
 public record ScaleResults(
         String invalidReason,
         String machine,
         Map<String, LinearFit> fits,
-        Map<String, Double> figures) {
+        Map<String, Double> metrics) {
     /**
      * Returns the line that was fitted to a series.
      *
@@ -26,12 +26,12 @@
     }
 
     /**
-     * Returns a figure that was measured once.
+     * Returns a metric that was measured once.
      *
      * @throws IllegalArgumentException if the results do not contain it
      */
-    public double figure(ScaleMetric figure) {
-        return requirePresent(figures.get(figure.key()), figure.key());
+    public double metric(ScaleMetric metric) {
+        return requirePresent(metrics.get(metric.key()), metric.key());
     }
 
     private static <T> T requirePresent(T value, String key) {
--- a/kit/src/main/java/wheelroute/kit/scale/ScaleResultsJson.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScaleResultsJson.java
@@ -45,8 +45,8 @@
             }
             json.writeEndArray();
             json.writeObjectFieldStart("figures");
-            for (Map.Entry<String, Double> figure : results.figures().entrySet()) {
-                json.writeNumberField(figure.getKey(), figure.getValue());
+            for (Map.Entry<String, Double> metric : results.metrics().entrySet()) {
+                json.writeNumberField(metric.getKey(), metric.getValue());
             }
             json.writeEndObject();
             json.writeEndObject();
@@ -78,7 +78,7 @@
         String invalidReason = "";
         String machine = "";
         Map<String, LinearFit> fits = new LinkedHashMap<>();
-        Map<String, Double> figures = new LinkedHashMap<>();
+        Map<String, Double> metrics = new LinkedHashMap<>();
         try (JsonParser json = JSON.createParser(text)) {
             require(json.nextToken() == JsonToken.START_OBJECT, "expected a JSON object");
             while (json.nextToken() != JsonToken.END_OBJECT) {
@@ -89,14 +89,14 @@
                     case "not_judged" -> invalidReason = json.getText();
                     case "machine" -> machine = json.getText();
                     case "fits" -> readFits(json, fits);
-                    case "figures" -> readFigures(json, figures);
+                    case "figures" -> readMetrics(json, metrics);
                     default -> json.skipChildren();
                 }
             }
         } catch (IllegalArgumentException e) {
             throw new InvalidScaleResultsException(e.getMessage(), e);
         }
-        return new ScaleResults(invalidReason, machine, fits, figures);
+        return new ScaleResults(invalidReason, machine, fits, metrics);
     }
 
     private static void requireVersion(int version) throws InvalidScaleResultsException {
@@ -142,12 +142,12 @@
         }
     }
 
-    private static void readFigures(JsonParser json, Map<String, Double> figures)
+    private static void readMetrics(JsonParser json, Map<String, Double> metrics)
             throws IOException {
         while (json.nextToken() != JsonToken.END_OBJECT) {
             String key = json.currentName();
             json.nextToken();
-            figures.put(key, json.getDoubleValue());
+            metrics.put(key, json.getDoubleValue());
         }
     }
 
--- a/kit/src/main/java/wheelroute/kit/scenario/MetricNames.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/MetricNames.java
@@ -1,6 +1,6 @@
 package wheelroute.kit.scenario;
 
-/** Names of the figures in a run's report, for which scenarios may set bounds. */
+/** Names of the metrics in a run's report, for which scenarios may set bounds. */
 public final class MetricNames {
     /** Value earned divided by value requested, from 0 to 1. */
     public static final String SERVICE = "service";
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -159,24 +159,24 @@
 
     private static List<Scenario.Expectation> expectations(TomlFields fields) {
         List<Scenario.Expectation> expectations = new ArrayList<>();
-        for (String figure : fields.keys()) {
-            if (MetricNames.isKnown(figure)) {
+        for (String metric : fields.keys()) {
+            if (MetricNames.isKnown(metric)) {
                 expectations.add(
                         ScenarioFields.readStrictly(
-                                fields.table(figure), bounds -> expectation(figure, bounds)));
+                                fields.table(metric), bounds -> expectation(metric, bounds)));
             } else {
                 fields.addFault(
-                        figure, "is not a figure of a report; known figures: " + MetricNames.KNOWN);
-                fields.table(figure);
+                        metric, "is not a figure of a report; known figures: " + MetricNames.KNOWN);
+                fields.table(metric);
             }
         }
         return expectations;
     }
 
-    private static Scenario.Expectation expectation(String figure, TomlFields bounds) {
+    private static Scenario.Expectation expectation(String metric, TomlFields bounds) {
         double max = ScenarioFields.MAX_NUMBER;
         return new Scenario.Expectation(
-                figure,
+                metric,
                 bounds.number("least", Double.NEGATIVE_INFINITY, -max, max),
                 bounds.number("most", Double.POSITIVE_INFINITY, -max, max));
     }
--- a/kit/src/test/java/wheelroute/kit/experiment/ComparisonTest.java
+++ b/kit/src/test/java/wheelroute/kit/experiment/ComparisonTest.java
@@ -11,7 +11,7 @@
 public class ComparisonTest {
     private static final double TOLERANCE = 1e-12;
 
-    /** Computes the expected values independently, from the figures of the single runs. */
+    /** Computes the expected values independently, from the metrics of the single runs. */
     @Test
     public void pairsDifferencesBySeed() throws Exception {
         List<Report> reports = SmallPlan.run(2);
@@ -20,12 +20,12 @@
 
         Comparison.Cell cell =
                 cells.stream()
-                        .filter(each -> each.figure().equals(MetricNames.P99))
+                        .filter(each -> each.metric().equals(MetricNames.P99))
                         .filter(each -> each.variant().equals(SmallPlan.BASELINE))
                         .findFirst()
                         .orElseThrow();
         double[] p99 =
-                reports.stream().mapToDouble(r -> r.figures().get(MetricNames.P99)).toArray();
+                reports.stream().mapToDouble(r -> r.metrics().get(MetricNames.P99)).toArray();
         double[] differences = {p99[3] - p99[0], p99[4] - p99[1], p99[5] - p99[2]};
         double mean = (differences[0] + differences[1] + differences[2]) / 3;
         double squares =
--- a/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/LinkFaultsTest.java
@@ -91,7 +91,7 @@
         JudgedRuns.assertKeepsRules(report);
         assertTrue(all.inTime() > all.requested() / 3, TableWriter.text(report));
         assertEquals(
-                report.figures().get(MetricNames.FAILED_REPLACEMENTS),
+                report.metrics().get(MetricNames.FAILED_REPLACEMENTS),
                 0.0,
                 TableWriter.text(report));
     }
@@ -104,7 +104,7 @@
                                 + fault("dispatcher-replace", 1, 4, "share = 0.2\npick = 1")
                                 + fault("burst", 1, 2, "group = \"far\"\nlevel = 0.5"));
         assertEquals(
-                report.figures().get(MetricNames.MISMATCHED_METRICS),
+                report.metrics().get(MetricNames.MISMATCHED_METRICS),
                 0.0,
                 TableWriter.text(report));
         JudgedRuns.assertKeepsRules(report);
--- a/kit/src/test/java/wheelroute/kit/process/PeerFaultsTest.java
+++ b/kit/src/test/java/wheelroute/kit/process/PeerFaultsTest.java
@@ -67,7 +67,7 @@
         Report report = JudgedRuns.run(scenarioWithPeers(faults), SEED, SECONDS);
         JudgedRuns.assertKeepsRules(report);
         assertEquals(
-                report.figures().get(MetricNames.PEERS_NOT_CONVERGED),
+                report.metrics().get(MetricNames.PEERS_NOT_CONVERGED),
                 0.0,
                 TableWriter.text(report));
         assertTrue(
--- a/kit/src/test/java/wheelroute/kit/report/ReportTest.java
+++ b/kit/src/test/java/wheelroute/kit/report/ReportTest.java
@@ -87,7 +87,7 @@
                 report.total(),
                 report.requestClasses(),
                 report.tenants(),
-                report.figures(),
+                report.metrics(),
                 report.verdicts(),
                 breachCounts,
                 report.breaches(),
--- a/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
@@ -57,16 +57,16 @@
 
     private static void assertFiguresArePlausible(ScaleResults results) {
         assertTrue(
-                results.figure(ScaleMetric.IN_PROCESS_CALLS_PER_SECOND) > 0,
+                results.metric(ScaleMetric.IN_PROCESS_CALLS_PER_SECOND) > 0,
                 "a hollow dispatcher did not call discovery");
         assertTrue(
-                results.figure(ScaleMetric.PROCESS_CALLS_PER_SECOND) > 0,
+                results.metric(ScaleMetric.PROCESS_CALLS_PER_SECOND) > 0,
                 "a process did not call discovery");
         assertTrue(
-                results.figure(ScaleMetric.DISCOVERY_RECOVERY_CALLS) >= 8,
+                results.metric(ScaleMetric.DISCOVERY_RECOVERY_CALLS) >= 8,
                 "not all dispatchers reconnected");
         assertTrue(
-                results.figure(ScaleMetric.DISCOVERY_RECOVERY_SECONDS) <= MAX_RECOVERY_SECONDS,
+                results.metric(ScaleMetric.DISCOVERY_RECOVERY_SECONDS) <= MAX_RECOVERY_SECONDS,
                 "the dispatchers reconnected too late after the restart of discovery");
     }
 
--- a/kit/src/test/java/wheelroute/kit/scale/SmallDeployment.java
+++ b/kit/src/test/java/wheelroute/kit/scale/SmallDeployment.java
@@ -62,16 +62,16 @@
             LinearFit fit = LinearFitTest.line(line[0], line[1], 0, 1, SIZES);
             fits.put(series.key(), LinearFit.of(series.key(), "x", "y", fit.points()));
         }
-        return new ScaleResults("", "test machine", fits, figures());
+        return new ScaleResults("", "test machine", fits, metrics());
     }
 
-    private static Map<String, Double> figures() {
-        Map<String, Double> figures = new LinkedHashMap<>();
-        for (ScaleMetric figure : ScaleMetric.values()) {
-            figures.put(figure.key(), 1.0);
+    private static Map<String, Double> metrics() {
+        Map<String, Double> metrics = new LinkedHashMap<>();
+        for (ScaleMetric metric : ScaleMetric.values()) {
+            metrics.put(metric.key(), 1.0);
         }
-        figures.put(ScaleMetric.DISCOVERY_RECOVERY_CALLS.key(), 9.0);
-        return figures;
+        metrics.put(ScaleMetric.DISCOVERY_RECOVERY_CALLS.key(), 9.0);
+        return metrics;
     }
 
     /** Returns the size read from the TOML text with one part replaced. */
--- a/kit/src/test/java/wheelroute/kit/simulation/ShippedScenariosTest.java
+++ b/kit/src/test/java/wheelroute/kit/simulation/ShippedScenariosTest.java
@@ -65,13 +65,13 @@
         Scenario scenario = ScenarioLibrary.find("overload");
         double policyService =
                 SimulatedRuns.run(scenario, 3, Plan.QUICK_SECONDS)
-                        .figures()
+                        .metrics()
                         .get(MetricNames.SERVICE);
         for (String strategy : Strategies.names()) {
             Report report = SimulatedRuns.run(scenario, 3, Plan.QUICK_SECONDS, strategy);
             assertTrue(report.keepsRules(), TableWriter.text(report));
             if (!strategy.equals(Strategies.POLICY) && !strategy.equals(Strategies.ORACLE)) {
-                double service = report.figures().get(MetricNames.SERVICE);
+                double service = report.metrics().get(MetricNames.SERVICE);
                 assertTrue(
                         service < policyService - MIN_SERVICE_ADVANTAGE,
                         "service of "
