--- a/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
@@ -43,7 +43,7 @@
         tables.put("failures", failures());
         tables.put("workers", workers());
         tables.put("peers", peers());
-        tables.put("hollow", hollowDispatchers());
+        tables.put("hollow", inProcessDispatchers());
         return tables;
     }
 
@@ -273,7 +273,7 @@
         return table.text();
     }
 
-    private String hollowDispatchers() {
+    private String inProcessDispatchers() {
         MarkdownTable table = new MarkdownTable("seen by discovery", "process", "hollow");
         table.addRow(
                 "calls/s",
--- a/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
+++ b/kit/src/main/java/wheelroute/kit/scale/DispatcherCountMeasurement.java
@@ -9,9 +9,9 @@
 
 /**
  * Measures the load on one discovery by the number of dispatchers, and the time until a change is
- * in force at all of them. All dispatchers but one are hollow; one separate process is measured as
- * well, to check that the hollow dispatchers behave like it. Finally, discovery is restarted while
- * all dispatchers are connected.
+ * in force at all of them. All dispatchers but one run in this process; one separate process is
+ * measured as well, to check that the in-process dispatchers behave like it. Finally, discovery is
+ * restarted while all dispatchers are connected.
  */
 final class DispatcherCountMeasurement implements ScaleMeasurement {
     private static final int IN_PROCESS_MAX_SOCKETS = 128;
@@ -42,24 +42,25 @@
     private void measure() throws IOException, RehearsalException {
         DispatcherBench bench = new DispatcherBench(environment, ScalePlan.BASELINE_WORKERS, 0);
         try (bench;
-                InProcessDispatchers hollow = new InProcessDispatchers(environment.directory())) {
+                InProcessDispatchers inProcess =
+                        new InProcessDispatchers(environment.directory())) {
             bench.startChanges(ScalePlan.BASELINE_CHANGES_PER_SECOND);
             for (int count : environment.plan().dispatcherCounts()) {
                 if (environment.isStopped()) {
                     return;
                 }
-                growTo(count, bench, hollow);
+                growTo(count, bench, inProcess);
                 measureCalls(count, bench.discovery());
-                environment.reportProgress(count + " hollow dispatchers");
+                environment.reportProgress(count + " in-process dispatchers");
             }
-            measureDiscoveryRestart(bench, hollow.size());
+            measureDiscoveryRestart(bench, inProcess.size());
         }
     }
 
-    private static void growTo(int count, DispatcherBench bench, InProcessDispatchers hollow)
+    private static void growTo(int count, DispatcherBench bench, InProcessDispatchers inProcess)
             throws IOException, RehearsalException {
         RateLimitedDiscovery discovery = bench.discovery();
-        hollow.growTo(
+        inProcess.growTo(
                 count,
                 new DispatcherConfigFile(
                         discovery.address(RateLimitedDiscovery.Caller.IN_PROCESS),
@@ -69,17 +70,17 @@
                         IN_PROCESS_MAX_SOCKETS));
         bench.awaitCondition(
                 () -> discovery.connectionCount() == count + 1,
-                "not all hollow dispatchers loaded the endpoint list");
+                "not all in-process dispatchers loaded the endpoint list");
     }
 
     private void measureCalls(int count, RateLimitedDiscovery discovery)
             throws IOException, RehearsalException {
-        DiscoveryCallStatistics hollow =
+        DiscoveryCallStatistics inProcess =
                 discovery.statistics(RateLimitedDiscovery.Caller.IN_PROCESS);
         DiscoveryCallStatistics process = discovery.statistics(RateLimitedDiscovery.Caller.PROCESS);
         environment.runOnLoop(
                 () -> {
-                    hollow.clear();
+                    inProcess.clear();
                     process.clear();
                 });
         double seconds = AVERAGING_FACTOR * environment.plan().averagingSeconds();
@@ -87,40 +88,45 @@
         environment.guard().checkLimits();
         environment.runOnLoop(
                 () -> {
-                    recordSeries(count, seconds, hollow);
-                    recordMetrics(count, seconds, hollow, process);
+                    recordSeries(count, seconds, inProcess);
+                    recordMetrics(count, seconds, inProcess, process);
                 });
     }
 
-    private void recordSeries(int count, double seconds, DiscoveryCallStatistics hollow) {
+    private void recordSeries(int count, double seconds, DiscoveryCallStatistics inProcess) {
         ScaleRecorder recorder = environment.recorder();
-        recorder.record(ScaleSeries.DISCOVERY_CALLS, count, hollow.calls() / seconds);
-        recorder.record(ScaleSeries.DISCOVERY_BYTES, count, hollow.bytes() / seconds);
+        recorder.record(ScaleSeries.DISCOVERY_CALLS, count, inProcess.calls() / seconds);
+        recorder.record(ScaleSeries.DISCOVERY_BYTES, count, inProcess.bytes() / seconds);
         recorder.record(
-                ScaleSeries.TIME_TO_IN_FORCE_P50, count, hollow.secondsToInForceAtPercentile(50));
+                ScaleSeries.TIME_TO_IN_FORCE_P50,
+                count,
+                inProcess.secondsToInForceAtPercentile(50));
         recorder.record(
-                ScaleSeries.TIME_TO_IN_FORCE_P99, count, hollow.secondsToInForceAtPercentile(99));
-        recorder.record(ScaleSeries.TIME_TO_IN_FORCE_MAX, count, hollow.maxSecondsToInForce());
+                ScaleSeries.TIME_TO_IN_FORCE_P99,
+                count,
+                inProcess.secondsToInForceAtPercentile(99));
+        recorder.record(ScaleSeries.TIME_TO_IN_FORCE_MAX, count, inProcess.maxSecondsToInForce());
     }
 
     private void recordMetrics(
             int count,
             double seconds,
-            DiscoveryCallStatistics hollow,
+            DiscoveryCallStatistics inProcess,
             DiscoveryCallStatistics process) {
         ScaleRecorder recorder = environment.recorder();
-        recorder.record(ScaleMetric.IN_PROCESS_CALLS_PER_SECOND, hollow.calls() / seconds / count);
+        recorder.record(
+                ScaleMetric.IN_PROCESS_CALLS_PER_SECOND, inProcess.calls() / seconds / count);
         recorder.record(ScaleMetric.PROCESS_CALLS_PER_SECOND, process.calls() / seconds);
         recorder.record(
                 ScaleMetric.IN_PROCESS_TIME_TO_IN_FORCE_P50_SECONDS,
-                hollow.secondsToInForceAtPercentile(50));
+                inProcess.secondsToInForceAtPercentile(50));
         recorder.record(
                 ScaleMetric.PROCESS_TIME_TO_IN_FORCE_P50_SECONDS,
                 process.secondsToInForceAtPercentile(50));
     }
 
     /** Restarts discovery with a capacity that simultaneous calls of all dispatchers exceed. */
-    private void measureDiscoveryRestart(DispatcherBench bench, int hollowCount)
+    private void measureDiscoveryRestart(DispatcherBench bench, int inProcessCount)
             throws IOException, RehearsalException {
         RateLimitedDiscovery discovery = bench.discovery();
         DiscoveryCallStatistics statistics =
@@ -128,7 +134,7 @@
         environment.callOnLoop(
                 () -> {
                     discovery.setCallsPerSecond(
-                            RESTART_CALLS_PER_SECOND_PER_DISPATCHER * hollowCount);
+                            RESTART_CALLS_PER_SECOND_PER_DISPATCHER * inProcessCount);
                     statistics.clear();
                     discovery.restart(RESTART_DOWNTIME_SECONDS);
                     discovery.changeEndpoints(1);
@@ -138,7 +144,7 @@
         long availableNanos = System.nanoTime();
         bench.awaitCondition(
                 () ->
-                        discovery.connectionCount() >= hollowCount + 1
+                        discovery.connectionCount() >= inProcessCount + 1
                                 && discovery.connectionsBehind() == 0,
                 "not all dispatchers reconnected after the restart of discovery");
         ScaleRecorder recorder = environment.recorder();
@@ -148,6 +154,6 @@
         recorder.record(
                 ScaleMetric.DISCOVERY_RECOVERY_CALLS,
                 environment.callOnLoop(() -> (double) statistics.calls()));
-        environment.reportProgress("discovery restarted under " + hollowCount + " dispatchers");
+        environment.reportProgress("discovery restarted under " + inProcessCount + " dispatchers");
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scale/InProcessDispatchers.java
+++ b/kit/src/main/java/wheelroute/kit/scale/InProcessDispatchers.java
@@ -54,7 +54,7 @@
         } catch (ExecutionException e) {
             Throwable cause = e.getCause();
             throw new RehearsalException(
-                    "a hollow dispatcher failed to start: "
+                    "an in-process dispatcher failed to start: "
                             + (cause instanceof ConfigException ? cause.getMessage() : cause),
                     cause);
         }
@@ -97,12 +97,12 @@
         }
     }
 
-    /** Thrown if draining a hollow dispatcher failed. */
+    /** Thrown if draining an in-process dispatcher failed. */
     static final class InProcessDispatcherDrainException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
         InProcessDispatcherDrainException(Throwable cause) {
-            super("draining a hollow dispatcher failed", cause);
+            super("draining an in-process dispatcher failed", cause);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scale/ScalePlan.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScalePlan.java
@@ -7,7 +7,7 @@
  *
  * @param averagingSeconds time over which each rate is averaged
  * @param batchWorkerCount minimum length of the endpoint list while batches of changes are measured
- * @param dispatcherCounts numbers of hollow dispatchers
+ * @param dispatcherCounts numbers of in-process dispatchers
  */
 public record ScalePlan(
         double averagingSeconds,
--- a/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
+++ b/kit/src/test/java/wheelroute/kit/scale/ScaleRunTest.java
@@ -58,7 +58,7 @@
     private static void assertFiguresArePlausible(ScaleResults results) {
         assertTrue(
                 results.metric(ScaleMetric.IN_PROCESS_CALLS_PER_SECOND) > 0,
-                "a hollow dispatcher did not call discovery");
+                "an in-process dispatcher did not call discovery");
         assertTrue(
                 results.metric(ScaleMetric.PROCESS_CALLS_PER_SECOND) > 0,
                 "a process did not call discovery");
