--- a/kit/src/main/java/wheelroute/kit/scale/HollowDispatchers.java
+++ b/kit/src/main/java/wheelroute/kit/scale/InProcessDispatchers.java
@@ -16,10 +16,10 @@
 import wheelroute.net.lifecycle.Service;
 
 /**
- * Runs hollow dispatchers: many instances of the daemon's own {@link Service} in this process, each
- * with its own event loop and sockets. Used by one thread.
+ * Runs many instances of the daemon's own {@link Service} in this process, each with its own event
+ * loop and sockets. Results and tables call them hollow dispatchers. Used by one thread.
  */
-final class HollowDispatchers implements AutoCloseable {
+final class InProcessDispatchers implements AutoCloseable {
     private static final int PARALLEL_STARTS = 16;
 
     private final Path directory;
@@ -27,7 +27,7 @@
     private final ExecutorService startExecutor = Executors.newFixedThreadPool(PARALLEL_STARTS);
 
     /** Starts no dispatchers yet; their configuration files will be written to the directory. */
-    HollowDispatchers(Path directory) {
+    InProcessDispatchers(Path directory) {
         this.directory = directory;
     }
 
@@ -54,7 +54,7 @@
         } catch (ExecutionException e) {
             Throwable cause = e.getCause();
             throw new RehearsalException(
-                    "a hollow dispatcher failed to start: "
+                    "an in-process dispatcher failed to start: "
                             + (cause instanceof ConfigException ? cause.getMessage() : cause),
                     cause);
         }
@@ -93,16 +93,16 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException e) {
-            throw new HollowDispatcherDrainException(e.getCause());
+            throw new InProcessDispatcherDrainException(e.getCause());
         }
     }
 
-    /** Thrown if draining a hollow dispatcher failed. */
-    static final class HollowDispatcherDrainException extends RuntimeException {
+    /** Thrown if draining an in-process dispatcher failed. */
+    static final class InProcessDispatcherDrainException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        HollowDispatcherDrainException(Throwable cause) {
-            super("draining a hollow dispatcher failed", cause);
+        InProcessDispatcherDrainException(Throwable cause) {
+            super("draining an in-process dispatcher failed", cause);
         }
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -75,12 +75,12 @@
                             .map(e -> "line " + e.position().line() + ": " + e.getMessage())
                             .toList());
         }
-        List<TomlFields.FieldError> errors = new ArrayList<>();
-        Scenario scenario = new ScenarioReader(new TomlFields(toml, "", errors)).read(name);
-        if (!errors.isEmpty()) {
-            errors.sort(Comparator.comparingInt(TomlFields.FieldError::line));
+        List<TomlFields.FieldError> faults = new ArrayList<>();
+        Scenario scenario = new ScenarioReader(new TomlFields(toml, "", faults)).read(name);
+        if (!faults.isEmpty()) {
+            faults.sort(Comparator.comparingInt(TomlFields.FieldError::line));
             throw new ScenarioException(
-                    name, errors.stream().map(TomlFields.FieldError::toString).toList());
+                    name, faults.stream().map(TomlFields.FieldError::toString).toList());
         }
         return scenario;
     }
@@ -159,24 +159,24 @@
 
     private static List<Scenario.Expectation> expectations(TomlFields fields) {
         List<Scenario.Expectation> expectations = new ArrayList<>();
-        for (String figure : fields.keys()) {
-            if (FigureNames.isKnown(figure)) {
+        for (String metric : fields.keys()) {
+            if (MetricNames.isKnown(metric)) {
                 expectations.add(
                         ScenarioFields.readStrictly(
-                                fields.table(figure), bounds -> expectation(figure, bounds)));
+                                fields.table(metric), bounds -> expectation(metric, bounds)));
             } else {
                 fields.addError(
-                        figure, "is not a figure of a report; known figures: " + FigureNames.KNOWN);
-                fields.table(figure);
+                        metric, "is not a figure of a report; known figures: " + MetricNames.KNOWN);
+                fields.table(metric);
             }
         }
         return expectations;
     }
 
-    private static Scenario.Expectation expectation(String figure, TomlFields bounds) {
+    private static Scenario.Expectation expectation(String metric, TomlFields bounds) {
         double max = ScenarioFields.MAX_NUMBER;
         return new Scenario.Expectation(
-                figure,
+                metric,
                 bounds.number("least", Double.NEGATIVE_INFINITY, -max, max),
                 bounds.number("most", Double.POSITIVE_INFINITY, -max, max));
     }
--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioWriter.java
@@ -114,7 +114,7 @@
                 .number("jitter", network.jitterSeconds());
     }
 
-    private void write(Scenario.PlatformTerms terms) {
+    private void write(Scenario.PlatformProperties terms) {
         toml.table("terms")
                 .flag("tells_start", terms.reportsStart())
                 .number("progress_every", terms.progressIntervalSeconds())
@@ -158,7 +158,7 @@
         if (fault.peerFraction() < 1) {
             toml.number("others", fault.peerFraction());
         }
-        if (fault.mode() != FaultMode.USUAL) {
+        if (fault.mode() != FaultMode.UNCHANGED) {
             toml.text("how", fault.mode().key());
         }
     }
@@ -173,7 +173,7 @@
     }
 
     private void write(Scenario.Expectation expectation) {
-        toml.table("expect." + TomlWriter.quoted(expectation.figure()));
+        toml.table("expect." + TomlWriter.quoted(expectation.metric()));
         if (Double.isFinite(expectation.min())) {
             toml.number("least", expectation.min());
         }
