--- a/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/ScenarioReader.java
@@ -75,12 +75,12 @@
                             .map(e -> "line " + e.position().line() + ": " + e.getMessage())
                             .toList());
         }
-        List<TomlFields.FieldError> faults = new ArrayList<>();
-        Scenario scenario = new ScenarioReader(new TomlFields(toml, "", faults)).read(name);
-        if (!faults.isEmpty()) {
-            faults.sort(Comparator.comparingInt(TomlFields.FieldError::line));
+        List<TomlFields.FieldError> errors = new ArrayList<>();
+        Scenario scenario = new ScenarioReader(new TomlFields(toml, "", errors)).read(name);
+        if (!errors.isEmpty()) {
+            errors.sort(Comparator.comparingInt(TomlFields.FieldError::line));
             throw new ScenarioException(
-                    name, faults.stream().map(TomlFields.FieldError::toString).toList());
+                    name, errors.stream().map(TomlFields.FieldError::toString).toList());
         }
         return scenario;
     }
