--- a/daemon/src/main/java/wheelroute/adapter/EndpointListReader.java
+++ b/daemon/src/main/java/wheelroute/adapter/EndpointListReader.java
@@ -73,7 +73,7 @@
             case "C" -> ListType.CACHED;
             case "D" -> ListType.DELTA;
             case "X" -> ListType.FAILED;
-            default -> throw line.error("unknown type of endpoint list '" + word + "'");
+            default -> throw line.error("unknown form of endpoint list '" + word + "'");
         };
     }
 
