--- a/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
+++ b/daemon/src/main/java/wheelroute/decision/state/TrackedRequest.java
@@ -15,12 +15,12 @@
     private final double work;
     private final double slots;
     private final double acceptedAt;
-    private final KeyAffinity<WorkerState>.Placement affinity;
+    private final KeyAffinity<WorkerState>.CacheLocations affinity;
     private final KeyQueue queue;
     private final List<Attempt> attempts = new ArrayList<>(2);
     private double keyBlockedUntil = Double.NEGATIVE_INFINITY;
     private int inFlight;
-    private boolean done;
+    private boolean closed;
     private boolean streaming;
     private boolean invalid;
     private boolean failed;
@@ -37,7 +37,7 @@
             Request request,
             RequestClassState requestClass,
             double acceptedAt,
-            KeyAffinity<WorkerState>.Placement affinity,
+            KeyAffinity<WorkerState>.CacheLocations affinity,
             KeyQueue queue) {
         this.request = request;
         this.requestClass = requestClass;
@@ -63,8 +63,8 @@
     }
 
     /** Returns the priority weight of the request class, above 0. */
-    public double value() {
-        return requestClass.value();
+    public double priorityWeight() {
+        return requestClass.priorityWeight();
     }
 
     /** Returns the expected work of the request, in seconds on a standard core. */
@@ -86,7 +86,7 @@
      * Returns the workers that likely cache the data of the request's key; null if the request has
      * no key.
      */
-    public KeyAffinity<WorkerState>.Placement affinity() {
+    public KeyAffinity<WorkerState>.CacheLocations affinity() {
         return affinity;
     }
 
@@ -130,19 +130,19 @@
         return inFlight > 0;
     }
 
-    /** Marks the request as answered, or as abandoned by its client. */
-    public void finish() {
-        done = true;
+    /** Closes the request, because it is answered or its client has disconnected. */
+    public void markClosed() {
+        closed = true;
     }
 
-    /** Returns whether the request has its answer or its client is gone. */
-    public boolean isDone() {
-        return done;
+    /** Returns whether the request is answered or its client has disconnected. */
+    public boolean isClosed() {
+        return closed;
     }
 
-    /** Returns whether the request is done and has no attempt in flight. */
+    /** Returns whether the request is closed and has no attempt in flight. */
     public boolean isComplete() {
-        return done && inFlight == 0;
+        return closed && inFlight == 0;
     }
 
     /** Marks that part of a result was sent to the client, so that no other attempt may answer. */
--- a/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
+++ b/kit/src/main/java/wheelroute/kit/process/ProcessRunReport.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import wheelroute.kit.audit.MetricsAuditor;
 import wheelroute.kit.report.Report;
-import wheelroute.kit.scenario.FigureNames;
+import wheelroute.kit.scenario.MetricNames;
 import wheelroute.kit.scenario.Scenario;
 
 /**
@@ -56,22 +56,22 @@
                 environment.auditor,
                 environment.cluster,
                 lag,
-                new Report.Measurements(figures(), notes()),
+                new Report.Measurements(metrics(), notes()),
                 isPartial);
     }
 
-    private Map<String, Double> figures() {
+    private Map<String, Double> metrics() {
         MetricsAuditor metrics = environment.metricsAuditor;
-        Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put(
-                FigureNames.MAX_DISCOVERY_CALLS,
+        Map<String, Double> values = new LinkedHashMap<>();
+        values.put(
+                MetricNames.MAX_DISCOVERY_CALLS,
                 (double) environment.discoveryCalls.maxPerSecond());
-        figures.put(FigureNames.MISMATCHED_METRICS, metrics.mismatchFraction());
-        figures.put(FigureNames.ADMIN_CALL_TIMEOUTS, metrics.lateCallFraction());
-        figures.put(
-                FigureNames.FAILED_REPLACEMENTS, (double) environment.fleet.failedReplacements());
-        figures.put(FigureNames.PEERS_NOT_CONVERGED, (double) membership.mismatches().size());
-        return figures;
+        values.put(MetricNames.MISMATCHED_METRICS, metrics.mismatchFraction());
+        values.put(MetricNames.ADMIN_CALL_TIMEOUTS, metrics.lateCallFraction());
+        values.put(
+                MetricNames.FAILED_REPLACEMENTS, (double) environment.fleet.failedReplacements());
+        values.put(MetricNames.PEERS_NOT_CONVERGED, (double) membership.mismatches().size());
+        return values;
     }
 
     private List<String> notes() {
--- a/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
+++ b/kit/src/main/java/wheelroute/kit/scale/CapacityTables.java
@@ -43,7 +43,7 @@
         tables.put("failures", failures());
         tables.put("workers", workers());
         tables.put("peers", peers());
-        tables.put("hollow", hollowDispatchers());
+        tables.put("hollow", inProcessDispatchers());
         return tables;
     }
 
@@ -60,9 +60,9 @@
                     String.format(Locale.ROOT, "%.3f", fit.r2()));
         }
         String validity =
-                results.notJudged().isEmpty()
+                results.invalidReason().isEmpty()
                         ? "valid, the background load was low enough."
-                        : "NOT JUDGED, " + results.notJudged() + ".";
+                        : "NOT JUDGED, " + results.invalidReason() + ".";
         return "Measured on " + results.machine() + ": " + validity + "\n\n" + table.text();
     }
 
@@ -226,9 +226,9 @@
                         + " dispatchers, from its return",
                 "1",
                 NOT_APPLICABLE,
-                formatNumber(results.figure(ScaleFigure.DISCOVERY_RECOVERY_SECONDS))
+                formatNumber(results.metric(ScaleMetric.DISCOVERY_RECOVERY_SECONDS))
                         + " (measured once, "
-                        + formatNumber(results.figure(ScaleFigure.DISCOVERY_RECOVERY_CALLS))
+                        + formatNumber(results.metric(ScaleMetric.DISCOVERY_RECOVERY_CALLS))
                         + " calls)");
         return table.text();
     }
@@ -273,16 +273,16 @@
         return table.text();
     }
 
-    private String hollowDispatchers() {
+    private String inProcessDispatchers() {
         MarkdownTable table = new MarkdownTable("seen by discovery", "process", "hollow");
         table.addRow(
                 "calls/s",
-                formatNumber(results.figure(ScaleFigure.PROCESS_CALLS_PER_SECOND)),
-                formatNumber(results.figure(ScaleFigure.HOLLOW_CALLS_PER_SECOND)));
+                formatNumber(results.metric(ScaleMetric.PROCESS_CALLS_PER_SECOND)),
+                formatNumber(results.metric(ScaleMetric.IN_PROCESS_CALLS_PER_SECOND)));
         table.addRow(
                 "s until a change is in force, p50",
-                formatNumber(results.figure(ScaleFigure.PROCESS_TIME_TO_IN_FORCE_P50_SECONDS)),
-                formatNumber(results.figure(ScaleFigure.HOLLOW_TIME_TO_IN_FORCE_P50_SECONDS)));
+                formatNumber(results.metric(ScaleMetric.PROCESS_TIME_TO_IN_FORCE_P50_SECONDS)),
+                formatNumber(results.metric(ScaleMetric.IN_PROCESS_TIME_TO_IN_FORCE_P50_SECONDS)));
         return table.text();
     }
 }
--- a/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
+++ b/kit/src/main/java/wheelroute/kit/scale/ScalePage.java
@@ -19,14 +19,14 @@
         String summary =
                 results.machine()
                         + "\n"
-                        + (results.notJudged().isEmpty()
+                        + (results.invalidReason().isEmpty()
                                 ? "judged"
-                                : "not judged: " + results.notJudged())
+                                : "not judged: " + results.invalidReason())
                         + "\n"
                         + String.join("\n", exceededBounds);
         StringBuilder body =
                 new StringBuilder("<h1>" + TITLE + "</h1>\n<pre>")
-                        .append(HtmlWriter.escaped(summary))
+                        .append(HtmlWriter.escapeHtml(summary))
                         .append("</pre>\n");
         for (String name : results.fits().keySet()) {
             body.append("<div id=\"").append(name).append("\"></div>\n");
--- a/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
+++ b/kit/src/main/java/wheelroute/kit/scenario/Scenario.java
@@ -36,7 +36,7 @@
         List<LoadPoint> load,
         Clients clients,
         Network network,
-        PlatformTerms terms,
+        PlatformProperties terms,
         List<Fault> faults,
         RandomFaults randomFaults,
         List<Expectation> expectations,
@@ -147,7 +147,7 @@
      * @param drainGraceSeconds how long attempts may still arrive at a worker after the dispatcher
      *     is notified that the worker is draining or removed
      */
-    public record PlatformTerms(
+    public record PlatformProperties(
             boolean reportsStart,
             double progressIntervalSeconds,
             boolean mayCancel,
@@ -224,8 +224,8 @@
         public static final RandomFaults NONE = new RandomFaults(0, 1, List.of());
     }
 
-    /** Bounds of a figure of the report; a bound is infinite where there is none. */
-    public record Expectation(String figure, double min, double max) {}
+    /** Bounds of a metric of the report; a bound is infinite where there is none. */
+    public record Expectation(String metric, double min, double max) {}
 
     /** Returns the zone of a dispatcher, by its number from 0. */
     public String zoneOf(int dispatcher) {
--- a/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
+++ b/kit/src/main/java/wheelroute/kit/strategy/Strategies.java
@@ -13,15 +13,15 @@
     public static final String POLICY = "module";
 
     /** Name of the baseline that knows the true state of all workers, unlike any dispatcher. */
-    public static final String OMNISCIENT = "seeing";
+    public static final String ORACLE = "seeing";
 
     private static final Map<String, Function<ClusterModel, Strategy.Factory>> FACTORIES =
             new TreeMap<>(
                     Map.of(
                             POLICY,
                             cluster -> PolicyStrategy::new,
-                            OMNISCIENT,
-                            cluster -> baseline(() -> new OmniscientSelector(cluster)),
+                            ORACLE,
+                            cluster -> baseline(() -> new OracleSelector(cluster)),
                             "random",
                             cluster -> baseline(() -> WorkerSelectors.random(cluster)),
                             "round-robin",
