--- a/daemon/src/test/java/wheelroute/ServeOptionsTest.java
+++ b/daemon/src/test/java/wheelroute/ServeOptionsTest.java
@@ -10,7 +10,7 @@
     @DataProvider
     public Object[][] validArguments() {
         return new Object[][] {
-            // arguments, log format, configuration file
+            // Each row holds the arguments, the log format and the configuration file.
             {"serve", null, null},
             {"serve a.toml", null, "a.toml"},
             {"serve --log-format json", "json", null},
